--- /dev/null
+++ b/crates/divider/tests/golden.rs
@@ -0,0 +1,259 @@
+//! Golden files of dividers: their calls, and a state folder with a log, a vote and a snapshot, as an earlier version left them.
+//!
+//! To take them anew, after a change of a format that was meant: `GOLDEN_RECORD=1 cargo test -p shorepath-divider --test golden`.
+
+#[path = "../../rig/src/addresses.rs"]
+mod addresses;
+
+use addresses::fresh;
+use flate2::read::GzDecoder;
+use flate2::write::GzEncoder;
+use flate2::Compression;
+use openraft::storage::{RaftLogStorage, RaftStateMachine};
+use openraft::{RaftLogReader, RaftSnapshotBuilder};
+use serde_json::{json, Value};
+use shorepath_budgets::divider::Divider;
+use shorepath_budgets::file::{read, Plan};
+use shorepath_budgets::words::{Claiming, Granting, Status, Word};
+use shorepath_budgets::{Life, NodeId, Skew};
+use shorepath_divider::calls::{Call, Caller, Reply};
+use shorepath_divider::clock::Clock;
+use shorepath_divider::store::{Machine, Store};
+use std::fs::File;
+use std::io;
+use std::net::UdpSocket;
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command};
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+
+const PROGRAM: &str = env!("CARGO_BIN_EXE_shorepath-divider");
+/// Nothing here takes longer.
+const LONG: Duration = Duration::from_secs(30);
+
+fn golden(name: &str) -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
+}
+
+fn records() -> bool {
+    std::env::var_os("GOLDEN_RECORD").is_some()
+}
+
+/// The golden file says exactly that.
+fn matches(name: &str, found: &str) {
+    if records() {
+        std::fs::write(golden(name), found).unwrap();
+    }
+    let text = std::fs::read_to_string(golden(name)).unwrap();
+    for (golden, found) in text.lines().zip(found.lines()) {
+        assert_eq!(found, golden, "{name}");
+    }
+    assert_eq!(found.lines().count(), text.lines().count(), "{name}");
+}
+
+fn calls() -> Vec<Value> {
+    let vote = json!({"leader_id": {"term": 3, "node_id": 77}, "committed": true});
+    let log_id = json!({"leader_id": {"term": 3, "node_id": 77}, "index": 9});
+    let membership =
+        json!({"log_id": log_id, "membership": {"configs": [[77]], "nodes": {"77": {"addr": "d0"}}}});
+    let meta = json!({"last_log_id": log_id, "last_membership": membership, "snapshot_id": "9"});
+    vec![
+        json!("Hello"),
+        json!({"Join": {"name": "d1", "disk": null}}),
+        json!({"Join": {"name": "d1", "disk": 2}}),
+        json!("Status"),
+        json!({"Vote": {"to": 77, "rpc": {"vote": vote, "last_log_id": log_id}}}),
+        json!({"Append": {"to": 77, "rpc": {"vote": vote, "prev_log_id": log_id, "entries": [], "leader_commit": null}}}),
+        json!({"Snapshot": {"to": 77, "rpc": {"vote": vote, "meta": meta, "offset": 0, "data": [1, 2], "done": true}}}),
+    ]
+}
+
+fn replies() -> Vec<Value> {
+    let vote = json!({"leader_id": {"term": 3, "node_id": 77}, "committed": false});
+    let mut all: Vec<Value> = ["Fresh", "Ready", "Founded"]
+        .iter()
+        .map(|stand| json!({"Hello": {"stand": stand, "leader": "d0"}}))
+        .collect();
+    all.extend([
+        json!({"Joins": 2}),
+        json!({"No": "this divider does not lead"}),
+        json!({"Append": {"Ok": "Success"}}),
+        json!({"Vote": {"Ok": {"vote": vote, "vote_granted": true, "last_log_id": null}}}),
+        json!({"Snapshot": {"Ok": {"vote": vote}}}),
+        json!({"Status": serde_json::to_value(Status { divider: "d0".into(), ..Status::default() }).unwrap()}),
+    ]);
+    all
+}
+
+/// Every call and reply is read, and written again as it was.
+#[test]
+fn calls_between_dividers_and_of_operators() {
+    let mut found = String::new();
+    for call in calls() {
+        let read: Call = serde_json::from_value(call.clone()).unwrap_or_else(|e| panic!("{e}: {call}"));
+        assert_eq!(serde_json::to_value(&read).unwrap(), call);
+        found += &format!("call {}\n", serde_json::to_string(&read).unwrap());
+    }
+    for reply in replies() {
+        let read: Reply = serde_json::from_value(reply.clone()).unwrap_or_else(|e| panic!("{e}: {reply}"));
+        assert_eq!(serde_json::to_value(&read).unwrap(), reply);
+        found += &format!("reply {}\n", serde_json::to_string(&read).unwrap());
+    }
+    matches("calls.txt", &found);
+}
+
+/// A fleet of one divider, and one node that the test plays.
+struct Fleet {
+    folder: tempfile::TempDir,
+    plan: Plan,
+    child: Option<Child>,
+    socket: UdpSocket,
+}
+
+impl Fleet {
+    fn new(version: u64) -> Fleet {
+        let folder = tempfile::tempdir().unwrap();
+        let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
+        socket.set_read_timeout(Some(Duration::from_millis(200))).unwrap();
+        let own = socket.local_addr().unwrap();
+        let text = format!(
+            "(budgets (version {version}) (term 1 s) (divider d0 \"{}\") (node n0 \"{own}\")
+               (budget quota:a (whole 100) (reserve 5)))",
+            fresh().unwrap()
+        );
+        std::fs::write(folder.path().join("b.sexp"), &text).unwrap();
+        Fleet { plan: read("b.sexp", &text).unwrap(), folder, child: None, socket }
+    }
+
+    fn state(&self) -> PathBuf {
+        self.folder.path().join("d0")
+    }
+
+    fn start(&mut self) {
+        let log = File::create(self.folder.path().join("log")).unwrap();
+        let mut command = Command::new(PROGRAM);
+        command.arg("--budgets").arg(self.folder.path().join("b.sexp")).arg("--state").arg(self.state());
+        self.child = Some(command.args(["--name", "d0"]).stderr(log).spawn().unwrap());
+    }
+
+    fn stop(&mut self) {
+        let mut child = self.child.take().unwrap();
+        child.kill().unwrap();
+        child.wait().unwrap();
+    }
+
+    /// Ask until something is granted.
+    fn granted(&self, plan: u64, incarnation: u64) -> Granting {
+        let (begin, life) = (Instant::now(), Life { node: NodeId::of("n0"), incarnation });
+        for answers in 1.. {
+            assert!(begin.elapsed() < LONG, "no grant");
+            let claim = Claiming { budget: "quota:a".into(), answers, demand: 30, used: 0, goes_by: (0, 0) };
+            let ask = Word::Ask { life, plan, claims: vec![claim] };
+            let _ = self.socket.send_to(&ask.bytes(), self.plan.dividers[0].address);
+            let mut buffer = [0; 2_000];
+            while let Ok((n, _)) = self.socket.recv_from(&mut buffer) {
+                let Ok(Word::Grants { grants, .. }) = Word::read(&buffer[..n]) else { continue };
+                if let Some(grant) = grants.into_iter().find(|g| g.amount > 0) {
+                    return grant;
+                }
+            }
+        }
+        unreachable!()
+    }
+
+    fn status(&self) -> Option<Status> {
+        let caller = Caller::default();
+        caller.follow(&self.plan);
+        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+        let call = caller.call(NodeId::of("d0"), &Call::Status, Duration::from_secs(1));
+        match runtime.block_on(call) {
+            Ok(Reply::Status(status)) => Some(*status),
+            _ => None,
+        }
+    }
+}
+
+impl Drop for Fleet {
+    fn drop(&mut self) {
+        if let Some(child) = &mut self.child {
+            let _ = (child.kill(), child.wait());
+        }
+    }
+}
+
+/// Take a snapshot of what a stopped divider has agreed on, and drop the first half of its log.
+fn snapshot(folder: &Path) {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    runtime.block_on(async {
+        let mut store = Store::open(folder).unwrap();
+        let clock = Clock::new(Skew::default());
+        let text = "(budgets (version 1) (divider d0 \"127.0.0.1:1\") (node n0 \"127.0.0.1:2\") (budget probes (whole 9)))";
+        let divider = Arc::new(Mutex::new(Divider::new("d0", read("b", text).unwrap(), 1)));
+        let mut machine = Machine::new(store.clone(), clock, divider).unwrap();
+        let entries = store.try_get_log_entries(..).await.unwrap();
+        let middle = entries[entries.len() / 2].log_id;
+        machine.apply(entries).await.unwrap();
+        machine.get_snapshot_builder().await.build_snapshot().await.unwrap();
+        store.purge(middle).await.unwrap();
+    });
+}
+
+fn pack(from: &Path, to: &Path) {
+    let mut packed = GzEncoder::new(File::create(to).unwrap(), Compression::best());
+    io::copy(&mut File::open(from).unwrap(), &mut packed).unwrap();
+    packed.finish().unwrap();
+}
+
+fn unpack(from: &Path, to: &Path) {
+    std::fs::create_dir_all(to.parent().unwrap()).unwrap();
+    io::copy(&mut GzDecoder::new(File::open(from).unwrap()), &mut File::create(to).unwrap()).unwrap();
+}
+
+/// Have a divider found a fleet and grant to two lives, and pack its folder.
+fn record() {
+    let mut fleet = Fleet::new(1);
+    fleet.start();
+    fleet.granted(1, 1);
+    fleet.granted(1, 2);
+    fleet.stop();
+    snapshot(&fleet.state());
+    pack(&fleet.state().join("divider.redb"), &golden("divider.redb.gz"));
+}
+
+/// What a folder holds, by the names under which it is kept; what is new with each entry is left out.
+fn kept(folder: &Path) -> String {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let mut store = Store::open(folder).unwrap();
+    let mut text = String::new();
+    for name in ["format", "disk", "vote", "purged", "snapshot"] {
+        let value: Option<Value> = store.fact(name).unwrap();
+        text += &format!("{name} {}\n", value.unwrap_or_default());
+    }
+    for entry in runtime.block_on(store.try_get_log_entries(..)).unwrap() {
+        text += &format!("entry {}\n", serde_json::to_string(&entry).unwrap());
+    }
+    text
+}
+
+/// A divider opens the folder and goes on with the same fleet, from the numbers that were granted.
+#[test]
+fn a_divider_finds_what_an_earlier_version_kept() {
+    if records() {
+        record();
+    }
+    let mut fleet = Fleet::new(2);
+    unpack(&golden("divider.redb.gz"), &fleet.state().join("divider.redb"));
+    let text = kept(&fleet.state());
+    matches("state-folder.txt", &text);
+    let snapshot = text.lines().find_map(|line| line.strip_prefix("snapshot ")).unwrap();
+    let snapshot: Value = serde_json::from_str(snapshot).unwrap();
+    let number = snapshot["kept"]["ledgers"]["quota:a"][0].as_u64().unwrap();
+    fleet.start();
+    let grant = fleet.granted(2, 3);
+    assert_eq!(u64::from(grant.epoch), snapshot["kept"]["epoch"].as_u64().unwrap());
+    assert!(grant.number > number && number > 0, "{} after {number}", grant.number);
+    let begin = Instant::now();
+    while fleet.status().is_none_or(|status| status.plan != 2) {
+        assert!(begin.elapsed() < LONG, "{:?}", fleet.status());
+    }
+}
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -3,6 +3,8 @@
 /// One owner gives out addresses to all tests that start processes.
 #[path = "../../crates/rig/src/addresses.rs"]
 mod addresses;
+pub mod divider;
+pub mod site_files;
 
 pub use rustix::process::Signal;
 use rustix::process::{kill_process, prlimit, Pid, Resource, Rlimit};
