--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -5,7 +5,7 @@
 use crate::sim::draw::between;
 use crate::sim::tally::Outcome;
 use rand_chacha::ChaCha8Rng;
-use shorepath_core::api::{Effect, Micros};
+use shorepath_scheduler::{Idempotency, Micros};
 
 /// What of a tenant's requests lies beyond its quota; a second's worth of that may come at once.
 #[derive(Clone, Copy, Debug)]
@@ -62,7 +62,7 @@
     let wait = between(rng, sc.clients.wait);
     let wait = retry_after.filter(|_| sc.clients.heed).map_or(wait, |r| r.max(wait));
     // A keyed request would come under a new id, which no server knows: only a refusal makes that harmless.
-    let harmless = answer == Answer::Refused || class.effect == Effect::Safe;
+    let harmless = answer == Answer::Refused || class.effect == Idempotency::Idempotent;
     if harmless && tries <= sc.clients.retries && took + wait < class.give_up {
         Next::Retry(wait)
     } else {
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -1,7 +1,7 @@
 //! Experiments: one scenario over a grid of changes, each point several times.
 
 use crate::scenario::{self, Scenario};
-use shorepath_core::settings::mark;
+use shorepath_scheduler::name_hash;
 use shorepath_sexp::splice::{self, SpliceError};
 use shorepath_sexp::{Complaints, Form};
 use std::path::{Path, PathBuf};
@@ -211,7 +211,7 @@
 
     /// What tells its rows from those of another, or of another version of it.
     pub fn print(&self) -> u64 {
-        mark(&format!("{}\n{:?}\n{}\n{}", self.text, self.vary, self.replications, self.seed))
+        name_hash(&format!("{}\n{:?}\n{}\n{}", self.text, self.vary, self.replications, self.seed))
     }
 }
 
--- a/crates/lab/src/load/clients.rs
+++ b/crates/lab/src/load/clients.rs
@@ -12,7 +12,7 @@
 use hyper::client::conn::http1::{handshake, SendRequest};
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use shorepath_core::api::{Effect, Micros};
+use shorepath_scheduler::{Idempotency, Micros};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -137,7 +137,7 @@
         .header("Tenant", &rig.sc.tenants[what.0 as usize].name)
         .header("Request-Timeout", format!("{left}u"));
     let request = match class.effect {
-        Effect::Keyed { .. } => request.header("Idempotency-Key", format!("{id:032x}")),
+        Idempotency::Keyed { .. } => request.header("Idempotency-Key", format!("{id:032x}")),
         _ => request,
     };
     let request = match job.hint {
--- a/crates/lab/src/load/discovery.rs
+++ b/crates/lab/src/load/discovery.rs
@@ -10,7 +10,7 @@
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use serde_json::{json, Value};
-use shorepath_core::api::{Member, Micros, Standing};
+use shorepath_scheduler::{Endpoint, EndpointState, Micros};
 use std::collections::VecDeque;
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -52,7 +52,7 @@
     let list = line(known + 1, true, &entries(&rig));
     for (server, s) in rig.servers.borrow().iter().enumerate() {
         let m = member(&rig.sc, server as u32, s);
-        rig.checker.borrow_mut().told(node, m.worker.0, m.standing == Standing::Live, m.started, rig.now());
+        rig.checker.borrow_mut().told(node, m.id.0, m.state == EndpointState::Live, m.started_at, rig.now());
     }
     if !request.uri().query().unwrap_or("").contains("watch=1") {
         return Ok(whole(StatusCode::OK, list));
@@ -67,7 +67,7 @@
 async fn watch(rig: Rc<Rig>, node: u32, mut seen: usize, feed: Feed) {
     let mut rng = stream(rig.sc.seed ^ u64::from(node), Purpose::Discovery);
     let mut changes = rig.news.subscribe();
-    let mut due: VecDeque<(Micros, Member)> = VecDeque::new();
+    let mut due: VecDeque<(Micros, Endpoint)> = VecDeque::new();
     let mut last = 0;
     // What waits to be told must not put the beat off.
     let mut beat = tokio::time::interval(BEAT);
@@ -82,13 +82,13 @@
         tokio::select! {
             () = async { sleep_until(next.unwrap_or(rig.origin.get())).await }, if next.is_some() => {
                 let Some((_, member)) = due.pop_front() else { continue };
-                let live = member.standing == Standing::Live;
+                let live = member.state == EndpointState::Live;
                 let told = line(seen - due.len() + 1, false, &[entry(&rig, &member)]);
                 // A watch that has ended tells nobody.
                 if feed.is_closed() || feed.send(Ok(Frame::data(told))).is_err() {
                     return;
                 }
-                rig.checker.borrow_mut().told(node, member.worker.0, live, member.started, rig.now());
+                rig.checker.borrow_mut().told(node, member.id.0, live, member.started_at, rig.now());
             }
             changed = changes.changed() => if changed.is_err() { return },
             _ = beat.tick() => {
--- a/crates/lab/src/load/mod.rs
+++ b/crates/lab/src/load/mod.rs
@@ -22,7 +22,7 @@
 use rand_chacha::ChaCha8Rng;
 use rustc_hash::FxHashMap;
 use serde::Serialize;
-use shorepath_core::api::{Member, Micros};
+use shorepath_scheduler::{Endpoint, Micros};
 use slotmap::SlotMap;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -120,7 +120,7 @@
     failures: RefCell<ChaCha8Rng>,
     clients: RefCell<ChaCha8Rng>,
     /// All changes of the list so far, in order.
-    news: watch::Sender<Vec<Member>>,
+    news: watch::Sender<Vec<Endpoint>>,
     silent_until: Cell<Micros>,
     open: Cell<u32>,
 }
--- a/crates/lab/src/load/nodes.rs
+++ b/crates/lab/src/load/nodes.rs
@@ -5,7 +5,7 @@
 use crate::sim::faults::member;
 use rand::RngExt;
 use serde_json::{json, Value};
-use shorepath_core::api::{Effect, Member, Scope, Standing};
+use shorepath_scheduler::{DedupScope, Endpoint, EndpointState, Idempotency};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::process::Stdio;
@@ -29,20 +29,20 @@
 }
 
 /// Discovery's entry for a server.
-pub fn entry(rig: &Rig, m: &Member) -> Value {
-    let address = rig.addresses.borrow()[m.worker.0 as usize];
-    let phase = match m.standing {
-        Standing::Live => "active",
-        Standing::Draining => "leaving",
-        Standing::Gone => "left",
+pub fn entry(rig: &Rig, m: &Endpoint) -> Value {
+    let address = rig.addresses.borrow()[m.id.0 as usize];
+    let phase = match m.state {
+        EndpointState::Live => "active",
+        EndpointState::Draining => "leaving",
+        EndpointState::Gone => "left",
     };
     // The models' clock began with the rig: a start is told by the wall's clock.
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-    let ago = (rig.now() - m.started).max(0) / 1_000;
-    let started = if m.started > 0 { unix.as_millis() as i64 - ago } else { 0 };
-    json!({"id": format!("s-{}", m.worker.0), "host_port": address.to_string(),
+    let ago = (rig.now() - m.started_at).max(0) / 1_000;
+    let started = if m.started_at > 0 { unix.as_millis() as i64 - ago } else { 0 };
+    json!({"id": format!("s-{}", m.id.0), "host_port": address.to_string(),
            "locality": rig.sc.zones[m.zone.0 as usize], "flavor": rig.sc.servers.kinds[m.kind.0 as usize].name,
-           "cell": 0, "phase": phase, "size": m.scale, "up_since_ms": started})
+           "cell": 0, "phase": phase, "size": m.capacity, "up_since_ms": started})
 }
 
 /// All entries as they stand.
@@ -57,10 +57,10 @@
     let ms = |t: i64| t as f64 / 1000.0;
     let class = |c: &crate::scenario::Class| {
         let (semantics, group, window) = match c.effect {
-            Effect::Unsafe => ("single_shot", "all", 0),
-            Effect::Safe => ("free", "all", 0),
-            Effect::Keyed { scope: Scope::Zone, memory } => ("guarded", "zone", memory),
-            Effect::Keyed { memory, .. } => ("guarded", "all", memory),
+            Idempotency::NonIdempotent => ("single_shot", "all", 0),
+            Idempotency::Idempotent => ("free", "all", 0),
+            Idempotency::Keyed { scope: DedupScope::Zone, window: memory } => ("guarded", "zone", memory),
+            Idempotency::Keyed { window: memory, .. } => ("guarded", "all", memory),
         };
         json!({"name": c.name, "semantics": semantics, "group": group, "dedup_window_ms": ms(window), "target_ms": ms(c.wanted), "deadline_ms": ms(c.give_up),
                "late_worth": c.late, "worth": c.worth})
--- a/crates/lab/src/load/stand.rs
+++ b/crates/lab/src/load/stand.rs
@@ -13,7 +13,7 @@
 use hyper_util::rt::TokioIo;
 use rand::RngExt;
 use rand_distr::{Distribution, Exp1};
-use shorepath_core::api::{Micros, Status};
+use shorepath_scheduler::{AttemptStatus, Micros};
 use std::cell::Cell;
 use std::future::pending;
 use std::net::SocketAddr;
@@ -182,7 +182,7 @@
         Offer::Full => {
             rig.runs.borrow_mut().remove(run);
             rig.checker.borrow_mut().ended(id, true);
-            rig.tally.borrow_mut().ended(Status::Full);
+            rig.tally.borrow_mut().ended(AttemptStatus::Overloaded);
             sleep(way(&rig, near)).await;
             let mut full = whole(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
             full.headers_mut().insert("not-started", hyper::header::HeaderValue::from_static("1"));
@@ -225,8 +225,11 @@
     let (done, begun) = rig.servers.borrow_mut()[server].step(now);
     for key in done {
         if let Some(run) = rig.runs.borrow_mut().remove(key) {
-            let (note, status) =
-                if run.fails { (Note::Failed, Status::Error) } else { (Note::Done, Status::Ok) };
+            let (note, status) = if run.fails {
+                (Note::Failed, AttemptStatus::Error)
+            } else {
+                (Note::Done, AttemptStatus::Ok)
+            };
             let _ = run.notes.send(note);
             rig.checker.borrow_mut().ended(run.id, false);
             rig.tally.borrow_mut().ended(status);
@@ -267,7 +270,7 @@
     for (key, _) in lost {
         if let Some(run) = rig.runs.borrow_mut().remove(key) {
             rig.checker.borrow_mut().ended(run.id, false);
-            rig.tally.borrow_mut().ended(Status::Reset);
+            rig.tally.borrow_mut().ended(AttemptStatus::Reset);
         }
     }
     rig.deaths[server].send_modify(|n| *n += 1);
--- a/crates/lab/src/policy/book.rs
+++ b/crates/lab/src/policy/book.rs
@@ -2,18 +2,18 @@
 
 use super::choice::Choice;
 use super::limit::Limit;
-use super::{Fleet, Scheduler};
+use super::{Fleet, Policy};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rustc_hash::FxHashMap;
-use shorepath_core::api::*;
+use shorepath_scheduler::*;
 use std::collections::BTreeMap;
 
 /// A server as a comparator knows it.
 #[derive(Clone, Debug)]
 pub struct Known {
     /// Its entry in the list.
-    pub member: Member,
+    pub member: Endpoint,
     /// Jobs of ours there.
     pub in_flight: u32,
     /// For the choice's own use: a running latency in microseconds, and when it was last learned.
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Out {
     /// Where.
-    pub worker: WorkerId,
+    pub worker: EndpointId,
     /// Since when.
     pub sent: Micros,
 }
@@ -51,9 +51,9 @@
     /// As given.
     pub set: Settings,
     /// Everyone that the list has named.
-    pub known: BTreeMap<WorkerId, Known>,
+    pub known: BTreeMap<EndpointId, Known>,
     /// Those that may be sent to, in the order of their numbers.
-    pub live: Vec<WorkerId>,
+    pub live: Vec<EndpointId>,
     /// The node's own randomness.
     pub rng: ChaCha8Rng,
     /// The time of the event in hand.
@@ -62,7 +62,7 @@
 
 impl Book {
     /// One of the live at random. Needs one draw, however many there are.
-    pub fn any(&mut self) -> Option<WorkerId> {
+    pub fn any(&mut self) -> Option<EndpointId> {
         if self.live.is_empty() {
             return None;
         }
@@ -70,20 +70,20 @@
         self.live.get(k as usize).copied()
     }
 
-    fn learn(&mut self, list: Vec<Member>, whole: bool) {
+    fn learn(&mut self, list: Vec<Endpoint>, whole: bool) {
         if whole {
-            self.known.values_mut().for_each(|k| k.member.standing = Standing::Gone);
+            self.known.values_mut().for_each(|k| k.member.state = EndpointState::Gone);
         }
         for member in list {
-            match self.known.get_mut(&member.worker) {
+            match self.known.get_mut(&member.id) {
                 Some(known) => known.member = member,
                 None => {
-                    let worker = member.worker;
+                    let worker = member.id;
                     self.known.insert(worker, Known { member, in_flight: 0, latency: 0.0, seen: 0 });
                 }
             }
         }
-        let live = self.known.iter().filter(|(_, k)| k.member.standing == Standing::Live);
+        let live = self.known.iter().filter(|(_, k)| k.member.state == EndpointState::Live);
         self.live = live.map(|(w, _)| *w).collect();
     }
 }
@@ -107,7 +107,7 @@
         Plain { book, choice, limit, waiting: FxHashMap::default(), out: FxHashMap::default() }
     }
 
-    fn listed(&mut self, list: Vec<Member>, whole: bool) {
+    fn listed(&mut self, list: Vec<Endpoint>, whole: bool) {
         self.book.learn(list, whole);
         self.limit.fleet(self.book.live.len());
     }
@@ -134,22 +134,29 @@
         if let Some(k) = self.book.known.get_mut(&worker) {
             k.in_flight += 1;
         }
-        out.push(Action::Send { id, worker });
+        out.push(Action::StartAttempt { id, endpoint: worker });
     }
 
     /// The final answer of one that gets no service.
     fn give_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(w) = self.waiting.remove(&id) else { return };
         self.limit.forget(id);
-        let effect = self.book.set.classes[w.request.class.0].effect;
-        if w.ran && effect != Effect::Safe {
+        let effect = self.book.set.classes[w.request.class.0].idempotency;
+        if w.ran && effect != Idempotency::Idempotent {
             out.push(Action::Fail { id });
         } else {
-            out.push(Action::Refuse { id, retry_after: None });
+            out.push(Action::Shed { id, retry_after: None });
         }
     }
 
-    fn ended(&mut self, id: RequestId, attempt: u32, status: Status, settled: bool, out: &mut Vec<Action>) {
+    fn ended(
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+        status: AttemptStatus,
+        settled: bool,
+        out: &mut Vec<Action>,
+    ) {
         let Some(o) = self.out.remove(&(id, attempt)) else { return };
         let now = self.book.now;
         if let Some(k) = self.book.known.get_mut(&o.worker) {
@@ -161,11 +168,14 @@
             self.waiting.remove(&id);
             return;
         }
-        let never = matches!(status, Status::Full | Status::ConnectFailed | Status::Moot);
+        let never = matches!(
+            status,
+            AttemptStatus::Overloaded | AttemptStatus::ConnectFailed | AttemptStatus::NotSent
+        );
         let Some(w) = self.waiting.get_mut(&id) else { return };
         w.out = false;
         w.ran |= !never;
-        let safe = self.book.set.classes[w.request.class.0].effect == Effect::Safe;
+        let safe = self.book.set.classes[w.request.class.0].idempotency == Idempotency::Idempotent;
         if (safe || !w.ran) && now + self.book.set.tick < w.deadline {
             let w = w.clone();
             self.limit.queue(&w);
@@ -175,28 +185,30 @@
     }
 }
 
-impl<C: Choice, L: Limit> Scheduler for Plain<C, L> {
+impl<C: Choice, L: Limit> Policy for Plain<C, L> {
     fn handle(&mut self, now: Micros, event: Event, fleet: &Fleet, out: &mut Vec<Action>) {
         self.book.now = now;
         self.limit.clock(now);
         match event {
-            Event::Roster(list) => self.listed(list, true),
-            Event::RosterChange(list) => self.listed(list, false),
-            Event::Request(request) => {
+            Event::EndpointList(list) => self.listed(list, true),
+            Event::EndpointUpdate(list) => self.listed(list, false),
+            Event::RequestArrived(request) => {
                 let Some(class) = self.book.set.classes.get(request.class.0) else { return };
-                let (id, deadline) = (request.id, now + request.time_left);
-                let due = (now + class.aim).min(deadline);
+                let (id, deadline) = (request.id, now + request.time_remaining);
+                let due = (now + class.latency_objective).min(deadline);
                 let w = Waiting { request, deadline, due, attempts: 0, out: false, ran: false };
                 self.limit.queue(&w);
                 self.waiting.insert(id, w);
                 // Held past its deadline, its client would be left without an answer.
                 let after = (deadline - now - self.book.set.tick).max(1);
                 if self.limit.holds() {
-                    out.push(Action::Wake { after });
+                    out.push(Action::WakeAfter { delay: after });
                 }
             }
-            Event::Outcome { id, attempt, status, settled } => self.ended(id, attempt, status, settled, out),
-            Event::Gone(id) => {
+            Event::AttemptEnded { id, attempt, status, is_final: settled } => {
+                self.ended(id, attempt, status, settled, out)
+            }
+            Event::ClientLeft(id) => {
                 self.waiting.remove(&id);
                 self.limit.forget(id);
             }
--- a/crates/lab/src/policy/choice.rs
+++ b/crates/lab/src/policy/choice.rs
@@ -3,15 +3,15 @@
 use super::book::{Book, Out, Waiting};
 use super::Fleet;
 use crate::sim::draw::Needs;
-use shorepath_core::api::{Status, WorkerId};
+use shorepath_scheduler::{AttemptStatus, EndpointId};
 
 /// How a server is chosen.
 pub trait Choice {
     /// The server for that request, if there is any.
-    fn pick(&mut self, book: &mut Book, job: &Waiting, fleet: &Fleet) -> Option<WorkerId>;
+    fn pick(&mut self, book: &mut Book, job: &Waiting, fleet: &Fleet) -> Option<EndpointId>;
 
     /// An attempt has ended.
-    fn learn(&mut self, _: &mut Book, _: Out, _: Status) {}
+    fn learn(&mut self, _: &mut Book, _: Out, _: AttemptStatus) {}
 }
 
 /// Anyone.
@@ -19,17 +19,17 @@
 pub struct Random;
 
 impl Choice for Random {
-    fn pick(&mut self, book: &mut Book, _: &Waiting, _: &Fleet) -> Option<WorkerId> {
+    fn pick(&mut self, book: &mut Book, _: &Waiting, _: &Fleet) -> Option<EndpointId> {
         book.any()
     }
 }
 
 /// One after the other.
 #[derive(Debug, Default)]
-pub struct RoundRobin(Option<WorkerId>);
+pub struct RoundRobin(Option<EndpointId>);
 
 impl Choice for RoundRobin {
-    fn pick(&mut self, book: &mut Book, _: &Waiting, _: &Fleet) -> Option<WorkerId> {
+    fn pick(&mut self, book: &mut Book, _: &Waiting, _: &Fleet) -> Option<EndpointId> {
         if self.0.is_none() {
             // Each node begins elsewhere, or all would walk in step.
             self.0 = book.any();
@@ -47,9 +47,9 @@
 pub struct LeastOfTwo;
 
 impl Choice for LeastOfTwo {
-    fn pick(&mut self, book: &mut Book, _: &Waiting, _: &Fleet) -> Option<WorkerId> {
+    fn pick(&mut self, book: &mut Book, _: &Waiting, _: &Fleet) -> Option<EndpointId> {
         let (a, b) = (book.any()?, book.any()?);
-        let of = |w: &WorkerId| book.known[w].in_flight;
+        let of = |w: &EndpointId| book.known[w].in_flight;
         Some(if of(&b) < of(&a) { b } else { a })
     }
 }
@@ -69,7 +69,7 @@
 }
 
 impl PeakEwma {
-    fn cost(&self, book: &Book, w: WorkerId) -> f64 {
+    fn cost(&self, book: &Book, w: EndpointId) -> f64 {
         let k = &book.known[&w];
         let faded = k.latency * (-((book.now - k.seen) as f64) / self.decay).exp();
         // One of which nothing is known but that jobs are out there costs much.
@@ -81,12 +81,12 @@
 }
 
 impl Choice for PeakEwma {
-    fn pick(&mut self, book: &mut Book, _: &Waiting, _: &Fleet) -> Option<WorkerId> {
+    fn pick(&mut self, book: &mut Book, _: &Waiting, _: &Fleet) -> Option<EndpointId> {
         let (a, b) = (book.any()?, book.any()?);
         Some(if self.cost(book, b) < self.cost(book, a) { b } else { a })
     }
 
-    fn learn(&mut self, book: &mut Book, out: Out, _: Status) {
+    fn learn(&mut self, book: &mut Book, out: Out, _: AttemptStatus) {
         let (now, decay) = (book.now, self.decay);
         let Some(k) = book.known.get_mut(&out.worker) else { return };
         let rtt = (now - out.sent) as f64;
@@ -107,7 +107,7 @@
 
 impl Clairvoyant {
     /// The time that the job would wait there, and that it would run.
-    fn expect(book: &Book, w: WorkerId, fleet: &Fleet, work: f64) -> Option<(f64, f64)> {
+    fn expect(book: &Book, w: EndpointId, fleet: &Fleet, work: f64) -> Option<(f64, f64)> {
         let (s, now) = (fleet.get(w.0 as usize)?, book.now);
         let fit = s.down == 0 && s.cut == 0 && s.draining == 0 && s.paused == 0 && s.has_room(Needs::ONE);
         if !fit || (s.is_cold(now) && s.held() > 0) {
@@ -125,11 +125,11 @@
 }
 
 impl Choice for Clairvoyant {
-    fn pick(&mut self, book: &mut Book, job: &Waiting, fleet: &Fleet) -> Option<WorkerId> {
+    fn pick(&mut self, book: &mut Book, job: &Waiting, fleet: &Fleet) -> Option<EndpointId> {
         let all = book.live.len() <= 64;
-        let drawn: Vec<WorkerId> =
+        let drawn: Vec<EndpointId> =
             if all { book.live.clone() } else { (0..64).filter_map(|_| book.any()).collect() };
-        let work = job.request.hint.unwrap_or(100_000) as f64;
+        let work = job.request.work_hint.unwrap_or(100_000) as f64;
         let expected = drawn.into_iter().filter_map(|w| {
             let (wait, run) = Clairvoyant::expect(book, w, fleet, work)?;
             let far = book.known[&w].member.zone != book.set.zone;
@@ -137,7 +137,7 @@
         });
         let (end, wait, worker) = expected.min_by(|a, b| a.0.total_cmp(&b.0))?;
         let class = &book.set.classes[job.request.class.0];
-        let due = (job.due - book.now) as f64 + class.stretch * work;
+        let due = (job.due - book.now) as f64 + class.work_factor * work;
         (wait <= 0.0 || end <= due).then_some(worker)
     }
 }
@@ -147,8 +147,8 @@
 pub struct Shortest(pub u32);
 
 impl Choice for Shortest {
-    fn pick(&mut self, book: &mut Book, _: &Waiting, fleet: &Fleet) -> Option<WorkerId> {
-        let drawn: Vec<WorkerId> = (0..self.0).filter_map(|_| book.any()).collect();
+    fn pick(&mut self, book: &mut Book, _: &Waiting, fleet: &Fleet) -> Option<EndpointId> {
+        let drawn: Vec<EndpointId> = (0..self.0).filter_map(|_| book.any()).collect();
         drawn.into_iter().min_by_key(|w| fleet.get(w.0 as usize).map_or(usize::MAX, |s| s.held()))
     }
 }
--- a/crates/lab/src/policy/limit.rs
+++ b/crates/lab/src/policy/limit.rs
@@ -1,7 +1,7 @@
 //! How many jobs may be out at once, and which goes next.
 
 use super::book::Waiting;
-use shorepath_core::api::{Micros, RequestId, Settings, Status};
+use shorepath_scheduler::{AttemptStatus, Micros, RequestId, Settings};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// A bound on what is out, with the queue behind it.
@@ -19,7 +19,7 @@
     /// A request is over.
     fn forget(&mut self, _id: RequestId) {}
     /// An attempt that took so long has ended; so many were out with it.
-    fn learn(&mut self, _took: Micros, _out: usize, _status: Status) {}
+    fn learn(&mut self, _took: Micros, _out: usize, _status: AttemptStatus) {}
     /// The list names so many servers that may be sent to.
     fn fleet(&mut self, _live: usize) {}
     /// Whether requests may wait.
@@ -158,8 +158,8 @@
     fn turned_away(&mut self) -> Option<RequestId> {
         self.waiting.pop_front()
     }
-    fn learn(&mut self, took: Micros, out: usize, status: Status) {
-        if status != Status::Ok {
+    fn learn(&mut self, took: Micros, out: usize, status: AttemptStatus) {
+        if status != AttemptStatus::Ok {
             return;
         }
         (self.sum, self.count) = (self.sum + took.max(1) as f64, self.count + 1);
@@ -220,7 +220,7 @@
             let (rho, sigma) = (quota.max(1e-3) / 1e6, quota.max(1.0));
             Flow { rho, sigma, tokens: sigma, at: 0.0, max_start: 0.0, waiting: VecDeque::new() }
         };
-        let flows = set.tenants.iter().map(|t| flow(t.quota_per_s)).chain([flow(1.0)]).collect();
+        let flows = set.tenants.iter().map(|t| flow(t.quota_per_second)).chain([flow(1.0)]).collect();
         Paper { flows, window: 1, shift: 0.0, now: 0.0, out: 0, tags: BTreeMap::new() }
     }
 }
--- a/crates/lab/src/policy/mod.rs
+++ b/crates/lab/src/policy/mod.rs
@@ -8,8 +8,8 @@
 use book::Plain;
 use choice::{Clairvoyant, LeastOfTwo, PeakEwma, Random, RoundRobin, Shortest};
 use limit::{Gradient, NoLimit, Paper, Window};
-use shorepath_core::api::{Action, Effect, Event, Micros, Settings};
-use shorepath_core::Balancer;
+use shorepath_scheduler::Scheduler;
+use shorepath_scheduler::{Action, Event, Idempotency, Micros, Settings};
 
 /// All policies by name.
 pub const NAMES: [&str; 12] = [
@@ -31,27 +31,27 @@
 pub type Fleet = [Server];
 
 /// One node's decisions.
-pub trait Scheduler {
+pub trait Policy {
     /// Take one event at time `now` and append the actions it calls for.
     fn handle(&mut self, now: Micros, event: Event, fleet: &Fleet, out: &mut Vec<Action>);
 }
 
-impl Scheduler for Balancer {
+impl Policy for Scheduler {
     fn handle(&mut self, now: Micros, event: Event, _: &Fleet, out: &mut Vec<Action>) {
-        Balancer::handle(self, now, event, out);
+        Scheduler::handle(self, now, event, out);
     }
 }
 
 /// The policy of that name for one node, or nothing where there is no such name.
-pub fn make(name: &str, settings: Settings, seed: u64) -> Option<Box<dyn Scheduler>> {
+pub fn make(name: &str, settings: Settings, seed: u64) -> Option<Box<dyn Policy>> {
     let set = settings;
     Some(match name {
-        "rfq" => Box::new(Balancer::new(set, seed)),
+        "rfq" => Box::new(Scheduler::new(set, seed)),
         // Told that every class may be repeated anywhere: what trips the checkers.
         "careless" => {
             let mut set = set;
-            set.classes.iter_mut().for_each(|c| c.effect = Effect::Safe);
-            Box::new(Balancer::new(set, seed))
+            set.classes.iter_mut().for_each(|c| c.idempotency = Idempotency::Idempotent);
+            Box::new(Scheduler::new(set, seed))
         }
         "rfq-paper" => {
             let paper = Paper::new(&set);
--- a/crates/lab/src/rules.rs
+++ b/crates/lab/src/rules.rs
@@ -3,7 +3,7 @@
 
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
-use shorepath_core::api::{Effect, Micros, Scope};
+use shorepath_scheduler::{DedupScope, Idempotency, Micros};
 use std::collections::VecDeque;
 
 /// Violations that are kept whole; more are only counted.
@@ -69,7 +69,7 @@
 
 #[derive(Debug)]
 struct Life {
-    effect: Effect,
+    effect: Idempotency,
     deadline: Micros,
     /// Attempts out, and those that may have run among all.
     out: u32,
@@ -133,20 +133,20 @@
     }
 
     /// Whether a repeat there and then does harm, after the first attempt that may have run.
-    fn harms(&self, effect: Effect, first: Option<(u32, Micros)>, server: u32, at: Micros) -> bool {
+    fn harms(&self, effect: Idempotency, first: Option<(u32, Micros)>, server: u32, at: Micros) -> bool {
         let Some((before, since)) = first else { return false };
         match effect {
-            Effect::Safe => false,
-            Effect::Unsafe => true,
-            Effect::Keyed { scope, memory } => {
+            Idempotency::Idempotent => false,
+            Idempotency::NonIdempotent => true,
+            Idempotency::Keyed { scope, window: memory } => {
                 let zone = |s: u32| self.zones.get(&s);
-                at - since >= memory || (scope != Scope::All && zone(before) != zone(server))
+                at - since >= memory || (scope != DedupScope::All && zone(before) != zone(server))
             }
         }
     }
 
     /// A node has taken a request.
-    pub fn taken(&mut self, id: u64, deadline: Micros, effect: Effect) {
+    pub fn taken(&mut self, id: u64, deadline: Micros, effect: Idempotency) {
         let (first, first_begun) = (None, None);
         let life = Life { effect, deadline, out: 0, may_have_run: 0, over: false, first, first_begun };
         self.lives.insert(id, life);
@@ -205,7 +205,10 @@
         };
         let twice = std::mem::replace(&mut life.over, true);
         let late = at > life.deadline + slack;
-        let tells = matches!(life.effect, Effect::Safe | Effect::Keyed { scope: Scope::All, .. });
+        let tells = matches!(
+            life.effect,
+            Idempotency::Idempotent | Idempotency::Keyed { scope: DedupScope::All, .. }
+        );
         let ran = answer == Answer::Refused && !tells && life.may_have_run > 0;
         if twice {
             self.broken(Rule::AnsweredTwice, at, Some(id), None);
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -1,7 +1,9 @@
 //! What a scenario file says: clients, servers, the network between them, and what goes wrong when.
 
 use crate::sim::server::Fall;
-use shorepath_core::api::{ClassSettings, Effect, KindId, Micros, Scope, Settings, TenantSettings, ZoneId};
+use shorepath_scheduler::{
+    ClassSettings, DedupScope, Idempotency, KindId, Micros, Settings, TenantSettings, ZoneId,
+};
 use shorepath_sexp::{Complaints, Form};
 use std::ops::RangeInclusive;
 
@@ -53,7 +55,7 @@
     /// The part of it that a late answer has.
     pub late: f64,
     /// What a repeat would do.
-    pub effect: Effect,
+    pub effect: Idempotency,
 }
 
 /// One tenant.
@@ -357,16 +359,16 @@
 }
 
 /// What a repeat would do; a keyed class's repeats are dropped by all servers or those of one zone, for a window.
-fn effect(f: &Form) -> Effect {
+fn effect(f: &Form) -> Idempotency {
     let scope = match f.choice("within", "all", &["all", "zone"]).as_str() {
-        "zone" => Scope::Zone,
-        _ => Scope::All,
+        "zone" => DedupScope::Zone,
+        _ => DedupScope::All,
     };
     let memory = f.time("drops-for", 5_000_000, 1..=DAY);
     match f.choice("repeat", "safe", &["safe", "keyed", "never"]).as_str() {
-        "never" => Effect::Unsafe,
-        "keyed" => Effect::Keyed { scope, memory },
-        _ => Effect::Safe,
+        "never" => Idempotency::NonIdempotent,
+        "keyed" => Idempotency::Keyed { scope, window: memory },
+        _ => Idempotency::Idempotent,
     }
 }
 
@@ -586,43 +588,43 @@
     /// The settings that a node of this number is started with.
     pub fn settings(&self, node: u32) -> Settings {
         Settings {
-            instances: self.nodes,
+            schedulers: self.nodes,
             rank: Some(node),
-            parts: 1,
+            processes: 1,
             zone: ZoneId(node % self.zones.len() as u32),
             tick: 1_000,
             classes: self
                 .classes
                 .iter()
                 .map(|c| ClassSettings {
-                    aim: c.wanted,
-                    stretch: c.stretch,
+                    latency_objective: c.wanted,
+                    work_factor: c.stretch,
                     deadline: c.give_up,
-                    late_worth: c.late,
-                    worth: c.worth,
-                    effect: c.effect,
+                    late_fraction: c.late,
+                    priority_weight: c.worth,
+                    idempotency: c.effect,
                     kind: None::<KindId>,
                 })
                 .collect(),
             tenants: self
                 .tenants
                 .iter()
-                .map(|t| TenantSettings { share: t.share, quota_per_s: t.quota })
+                .map(|t| TenantSettings { share: t.share, quota_per_second: t.quota })
                 .collect(),
-            by_work: self.rules.by_work,
-            over_share_worth: self.rules.over_share,
-            tells_start: self.servers.tells_start,
-            cancel: true,
-            scale_is_capacity: true,
-            retry_after: self.rules.retry_after > 0,
+            weight_by_work: self.rules.by_work,
+            over_share_fraction: self.rules.over_share,
+            reports_starts: self.servers.tells_start,
+            can_cancel: true,
+            capacity_includes_speed: true,
+            sends_retry_after: self.rules.retry_after > 0,
             max_retry_after: self.rules.retry_after,
             max_attempts: self.rules.attempts,
             drain_grace: self.rules.drain_grace,
-            cold_share: self.servers.cold,
-            cold_time: self.servers.warm_up,
-            fall_multiple: self.servers.fall_multiple,
-            fall_time: self.servers.fall_window,
-            cross_zone_price: self.rules.cross_zone,
+            slow_start_min_share: self.servers.cold,
+            slow_start_duration: self.servers.warm_up,
+            overload_multiple: self.servers.fall_multiple,
+            overload_window: self.servers.fall_window,
+            cross_zone_cost: self.rules.cross_zone,
             ..Settings::default()
         }
     }
--- a/crates/lab/src/sim/draw.rs
+++ b/crates/lab/src/sim/draw.rs
@@ -4,7 +4,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, Gamma, LogNormal};
-use shorepath_core::api::Micros;
+use shorepath_scheduler::Micros;
 
 /// What a stream of random numbers is for. Streams of one seed are independent of each other, so that a
 /// policy that draws more, or a scenario with one more fault, changes nothing else.
--- a/crates/lab/src/sim/faults.rs
+++ b/crates/lab/src/sim/faults.rs
@@ -4,7 +4,7 @@
 use super::server::Server;
 use crate::scenario::{Fault, Scenario, Trouble};
 use rand::RngExt;
-use shorepath_core::api::*;
+use shorepath_scheduler::*;
 
 /// A moment of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -120,22 +120,22 @@
 }
 
 /// A server's entry in the list.
-pub fn member(sc: &Scenario, server: u32, s: &Server) -> Member {
+pub fn member(sc: &Scenario, server: u32, s: &Server) -> Endpoint {
     let kind = &sc.servers.kinds[s.make.kind as usize];
     let standing = match (s.down, s.draining) {
-        (0, 0) => Standing::Live,
-        (0, _) => Standing::Draining,
-        _ => Standing::Gone,
+        (0, 0) => EndpointState::Live,
+        (0, _) => EndpointState::Draining,
+        _ => EndpointState::Gone,
     };
-    Member {
-        worker: WorkerId(server),
-        mark: u64::from(server),
+    Endpoint {
+        id: EndpointId(server),
+        name_hash: u64::from(server),
         kind: KindId(s.make.kind),
         zone: ZoneId(s.make.zone),
         cell: 0,
         // The registered size: cores at the middle of the kind's speeds.
-        scale: f64::from(kind.cores) * (kind.speed.0 + kind.speed.1) / 2.0,
-        standing,
-        started: s.born,
+        capacity: f64::from(kind.cores) * (kind.speed.0 + kind.speed.1) / 2.0,
+        state: standing,
+        started_at: s.born,
     }
 }
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -10,14 +10,14 @@
 pub mod tally;
 
 use crate::clients::{self, Next, Quota};
-use crate::policy::{self, Scheduler};
+use crate::policy::{self, Policy};
 use crate::rules::{Answer, Checker, Limits};
 use crate::scenario::Scenario;
 use draw::{cumulate, stream, Arrivals, Jobs, Needs, Purpose};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use server::{Make, Server};
-use shorepath_core::api::*;
+use shorepath_scheduler::*;
 use slotmap::{Key, KeyData, SlotMap};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -90,7 +90,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum News {
     Started,
-    Ended(Status),
+    Ended(AttemptStatus),
 }
 
 #[derive(Debug)]
@@ -178,7 +178,7 @@
 }
 
 struct Node {
-    policy: Box<dyn Scheduler>,
+    policy: Box<dyn Policy>,
     zone: u32,
     /// Since when each idle connection has been so, the latest last.
     idle: BTreeMap<u32, Vec<Micros>>,
@@ -217,7 +217,7 @@
     failures: ChaCha8Rng,
     discovery: ChaCha8Rng,
     struck: Vec<Vec<u32>>,
-    news: Vec<Member>,
+    news: Vec<Endpoint>,
     silent_until: Micros,
     /// What a node does to itself by an action: told after the event in hand.
     local: VecDeque<(u32, Event)>,
@@ -281,7 +281,7 @@
             let seed = stream(sc.seed, Purpose::Node(n)).random();
             // The reader lets no unknown name through; the module serves where one got by.
             let policy = policy::make(&sc.policy, sc.settings(n), seed)
-                .unwrap_or_else(|| Box::new(shorepath_core::Balancer::new(sc.settings(n), seed)));
+                .unwrap_or_else(|| Box::new(shorepath_scheduler::Scheduler::new(sc.settings(n), seed)));
             let zone = n % sc.zones.len() as u32;
             Node { policy, zone, idle: BTreeMap::new(), told: 0, wake: Micros::MAX, out: 0, open: 0 }
         };
@@ -322,12 +322,12 @@
         }
         for node in 0..sc.nodes {
             let servers = world.servers.iter().enumerate();
-            let list: Vec<Member> = servers.map(|(k, s)| faults::member(sc, k as u32, s)).collect();
+            let list: Vec<Endpoint> = servers.map(|(k, s)| faults::member(sc, k as u32, s)).collect();
             for m in &list {
-                world.checker.stands(m.worker.0, m.zone.0);
-                world.checker.told(node, m.worker.0, true, 0, START);
+                world.checker.stands(m.id.0, m.zone.0);
+                world.checker.told(node, m.id.0, true, 0, START);
             }
-            world.tell(node, Event::Roster(list));
+            world.tell(node, Event::EndpointList(list));
         }
         for tenant in 0..sc.tenants.len() {
             world.next_arrival(tenant as u32);
@@ -388,7 +388,7 @@
             Happening::Syn(run) => self.syn(run),
             Happening::NotUp(run) => {
                 if self.runs.get(run).is_some_and(|r| r.stage == Stage::Connecting) {
-                    self.news(run, News::Ended(Status::ConnectFailed));
+                    self.news(run, News::Ended(AttemptStatus::ConnectFailed));
                 }
             }
             Happening::AtServer(run) => self.at_server(run),
@@ -475,17 +475,17 @@
         }
         self.tell(
             node,
-            Event::Request(Request {
+            Event::RequestArrived(Request {
                 id: RequestId(id),
                 class: class_id,
                 tenant: Some(TenantId(tenant as usize)),
                 key: None,
-                time_left: deadline - self.now,
-                hint,
+                time_remaining: deadline - self.now,
+                work_hint: hint,
                 slots,
-                repeat: false,
-                entry: Entry::New,
-                guest: false,
+                is_retry: false,
+                work_state: WorkState::New,
+                is_remote: false,
             }),
         );
     }
@@ -534,7 +534,7 @@
         let Some(one) = self.tries.get(key) else { return };
         let out = one.out.clone();
         for run in out {
-            self.news(run, News::Ended(Status::Timeout));
+            self.news(run, News::Ended(AttemptStatus::Timeout));
         }
         let Some(one) = self.tries.get(key) else { return };
         if !one.answered {
@@ -552,7 +552,7 @@
         self.checker.left(id);
         self.follow(id, || "its client left".to_string());
         self.settle(ask, Outcome::Left);
-        self.tell(node, Event::Gone(RequestId(id)));
+        self.tell(node, Event::ClientLeft(RequestId(id)));
         self.close(key);
     }
 
@@ -564,7 +564,7 @@
         let id = key.data().as_ffi();
         self.checker.overdue(id, self.now);
         self.settle(ask, Outcome::Lost);
-        self.tell(node, Event::Gone(RequestId(id)));
+        self.tell(node, Event::ClientLeft(RequestId(id)));
         self.close(key);
     }
 
@@ -589,21 +589,19 @@
 
     fn act(&mut self, node: u32, action: Action) {
         match action {
-            Action::Send { id, worker } => self.send(node, id, worker),
-            Action::Refuse { id, retry_after } => {
-                self.answer(World::try_of(id), Answer::Refused, retry_after)
-            }
-            Action::Bar { id, .. } => self.answer(World::try_of(id), Answer::Refused, None),
+            Action::StartAttempt { id, endpoint: worker } => self.send(node, id, worker),
+            Action::Shed { id, retry_after } => self.answer(World::try_of(id), Answer::Refused, retry_after),
+            Action::Reject { id, .. } => self.answer(World::try_of(id), Answer::Refused, None),
             Action::Fail { id } => self.answer(World::try_of(id), Answer::Failed, None),
-            Action::Cancel { id, attempt } => self.cancel(id, attempt),
-            Action::Wake { after } => {
+            Action::CancelAttempt { id, attempt } => self.cancel(id, attempt),
+            Action::WakeAfter { delay: after } => {
                 let at = self.now + after.max(1);
                 if at < self.nodes[node as usize].wake {
                     self.nodes[node as usize].wake = at;
                 }
                 self.at(at, Happening::Wake { node });
             }
-            Action::CloseIdle { worker } => {
+            Action::CloseIdleConnections { endpoint: worker } => {
                 let idle = self.nodes[node as usize].idle.remove(&worker.0).unwrap_or_default();
                 let s = &mut self.servers[worker.0 as usize];
                 s.connections = s.connections.saturating_sub(idle.len() as u32);
--- a/crates/lab/src/sim/net.rs
+++ b/crates/lab/src/sim/net.rs
@@ -8,11 +8,11 @@
 use crate::scenario::Trouble;
 use rand::RngExt;
 use rand_distr::{Distribution, Exp1};
-use shorepath_core::api::*;
+use shorepath_scheduler::*;
 
 /// Outcomes that prove that a job never ran.
-fn never_ran(status: Status) -> bool {
-    matches!(status, Status::Full | Status::ConnectFailed | Status::Moot)
+fn never_ran(status: AttemptStatus) -> bool {
+    matches!(status, AttemptStatus::Overloaded | AttemptStatus::ConnectFailed | AttemptStatus::NotSent)
 }
 
 impl World<'_> {
@@ -28,7 +28,7 @@
         base + (base as f64 * self.sc.network.jitter * late) as Micros
     }
 
-    pub(super) fn send(&mut self, node: u32, id: RequestId, worker: WorkerId) {
+    pub(super) fn send(&mut self, node: u32, id: RequestId, worker: EndpointId) {
         let (key, server) = (World::try_of(id), worker.0);
         self.checker.sent(id.0, node, server, self.now);
         let Some(one) = self.tries.get_mut(key) else { return };
@@ -39,7 +39,10 @@
             // It is over, or has had all its attempts: never sent.
             self.checker.ended(id.0, true);
             let settled = self.tries.get(key).is_none_or(|t| t.answered);
-            self.local.push_back((node, Event::Outcome { id, attempt, status: Status::Moot, settled }));
+            self.local.push_back((
+                node,
+                Event::AttemptEnded { id, attempt, status: AttemptStatus::NotSent, is_final: settled },
+            ));
             return;
         };
         let (class, work, needs) = (a.class, a.work * (1.0 - a.saved), a.needs);
@@ -90,7 +93,7 @@
             return; // silence, until the node gives up
         }
         if s.down > 0 || s.connections >= self.sc.servers.connections {
-            return self.back(key, News::Ended(Status::ConnectFailed));
+            return self.back(key, News::Ended(AttemptStatus::ConnectFailed));
         }
         s.connections += 1;
         let ways = self.way(node, server) + self.way(node, server);
@@ -128,14 +131,14 @@
             return self.drop_closed(key);
         }
         if s.down > 0 {
-            return self.back(key, News::Ended(Status::Reset));
+            return self.back(key, News::Ended(AttemptStatus::Reset));
         }
         let told = self.checker.knows_start(node, server, s.born);
         match s.offer(self.now, key, load, told, cold) {
             Offer::Taken => {}
             Offer::Full => {
                 self.follow(id, || format!("server {server} turns it away"));
-                return self.back(key, News::Ended(Status::Full));
+                return self.back(key, News::Ended(AttemptStatus::Overloaded));
             }
             Offer::Fell(fell) => {
                 self.checker.fell(server, fell, self.now);
@@ -181,7 +184,7 @@
         let (id, server, fails) = (run.id, run.server, run.fails);
         self.follow(id, || format!("server {server} is done with it"));
         if self.servers[server as usize].cut == 0 {
-            self.back(key, News::Ended(if fails { Status::Error } else { Status::Ok }));
+            self.back(key, News::Ended(if fails { AttemptStatus::Error } else { AttemptStatus::Ok }));
         } else {
             self.drop_closed(key);
         }
@@ -204,7 +207,7 @@
         let request = RequestId(id);
         let News::Ended(status) = what else {
             self.follow(id, || format!("node {node} hears that attempt {attempt} has started"));
-            return self.tell(node, Event::Started { id: request, attempt });
+            return self.tell(node, Event::AttemptStarted { id: request, attempt });
         };
         run.open = false;
         let stage = run.stage;
@@ -214,21 +217,23 @@
         self.nodes[node as usize].out -= 1;
         self.tally.ended(status);
         self.follow(id, || format!("node {node} takes attempt {attempt} for ended: {status:?}"));
-        let keeps = matches!(status, Status::Ok | Status::Error | Status::Full);
+        let keeps = matches!(status, AttemptStatus::Ok | AttemptStatus::Error | AttemptStatus::Overloaded);
         if keeps && self.servers[server as usize].down == 0 {
             self.nodes[node as usize].idle.entry(server).or_default().push(self.now);
-        } else if stage != Stage::Connecting && !matches!(status, Status::ConnectFailed | Status::Reset) {
+        } else if stage != Stage::Connecting
+            && !matches!(status, AttemptStatus::ConnectFailed | AttemptStatus::Reset)
+        {
             let s = &mut self.servers[server as usize];
             s.connections = s.connections.saturating_sub(1);
         }
         self.checker.ended(id, never_ran(status));
         if let Some(one) = self.tries.get_mut(of) {
             one.out.retain(|r| *r != key);
-            if status == Status::Ok && !one.answered {
+            if status == AttemptStatus::Ok && !one.answered {
                 self.answer(of, Answer::Served, None);
             }
         }
-        if status == Status::Cancelled && self.sc.servers.cancel_stops && stage == Stage::Held {
+        if status == AttemptStatus::Cancelled && self.sc.servers.cancel_stops && stage == Stage::Held {
             let s = &mut self.servers[server as usize];
             s.advance(self.now);
             s.remove(key);
@@ -239,7 +244,7 @@
         }
         self.drop_closed(key);
         let settled = self.tries.get(of).is_none_or(|t| t.answered);
-        self.tell(node, Event::Outcome { id: request, attempt, status, settled });
+        self.tell(node, Event::AttemptEnded { id: request, attempt, status, is_final: settled });
         self.close(of);
     }
 
@@ -247,7 +252,7 @@
         let Some(one) = self.tries.get(World::try_of(id)) else { return };
         let run = one.out.iter().copied().find(|r| self.runs.get(*r).is_some_and(|r| r.attempt == attempt));
         if let Some(run) = run {
-            self.news(run, News::Ended(Status::Cancelled));
+            self.news(run, News::Ended(AttemptStatus::Cancelled));
         }
     }
 
@@ -265,9 +270,9 @@
 
     pub(super) fn told(&mut self, node: u32, news: u32) {
         let member = self.news[news as usize].clone();
-        let live = member.standing == Standing::Live;
-        self.checker.told(node, member.worker.0, live, member.started, self.now);
-        self.tell(node, Event::RosterChange(vec![member]));
+        let live = member.state == EndpointState::Live;
+        self.checker.told(node, member.id.0, live, member.started_at, self.now);
+        self.tell(node, Event::EndpointUpdate(vec![member]));
     }
 
     pub(super) fn fault(&mut self, index: u32, step: Step) {
@@ -313,7 +318,7 @@
         let s = &mut self.servers[server as usize];
         s.connections = s.connections.saturating_sub(keys.len() as u32);
         for key in keys {
-            self.back(key, News::Ended(Status::Reset));
+            self.back(key, News::Ended(AttemptStatus::Reset));
         }
     }
 
@@ -333,7 +338,7 @@
         for node in 0..self.nodes.len() as u32 {
             let idle = self.nodes[node as usize].idle.remove(&server).unwrap_or_default();
             for _ in idle.iter().filter(|_| !silently) {
-                self.tell(node, Event::IdleClosed { worker: WorkerId(server), place: 0 });
+                self.tell(node, Event::IdleConnectionClosed { endpoint: EndpointId(server), position: 0 });
             }
         }
         if !silently {
@@ -346,7 +351,7 @@
         let waits = |r: &Run| r.server == server && r.open && r.stage != Stage::Connecting;
         let open: Vec<RunKey> = self.runs.iter().filter(|(_, r)| waits(r)).map(|(k, _)| k).collect();
         for key in open {
-            self.back(key, News::Ended(Status::Reset));
+            self.back(key, News::Ended(AttemptStatus::Reset));
         }
     }
 
@@ -354,7 +359,7 @@
     fn save(&mut self, key: RunKey, left: f64) {
         let every = self.sc.servers.saved as f64;
         let Some(run) = self.runs.get(key).filter(|r| r.started && every > 0.0) else { return };
-        if self.sc.classes[run.class as usize].effect != Effect::Safe {
+        if self.sc.classes[run.class as usize].effect != Idempotency::Idempotent {
             return;
         }
         let done = ((run.work - left) / every).floor() * every;
@@ -379,7 +384,10 @@
                 let s: &mut Server = &mut self.servers[server as usize];
                 s.connections = s.connections.saturating_sub(n);
                 for _ in 0..n {
-                    self.tell(node, Event::IdleClosed { worker: WorkerId(server), place: 0 });
+                    self.tell(
+                        node,
+                        Event::IdleConnectionClosed { endpoint: EndpointId(server), position: 0 },
+                    );
                 }
             }
         }
--- a/crates/lab/src/sim/server.rs
+++ b/crates/lab/src/sim/server.rs
@@ -3,7 +3,7 @@
 use super::draw::Needs;
 use super::RunKey;
 use crate::rules::{ColdLoad, Fell};
-use shorepath_core::api::Micros;
+use shorepath_scheduler::Micros;
 use std::collections::VecDeque;
 
 /// Work left below this (microseconds on a core of speed 1) is done: what rounding leaves.
--- a/crates/lab/src/sim/tally.rs
+++ b/crates/lab/src/sim/tally.rs
@@ -4,7 +4,7 @@
 use crate::scenario::Scenario;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
-use shorepath_core::api::{Effect, Micros, Status};
+use shorepath_scheduler::{AttemptStatus, Idempotency, Micros};
 
 /// The longest latency that is told apart: ten minutes.
 const LONGEST: u64 = 600_000_000;
@@ -278,7 +278,7 @@
     }
 
     /// An attempt has ended.
-    pub fn ended(&mut self, status: Status) {
+    pub fn ended(&mut self, status: AttemptStatus) {
         self.endings[STATUSES.iter().position(|s| s.1 == status).unwrap_or(0)] += 1;
     }
 
@@ -313,7 +313,7 @@
         };
         let classes = sc.classes.iter().zip(self.of_class.iter().zip(&self.classes));
         let class = |(c, (n, w)): (&crate::scenario::Class, (&u64, &Worth))| {
-            slice(&c.name, *n, w, self.whole.asked, c.effect == Effect::Safe)
+            slice(&c.name, *n, w, self.whole.asked, c.effect == Idempotency::Idempotent)
         };
         let tenants = sc.tenants.iter().zip(&self.tenants);
         Served {
@@ -390,16 +390,16 @@
 }
 
 /// All ends of attempts, by name.
-const STATUSES: [(&str, Status); 9] = [
-    ("served", Status::Ok),
-    ("error", Status::Error),
-    ("rejected", Status::Rejected),
-    ("full", Status::Full),
-    ("timeout", Status::Timeout),
-    ("connect-failed", Status::ConnectFailed),
-    ("reset", Status::Reset),
-    ("cancelled", Status::Cancelled),
-    ("moot", Status::Moot),
+const STATUSES: [(&str, AttemptStatus); 9] = [
+    ("served", AttemptStatus::Ok),
+    ("error", AttemptStatus::Error),
+    ("rejected", AttemptStatus::BadRequest),
+    ("full", AttemptStatus::Overloaded),
+    ("timeout", AttemptStatus::Timeout),
+    ("connect-failed", AttemptStatus::ConnectFailed),
+    ("reset", AttemptStatus::Reset),
+    ("cancelled", AttemptStatus::Cancelled),
+    ("moot", AttemptStatus::NotSent),
 ];
 
 /// Points of a distribution, as many as a plot can show.
--- a/crates/lab/src/sites/node.rs
+++ b/crates/lab/src/sites/node.rs
@@ -8,9 +8,9 @@
 use shorepath_accounts::file::Decree;
 use shorepath_accounts::ruling::{bars, Now, Purses};
 use shorepath_accounts::spread::{self, Spread};
-use shorepath_core::api::*;
-use shorepath_core::parts::{Bound, Part};
-use shorepath_core::Balancer;
+use shorepath_scheduler::Scheduler;
+use shorepath_scheduler::*;
+use shorepath_scheduler::{QuotaKind, QuotaShare};
 use shorepath_sites::file::Plan;
 use shorepath_sites::homecoming::Pace;
 use shorepath_sites::lending::{Class, Lending};
@@ -48,14 +48,14 @@
     confirmation: Confirmation,
     purses: Purses,
     lends_at: Micros,
-    parts: Vec<Part>,
+    parts: Vec<QuotaShare>,
     pub disk: Disk,
 }
 
 pub struct Node {
     pub site: usize,
     pub number: u32,
-    pub module: Balancer,
+    pub module: Scheduler,
     pub siting: Option<Siting>,
     /// Jobs that were served and that failed since that was last told.
     pub outcomes: (u64, u64),
@@ -67,7 +67,7 @@
 #[derive(Default)]
 pub struct Passed {
     pub words: Vec<(u32, Said)>,
-    pub parts: Option<Vec<Part>>,
+    pub parts: Option<Vec<QuotaShare>>,
     pub changed: Vec<Changed>,
     /// Numbers of files by which the account is barred from now on.
     pub barred: Vec<u64>,
@@ -78,24 +78,24 @@
 /// The settings of the module at each node of a site with so many.
 pub fn settings(of: &Scenario, nodes: usize) -> Settings {
     let class = ClassSettings {
-        aim: of.wanted - (2 * of.work).min(of.wanted / 2),
-        stretch: 2.0,
+        latency_objective: of.wanted - (2 * of.work).min(of.wanted / 2),
+        work_factor: 2.0,
         deadline: of.give_up,
-        worth: 1.0,
-        effect: Effect::Safe,
+        priority_weight: 1.0,
+        idempotency: Idempotency::Idempotent,
         ..ClassSettings::default()
     };
     Settings {
-        instances: nodes as u32,
+        schedulers: nodes as u32,
         tick: MS,
         classes: vec![class],
-        tenants: vec![TenantSettings { share: 1.0, quota_per_s: 0.0 }],
-        tells_start: true,
+        tenants: vec![TenantSettings { share: 1.0, quota_per_second: 0.0 }],
+        reports_starts: true,
         max_attempts: 1,
-        cold_share: of.cold,
-        cold_time: of.warm_up,
-        fall_multiple: 4.0,
-        fall_time: 2 * S,
+        slow_start_min_share: of.cold,
+        slow_start_duration: of.warm_up,
+        overload_multiple: 4.0,
+        overload_window: 2 * S,
         ..Settings::default()
     }
 }
@@ -197,10 +197,20 @@
         if let Some(bar) = all.get(ACME) {
             if let Some(units) = bar.begin {
                 let units = units.saturating_add(begun);
-                parts.push(Part { of: Bound::New(TenantId(0)), units, whole: units, span: 0 });
+                parts.push(QuotaShare {
+                    kind: QuotaKind::NewWork(TenantId(0)),
+                    units,
+                    total: units,
+                    window: 0,
+                });
             }
             if !bar.send {
-                parts.push(Part { of: Bound::Runs(TenantId(0)), units: 0, whole: 0, span: 0 });
+                parts.push(QuotaShare {
+                    kind: QuotaKind::TenantEnabled(TenantId(0)),
+                    units: 0,
+                    total: 0,
+                    window: 0,
+                });
             }
         }
         parts.extend(lent(&self.lending));
@@ -218,10 +228,11 @@
 }
 
 /// What the module is told of what is lent and taken back.
-fn lent(lending: &Lending) -> Vec<Part> {
+fn lent(lending: &Lending) -> Vec<QuotaShare> {
     let limits = lending.limits();
-    let part = |of, units, span| Part { of, units, whole: units, span };
+    let part = |of, units, span| QuotaShare { kind: of, units, total: units, window: span };
     let guests = limits.guests.iter().flatten().enumerate();
-    let guests = guests.map(|(class, units)| part(Bound::Guests(ClassId(class)), *units, limits.kept));
-    guests.chain(limits.home.map(|units| part(Bound::Home, units, 250 * MS))).collect()
+    let guests =
+        guests.map(|(class, units)| part(QuotaKind::RemoteClass(ClassId(class)), *units, limits.kept));
+    guests.chain(limits.home.map(|units| part(QuotaKind::LocalSite, units, 250 * MS))).collect()
 }
--- a/crates/lab/src/sites/world.rs
+++ b/crates/lab/src/sites/world.rs
@@ -8,9 +8,9 @@
 use rustc_hash::FxHashMap;
 use shorepath_accounts::file::{self as accounts, FileError};
 use shorepath_budgets::NodeId;
-use shorepath_core::api::*;
-use shorepath_core::parts::Bound;
-use shorepath_core::Balancer;
+use shorepath_scheduler::QuotaKind;
+use shorepath_scheduler::Scheduler;
+use shorepath_scheduler::*;
 use shorepath_sexp::Complaints;
 use shorepath_sites::file::{self, Plan};
 use shorepath_sites::Seen;
@@ -173,10 +173,14 @@
         let (site, life) = (n.site, n.life);
         for action in actions {
             match action {
-                Action::Send { id, worker } => self.send(node, life, (site, worker.0 as usize), id.0),
-                Action::Wake { after } => self.at(self.now + after, Happening::Wake { node, life }),
-                Action::Bar { id, of } => self.barred(node, id.0, of),
-                Action::Refuse { id, .. } | Action::Fail { id } => self.over(id.0),
+                Action::StartAttempt { id, endpoint: worker } => {
+                    self.send(node, life, (site, worker.0 as usize), id.0)
+                }
+                Action::WakeAfter { delay: after } => {
+                    self.at(self.now + after, Happening::Wake { node, life })
+                }
+                Action::Reject { id, quota: of } => self.barred(node, id.0, of),
+                Action::Shed { id, .. } | Action::Fail { id } => self.over(id.0),
                 _ => {}
             }
         }
@@ -211,14 +215,14 @@
         }
     }
 
-    fn barred(&mut self, node: usize, job: u64, of: Option<Bound>) {
+    fn barred(&mut self, node: usize, job: u64, of: Option<QuotaKind>) {
         let now = self.now;
         let Some(open) = self.open.get_mut(&job) else { return };
         let home = usize::from(open.record.home);
-        if matches!(of, Some(Bound::Guests(_) | Bound::Home)) {
+        if matches!(of, Some(QuotaKind::RemoteClass(_) | QuotaKind::LocalSite)) {
             open.record.refused = Some(now - open.asked);
         }
-        let back = of == Some(Bound::Home) && !open.elsewhere;
+        let back = of == Some(QuotaKind::LocalSite) && !open.elsewhere;
         let client = open.client;
         if !back {
             return self.over(job);
@@ -305,20 +309,20 @@
             class: ClassId(0),
             tenant: acme.then_some(TenantId(0)),
             key: None,
-            time_left: left,
-            hint: None,
+            time_remaining: left,
+            work_hint: None,
             slots: 1,
-            repeat: false,
-            entry: Entry::New,
-            guest,
+            is_retry: false,
+            work_state: WorkState::New,
+            is_remote: guest,
         };
-        let before = n.module.begun(TenantId(0));
-        self.tell(node, Event::Request(request));
+        let before = n.module.new_work_count(TenantId(0));
+        self.tell(node, Event::RequestArrived(request));
         let n = &mut self.nodes[node];
         let Some(open) = self.open.get_mut(&job).filter(|o| o.acme && o.site == site) else { return };
         open.record.begun = true;
         // What is taken while that is bounded is counted; else nothing goes by the credit.
-        if n.module.begun(TenantId(0)) > before && n.siting.as_mut().is_some_and(|s| s.began(now)) {
+        if n.module.new_work_count(TenantId(0)) > before && n.siting.as_mut().is_some_and(|s| s.began(now)) {
             self.out.on_credit += 1;
         }
     }
@@ -327,7 +331,7 @@
         let now = self.now;
         let site = self.nodes[node].site;
         self.nodes[node].outcomes.0 += 1;
-        let (id, status) = (RequestId(job), Status::Ok);
+        let (id, status) = (RequestId(job), AttemptStatus::Ok);
         if let Some(mut open) = self.open.remove(&job) {
             let home = usize::from(open.record.home);
             open.record.took = now - BEGIN - open.record.at;
@@ -342,14 +346,14 @@
                 }
             }
         }
-        self.tell(node, Event::Outcome { id, attempt: 0, status, settled: true });
+        self.tell(node, Event::AttemptEnded { id, attempt: 0, status, is_final: true });
     }
 
     /// A node looks at what it knows, and speaks; when it does so next.
     fn pass(&mut self, node: usize) -> Option<Micros> {
         let now = self.now;
         let n = &mut self.nodes[node];
-        let begun = n.module.begun(TenantId(0));
+        let begun = n.module.new_work_count(TenantId(0));
         let siting = n.siting.as_mut()?;
         let Passed { words, parts, changed, barred, next } = siting.pass(&mut n.outcomes, begun, now);
         let (from, site) = (n.number, n.site);
@@ -363,7 +367,7 @@
             }
         }
         if let Some(parts) = parts {
-            self.tell(node, Event::Parts(parts));
+            self.tell(node, Event::QuotaShares(parts));
         }
         for (to, said) in words {
             self.say(from, site, to, said);
@@ -413,22 +417,22 @@
             let seed = self.luck.random();
             let n = &mut self.nodes[node];
             let disk = n.siting.take().map_or(Disk::default(), |s| s.disk);
-            n.module = Balancer::new(node::settings(self.of, self.members[site].len()), seed);
+            n.module = Scheduler::new(node::settings(self.of, self.members[site].len()), seed);
             if with {
                 n.siting = Siting::new(&self.plan, self.of, n.number, seed, disk, now);
             }
             let life = n.life;
-            let member = |w: usize| Member {
-                worker: WorkerId(w as u32),
-                mark: w as u64,
+            let member = |w: usize| Endpoint {
+                id: EndpointId(w as u32),
+                name_hash: w as u64,
                 kind: KindId(0),
                 zone: ZoneId(0),
                 cell: 0,
-                scale: 1.0,
-                standing: Standing::Live,
-                started,
+                capacity: 1.0,
+                state: EndpointState::Live,
+                started_at: started,
             };
-            self.tell(node, Event::Roster((0..self.of.servers).map(member).collect()));
+            self.tell(node, Event::EndpointList((0..self.of.servers).map(member).collect()));
             if with {
                 self.at(now + (k as Micros % 100) * MS, Happening::Pass { node, life });
             }
@@ -481,7 +485,7 @@
             }
             Happening::Wake { node, life } if alive(node, life) => self.tell(node, Event::Wake),
             Happening::Started { node, life, job } if alive(node, life) => {
-                self.tell(node, Event::Started { id: RequestId(job), attempt: 0 });
+                self.tell(node, Event::AttemptStarted { id: RequestId(job), attempt: 0 });
             }
             Happening::Ended { node, life, job } if alive(node, life) => self.ended(node, job),
             Happening::Lost { site } => self.lose(site),
@@ -510,7 +514,7 @@
         Node {
             site,
             number: NodeId::of(&format!("s{site}n{place}")).0,
-            module: Balancer::new(node::settings(of, 1), 0),
+            module: Scheduler::new(node::settings(of, 1), 0),
             siting: None,
             outcomes: (0, 0),
             life: 0,
--- a/crates/lab/tests/experiments.rs
+++ b/crates/lab/tests/experiments.rs
@@ -148,7 +148,7 @@
 #[case::over("(experiment (scenario s) (vary policy))", "1:26: (vary ...) needs (over VALUE ...)")]
 #[case::file("(experiment (scenario nowhere.sexp))", "nowhere.sexp: No such file")]
 fn a_file_that_cannot_be_used_is_told_why(#[case] file: &str, #[case] wanted: &str) {
-    let dir = folder(&format!("bad-{:x}", shorepath_core::settings::mark(file)));
+    let dir = folder(&format!("bad-{:x}", shorepath_scheduler::name_hash(file)));
     let path = dir.join("f.sexp");
     fs::write(&path, file).unwrap();
     let done = lab(&["check", path.to_str().unwrap()]);
--- a/crates/lab/tests/rules.rs
+++ b/crates/lab/tests/rules.rs
@@ -1,11 +1,11 @@
 //! Every checker catches what it is there for, and keeps quiet otherwise.
 
 use rstest::rstest;
-use shorepath_core::api::{Effect, Scope};
 use shorepath_lab::rules::{bears, short, Answer, Checker, ColdLoad, Fell, Limits, Rule, Served, Slice};
 use shorepath_lab::scenario::{read, Scenario};
 use shorepath_lab::sim::tally::Report;
 use shorepath_lab::sim::{run, story};
+use shorepath_scheduler::{DedupScope, Idempotency};
 
 const MS: i64 = 1_000;
 
@@ -13,7 +13,7 @@
 fn checker() -> Checker {
     let mut c = Checker::new(Limits { slack: 16 * MS, drain_grace: 500 * MS });
     c.told(0, 0, true, 0, 0);
-    c.taken(7, 5_000 * MS, Effect::Unsafe);
+    c.taken(7, 5_000 * MS, Idempotency::NonIdempotent);
     c
 }
 
@@ -21,7 +21,7 @@
 fn keyed(c: &mut Checker) {
     c.stands(1, 0);
     c.stands(2, 1);
-    c.taken(8, 60_000 * MS, Effect::Keyed { scope: Scope::Zone, memory: 40_000 * MS });
+    c.taken(8, 60_000 * MS, Idempotency::Keyed { scope: DedupScope::Zone, window: 40_000 * MS });
 }
 
 #[rstest]
--- a/crates/rig/src/check.rs
+++ b/crates/rig/src/check.rs
@@ -3,8 +3,8 @@
 use crate::fleet::{CONNECTIONS, FLIGHT, LISTS, PROBES, QUOTA, RETRIES};
 use crate::history::{At, Record, Repeat, What};
 use crate::standing::{self, Siting};
-use shorepath_core::api::Effect;
 use shorepath_lab::rules::{self, Answer, Limits};
+use shorepath_scheduler::Idempotency;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 
@@ -135,7 +135,11 @@
     for (_, r) in ordered {
         match r.what {
             What::Asked { id, node, patience, repeat } => {
-                let effect = if repeat == Repeat::Never { Effect::Unsafe } else { Effect::Safe };
+                let effect = if repeat == Repeat::Never {
+                    Idempotency::NonIdempotent
+                } else {
+                    Idempotency::Idempotent
+                };
                 checker.taken(id, r.at + patience, effect);
                 open.insert(id, (r.at, node, patience));
             }
--- a/crates/core/benches/decision.rs
+++ b/crates/scheduler/benches/decision.rs
@@ -5,8 +5,8 @@
 //!     cargo bench -p shorepath-core
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, Throughput};
-use shorepath_core::api::*;
-use shorepath_core::Balancer;
+use shorepath_scheduler::Scheduler;
+use shorepath_scheduler::*;
 use std::collections::BTreeMap;
 use std::hint::black_box;
 
@@ -14,37 +14,37 @@
 
 fn settings() -> Settings {
     let class = |effect| ClassSettings {
-        aim: 200 * MS,
-        stretch: 2.0,
+        latency_objective: 200 * MS,
+        work_factor: 2.0,
         deadline: 5_000 * MS,
-        late_worth: 0.3,
-        worth: 1.0,
-        effect,
+        late_fraction: 0.3,
+        priority_weight: 1.0,
+        idempotency: effect,
         kind: None,
     };
     Settings {
-        instances: 1,
+        schedulers: 1,
         tick: MS,
-        classes: vec![class(Effect::Safe), class(Effect::Unsafe)],
-        tenants: vec![TenantSettings { share: 1.0, quota_per_s: 1e9 }],
-        over_share_worth: 0.2,
-        tells_start: true,
-        cancel: true,
-        scale_is_capacity: true,
+        classes: vec![class(Idempotency::Idempotent), class(Idempotency::NonIdempotent)],
+        tenants: vec![TenantSettings { share: 1.0, quota_per_second: 1e9 }],
+        over_share_fraction: 0.2,
+        reports_starts: true,
+        can_cancel: true,
+        capacity_includes_speed: true,
         max_attempts: 6,
         drain_grace: 500 * MS,
-        cold_share: 0.13,
-        cold_time: 24_000 * MS,
-        fall_multiple: 4.0,
-        fall_time: 2_000 * MS,
-        cross_zone_price: 0.1,
+        slow_start_min_share: 0.13,
+        slow_start_duration: 24_000 * MS,
+        overload_multiple: 4.0,
+        overload_window: 2_000 * MS,
+        cross_zone_cost: 0.1,
         ..Settings::default()
     }
 }
 
 /// A scheduler in the middle of its work.
 struct Busy {
-    balancer: Balancer,
+    balancer: Scheduler,
     now: Micros,
     gap: f64,
     next: u64,
@@ -59,18 +59,18 @@
 impl Busy {
     /// One with so many servers in three zones, that asks for so many jobs at a time.
     fn new(servers: u32, at_a_time: f64, start: Micros) -> Busy {
-        let member = |n: u32| Member {
-            worker: WorkerId(n),
-            mark: u64::from(n),
+        let member = |n: u32| Endpoint {
+            id: EndpointId(n),
+            name_hash: u64::from(n),
             kind: KindId(n % 3),
             zone: ZoneId(n % 3),
             cell: 0,
-            scale: 2.0,
-            standing: Standing::Live,
-            started: 0,
+            capacity: 2.0,
+            state: EndpointState::Live,
+            started_at: 0,
         };
         let mut busy = Busy {
-            balancer: Balancer::new(settings(), 7),
+            balancer: Scheduler::new(settings(), 7),
             now: 1_000 * MS,
             gap: 100.0 * MS as f64 / at_a_time,
             next: 0,
@@ -80,7 +80,7 @@
             owed: 0.0,
             start,
         };
-        busy.tell(Event::Roster((0..servers).map(member).collect()));
+        busy.tell(Event::EndpointList((0..servers).map(member).collect()));
         // Until its window and what it has learned have settled.
         for _ in 0..(30.0 * at_a_time) as u64 + 2_000 {
             busy.request();
@@ -93,11 +93,11 @@
         self.balancer.handle(self.now, event, &mut out);
         for action in out.drain(..) {
             match action {
-                Action::Send { id, .. } => {
+                Action::StartAttempt { id, .. } => {
                     self.due.insert((self.now + self.start, id.0, false), ());
                     self.due.insert((self.now + 100 * MS, id.0, true), ());
                 }
-                Action::Wake { after } => self.wake = self.wake.min(self.now + after.max(1)),
+                Action::WakeAfter { delay: after } => self.wake = self.wake.min(self.now + after.max(1)),
                 _ => {}
             }
         }
@@ -117,9 +117,9 @@
                     self.now = self.now.max(due.0);
                     let id = RequestId(due.1);
                     self.tell(if due.2 {
-                        Event::Outcome { id, attempt: 0, status: Status::Ok, settled: true }
+                        Event::AttemptEnded { id, attempt: 0, status: AttemptStatus::Ok, is_final: true }
                     } else {
-                        Event::Started { id, attempt: 0 }
+                        Event::AttemptStarted { id, attempt: 0 }
                     });
                 }
                 _ if self.wake <= at => {
@@ -132,17 +132,17 @@
         }
         self.now = at.max(self.now);
         self.next += 1;
-        self.tell(Event::Request(Request {
+        self.tell(Event::RequestArrived(Request {
             id: RequestId(self.next),
             class: ClassId(usize::from(self.next.is_multiple_of(4))),
             tenant: Some(TenantId(0)),
             key: None,
-            time_left: 5_000 * MS,
-            hint: None,
+            time_remaining: 5_000 * MS,
+            work_hint: None,
             slots: 1,
-            repeat: false,
-            entry: Entry::New,
-            guest: false,
+            is_retry: false,
+            work_state: WorkState::New,
+            is_remote: false,
         }));
     }
 }
--- /dev/null
+++ b/crates/scheduler/src/scheduler/answers.rs
@@ -0,0 +1,129 @@
+//! Answers and retries: whether a request may be tried again, and how it is answered where it is not served.
+
+use super::attempts::RARE_SAMPLE_WEIGHT;
+use super::Scheduler;
+use crate::action::Action;
+use crate::endpoint_table::TrackedEndpoint;
+use crate::event::AttemptStatus;
+use crate::ids::RequestId;
+use crate::request::{Job, PendingRequest};
+use crate::settings::{DedupScope, Idempotency};
+use shorepath_types::Micros;
+
+impl Scheduler {
+    /// Whether a request may be tried again.
+    pub(super) fn may_retry(&self, request: &PendingRequest) -> bool {
+        // The retry budget is not spent on what is beyond a tenant's share.
+        let deserves_retry = self.settings.retry_budget.is_none() || !request.job.is_over_share;
+        let is_harmless = self.repeatable_until(request).is_none_or(|end| self.now < end);
+        let has_time = request.job.deadline > self.now + self.settings.tick;
+        deserves_retry
+            && is_harmless
+            && !self.is_job_at_fault(&request.job)
+            && has_time
+            && request.attempts < request.max_attempts
+    }
+
+    /// Until when one more attempt of a request does no harm, where one may have run.
+    pub(super) fn repeatable_until(&self, request: &PendingRequest) -> Option<Micros> {
+        let window = self.settings.classes[request.job.class.0].idempotency.repeat_window();
+        request.first_run.map(|run| run.sent_at.saturating_add(window))
+    }
+
+    /// Whether one more retry keeps to the budget: of those in the window, its first moment included, there may be so many for the
+    /// requests that came strictly inside it.
+    pub(super) fn retry_budget_allows(&self) -> bool {
+        let Some(budget) = self.settings.retry_budget else { return true };
+        let from = self.now - budget.window;
+        let requests = self.retry_history.requests_after(from) as f64;
+        let retries = self.retry_history.retries_since(from) as f64;
+        let min_retries = budget.min_retries.max(0.0) / f64::from(self.settings.processes.max(1));
+        retries + 1.0 <= min_retries + budget.ratio.max(0.0) * requests
+    }
+
+    pub(super) fn max_attempts(&self) -> u32 {
+        Some(self.settings.max_attempts).filter(|max| *max > 0).unwrap_or(u32::MAX)
+    }
+
+    /// Whether this end proves that a job never ran, by the settings in force and those under which it arrived.
+    pub(super) fn never_ran(&self, job: &Job, status: AttemptStatus) -> bool {
+        match status {
+            AttemptStatus::Overloaded => {
+                !self.settings.overloaded_may_have_run && !job.overloaded_may_have_run
+            }
+            AttemptStatus::ConnectFailed | AttemptStatus::NotSent => true,
+            _ => false,
+        }
+    }
+
+    /// Whether one more attempt of the request may be made at this endpoint at all.
+    pub(super) fn is_in_dedup_scope(&self, request: &PendingRequest, tracked: &TrackedEndpoint) -> bool {
+        let Some(run) = request.first_run else { return true };
+        let idempotency = self.settings.classes[request.job.class.0].idempotency;
+        let first = self.endpoints.get(run.endpoint).map(|first| &first.endpoint);
+        let is_same = match idempotency {
+            Idempotency::Keyed { scope: DedupScope::Zone, .. } => {
+                first.is_some_and(|first| first.zone == tracked.endpoint.zone)
+            }
+            Idempotency::Keyed { scope: DedupScope::Cell, .. } => {
+                first.is_some_and(|first| first.cell == tracked.endpoint.cell)
+            }
+            _ => true,
+        };
+        is_same && self.now - run.sent_at < idempotency.repeat_window()
+    }
+
+    /// Whether an answer that waits that long could earn nothing any more.
+    pub(super) fn is_too_late(&self, request: &PendingRequest, wait: Micros) -> bool {
+        let class = &self.settings.classes[request.job.class.0];
+        let end = if class.late_fraction > 0.0 { request.job.deadline } else { request.job.due_at };
+        self.now + wait + request.job.work as Micros > end
+    }
+
+    /// Answer a request that is not served: it is shed where trying again is harmless, else it fails.
+    pub(super) fn answer_unserved(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let idempotency = self.settings.classes[request.job.class.0].idempotency;
+        let drops_repeats = matches!(
+            idempotency,
+            Idempotency::Idempotent | Idempotency::Keyed { scope: DedupScope::All, .. }
+        );
+        if drops_repeats || request.first_run.is_none() {
+            let retry_after = self.retry_after(self.wait_for_tokens(request));
+            actions.push(Action::Shed { id, retry_after });
+        } else {
+            actions.push(Action::Fail { id });
+        }
+        self.forget(id);
+    }
+
+    /// When the tenant of a request has tokens again, or the budget a retry; after the longest objective at least.
+    fn wait_for_tokens(&self, request: &PendingRequest) -> Micros {
+        let tokens = request.start_tag - self.queues[request.job.queue].clock_offset - self.now;
+        let exhausted = self.settings.retry_budget.filter(|_| !self.retry_budget_allows());
+        let retry = exhausted.map_or(0, |budget| budget.window);
+        tokens.max(retry).max(self.settings.longest_objective() as Micros)
+    }
+
+    /// How long a client is asked to wait, where clients heed that.
+    pub(super) fn retry_after(&self, wait: Micros) -> Option<Micros> {
+        self.settings.sends_retry_after.then_some(wait.min(self.settings.max_retry_after))
+    }
+
+    /// A request has its answer, or its client has left.
+    pub(super) fn end_request(&mut self, id: RequestId, has_left: bool) {
+        if let Some(job) = self.requests.get(&id).map(|request| &request.job) {
+            self.abandonment.record(self.now, job, has_left, RARE_SAMPLE_WEIGHT);
+        }
+        self.forget(id);
+    }
+
+    /// Drop a request.
+    pub(super) fn forget(&mut self, id: RequestId) {
+        self.dequeue(id);
+        self.stop_probing(id);
+        if let Some(request) = self.requests.remove(&id) {
+            self.quotas.end_request(request.job.class, id, request.attempts);
+        }
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/scheduler/endpoint_list.rs
@@ -0,0 +1,93 @@
+//! The endpoint list: which endpoints there are.
+
+use super::{Scheduler, MAX_SUBSCRIBE_BACKOFF};
+use crate::action::Action;
+use crate::endpoint::{Endpoint, EndpointState};
+use crate::endpoint_table::TrackedEndpoint;
+use crate::ids::EndpointId;
+use crate::outlier::{Subject, Suspicion};
+use crate::timer::Timer;
+use shorepath_types::Micros;
+use std::collections::BTreeSet;
+
+impl Scheduler {
+    /// The full endpoint list.
+    pub(super) fn on_endpoint_list(&mut self, list: Vec<Endpoint>, actions: &mut Vec<Action>) {
+        let listed: BTreeSet<EndpointId> = list.iter().map(|e| e.id).collect();
+        let known: BTreeSet<EndpointId> = self.endpoints.iter().map(|e| e.endpoint.id).collect();
+        for missing in known.difference(&listed) {
+            self.unlist(*missing);
+        }
+        if self.demand.since.is_none() && self.settings.must_subscribe {
+            actions.push(Action::Subscribe);
+        }
+        self.demand.since.get_or_insert(self.now);
+        self.on_endpoint_update(list);
+    }
+
+    /// Changed entries of the endpoint list.
+    pub(super) fn on_endpoint_update(&mut self, changed: Vec<Endpoint>) {
+        self.subscribe_backoff = self.settings.tick.max(1);
+        for endpoint in changed {
+            if endpoint.state == EndpointState::Gone {
+                self.unlist(endpoint.id);
+            } else {
+                self.update_endpoint(endpoint);
+            }
+        }
+        self.refresh_endpoints();
+    }
+
+    /// The endpoint list could not be fetched, or the subscription broke.
+    pub(super) fn on_endpoint_list_failed(&mut self) {
+        self.timers.set(self.now + self.subscribe_backoff, Timer::Resubscribe);
+        let longest = MAX_SUBSCRIBE_BACKOFF.max(self.settings.tick);
+        self.subscribe_backoff = (self.subscribe_backoff * 2).min(longest);
+    }
+
+    fn update_endpoint(&mut self, endpoint: Endpoint) {
+        let now = self.now;
+        let tokens = self.slow_start_phase(&endpoint) * self.mean_work();
+        let new = || TrackedEndpoint::new(endpoint.clone(), tokens, now);
+        let tracked = self.endpoints.get_or_insert(endpoint.id, new);
+        if tracked.endpoint.started_at != endpoint.started_at {
+            (tracked.slow_start_tokens, tracked.slow_start_updated_at) = (tokens, now);
+            tracked.speed = None;
+            self.suspicions.remove(&Subject::Endpoint(endpoint.id));
+        }
+        tracked.update(endpoint);
+    }
+
+    /// An endpoint is gone or missing from the list. Departure: where only draining excludes and it was not seen draining, the list
+    /// proves nothing: it stays, suspected, and serves again or is dropped when that has lasted for the longest deadline. Being
+    /// listed as live lifts a drain.
+    fn unlist(&mut self, endpoint: EndpointId) {
+        let (now, shortest) = (self.now, self.settings.longest_objective() as Micros);
+        let Some(tracked) = self.endpoints.get_mut(endpoint) else { return };
+        if !self.settings.only_draining_excludes || tracked.endpoint.state != EndpointState::Live {
+            tracked.endpoint.state = EndpointState::Gone;
+        } else if tracked.unlisted_at.is_none() {
+            tracked.unlisted_at = Some(now);
+            let subject = Subject::Endpoint(endpoint);
+            let suspicion = self.suspicions.entry(subject).or_insert(Suspicion::new(now, endpoint));
+            suspicion.pause = suspicion.pause.max(shortest);
+            suspicion.is_cleared = false;
+            suspicion.until = suspicion.until.max(now + suspicion.pause);
+        }
+    }
+
+    /// Bring the orders of all queues up to date with the endpoint table.
+    pub(super) fn refresh_endpoints(&mut self) {
+        let (now, window) = (self.now, self.settings.recent_window() as Micros);
+        let is_silent =
+            |e: &TrackedEndpoint| e.unlisted_at.is_some_and(|at| now >= at.max(e.last_success_at) + window);
+        let is_kept = |e: &TrackedEndpoint| e.endpoint.state != EndpointState::Gone && !is_silent(e);
+        self.endpoints.retain(|e| is_kept(e) || e.in_flight > 0);
+        let live = self.endpoints.iter().filter(|e| e.endpoint.state == EndpointState::Live);
+        self.total_capacity = live.map(|e| e.max_capacity).sum();
+        for queue in &mut self.queues {
+            queue.refresh_endpoints(&self.endpoints, self.settings.zone, &mut self.rng);
+            queue.concurrency.raise_to_minimum(queue.live_endpoints, self.settings.schedulers);
+        }
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/settings_object.rs
@@ -0,0 +1,393 @@
+//! The settings object of a deployment, as the simulator's wire and the node's configuration have it.
+
+use crate::endpoint::LoadReport;
+use crate::ids::{ClassId, KindId, ZoneId};
+use crate::names::{Catalog, NameTable};
+use crate::settings::{
+    ClassSettings, DedupScope, Idempotency, ReassignedClass, Reconfiguration, RetryBudget, Settings,
+    TenantSettings,
+};
+use serde::Deserialize;
+use shorepath_types::Micros;
+use std::collections::HashMap;
+
+/// The drain grace where the settings have none.
+const DEFAULT_DRAIN_GRACE: Micros = 500_000;
+/// The connect timeout where the settings have none.
+const DEFAULT_CONNECT_TIMEOUT: Micros = 1_000_000;
+/// The idle timeout of connections where the settings have none.
+const DEFAULT_IDLE_TIMEOUT: Micros = 1_000_000;
+
+/// The settings object as it is written; what is missing counts as nothing allowed or known.
+#[derive(Clone, Debug, Deserialize, Default, PartialEq)]
+#[serde(default)]
+pub struct SettingsObject {
+    allowed: Allowed,
+    classes: Vec<Class>,
+    costs: Costs,
+    discovery: String,
+    family_info: FamilyInfo,
+    granularity_ms: f64,
+    kinds: Vec<String>,
+    over_share_worth: f64,
+    projects: Vec<Project>,
+    rank: Option<u32>,
+    replicas_of_me: u32,
+    report: Reports,
+    rules: Rules,
+    value_by: String,
+    weights: String,
+    zone: String,
+}
+
+#[derive(Clone, Debug, Deserialize, Default, PartialEq)]
+#[serde(default)]
+struct Allowed {
+    cancel: bool,
+    conn_idle_ms: f64,
+    connect_timeout_ms: f64,
+    max_retry_after_ms: f64,
+    probing: bool,
+    retry_after: bool,
+    try_limit: u32,
+}
+
+#[derive(Clone, Debug, Deserialize, Default, PartialEq)]
+#[serde(default)]
+struct Class {
+    name: String,
+    aim_stretch: Option<f64>,
+    deadline_ms: f64,
+    dedup_window_ms: f64,
+    group: String,
+    late_worth: f64,
+    semantics: String,
+    target_ms: f64,
+    worth: f64,
+}
+
+#[derive(Clone, Debug, Deserialize, Default, PartialEq)]
+#[serde(default)]
+struct Costs {
+    cross_zone: f64,
+    probe: f64,
+}
+
+#[derive(Clone, Debug, Deserialize, Default, PartialEq)]
+#[serde(default)]
+struct FamilyInfo {
+    class_kind: Vec<i64>,
+    class_stretch: Vec<f64>,
+    #[serde(rename = "tells_start")]
+    reports_starts: bool,
+    report_x0: String,
+}
+
+/// Load reports.
+#[derive(Clone, Debug, Deserialize, Default, PartialEq)]
+#[serde(default)]
+struct Reports {
+    fields: Vec<String>,
+    how: String,
+}
+
+#[derive(Clone, Debug, Deserialize, Default, PartialEq)]
+#[serde(default)]
+struct Project {
+    name: String,
+    portion: f64,
+    quota_rps: f64,
+}
+
+#[derive(Clone, Debug, Deserialize, Default, PartialEq)]
+#[serde(default)]
+struct Rules {
+    drain_grace_ms: f64,
+    cold_share: f64,
+    cold_ms: f64,
+    tip_multiple: f64,
+    fall_ms: f64,
+    shed_after_start: bool,
+    min_extra: Option<f64>,
+    extra_share: Option<f64>,
+    ratio_span_ms: f64,
+    soft_removal: bool,
+}
+
+/// Why a node can't serve by a settings object.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum SettingsError {
+    /// There is nothing that could be requested.
+    #[error("names no classes")]
+    NoClasses,
+    /// A class can't be used.
+    #[error("has a class without a name or a deadline over 0")]
+    UnusableClass,
+    /// Two classes have one name.
+    #[error("names a class twice")]
+    DuplicateClass,
+    /// No attempt may be made.
+    #[error("allows no attempts")]
+    NoAttempts,
+}
+
+/// Milliseconds in the scheduler's time.
+pub fn micros_from_ms(ms: f64) -> Micros {
+    (ms * 1000.0).round() as Micros
+}
+
+impl SettingsObject {
+    /// How many nodes there are, this one included; 1 where the settings have no number.
+    pub fn schedulers(&self) -> u32 {
+        self.replicas_of_me.max(1)
+    }
+
+    /// How many nodes load discovery with their calls, this one included: 1 where it pushes its lists to an agent beside each
+    /// node, which answers at no cost and has to be polled at once.
+    pub fn polling_nodes(&self) -> u32 {
+        if self.discovery == "on_request" {
+            self.schedulers()
+        } else {
+            1
+        }
+    }
+
+    /// A load report, from its values by their names.
+    pub fn load_report(&self, value: impl Fn(&str) -> Option<f64>) -> LoadReport {
+        let free_slots = (self.family_info.report_x0 == "free slots").then(|| value("x0")).flatten();
+        LoadReport { free_slots, in_flight: value("concurrent") }
+    }
+
+    /// A load report, from a row of the values that the settings name.
+    pub fn load_report_from_row(&self, row: &[f64]) -> LoadReport {
+        let position = |name: &str| self.report.fields.iter().position(|field| field == name);
+        self.load_report(|name| row.get(position(name)?).copied())
+    }
+
+    /// The settings that a scheduler is started with, and the names behind its numbers.
+    pub fn to_settings(&self) -> (Settings, Catalog) {
+        let mut catalog = Catalog {
+            kinds: NameTable::from_names(self.kinds.iter()),
+            classes: NameTable::from_names(self.classes.iter().map(|c| &c.name)),
+            tenants: NameTable::from_names(self.projects.iter().map(|p| &p.name)),
+            ..Catalog::default()
+        };
+        (self.settings(&mut catalog), catalog)
+    }
+
+    /// What replaces the settings in force, with the names behind its numbers. Numbers go on meaning what they meant: a class with
+    /// other rules gets one that nothing uses any more, or a new one. Classes and tenants that are left out are no longer found by
+    /// their names.
+    pub fn reconfigure(
+        &self,
+        catalog: &mut Catalog,
+        old: &Settings,
+        is_used: impl Fn(ClassId) -> bool,
+    ) -> Reconfiguration {
+        let mut settings = self.settings(catalog);
+        let classes = std::mem::replace(&mut settings.classes, old.classes.clone());
+        let named: Vec<_> = self.classes.iter().map(|c| c.name.as_str()).zip(classes).collect();
+        let mut numbers = unchanged_classes(&named, &catalog.classes, old);
+        let mut reassigned = Vec::new();
+        for (name, class) in named {
+            if numbers.contains_key(name) {
+                continue;
+            }
+            let is_free = |k: &usize| !numbers.values().any(|n| *n as usize == *k) && !is_used(ClassId(*k));
+            let before = catalog.classes.get(name).map(|n| n as usize);
+            let is_inherited =
+                |k: &usize| self.classes.iter().any(|c| catalog.classes.get(&c.name) == Some(*k as u32));
+            // Its own number first, and none whose learned figures another class is still to inherit.
+            let number = before
+                .filter(is_free)
+                .or_else(|| (0..settings.classes.len()).find(|k| is_free(k) && !is_inherited(k)))
+                .unwrap_or(settings.classes.len());
+            settings.classes.resize_with(settings.classes.len().max(number + 1), ClassSettings::default);
+            settings.classes[number] = class;
+            let inherits_from = before.map(ClassId);
+            reassigned.push(ReassignedClass { class: ClassId(number), inherits_from });
+            numbers.insert(name.to_string(), number as u32);
+        }
+        rename_classes(&mut catalog.classes, numbers);
+        settings.tenants = self.keep_tenants(catalog, old, std::mem::take(&mut settings.tenants));
+        Reconfiguration { settings, reassigned }
+    }
+
+    /// Tenants keep their numbers; those that are left out have no share.
+    fn keep_tenants(
+        &self,
+        catalog: &mut Catalog,
+        old: &Settings,
+        tenants: Vec<TenantSettings>,
+    ) -> Vec<TenantSettings> {
+        let without_share = |_| TenantSettings { share: 0.0, quota_per_second: 0.0 };
+        let mut kept: Vec<TenantSettings> = old.tenants.iter().map(without_share).collect();
+        for (project, tenant) in self.projects.iter().zip(tenants) {
+            let number = catalog.tenants.intern(&project.name) as usize;
+            kept.resize(kept.len().max(number + 1), tenant.clone());
+            kept[number] = tenant;
+        }
+        catalog.tenants.numbers.retain(|name, _| self.projects.iter().any(|p| p.name == *name));
+        kept
+    }
+
+    /// Whether a node can serve by these settings.
+    ///
+    /// # Errors
+    /// What is wrong with them.
+    pub fn validate(&self) -> Result<(), SettingsError> {
+        let has_deadline = |c: &Class| c.deadline_ms > 0.0 && c.deadline_ms.is_finite();
+        let is_usable = |c: &Class| has_deadline(c) && !c.name.is_empty();
+        let is_duplicate = |c: &Class| self.classes.iter().filter(|d| d.name == c.name).count() > 1;
+        if self.classes.is_empty() {
+            return Err(SettingsError::NoClasses);
+        }
+        if !self.classes.iter().all(is_usable) {
+            return Err(SettingsError::UnusableClass);
+        }
+        if self.classes.iter().any(is_duplicate) {
+            return Err(SettingsError::DuplicateClass);
+        }
+        if self.allowed.try_limit == 0 {
+            return Err(SettingsError::NoAttempts);
+        }
+        Ok(())
+    }
+
+    /// The longest deadline of any class.
+    pub fn longest_deadline(&self) -> Micros {
+        self.classes.iter().map(|c| micros_from_ms(c.deadline_ms)).max().unwrap_or(0)
+    }
+
+    /// Within this nothing new may be sent to an endpoint any more whose drain was announced; half a second where the settings have
+    /// none.
+    pub fn drain_grace(&self) -> Micros {
+        positive_or(micros_from_ms(self.rules.drain_grace_ms), DEFAULT_DRAIN_GRACE)
+    }
+
+    /// How long a connection may take to come up; a second where the settings have none.
+    pub fn connect_timeout(&self) -> Micros {
+        positive_or(micros_from_ms(self.allowed.connect_timeout_ms), DEFAULT_CONNECT_TIMEOUT)
+    }
+
+    /// Endpoints close a connection that has been idle for this long; a second where the settings have none.
+    pub fn idle_timeout(&self) -> Micros {
+        positive_or(micros_from_ms(self.allowed.conn_idle_ms), DEFAULT_IDLE_TIMEOUT)
+    }
+
+    fn settings(&self, catalog: &mut Catalog) -> Settings {
+        let kinds: Vec<KindId> = self.kinds.iter().map(|k| KindId(catalog.kinds.intern(k))).collect();
+        let classes = self.classes.iter().enumerate().map(|(i, class)| self.class_settings(i, class, &kinds));
+        let tenants = self.projects.iter();
+        let tenants = tenants.map(|p| TenantSettings { share: p.portion, quota_per_second: p.quota_rps });
+        Settings {
+            schedulers: self.schedulers(),
+            rank: self.rank,
+            processes: 1,
+            zone: ZoneId(catalog.zones.intern(&self.zone)),
+            tick: micros_from_ms(self.granularity_ms).max(1),
+            classes: classes.collect(),
+            tenants: tenants.collect(),
+            weight_by_work: self.value_by == "work",
+            over_share_fraction: self.over_share_worth,
+            must_subscribe: self.discovery == "on_request",
+            reports_starts: self.family_info.reports_starts,
+            can_cancel: self.allowed.cancel,
+            capacity_includes_speed: matches!(self.weights.as_str(), "nominal" | "live"),
+            sends_retry_after: self.allowed.retry_after,
+            max_retry_after: micros_from_ms(self.allowed.max_retry_after_ms),
+            max_attempts: self.allowed.try_limit,
+            drain_grace: micros_from_ms(self.rules.drain_grace_ms),
+            slow_start_min_share: self.rules.cold_share,
+            slow_start_duration: micros_from_ms(self.rules.cold_ms),
+            overload_multiple: self.rules.tip_multiple,
+            overload_window: micros_from_ms(self.rules.fall_ms),
+            overloaded_may_have_run: self.rules.shed_after_start,
+            cross_zone_cost: self.costs.cross_zone,
+            probing: self.allows_probes(),
+            probe_cost: self.costs.probe,
+            retry_budget: self.rules.retry_budget(),
+            only_draining_excludes: self.rules.soft_removal,
+        }
+    }
+
+    fn class_settings(&self, index: usize, class: &Class, kinds: &[KindId]) -> ClassSettings {
+        let info = &self.family_info;
+        let kind = info.class_kind.get(index).and_then(|k| kinds.get(usize::try_from(*k).ok()?));
+        ClassSettings {
+            latency_objective: micros_from_ms(class.target_ms),
+            work_factor: class.aim_stretch.or(info.class_stretch.get(index).copied()).unwrap_or(0.0),
+            deadline: micros_from_ms(class.deadline_ms),
+            late_fraction: class.late_worth,
+            priority_weight: class.worth,
+            idempotency: class.idempotency(),
+            kind: kind.copied(),
+        }
+    }
+
+    fn allows_probes(&self) -> bool {
+        self.allowed.probing
+            && ["probe", "answers"].contains(&self.report.how.as_str())
+            && self.report.fields.iter().any(|field| field == "concurrent")
+    }
+}
+
+impl Class {
+    fn idempotency(&self) -> Idempotency {
+        match self.semantics.as_str() {
+            "free" => Idempotency::Idempotent,
+            "guarded" => Idempotency::Keyed {
+                scope: match self.group.as_str() {
+                    "all" => DedupScope::All,
+                    "zone" => DedupScope::Zone,
+                    _ => DedupScope::Cell,
+                },
+                window: micros_from_ms(self.dedup_window_ms),
+            },
+            _ => Idempotency::NonIdempotent,
+        }
+    }
+}
+
+impl Rules {
+    /// With a window and either figure there is a budget; what is missing or negative counts as 0.
+    fn retry_budget(&self) -> Option<RetryBudget> {
+        let is_given = self.min_extra.is_some() || self.extra_share.is_some();
+        (is_given && self.ratio_span_ms > 0.0).then(|| RetryBudget {
+            window: micros_from_ms(self.ratio_span_ms),
+            min_retries: self.min_extra.unwrap_or(0.0).max(0.0),
+            ratio: self.extra_share.unwrap_or(0.0).max(0.0),
+        })
+    }
+}
+
+/// The numbers of classes whose rules stay as they were, by their names.
+fn unchanged_classes(
+    named: &[(&str, ClassSettings)],
+    names: &NameTable,
+    old: &Settings,
+) -> HashMap<String, u32> {
+    let unchanged = named.iter().filter_map(|(name, class)| {
+        let number = names.get(name).filter(|n| old.classes.get(*n as usize) == Some(class))?;
+        Some((name.to_string(), number))
+    });
+    unchanged.collect()
+}
+
+/// Classes are found by these numbers from now on. A number that is used again has another name.
+fn rename_classes(names: &mut NameTable, numbers: HashMap<String, u32>) {
+    let len = numbers.values().max().map_or(0, |n| *n as usize + 1);
+    names.names.resize(names.names.len().max(len), String::new());
+    for (name, number) in &numbers {
+        names.names[*number as usize].clone_from(name);
+    }
+    names.numbers = numbers;
+}
+
+fn positive_or(value: Micros, default: Micros) -> Micros {
+    if value > 0 {
+        value
+    } else {
+        default
+    }
+}
--- a/crates/core/tests/cold.rs
+++ b/crates/scheduler/tests/cold.rs
@@ -3,8 +3,8 @@
 
 mod common;
 use common::*;
-use shorepath_core::api::*;
-use shorepath_core::Balancer;
+use shorepath_scheduler::Scheduler;
+use shorepath_scheduler::*;
 use std::collections::BTreeMap;
 
 /// The mean work of a request.
@@ -56,9 +56,9 @@
 fn set(schedulers: u32, warming: Warming, works: Works) -> Settings {
     let class = |work: Micros| ClassSettings {
         // An unhinted job is held to be three quarters of this until one has ended.
-        aim: work * 4 / 3,
-        late_worth: 0.5,
-        ..class(Effect::Safe)
+        latency_objective: work * 4 / 3,
+        late_fraction: 0.5,
+        ..class(Idempotency::Idempotent)
     };
     let [low, high] = if let Works::Classes = works { [WORK / 2, WORK * 3 / 2] } else { [WORK, WORK] };
     let (cold_share, cold_time, fall_time) = match warming {
@@ -67,22 +67,22 @@
         Warming::Short => (0.1, 6 * S, 400 * MS),
     };
     Settings {
-        instances: schedulers,
+        schedulers: schedulers,
         rank: Some(0),
-        scale_is_capacity: true,
+        capacity_includes_speed: true,
         classes: vec![class(low), class(high)],
-        cold_share,
-        cold_time,
-        fall_time,
+        slow_start_min_share: cold_share,
+        slow_start_duration: cold_time,
+        overload_window: fall_time,
         ..settings()
     }
 }
 
 /// How many requests of mean work the settings allow the worker within the time in which it falls.
 fn allowed(set: &Settings, at: Micros) -> f64 {
-    let age = ((at - TOLD) as f64 / set.cold_time as f64).min(1.0);
-    let part = set.cold_share + (1.0 - set.cold_share) * age;
-    set.fall_multiple * part * set.fall_time as f64 / WORK as f64
+    let age = ((at - TOLD) as f64 / set.slow_start_duration as f64).min(1.0);
+    let part = set.slow_start_min_share + (1.0 - set.slow_start_min_share) * age;
+    set.overload_multiple * part * set.overload_window as f64 / WORK as f64
 }
 
 /// Something that happens to a scheduler.
@@ -135,12 +135,12 @@
     agenda.insert((burst, 1), Step::Drains);
     // Some know their numbers, others don't.
     let rank = set.rank.map(|_| (seed % 1_000) as u32);
-    let balancer = Balancer::new(Settings { rank, ..set.clone() }, seed);
+    let balancer = Scheduler::new(Settings { rank, ..set.clone() }, seed);
     let mut rig = Rig { balancer, now: 0, wakes: vec![] };
-    let cores = if let Before::Weighed = before { 0.4 * f64::from(set.instances) } else { 1.0 };
-    let warm = Member { scale: cores, ..member(1) };
+    let cores = if let Before::Weighed = before { 0.4 * f64::from(set.schedulers) } else { 1.0 };
+    let warm = Endpoint { capacity: cores, ..member(1) };
     let elsewhere = matches!(before, Before::Elsewhere | Before::Weighed);
-    rig.event(Event::Roster(if elsewhere { vec![warm.clone()] } else { vec![] }));
+    rig.event(Event::EndpointList(if elsewhere { vec![warm.clone()] } else { vec![] }));
     let (mut sent, mut open, mut number) = (Vec::new(), BTreeMap::new(), 1_000);
     while let Some((&(at, _), _)) = agenda.first_key_value() {
         let at = rig.wakes.iter().copied().min().map_or(at, |wake| at.min(wake));
@@ -149,21 +149,21 @@
             let ((_, id), event) = agenda.pop_first().unwrap();
             actions.extend(match event {
                 Step::Told => {
-                    let cold = Member { started: TOLD, scale: 1.0, ..member(0) };
+                    let cold = Endpoint { started_at: TOLD, capacity: 1.0, ..member(0) };
                     let busy = matches!(before, Before::Weighed)
-                        .then(|| Member { scale: 0.1 * cores, ..warm.clone() });
-                    rig.event(Event::RosterChange(busy.into_iter().chain([cold]).collect()))
+                        .then(|| Endpoint { capacity: 0.1 * cores, ..warm.clone() });
+                    rig.event(Event::EndpointUpdate(busy.into_iter().chain([cold]).collect()))
                 }
                 Step::Drains if elsewhere => {
-                    let gone = Member { standing: Standing::Draining, ..warm.clone() };
-                    rig.event(Event::RosterChange(vec![gone]))
+                    let gone = Endpoint { state: EndpointState::Draining, ..warm.clone() };
+                    rig.event(Event::EndpointUpdate(vec![gone]))
                 }
                 Step::Drains => vec![],
                 Step::Asked(work, hint, class) => {
                     open.insert(id, work);
-                    rig.event(Event::Request(Request { hint, ..request(id, class) }))
+                    rig.event(Event::RequestArrived(Request { work_hint: hint, ..request(id, class) }))
                 }
-                Step::Ended(id, attempt) => rig.ended(id, attempt, Status::Ok),
+                Step::Ended(id, attempt) => rig.ended(id, attempt, AttemptStatus::Ok),
             });
         }
         // A request is sent but once here: each attempt is answered.
@@ -189,18 +189,18 @@
 fn burst(set: &Settings, seed: u64, works: Works, before: Before, age: Micros) -> (f64, f64) {
     let at = TOLD + age;
     let of = |n: u32| sent(set, seed * 1_000 + u64::from(n), works, before, at);
-    let mut all: Vec<(Micros, f64)> = (0..set.instances).flat_map(of).collect();
+    let mut all: Vec<(Micros, f64)> = (0..set.schedulers).flat_map(of).collect();
     all.sort_by_key(|s| s.0);
     let load = |end: Micros| -> f64 {
-        all.iter().filter(|s| s.0 > end - set.fall_time && s.0 <= end).map(|s| s.1).sum()
+        all.iter().filter(|s| s.0 > end - set.overload_window && s.0 <= end).map(|s| s.1).sum()
     };
     let over = |end: Micros| {
         let n = allowed(set, end);
         load(end) - (n + 2.0 * n.sqrt() + 2.0)
     };
-    let cold = all.iter().filter(|s| s.0 < TOLD + set.cold_time);
+    let cold = all.iter().filter(|s| s.0 < TOLD + set.slow_start_duration);
     let worst = cold.map(|s| over(s.0)).fold(f64::MIN, f64::max);
-    let end = at + set.fall_time - 1;
+    let end = at + set.overload_window - 1;
     (worst, load(end) / allowed(set, end))
 }
 
@@ -212,9 +212,9 @@
         [Warming::Fast, Warming::Slow, Warming::Short].iter().flat_map(|w| kinds.map(|k| (*w, k)))
     {
         let set = set(schedulers, warming, works);
-        let ages = AGES.map(|age| (age * set.fall_time as f64) as Micros);
+        let ages = AGES.map(|age| (age * set.overload_window as f64) as Micros);
         // Once it is warm nothing fells it.
-        for age in ages.into_iter().filter(|age| age + set.fall_time <= set.cold_time) {
+        for age in ages.into_iter().filter(|age| age + set.overload_window <= set.slow_start_duration) {
             let (mut here, mut worst, mut used) = (0, f64::MIN, 0.0);
             for seed in 0..SEEDS {
                 let (over, load) = burst(&set, seed, works, before, age);
--- a/crates/core/tests/departures.rs
+++ b/crates/scheduler/tests/departures.rs
@@ -2,16 +2,16 @@
 
 mod common;
 use common::*;
-use shorepath_core::api::*;
+use shorepath_scheduler::*;
 use std::collections::BTreeSet;
 
 fn tenants(set: &mut Settings, quota_per_s: f64) {
-    let tenant = TenantSettings { share: 0.5, quota_per_s };
+    let tenant = TenantSettings { share: 0.5, quota_per_second: quota_per_s };
     set.tenants = vec![tenant.clone(), tenant];
 }
 
 fn from(tenant: usize, id: u64) -> Event {
-    Event::Request(Request { tenant: Some(TenantId(tenant)), ..request(id, 0) })
+    Event::RequestArrived(Request { tenant: Some(TenantId(tenant)), ..request(id, 0) })
 }
 
 /// Excess goes out while starts are timely, and no longer once they come too late.
@@ -27,7 +27,7 @@
                 sent += 1;
                 rig.pass(wait);
                 rig.started(id);
-                rig.ended(id, 0, Status::Ok);
+                rig.ended(id, 0, AttemptStatus::Ok);
             }
             rig.pass(500 * MS - wait);
         }
@@ -47,7 +47,7 @@
         for (id, worker) in sends(&rig.ask(id, 0)) {
             met.insert(worker);
             rig.started(id);
-            rig.ended(id, 0, Status::Ok);
+            rig.ended(id, 0, AttemptStatus::Ok);
         }
         rig.pass(100 * MS);
     }
@@ -56,7 +56,7 @@
     for id in 400..420 {
         for (id, worker) in sends(&rig.ask(id, 1)) {
             met.insert(worker);
-            rig.ended(id, 0, Status::Reset);
+            rig.ended(id, 0, AttemptStatus::Reset);
         }
         rig.pass(100 * MS);
     }
@@ -69,12 +69,13 @@
     for hasty in [true, false] {
         let mut rig = Rig::new(settings(), 2);
         let time_left = if hasty { 400 * MS } else { 5 * S };
-        rig.event(Event::Request(Request { time_left, ..request(1, 0) }));
+        rig.event(Event::RequestArrived(Request { time_remaining: time_left, ..request(1, 0) }));
         rig.started(1);
-        rig.ended(1, 0, Status::Ok);
-        let again = Request { time_left: 400 * MS, repeat: true, hint: Some(10 * MS), ..request(2, 0) };
+        rig.ended(1, 0, AttemptStatus::Ok);
+        let again =
+            Request { time_remaining: 400 * MS, is_retry: true, work_hint: Some(10 * MS), ..request(2, 0) };
         // With the whole deadline for first tries, 400 ms left means 4.6 s old: nothing to gain.
-        assert_eq!(sends(&rig.event(Event::Request(again))).len(), usize::from(hasty));
+        assert_eq!(sends(&rig.event(Event::RequestArrived(again))).len(), usize::from(hasty));
     }
 }
 
@@ -82,20 +83,20 @@
 #[test]
 fn a_hinted_job_that_would_be_late_in_its_zone_crosses() {
     let mut set = settings();
-    set.cross_zone_price = 0.08;
+    set.cross_zone_cost = 0.08;
     let mut rig = Rig::new(set, 4);
-    rig.event(Event::RosterChange((4..8).map(|n| Member { zone: ZoneId(1), ..member(n) }).collect()));
+    rig.event(Event::EndpointUpdate((4..8).map(|n| Endpoint { zone: ZoneId(1), ..member(n) }).collect()));
     let (mut crossed, mut refusals) = (0, 0);
     for id in 0..100 {
-        let hinted = Request { hint: Some(50 * MS), ..request(id, 0) };
-        let actions = rig.event(Event::Request(hinted));
+        let hinted = Request { work_hint: Some(50 * MS), ..request(id, 0) };
+        let actions = rig.event(Event::RequestArrived(hinted));
         refusals += u32::from(refused(&actions, id));
         for (id, worker) in sends(&actions) {
             crossed += u32::from(worker >= 4 && id >= 30);
             rig.pass(if worker < 4 { 220 * MS } else { 0 });
             rig.started(id);
             rig.pass(50 * MS);
-            rig.ended(id, 0, Status::Ok);
+            rig.ended(id, 0, AttemptStatus::Ok);
         }
     }
     assert!(crossed > 50 && refusals < 10, "{crossed} of 70 crossed, {refusals} refused");
@@ -106,24 +107,24 @@
 fn speed_is_not_counted_twice() {
     let share_of_slow = |counted: bool| {
         let mut set = settings();
-        set.scale_is_capacity = counted;
+        set.capacity_includes_speed = counted;
         let mut rig = Rig::new(set, 0);
-        let kinds = |n: u32| Member {
+        let kinds = |n: u32| Endpoint {
             kind: KindId(n % 2),
-            scale: if n.is_multiple_of(2) { 6.0 } else { 3.0 },
+            capacity: if n.is_multiple_of(2) { 6.0 } else { 3.0 },
             ..member(n)
         };
-        rig.event(Event::Roster((0..3).map(kinds).collect()));
+        rig.event(Event::EndpointList((0..3).map(kinds).collect()));
         let (mut slow, mut all) = (0, 0);
         for id in 0..2_000 {
-            for (id, worker) in
-                sends(&rig.event(Event::Request(Request { hint: Some(40 * MS), ..request(id, 0) })))
-            {
+            for (id, worker) in sends(
+                &rig.event(Event::RequestArrived(Request { work_hint: Some(40 * MS), ..request(id, 0) })),
+            ) {
                 all += 1;
                 slow += u32::from(worker % 2 == 1);
                 rig.started(id);
                 rig.pass(if worker % 2 == 1 { 40 * MS } else { 20 * MS });
-                rig.ended(id, 0, Status::Ok);
+                rig.ended(id, 0, AttemptStatus::Ok);
             }
         }
         f64::from(slow) / f64::from(all)
@@ -138,14 +139,14 @@
 fn fulls_in_a_row_double_the_pause_where_they_may_cost_the_job() {
     let lost = |begun: bool| {
         let mut set = settings();
-        set.full_may_have_run = begun;
+        set.overloaded_may_have_run = begun;
         let mut rig = Rig::new(set, 1);
         let mut lost = 0;
         for id in 0..200 {
             for (id, _) in sends(&rig.ask(id, 1)) {
                 lost += 1;
-                rig.ended(id, 0, Status::Full);
-                rig.event(Event::Gone(RequestId(id)));
+                rig.ended(id, 0, AttemptStatus::Overloaded);
+                rig.event(Event::ClientLeft(RequestId(id)));
             }
             rig.pass(20 * MS);
         }
@@ -162,9 +163,9 @@
     for id in 0..30 {
         rig.ask(id, 0);
         let actions = rig.pass(1_300 * MS);
-        cancelled += actions.iter().filter(|a| matches!(a, Action::Cancel { .. })).count();
-        rig.event(Event::Gone(RequestId(id)));
-        rig.ended(id, 0, Status::Timeout);
+        cancelled += actions.iter().filter(|a| matches!(a, Action::CancelAttempt { .. })).count();
+        rig.event(Event::ClientLeft(RequestId(id)));
+        rig.ended(id, 0, AttemptStatus::Timeout);
     }
     assert!(cancelled > 0 && cancelled < 12, "{cancelled}");
 }
@@ -173,12 +174,12 @@
 #[test]
 fn a_window_stays_open_where_a_worker_is_shared_by_many_schedulers() {
     let sent_at_once = |instances| {
-        let mut rig = Rig::new(Settings { instances, ..settings() }, 60);
+        let mut rig = Rig::new(Settings { schedulers: instances, ..settings() }, 60);
         for id in 0..40 {
             rig.ask(id, 0);
             rig.pass(200 * MS);
             rig.started(id);
-            rig.ended(id, 0, Status::Ok);
+            rig.ended(id, 0, AttemptStatus::Ok);
         }
         (100..140).map(|id| sends(&rig.ask(id, 0)).len()).sum::<usize>()
     };
@@ -188,17 +189,17 @@
 
 /// Many schedulers, few workers, and reports worth their price.
 fn probing(workers: u32) -> Rig {
-    Rig::new(Settings { instances: 100, probes: true, probe_price: 0.01, ..settings() }, workers)
+    Rig::new(Settings { schedulers: 100, probing: true, probe_cost: 0.01, ..settings() }, workers)
 }
 
 fn probes(actions: &[Action]) -> Vec<u32> {
-    let probe = |a: &Action| if let Action::Probe { worker } = a { Some(worker.0) } else { None };
+    let probe = |a: &Action| if let Action::Probe { endpoint: worker } = a { Some(worker.0) } else { None };
     actions.iter().filter_map(probe).collect()
 }
 
 fn tells(rig: &mut Rig, worker: u32, free: f64, held: f64) -> Vec<Action> {
-    let report = Report { free: Some(free), held: Some(held) };
-    rig.event(Event::Probed { worker: WorkerId(worker), status: Status::Ok, report })
+    let report = LoadReport { free_slots: Some(free), in_flight: Some(held) };
+    rig.event(Event::ProbeEnded { endpoint: EndpointId(worker), status: AttemptStatus::Ok, report })
 }
 
 /// The two rounds of probes for a job, answered with no slot free and so many jobs held; who was probed, and
@@ -249,8 +250,8 @@
     assert_eq!(sends(&rig.pass(45 * MS)).len(), 1);
     let mut rig = probing(3);
     for worker in probes(&rig.ask(1, 0)) {
-        let (status, report) = (Status::ConnectFailed, Report::default());
-        rig.event(Event::Probed { worker: WorkerId(worker), status, report });
+        let (status, report) = (AttemptStatus::ConnectFailed, LoadReport::default());
+        rig.event(Event::ProbeEnded { endpoint: EndpointId(worker), status, report });
     }
     let left = probes(&rig.pass(45 * MS));
     assert!(left.len() <= 1, "{left:?}");
@@ -260,7 +261,7 @@
 #[test]
 fn nobody_is_probed_where_it_is_not_worth_it() {
     let asked = |instances, probe_price| {
-        let set = Settings { instances, probes: true, probe_price, ..settings() };
+        let set = Settings { schedulers: instances, probing: true, probe_cost: probe_price, ..settings() };
         probes(&Rig::new(set, 20).ask(1, 0)).len()
     };
     assert_eq!((asked(20, 0.01), asked(100, 0.05), asked(21, 0.01)), (0, 0, 2));
@@ -273,7 +274,7 @@
     for id in 0..50 {
         let asked = probes(&rig.ask(id, 0));
         assert_eq!(asked.len(), 2, "request {id} finds room in the window");
-        rig.event(Event::Gone(RequestId(id)));
+        rig.event(Event::ClientLeft(RequestId(id)));
         for worker in asked {
             assert!(sends(&tells(&mut rig, worker, 2.0, 0.0)).is_empty());
         }
--- a/crates/core/tests/further.rs
+++ b/crates/scheduler/tests/further.rs
@@ -3,21 +3,21 @@
 
 mod common;
 use common::*;
-use shorepath_core::api::*;
+use shorepath_scheduler::*;
 
 /// Exact sliding window: at each further attempt those of the span, this one counted, keep to it.
 #[test]
 fn further_attempts_stay_within_their_ration() {
     for (free, share) in [(2.0, 0.05), (0.0, 0.0), (3.0, 0.0), (0.0, 0.5)] {
         let mut set = settings();
-        set.ration = Some(Ration { span: 2 * S, free, share });
+        set.retry_budget = Some(RetryBudget { window: 2 * S, min_retries: free, ratio: share });
         let mut rig = Rig::new(set, 40);
         let (mut taken, mut extras) = (Vec::new(), Vec::new());
         for id in 0..600 {
             rig.pass(if id % 100 < 50 { 2 * MS } else { 30 * MS });
             taken.push(rig.now);
             for (id, _) in sends(&rig.ask(id, 0)) {
-                let status = if id % 3 == 0 { Status::Error } else { Status::Full };
+                let status = if id % 3 == 0 { AttemptStatus::Error } else { AttemptStatus::Overloaded };
                 let actions = rig.ended(id, 0, status);
                 // Answered in the same event where there is none left.
                 assert!(refused(&actions, id) || sends(&actions).iter().any(|s| s.0 == id) || free > 0.0);
@@ -27,7 +27,7 @@
                     let further = extras.iter().filter(|&&at| at >= rig.now - 2 * S).count() as f64;
                     assert!(further <= free + share * asked, "{further} of {asked}");
                     rig.started(id);
-                    rig.ended(id, 1, Status::Ok);
+                    rig.ended(id, 1, AttemptStatus::Ok);
                 }
             }
         }
@@ -39,12 +39,12 @@
 #[test]
 fn a_request_beyond_the_ration_is_answered_at_once() {
     let mut set = settings();
-    set.ration = Some(Ration { span: S, free: 0.0, share: 0.0 });
+    set.retry_budget = Some(RetryBudget { window: S, min_retries: 0.0, ratio: 0.0 });
     let mut rig = Rig::new(set, 3);
     rig.ask(1, 0);
-    assert!(refused(&rig.ended(1, 0, Status::Full), 1));
+    assert!(refused(&rig.ended(1, 0, AttemptStatus::Overloaded), 1));
     rig.ask(2, 1);
-    assert!(failed(&rig.ended(2, 0, Status::Error), 2));
+    assert!(failed(&rig.ended(2, 0, AttemptStatus::Error), 2));
 }
 
 /// What no worker can use fails at the second worker and puts nothing in doubt.
@@ -56,16 +56,16 @@
         assert_eq!(sends(&rig.ask(id, 0)).len(), 1, "request {id} goes out at once");
         if id % 3 == 2 {
             rig.started(id);
-            rig.ended(id, 0, Status::Ok);
+            rig.ended(id, 0, AttemptStatus::Ok);
             continue;
         }
-        let again = rig.ended(id, 0, Status::Rejected);
+        let again = rig.ended(id, 0, AttemptStatus::BadRequest);
         assert_eq!(sends(&again).len(), 1, "once more");
-        assert!(failed(&rig.ended(id, 1, Status::Rejected), id));
+        assert!(failed(&rig.ended(id, 1, AttemptStatus::BadRequest), id));
     }
     // Where it must not run twice the first one is final.
     rig.ask(100, 1);
-    assert!(failed(&rig.ended(100, 0, Status::Rejected), 100));
+    assert!(failed(&rig.ended(100, 0, AttemptStatus::BadRequest), 100));
 }
 
 /// A worker that rejects what others then serve is left alone, as one that fails.
@@ -78,14 +78,14 @@
         let (mut sent, mut attempt) = (sends(&rig.ask(id, 0)), 0);
         while sent[0].1 == 0 {
             rejections += 1;
-            let actions = rig.ended(id, attempt, Status::Rejected);
+            let actions = rig.ended(id, attempt, AttemptStatus::BadRequest);
             if failed(&actions, id) {
                 break;
             }
             (sent, attempt) = (sends(&actions), attempt + 1);
         }
         rig.started(id);
-        rig.ended(id, attempt, Status::Ok);
+        rig.ended(id, attempt, AttemptStatus::Ok);
     }
     assert!((1..15).contains(&rejections), "{rejections}");
 }
@@ -94,24 +94,24 @@
 fn a_worker_gone_without_a_drain_is_in_doubt_where_only_draining_binds() {
     for binds in [true, false] {
         let mut set = settings();
-        set.only_draining_binds = !binds;
+        set.only_draining_excludes = !binds;
         let mut rig = Rig::new(set, 2);
-        let gone = |n: u32| Member { standing: Standing::Gone, ..member(n) };
+        let gone = |n: u32| Endpoint { state: EndpointState::Gone, ..member(n) };
         // One drains, then both leave the list, one named and one left out.
-        rig.event(Event::RosterChange(vec![Member { standing: Standing::Draining, ..member(0) }]));
-        rig.event(Event::RosterChange(vec![gone(0)]));
-        rig.event(Event::Roster(vec![]));
+        rig.event(Event::EndpointUpdate(vec![Endpoint { state: EndpointState::Draining, ..member(0) }]));
+        rig.event(Event::EndpointUpdate(vec![gone(0)]));
+        rig.event(Event::EndpointList(vec![]));
         let sent = sends(&rig.ask(1, 0));
         assert_eq!(sent, if binds { vec![] } else { vec![(1, 1)] }, "never the one that drained");
         if !binds {
             rig.started(1);
-            rig.ended(1, 0, Status::Ok);
-            rig.event(Event::RosterChange(vec![member(2)]));
+            rig.ended(1, 0, AttemptStatus::Ok);
+            rig.event(Event::EndpointUpdate(vec![member(2)]));
             let met = |rig: &mut Rig, ids: std::ops::Range<u64>| {
                 ids.flat_map(|id| {
                     let sent = sends(&rig.ask(id, 1));
                     rig.started(id);
-                    rig.ended(id, 0, Status::Ok);
+                    rig.ended(id, 0, AttemptStatus::Ok);
                     sent
                 })
                 .filter(|s| s.1 == 1)
@@ -120,7 +120,7 @@
             assert!(met(&mut rig, 2..40) > 0, "it served, so it is in use again");
             // Silent for the longest deadline it is dropped when the list next changes.
             rig.pass(6 * S);
-            rig.event(Event::RosterChange(vec![member(3)]));
+            rig.event(Event::EndpointUpdate(vec![member(3)]));
             assert_eq!(met(&mut rig, 50..90), 0);
         }
     }
@@ -132,16 +132,18 @@
 fn jobs_of_a_key_go_to_the_same_worker_from_all_schedulers() {
     const WORKERS: u32 = 8;
     let rig = |turned: bool, seed: u64| {
-        let mut rig =
-            Rig { balancer: shorepath_core::Balancer::new(settings(), seed), ..Rig::new(settings(), 0) };
+        let mut rig = Rig {
+            balancer: shorepath_scheduler::Scheduler::new(settings(), seed),
+            ..Rig::new(settings(), 0)
+        };
         let number = |n: u32| if turned { WORKERS - 1 - n } else { n };
-        let list = (0..WORKERS).map(|n| Member { worker: WorkerId(number(n)), ..member(n) }).collect();
-        rig.event(Event::Roster(list));
+        let list = (0..WORKERS).map(|n| Endpoint { id: EndpointId(number(n)), ..member(n) }).collect();
+        rig.event(Event::EndpointList(list));
         rig
     };
     let (mut one, mut other) = (rig(false, 1), rig(true, 2));
     let place = |rig: &mut Rig, turned: bool, id: u64, key: u64| {
-        let sent = sends(&rig.event(Event::Request(keyed(id, key))));
+        let sent = sends(&rig.event(Event::RequestArrived(keyed(id, key))));
         let [(_, worker)] = sent[..] else { panic!("{sent:?}") };
         if turned {
             WORKERS - 1 - worker
@@ -156,11 +158,11 @@
         met.insert(first);
         let seconds: Vec<u32> = [(&mut one, false), (&mut other, true)]
             .map(|(rig, turned)| {
-                rig.ended(2 * key, 0, Status::Full);
+                rig.ended(2 * key, 0, AttemptStatus::Overloaded);
                 let second = place(rig, turned, 2 * key + 1, key);
-                rig.event(Event::Gone(RequestId(2 * key)));
-                rig.ended(2 * key, 1, Status::Moot);
-                rig.ended(2 * key + 1, 0, Status::Ok);
+                rig.event(Event::ClientLeft(RequestId(2 * key)));
+                rig.ended(2 * key, 1, AttemptStatus::NotSent);
+                rig.ended(2 * key + 1, 0, AttemptStatus::Ok);
                 rig.pass(6 * S);
                 second
             })
@@ -177,12 +179,12 @@
 /// Requests of one key fail wherever they go, the others are served: it is the key that waits.
 #[test]
 fn a_key_that_fails_everywhere_is_at_fault_and_not_the_workers() {
-    for (status, heals) in [(Status::Error, false), (Status::Reset, true)] {
+    for (status, heals) in [(AttemptStatus::Error, false), (AttemptStatus::Reset, true)] {
         let mut rig = Rig::new(settings(), 8);
         let (mut met, mut failed, mut turned_away) = (0, 0, 0);
         for id in 0..4_000u64 {
             let bad = id % 4 == 0;
-            let actions = rig.event(Event::Request(keyed(id, if bad { 1 } else { 2 + id % 50 })));
+            let actions = rig.event(Event::RequestArrived(keyed(id, if bad { 1 } else { 2 + id % 50 })));
             assert!(bad || !refused(&actions, id), "request {id} of a good key");
             turned_away += u32::from(bad && refused(&actions, id));
             let mut sent: Vec<u64> = sends(&actions).iter().map(|s| s.0).collect();
@@ -191,8 +193,8 @@
                 met += u32::from(bad);
                 let ill = bad && !(heals && id > 2_000);
                 failed += u32::from(ill);
-                rig.event(Event::Started { id: RequestId(id), attempt });
-                let after = rig.ended(id, attempt, if ill { status } else { Status::Ok });
+                rig.event(Event::AttemptStarted { id: RequestId(id), attempt });
+                let after = rig.ended(id, attempt, if ill { status } else { AttemptStatus::Ok });
                 sent.extend(sends(&after).iter().map(|s| s.0));
                 attempt += 1;
             }
@@ -209,12 +211,12 @@
     let mut rig = Rig::new(settings(), 3);
     let mut served = 0;
     for id in 0..900u64 {
-        for (id, worker) in sends(&rig.event(Event::Request(keyed(id, id % 2)))) {
+        for (id, worker) in sends(&rig.event(Event::RequestArrived(keyed(id, id % 2)))) {
             rig.started(id);
-            let status = if worker == 0 { Status::Error } else { Status::Ok };
+            let status = if worker == 0 { AttemptStatus::Error } else { AttemptStatus::Ok };
             for (id, _) in sends(&rig.ended(id, 0, status)) {
-                rig.event(Event::Started { id: RequestId(id), attempt: 1 });
-                rig.ended(id, 1, Status::Ok);
+                rig.event(Event::AttemptStarted { id: RequestId(id), attempt: 1 });
+                rig.ended(id, 1, AttemptStatus::Ok);
             }
             served += 1;
         }
@@ -230,10 +232,10 @@
     for id in 0..200 {
         rig.ask(id, 0);
         match id % 4 {
-            0 => drop(rig.event(Event::Gone(RequestId(id)))),
+            0 => drop(rig.event(Event::ClientLeft(RequestId(id)))),
             _ => drop(rig.started(id)),
         }
-        rig.ended(id, 0, Status::Ok);
+        rig.ended(id, 0, AttemptStatus::Ok);
         rig.pass(20 * MS);
     }
     // None of these has started, so the last ones are held.
@@ -252,12 +254,12 @@
             rig.started(id);
             rig.pass(60 * MS);
             if leave {
-                rig.event(Event::Gone(RequestId(id)));
+                rig.event(Event::ClientLeft(RequestId(id)));
             }
-            rig.ended(id, 0, Status::Ok);
+            rig.ended(id, 0, AttemptStatus::Ok);
         }
         // Nothing can be sent: all leave the list, so what comes is held.
-        rig.event(Event::Roster(vec![]));
+        rig.event(Event::EndpointList(vec![]));
         let mut actions = rig.ask(1_000, 0);
         actions.extend(rig.pass(30 * MS));
         !refused(&actions, 1_000)
@@ -277,9 +279,9 @@
         if start_comes {
             actions.extend(rig.started(1));
         }
-        assert!(!actions.iter().any(|a| matches!(a, Action::Cancel { .. })));
+        assert!(!actions.iter().any(|a| matches!(a, Action::CancelAttempt { .. })));
         let later = rig.pass(2 * MS);
-        let cancelled = later.contains(&Action::Cancel { id: RequestId(1), attempt: 0 });
+        let cancelled = later.contains(&Action::CancelAttempt { id: RequestId(1), attempt: 0 });
         assert_eq!(cancelled, !start_comes);
     }
 }
@@ -289,16 +291,16 @@
 fn without_messages_the_part_of_a_quota_is_even_or_the_middle_tenants() {
     let good = |busy: bool| {
         let mut set = settings();
-        let tenant = TenantSettings { share: 0.3, quota_per_s: 400.0 };
-        (set.tenants, set.instances, set.over_share_worth) = (vec![tenant; 3], 20, 0.05);
+        let tenant = TenantSettings { share: 0.3, quota_per_second: 400.0 };
+        (set.tenants, set.schedulers, set.over_share_fraction) = (vec![tenant; 3], 20, 0.05);
         let mut rig = Rig::new(set, 1);
-        let of = |id, t| Event::Request(Request { tenant: Some(TenantId(t)), ..request(id, 0) });
+        let of = |id, t| Event::RequestArrived(Request { tenant: Some(TenantId(t)), ..request(id, 0) });
         // The other two ask 200 a second each of this one scheduler, or two.
         for id in 0..2_000 {
             if busy || id % 100 < 2 {
                 for (id, _) in sends(&rig.event(of(id, 1 + (id % 2) as usize))) {
                     rig.started(id);
-                    rig.ended(id, 0, Status::Ok);
+                    rig.ended(id, 0, AttemptStatus::Ok);
                 }
             }
             rig.pass(2_500);
@@ -314,19 +316,20 @@
 fn long_jobs_within_a_quota_are_no_flood() {
     let refusals = |jobs: u64| {
         let mut set = settings();
-        (set.instances, set.over_share_worth) = (1, 0.05);
-        set.tenants = vec![TenantSettings { share: 1.0, quota_per_s: 4.0 }];
+        (set.schedulers, set.over_share_fraction) = (1, 0.05);
+        set.tenants = vec![TenantSettings { share: 1.0, quota_per_second: 4.0 }];
         let mut rig = Rig::new(set, 1);
-        let of = |id: u64, hint| Request { tenant: Some(TenantId(0)), hint: Some(hint), ..request(id, 0) };
+        let of =
+            |id: u64, hint| Request { tenant: Some(TenantId(0)), work_hint: Some(hint), ..request(id, 0) };
         // Short ones are usual here, and one keeps the window full from then on.
         for id in 0..40 {
-            rig.event(Event::Request(of(id, 20 * MS)));
+            rig.event(Event::RequestArrived(of(id, 20 * MS)));
             rig.started(id);
-            rig.ended(id, 0, Status::Ok);
+            rig.ended(id, 0, AttemptStatus::Ok);
             rig.pass(500 * MS);
         }
-        rig.event(Event::Request(of(100, S)));
-        (200..200 + jobs).filter(|&id| refused(&rig.event(Event::Request(of(id, S))), id)).count()
+        rig.event(Event::RequestArrived(of(100, S)));
+        (200..200 + jobs).filter(|&id| refused(&rig.event(Event::RequestArrived(of(id, S))), id)).count()
     };
     assert_eq!((refusals(4), refusals(10) > 3), (0, true));
 }
@@ -336,22 +339,22 @@
 fn one_late_start_is_no_evidence_against_forgiving() {
     let refusals = |late: u64| {
         let mut set = settings();
-        (set.instances, set.over_share_worth) = (1, 0.05);
-        set.tenants = vec![TenantSettings { share: 1.0, quota_per_s: 1.0 }];
+        (set.schedulers, set.over_share_fraction) = (1, 0.05);
+        set.tenants = vec![TenantSettings { share: 1.0, quota_per_second: 1.0 }];
         let mut rig = Rig::new(set, 4);
-        let of = |id| Event::Request(Request { tenant: Some(TenantId(0)), ..request(id, 0) });
+        let of = |id| Event::RequestArrived(Request { tenant: Some(TenantId(0)), ..request(id, 0) });
         for id in 0..late {
             rig.event(of(id));
             rig.pass(180 * MS);
             rig.started(id);
-            rig.ended(id, 0, Status::Ok);
+            rig.ended(id, 0, AttemptStatus::Ok);
         }
         let mut count = 0;
         for id in 100..120 {
             let out = rig.event(of(id));
             count += usize::from(refused(&out, id));
             for (id, _) in sends(&out) {
-                rig.ended(id, 0, Status::Ok);
+                rig.ended(id, 0, AttemptStatus::Ok);
             }
         }
         count
@@ -366,17 +369,17 @@
 fn what_is_worth_more_for_its_work_leaves_first() {
     let first = |worths: [f64; 2], by_work: bool| {
         let mut set = settings();
-        (set.instances, set.by_work) = (1, by_work);
+        (set.schedulers, set.weight_by_work) = (1, by_work);
         for (class, worth) in set.classes.iter_mut().zip(worths) {
-            (class.worth, class.deadline) = (worth, 20 * S);
+            (class.priority_weight, class.deadline) = (worth, 20 * S);
         }
-        set.classes[0].aim = 200 * MS;
+        set.classes[0].latency_objective = 200 * MS;
         let mut rig = Rig::new(set, 1);
         assert_eq!(sends(&rig.ask(0, 1)).len(), 1);
         for class in [0, 1] {
             assert!(sends(&rig.ask(2 + class as u64, class)).is_empty());
         }
-        let out = [rig.started(0), rig.ended(0, 0, Status::Ok)].concat();
+        let out = [rig.started(0), rig.ended(0, 0, AttemptStatus::Ok)].concat();
         sends(&out)[0].0 - 2
     };
     // By its aim the second class comes first, unless the first is worth much more.
@@ -391,15 +394,15 @@
 fn a_cold_worker_is_sent_fewer_jobs_of_several_slots() {
     let sent = |slots: u32| {
         let mut rig = Rig::new(settings(), 0);
-        rig.event(Event::Roster(vec![Member { started: rig.now, ..member(0) }]));
+        rig.event(Event::EndpointList(vec![Endpoint { started_at: rig.now, ..member(0) }]));
         let mut sent = 0;
         for id in 0..300 {
             rig.now += 5 * MS;
-            let job = Request { hint: Some(40 * MS), slots, ..request(id, 0) };
-            for (id, _) in sends(&rig.event(Event::Request(job))) {
+            let job = Request { work_hint: Some(40 * MS), slots, ..request(id, 0) };
+            for (id, _) in sends(&rig.event(Event::RequestArrived(job))) {
                 sent += 1;
                 rig.started(id);
-                rig.ended(id, 0, Status::Ok);
+                rig.ended(id, 0, AttemptStatus::Ok);
             }
         }
         sent
@@ -414,14 +417,15 @@
 fn long_jobs_are_kept_from_cold_workers() {
     let cold_gets = |hint: Micros| {
         let mut set = settings();
-        set.classes[0] = ClassSettings { aim: 20 * S, deadline: 60 * S, ..set.classes[0].clone() };
+        set.classes[0] =
+            ClassSettings { latency_objective: 20 * S, deadline: 60 * S, ..set.classes[0].clone() };
         let mut rig = Rig::new(set, 2);
-        rig.event(Event::RosterChange(vec![Member { started: rig.now, ..member(2) }]));
+        rig.event(Event::EndpointUpdate(vec![Endpoint { started_at: rig.now, ..member(2) }]));
         rig.pass(1_500 * MS);
         let mut to_cold = 0;
         for id in 0..20 {
-            let job = Request { hint: Some(hint), time_left: 60 * S, ..request(id, 0) };
-            for (id, worker) in sends(&rig.event(Event::Request(job))) {
+            let job = Request { work_hint: Some(hint), time_remaining: 60 * S, ..request(id, 0) };
+            for (id, worker) in sends(&rig.event(Event::RequestArrived(job))) {
                 to_cold += u32::from(worker == 2);
                 rig.started(id);
             }
@@ -437,17 +441,18 @@
 fn the_work_of_a_class_is_learned_from_hints() {
     // Of two classes that were thought to take as long, the one with the longer jobs is worth less for its work.
     let mut set = settings();
-    (set.instances, set.classes[0].worth, set.classes[1].worth) = (1, 1.0, 1.0);
+    (set.schedulers, set.classes[0].priority_weight, set.classes[1].priority_weight) = (1, 1.0, 1.0);
     let mut rig = Rig::new(set, 1);
-    let hinted = |id, class, hint| Event::Request(Request { hint: Some(hint), ..request(id, class) });
+    let hinted =
+        |id, class, hint| Event::RequestArrived(Request { work_hint: Some(hint), ..request(id, class) });
     for id in 0..60 {
         rig.event(hinted(id, (id % 2) as usize, if id % 2 == 0 { 900 * MS } else { 10 * MS }));
         rig.started(id);
-        rig.ended(id, 0, Status::Ok);
+        rig.ended(id, 0, AttemptStatus::Ok);
     }
     rig.event(hinted(100, 0, 30 * MS));
     (101..103).for_each(|id| drop(rig.event(hinted(id, (id - 101) as usize, 30 * MS))));
-    let out = [rig.started(100), rig.ended(100, 0, Status::Ok)].concat();
+    let out = [rig.started(100), rig.ended(100, 0, AttemptStatus::Ok)].concat();
     assert_eq!(sends(&out)[0].0, 102, "the class of short jobs leaves first though it came later");
 }
 
@@ -463,15 +468,15 @@
 #[test]
 fn advice_grows_with_what_is_ahead() {
     let mut set = settings();
-    (set.retry_after, set.max_retry_after, set.over_share_worth) = (true, 3 * S, 0.9);
-    set.instances = 1;
-    set.tenants = vec![TenantSettings { share: 1.0, quota_per_s: 5.0 }];
+    (set.sends_retry_after, set.max_retry_after, set.over_share_fraction) = (true, 3 * S, 0.9);
+    set.schedulers = 1;
+    set.tenants = vec![TenantSettings { share: 1.0, quota_per_second: 5.0 }];
     let mut rig = Rig::new(set, 1);
     let mut advice = Vec::new();
     for id in 0..60 {
         let of = Request { tenant: Some(TenantId(0)), ..request(id, 0) };
-        advice.extend(rig.event(Event::Request(of)).into_iter().filter_map(|a| match a {
-            Action::Refuse { retry_after, .. } => retry_after,
+        advice.extend(rig.event(Event::RequestArrived(of)).into_iter().filter_map(|a| match a {
+            Action::Shed { retry_after, .. } => retry_after,
             _ => None,
         }));
     }
@@ -483,10 +488,10 @@
 #[test]
 fn a_lossy_way_is_dearer_than_a_sound_one() {
     let mut set = settings();
-    (set.cross_zone_price, set.max_attempts) = (0.03, 1);
+    (set.cross_zone_cost, set.max_attempts) = (0.03, 1);
     let mut rig = Rig::new(set, 0);
     // None at home, one in each of two other zones; one way loses every third attempt.
-    rig.event(Event::Roster((0..2).map(|n| Member { zone: ZoneId(1 + n), ..member(n) }).collect()));
+    rig.event(Event::EndpointList((0..2).map(|n| Endpoint { zone: ZoneId(1 + n), ..member(n) }).collect()));
     let (mut lossy, mut sound) = (0, 0);
     for id in 0..1_500u64 {
         for (id, worker) in sends(&rig.ask(id, 0)) {
@@ -495,7 +500,7 @@
             sound += u32::from(counted && worker == 0);
             rig.started(id);
             let lost = worker == 1 && id % 3 == 0;
-            rig.ended(id, 0, if lost { Status::Timeout } else { Status::Ok });
+            rig.ended(id, 0, if lost { AttemptStatus::Timeout } else { AttemptStatus::Ok });
         }
         rig.pass(10 * MS);
         rig.pass(200 * MS); // what was in doubt may be used again
@@ -513,9 +518,9 @@
             rig.pass(wait);
             rig.started(id);
             rig.pass(50 * MS);
-            rig.ended(id, 0, Status::Ok);
+            rig.ended(id, 0, AttemptStatus::Ok);
         }
-        rig.event(Event::Roster(vec![]));
+        rig.event(Event::EndpointList(vec![]));
         rig.ask(1_000, 0);
         (0..60).find(|_| refused(&rig.pass(5 * MS), 1_000)).map(|n| n * 5)
     };
@@ -528,7 +533,7 @@
 fn where_starts_are_not_told_a_worker_holds_a_few_jobs() {
     for (tells_start, sent) in [(false, 2), (true, 1)] {
         let mut set = settings();
-        set.tells_start = tells_start;
+        set.reports_starts = tells_start;
         let mut rig = Rig::new(set, 1);
         let all: usize = (0..2).map(|id| sends(&rig.ask(id, 0)).len()).sum();
         assert_eq!(all, sent);
@@ -539,12 +544,12 @@
 #[test]
 fn the_window_doubles_again_while_little_strains_it() {
     let mut set = settings();
-    set.instances = 100; // so that the first window is two
+    set.schedulers = 100; // so that the first window is two
     let mut rig = Rig::new(set, 60);
     rig.ask(0, 0);
     rig.pass(90 * MS);
     rig.started(0);
-    rig.ended(0, 0, Status::Ok);
+    rig.ended(0, 0, AttemptStatus::Ok);
     let (mut next, mut most) = (1, 0);
     for _ in 0..4 {
         let (mut out, mut running) = (Vec::new(), Vec::new());
@@ -559,7 +564,7 @@
         most = running.len();
         rig.pass(MS);
         while let Some(id) = running.pop() {
-            for (id, _) in sends(&rig.ended(id, 0, Status::Ok)) {
+            for (id, _) in sends(&rig.ended(id, 0, AttemptStatus::Ok)) {
                 rig.started(id);
                 running.push(id);
             }
@@ -581,7 +586,7 @@
             all += slow;
             rig.pass(if waits { 90 * MS } else { 0 });
             rig.started(id);
-            rig.ended(id, 0, Status::Ok);
+            rig.ended(id, 0, AttemptStatus::Ok);
         }
         if slow == 0 {
             rig.pass(200 * MS);
@@ -594,28 +599,28 @@
 /// Where further attempts are rationed, fulls lose requests, and excess is not forgiven for them.
 #[test]
 fn the_share_lost_counts_the_ration() {
-    let sent = |ration: Option<Ration>| {
+    let sent = |ration: Option<RetryBudget>| {
         let mut set = settings();
-        set.ration = ration;
-        set.tenants = vec![TenantSettings { share: 1.0, quota_per_s: 0.2 }];
+        set.retry_budget = ration;
+        set.tenants = vec![TenantSettings { share: 1.0, quota_per_second: 0.2 }];
         let mut rig = Rig::new(set, 4);
         let mut sent = 0;
         for id in 0..300 {
             let of = Request { tenant: Some(TenantId(0)), ..request(id, 0) };
-            for (id, _) in sends(&rig.event(Event::Request(of))) {
+            for (id, _) in sends(&rig.event(Event::RequestArrived(of))) {
                 sent += 1;
                 rig.started(id);
-                let status = if sent % 3 == 0 { Status::Full } else { Status::Ok };
+                let status = if sent % 3 == 0 { AttemptStatus::Overloaded } else { AttemptStatus::Ok };
                 for (id, _) in sends(&rig.ended(id, 0, status)) {
-                    rig.event(Event::Started { id: RequestId(id), attempt: 1 });
-                    rig.ended(id, 1, Status::Ok);
+                    rig.event(Event::AttemptStarted { id: RequestId(id), attempt: 1 });
+                    rig.ended(id, 1, AttemptStatus::Ok);
                 }
             }
             rig.pass(500 * MS);
         }
         sent
     };
-    let (free, rationed) = (sent(None), sent(Some(Ration { span: S, free: 0.0, share: 0.0 })));
+    let (free, rationed) = (sent(None), sent(Some(RetryBudget { window: S, min_retries: 0.0, ratio: 0.0 })));
     assert!(rationed * 2 < free, "{rationed} and {free}");
 }
 
@@ -623,16 +628,16 @@
 #[test]
 fn a_slow_way_is_dearer_than_a_quick_one() {
     let mut set = settings();
-    set.cross_zone_price = 0.03;
+    set.cross_zone_cost = 0.03;
     let mut rig = Rig::new(set, 0);
-    rig.event(Event::Roster((0..2).map(|n| Member { zone: ZoneId(1 + n), ..member(n) }).collect()));
+    rig.event(Event::EndpointList((0..2).map(|n| Endpoint { zone: ZoneId(1 + n), ..member(n) }).collect()));
     let mut met = [0, 0];
     for id in 0..1_000u64 {
         for (id, worker) in sends(&rig.ask(id, 0)) {
             met[worker as usize] += u32::from(id >= 300);
             rig.pass(if worker == 1 { 80 * MS } else { 5 * MS });
             rig.started(id);
-            rig.ended(id, 0, Status::Ok);
+            rig.ended(id, 0, AttemptStatus::Ok);
         }
         rig.pass(200 * MS);
     }
@@ -643,15 +648,15 @@
 #[test]
 fn a_whole_list_puts_none_in_doubt_that_it_names() {
     let mut set = settings();
-    set.only_draining_binds = true;
+    set.only_draining_excludes = true;
     let mut rig = Rig::new(set, 1);
-    rig.event(Event::Roster(vec![member(0)]));
+    rig.event(Event::EndpointList(vec![member(0)]));
     // Were the own zone's worker in doubt, the other would be taken.
-    rig.event(Event::RosterChange(vec![Member { zone: ZoneId(1), ..member(1) }]));
+    rig.event(Event::EndpointUpdate(vec![Endpoint { zone: ZoneId(1), ..member(1) }]));
     for id in 0..20 {
         assert_eq!(sends(&rig.ask(id, 0)), [(id, 0)]);
         rig.started(id);
-        rig.ended(id, 0, Status::Ok);
+        rig.ended(id, 0, AttemptStatus::Ok);
     }
 }
 
@@ -674,7 +679,7 @@
             rig.started(running[running.len() - 1])
         } else {
             let id = running.remove(0);
-            rig.ended(id, 0, Status::Ok)
+            rig.ended(id, 0, AttemptStatus::Ok)
         };
         waiting.extend(sends(&more).iter().map(|s| s.0));
         let on_their_way = waiting.len();
@@ -683,5 +688,5 @@
     }
     assert!(most >= 4, "{most} on their way at most");
     // 'Full' stops it, whatever runs there.
-    assert!(sends(&rig.ended(waiting[0], 0, Status::Full)).is_empty());
+    assert!(sends(&rig.ended(waiting[0], 0, AttemptStatus::Overloaded)).is_empty());
 }
--- a/crates/core/tests/random.rs
+++ b/crates/scheduler/tests/random.rs
@@ -2,8 +2,8 @@
 
 mod common;
 use common::*;
-use shorepath_core::api::*;
-use shorepath_core::Balancer;
+use shorepath_scheduler::Scheduler;
+use shorepath_scheduler::*;
 use std::collections::BTreeMap;
 
 struct Known {
@@ -17,28 +17,28 @@
     let mut rng = oorandom::Rand64::new(seed as u128);
     let mut set = settings();
     // Few workers among many schedulers: they are probed.
-    set.probes = seed.is_multiple_of(2);
-    set.instances = if set.probes { 12 } else { 2 };
-    set.tells_start = !seed.is_multiple_of(3);
-    set.full_may_have_run = seed % 4 > 1;
-    let tenant = TenantSettings { share: 0.5, quota_per_s: 20.0 };
+    set.probing = seed.is_multiple_of(2);
+    set.schedulers = if set.probing { 12 } else { 2 };
+    set.reports_starts = !seed.is_multiple_of(3);
+    set.overloaded_may_have_run = seed % 4 > 1;
+    let tenant = TenantSettings { share: 0.5, quota_per_second: 20.0 };
     set.tenants = vec![tenant.clone(), tenant];
-    let keyed = Effect::Keyed { scope: Scope::Zone, memory: S };
+    let keyed = Idempotency::Keyed { scope: DedupScope::Zone, window: S };
     set.classes.push(class(keyed));
     if seed % 3 == 1 {
-        set.ration = Some(Ration { span: S, free: 1.0, share: 0.1 });
+        set.retry_budget = Some(RetryBudget { window: S, min_retries: 1.0, ratio: 0.1 });
     }
-    set.only_draining_binds = seed % 5 > 2;
+    set.only_draining_excludes = seed % 5 > 2;
     let (mut taken, mut extras): (Vec<Micros>, Vec<Micros>) = (vec![], vec![]);
     let slack = 20 * MS;
-    let mut balancer = Balancer::new(set.clone(), seed);
-    let mut workers: Vec<Member> =
-        (0..6).map(|n| Member { zone: ZoneId(n % 2), cell: n / 3, ..member(n) }).collect();
+    let mut balancer = Scheduler::new(set.clone(), seed);
+    let mut workers: Vec<Endpoint> =
+        (0..6).map(|n| Endpoint { zone: ZoneId(n % 2), cell: n / 3, ..member(n) }).collect();
     let mut told: BTreeMap<u32, Micros> = BTreeMap::new();
     let mut known: BTreeMap<u64, Known> = BTreeMap::new();
     let mut cold: BTreeMap<u32, Vec<Micros>> = BTreeMap::new();
     let (mut now, mut wake, mut next) = (S, Micros::MAX, 0u64);
-    let mut events = vec![Event::Roster(workers.clone())];
+    let mut events = vec![Event::EndpointList(workers.clone())];
     let mut probed: Vec<(Micros, u32)> = vec![];
     let mut probes = 0;
     for step in 0..30_000 {
@@ -51,57 +51,78 @@
             let class = rng.rand_range(0..3) as usize;
             let time_left = rng.rand_range(1..5_000) as Micros * MS;
             let tenant = Some(TenantId(rng.rand_range(0..2) as usize));
-            events.push(Event::Request(Request { tenant, time_left, ..request(next, class) }));
+            events.push(Event::RequestArrived(Request {
+                tenant,
+                time_remaining: time_left,
+                ..request(next, class)
+            }));
             taken.push(now);
             known.insert(next, Known { class, deadline: now + time_left, attempts: vec![], over: false });
             next += 1;
         }
         if rng.rand_float() < 0.002 {
             let n = rng.rand_range(0..6) as usize;
-            let standing =
-                [Standing::Live, Standing::Draining, Standing::Gone][rng.rand_range(0..3) as usize];
-            if standing == Standing::Live {
-                workers[n].started = now;
+            let standing = [EndpointState::Live, EndpointState::Draining, EndpointState::Gone]
+                [rng.rand_range(0..3) as usize];
+            if standing == EndpointState::Live {
+                workers[n].started_at = now;
                 told.remove(&(n as u32));
                 cold.remove(&(n as u32));
-            } else if standing == Standing::Draining || !set.only_draining_binds {
+            } else if standing == EndpointState::Draining || !set.only_draining_excludes {
                 told.entry(n as u32).or_insert(now);
             }
-            workers[n].standing = standing;
-            events.push(Event::RosterChange(vec![workers[n].clone()]));
+            workers[n].state = standing;
+            events.push(Event::EndpointUpdate(vec![workers[n].clone()]));
         }
         for (&id, k) in known.iter_mut() {
             for (attempt, a) in k.attempts.iter_mut().enumerate().filter(|(_, a)| a.1) {
                 let hung = a.0 == 5 && step < 15_000;
                 let status = if now >= k.deadline {
-                    Status::Timeout
+                    AttemptStatus::Timeout
                 } else if hung || rng.rand_float() > 0.03 {
                     if !hung && rng.rand_float() < 0.05 {
-                        events.push(Event::Started { id: RequestId(id), attempt: attempt as u32 });
+                        events.push(Event::AttemptStarted { id: RequestId(id), attempt: attempt as u32 });
                     }
                     continue;
                 } else {
-                    let all =
-                        [Status::Ok, Status::Ok, Status::Ok, Status::Full, Status::Error, Status::Reset];
+                    let all = [
+                        AttemptStatus::Ok,
+                        AttemptStatus::Ok,
+                        AttemptStatus::Ok,
+                        AttemptStatus::Overloaded,
+                        AttemptStatus::Error,
+                        AttemptStatus::Reset,
+                    ];
                     all[rng.rand_range(0..6) as usize]
                 };
                 a.1 = false;
                 a.2 = match status {
-                    Status::Full => set.full_may_have_run,
-                    _ => !matches!(status, Status::ConnectFailed | Status::Moot),
+                    AttemptStatus::Overloaded => set.overloaded_may_have_run,
+                    _ => !matches!(status, AttemptStatus::ConnectFailed | AttemptStatus::NotSent),
                 };
-                k.over |= status == Status::Ok;
+                k.over |= status == AttemptStatus::Ok;
                 let settled = k.over;
-                events.push(Event::Outcome { id: RequestId(id), attempt: attempt as u32, status, settled });
+                events.push(Event::AttemptEnded {
+                    id: RequestId(id),
+                    attempt: attempt as u32,
+                    status,
+                    is_final: settled,
+                });
             }
         }
         while let Some(k) = probed.iter().position(|p| p.0 <= now) {
-            let (worker, held) = (WorkerId(probed.swap_remove(k).1), rng.rand_range(0..6) as f64);
-            let all =
-                [Status::Ok, Status::Ok, Status::Ok, Status::Full, Status::ConnectFailed, Status::Timeout];
+            let (worker, held) = (EndpointId(probed.swap_remove(k).1), rng.rand_range(0..6) as f64);
+            let all = [
+                AttemptStatus::Ok,
+                AttemptStatus::Ok,
+                AttemptStatus::Ok,
+                AttemptStatus::Overloaded,
+                AttemptStatus::ConnectFailed,
+                AttemptStatus::Timeout,
+            ];
             let status = all[rng.rand_range(0..6) as usize];
-            let report = Report { free: Some((2.0 - held).max(0.0)), held: Some(held) };
-            events.push(Event::Probed { worker, status, report });
+            let report = LoadReport { free_slots: Some((2.0 - held).max(0.0)), in_flight: Some(held) };
+            events.push(Event::ProbeEnded { endpoint: worker, status, report });
         }
         let mut actions = Vec::new();
         for event in events.drain(..) {
@@ -109,22 +130,27 @@
         }
         for action in actions {
             match action {
-                Action::Send { id, worker } => {
+                Action::StartAttempt { id, endpoint: worker } => {
                     let k = known.get_mut(&id.0).unwrap();
                     assert!(!k.over, "sent after the end");
                     assert!(k.attempts.iter().all(|a| !a.1), "two attempts at once");
                     assert!((k.attempts.len() as u32) < set.max_attempts);
-                    if let Some(r) = set.ration.filter(|_| !k.attempts.is_empty()) {
+                    if let Some(r) = set.retry_budget.filter(|_| !k.attempts.is_empty()) {
                         extras.push(now);
-                        let asked = taken.iter().filter(|&&at| at > now - r.span).count() as f64;
-                        let further = extras.iter().filter(|&&at| at >= now - r.span).count() as f64;
-                        assert!(further <= r.free + r.share * asked, "{further} further, {asked} taken");
+                        let asked = taken.iter().filter(|&&at| at > now - r.window).count() as f64;
+                        let further = extras.iter().filter(|&&at| at >= now - r.window).count() as f64;
+                        assert!(
+                            further <= r.min_retries + r.ratio * asked,
+                            "{further} further, {asked} taken"
+                        );
                     }
                     if let Some(first) = k.attempts.iter().find(|a| a.2) {
-                        match set.classes[k.class].effect {
-                            Effect::Safe => {}
-                            Effect::Unsafe => panic!("an unsafe request that may have run was sent again"),
-                            Effect::Keyed { memory, .. } => {
+                        match set.classes[k.class].idempotency {
+                            Idempotency::Idempotent => {}
+                            Idempotency::NonIdempotent => {
+                                panic!("an unsafe request that may have run was sent again")
+                            }
+                            Idempotency::Keyed { window: memory, .. } => {
                                 assert!(now <= first.3 + memory && first.0 % 2 == worker.0 % 2);
                             }
                         }
@@ -133,45 +159,45 @@
                         assert!(now <= at + set.drain_grace, "sent to a leaving worker");
                     }
                     k.attempts.push((worker.0, true, false, now));
-                    let born = workers[worker.0 as usize].started;
-                    if born > 0 && now < born + set.cold_time {
+                    let born = workers[worker.0 as usize].started_at;
+                    if born > 0 && now < born + set.slow_start_duration {
                         let sent = cold.entry(worker.0).or_default();
                         sent.push(now);
-                        let window = sent.iter().filter(|&&at| at > now - set.fall_time).count();
-                        let age = (now - born) as f64 / set.cold_time as f64;
-                        let part = set.cold_share + (1.0 - set.cold_share) * age;
+                        let window = sent.iter().filter(|&&at| at > now - set.overload_window).count();
+                        let age = (now - born) as f64 / set.slow_start_duration as f64;
+                        let part = set.slow_start_min_share + (1.0 - set.slow_start_min_share) * age;
                         // A job ends after 33 ms in the mean, so 4 cores do 120 a second: our half of the limit.
                         let limit = 3.0 * 120.0 * part * 1.5 / 2.0;
                         assert!(window as f64 <= limit, "{window} sends to a cold worker, {limit}");
                     }
                 }
-                Action::Bar { id, .. } => panic!("{id:?} is barred, though nothing bars it"),
-                Action::Refuse { id, .. } | Action::Fail { id } => {
-                    let refusal = matches!(action, Action::Refuse { .. });
+                Action::Reject { id, .. } => panic!("{id:?} is barred, though nothing bars it"),
+                Action::Shed { id, .. } | Action::Fail { id } => {
+                    let refusal = matches!(action, Action::Shed { .. });
                     let k = known.get_mut(&id.0).unwrap();
                     assert!(!k.over, "two answers");
                     let ran = k.attempts.iter().any(|a| a.1 || a.2);
                     assert!(!(refusal && ran && k.class != 0), "refused though it may have run");
                     k.over = true;
                 }
-                Action::Cancel { id, attempt } => {
+                Action::CancelAttempt { id, attempt } => {
                     assert!(!known[&id.0].over, "called off though over");
                     let k = known.get_mut(&id.0).unwrap();
                     let a = &mut k.attempts[attempt as usize];
                     if a.1 {
                         (a.1, a.2) = (false, true);
-                        let (status, settled) = (Status::Cancelled, k.over);
-                        events.push(Event::Outcome { id, attempt, status, settled });
+                        let (status, settled) = (AttemptStatus::Cancelled, k.over);
+                        events.push(Event::AttemptEnded { id, attempt, status, is_final: settled });
                     }
                 }
-                Action::Wake { after } => wake = wake.min(now + after.max(MS)),
-                Action::Probe { worker } => {
+                Action::WakeAfter { delay: after } => wake = wake.min(now + after.max(MS)),
+                Action::Probe { endpoint: worker } => {
                     let told = told.get(&worker.0).is_none_or(|at| now <= at + set.drain_grace);
                     assert!(told, "probed a leaving worker");
                     probed.push((now + rng.rand_range(1..60) as Micros * MS, worker.0));
                     probes += 1;
                 }
-                Action::CloseIdle { .. } | Action::Subscribe => {}
+                Action::CloseIdleConnections { .. } | Action::Subscribe => {}
             }
         }
         known.retain(|id, k| {
@@ -180,7 +206,7 @@
         });
     }
     assert!(known.values().all(|k| k.over), "left without an answer");
-    assert!(next > 3_000 && (probes > 200) == set.probes, "{next} requests, {probes} probes");
+    assert!(next > 3_000 && (probes > 200) == set.probing, "{next} requests, {probes} probes");
 }
 
 #[test]
--- a/crates/core/tests/rfq.rs
+++ b/crates/scheduler/tests/rfq.rs
@@ -3,22 +3,22 @@
 
 mod common;
 use common::*;
-use shorepath_core::api::*;
+use shorepath_scheduler::*;
 
 /// Two tenants of 50 requests a second each; requests wanted within 100 ms.
 fn two_tenants() -> Settings {
-    let tenant = TenantSettings { share: 0.5, quota_per_s: 50.0 };
+    let tenant = TenantSettings { share: 0.5, quota_per_second: 50.0 };
     let mut set = settings();
-    (set.over_share_worth, set.instances) = (1.0, 1);
+    (set.over_share_fraction, set.schedulers) = (1.0, 1);
     set.tenants = vec![tenant.clone(), tenant];
-    set.classes = vec![ClassSettings { stretch: 0.0, ..class(Effect::Safe) }; 2];
-    set.classes[0].aim = 1_000 * MS;
-    set.classes[1].aim = 100 * MS;
+    set.classes = vec![ClassSettings { work_factor: 0.0, ..class(Idempotency::Idempotent) }; 2];
+    set.classes[0].latency_objective = 1_000 * MS;
+    set.classes[1].latency_objective = 100 * MS;
     set
 }
 
 fn of(tenant: usize, id: u64, class: usize) -> Event {
-    Event::Request(Request { tenant: Some(TenantId(tenant)), ..request(id, class) })
+    Event::RequestArrived(Request { tenant: Some(TenantId(tenant)), ..request(id, class) })
 }
 
 /// Serve what is out, one job at a time, and list the order of release.
@@ -26,7 +26,7 @@
     let mut order = vec![out];
     loop {
         rig.now += MS;
-        let actions = rig.ended(out, 0, Status::Ok);
+        let actions = rig.ended(out, 0, AttemptStatus::Ok);
         match sends(&actions).first() {
             Some(&(id, _)) => out = id,
             None => return order,
@@ -69,7 +69,7 @@
     for id in 0..100 {
         rig.now += MS;
         assert_eq!(sends(&rig.event(of(0, id, 1))).len(), 1, "{id}");
-        rig.ended(id, 0, Status::Ok);
+        rig.ended(id, 0, AttemptStatus::Ok);
     }
 }
 
@@ -87,7 +87,7 @@
         let mut actions = Vec::new();
         if let Some(id) = busy.filter(|_| done_at <= rig.now) {
             busy = None;
-            actions.extend(rig.ended(id, 0, Status::Ok));
+            actions.extend(rig.ended(id, 0, AttemptStatus::Ok));
         }
         // Tenant 0: 100/s for two seconds, then 50/s. Tenant 1: a burst at 2 s, then 50/s.
         let every = if step < 1000 { 5 } else { 10 };
@@ -114,7 +114,7 @@
 #[test]
 fn a_flood_is_refused_and_takes_no_tokens() {
     let mut set = two_tenants();
-    set.over_share_worth = 0.05; // beyond its share it waits 0.05 x 550 ms at most
+    set.over_share_fraction = 0.05; // beyond its share it waits 0.05 x 550 ms at most
     let mut rig = Rig::new(set, 1);
     let mut turned_away = 0;
     for id in 0..200 {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,5 +3,4 @@
 pub mod net;
 pub mod wire;
 
-pub use shorepath_core::{api, balance, parts, settings};
-pub use shorepath_core::{Action, Balancer, Event, Settings};
+pub use shorepath_scheduler::{Action, Event, Scheduler, Settings};
--- a/src/net/backend.rs
+++ b/src/net/backend.rs
@@ -8,8 +8,8 @@
 use super::exchange::{DispatchId, Exchange, Order, Wanted};
 use super::pool::Pool;
 use super::{turn, Job};
-use crate::api::{Effect, Status, WorkerId};
 use serde::Deserialize;
+use shorepath_scheduler::{AttemptStatus, EndpointId, Idempotency};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::io::ErrorKind;
@@ -52,7 +52,7 @@
         Bounds {
             connections: config.limits.connections(parts),
             connect_timeout: micros(config.setup.connect_timeout()),
-            idle: micros(config.setup.conn_idle()).mul_f64(IDLE_PART),
+            idle: micros(config.setup.idle_timeout()).mul_f64(IDLE_PART),
         }
     }
 }
@@ -64,7 +64,7 @@
     deadlines: Rc<Deadlines>,
     pool: Rc<Pool>,
     bounds: Cell<Bounds>,
-    servers: RefCell<HashMap<WorkerId, Server>>,
+    servers: RefCell<HashMap<EndpointId, Server>>,
     /// What calls off the attempts that are out.
     out: RefCell<HashMap<DispatchId, oneshot::Sender<()>>>,
     connections: Cell<usize>,
@@ -85,7 +85,7 @@
 /// A backend server as a connection to it was begun.
 #[derive(Debug)]
 struct Target {
-    worker: WorkerId,
+    worker: EndpointId,
     address: SocketAddr,
     takes_at: watch::Receiver<Option<SocketAddr>>,
 }
@@ -111,7 +111,7 @@
 struct Dispatch {
     id: DispatchId,
     /// What running it twice would do.
-    effect: Effect,
+    effect: Idempotency,
     payload: Rc<Job>,
     written_by: Instant,
     until: Instant,
@@ -136,12 +136,12 @@
         }
     }
     /// Ready, with what that is to the decisions, once it is called off or not wanted any more.
-    async fn over(&mut self) -> Status {
+    async fn over(&mut self) -> AttemptStatus {
         match self {
             Task::Dispatch(dispatch) => tokio::select! {
                 biased;
-                _ = &mut dispatch.cancelled => Status::Cancelled,
-                () = dispatch.wanted.over() => Status::Moot,
+                _ = &mut dispatch.cancelled => AttemptStatus::Cancelled,
+                () = dispatch.wanted.over() => AttemptStatus::NotSent,
             },
             Task::Probe(_) => std::future::pending().await,
         }
@@ -185,7 +185,7 @@
 
 /// How an attempt ended, and what that means for its connection.
 struct End {
-    status: Status,
+    status: AttemptStatus,
     after: After,
 }
 
@@ -197,7 +197,7 @@
 }
 
 impl End {
-    fn closing(status: Status, ending: Ending) -> Self {
+    fn closing(status: AttemptStatus, ending: Ending) -> Self {
         End { status, after: After::Ends(ending) }
     }
 }
@@ -271,7 +271,7 @@
         }
     }
 
-    fn server(&self, worker: WorkerId, address: Option<SocketAddr>, active: bool) {
+    fn server(&self, worker: EndpointId, address: Option<SocketAddr>, active: bool) {
         let moved = {
             let mut servers = self.servers.borrow_mut();
             match (servers.get_mut(&worker), address) {
@@ -294,7 +294,7 @@
         }
     }
 
-    fn close_idle(&self, worker: WorkerId, ending: Ending) {
+    fn close_idle(&self, worker: EndpointId, ending: Ending) {
         let mut servers = self.servers.borrow_mut();
         for (_, _, connection) in servers.get_mut(&worker).into_iter().flat_map(|s| s.idle.drain(..)) {
             // One that has just ended by itself needs no telling.
@@ -313,13 +313,13 @@
         connection.try_send(Call::Close(Ending::Evicted)).is_ok()
     }
 
-    fn report(&self, id: DispatchId, status: Status) {
+    fn report(&self, id: DispatchId, status: AttemptStatus) {
         self.out.borrow_mut().remove(&id);
         self.exchange.ended(id, status);
     }
 
     /// How a task that never got a connection, or lost it, has ended.
-    fn ended(&self, worker: WorkerId, task: &Task, status: Status) {
+    fn ended(&self, worker: EndpointId, task: &Task, status: AttemptStatus) {
         match task {
             Task::Dispatch(dispatch) => self.report(dispatch.id, status),
             Task::Probe(_) => self.exchange.probed(worker, status, |_| None),
@@ -327,18 +327,19 @@
     }
 
     /// Put an attempt, or a probe, on the idle connection used last, or on a new one.
-    fn begin(self: &Rc<Self>, worker: WorkerId, mut task: Task) {
+    fn begin(self: &Rc<Self>, worker: EndpointId, mut task: Task) {
         let target = {
             let mut servers = self.servers.borrow_mut();
             let Some(server) = servers.get_mut(&worker) else {
                 drop(servers);
                 warn!("a dispatch to a server without an address was not made");
-                return self.ended(worker, &task, Status::ConnectFailed);
+                return self.ended(worker, &task, AttemptStatus::ConnectFailed);
             };
             if let Task::Dispatch(dispatch) = &task {
                 debug!("dispatch {}.{} to {}", dispatch.id.request.0, dispatch.id.attempt, server.address);
             }
-            let wary = matches!(&task, Task::Dispatch(dispatch) if dispatch.effect == Effect::Unsafe);
+            let wary =
+                matches!(&task, Task::Dispatch(dispatch) if dispatch.effect == Idempotency::NonIdempotent);
             let quiet = |answered: &Option<Instant>| !wary || answered.is_none_or(|at| at.elapsed() >= QUIET);
             while let Some(place) = server.idle.iter().rposition(|(_, answered, _)| quiet(answered)) {
                 let Some((_, _, connection)) = server.idle.remove(place) else { break };
@@ -355,7 +356,7 @@
         // later, so the bound is one over for that long.
         if self.connections.get() >= self.bounds.get().connections && !self.evict() {
             warn!("no connection is left for a dispatch");
-            return self.ended(worker, &task, Status::ConnectFailed);
+            return self.ended(worker, &task, AttemptStatus::ConnectFailed);
         }
         self.connections.set(self.connections.get() + 1);
         let backend = self.clone();
@@ -410,7 +411,7 @@
                 }
             } else {
                 // Nothing was written, so the connection is as good as it was.
-                self.ended(worker, &task, Status::Moot);
+                self.ended(worker, &task, AttemptStatus::NotSent);
                 drop(task);
             }
             let (call, calls) = mpsc::channel(1);
@@ -440,16 +441,20 @@
         (ending, messages, left)
     }
 
-    async fn connect(&self, target: &mut Target, task: &mut Task) -> Result<TcpStream, (Status, Ending)> {
+    async fn connect(
+        &self,
+        target: &mut Target,
+        task: &mut Task,
+    ) -> Result<TcpStream, (AttemptStatus, Ending)> {
         let address = target.address;
         let wait = Instant::now() + self.bounds.get().connect_timeout;
         let (by, excused) = task.connects_by();
-        let late = if excused && by < wait { Status::Moot } else { Status::ConnectFailed };
+        let late = if excused && by < wait { AttemptStatus::NotSent } else { AttemptStatus::ConnectFailed };
         let stream = tokio::select! {
             biased;
             // Guards the places of those that are wanted: a server whose connections come up late holds what it is given for long.
             status = task.over() => return Err((status, Ending::Cancelled)),
-            () = target.left() => return Err((Status::Moot, Ending::ServerLeft)),
+            () = target.left() => return Err((AttemptStatus::NotSent, Ending::ServerLeft)),
             stream = TcpStream::connect(address) => stream,
             () = self.deadlines.at(wait.min(by)) => return Err((late, Ending::ConnectTimeout)),
         };
@@ -457,7 +462,7 @@
         stream.map_err(|e| {
             debug!("connecting to {address}: {e}");
             let remote = matches!(e.kind(), ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset);
-            (Status::ConnectFailed, if remote { Ending::Refused } else { Ending::NoSockets })
+            (AttemptStatus::ConnectFailed, if remote { Ending::Refused } else { Ending::NoSockets })
         })
     }
 
@@ -472,18 +477,18 @@
         let (worker, address) = (target.worker, target.address);
         // A server that leaves is sent nothing at all.
         if !target.takes() {
-            self.exchange.probed(worker, Status::Moot, |_| None);
+            self.exchange.probed(worker, AttemptStatus::NotSent, |_| None);
             return (Some(Ending::ServerLeft), false);
         }
         let asked = async {
             let fields = format!("Host: {address}\r\n");
             let request = Outgoing { method: "GET", target: "/_load", fields, body: None };
             self.pool.send(connection, request).await.map_err(|_| Ending::PeerBroke)?;
-            let (mut status, mut values) = (Status::Error, Vec::new());
+            let (mut status, mut values) = (AttemptStatus::Error, Vec::new());
             loop {
                 match self.pool.next(connection).await {
-                    Some(Ok(Piece::Head { status: 200, .. })) => status = Status::Ok,
-                    Some(Ok(Piece::Head { status: 503, .. })) => status = Status::Full,
+                    Some(Ok(Piece::Head { status: 200, .. })) => status = AttemptStatus::Ok,
+                    Some(Ok(Piece::Head { status: 503, .. })) => status = AttemptStatus::Overloaded,
                     Some(Ok(Piece::Head { .. } | Piece::Part(_))) => {}
                     Some(Ok(Piece::Line(line))) => values.extend(figures(&line)),
                     Some(Ok(Piece::End { reusable })) => return Ok((status, values, reusable)),
@@ -499,12 +504,12 @@
         };
         let (status, values, ending) = match answer {
             Ok((status, values, reusable)) => (status, values, (!reusable).then_some(Ending::LastMessage)),
-            Err(Ending::TimedOut) => (Status::Timeout, Vec::new(), Some(Ending::TimedOut)),
-            Err(ending) => (Status::Reset, Vec::new(), Some(ending)),
+            Err(Ending::TimedOut) => (AttemptStatus::Timeout, Vec::new(), Some(Ending::TimedOut)),
+            Err(ending) => (AttemptStatus::Reset, Vec::new(), Some(ending)),
         };
         let value = |name: &str| values.iter().find(|(n, _)| n == name).map(|(_, v)| *v);
         self.exchange.probed(worker, status, value);
-        (ending, matches!(status, Status::Ok | Status::Full | Status::Error))
+        (ending, matches!(status, AttemptStatus::Ok | AttemptStatus::Overloaded | AttemptStatus::Error))
     }
 
     /// Wait on a connection that has been idle since then for its next task, or why it ends.
@@ -553,24 +558,24 @@
                 let answer = self.answer(connection, id, &dispatch.payload);
                 tokio::select! {
                     biased;
-                    _ = &mut dispatch.cancelled => End::closing(Status::Cancelled, Ending::Cancelled),
+                    _ = &mut dispatch.cancelled => End::closing(AttemptStatus::Cancelled, Ending::Cancelled),
                     end = answer => end,
-                    () = self.deadlines.at(dispatch.until) => End::closing(Status::Timeout, Ending::TimedOut),
+                    () = self.deadlines.at(dispatch.until) => End::closing(AttemptStatus::Timeout, Ending::TimedOut),
                 }
             }
         };
         // Guards against a second answer to the job before: so soon, "turned away" may be about that one. Taken for this one's it would
         // prove that nothing ran, and a keyed job go where its key is not known.
-        let doubtful = ended.status == Status::Full && dispatch.effect != Effect::Safe;
+        let doubtful =
+            ended.status == AttemptStatus::Overloaded && dispatch.effect != Idempotency::Idempotent;
         let ended = match answered_at.filter(|at| doubtful && at.elapsed() < QUIET) {
-            Some(_) => End::closing(Status::Cancelled, Ending::Cancelled),
+            Some(_) => End::closing(AttemptStatus::Cancelled, Ending::Cancelled),
             None => ended,
         };
-        if ended.status != Status::Ok {
+        if ended.status != AttemptStatus::Ok {
             self.report(id, ended.status);
         }
-        use Status::{Error, Full, Ok as Done, Rejected};
-        let answered = matches!(ended.status, Done | Full | Error | Rejected);
+        let answered = ended.status.has_response();
         if let After::Ends(ending) = ended.after {
             return (Some(ending), answered);
         }
@@ -606,17 +611,17 @@
     ) -> Result<(), End> {
         // Nothing is begun once the server is known to leave, or to be elsewhere.
         if !target.takes() {
-            return Err(End::closing(Status::Moot, Ending::ServerLeft));
+            return Err(End::closing(AttemptStatus::NotSent, Ending::ServerLeft));
         }
         // Guards against sending what is over: where the process stood still the connection and the end of the request's
         // time are seen together, and its client may have been told that it failed. And against a repeat that its server takes for
         // a new job, as it has forgotten the key.
         if Instant::now() >= dispatch.written_by {
-            return Err(End::closing(Status::Moot, Ending::TimedOut));
+            return Err(End::closing(AttemptStatus::NotSent, Ending::TimedOut));
         }
         // Guards keys that must not run twice: another node may be home to this one by now.
         if !self.exchange.may_send(dispatch.id) {
-            return Err(End::closing(Status::Moot, Ending::TimedOut));
+            return Err(End::closing(AttemptStatus::NotSent, Ending::TimedOut));
         }
         let job = &dispatch.payload;
         let left = dispatch.until.saturating_duration_since(Instant::now());
@@ -631,13 +636,13 @@
         let request = Outgoing { method: "POST", target: &job.target, fields, body: Some(&job.body) };
         tokio::select! {
             biased;
-            _ = &mut dispatch.cancelled => Err(End::closing(Status::Cancelled, Ending::Cancelled)),
+            _ = &mut dispatch.cancelled => Err(End::closing(AttemptStatus::Cancelled, Ending::Cancelled)),
             sent = self.pool.send(connection, request) => sent.map_err(|e| {
                 debug!("writing a dispatch: {e}");
-                End::closing(Status::ConnectFailed, Ending::PeerBroke)
+                End::closing(AttemptStatus::ConnectFailed, Ending::PeerBroke)
             }),
             () = self.deadlines.at(dispatch.written_by) => {
-                Err(End::closing(Status::ConnectFailed, Ending::TooSlow))
+                Err(End::closing(AttemptStatus::ConnectFailed, Ending::TooSlow))
             }
         }
     }
@@ -646,7 +651,7 @@
     async fn answer(&self, connection: &mut Connection, id: DispatchId, job: &Job) -> End {
         let nonsense = |reason: &str| {
             warn!("a backend server's answer to {} makes no sense: {reason}", job.id);
-            End::closing(Status::Error, Ending::Malformed)
+            End::closing(AttemptStatus::Error, Ending::Malformed)
         };
         loop {
             match self.pool.next(connection).await {
@@ -655,9 +660,9 @@
                     debug!("a backend server answered {} with {status}", job.id);
                     let unstarted = matches!(fields.get("not-started"), Ok(Some("1")));
                     let status = match status {
-                        503 | 504 if unstarted => Status::Full,
-                        400..=499 => Status::Rejected,
-                        _ => Status::Error,
+                        503 | 504 if unstarted => AttemptStatus::Overloaded,
+                        400..=499 => AttemptStatus::BadRequest,
+                        _ => AttemptStatus::Error,
                     };
                     return End { status, after: After::Tail };
                 }
@@ -668,14 +673,14 @@
                 },
                 Some(Err(ReadError::Bad { reason, .. })) => return nonsense(reason),
                 Some(Ok(Piece::End { .. })) | Some(Err(ReadError::Io(_))) | None => {
-                    return End::closing(Status::Reset, Ending::PeerBroke)
+                    return End::closing(AttemptStatus::Reset, Ending::PeerBroke)
                 }
             }
         }
     }
 
     /// Take a line of the answer in: how the attempt has ended, if it tells that.
-    fn line(&self, id: DispatchId, job: &Job, text: &[u8]) -> Result<Option<Status>, String> {
+    fn line(&self, id: DispatchId, job: &Job, text: &[u8]) -> Result<Option<AttemptStatus>, String> {
         if text.trim_ascii().is_empty() {
             return Ok(None);
         }
@@ -697,11 +702,11 @@
                 let result = line.result.ok_or("it is done without a result")?;
                 self.out.borrow_mut().remove(&id);
                 self.exchange.served(id, result.into_bytes());
-                Some(Status::Ok)
+                Some(AttemptStatus::Ok)
             }
-            State::Failed => Some(Status::Error),
-            State::Returned => Some(Status::Full),
-            State::Lost => Some(Status::Reset),
+            State::Failed => Some(AttemptStatus::Error),
+            State::Returned => Some(AttemptStatus::Overloaded),
+            State::Lost => Some(AttemptStatus::Reset),
         })
     }
 }
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -2,11 +2,11 @@
 
 use super::server_table::{EntryError, Listing};
 use super::sites::Siting;
-use crate::settings::Setup;
 use serde::Deserialize;
 use serde_json::Value;
 use shorepath_audit::version::Content;
 use shorepath_budgets::file::{Bounds, Budget, Plan};
+use shorepath_scheduler::{SettingsError, SettingsObject};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -41,7 +41,7 @@
     /// What stands for the settings as they are written, in the order of their keys.
     pub settings: Content,
     /// The settings object.
-    pub setup: Setup,
+    pub setup: SettingsObject,
     /// All keys of the file, each with the way to it.
     keys: BTreeSet<String>,
 }
@@ -107,7 +107,7 @@
     Known(#[from] EntryError),
     /// Nothing could be served by the settings.
     #[error("'settings' {0}")]
-    Settings(&'static str),
+    Settings(#[from] SettingsError),
     /// A key is missing that the configuration in force has.
     #[error("'{0}' is missing")]
     Missing(String),
@@ -128,7 +128,7 @@
     limits: Limits,
     #[serde(default)]
     known: Listing,
-    settings: Setup,
+    settings: SettingsObject,
 }
 
 impl Config {
@@ -158,9 +158,7 @@
             })?,
         };
         file.known.check()?;
-        if let Some(fault) = file.settings.fault() {
-            return Err(ConfigError::Settings(fault));
-        }
+        file.settings.validate()?;
         if file.limits.sockets < OWN_SOCKETS + 16 {
             return Err(ConfigError::FewSockets(file.limits.sockets));
         }
@@ -192,7 +190,7 @@
 
     /// The budgets of a plan that name a tenant or a class which the settings don't.
     pub fn strangers(&self, plan: &Plan) -> Vec<String> {
-        let (_, names) = self.setup.read();
+        let (_, names) = self.setup.to_settings();
         let known = |b: &&Budget| match Bounds::of(&b.name) {
             Some(Bounds::Quota(tenant)) => names.tenants.get(tenant).is_some(),
             Some(Bounds::Flight(class)) => names.classes.get(class).is_some(),
@@ -203,7 +201,7 @@
 
     /// The tenants and classes that the file of sites names, or the one of accounts, and the settings don't.
     pub fn strange_in_sites(&self, siting: &Siting) -> Vec<String> {
-        let (_, names) = self.setup.read();
+        let (_, names) = self.setup.to_settings();
         let plan = siting.plan();
         let lent = plan.lends.values().flat_map(|l| l.keys());
         let classes = plan.home.iter().chain(plan.least.keys()).chain(lent).map(String::as_str);
