--- a/src/net/exchange.rs
+++ b/src/net/exchange.rs
@@ -4,11 +4,11 @@
 //! before the same decisions.
 
 use super::deadlines::Deadlines;
-use crate::api::*;
-use crate::parts::{Bound, Part, PartUse};
-use crate::settings::{mark, Catalogue, Setup};
-use crate::Balancer;
 use shorepath_budgets::file::Bounds;
+use shorepath_scheduler::Scheduler;
+use shorepath_scheduler::*;
+use shorepath_scheduler::{name_hash, Catalog, SettingsObject};
+use shorepath_scheduler::{QuotaKind, QuotaShare, QuotaUsage};
 use shorepath_sites::homecoming::Pace;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -41,7 +41,7 @@
     /// A client's repeat.
     pub repeat: bool,
     /// What it is to its tenant's work.
-    pub entry: Entry,
+    pub entry: WorkState,
     /// Its client belongs to another site.
     pub guest: bool,
 }
@@ -59,7 +59,7 @@
     /// Not taken here: nothing is left of a part that it needs from the start, or it belongs elsewhere.
     Barred {
         /// The part.
-        of: Option<Bound>,
+        of: Option<QuotaKind>,
     },
     /// Failed, no promise.
     Failed,
@@ -103,9 +103,9 @@
         /// Which.
         id: DispatchId,
         /// The backend server.
-        worker: WorkerId,
+        worker: EndpointId,
         /// What running it twice would do.
-        effect: Effect,
+        effect: Idempotency,
         /// What to send.
         payload: Rc<P>,
         /// When all of it has to be on its way: at `until` at the latest.
@@ -118,13 +118,13 @@
     /// Call an attempt off.
     Cancel(DispatchId),
     /// Ask a backend server whether it would start a job now.
-    Probe(WorkerId),
+    Probe(EndpointId),
     /// Close the idle connections to a backend server.
-    CloseIdle(WorkerId),
+    CloseIdle(EndpointId),
     /// Where a backend server is, and whether it may be sent anything new.
     Server {
         /// Which.
-        worker: WorkerId,
+        worker: EndpointId,
         /// Where; `None` if that is as before.
         address: Option<SocketAddr>,
         /// Whether it is active.
@@ -148,7 +148,7 @@
     /// Its size.
     pub size: f64,
     /// Where it stands.
-    pub standing: Standing,
+    pub standing: EndpointState,
     /// When it last started, in Unix time; 0 for long ago.
     pub started: Micros,
 }
@@ -232,18 +232,18 @@
 
 #[derive(Debug)]
 struct Inner<P> {
-    balancer: Balancer,
-    setup: Setup,
+    balancer: Scheduler,
+    setup: SettingsObject,
     /// Processes that are this one node at present.
     parts: u32,
-    names: Catalogue,
+    names: Catalog,
     clock: Clock,
     open: HashMap<RequestId, Taken<P>>,
     taken: u64,
-    active: BTreeSet<WorkerId>,
+    active: BTreeSet<EndpointId>,
     orders: mpsc::UnboundedSender<Order<P>>,
     wake: Option<Instant>,
-    held: BTreeMap<Source, Vec<Part>>,
+    held: BTreeMap<Source, Vec<QuotaShare>>,
     recorder: Option<Rc<dyn Recorder<P>>>,
     auditor: Option<Rc<dyn Auditor<P>>>,
     /// Attempts that were served and that failed, while they are written down.
@@ -274,14 +274,14 @@
 impl<P> Exchange<P> {
     /// An exchange that knows no servers yet, and the orders that it will give.
     pub fn new(
-        setup: &Setup,
+        setup: &SettingsObject,
         seed: u64,
         deadlines: Rc<Deadlines>,
     ) -> (Rc<Self>, mpsc::UnboundedReceiver<Order<P>>) {
-        let (settings, names) = setup.read();
+        let (settings, names) = setup.to_settings();
         let (orders, given) = mpsc::unbounded_channel();
         let inner = Inner {
-            balancer: Balancer::new(settings, seed),
+            balancer: Scheduler::new(settings, seed),
             setup: setup.clone(),
             parts: 1,
             names,
@@ -322,7 +322,7 @@
     pub fn is_keyed(&self, class: ClassId) -> bool {
         let inner = self.inner.borrow();
         let class = inner.balancer.settings().classes.get(class.0);
-        class.is_some_and(|c| matches!(c.effect, Effect::Keyed { .. }))
+        class.is_some_and(|c| matches!(c.idempotency, Idempotency::Keyed { .. }))
     }
 
     /// Whether the settings name tenants.
@@ -336,7 +336,7 @@
     }
 
     /// Other settings hold for what comes from now on.
-    pub fn retune(&self, setup: Setup) {
+    pub fn retune(&self, setup: SettingsObject) {
         self.renew(|inner| inner.setup = setup);
     }
 
@@ -347,26 +347,26 @@
     }
 
     /// What a budget of that name bounds here, if it is anything that the module knows of.
-    pub fn bound(&self, budget: &str) -> Option<Bound> {
+    pub fn bound(&self, budget: &str) -> Option<QuotaKind> {
         Some(match Bounds::of(budget)? {
-            Bounds::Quota(tenant) => Bound::Quota(self.tenant(tenant)?),
-            Bounds::Flight(class) => Bound::Flight(self.class(class)?),
-            Bounds::Retries => Bound::Further,
-            Bounds::Probes => Bound::Probes,
-            Bounds::Connections => Bound::Connections,
-            Bounds::Cold => Bound::Cold,
+            Bounds::Quota(tenant) => QuotaKind::TenantRate(self.tenant(tenant)?),
+            Bounds::Flight(class) => QuotaKind::ClassConcurrency(self.class(class)?),
+            Bounds::Retries => QuotaKind::Retries,
+            Bounds::Probes => QuotaKind::Probes,
+            Bounds::Connections => QuotaKind::Connections,
+            Bounds::Cold => QuotaKind::SlowStart,
             Bounds::Lists | Bounds::Home(_) => return None,
         })
     }
 
     /// These parts may be used from now on, as one of those that tell of parts says.
-    pub fn parts_hold(&self, source: Source, parts: Vec<Part>) {
+    pub fn parts_hold(&self, source: Source, parts: Vec<QuotaShare>) {
         let all = {
             let mut inner = self.inner.borrow_mut();
             inner.held.insert(source, parts);
             inner.held.values().flatten().cloned().collect()
         };
-        self.tell(Event::Parts(all));
+        self.tell(Event::QuotaShares(all));
     }
 
     /// What is dispatched is written down from now on.
@@ -393,7 +393,7 @@
             return self.inner.borrow_mut().order(order);
         }
         self.inner.borrow_mut().answer(id.request, Verdict::Denied { retry_after: None });
-        self.ended(id, Status::Moot);
+        self.ended(id, AttemptStatus::NotSent);
     }
 
     /// Whether an attempt may still be sent, see [`Recorder::may_send`].
@@ -405,7 +405,12 @@
     /// Whether no attempt of a class may be made twice.
     pub fn is_unsafe(&self, class: ClassId) -> bool {
         let inner = self.inner.borrow();
-        inner.balancer.settings().classes.get(class.0).is_some_and(|c| c.effect == Effect::Unsafe)
+        inner
+            .balancer
+            .settings()
+            .classes
+            .get(class.0)
+            .is_some_and(|c| c.idempotency == Idempotency::NonIdempotent)
     }
 
     /// The name of a class.
@@ -415,7 +420,7 @@
 
     /// Requests of a tenant that were taken as new while that was bounded, since the start.
     pub fn begun(&self, tenant: TenantId) -> u64 {
-        self.inner.borrow().balancer.begun(tenant)
+        self.inner.borrow().balancer.new_work_count(tenant)
     }
 
     /// Attempts that were served and that failed since that was last asked, where attempts are written down.
@@ -428,7 +433,7 @@
         let inner = self.inner.borrow();
         let classes = inner.balancer.settings().classes.iter().enumerate();
         let name = |k: usize| inner.names.classes.name(k as u32).unwrap_or_default().to_string();
-        classes.map(|(k, c)| (name(k), (c.worth.max(0.0) * 1_000.0) as u64)).collect()
+        classes.map(|(k, c)| (name(k), (c.priority_weight.max(0.0) * 1_000.0) as u64)).collect()
     }
 
     /// The longest deadline of the settings in force.
@@ -440,7 +445,7 @@
     /// leaves a node may send it something new.
     pub fn told(&self) -> (u32, Duration) {
         let inner = self.inner.borrow();
-        (inner.setup.askers(), Duration::from_micros(inner.setup.drain_grace().max(0) as u64))
+        (inner.setup.polling_nodes(), Duration::from_micros(inner.setup.drain_grace().max(0) as u64))
     }
 
     /// What a client that is turned away may be told of how long to stay away: nothing where clients don't heed it.
@@ -448,20 +453,20 @@
         let inner = self.inner.borrow();
         let set = inner.balancer.settings();
         let most = Duration::from_micros(set.max_retry_after.max(0) as u64);
-        set.retry_after.then_some(wait.min(most))
+        set.sends_retry_after.then_some(wait.min(most))
     }
 
     /// How backend servers warm up.
     pub fn pace(&self) -> Pace {
         let inner = self.inner.borrow();
         let set = inner.balancer.settings();
-        Pace { share: set.cold_share, time: set.cold_time }
+        Pace { share: set.slow_start_min_share, time: set.slow_start_duration }
     }
 
     /// What was done with each part since that was last asked.
-    pub fn parts_used(&self) -> Vec<(Bound, PartUse)> {
+    pub fn parts_used(&self) -> Vec<(QuotaKind, QuotaUsage)> {
         let inner = &mut *self.inner.borrow_mut();
-        inner.balancer.parts_used(inner.clock.now())
+        inner.balancer.take_quota_usage(inner.clock.now())
     }
 
     fn renew(&self, change: impl FnOnce(&mut Inner<P>)) {
@@ -469,11 +474,12 @@
             let mut inner = self.inner.borrow_mut();
             change(&mut inner);
             let Inner { balancer, setup, names, parts, .. } = &mut *inner;
-            let mut renewed = setup.renew(names, balancer.settings(), |class| balancer.uses(class));
-            renewed.settings.parts = *parts;
+            let mut renewed =
+                setup.reconfigure(names, balancer.settings(), |class| balancer.uses_class(class));
+            renewed.settings.processes = *parts;
             renewed
         };
-        self.tell(Event::Retune(Box::new(renewed)));
+        self.tell(Event::Reconfigure(Box::new(renewed)));
     }
 
     /// Told of each list of servers, and each change, with their number.
@@ -506,29 +512,29 @@
             id
         };
         let time_left = until.saturating_duration_since(Instant::now()).as_micros() as Micros;
-        self.tell(Event::Request(Request {
+        self.tell(Event::RequestArrived(Request {
             id,
             class: ask.class,
             tenant: ask.tenant,
-            key: ask.key.as_deref().map(|k| KeyId(mark(k))),
-            time_left,
-            hint: ask.hint,
+            key: ask.key.as_deref().map(|k| KeyId(name_hash(k))),
+            time_remaining: time_left,
+            work_hint: ask.hint,
             slots: ask.slots,
-            repeat: ask.repeat,
-            entry: ask.entry,
-            guest: ask.guest,
+            is_retry: ask.repeat,
+            work_state: ask.entry,
+            is_remote: ask.guest,
         }));
         Ticket { exchange: self.clone(), id, answered, overdue: until + margin / 2 }
     }
 
     /// The job of an attempt has started.
     pub fn started(&self, id: DispatchId) {
-        self.tell(Event::Started { id: id.request, attempt: id.attempt });
+        self.tell(Event::AttemptStarted { id: id.request, attempt: id.attempt });
     }
 
     /// The job of an attempt has got this far.
     pub fn progress(&self, id: DispatchId, done: f64) {
-        self.tell(Event::Progress { id: id.request, attempt: id.attempt, done });
+        self.tell(Event::AttemptProgress { id: id.request, attempt: id.attempt, done });
     }
 
     /// An attempt was served with this result. The first one is the request's answer.
@@ -539,48 +545,52 @@
             // A client that has just gone has no use for it.
             let _ = taken.answer.send(Verdict::Served(result));
         }
-        self.ended(id, Status::Ok);
+        self.ended(id, AttemptStatus::Ok);
     }
 
     /// An attempt has ended, without a result if that is not told by [`Exchange::served`].
-    pub fn ended(&self, id: DispatchId, status: Status) {
+    pub fn ended(&self, id: DispatchId, status: AttemptStatus) {
         let (settled, recorder, ran) = {
             let inner = self.inner.borrow();
-            let never = inner.balancer.proves_unrun(id.request, id.attempt, status);
+            let never = inner.balancer.proves_not_run(id.request, id.attempt, status);
             let ran = if never { Ran::Never } else { Ran::Perhaps };
-            let ran = if status == Status::Ok { Ran::Served } else { ran };
+            let ran = if status == AttemptStatus::Ok { Ran::Served } else { ran };
             (!inner.open.contains_key(&id.request), inner.recorder.clone(), ran)
         };
         if let Some(recorder) = recorder {
             recorder.ended(id, ran);
             let fails = matches!(
                 status,
-                Status::Error | Status::Full | Status::Timeout | Status::ConnectFailed | Status::Reset
+                AttemptStatus::Error
+                    | AttemptStatus::Overloaded
+                    | AttemptStatus::Timeout
+                    | AttemptStatus::ConnectFailed
+                    | AttemptStatus::Reset
             );
             let outcomes = &mut self.inner.borrow_mut().outcomes;
-            outcomes.0 += u64::from(status == Status::Ok);
+            outcomes.0 += u64::from(status == AttemptStatus::Ok);
             outcomes.1 += u64::from(fails);
         }
         debug!("dispatch {}.{} ended {status:?} settled={settled}", id.request.0, id.attempt);
-        self.tell(Event::Outcome { id: id.request, attempt: id.attempt, status, settled });
+        self.tell(Event::AttemptEnded { id: id.request, attempt: id.attempt, status, is_final: settled });
     }
 
     /// A probe of a backend server has ended.
-    pub fn probed(&self, worker: WorkerId, status: Status, value: impl Fn(&str) -> Option<f64>) {
-        let report = self.inner.borrow().setup.report(value);
+    pub fn probed(&self, worker: EndpointId, status: AttemptStatus, value: impl Fn(&str) -> Option<f64>) {
+        let report = self.inner.borrow().setup.load_report(value);
         debug!("probe of {} ended {status:?} {report:?}", worker.0);
-        self.tell(Event::Probed { worker, status, report });
+        self.tell(Event::ProbeEnded { endpoint: worker, status, report });
     }
 
     /// An idle connection to a backend server has ended unasked, the one in that place by its age.
-    pub fn idle_closed(&self, worker: WorkerId, place: usize) {
-        self.tell(Event::IdleClosed { worker, place });
+    pub fn idle_closed(&self, worker: EndpointId, place: usize) {
+        self.tell(Event::IdleConnectionClosed { endpoint: worker, position: place });
     }
 
     /// The server table has changed, or is all of this.
     pub fn servers(&self, list: Vec<Server>, whole: bool) {
         let members = self.inner.borrow_mut().members(list, whole);
-        self.tell(if whole { Event::Roster(members) } else { Event::RosterChange(members) });
+        self.tell(if whole { Event::EndpointList(members) } else { Event::EndpointUpdate(members) });
         self.lists.send_modify(|n| *n += 1);
     }
 
@@ -605,7 +615,7 @@
     fn abandon(&self, id: RequestId) {
         let open = self.inner.borrow_mut().open.remove(&id).is_some();
         if open {
-            self.tell(Event::Gone(id));
+            self.tell(Event::ClientLeft(id));
         }
     }
 
@@ -629,7 +639,7 @@
     /// Carry an action out.
     fn act(&mut self, action: Action) {
         match action {
-            Action::Send { id, worker } => {
+            Action::StartAttempt { id, endpoint: worker } => {
                 let Some(taken) = self.open.get_mut(&id) else {
                     warn!("a dispatch of request {}, which is over, was not made", id.0);
                     return;
@@ -637,11 +647,11 @@
                 let dispatch = DispatchId { request: id, attempt: taken.attempts };
                 taken.attempts += 1;
                 let (class, payload, until) = (taken.class, taken.payload.clone(), taken.until);
-                let written_by = self.balancer.written_by(id).and_then(|at| self.clock.instant(at));
+                let written_by = self.balancer.write_deadline(id).and_then(|at| self.clock.instant(at));
                 let written_by = written_by.map_or(until, |at| at.min(until));
                 let settings = self.balancer.settings().classes.get(class.0);
-                let effect = settings.map_or(Effect::Unsafe, |c| c.effect);
-                let is_unsafe = effect == Effect::Unsafe;
+                let effect = settings.map_or(Idempotency::NonIdempotent, |c| c.idempotency);
+                let is_unsafe = effect == Idempotency::NonIdempotent;
                 let sent = payload.clone();
                 let wanted = Wanted::by(&taken.wanted);
                 let order = Order::Dispatch {
@@ -653,7 +663,7 @@
                     until,
                     wanted,
                 };
-                let (classes, workers) = (&self.names.classes, &self.names.workers);
+                let (classes, workers) = (&self.names.classes, &self.names.endpoints);
                 let attempt = || Attempt {
                     class: classes.name(class.0 as u32).unwrap_or_default(),
                     is_unsafe,
@@ -671,19 +681,21 @@
                 }
                 self.order(order);
             }
-            Action::Refuse { id, retry_after } => {
+            Action::Shed { id, retry_after } => {
                 let retry_after = retry_after.map(|t| Duration::from_micros(t.max(0) as u64));
                 self.answer(id, Verdict::Denied { retry_after });
             }
-            Action::Bar { id, of } => self.answer(id, Verdict::Barred { of }),
+            Action::Reject { id, quota: of } => self.answer(id, Verdict::Barred { of }),
             Action::Fail { id } => self.answer(id, Verdict::Failed),
-            Action::Cancel { id, attempt } => self.order(Order::Cancel(DispatchId { request: id, attempt })),
-            Action::Wake { after } => {
+            Action::CancelAttempt { id, attempt } => {
+                self.order(Order::Cancel(DispatchId { request: id, attempt }))
+            }
+            Action::WakeAfter { delay: after } => {
                 let at = Instant::now() + Duration::from_micros(after.max(0) as u64);
                 self.wake = Some(self.wake.map_or(at, |w| w.min(at)));
             }
-            Action::Probe { worker } => self.order(Order::Probe(worker)),
-            Action::CloseIdle { worker } => self.order(Order::CloseIdle(worker)),
+            Action::Probe { endpoint: worker } => self.order(Order::Probe(worker)),
+            Action::CloseIdleConnections { endpoint: worker } => self.order(Order::CloseIdle(worker)),
             // The watch on discovery is always kept open.
             Action::Subscribe => {}
         }
@@ -707,7 +719,7 @@
         let Some(auditor) = &self.auditor else { return };
         let class = self.names.classes.name(taken.class.0 as u32).unwrap_or_default();
         let settings = self.balancer.settings().classes.get(taken.class.0);
-        let is_unsafe = settings.is_some_and(|c| c.effect == Effect::Unsafe);
+        let is_unsafe = settings.is_some_and(|c| c.idempotency == Idempotency::NonIdempotent);
         auditor.answered(class, how, is_unsafe && how != "served", &taken.payload);
     }
 
@@ -717,31 +729,31 @@
         }
     }
 
-    fn members(&mut self, list: Vec<Server>, whole: bool) -> Vec<Member> {
+    fn members(&mut self, list: Vec<Server>, whole: bool) -> Vec<Endpoint> {
         let mut members = Vec::with_capacity(list.len());
         for server in list {
-            let worker = WorkerId(self.names.workers.number(&server.name));
-            members.push(Member {
-                worker,
-                mark: mark(&server.name),
-                kind: KindId(self.names.kinds.number(&server.kind)),
-                zone: ZoneId(self.names.zones.number(&server.zone)),
+            let worker = EndpointId(self.names.endpoints.intern(&server.name));
+            members.push(Endpoint {
+                id: worker,
+                name_hash: name_hash(&server.name),
+                kind: KindId(self.names.kinds.intern(&server.kind)),
+                zone: ZoneId(self.names.zones.intern(&server.zone)),
                 cell: server.cell,
-                scale: server.size,
-                standing: server.standing,
-                started: server.started,
+                capacity: server.size,
+                state: server.standing,
+                started_at: server.started,
             });
-            self.server(worker, server.address, server.standing == Standing::Live);
+            self.server(worker, server.address, server.standing == EndpointState::Live);
         }
         if whole {
-            let listed = |w: &WorkerId| members.iter().any(|m| m.worker == *w);
+            let listed = |w: &EndpointId| members.iter().any(|m| m.id == *w);
             let left: Vec<_> = self.active.iter().copied().filter(|w| !listed(w)).collect();
             left.into_iter().for_each(|worker| self.server(worker, None, false));
         }
         members
     }
 
-    fn server(&mut self, worker: WorkerId, address: Option<SocketAddr>, active: bool) {
+    fn server(&mut self, worker: EndpointId, address: Option<SocketAddr>, active: bool) {
         match active {
             true => self.active.insert(worker),
             false => self.active.remove(&worker),
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -7,7 +7,6 @@
 use super::frontend::Frontend;
 use super::homing::Homing;
 use super::Job;
-use crate::parts::Part;
 use shorepath_audit::version::Content;
 use shorepath_budgets::file::{Bounds, Budget, Per, Place, Plan};
 use shorepath_budgets::meter::Meter;
@@ -18,6 +17,7 @@
 use shorepath_envelope::keys::{Keys, KeysError};
 use shorepath_envelope::line::{Dropped, Line};
 use shorepath_membership::{Effect, Membership, Peer, Standing};
+use shorepath_scheduler::QuotaShare;
 use std::cell::{Cell, RefCell};
 use std::io::Read;
 use std::net::{IpAddr, SocketAddr};
@@ -217,7 +217,7 @@
     homing: RefCell<Option<Rc<Homing>>>,
     line: RefCell<Line>,
     /// The parts that the module was told.
-    told: RefCell<Vec<Part>>,
+    told: RefCell<Vec<QuotaShare>>,
     /// Budgets of which there is no grant.
     bare: RefCell<Vec<String>>,
     /// Something was used or wanted since it last looked.
@@ -414,7 +414,7 @@
             let of = self.exchange.bound(&name);
             let found = used.iter().find(|(bound, _)| Some(*bound) == of);
             let what = match found {
-                Some((_, what)) => Use { wanted: what.wanted, used: what.used },
+                Some((_, what)) => Use { wanted: what.demand, used: what.used },
                 None if name == "lists" => lists,
                 None => match self.homing.borrow().as_ref().and_then(|h| h.wants(&name)) {
                     Some(wanted) => {
@@ -454,7 +454,7 @@
             if name == "lists" {
                 lists = Some((units, span));
             } else if let Some(of) = self.exchange.bound(name) {
-                parts.push(Part { of, units, whole: *whole, span });
+                parts.push(QuotaShare { kind: of, units, total: *whole, window: span });
             }
             let home = matches!(Bounds::of(name), Some(Bounds::Home(_)));
             if !home && !seat.is_granted(name, now) {
--- a/src/net/frontend.rs
+++ b/src/net/frontend.rs
@@ -9,8 +9,8 @@
 use super::sites::{Barred, Mark, Sites};
 use super::stopping::Stopping;
 use super::{turn, Job};
-use crate::api::{Entry, Micros};
 use futures_util::FutureExt;
+use shorepath_scheduler::{Micros, WorkState};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashSet};
 use std::fmt;
@@ -907,7 +907,7 @@
             hint,
             slots: slots.clamp(1.0, 1e6) as u32,
             repeat: field("client-retry")? == Some("1"),
-            entry: Entry::New,
+            entry: WorkState::New,
             guest: false,
         };
         let host = field("host")?.unwrap_or("").to_string();
--- a/src/net/lending.rs
+++ b/src/net/lending.rs
@@ -4,10 +4,10 @@
 use super::exchange::{Exchange, Verdict};
 use super::sites::Barred;
 use super::Job;
-use crate::api::ClassId;
-use crate::parts::{Bound, Part};
 use oorandom::Rand64;
 use shorepath_budgets::Micros;
+use shorepath_scheduler::ClassId;
+use shorepath_scheduler::{QuotaKind, QuotaShare};
 use shorepath_sites::lending::{guest_of, Class, Lending};
 use shorepath_sites::seeing::{Seeing, Word};
 use std::cell::{Cell, RefCell};
@@ -86,20 +86,21 @@
     }
 
     /// What the module is told.
-    pub fn parts(&self) -> Vec<Part> {
+    pub fn parts(&self) -> Vec<QuotaShare> {
         let lending = self.lending.borrow();
         let limits = lending.limits();
-        let part = |of, units, span| Part { of, units, whole: units, span };
+        let part = |of, units, span| QuotaShare { kind: of, units, total: units, window: span };
         let guests = limits.guests.iter().flatten().enumerate();
-        let guests = guests.map(|(class, units)| part(Bound::Guests(ClassId(class)), *units, limits.kept));
-        guests.chain(limits.home.map(|units| part(Bound::Home, units, BURST))).collect()
+        let guests =
+            guests.map(|(class, units)| part(QuotaKind::RemoteClass(ClassId(class)), *units, limits.kept));
+        guests.chain(limits.home.map(|units| part(QuotaKind::LocalSite, units, BURST))).collect()
     }
 
     /// Why a request was not taken, where that is a part of a site.
     pub fn barred(&self, verdict: &Verdict) -> Option<Barred> {
         let why = match verdict {
-            Verdict::Barred { of: Some(Bound::Guests(_)) } => "guest part used",
-            Verdict::Barred { of: Some(Bound::Home) } => "site returning",
+            Verdict::Barred { of: Some(QuotaKind::RemoteClass(_)) } => "guest part used",
+            Verdict::Barred { of: Some(QuotaKind::LocalSite) } => "site returning",
             _ => return None,
         };
         // When to come back is told by chance, by `Lent::tells`.
@@ -117,7 +118,7 @@
     ) -> Option<(&'static str, Duration)> {
         let luck = || self.luck.borrow_mut().rand_float();
         match (verdict, guest) {
-            (Verdict::Barred { of: Some(Bound::Guests(_) | Bound::Home) }, _) => {
+            (Verdict::Barred { of: Some(QuotaKind::RemoteClass(_) | QuotaKind::LocalSite) }, _) => {
                 Some(("Retry-After", self.after(now)))
             }
             (Verdict::Served(_), Some(site)) => {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -264,7 +264,7 @@
     let (exchange, orders) = Exchange::new(&config.setup, config.seed, deadlines.clone());
     let backend = Backend::new(exchange.clone(), deadlines.clone(), pool.clone(), Bounds::of(&config, 1));
     let (discovery, told) = watch::channel(config.discovery);
-    let backoff = Backoff::new(config.seed, config.setup.askers(), Instant::now());
+    let backoff = Backoff::new(config.seed, config.setup.polling_nodes(), Instant::now());
     let lists = Rc::new(ListCalls::default());
     let limits = config.limits;
     // Its own: what clients hold of the node's buffers must not keep a list out.
--- a/src/net/server_table.rs
+++ b/src/net/server_table.rs
@@ -9,10 +9,10 @@
 use super::objects::Objects;
 use super::pool::Pool;
 use super::{turn, Job};
-use crate::api::Standing;
-use crate::settings::micros;
 use futures_util::FutureExt;
 use serde::{Deserialize, Serialize};
+use shorepath_scheduler::micros_from_ms;
+use shorepath_scheduler::EndpointState;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -101,11 +101,11 @@
             cell: self.cell,
             size: self.size,
             standing: match self.phase {
-                Phase::Active => Standing::Live,
-                Phase::Leaving => Standing::Draining,
-                Phase::Left => Standing::Gone,
+                Phase::Active => EndpointState::Live,
+                Phase::Leaving => EndpointState::Draining,
+                Phase::Left => EndpointState::Gone,
             },
-            started: micros(self.up_since_ms),
+            started: micros_from_ms(self.up_since_ms),
         })
     }
 }
--- a/src/net/sites.rs
+++ b/src/net/sites.rs
@@ -13,8 +13,6 @@
 use super::recovering::{Claimed, Facts, Recovering};
 use super::server_table::{LastList, Listing};
 use super::Job;
-use crate::api::{ClassId, Entry};
-use crate::parts::{Bound, Part};
 use serde::{Deserialize, Serialize};
 use shorepath_accounts::book::{Book, News};
 use shorepath_accounts::confirmation::Confirmation;
@@ -34,6 +32,8 @@
 use shorepath_placements::{self as placements, Placement, Timed, Writer};
 use shorepath_recovery::peers;
 use shorepath_recovery::steps::Admits;
+use shorepath_scheduler::{ClassId, WorkState};
+use shorepath_scheduler::{QuotaKind, QuotaShare};
 use shorepath_sites::file::Plan;
 use shorepath_sites::homes::Kept;
 use shorepath_sites::partners::{partners, routes};
@@ -353,7 +353,7 @@
     writing: RefCell<Vec<String>>,
     /// What the disk had of the book when it was last written.
     kept: Cell<u64>,
-    told: RefCell<Vec<Part>>,
+    told: RefCell<Vec<QuotaShare>>,
     /// Up to where each log was looked at for what other nodes took of accounts that bar new work.
     looked: RefCell<BTreeMap<Writer, u64>>,
     lent: Lent,
@@ -613,7 +613,7 @@
     }
 
     /// What a request is to the work of its account, before it is taken.
-    pub fn mark(self: &Rc<Self>, class: ClassId, job: &Job) -> (Entry, Option<Mark>) {
+    pub fn mark(self: &Rc<Self>, class: ClassId, job: &Job) -> (WorkState, Option<Mark>) {
         let (id, now) = (&*job.id, self.now());
         let tenant = job.tenant.clone().unwrap_or_default();
         let key = Key::of(job.repeat_key.as_deref(), Some(id));
@@ -626,9 +626,9 @@
         let recovers = again.is_some();
         again.into_iter().for_each(|b| b.retry = false);
         let entry = match (&barred, begun) {
-            (Some(_), _) => Entry::Elsewhere,
-            (None, true) => Entry::Begun,
-            (None, false) => Entry::New,
+            (Some(_), _) => WorkState::Misdirected,
+            (None, true) => WorkState::InProgress,
+            (None, false) => WorkState::New,
         };
         let guards = self.answers.as_ref().filter(|_| self.is_guarded(class));
         let guards = guards
@@ -1117,10 +1117,10 @@
             let Some(of) = self.exchange.tenant(&tenant) else { continue };
             if let Some(units) = bar.begin {
                 let units = units.saturating_add(self.exchange.begun(of));
-                parts.push(Part { of: Bound::New(of), units, whole: units, span: 0 });
+                parts.push(QuotaShare { kind: QuotaKind::NewWork(of), units, total: units, window: 0 });
             }
             if !bar.send {
-                parts.push(Part { of: Bound::Runs(of), units: 0, whole: 0, span: 0 });
+                parts.push(QuotaShare { kind: QuotaKind::TenantEnabled(of), units: 0, total: 0, window: 0 });
             }
         }
         parts.extend(self.lent.parts());
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,9 +1,9 @@
 //! JSON lines to events and actions to JSON lines. Nothing is decided here.
 
-use crate::api::*;
-use crate::settings::{mark, micros, Catalogue, Names, Setup};
-use crate::Balancer;
 use serde::{Deserialize, Serialize};
+use shorepath_scheduler::Scheduler;
+use shorepath_scheduler::*;
+use shorepath_scheduler::{micros_from_ms, name_hash, Catalog, NameTable, SettingsObject};
 use std::collections::HashMap;
 use std::io::{BufRead, Write};
 
@@ -14,7 +14,7 @@
     scheduler: Option<String>,
     wall_ms: Option<f64>,
     salt: Option<u64>,
-    setup: Option<Setup>,
+    setup: Option<SettingsObject>,
     form: Option<String>,
     items: Option<Vec<Item>>,
     xid: Option<u64>,
@@ -81,25 +81,25 @@
 }
 
 struct Instance {
-    balancer: Balancer,
-    names: Catalogue,
-    setup: Setup,
+    balancer: Scheduler,
+    names: Catalog,
+    setup: SettingsObject,
 }
 
 fn ms(t: Micros) -> f64 {
     t as f64 / 1000.0
 }
 
-fn status(number: i64) -> Status {
+fn status(number: i64) -> AttemptStatus {
     match number {
-        0 => Status::Ok,
-        8 => Status::Full,
-        4 => Status::Timeout,
-        14 => Status::ConnectFailed,
-        10 => Status::Reset,
-        1 => Status::Cancelled,
-        9 => Status::Moot,
-        _ => Status::Error,
+        0 => AttemptStatus::Ok,
+        8 => AttemptStatus::Overloaded,
+        4 => AttemptStatus::Timeout,
+        14 => AttemptStatus::ConnectFailed,
+        10 => AttemptStatus::Reset,
+        1 => AttemptStatus::Cancelled,
+        9 => AttemptStatus::NotSent,
+        _ => AttemptStatus::Error,
     }
 }
 
@@ -108,23 +108,23 @@
 }
 
 impl Instance {
-    fn members(&mut self, items: Vec<Item>) -> Result<Vec<Member>, String> {
+    fn members(&mut self, items: Vec<Item>) -> Result<Vec<Endpoint>, String> {
         let mut list = Vec::with_capacity(items.len());
         for i in items {
-            list.push(Member {
-                worker: WorkerId(self.names.workers.number(&i.worker)),
-                mark: mark(&i.worker),
-                kind: KindId(self.names.kinds.number(&i.sku)),
-                zone: ZoneId(self.names.zones.number(&i.region_part)),
+            list.push(Endpoint {
+                id: EndpointId(self.names.endpoints.intern(&i.worker)),
+                name_hash: name_hash(&i.worker),
+                kind: KindId(self.names.kinds.intern(&i.sku)),
+                zone: ZoneId(self.names.zones.intern(&i.region_part)),
                 cell: i.group as u32,
-                scale: i.scale,
-                standing: match i.condition.as_str() {
-                    "live" => Standing::Live,
-                    "quiescing" => Standing::Draining,
-                    "dead" => Standing::Gone,
+                capacity: i.scale,
+                state: match i.condition.as_str() {
+                    "live" => EndpointState::Live,
+                    "quiescing" => EndpointState::Draining,
+                    "dead" => EndpointState::Gone,
                     other => return Err(format!("unknown condition '{other}'")),
                 },
-                started: micros(i.born_ms),
+                started_at: micros_from_ms(i.born_ms),
             });
         }
         Ok(list)
@@ -138,12 +138,12 @@
             "SYNC" => {
                 let form = need(line.form, "form")?;
                 if form == "broken" {
-                    return Ok(Some(Event::RosterFailed));
+                    return Ok(Some(Event::EndpointListFailed));
                 }
                 let list = self.members(need(line.items, "items")?)?;
                 match form.as_str() {
-                    "whole" | "stale_copy" => Event::Roster(list),
-                    "patch" => Event::RosterChange(list),
+                    "whole" | "stale_copy" => Event::EndpointList(list),
+                    "patch" => Event::EndpointUpdate(list),
                     other => return Err(format!("unknown form '{other}'")),
                 }
             }
@@ -151,37 +151,41 @@
                 let service = need(line.service.as_deref(), "service")?;
                 let class = self.names.classes.get(service);
                 let tenant = line.user_group.as_ref().and_then(|v| v.as_str());
-                Event::Request(Request {
+                Event::RequestArrived(Request {
                     id: id()?,
                     class: ClassId(class.ok_or_else(|| format!("unknown service '{service}'"))? as usize),
                     tenant: tenant.and_then(|n| self.names.tenants.get(n)).map(|n| TenantId(n as usize)),
-                    key: line.key.as_deref().map(|k| KeyId(mark(k))),
-                    time_left: micros(need(line.time_left_ms, "time_left_ms")?),
-                    hint: line.hint_ms.filter(|h| *h > 0.0).map(micros),
+                    key: line.key.as_deref().map(|k| KeyId(name_hash(k))),
+                    time_remaining: micros_from_ms(need(line.time_left_ms, "time_left_ms")?),
+                    work_hint: line.hint_ms.filter(|h| *h > 0.0).map(micros_from_ms),
                     slots: line.needs.unwrap_or(1.0).max(1.0) as u32,
-                    repeat: line.resent,
-                    entry: Entry::New,
-                    guest: false,
+                    is_retry: line.resent,
+                    work_state: WorkState::New,
+                    is_remote: false,
                 })
             }
-            "ACCEPTED" => Event::StreamBegan { id: id()?, attempt: attempt()? },
+            "ACCEPTED" => Event::StreamStarted { id: id()?, attempt: attempt()? },
             "NOTE" => match need(line.kind, "kind")? {
-                1 => Event::Started { id: id()?, attempt: attempt()? },
-                2 => Event::Progress { id: id()?, attempt: attempt()?, done: line.amount.unwrap_or(0.0) },
+                1 => Event::AttemptStarted { id: id()?, attempt: attempt()? },
+                2 => Event::AttemptProgress {
+                    id: id()?,
+                    attempt: attempt()?,
+                    done: line.amount.unwrap_or(0.0),
+                },
                 _ => return Ok(None),
             },
-            "ATTEMPT_END" => Event::Outcome {
+            "ATTEMPT_END" => Event::AttemptEnded {
                 id: id()?,
                 attempt: attempt()?,
                 status: status(need(line.status, "status")?),
-                settled: line.settled,
+                is_final: line.settled,
             },
-            "VANISHED" => Event::Gone(id()?),
+            "VANISHED" => Event::ClientLeft(id()?),
             "ELAPSED" => Event::Wake,
-            "PONG" => Event::Probed {
-                worker: WorkerId(self.names.workers.number(&need(line.worker, "worker")?)),
+            "PONG" => Event::ProbeEnded {
+                endpoint: EndpointId(self.names.endpoints.intern(&need(line.worker, "worker")?)),
                 status: status(need(line.status, "status")?),
-                report: self.setup.report_row(line.report.as_deref().unwrap_or_default()),
+                report: self.setup.load_report_from_row(line.report.as_deref().unwrap_or_default()),
             },
             // Instances have nothing to tell each other.
             "DATAGRAM" => return Ok(None),
@@ -190,24 +194,26 @@
     }
 }
 
-fn reply<'a>(action: &Action, name: &'a str, workers: &'a Names) -> Reply<'a> {
-    let worker = |w: &WorkerId| workers.name(w.0);
+fn reply<'a>(action: &Action, name: &'a str, workers: &'a NameTable) -> Reply<'a> {
+    let worker = |w: &EndpointId| workers.name(w.0);
     let base = Reply { scheduler: Some(name), ..Reply::default() };
     match action {
-        Action::Send { id, worker: w } => Reply { t: "TRY", xid: Some(id.0), worker: worker(w), ..base },
-        Action::Refuse { id, retry_after } => {
+        Action::StartAttempt { id, endpoint: w } => {
+            Reply { t: "TRY", xid: Some(id.0), worker: worker(w), ..base }
+        }
+        Action::Shed { id, retry_after } => {
             Reply { t: "REFUSE", xid: Some(id.0), backoff_ms: retry_after.map(ms), ..base }
         }
-        Action::Bar { id, .. } => Reply { t: "REFUSE", xid: Some(id.0), ..base },
+        Action::Reject { id, .. } => Reply { t: "REFUSE", xid: Some(id.0), ..base },
         Action::Fail { id } => Reply { t: "FAIL", xid: Some(id.0), ..base },
-        Action::Cancel { id, attempt } => {
+        Action::CancelAttempt { id, attempt } => {
             Reply { t: "REVOKE", xid: Some(id.0), seq_no: Some(*attempt), ..base }
         }
-        Action::Wake { after } => {
+        Action::WakeAfter { delay: after } => {
             Reply { t: "AFTER", after_ms: Some(ms((*after).max(0))), cookie: Some(0), ..base }
         }
-        Action::Probe { worker: w } => Reply { t: "INSPECT", worker: worker(w), ..base },
-        Action::CloseIdle { worker: w } => Reply { t: "HANG_UP", worker: worker(w), ..base },
+        Action::Probe { endpoint: w } => Reply { t: "INSPECT", worker: worker(w), ..base },
+        Action::CloseIdleConnections { endpoint: w } => Reply { t: "HANG_UP", worker: worker(w), ..base },
         Action::Subscribe => Reply { t: "KEEP_INFORMED", active: Some(true), ..base },
     }
 }
@@ -225,7 +231,7 @@
         let at = |e: String| format!("line {}: {e}", n + 1);
         let mut line: Line = serde_json::from_str(&text).map_err(|e| at(e.to_string()))?;
         match line.t.as_str() {
-            "FRAME" => now = micros(need(line.wall_ms, "wall_ms").map_err(at)?),
+            "FRAME" => now = micros_from_ms(need(line.wall_ms, "wall_ms").map_err(at)?),
             "YOUR_TURN" => {
                 write_line(&mut output, &Reply { t: "END", ..Reply::default() })?;
                 output.flush().map_err(|e| e.to_string())?;
@@ -233,8 +239,8 @@
             "POWER_ON" => {
                 let name = need(line.scheduler, "scheduler").map_err(at)?;
                 let setup = need(line.setup, "setup").map_err(at)?;
-                let (settings, names) = setup.read();
-                let balancer = Balancer::new(settings, line.salt.unwrap_or(0));
+                let (settings, names) = setup.to_settings();
+                let balancer = Scheduler::new(settings, line.salt.unwrap_or(0));
                 instances.insert(name, Instance { balancer, names, setup });
             }
             "HALT" => drop(instances.remove(&need(line.scheduler, "scheduler").map_err(at)?)),
@@ -259,7 +265,7 @@
                     return Err(at(format!("the decision module failed: {words}")));
                 }
                 for action in actions.drain(..) {
-                    write_line(&mut output, &reply(&action, &name, &i.names.workers))?;
+                    write_line(&mut output, &reply(&action, &name, &i.names.endpoints))?;
                 }
             }
         }
--- a/tests/backend.rs
+++ b/tests/backend.rs
@@ -1,13 +1,13 @@
 //! The backend by itself: what it does with orders that come too late.
 
 use rstest::rstest;
-use shorepath::api::{Effect, RequestId, WorkerId};
 use shorepath::net::backend::{Backend, Bounds};
 use shorepath::net::deadlines::Deadlines;
 use shorepath::net::exchange::{DispatchId, Exchange, Order, Wanted};
 use shorepath::net::frontend::{Claim, Ids};
 use shorepath::net::pool::Pool;
 use shorepath::net::Job;
+use shorepath_scheduler::{EndpointId, Idempotency, RequestId};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -44,11 +44,11 @@
         };
         // Both wait for their answers: there is no other reason to hold anything back.
         let (waits, _) = watch::channel(());
-        let (worker, address) = (WorkerId(1), Some(listener.local_addr().unwrap()));
+        let (worker, address) = (EndpointId(1), Some(listener.local_addr().unwrap()));
         let dispatch = |number, until| Order::Dispatch {
             id: DispatchId { request: RequestId(number), attempt: 0 },
             worker,
-            effect: Effect::Safe,
+            effect: Idempotency::Idempotent,
             payload: Rc::new(job(&format!("r{number}"), &ids)),
             written_by: until,
             until,
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -17,7 +17,6 @@
 use shorepath_budgets::divider::{Divider, Entry, Kept};
 use shorepath_budgets::words::{self as budgets, BudgetStatus, Claiming, Granting, PartStatus, Status};
 use shorepath_budgets::{Grant, Life, NodeId};
-use shorepath_core::api::KeyId;
 use shorepath_envelope::keys::Keys;
 use shorepath_envelope::line::Line;
 use shorepath_membership::{Effect, Membership, Peer};
@@ -26,6 +25,7 @@
 use shorepath_placements::history::{Base, History, Remembered};
 use shorepath_placements::{End, Placement, Timed, Writer};
 use shorepath_recovery::peers::{self as recovery, Tell};
+use shorepath_scheduler::KeyId;
 use shorepath_sites::homes::{Fence, Homes, Kept as KeptHomes};
 use shorepath_sites::proof;
 use shorepath_sites::seeing::{self, Load, Told};
@@ -508,7 +508,7 @@
 fn numbers_that_stand_for_keys_and_servers() {
     let mut samples = Samples::default();
     for text in ["s-0", "s-1", "valve-7"] {
-        let mark = shorepath_core::settings::mark(text);
+        let mark = shorepath_scheduler::name_hash(text);
         samples.computed("mark", mark);
         samples.computed("rank", KeyId(mark).rank(1));
     }
