--- a/crates/accounts/src/ruling.rs
+++ b/crates/accounts/src/admission.rs
@@ -3,15 +3,15 @@
 //! Nothing here forgets a job: one that must not repeat, of an account that is closing or closed, whose outcome is unknown stays 'may
 //! have run' where that is kept.
 
-use crate::book::Book;
-use crate::credit::Purse;
-use crate::running::{Key, Taken};
-use crate::{Change, Micros, Standing};
+use crate::credit::CreditBalance;
+use crate::in_flight::{Key, Taken};
+use crate::registry::Book;
+use crate::{AccountStatus, Change, Micros};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// The purses of accounts that have a credit.
-pub type Purses = BTreeMap<String, Purse>;
+pub type CreditBalances = BTreeMap<String, CreditBalance>;
 
 /// When a question is asked, and whether standing can be confirmed then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -82,7 +82,7 @@
 
 /// What is done with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Ruling {
+pub enum AdmissionDecision {
     /// It is taken, as far as its account goes.
     Take,
     /// It is taken on unconfirmed standing, and one of the account's credit was spent for it.
@@ -93,50 +93,50 @@
 
 /// Rule on a request. An account without a purse has no bounded credit: it is served on unconfirmed standing as if that were confirmed.
 ///
-/// The caller tells [`Taken::take`] of a request that is then taken, and [`Purse::unspend`] of one that is refused for something
-/// else after [`Ruling::TakeOnCredit`], with [`Book::change`]'s number and the same Unix time.
+/// The caller tells [`Taken::take`] of a request that is then taken, and [`CreditBalance::unspend`] of one that is refused for something
+/// else after [`AdmissionDecision::TakeOnCredit`], with [`Book::change`]'s number and the same Unix time.
 pub fn rule(
     book: &Book,
-    purse: Option<&mut Purse>,
+    balance: Option<&mut CreditBalance>,
     taken: &Taken,
     tenant: &str,
     key: Option<&Key>,
     now: Now,
-) -> Ruling {
+) -> AdmissionDecision {
     let Change { number, standing, .. } = book.change(tenant, now.unix);
-    let refuse = |why| Ruling::Refuse(Refusal::of(why));
-    if standing == Standing::Closed {
+    let refuse = |why| AdmissionDecision::Refuse(Refusal::of(why));
+    if standing == AccountStatus::Closed {
         return refuse(Why::Closed);
     }
     if taken.holds(tenant, key, now.steady) {
-        return Ruling::Take;
+        return AdmissionDecision::Take;
     }
-    if standing == Standing::Closing {
+    if standing == AccountStatus::Closing {
         return refuse(Why::Closing);
     }
-    let Some(purse) = purse.filter(|_| now.alone_since.is_some()) else { return Ruling::Take };
-    if purse.allow(now.steady, now.alone_since) == 0 {
+    let Some(balance) = balance.filter(|_| now.alone_since.is_some()) else { return AdmissionDecision::Take };
+    if balance.allow(now.steady, now.alone_since) == 0 {
         return refuse(Why::CreditSpent);
     }
-    match purse.spend(number, now.unix) {
-        true => Ruling::TakeOnCredit,
+    match balance.spend(number, now.unix) {
+        true => AdmissionDecision::TakeOnCredit,
         false => refuse(Why::NoDisk),
     }
 }
 
 /// Why the decision module has not taken something new of an account, for its client.
-pub fn why(book: &Book, purse: Option<&Purse>, tenant: &str, now: Now) -> Refusal {
+pub fn why(book: &Book, balance: Option<&CreditBalance>, tenant: &str, now: Now) -> Refusal {
     Refusal::of(match book.standing(tenant, now.unix) {
-        Standing::Closed => Why::Closed,
-        Standing::Closing => Why::Closing,
-        _ if purse.is_some_and(Purse::broken) => Why::NoDisk,
+        AccountStatus::Closed => Why::Closed,
+        AccountStatus::Closing => Why::Closing,
+        _ if balance.is_some_and(CreditBalance::broken) => Why::NoDisk,
         _ => Why::CreditSpent,
     })
 }
 
 /// What the decision module is told of one account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Bar {
+pub struct Restriction {
     /// Jobs that may still be begun; none where that is not bounded, 0 where nothing new is taken.
     pub begin: Option<u64>,
     /// What is held may be sent: what was taken runs on. False where nothing runs any more.
@@ -144,24 +144,24 @@
 }
 
 /// What the decision module is told: accounts that aren't named are not bounded.
-pub type Bars = BTreeMap<String, Bar>;
+pub type Restrictions = BTreeMap<String, Restriction>;
 
 /// The bars of all accounts that are barred or go on credit.
-pub fn bars(book: &Book, purses: &mut Purses, now: Now) -> Bars {
-    let mut all = Bars::new();
-    for (account, purse) in purses.iter_mut() {
+pub fn restrictions(book: &Book, balances: &mut CreditBalances, now: Now) -> Restrictions {
+    let mut all = Restrictions::new();
+    for (account, balance) in balances.iter_mut() {
         if now.alone_since.is_some() {
-            let left = purse.allow(now.steady, now.alone_since);
+            let left = balance.allow(now.steady, now.alone_since);
             // Where the disk fails, what is begun beyond its note would be begun once more after a restart.
-            let begin = Some(if purse.broken() { purse.noted() } else { left });
-            all.insert(account.clone(), Bar { begin, send: true });
+            let begin = Some(if balance.broken() { balance.noted() } else { left });
+            all.insert(account.clone(), Restriction { begin, send: true });
         }
     }
     for account in book.named() {
         let standing = book.standing(account, now.unix);
-        if standing.bars() {
-            let bar = Bar { begin: Some(0), send: standing != Standing::Closed };
-            all.insert(account.to_string(), bar);
+        if standing.rejects_new_work() {
+            let restriction = Restriction { begin: Some(0), send: standing != AccountStatus::Closed };
+            all.insert(account.to_string(), restriction);
         }
     }
     all
--- a/crates/accounts/src/file.rs
+++ b/crates/accounts/src/config.rs
@@ -9,10 +9,10 @@
 //!
 //! A file is a whole: an account that an earlier file named and this one doesn't is good again.
 
-use crate::book::digest_of;
-use crate::{Change, Micros, Standing};
+use crate::registry::digest_of;
+use crate::{AccountStatus, Change, Micros};
 use serde::{Deserialize, Serialize};
-use shorepath_sexp::{Complaints, Form};
+use shorepath_sexp::{Form, ParseErrors};
 use std::collections::BTreeMap;
 
 /// Accounts that one file may name.
@@ -34,12 +34,12 @@
     #[diagnostic(help(
         "nothing of the file was taken: mend the lines named, give it a code anew, and hand it to any node"
     ))]
-    Wrong(#[from] Complaints),
+    Wrong(#[from] ParseErrors),
 }
 
 /// What one file of the authority says.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Decree {
+pub struct AccountsFile {
     /// Its number; greater ones are newer.
     pub number: u64,
     /// Where each account stands that it names.
@@ -48,11 +48,11 @@
     pub digest: u64,
 }
 
-impl Decree {
+impl AccountsFile {
     /// A file of that number that says that.
-    pub fn new(number: u64, changes: BTreeMap<String, Change>) -> Decree {
+    pub fn new(number: u64, changes: BTreeMap<String, Change>) -> AccountsFile {
         let digest = digest_of(number, &changes);
-        Decree { number, changes, digest }
+        AccountsFile { number, changes, digest }
     }
 }
 
@@ -60,18 +60,18 @@
 ///
 /// # Errors
 /// All faults of the text, with their places.
-pub fn read(file: &str, text: &str) -> Result<Decree, FileError> {
-    Ok(shorepath_sexp::read(file, text, "accounts", decree)?)
+pub fn read(file: &str, text: &str) -> Result<AccountsFile, FileError> {
+    Ok(shorepath_sexp::read(file, text, "accounts", accounts_file)?)
 }
 
 /// The standing of that name.
-fn standing(name: &str) -> Standing {
+fn standing(name: &str) -> AccountStatus {
     match name {
-        "reopened" => Standing::Reopened,
-        "warned" => Standing::Warned,
-        "closing" => Standing::Closing,
-        "closed" => Standing::Closed,
-        _ => Standing::Good,
+        "reopened" => AccountStatus::Reopened,
+        "warned" => AccountStatus::Warned,
+        "closing" => AccountStatus::Closing,
+        "closed" => AccountStatus::Closed,
+        _ => AccountStatus::Good,
     }
 }
 
@@ -96,7 +96,7 @@
     text.len() <= most && !text.chars().any(char::is_control)
 }
 
-fn decree(f: &Form) -> Decree {
+fn accounts_file(f: &Form) -> AccountsFile {
     if f.many("number").is_empty() {
         f.complain("a file of accounts needs a (number N) that is greater than that of the one before");
     }
@@ -127,5 +127,5 @@
     if changes.len() > ACCOUNTS {
         f.complain(format!("{} accounts; {ACCOUNTS} at most", changes.len()));
     }
-    Decree::new(number, changes)
+    AccountsFile::new(number, changes)
 }
--- a/crates/accounts/src/credit.rs
+++ b/crates/accounts/src/credit.rs
@@ -141,10 +141,10 @@
 
 /// One node's part of one account's credit.
 ///
-/// Spending goes so: while [`Purse::durable_to`] names a note, write it to the disk, one at a time, and say [`Purse::wrote`], or
-/// [`Purse::failed`]; then [`Purse::spend`] before a job is begun, and [`Purse::unspend`] only for one that surely never began.
+/// Spending goes so: while [`CreditBalance::durable_to`] names a note, write it to the disk, one at a time, and say [`CreditBalance::wrote`], or
+/// [`CreditBalance::failed`]; then [`CreditBalance::spend`] before a job is begun, and [`CreditBalance::unspend`] only for one that surely never began.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Purse {
+pub struct CreditBalance {
     part: Part,
     shrink_after: Micros,
     chunk: u64,
@@ -155,17 +155,17 @@
     begun: Vec<Begun>,
 }
 
-impl Purse {
+impl CreditBalance {
     /// The purse of a node that starts, from the note on its disk; none where that was lost, is new, another's, or older than what others
     /// have heard of this node: all counts as spent until standing is confirmed. `chunk` jobs are written ahead at once: so many a crash may cost.
-    pub fn restore(part: Part, shrink_after: Micros, chunk: u64, disk: Option<Note>) -> Purse {
+    pub fn restore(part: Part, shrink_after: Micros, chunk: u64, disk: Option<Note>) -> CreditBalance {
         let disk = disk.unwrap_or(Note { spent: part.whole, debt: 0, shrunk: false });
         let chunk = chunk.max(1);
-        let mut purse =
-            Purse { part, shrink_after, chunk, now: disk, disk, broken: false, begun: Vec::new() };
+        let mut balance =
+            CreditBalance { part, shrink_after, chunk, now: disk, disk, broken: false, begun: Vec::new() };
         // Nobody knows any more when those were begun, and under which file: they count as the last, under none.
-        purse.note(disk.spent.min(part.whole), 0, Micros::MAX);
-        purse
+        balance.note(disk.spent.min(part.whole), 0, Micros::MAX);
+        balance
     }
 
     /// The operators' file gives this node another part. What was spent stays spent.
@@ -274,8 +274,9 @@
     /// says that this node was not told of, is owed from now on. Returns how much that is. What was written ahead before
     /// a restart counts as begun; the histories of placements say it exactly.
     pub fn confirmed(&mut self, change: &Change) -> u64 {
-        let against =
-            |b: &&Begun| change.standing.bars() && b.number < change.number && b.last >= change.from;
+        let against = |b: &&Begun| {
+            change.standing.rejects_new_work() && b.number < change.number && b.last >= change.from
+        };
         let owed = self.begun.iter().filter(against).fold(0u64, |sum, b| sum.saturating_add(b.jobs));
         self.begun.clear();
         if self.now.spent > 0 || self.now.shrunk {
--- a/crates/accounts/src/confirmation.rs
+++ b/crates/accounts/src/freshness.rs
@@ -22,15 +22,15 @@
     /// Time has passed. `heard` is the last moment at which enough of the others had been heard; none where that is too long ago.
     /// Links count as standing from the first such moment to the last, not on to `now`: what was heard for an instant says nothing of the
     /// time after it. Whether standing can't be confirmed from now on, where that changed.
-    pub fn pass(&mut self, heard: Option<Micros>, now: Micros) -> Option<bool> {
-        let Some(heard) = heard else {
+    pub fn pass(&mut self, received: Option<Micros>, now: Micros) -> Option<bool> {
+        let Some(received) = received else {
             self.linked_since = None;
             let changed = self.alone_since.is_none();
             self.alone_since.get_or_insert(now);
             return changed.then_some(true);
         };
-        let since = *self.linked_since.get_or_insert(heard);
-        let settled = self.alone_since.is_some() && heard.saturating_sub(since) >= SETTLES;
+        let since = *self.linked_since.get_or_insert(received);
+        let settled = self.alone_since.is_some() && received.saturating_sub(since) >= SETTLES;
         if settled {
             self.alone_since = None;
         }
--- a/crates/accounts/src/spread.rs
+++ b/crates/accounts/src/gossip.rs
@@ -6,9 +6,9 @@
 //! Words may be lost, doubled, late and out of order. Each is bounded, as is how much is said in a second. Who sent a word,
 //! and that it is believed, is the caller's to say.
 
-use crate::book::{Book, Line, News, Page, NAMES, PAGES};
-use crate::file::{fits, Decree, NAME, NUMBERS, REASON};
-use crate::{Micros, Standing};
+use crate::config::{fits, AccountsFile, NAME, NUMBERS, REASON};
+use crate::registry::{Book, Line, Page, RegistryUpdate, NAMES, PAGES};
+use crate::{AccountStatus, Micros};
 use oorandom::Rand64;
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
@@ -24,7 +24,7 @@
 /// Bytes of a piece that are not its lines, as JSON, at most.
 const HEAD: usize = 420;
 /// Words that are said in a second at most, and at once.
-pub const WORDS: u32 = 200;
+pub const MESSAGES: u32 = 200;
 /// Pieces that one word is answered with at most; the rest is asked for.
 const BURST: usize = 32;
 /// Pieces that are told unasked; where there are more, it is told that there is something.
@@ -40,13 +40,13 @@
 
 /// Lines of one account in a piece.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Told {
+pub struct AccountLine {
     /// The account.
     #[serde(rename = "a")]
     pub account: String,
     /// Where it stands; none where the file does not name it and the one that both have does.
     #[serde(rename = "s", default)]
-    pub standing: Option<Standing>,
+    pub standing: Option<AccountStatus>,
     /// From when on, in Unix time.
     #[serde(rename = "f", default)]
     pub from: Micros,
@@ -69,10 +69,10 @@
     pub of: u32,
 }
 
-/// One word. Fields that a program doesn't know are passed over, and a word that it doesn't know is [`Word::Other`].
+/// One word. Fields that a program doesn't know are passed over, and a word that it doesn't know is [`Message::Other`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(from = "Raw", into = "Raw")]
-pub enum Word {
+pub enum Message {
     /// What the sender knows, in short.
     Digest {
         /// The number and digest of its newest file; zeros for none.
@@ -100,7 +100,7 @@
         /// For now it is the last that the sender says.
         last: bool,
         /// What it says.
-        told: Vec<Told>,
+        account_lines: Vec<AccountLine>,
     },
     /// A word of a kind that this program doesn't know.
     Other(u32),
@@ -119,34 +119,34 @@
     t: Telling,
     k: Vec<u32>,
     i: u32,
-    l: Vec<Told>,
+    l: Vec<AccountLine>,
 }
 
-impl From<Word> for Raw {
-    fn from(word: Word) -> Raw {
+impl From<Message> for Raw {
+    fn from(message: Message) -> Raw {
         let raw = Raw::default();
-        match word {
-            Word::Digest { newest, hash } => Raw { w: 1, n: newest, h: hash, ..raw },
-            Word::Have { pages, ask, lacks } => {
+        match message {
+            Message::Digest { newest, hash } => Raw { w: 1, n: newest, h: hash, ..raw },
+            Message::Have { pages, ask, lacks } => {
                 let (t, k) = lacks.unwrap_or_default();
                 Raw { w: 2, p: pages, q: ask, t, k, ..raw }
             }
-            Word::Piece { telling, at, two, last, told } => {
-                Raw { w: 3, t: telling, i: at, q: last, h: u64::from(two), l: told, ..raw }
+            Message::Piece { telling, at, two, last, account_lines } => {
+                Raw { w: 3, t: telling, i: at, q: last, h: u64::from(two), l: account_lines, ..raw }
             }
-            Word::Other(w) => Raw { w, ..raw },
+            Message::Other(w) => Raw { w, ..raw },
         }
     }
 }
 
-impl From<Raw> for Word {
-    fn from(raw: Raw) -> Word {
+impl From<Raw> for Message {
+    fn from(raw: Raw) -> Message {
         let Raw { w, n, h, p, q, t, k, i, l } = raw;
         match w {
-            1 => Word::Digest { newest: n, hash: h },
-            2 => Word::Have { pages: p, ask: q, lacks: (!k.is_empty()).then_some((t, k)) },
-            3 => Word::Piece { telling: t, at: i, two: h != 0, last: q, told: l },
-            _ => Word::Other(w),
+            1 => Message::Digest { newest: n, hash: h },
+            2 => Message::Have { pages: p, ask: q, lacks: (!k.is_empty()).then_some((t, k)) },
+            3 => Message::Piece { telling: t, at: i, two: h != 0, last: q, account_lines: l },
+            _ => Message::Other(w),
         }
     }
 }
@@ -155,9 +155,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Counts {
     /// Words said.
-    pub said: u64,
+    #[serde(rename = "said")]
+    pub sent: u64,
     /// Words heard.
-    pub heard: u64,
+    #[serde(rename = "heard")]
+    pub received: u64,
     /// Of these, words of a kind that is not known.
     pub unknown: u64,
     /// Of these, words that can't be: too long, numbers out of range, a file that is not what its digest says.
@@ -173,7 +175,7 @@
 struct Partial {
     telling: Telling,
     two: bool,
-    got: BTreeMap<u32, Vec<Told>>,
+    got: BTreeMap<u32, Vec<AccountLine>>,
     accounts: usize,
 }
 
@@ -187,11 +189,11 @@
     next: Micros,
     tokens: u32,
     filled: Micros,
-    out: VecDeque<(u32, Word)>,
+    out: VecDeque<(u32, Message)>,
     partials: VecDeque<Partial>,
     /// What was told last, in pieces; many ask for the same.
-    cut: Option<(Telling, Arc<[Vec<Told>]>)>,
-    news: Vec<News>,
+    cut: Option<(Telling, Arc<[Vec<AccountLine>]>)>,
+    updates: Vec<RegistryUpdate>,
     counts: Counts,
 }
 
@@ -201,16 +203,16 @@
 }
 
 /// Bytes of a line in a piece at most, in either format.
-fn size(told: &Told) -> usize {
-    64 + width(&told.account) + width(&told.reason)
+fn size(account_lines: &AccountLine) -> usize {
+    64 + width(&account_lines.account) + width(&account_lines.reason)
 }
 
-fn all_lines(page: &Page) -> impl Iterator<Item = Told> + '_ {
+fn all_lines(page: &Page) -> impl Iterator<Item = AccountLine> + '_ {
     page.accounts.iter().flat_map(|(account, lines)| lines_of(account, lines))
 }
 
-fn lines_of<'a>(account: &'a str, lines: &'a [Line]) -> impl Iterator<Item = Told> + 'a {
-    lines.iter().map(|l| Told {
+fn lines_of<'a>(account: &'a str, lines: &'a [Line]) -> impl Iterator<Item = AccountLine> + 'a {
+    lines.iter().map(|l| AccountLine {
         account: account.to_string(),
         standing: Some(l.standing),
         from: l.from.0,
@@ -219,26 +221,30 @@
 }
 
 /// What tells a page to one who has the base, in pieces; the same at every node.
-fn pieces(page: &Page, base: Option<&Page>) -> Vec<Vec<Told>> {
-    let lines: Vec<Told> = match base {
+fn pieces(page: &Page, base: Option<&Page>) -> Vec<Vec<AccountLine>> {
+    let lines: Vec<AccountLine> = match base {
         None => all_lines(page).collect(),
         Some(base) => {
             let gone = base.accounts.keys().filter(|a| !page.accounts.contains_key(*a));
-            let gone =
-                gone.map(|a| Told { account: a.clone(), standing: None, from: 0, reason: String::new() });
+            let gone = gone.map(|a| AccountLine {
+                account: a.clone(),
+                standing: None,
+                from: 0,
+                reason: String::new(),
+            });
             let other = page.accounts.iter().filter(|(a, lines)| base.accounts.get(*a) != Some(lines));
             gone.chain(other.flat_map(|(a, lines)| lines_of(a, lines))).collect()
         }
     };
     let (mut all, mut left) = (vec![Vec::new()], LARGEST - HEAD);
-    for told in lines {
-        let size = size(&told);
+    for account_lines in lines {
+        let size = size(&account_lines);
         if size > left {
             all.push(Vec::new());
             left = LARGEST - HEAD;
         }
         left = left.saturating_sub(size);
-        all.iter_mut().last().into_iter().for_each(|piece| piece.push(told.clone()));
+        all.iter_mut().last().into_iter().for_each(|piece| piece.push(account_lines.clone()));
     }
     all
 }
@@ -258,12 +264,12 @@
             random,
             book: Book::new(),
             next,
-            tokens: WORDS,
+            tokens: MESSAGES,
             filled: now,
             out: VecDeque::new(),
             partials: VecDeque::new(),
             cut: None,
-            news: Vec::new(),
+            updates: Vec::new(),
             counts: Counts::default(),
         }
     }
@@ -282,19 +288,19 @@
     }
 
     /// A file was handed to this node.
-    pub fn learn(&mut self, decree: &Decree, now: Micros) {
+    pub fn learn(&mut self, accounts_file: &AccountsFile, now: Micros) {
         let before = self.book.hash();
-        let news = self.book.learn(decree);
-        self.keep(news);
+        let updates = self.book.learn(accounts_file);
+        self.keep(updates);
         if self.book.hash() != before {
-            self.rumour(decree.number, now);
+            self.rumour(accounts_file.number, now);
         }
     }
 
-    fn keep(&mut self, news: Vec<News>) {
-        for one in news {
-            if self.news.len() < WAITING {
-                self.news.push(one);
+    fn keep(&mut self, updates: Vec<RegistryUpdate>) {
+        for one in updates {
+            if self.updates.len() < WAITING {
+                self.updates.push(one);
             } else {
                 self.counts.untold = self.counts.untold.saturating_add(1);
             }
@@ -302,15 +308,15 @@
     }
 
     /// Somebody else said that.
-    pub fn hear(&mut self, from: u32, word: &Word, now: Micros) {
-        self.counts.heard = self.counts.heard.saturating_add(1);
-        let could_be = match word {
-            Word::Digest { newest, .. } => newest.0 <= NUMBERS,
-            Word::Have { pages, lacks, .. } => {
+    pub fn receive(&mut self, from: u32, message: &Message, now: Micros) {
+        self.counts.received = self.counts.received.saturating_add(1);
+        let could_be = match message {
+            Message::Digest { newest, .. } => newest.0 <= NUMBERS,
+            Message::Have { pages, lacks, .. } => {
                 pages.len() <= PAGES && lacks.as_ref().is_none_or(|(_, k)| k.len() <= ASKED)
             }
-            Word::Piece { telling, at, told, .. } => could_be(telling, *at, told),
-            Word::Other(_) => {
+            Message::Piece { telling, at, account_lines, .. } => could_be(telling, *at, account_lines),
+            Message::Other(_) => {
                 self.counts.unknown = self.counts.unknown.saturating_add(1);
                 return;
             }
@@ -319,46 +325,48 @@
             self.counts.refused = self.counts.refused.saturating_add(1);
             return;
         }
-        match word {
-            Word::Digest { newest, hash } => self.hear_digest(from, *newest, *hash, now),
-            Word::Have { pages, ask, lacks } => {
-                let mut room = BURST;
+        match message {
+            Message::Digest { newest, hash } => self.receive_digest(from, *newest, *hash, now),
+            Message::Have { pages, ask, lacks } => {
+                let mut capacity = BURST;
                 let mut theirs = pages.clone();
                 if let Some((telling, which)) = lacks {
-                    let said = self.say_pieces(from, *telling, which, now);
-                    room = room.saturating_sub(said);
-                    theirs.extend((said > 0).then_some(telling.page));
+                    let sent = self.send_pieces(from, *telling, which, now);
+                    capacity = capacity.saturating_sub(sent);
+                    theirs.extend((sent > 0).then_some(telling.page));
                 }
-                self.bring(from, pages, &theirs, room, now);
+                self.bring(from, pages, &theirs, capacity, now);
                 if *ask && pages.iter().any(|(n, d)| self.book.lacks(*n, *d)) {
-                    self.say_have(from, false, now);
+                    self.send_have(from, false, now);
                 }
             }
-            Word::Piece { telling, at, two, last, told } => {
-                self.hear_piece(from, *telling, *at, *two, told, now);
+            Message::Piece { telling, at, two, last, account_lines } => {
+                self.receive_piece(from, *telling, *at, *two, account_lines, now);
                 if *last && self.partials.iter().any(|p| p.telling == *telling) {
-                    self.say_have(from, false, now);
+                    self.send_have(from, false, now);
                 }
             }
-            Word::Other(_) => {}
+            Message::Other(_) => {}
         }
     }
 
-    fn hear_digest(&mut self, from: u32, newest: (u64, u64), hash: u64, now: Micros) {
+    fn receive_digest(&mut self, from: u32, newest: (u64, u64), hash: u64, now: Micros) {
         if hash == self.book.hash() {
             return;
         }
         // One that has what this node had before lacks only what is newer; otherwise it has to say what it has.
         let behind = newest.0 < self.book.highest() && (newest.0 == 0 || self.has(newest));
         let newer: Vec<(u64, u64)> = self.book.listed().into_iter().filter(|p| p.0 > newest.0).collect();
-        let many = |told: Option<Arc<[Vec<Told>]>>| told.map_or(BURST, |pieces| pieces.len());
+        let many = |account_lines: Option<Arc<[Vec<AccountLine>]>>| {
+            account_lines.map_or(BURST, |pieces| pieces.len())
+        };
         let few = newer.len() <= RUMOUR
             && newer.iter().map(|p| many(self.pieces_of(*p, newest))).sum::<usize>() <= RUMOUR;
         if !behind || !few {
-            return self.say_have(from, true, now);
+            return self.send_have(from, true, now);
         }
         for page in newer {
-            self.tell(from, page, newest, RUMOUR, now);
+            self.report(from, page, newest, RUMOUR, now);
         }
     }
 
@@ -367,40 +375,48 @@
         self.book.page(page.0).is_some_and(|p| p.digest == page.1)
     }
 
-    fn pieces_of(&mut self, page: (u64, u64), base: (u64, u64)) -> Option<Arc<[Vec<Told>]>> {
+    fn pieces_of(&mut self, page: (u64, u64), base: (u64, u64)) -> Option<Arc<[Vec<AccountLine>]>> {
         if let Some((_, pieces)) = self.cut.as_ref().filter(|(t, _)| (t.page, t.base) == (page, base)) {
             return Some(pieces.clone());
         }
         let of = |page: (u64, u64)| self.book.page(page.0).filter(|p| p.digest == page.1);
         let base_page = if base.0 == 0 { None } else { Some(of(base)?) };
-        let pieces: Arc<[Vec<Told>]> = pieces(of(page)?, base_page).into();
+        let pieces: Arc<[Vec<AccountLine>]> = pieces(of(page)?, base_page).into();
         self.cut = Some((Telling { page, base, of: pieces.len() as u32 }, pieces.clone()));
         Some(pieces)
     }
 
     /// What another lacks that has those, the newest first; `told` are those that it has or is told already.
-    fn bring(&mut self, to: u32, theirs: &[(u64, u64)], told: &[(u64, u64)], mut room: usize, now: Micros) {
+    fn bring(
+        &mut self,
+        to: u32,
+        theirs: &[(u64, u64)],
+        account_lines: &[(u64, u64)],
+        mut capacity: usize,
+        now: Micros,
+    ) {
         let least = if theirs.len() < PAGES { 0 } else { theirs.iter().map(|p| p.0).min().unwrap_or(0) };
         let mine = self.book.listed();
         let common: Vec<(u64, u64)> = mine.iter().filter(|p| theirs.contains(p)).copied().collect();
-        for page in mine.into_iter().filter(|p| p.0 >= least && !told.contains(p)) {
+        for page in mine.into_iter().filter(|p| p.0 >= least && !account_lines.contains(p)) {
             let nearest = common.iter().min_by_key(|b| b.0.abs_diff(page.0)).copied();
-            if room == 0 || !self.refill(now) {
+            if capacity == 0 || !self.refill(now) {
                 return;
             }
-            room = room.saturating_sub(self.tell(to, page, nearest.unwrap_or_default(), room, now));
+            capacity =
+                capacity.saturating_sub(self.report(to, page, nearest.unwrap_or_default(), capacity, now));
         }
     }
 
     /// Tell a page, as much as there is room for; returns how many pieces were said.
-    fn tell(&mut self, to: u32, page: (u64, u64), base: (u64, u64), room: usize, now: Micros) -> usize {
+    fn report(&mut self, to: u32, page: (u64, u64), base: (u64, u64), capacity: usize, now: Micros) -> usize {
         let Some(pieces) = self.pieces_of(page, base) else { return 0 };
         let telling = Telling { page, base, of: pieces.len() as u32 };
-        let which: Vec<u32> = (0..telling.of).take(room).collect();
-        self.say_pieces(to, telling, &which, now)
+        let which: Vec<u32> = (0..telling.of).take(capacity).collect();
+        self.send_pieces(to, telling, &which, now)
     }
 
-    fn say_pieces(&mut self, to: u32, telling: Telling, which: &[u32], now: Micros) -> usize {
+    fn send_pieces(&mut self, to: u32, telling: Telling, which: &[u32], now: Micros) -> usize {
         let all = self.pieces_of(telling.page, telling.base).unwrap_or_default();
         if all.len() != telling.of as usize {
             return 0;
@@ -408,30 +424,38 @@
         let two = self.book.page(telling.page.0).is_some_and(|p| p.two);
         let which: Vec<u32> = which.iter().copied().filter(|at| *at < telling.of).take(BURST).collect();
         for at in &which {
-            let told = all.get(*at as usize).cloned().unwrap_or_default();
+            let account_lines = all.get(*at as usize).cloned().unwrap_or_default();
             let last = which.last() == Some(at);
-            self.say(to, Word::Piece { telling, at: *at, two, last, told }, now);
+            self.send(to, Message::Piece { telling, at: *at, two, last, account_lines }, now);
         }
         which.len()
     }
 
-    fn say_have(&mut self, to: u32, ask: bool, now: Micros) {
+    fn send_have(&mut self, to: u32, ask: bool, now: Micros) {
         let book = &self.book;
         self.partials.retain(|p| book.lacks(p.telling.page.0, p.telling.page.1));
         let lacks = self.partials.back().map(|p| {
             let missing = (0..p.telling.of).filter(|at| !p.got.contains_key(at)).take(BURST);
             (p.telling, missing.collect())
         });
-        self.say(to, Word::Have { pages: self.book.listed(), ask, lacks }, now);
+        self.send(to, Message::Have { pages: self.book.listed(), ask, lacks }, now);
     }
 
-    fn hear_piece(&mut self, from: u32, telling: Telling, at: u32, two: bool, told: &[Told], now: Micros) {
+    fn receive_piece(
+        &mut self,
+        from: u32,
+        telling: Telling,
+        at: u32,
+        two: bool,
+        account_lines: &[AccountLine],
+        now: Micros,
+    ) {
         let Telling { page: (number, digest), base, of } = telling;
         if !self.book.lacks(number, digest) {
             return;
         }
         if base.0 != 0 && !self.has(base) {
-            return self.say_have(from, false, now);
+            return self.send_have(from, false, now);
         }
         let known = self.partials.iter().position(|p| p.telling == telling && p.two == two);
         let mut partial = known.and_then(|k| self.partials.remove(k)).unwrap_or(Partial {
@@ -440,8 +464,8 @@
             got: BTreeMap::new(),
             accounts: 0,
         });
-        if partial.got.insert(at, told.to_vec()).is_none() {
-            partial.accounts += told.len();
+        if partial.got.insert(at, account_lines.to_vec()).is_none() {
+            partial.accounts += account_lines.len();
         }
         if partial.accounts > PIECES as usize + 2 * NAMES {
             self.counts.refused = self.counts.refused.saturating_add(1);
@@ -459,13 +483,17 @@
             Some(page) if base.0 != 0 => page.accounts.clone(),
             _ => BTreeMap::new(),
         };
-        let all: Vec<&Told> = partial.got.values().flatten().collect();
+        let all: Vec<&AccountLine> = partial.got.values().flatten().collect();
         let named: BTreeSet<&str> = all.iter().map(|t| t.account.as_str()).collect();
         accounts.retain(|a, _| !named.contains(a.as_str()));
-        for told in all {
-            if let Some(standing) = told.standing {
-                let line = Line { standing, from: Reverse(told.from), reason: told.reason.clone() };
-                accounts.entry(told.account.clone()).or_default().push(line);
+        for account_lines in all {
+            if let Some(standing) = account_lines.standing {
+                let line = Line {
+                    standing,
+                    from: Reverse(account_lines.from),
+                    reason: account_lines.reason.clone(),
+                };
+                accounts.entry(account_lines.account.clone()).or_default().push(line);
             }
         }
         let page = Page::new(number, accounts, two);
@@ -474,8 +502,8 @@
             return;
         }
         let before = self.book.hash();
-        let news = self.book.take(number, &page);
-        self.keep(news);
+        let updates = self.book.take(number, &page);
+        self.keep(updates);
         if self.book.hash() != before {
             self.rumour(number, now);
         }
@@ -489,9 +517,9 @@
         let short = self.pieces_of(page, base).is_some_and(|pieces| pieces.len() <= RUMOUR);
         for to in self.some(FANOUT) {
             if short {
-                self.tell(to, page, base, RUMOUR, now);
+                self.report(to, page, base, RUMOUR, now);
             } else {
-                self.say_digest(to, now);
+                self.send_digest(to, now);
             }
         }
     }
@@ -506,30 +534,30 @@
         chosen.into_iter().filter_map(|k| self.peers.get(k as usize).copied()).collect()
     }
 
-    fn say_digest(&mut self, to: u32, now: Micros) {
+    fn send_digest(&mut self, to: u32, now: Micros) {
         let newest = self.book.listed().first().copied().unwrap_or_default();
-        self.say(to, Word::Digest { newest, hash: self.book.hash() }, now);
+        self.send(to, Message::Digest { newest, hash: self.book.hash() }, now);
     }
 
     /// Whether a word may be said now: so many a second, a whole second's at once.
     fn refill(&mut self, now: Micros) -> bool {
         let passed = now.saturating_sub(self.filled).clamp(0, 1_000_000);
-        let more = passed as u64 * u64::from(WORDS) / 1_000_000;
+        let more = passed as u64 * u64::from(MESSAGES) / 1_000_000;
         if more > 0 {
-            self.tokens = (self.tokens + more as u32).min(WORDS);
+            self.tokens = (self.tokens + more as u32).min(MESSAGES);
             self.filled = now;
         }
         self.tokens > 0
     }
 
-    fn say(&mut self, to: u32, word: Word, now: Micros) {
+    fn send(&mut self, to: u32, message: Message, now: Micros) {
         if !self.refill(now) {
             self.counts.held_back = self.counts.held_back.saturating_add(1);
             return;
         }
         self.tokens -= 1;
-        self.counts.said = self.counts.said.saturating_add(1);
-        self.out.push_back((to, word));
+        self.counts.sent = self.counts.sent.saturating_add(1);
+        self.out.push_back((to, message));
     }
 
     /// Time passes: tell one other what is known, when that is due.
@@ -539,7 +567,7 @@
         }
         self.next = now.saturating_add(DIGEST);
         for to in self.some(1) {
-            self.say_digest(to, now);
+            self.send_digest(to, now);
         }
     }
 
@@ -549,7 +577,7 @@
     }
 
     /// What is to be said, and to whom. What is not fetched is said later, not lost.
-    pub fn says(&mut self) -> Vec<(u32, Word)> {
+    pub fn take_outgoing(&mut self) -> Vec<(u32, Message)> {
         self.out.drain(..).collect()
     }
 
@@ -559,8 +587,8 @@
     }
 
     /// What was learned since this was last asked.
-    pub fn news(&mut self) -> Vec<News> {
-        std::mem::take(&mut self.news)
+    pub fn take_updates(&mut self) -> Vec<RegistryUpdate> {
+        std::mem::take(&mut self.updates)
     }
 
     /// What was heard and said.
@@ -570,10 +598,10 @@
 }
 
 /// Whether a piece can be one that a node says.
-fn could_be(telling: &Telling, at: u32, told: &[Told]) -> bool {
+fn could_be(telling: &Telling, at: u32, account_lines: &[AccountLine]) -> bool {
     let Telling { page, base, of } = *telling;
     let numbers = (1..=NUMBERS).contains(&page.0) && base.0 <= NUMBERS && base.0 != page.0;
-    let sizes: usize = told.iter().map(size).sum();
-    let fit = |t: &Told| !t.account.is_empty() && fits(&t.account, NAME) && fits(&t.reason, REASON);
-    numbers && at < of && of <= PIECES && sizes <= LARGEST && told.iter().all(fit)
+    let sizes: usize = account_lines.iter().map(size).sum();
+    let fit = |t: &AccountLine| !t.account.is_empty() && fits(&t.account, NAME) && fits(&t.reason, REASON);
+    numbers && at < of && of <= PIECES && sizes <= LARGEST && account_lines.iter().all(fit)
 }
--- a/crates/accounts/src/lib.rs
+++ b/crates/accounts/src/lib.rs
@@ -2,18 +2,18 @@
 //!
 //! An account is a tenant's standing. New work of one that is closing is refused, its running work is finished. Standings come from
 //! one authority: a signed, numbered file of the operators that any site may be handed. Whether a file or a word is believed is the
-//! caller's to say (`shorepath-envelope`); here it is text that was verified.
+//! caller's to say (`shorepath-message-auth`); here it is text that was verified.
 //!
-//! [`file`] reads the authority's file, [`book`] joins what is known, [`spread`] tells it to all nodes, [`running`] knows what was
-//! taken, [`credit`] what may be begun while standing can't be confirmed, and [`ruling`] says what is done with a request.
+//! [`config`] reads the authority's file, [`registry`] joins what is known, [`gossip`] tells it to all nodes, [`in_flight`] knows what was
+//! taken, [`credit`] what may be begun while standing can't be confirmed, and [`admission`] says what is done with a request.
 
-pub mod book;
-pub mod confirmation;
+pub mod admission;
+pub mod config;
 pub mod credit;
-pub mod file;
-pub mod ruling;
-pub mod running;
-pub mod spread;
+pub mod freshness;
+pub mod gossip;
+pub mod in_flight;
+pub mod registry;
 
 use serde::{Deserialize, Serialize};
 
@@ -23,7 +23,7 @@
 /// Where an account stands, from the mildest to the strictest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Standing {
+pub enum AccountStatus {
     /// All is well.
     #[default]
     Good,
@@ -37,10 +37,10 @@
     Closed,
 }
 
-impl Standing {
+impl AccountStatus {
     /// Nothing new is taken.
-    pub fn bars(self) -> bool {
-        self >= Standing::Closing
+    pub fn rejects_new_work(self) -> bool {
+        self >= AccountStatus::Closing
     }
 }
 
@@ -50,7 +50,7 @@
     /// The number of the authority's file that brought it; of two the greater one holds, of two with one number the stricter one.
     pub number: u64,
     /// Where it stands.
-    pub standing: Standing,
+    pub standing: AccountStatus,
     /// From when on, in Unix time.
     pub from: Micros,
     /// Why, for people.
--- a/crates/accounts/src/book.rs
+++ b/crates/accounts/src/registry.rs
@@ -13,8 +13,8 @@
 //! rival has one.
 //! What held before a change that lies ahead in each of the last [`PAGES`] files is forgotten: the account is good until then.
 
-use crate::file::{Decree, ACCOUNTS, NUMBERS};
-use crate::{Change, Micros, Standing};
+use crate::config::{AccountsFile, ACCOUNTS, NUMBERS};
+use crate::{AccountStatus, Change, Micros};
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 use std::cmp::Reverse;
@@ -28,7 +28,7 @@
 
 /// What was learned that somebody should be told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum RegistryUpdate {
     /// A newer file than all before it holds now.
     Newer {
         /// Its number.
@@ -63,7 +63,7 @@
 /// One line of a file, from the mildest to the one that holds against all.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub(crate) struct Line {
-    pub standing: Standing,
+    pub standing: AccountStatus,
     pub from: Reverse<Micros>,
     pub reason: String,
 }
@@ -156,39 +156,39 @@
     }
 
     /// Take in a file.
-    pub fn learn(&mut self, decree: &Decree) -> Vec<News> {
-        let page = Page::of(decree.number, &decree.changes);
-        let mut news = self.take(decree.number, &page);
+    pub fn learn(&mut self, accounts_file: &AccountsFile) -> Vec<RegistryUpdate> {
+        let page = Page::of(accounts_file.number, &accounts_file.changes);
+        let mut updates = self.take(accounts_file.number, &page);
         let highest = self.highest();
-        if decree.number < highest {
-            news.push(News::Older { number: decree.number, highest });
+        if accounts_file.number < highest {
+            updates.push(RegistryUpdate::Older { number: accounts_file.number, highest });
         }
-        news
+        updates
     }
 
     /// Take in all that another knows.
-    pub fn merge(&mut self, other: &Book) -> Vec<News> {
+    pub fn merge(&mut self, other: &Book) -> Vec<RegistryUpdate> {
         let pages = other.pages.iter();
         pages.flat_map(|(n, page)| self.take(*n, &Page::new(*n, page.accounts.clone(), page.two))).collect()
     }
 
     /// Take in what files of one number say.
-    pub(crate) fn take(&mut self, number: u64, page: &Page) -> Vec<News> {
-        let mut news = Vec::new();
+    pub(crate) fn take(&mut self, number: u64, page: &Page) -> Vec<RegistryUpdate> {
+        let mut updates = Vec::new();
         if number == 0 || number > NUMBERS || number < self.floor() {
-            return news;
+            return updates;
         }
         let highest = self.highest();
         let before = self.pages.get(&number);
         let (joined, full) = before.map_or_else(|| (page.clone(), false), |b| b.joined(number, page));
         if before == Some(&joined) {
-            return news;
+            return updates;
         }
         if joined.two && !before.is_some_and(|b| b.two) {
-            news.push(News::TwoFiles { number });
+            updates.push(RegistryUpdate::TwoFiles { number });
         }
         if full {
-            news.push(News::Full { number });
+            updates.push(RegistryUpdate::Full { number });
         }
         let mut named = BTreeMap::new();
         if number >= highest {
@@ -203,24 +203,24 @@
         let mut hasher = hasher();
         self.pages.iter().for_each(|(n, p)| (n, p.digest).hash(&mut hasher));
         self.hash = hasher.finish();
-        let barred = |(account, lines): (&String, &Vec<Line>)| {
-            lines.iter().any(|l| l.standing.bars()).then(|| account.clone())
+        let rejection = |(account, lines): (&String, &Vec<Line>)| {
+            lines.iter().any(|l| l.standing.rejects_new_work()).then(|| account.clone())
         };
         let newest = self.pages.last_key_value().map(|(_, p)| &p.accounts);
         let earlier = self.pages.values().rev().skip(1).flat_map(|p| &p.accounts);
         let unnamed = earlier.filter(|(a, _)| newest.is_some_and(|n| !n.contains_key(*a)));
-        self.reopened = unnamed.filter_map(barred).collect();
+        self.reopened = unnamed.filter_map(rejection).collect();
         if number > highest {
-            news.push(News::Newer { number });
+            updates.push(RegistryUpdate::Newer { number });
         }
         for (account, before) in named {
             let change = self.last(&account);
             let what = |c: &Change| (c.standing, c.from, c.reason.clone());
             if what(&before) != what(&change) {
-                news.push(News::Changed { account, change });
+                updates.push(RegistryUpdate::Changed { account, change });
             }
         }
-        news
+        updates
     }
 
     /// The least number that may still be taken in.
@@ -249,20 +249,20 @@
     }
 
     /// Where an account stands that a file does not name.
-    fn unnamed(&self, account: &str, number: u64) -> Standing {
+    fn unnamed(&self, account: &str, number: u64) -> AccountStatus {
         let mut earlier = self.pages.range(..number).filter_map(|(_, p)| p.accounts.get(account)).flatten();
-        let barred = match number == self.highest() {
+        let rejection = match number == self.highest() {
             true => self.reopened.contains(account),
-            false => earlier.any(|l| l.standing.bars()),
+            false => earlier.any(|l| l.standing.rejects_new_work()),
         };
-        match barred {
-            true => Standing::Reopened,
-            false => Standing::Good,
+        match rejection {
+            true => AccountStatus::Reopened,
+            false => AccountStatus::Good,
         }
     }
 
     /// Where an account stands at that Unix time.
-    pub fn standing(&self, account: &str, now_unix: Micros) -> Standing {
+    pub fn standing(&self, account: &str, now_unix: Micros) -> AccountStatus {
         self.change(account, now_unix).standing
     }
 
@@ -309,5 +309,5 @@
 }
 
 fn nothing() -> Change {
-    Change { number: 0, standing: Standing::Good, from: 0, reason: String::new() }
+    Change { number: 0, standing: AccountStatus::Good, from: 0, reason: String::new() }
 }
--- a/crates/accounts/tests/book.rs
+++ b/crates/accounts/tests/book.rs
@@ -1,30 +1,30 @@
 //! What is known of accounts joins: the order, repetition and partial delivery of files don't matter, and older numbers never win.
 
 use proptest::prelude::*;
-use shorepath_accounts::book::{Book, News, PAGES};
-use shorepath_accounts::file::Decree;
-use shorepath_accounts::{Change, Micros, Standing};
+use shorepath_accounts::config::AccountsFile;
+use shorepath_accounts::registry::{Book, RegistryUpdate, PAGES};
+use shorepath_accounts::{AccountStatus, Change, Micros};
 use std::collections::BTreeMap;
 
-fn decree(number: u64, changes: &[(&str, Standing, Micros)]) -> Decree {
+fn accounts_file(number: u64, changes: &[(&str, AccountStatus, Micros)]) -> AccountsFile {
     let change = |s, f| Change { number, standing: s, from: f, reason: String::new() };
-    Decree::new(number, changes.iter().map(|(a, s, f)| (a.to_string(), change(*s, *f))).collect())
+    AccountsFile::new(number, changes.iter().map(|(a, s, f)| (a.to_string(), change(*s, *f))).collect())
 }
 
-fn book(decrees: &[Decree]) -> Book {
+fn book(decrees: &[AccountsFile]) -> Book {
     let mut book = Book::new();
     decrees.iter().for_each(|d| drop(book.learn(d)));
     book
 }
 
-use Standing::{Closed, Closing, Good, Reopened, Warned};
+use AccountStatus::{Closed, Closing, Good, Reopened, Warned};
 
 #[test]
 fn the_newest_file_holds_from_its_time_on() {
     let files = [
-        decree(1, &[("a", Warned, 0)]),
-        decree(4, &[("a", Closing, 50)]),
-        decree(7, &[("a", Closed, 100), ("b", Good, 0)]),
+        accounts_file(1, &[("a", Warned, 0)]),
+        accounts_file(4, &[("a", Closing, 50)]),
+        accounts_file(7, &[("a", Closed, 100), ("b", Good, 0)]),
     ];
     let known = book(&files);
     let at = |now| known.change("a", now);
@@ -32,52 +32,54 @@
     assert_eq!([0, 50, 100].map(|t| at(t).number), [1, 4, 7]);
     assert_eq!((known.next(0), known.next(50), known.next(100)), (Some(50), Some(100), None));
     let mut known = book(&[files[2].clone(), files[0].clone()]);
-    assert_eq!(known.learn(&files[1]), [News::Older { number: 4, highest: 7 }]);
+    assert_eq!(known.learn(&files[1]), [RegistryUpdate::Older { number: 4, highest: 7 }]);
     assert_eq!(known, book(&files));
     // Who is not named is good again, and told apart from one that always was.
-    let news = known.learn(&decree(8, &[]));
-    assert_eq!(news[0], News::Newer { number: 8 });
-    assert!(matches!(&news[1], News::Changed { account, change } if account == "a" && change.number == 8));
+    let updates = known.learn(&accounts_file(8, &[]));
+    assert_eq!(updates[0], RegistryUpdate::Newer { number: 8 });
+    assert!(
+        matches!(&updates[1], RegistryUpdate::Changed { account, change } if account == "a" && change.number == 8)
+    );
     assert_eq!((known.standing("a", 0), known.standing("b", 0)), (Reopened, Good));
 }
 
 #[test]
 fn of_two_files_of_one_number_the_stricter_holds_at_each_time() {
-    let one = decree(3, &[("a", Closing, 10), ("b", Closed, 0)]);
-    let other = decree(3, &[("a", Closed, 20), ("c", Warned, 0)]);
+    let one = accounts_file(3, &[("a", Closing, 10), ("b", Closed, 0)]);
+    let other = accounts_file(3, &[("a", Closed, 20), ("c", Warned, 0)]);
     let mut known = book(std::slice::from_ref(&one));
     assert!(known.learn(&one).is_empty());
-    assert_eq!(known.learn(&other)[0], News::TwoFiles { number: 3 });
+    assert_eq!(known.learn(&other)[0], RegistryUpdate::TwoFiles { number: 3 });
     assert!(known.learn(&other).is_empty(), "told once");
     assert_eq!([0, 10, 20].map(|t| known.standing("a", t)), [Good, Closing, Closed]);
     assert_eq!((known.standing("b", 0), known.standing("c", 0)), (Closed, Warned));
     assert_eq!(known, book(&[other, one]));
     // One that says less than the other is another file, too.
-    let mut known = book(&[decree(3, &[("a", Closed, 0)])]);
-    assert_eq!(known.learn(&decree(3, &[])), [News::TwoFiles { number: 3 }]);
+    let mut known = book(&[accounts_file(3, &[("a", Closed, 0)])]);
+    assert_eq!(known.learn(&accounts_file(3, &[])), [RegistryUpdate::TwoFiles { number: 3 }]);
 }
 
 #[test]
 fn a_book_is_bounded() {
     let mut known = Book::new();
     for number in 1..=3 * PAGES as u64 {
-        known.learn(&decree(number, &[("a", Closing, 0)]));
+        known.learn(&accounts_file(number, &[("a", Closing, 0)]));
     }
     let before = known.clone();
-    known.learn(&decree(1, &[("a", Closed, 0)]));
-    known.learn(&decree(0, &[]));
-    known.learn(&decree(u64::MAX, &[]));
+    known.learn(&accounts_file(1, &[("a", Closed, 0)]));
+    known.learn(&accounts_file(0, &[]));
+    known.learn(&accounts_file(u64::MAX, &[]));
     assert_eq!(known, before);
     assert_eq!(known.change("a", 0).number, 3 * PAGES as u64);
 }
 
-fn any_decree() -> impl Strategy<Value = Decree> {
+fn any_decree() -> impl Strategy<Value = AccountsFile> {
     let standing = prop::sample::select(vec![Good, Reopened, Warned, Closing, Closed]);
     let change = (standing, 0..4i64, "[xy]?");
     let changes = prop::collection::btree_map("[a-c]", change, 0..4);
     (1..24u64, changes).prop_map(|(number, changes)| {
         let of = |(standing, from, reason)| Change { number, standing, from, reason };
-        Decree::new(number, changes.into_iter().map(|(a, c)| (a, of(c))).collect::<BTreeMap<_, _>>())
+        AccountsFile::new(number, changes.into_iter().map(|(a, c)| (a, of(c))).collect::<BTreeMap<_, _>>())
     })
 }
 
@@ -96,7 +98,7 @@
         prop_assert_eq!(join(&Book::new(), &serde_json::from_str(&written).unwrap()), x.clone());
         prop_assert_eq!(join(&join(&x, &y), &y), join(&x, &y));
         // Files one by one, backwards and doubled, say what the books say.
-        let mut all: Vec<Decree> = [a, b, c].concat();
+        let mut all: Vec<AccountsFile> = [a, b, c].concat();
         all.reverse();
         all.extend(all.clone());
         prop_assert_eq!(book(&all), join(&join(&x, &y), &z));
@@ -105,10 +107,10 @@
     #[test]
     fn an_older_number_never_wins(files in prop::collection::vec(any_decree(), 1..14), now in 0..4i64) {
         let newest = files.iter().map(|d| d.number).max().unwrap_or(0);
-        let last: Vec<&Decree> = files.iter().filter(|d| d.number == newest).collect();
+        let last: Vec<&AccountsFile> = files.iter().filter(|d| d.number == newest).collect();
         let known = book(&files);
         for account in ["a", "b", "c"] {
-            let here = |d: &&Decree| d.changes.get(account).map(|c| (c.from <= now, c.standing));
+            let here = |d: &&AccountsFile| d.changes.get(account).map(|c| (c.from <= now, c.standing));
             if let Some(strictest) = last.iter().filter_map(here).filter(|c| c.0).map(|c| c.1).max() {
                 prop_assert_eq!(known.standing(account, now), strictest);
             } else if last.iter().all(|d| !d.changes.contains_key(account)) {
--- a/crates/accounts/tests/credit.rs
+++ b/crates/accounts/tests/credit.rs
@@ -1,18 +1,20 @@
 //! Credit: its parts add up, a restart refills nothing, and what turned out to be against a closed standing is owed.
 
 use proptest::prelude::*;
-use shorepath_accounts::book::Book;
-use shorepath_accounts::credit::{parts, Credit, CreditError, Note, Part, Purse, Share};
-use shorepath_accounts::file::Decree;
-use shorepath_accounts::ruling::{bars, rule, Bar, Now, Purses, Refusal, Ruling, Why};
-use shorepath_accounts::running::{Key, Taken};
-use shorepath_accounts::{Change, Standing};
+use shorepath_accounts::admission::{
+    restrictions, rule, AdmissionDecision, CreditBalances, Now, Refusal, Restriction, Why,
+};
+use shorepath_accounts::config::AccountsFile;
+use shorepath_accounts::credit::{parts, Credit, CreditBalance, CreditError, Note, Part, Share};
+use shorepath_accounts::in_flight::{Key, Taken};
+use shorepath_accounts::registry::Book;
+use shorepath_accounts::{AccountStatus, Change};
 
 fn share(nodes: u32, weight: Option<u64>) -> Share {
     Share { site: "s".into(), nodes, weight }
 }
 
-fn change(number: u64, standing: Standing, from: i64) -> Change {
+fn change(number: u64, standing: AccountStatus, from: i64) -> Change {
     Change { number, standing, from, reason: String::new() }
 }
 
@@ -24,13 +26,13 @@
 const LONG: i64 = 60_000_000;
 
 /// A purse with nothing spent, whose disk follows at once.
-fn fresh() -> Purse {
-    Purse::restore(PART, LONG, 4, Some(Note::default()))
+fn fresh() -> CreditBalance {
+    CreditBalance::restore(PART, LONG, 4, Some(Note::default()))
 }
 
-fn write(purse: &mut Purse) -> Option<Note> {
-    let note = purse.durable_to()?;
-    purse.wrote(note);
+fn write(balance: &mut CreditBalance) -> Option<Note> {
+    let note = balance.durable_to()?;
+    balance.wrote(note);
     Some(note)
 }
 
@@ -55,12 +57,12 @@
 
     #[test]
     fn restarts_refill_nothing(steps in prop::collection::vec(0..4u8, 1..80)) {
-        let (mut purse, mut disk, mut begun) = (fresh(), Note::default(), 0);
+        let (mut balance, mut disk, mut begun) = (fresh(), Note::default(), 0);
         for (now, step) in (0i64..).zip(steps) {
             match step {
-                0 => if let Some(note) = write(&mut purse) { disk = note },
-                1 => purse = Purse::restore(PART, LONG, 4, Some(disk)),
-                _ => begun += u64::from(purse.spend(1, now)),
+                0 => if let Some(note) = write(&mut balance) { disk = note },
+                1 => balance = CreditBalance::restore(PART, LONG, 4, Some(disk)),
+                _ => begun += u64::from(balance.spend(1, now)),
             }
         }
         prop_assert!(begun <= PART.whole, "{} begun", begun);
@@ -77,44 +79,44 @@
 
 #[test]
 fn a_part_is_spent_as_far_as_the_disk_knows() {
-    let mut purse = fresh();
-    assert!(!purse.spend(1, 0), "nothing is noted yet");
-    assert_eq!(write(&mut purse), Some(note(4, 0, false)));
-    assert!(purse.spend(1, 0) && purse.durable_to().is_none());
-    assert!(purse.spend(1, 0), "the next note is asked for before this one is used up");
-    assert_eq!(purse.durable_to(), Some(note(6, 0, false)));
-    purse.failed();
-    assert!(purse.spend(1, 0) && purse.spend(1, 0) && !purse.spend(1, 0) && purse.broken());
-    assert_eq!(purse.allow(LONG - 1, Some(0)), 6);
-    assert_eq!(purse.allow(LONG, Some(0)), 0, "four are spent, two are the reserve");
-    assert_eq!(Purse::restore(PART, LONG, 4, None).left(), 0, "a lost disk counts as all spent");
+    let mut balance = fresh();
+    assert!(!balance.spend(1, 0), "nothing is noted yet");
+    assert_eq!(write(&mut balance), Some(note(4, 0, false)));
+    assert!(balance.spend(1, 0) && balance.durable_to().is_none());
+    assert!(balance.spend(1, 0), "the next note is asked for before this one is used up");
+    assert_eq!(balance.durable_to(), Some(note(6, 0, false)));
+    balance.failed();
+    assert!(balance.spend(1, 0) && balance.spend(1, 0) && !balance.spend(1, 0) && balance.broken());
+    assert_eq!(balance.allow(LONG - 1, Some(0)), 6);
+    assert_eq!(balance.allow(LONG, Some(0)), 0, "four are spent, two are the reserve");
+    assert_eq!(CreditBalance::restore(PART, LONG, 4, None).left(), 0, "a lost disk counts as all spent");
     let mut shrunk = fresh();
     assert_eq!(shrunk.allow(LONG, Some(0)), 2);
     let disk = write(&mut shrunk);
-    assert_eq!(Purse::restore(PART, LONG, 4, disk).left(), 0, "written ahead, and shrunk");
+    assert_eq!(CreditBalance::restore(PART, LONG, 4, disk).left(), 0, "written ahead, and shrunk");
 }
 
 #[test]
 fn what_was_begun_against_a_closed_standing_is_owed_and_paid_in_steps() {
-    let mut purse = fresh();
-    write(&mut purse);
+    let mut balance = fresh();
+    write(&mut balance);
     for at in [5, 10, 15] {
-        assert!(purse.spend(1, at));
+        assert!(balance.spend(1, at));
     }
-    let mut good = purse.clone();
-    assert_eq!((good.confirmed(&change(2, Standing::Warned, 0)), good.left()), (0, 10));
+    let mut good = balance.clone();
+    assert_eq!((good.confirmed(&change(2, AccountStatus::Warned, 0)), good.left()), (0, 10));
     assert!(!good.spend(2, 20), "the disk has to say so first");
     assert_eq!(write(&mut good), Some(note(4, 0, false)));
-    assert_eq!((good.confirmed(&change(1, Standing::Closed, 0)), good.durable_to()), (0, None));
-    assert_eq!(purse.confirmed(&change(2, Standing::Closed, 10)), 2);
-    assert_eq!(purse.left(), 8);
-    assert_eq!(write(&mut purse), Some(note(4, 2, false)));
-    assert_eq!([purse.pay(1), purse.pay(5), purse.left()], [1, 0, 10]);
+    assert_eq!((good.confirmed(&change(1, AccountStatus::Closed, 0)), good.durable_to()), (0, None));
+    assert_eq!(balance.confirmed(&change(2, AccountStatus::Closed, 10)), 2);
+    assert_eq!(balance.left(), 8);
+    assert_eq!(write(&mut balance), Some(note(4, 2, false)));
+    assert_eq!([balance.pay(1), balance.pay(5), balance.left()], [1, 0, 10]);
     // Times that can't be told apart any more count as the later one.
-    let mut many = Purse::restore(Part { whole: 500, reserve: 0 }, LONG, 500, Some(Note::default()));
+    let mut many = CreditBalance::restore(Part { whole: 500, reserve: 0 }, LONG, 500, Some(Note::default()));
     write(&mut many);
     assert!((0..500).all(|at| many.spend(1, at)));
-    let owed = many.confirmed(&change(2, Standing::Closing, 250));
+    let owed = many.confirmed(&change(2, AccountStatus::Closing, 250));
     assert!((250..=270).contains(&owed), "{owed}");
 }
 
@@ -124,15 +126,15 @@
     let linked = Now { unix: 0, steady: 0, alone_since: None };
     let key = Key::of(Some("k"), Some("r"));
     let mut taken = Taken::new(10, LONG);
-    assert_eq!(rule(&book, None, &taken, "acme", key.as_ref(), linked), Ruling::Take);
+    assert_eq!(rule(&book, None, &taken, "acme", key.as_ref(), linked), AdmissionDecision::Take);
     taken.take("acme", key.as_ref(), 0);
-    let closing = change(1, Standing::Closing, 100);
-    book.learn(&Decree::new(1, [("acme".to_string(), closing)].into()));
+    let closing = change(1, AccountStatus::Closing, 100);
+    book.learn(&AccountsFile::new(1, [("acme".to_string(), closing)].into()));
     let later = Now { unix: 100, ..linked };
-    let refuse = |why, retry| Ruling::Refuse(Refusal { why, retry });
+    let refuse = |why, retry| AdmissionDecision::Refuse(Refusal { why, retry });
     let asks = |tenant: &str, key: Option<Key>, now| rule(&book, None, &taken, tenant, key.as_ref(), now);
-    assert_eq!(asks("acme", Key::of(Some("n"), None), linked), Ruling::Take, "not yet");
-    assert_eq!(asks("acme", Key::of(Some("k"), Some("other")), later), Ruling::Take);
+    assert_eq!(asks("acme", Key::of(Some("n"), None), linked), AdmissionDecision::Take, "not yet");
+    assert_eq!(asks("acme", Key::of(Some("k"), Some("other")), later), AdmissionDecision::Take);
     for new in [Key::of(Some("n"), None), Key::of(None, Some("k")), Key::of(Some("r"), None), None] {
         assert_eq!(asks("acme", new, later), refuse(Why::Closing, false));
     }
@@ -143,28 +145,31 @@
         rule(&book, None, &taken, "acme", Key::of(Some("z"), None).as_ref(), later),
         refuse(Why::Closing, false)
     );
-    let mut purses = Purses::from([("fyn".to_string(), fresh()), ("acme".to_string(), fresh())]);
+    let mut balances = CreditBalances::from([("fyn".to_string(), fresh()), ("acme".to_string(), fresh())]);
     let alone = Now { alone_since: Some(0), ..later };
-    let told = bars(&book, &mut purses, alone);
-    assert_eq!(told["acme"], Bar { begin: Some(0), send: true });
-    assert_eq!(told["fyn"], Bar { begin: Some(10), send: true });
-    assert_eq!(bars(&book, &mut purses, later).len(), 1, "linked, only the closing one is bounded");
+    let account_lines = restrictions(&book, &mut balances, alone);
+    assert_eq!(account_lines["acme"], Restriction { begin: Some(0), send: true });
+    assert_eq!(account_lines["fyn"], Restriction { begin: Some(10), send: true });
+    assert_eq!(restrictions(&book, &mut balances, later).len(), 1, "linked, only the closing one is bounded");
     let mut fyn = fresh();
     assert_eq!(rule(&book, Some(&mut fyn), &taken, "fyn", None, alone), refuse(Why::NoDisk, true));
     write(&mut fyn);
-    let ruled: Vec<Ruling> = (0..11)
+    let ruled: Vec<AdmissionDecision> = (0..11)
         .map(|_| {
             let ruled = rule(&book, Some(&mut fyn), &taken, "fyn", None, alone);
             write(&mut fyn);
             ruled
         })
         .collect();
-    assert_eq!(ruled[9..], [Ruling::TakeOnCredit, refuse(Why::CreditSpent, true)]);
+    assert_eq!(ruled[9..], [AdmissionDecision::TakeOnCredit, refuse(Why::CreditSpent, true)]);
     fyn.unspend(1, 100);
-    assert_eq!(rule(&book, Some(&mut fyn), &taken, "fyn", None, alone), Ruling::TakeOnCredit);
-    book.learn(&Decree::new(2, [("acme".to_string(), change(2, Standing::Closed, 0))].into()));
+    assert_eq!(rule(&book, Some(&mut fyn), &taken, "fyn", None, alone), AdmissionDecision::TakeOnCredit);
+    book.learn(&AccountsFile::new(2, [("acme".to_string(), change(2, AccountStatus::Closed, 0))].into()));
     assert_eq!(rule(&book, None, &taken, "acme", key.as_ref(), later), refuse(Why::Closed, false));
-    assert_eq!(bars(&book, &mut purses, later)["acme"], Bar { begin: Some(0), send: false });
+    assert_eq!(
+        restrictions(&book, &mut balances, later)["acme"],
+        Restriction { begin: Some(0), send: false }
+    );
 }
 
 #[test]
@@ -185,22 +190,22 @@
 /// A node alone whose disk fails begins no more than what was noted there; the rest it may again once a note is written.
 #[test]
 fn a_failing_disk_bounds_what_is_begun_by_its_note() {
-    let mut purses = Purses::from([("acme".to_string(), fresh())]);
+    let mut balances = CreditBalances::from([("acme".to_string(), fresh())]);
     let now = Now { unix: 1, steady: 1, alone_since: Some(0) };
-    let mut told = |change: &dyn Fn(&mut Purse)| {
-        change(purses.get_mut("acme").unwrap());
-        let begin = bars(&Book::new(), &mut purses, now)["acme"].begin;
-        (begin, purses["acme"].left(), purses["acme"].noted())
+    let mut after = |change: &dyn Fn(&mut CreditBalance)| {
+        change(balances.get_mut("acme").unwrap());
+        let begin = restrictions(&Book::new(), &mut balances, now)["acme"].begin;
+        (begin, balances["acme"].left(), balances["acme"].noted())
     };
-    let (begin, left, noted) = told(&|_| ());
+    let (begin, left, noted) = after(&|_| ());
     assert!(begin == Some(left) && noted < left);
-    let (begin, ..) = told(&|purse| purse.failed());
+    let (begin, ..) = after(&|balance| balance.failed());
     assert_eq!(begin, Some(noted));
-    let (begin, left, noted) = told(&|purse| assert!(write(purse).is_some()));
+    let (begin, left, noted) = after(&|balance| assert!(write(balance).is_some()));
     assert!(begin == Some(left) && noted > 0);
-    let (begin, ..) = told(&|purse| {
-        purse.failed();
-        while purse.spend(1, 1) {}
+    let (begin, ..) = after(&|balance| {
+        balance.failed();
+        while balance.spend(1, 1) {}
     });
     assert_eq!(begin, Some(0));
 }
--- a/crates/accounts/tests/file.rs
+++ b/crates/accounts/tests/file.rs
@@ -1,21 +1,21 @@
 //! The authority's file: what is read, and every fault with its place.
 
 use rstest::rstest;
-use shorepath_accounts::file::{read, Decree, FileError};
-use shorepath_accounts::{Change, Standing};
+use shorepath_accounts::config::{read, AccountsFile, FileError};
+use shorepath_accounts::{AccountStatus, Change};
 
 #[test]
 fn a_good_file_is_read() {
     let text = "(accounts (number 12)\n\
         (account acme (standing closing) (from 1764633600 s) (reason \"unpaid since October\"))\n\
         (account fyn (standing warned)))";
-    let decree = read("f", text).unwrap();
+    let accounts_file = read("f", text).unwrap();
     let change = |standing, from, reason: &str| Change { number: 12, standing, from, reason: reason.into() };
-    let acme = change(Standing::Closing, 1_764_633_600_000_000, "unpaid since October");
-    let changes = [("acme".to_string(), acme), ("fyn".to_string(), change(Standing::Warned, 0, ""))];
-    assert_eq!(decree, Decree::new(12, changes.into()));
+    let acme = change(AccountStatus::Closing, 1_764_633_600_000_000, "unpaid since October");
+    let changes = [("acme".to_string(), acme), ("fyn".to_string(), change(AccountStatus::Warned, 0, ""))];
+    assert_eq!(accounts_file, AccountsFile::new(12, changes.into()));
     let other = read("f", &text.replace("closing", "closed")).unwrap();
-    assert_ne!(decree.digest, other.digest);
+    assert_ne!(accounts_file.digest, other.digest);
     assert!(read("f", "(accounts (number 13))").unwrap().changes.is_empty());
 }
 
@@ -36,9 +36,9 @@
 ])]
 fn every_fault_is_named_with_its_place(#[case] text: &str, #[case] wanted: &[&str]) {
     let FileError::Wrong(complaints) = read("f", text).unwrap_err();
-    let told = complaints.to_string();
-    let told: Vec<&str> = told.lines().map(|l| l.strip_prefix("f:").unwrap()).collect();
-    assert_eq!(told, wanted);
+    let account_lines = complaints.to_string();
+    let account_lines: Vec<&str> = account_lines.lines().map(|l| l.strip_prefix("f:").unwrap()).collect();
+    assert_eq!(account_lines, wanted);
 }
 
 #[test]
--- a/crates/accounts/tests/model.rs
+++ b/crates/accounts/tests/model.rs
@@ -3,12 +3,12 @@
 //! of an account is taken by a node that was told that it is closing, and its running work is always finished. The same search
 //! finds each planted fault.
 
-use shorepath_accounts::book::Book;
-use shorepath_accounts::credit::{parts, Credit, Note, Part, Purse, Share};
-use shorepath_accounts::file::Decree;
-use shorepath_accounts::ruling::{bars, rule, Now, Purses, Ruling};
-use shorepath_accounts::running::{Key, Taken};
-use shorepath_accounts::{Change, Standing};
+use shorepath_accounts::admission::{restrictions, rule, AdmissionDecision, CreditBalances, Now};
+use shorepath_accounts::config::AccountsFile;
+use shorepath_accounts::credit::{parts, Credit, CreditBalance, Note, Part, Share};
+use shorepath_accounts::in_flight::{Key, Taken};
+use shorepath_accounts::registry::Book;
+use shorepath_accounts::{AccountStatus, Change};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 use std::sync::{Arc, LazyLock};
@@ -18,7 +18,7 @@
 const NODES: usize = 3;
 const CREDIT: Credit = Credit { whole: 2, reserve: 0, shrink_after: 1_000 };
 /// What the authority's files say, one after the other: closing, named no more, closing again.
-const FILES: [Option<Standing>; 3] = [Some(Standing::Closing), None, Some(Standing::Closing)];
+const FILES: [Option<AccountStatus>; 3] = [Some(AccountStatus::Closing), None, Some(AccountStatus::Closing)];
 /// So many are searched.
 const STATES: usize = 5_000_000;
 const JOBS: u8 = 2;
@@ -39,13 +39,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
     book: Book,
-    purse: Purse,
+    balance: CreditBalance,
     note: Option<Note>,
     taken: Taken,
     /// Jobs that were taken here and have no answer yet; on the disk, as the node's log has them.
     running: BTreeSet<u8>,
     /// The greatest number that it was told.
-    told: u64,
+    account_lines: u64,
     /// Jobs begun on credit since standing was last confirmed here.
     begun: u64,
 }
@@ -69,7 +69,7 @@
 enum Step {
     /// The authority hands its next file to a node.
     Issue(usize),
-    Tell(usize, usize),
+    Reply(usize, usize),
     /// An old file is handed to a node once more.
     Again(usize, usize),
     Cut,
@@ -89,14 +89,14 @@
     Key::Idempotency(job.to_string())
 }
 
-fn file(number: usize) -> Decree {
+fn file(number: usize) -> AccountsFile {
     let change = |standing| Change { number: number as u64, standing, from: 0, reason: String::new() };
     let named = FILES[number - 1].map(|s| (ACME.to_string(), change(s)));
-    Decree::new(number as u64, named.into_iter().collect())
+    AccountsFile::new(number as u64, named.into_iter().collect())
 }
 
 /// Whether the file of that number bars new work; none was told by 0.
-fn barred(number: u64) -> bool {
+fn rejection(number: u64) -> bool {
     number > 0 && FILES[number as usize - 1].is_some()
 }
 
@@ -120,17 +120,17 @@
         let now = self.now(at);
         let node = Arc::make_mut(&mut self.nodes[at]);
         // The disk of the node that does not crash follows at once.
-        if let Some(note) = node.purse.durable_to().filter(|_| at == 2) {
-            node.purse.wrote(note);
+        if let Some(note) = node.balance.durable_to().filter(|_| at == 2) {
+            node.balance.wrote(note);
         }
         if fault == Fault::RefusedRuns {
             node.taken.take(ACME, Some(&key(job)), 1);
         }
-        match rule(&node.book, Some(&mut node.purse), &node.taken, ACME, Some(&key(job)), now) {
-            Ruling::Refuse(_) => self.refused = Some((at, job)),
-            ruling => {
-                self.wrong |= barred(node.told);
-                node.begun += u64::from(ruling == Ruling::TakeOnCredit);
+        match rule(&node.book, Some(&mut node.balance), &node.taken, ACME, Some(&key(job)), now) {
+            AdmissionDecision::Refuse(_) => self.refused = Some((at, job)),
+            admission => {
+                self.wrong |= rejection(node.account_lines);
+                node.begun += u64::from(admission == AdmissionDecision::TakeOnCredit);
                 node.taken.take(ACME, Some(&key(job)), 1);
                 node.running.insert(job);
                 self.refused = self.refused.filter(|refused| *refused != (at, job));
@@ -138,14 +138,14 @@
         }
     }
 
-    fn hear(&mut self, fault: Fault, at: usize, told: u64, what: impl FnOnce(&mut Book)) {
+    fn receive(&mut self, fault: Fault, at: usize, account_lines: u64, what: impl FnOnce(&mut Book)) {
         let node = Arc::make_mut(&mut self.nodes[at]);
         if fault == Fault::OlderWins {
             node.book = Book::new();
         }
         what(&mut node.book);
-        node.told = node.told.max(told);
-        if fault == Fault::Dropped && node.book.standing(ACME, 1).bars() {
+        node.account_lines = node.account_lines.max(account_lines);
+        if fault == Fault::Dropped && node.book.standing(ACME, 1).rejects_new_work() {
             node.taken = Taken::new(8, 100);
         }
     }
@@ -159,11 +159,11 @@
         let node = |k| {
             Arc::new(Node {
                 book: Book::new(),
-                purse: Purse::restore(PARTS[k], CREDIT.shrink_after, 1, Some(Note::default())),
+                balance: CreditBalance::restore(PARTS[k], CREDIT.shrink_after, 1, Some(Note::default())),
                 note: Some(Note::default()),
                 taken: Taken::new(8, 100),
                 running: BTreeSet::new(),
-                told: 0,
+                account_lines: 0,
                 begun: 0,
             })
         };
@@ -180,14 +180,14 @@
             let peers = (0..NODES).filter(|b| {
                 a.abs_diff(*b) == 1 && s.linked(a, *b) && s.nodes[a].book.hash() != s.nodes[*b].book.hash()
             });
-            actions.extend(peers.map(|b| Step::Tell(a, b)));
+            actions.extend(peers.map(|b| Step::Reply(a, b)));
             if s.asked < JOBS && a > 0 {
                 actions.push(Step::New(a));
             }
             if s.crashes < 1 && a == 1 {
                 actions.extend([Step::Crash(a, true), Step::Crash(a, false)]);
             }
-            if s.cut && a == 1 && s.nodes[a].purse.durable_to().is_some() {
+            if s.cut && a == 1 && s.nodes[a].balance.durable_to().is_some() {
                 actions.push(Step::Write(a));
             }
             actions.extend(s.nodes[a].running.iter().map(|job| Step::Finish(a, *job)));
@@ -209,27 +209,27 @@
             Step::Issue(at) => {
                 s.issued += 1;
                 let number = s.issued;
-                s.hear(fault, at, number as u64, |book| drop(book.learn(&file(number))));
+                s.receive(fault, at, number as u64, |book| drop(book.learn(&file(number))));
             }
             Step::Again(at, number) => {
-                s.hear(fault, at, number as u64, |book| drop(book.learn(&file(number))))
+                s.receive(fault, at, number as u64, |book| drop(book.learn(&file(number))))
             }
-            Step::Tell(from, to) => {
-                let (book, told) = (s.nodes[from].book.clone(), s.nodes[from].told);
-                s.hear(fault, to, told, |known| drop(known.merge(&book)));
+            Step::Reply(from, to) => {
+                let (book, account_lines) = (s.nodes[from].book.clone(), s.nodes[from].account_lines);
+                s.receive(fault, to, account_lines, |known| drop(known.merge(&book)));
             }
             Step::Cut => (s.cut, s.cuts) = (true, s.cuts + 1),
             Step::Heal => {
                 s.cut = false;
                 // Standing counts as confirmed once the other side's book was heard.
                 for at in 1..NODES {
-                    let (book, told) = (s.nodes[0].book.clone(), s.nodes[0].told);
-                    s.hear(fault, at, told, |known| drop(known.merge(&book)));
+                    let (book, account_lines) = (s.nodes[0].book.clone(), s.nodes[0].account_lines);
+                    s.receive(fault, at, account_lines, |known| drop(known.merge(&book)));
                     let node = Arc::make_mut(&mut s.nodes[at]);
                     let change = node.book.change(ACME, 1);
-                    let (spent, owed) = (node.purse.note_now().spent, node.purse.confirmed(&change));
+                    let (spent, owed) = (node.balance.note_now().spent, node.balance.confirmed(&change));
                     // What was begun before a file that bars is owed; for the rest of the search the debt is paid.
-                    assert!(owed <= spent && node.purse.pay(owed) == 0);
+                    assert!(owed <= spent && node.balance.pay(owed) == 0);
                     node.begun = 0;
                 }
             }
@@ -237,19 +237,19 @@
                 s.crashes += 1;
                 let node = Arc::make_mut(&mut s.nodes[at]);
                 if !disk {
-                    (node.book, node.note, node.told) = (Book::new(), None, 0);
+                    (node.book, node.note, node.account_lines) = (Book::new(), None, 0);
                     node.running.clear();
                 }
                 let note = if fault == Fault::Refill { Some(Note::default()) } else { node.note };
-                node.purse = Purse::restore(PARTS[at], CREDIT.shrink_after, 1, note);
+                node.balance = CreditBalance::restore(PARTS[at], CREDIT.shrink_after, 1, note);
                 node.taken = Taken::new(8, 100);
                 let keys: Vec<Key> = node.running.iter().map(|job| key(*job)).collect();
                 node.taken.restore(keys.iter().map(|key| (ACME, key, 0)), 1);
             }
             Step::Write(at) => {
                 let node = Arc::make_mut(&mut s.nodes[at]);
-                node.note = node.purse.durable_to();
-                node.note.into_iter().for_each(|note| node.purse.wrote(note));
+                node.note = node.balance.durable_to();
+                node.note.into_iter().for_each(|note| node.balance.wrote(note));
             }
             Step::New(at) => {
                 s.asked += 1;
@@ -278,10 +278,12 @@
             Property::always("nothing new after it was told", |_, s: &State| !s.wrong),
             Property::always("running work goes on", |_, s: &State| {
                 s.nodes.iter().enumerate().all(|(at, node)| {
-                    let sent =
-                        bars(&node.book, &mut Purses::new(), s.now(at)).get(ACME).is_none_or(|bar| bar.send);
+                    let sent = restrictions(&node.book, &mut CreditBalances::new(), s.now(at))
+                        .get(ACME)
+                        .is_none_or(|restriction| restriction.send);
                     let repeat = |job: &u8| {
-                        rule(&node.book, None, &node.taken, ACME, Some(&key(*job)), s.now(at)) == Ruling::Take
+                        rule(&node.book, None, &node.taken, ACME, Some(&key(*job)), s.now(at))
+                            == AdmissionDecision::Take
                     };
                     sent && node.running.iter().all(repeat)
                 })
@@ -290,10 +292,10 @@
                 s.nodes.iter().map(|n| n.begun).sum::<u64>() == CREDIT.whole
             }),
             Property::sometimes("work ends after the closing", |_, s: &State| {
-                s.nodes.iter().any(|n| n.told == 3 && n.running.is_empty() && !n.taken.is_empty())
+                s.nodes.iter().any(|n| n.account_lines == 3 && n.running.is_empty() && !n.taken.is_empty())
             }),
             Property::sometimes("taken again after it was reopened", |_, s: &State| {
-                s.nodes[1].told == 2 && !s.nodes[1].running.is_empty()
+                s.nodes[1].account_lines == 2 && !s.nodes[1].running.is_empty()
             }),
         ]
     }
--- a/crates/accounts/tests/spread.rs
+++ b/crates/accounts/tests/spread.rs
@@ -3,21 +3,21 @@
 
 use oorandom::Rand64;
 use proptest::prelude::*;
-use shorepath_accounts::book::{Book, News};
-use shorepath_accounts::file::{Decree, ACCOUNTS, NAME, NUMBERS, REASON};
-use shorepath_accounts::spread::{Counts, Spread, Telling, Told, Word, LARGEST};
-use shorepath_accounts::{Change, Micros, Standing};
+use shorepath_accounts::config::{AccountsFile, ACCOUNTS, NAME, NUMBERS, REASON};
+use shorepath_accounts::gossip::{AccountLine, Counts, Message, Spread, Telling, LARGEST};
+use shorepath_accounts::registry::{Book, RegistryUpdate};
+use shorepath_accounts::{AccountStatus, Change, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A file of that number in which so many accounts are closing, and acme is closed where it says so.
-fn decree(number: u64, accounts: usize, acme: bool, reason: &str) -> Decree {
+fn accounts_file(number: u64, accounts: usize, acme: bool, reason: &str) -> AccountsFile {
     let change = |standing| Change { number, standing, from: 0, reason: reason.to_string() };
     let mut changes: BTreeMap<String, Change> =
-        (0..accounts).map(|k| (format!("account-{k}"), change(Standing::Closing))).collect();
+        (0..accounts).map(|k| (format!("account-{k}"), change(AccountStatus::Closing))).collect();
     if acme {
-        changes.insert("acme".into(), change(Standing::Closed));
+        changes.insert("acme".into(), change(AccountStatus::Closed));
     }
-    Decree::new(number, changes)
+    AccountsFile::new(number, changes)
 }
 
 enum Event {
@@ -74,9 +74,9 @@
         if self.known[from].is_none() && self.nodes[from].book().highest() >= self.looked {
             self.known[from] = Some(self.now);
         }
-        for (to, word) in self.nodes[from].says() {
-            let json = serde_json::to_vec(&word).unwrap();
-            let short = postcard::to_stdvec(&word).unwrap();
+        for (to, message) in self.nodes[from].take_outgoing() {
+            let json = serde_json::to_vec(&message).unwrap();
+            let short = postcard::to_stdvec(&message).unwrap();
             self.largest = self.largest.max(json.len()).max(short.len());
             let cut = (from < self.cut) != ((to as usize) < self.cut);
             if cut || self.random.rand_float() < self.loss {
@@ -88,10 +88,10 @@
         }
     }
 
-    fn learn(&mut self, at: usize, decree: &Decree) {
-        self.looked = decree.number;
+    fn learn(&mut self, at: usize, accounts_file: &AccountsFile) {
+        self.looked = accounts_file.number;
         self.known.iter_mut().for_each(|k| *k = None);
-        self.nodes[at].learn(decree, self.now);
+        self.nodes[at].learn(accounts_file, self.now);
         self.send(at);
     }
 
@@ -107,12 +107,12 @@
                     self.send(n);
                 }
                 Event::Hear { from, to, bytes } => {
-                    let word = if from % 2 == 0 {
+                    let message = if from % 2 == 0 {
                         serde_json::from_slice(&bytes).unwrap()
                     } else {
                         postcard::from_bytes(&bytes).unwrap()
                     };
-                    self.nodes[to].hear(from, &word, now);
+                    self.nodes[to].receive(from, &message, now);
                     self.send(to);
                 }
             }
@@ -120,8 +120,8 @@
         self.now = until;
     }
 
-    fn said(&self) -> f64 {
-        self.nodes.iter().map(|n| n.counts().said as f64).sum::<f64>() / self.nodes.len() as f64
+    fn sent(&self) -> f64 {
+        self.nodes.iter().map(|n| n.counts().sent as f64).sum::<f64>() / self.nodes.len() as f64
     }
 
     fn counts(&self) -> Vec<Counts> {
@@ -139,16 +139,16 @@
     for seed in 0..runs {
         let mut fleet = Fleet::new(nodes, loss, seed);
         let mut known = Book::new();
-        known.learn(&decree(7, 40, false, "unpaid"));
+        known.learn(&accounts_file(7, 40, false, "unpaid"));
         fleet.nodes.iter_mut().for_each(|n| n.restore(&known));
         fleet.run(200_000);
-        let before = fleet.said();
+        let before = fleet.sent();
         fleet.run(1_200_000);
-        let quiet = fleet.said();
-        fleet.learn(0, &decree(8, 40, true, "unpaid"));
+        let quiet = fleet.sent();
+        fleet.learn(0, &accounts_file(8, 40, true, "unpaid"));
         fleet.run(2_200_000);
         idle += (quiet - before) / runs as f64;
-        busy += (fleet.said() - quiet) / runs as f64;
+        busy += (fleet.sent() - quiet) / runs as f64;
         fleet.run(4_200_000);
         assert_eq!(fleet.hashes(), 1, "seed {seed}: the change did not reach all");
         ways.extend(fleet.known.iter().map(|at| (at.unwrap() - 1_200_000) as f64 / 1e3));
@@ -163,7 +163,7 @@
 
 #[test]
 fn a_change_reaches_all_within_a_second_with_words_that_don_t_grow_with_the_fleet() {
-    let mut words = Vec::new();
+    let mut messages = Vec::new();
     for loss in [0.0, 0.3] {
         for (nodes, runs) in [(5, 100), (100, 10), (1_000, 2)] {
             let (p50, p99, idle, busy) = measured(nodes, loss, runs);
@@ -173,91 +173,91 @@
                 loss * 100.0
             );
             assert!(p99 < 1_000.0, "p99 {p99} ms at {nodes} nodes");
-            words.push((idle, busy));
+            messages.push((idle, busy));
         }
     }
-    for of_loss in words.chunks(3) {
+    for of_loss in messages.chunks(3) {
         let (small, large) = (of_loss[1], of_loss[2]);
-        assert!(large.0 < small.0 * 1.1 && large.1 < small.1 * 1.1, "{words:?}");
+        assert!(large.0 < small.0 * 1.1 && large.1 < small.1 * 1.1, "{messages:?}");
     }
 }
 
 #[test]
 fn a_full_file_reaches_one_that_knows_nothing_and_later_only_differences_are_told() {
     let mut fleet = Fleet::new(3, 0.1, 5);
-    fleet.learn(0, &decree(1, ACCOUNTS - 4, false, "r"));
+    fleet.learn(0, &accounts_file(1, ACCOUNTS - 4, false, "r"));
     fleet.run(30_000_000);
     assert_eq!(fleet.hashes(), 1);
     let last = fleet.known.iter().flatten().max();
     println!("{} accounts: all three know after {} ms", ACCOUNTS - 4, last.unwrap() / 1_000);
-    let mut next = decree(2, ACCOUNTS - 4, true, "r");
+    let mut next = accounts_file(2, ACCOUNTS - 4, true, "r");
     let longest =
-        Change { number: 2, standing: Standing::Reopened, from: i64::MAX, reason: "\"".repeat(REASON) };
+        Change { number: 2, standing: AccountStatus::Reopened, from: i64::MAX, reason: "\"".repeat(REASON) };
     next.changes.extend(["\\", "x", "\""].map(|name| (name.repeat(NAME), longest.clone())));
-    let before = fleet.said();
-    fleet.learn(1, &Decree::new(2, next.changes));
+    let before = fleet.sent();
+    fleet.learn(1, &AccountsFile::new(2, next.changes));
     fleet.run(32_000_000);
     assert_eq!(fleet.hashes(), 1);
     assert!(fleet.largest <= LARGEST, "a word of {} bytes", fleet.largest);
     // Digests for two seconds, and four pieces to two others by each.
-    assert!(fleet.said() - before < 22.0, "{} words a node", fleet.said() - before);
+    assert!(fleet.sent() - before < 22.0, "{} words a node", fleet.sent() - before);
 }
 
 #[test]
 fn two_files_of_one_number_end_in_one_book_and_are_told_everywhere() {
     let mut fleet = Fleet::new(9, 0.2, 3);
     fleet.cut = 4;
-    fleet.learn(0, &decree(4, 3, false, "one"));
-    fleet.learn(8, &decree(4, 2, true, "other"));
+    fleet.learn(0, &accounts_file(4, 3, false, "one"));
+    fleet.learn(8, &accounts_file(4, 2, true, "other"));
     fleet.run(2_000_000);
     assert_eq!(fleet.hashes(), 2, "two sites that can't hear each other");
     fleet.cut = 0;
     fleet.run(5_000_000);
     assert_eq!(fleet.hashes(), 1);
     for node in &mut fleet.nodes {
-        let news = node.news();
-        let told = news.iter().filter(|n| **n == News::TwoFiles { number: 4 }).count();
-        assert_eq!(told, 1, "{news:?}");
-        assert_eq!(node.book().standing("acme", 0), Standing::Closed);
-        assert_eq!(node.book().standing("account-2", 0), Standing::Closing);
+        let updates = node.take_updates();
+        let account_lines = updates.iter().filter(|n| **n == RegistryUpdate::TwoFiles { number: 4 }).count();
+        assert_eq!(account_lines, 1, "{updates:?}");
+        assert_eq!(node.book().standing("acme", 0), AccountStatus::Closed);
+        assert_eq!(node.book().standing("account-2", 0), AccountStatus::Closing);
     }
     // One of a greater number ends it, and an older one that is handed in again changes nothing.
-    fleet.learn(3, &decree(5, 0, false, ""));
-    fleet.learn(4, &decree(4, 2, true, "other"));
+    fleet.learn(3, &accounts_file(5, 0, false, ""));
+    fleet.learn(4, &accounts_file(4, 2, true, "other"));
     fleet.run(10_000_000);
     assert_eq!(fleet.hashes(), 1);
-    assert!(fleet.nodes.iter().all(|n| n.book().standing("acme", 0) == Standing::Reopened));
+    assert!(fleet.nodes.iter().all(|n| n.book().standing("acme", 0) == AccountStatus::Reopened));
 }
 
 #[test]
 fn words_and_fields_that_are_not_known_are_passed_over() {
     let mut node = Spread::new(0, vec![0, 1], 1, 0);
-    let word: Word = serde_json::from_str("{\"w\":9,\"n\":[1,2],\"new\":{\"a\":[]}}").unwrap();
-    assert_eq!(word, Word::Other(9));
-    node.hear(1, &word, 0);
-    let word: Word = serde_json::from_str("{\"w\":1,\"n\":[3,4],\"h\":5,\"new\":1}").unwrap();
-    assert_eq!(word, Word::Digest { newest: (3, 4), hash: 5 });
-    let mut longer = postcard::to_stdvec(&word).unwrap();
+    let message: Message = serde_json::from_str("{\"w\":9,\"n\":[1,2],\"new\":{\"a\":[]}}").unwrap();
+    assert_eq!(message, Message::Other(9));
+    node.receive(1, &message, 0);
+    let message: Message = serde_json::from_str("{\"w\":1,\"n\":[3,4],\"h\":5,\"new\":1}").unwrap();
+    assert_eq!(message, Message::Digest { newest: (3, 4), hash: 5 });
+    let mut longer = postcard::to_stdvec(&message).unwrap();
     longer.extend([1, 2, 3]);
-    assert_eq!(postcard::from_bytes::<Word>(&longer).unwrap(), word);
-    node.hear(1, &word, 0);
-    assert!(matches!(&node.says()[..], [(1, Word::Have { ask: true, .. })]));
-    assert_eq!((node.counts().heard, node.counts().unknown), (2, 1));
+    assert_eq!(postcard::from_bytes::<Message>(&longer).unwrap(), message);
+    node.receive(1, &message, 0);
+    assert!(matches!(&node.take_outgoing()[..], [(1, Message::Have { ask: true, .. })]));
+    assert_eq!((node.counts().received, node.counts().unknown), (2, 1));
     let most = (NUMBERS, u64::MAX);
     let lacks = Some((Telling { page: most, base: most, of: u32::MAX }, vec![99_999; 32]));
-    let longest = serde_json::to_vec(&Word::Have { pages: vec![most; 16], ask: true, lacks }).unwrap();
+    let longest = serde_json::to_vec(&Message::Have { pages: vec![most; 16], ask: true, lacks }).unwrap();
     assert!(longest.len() <= LARGEST, "{} bytes", longest.len());
 }
 
 #[test]
 fn no_more_is_said_in_a_second_than_stated() {
     let mut node = Spread::new(0, vec![1], 1, 0);
-    node.learn(&decree(1, ACCOUNTS, false, "r"), 0);
+    node.learn(&accounts_file(1, ACCOUNTS, false, "r"), 0);
     for now in 0..1_000 {
-        node.hear(1, &Word::Have { pages: vec![], ask: true, lacks: None }, now * 1_000);
+        node.receive(1, &Message::Have { pages: vec![], ask: true, lacks: None }, now * 1_000);
     }
-    let said = node.says().len();
-    assert!((300..=400).contains(&said), "{said} words");
+    let sent = node.take_outgoing().len();
+    assert!((300..=400).contains(&sent), "{sent} words");
     assert!(node.counts().held_back > 1_000);
 }
 
@@ -265,39 +265,45 @@
     prop_oneof![0..4u64, any::<u64>(), Just(u64::MAX), Just(1_000_000_000_000)]
 }
 
-fn any_word() -> impl Strategy<Value = Word> {
+fn any_word() -> impl Strategy<Value = Message> {
     let pair = || (any_number(), any_number());
     let count = || prop_oneof![0..5u32, any::<u32>()];
     let telling = move || (pair(), pair(), count()).prop_map(|(page, base, of)| Telling { page, base, of });
-    let standing = prop::option::of(prop::sample::select(vec![Standing::Good, Standing::Closed]));
-    let told = (".{0,9}", standing, any::<i64>(), ".{0,9}")
-        .prop_map(|(account, standing, from, reason)| Told { account, standing, from, reason });
+    let standing = prop::option::of(prop::sample::select(vec![AccountStatus::Good, AccountStatus::Closed]));
+    let account_lines = (".{0,9}", standing, any::<i64>(), ".{0,9}")
+        .prop_map(|(account, standing, from, reason)| AccountLine { account, standing, from, reason });
     let lacks = prop::option::of((telling(), prop::collection::vec(count(), 0..5)));
     prop_oneof![
-        (pair(), any_number()).prop_map(|(newest, hash)| Word::Digest { newest, hash }),
+        (pair(), any_number()).prop_map(|(newest, hash)| Message::Digest { newest, hash }),
         (prop::collection::vec(pair(), 0..20), any::<bool>(), lacks)
-            .prop_map(|(pages, ask, lacks)| Word::Have { pages, ask, lacks }),
-        (telling(), count(), any::<bool>(), any::<bool>(), prop::collection::vec(told, 0..4))
-            .prop_map(|(telling, at, two, last, told)| Word::Piece { telling, at, two, last, told }),
-        any::<u32>().prop_map(Word::Other),
+            .prop_map(|(pages, ask, lacks)| Message::Have { pages, ask, lacks }),
+        (telling(), count(), any::<bool>(), any::<bool>(), prop::collection::vec(account_lines, 0..4))
+            .prop_map(|(telling, at, two, last, account_lines)| Message::Piece {
+                telling,
+                at,
+                two,
+                last,
+                account_lines
+            }),
+        any::<u32>().prop_map(Message::Other),
     ]
 }
 
 proptest! {
     #[test]
     fn nothing_heard_makes_a_node_panic_or_forget(
-        words in prop::collection::vec((any_word(), 0..4u32, any::<i64>()), 0..40), bytes in any::<Vec<u8>>(),
+        messages in prop::collection::vec((any_word(), 0..4u32, any::<i64>()), 0..40), bytes in any::<Vec<u8>>(),
     ) {
-        let _ = postcard::from_bytes::<Word>(&bytes);
+        let _ = postcard::from_bytes::<Message>(&bytes);
         let mut node = Spread::new(0, vec![1, 2], 1, 0);
-        node.learn(&decree(3, 2, true, ""), 0);
+        node.learn(&accounts_file(3, 2, true, ""), 0);
         let mut known = node.book().clone();
-        for (word, from, now) in words {
-            node.hear(from, &word, now);
+        for (message, from, now) in messages {
+            node.receive(from, &message, now);
             node.pass(now);
             node.due(now);
-            let said = node.says();
-            prop_assert!(said.len() <= 400);
+            let sent = node.take_outgoing();
+            prop_assert!(sent.len() <= 400);
         }
         known.merge(node.book());
         prop_assert_eq!(&known, node.book());
--- a/crates/audit/src/meter.rs
+++ b/crates/audit/src/decision_counters.rs
@@ -1,6 +1,6 @@
 //! Decisions counted by version and reason, with a sample of single ones: so much a second at most, whatever comes.
 
-use crate::record::{Decision, Entry};
+use crate::audit_log::{Decision, Entry};
 use crate::Micros;
 use siphasher::sip::SipHasher13;
 use std::collections::BTreeMap;
@@ -44,7 +44,7 @@
     /// When the next sum is due, while anything is counted.
     due: Option<Micros>,
     /// Single decisions that may be kept now, in millionths.
-    room: u64,
+    capacity: u64,
     seen: Micros,
     dropped: u64,
 }
@@ -52,8 +52,8 @@
 impl Meter {
     /// Nothing counted. `key` is the fleet's, for tags; `now` is of a clock that does not go back.
     pub fn new(sampling: Sampling, key: [u8; 16], vector: u64, now: Micros) -> Meter {
-        let room = sampling.a_second.saturating_mul(1_000_000);
-        Meter { sampling, key, vector, counts: BTreeMap::new(), due: None, room, seen: now, dropped: 0 }
+        let capacity = sampling.a_second.saturating_mul(1_000_000);
+        Meter { sampling, key, vector, counts: BTreeMap::new(), due: None, capacity, seen: now, dropped: 0 }
     }
 
     /// Whether single decisions about that request are kept, where there is room: the same at each node.
@@ -83,15 +83,15 @@
         }
         let most = self.sampling.a_second.saturating_mul(1_000_000);
         let since = u64::try_from(now.saturating_sub(self.seen)).unwrap_or(0);
-        self.room = self.room.saturating_add(since.saturating_mul(self.sampling.a_second)).min(most);
+        self.capacity = self.capacity.saturating_add(since.saturating_mul(self.sampling.a_second)).min(most);
         self.seen = self.seen.max(now);
         // The sample leaves half of the room to what is always kept.
         let needs = if always { 1_000_000 } else { (most / 2).max(1_000_000) };
-        if self.room < needs {
+        if self.capacity < needs {
             self.dropped += 1;
             return None;
         }
-        self.room -= 1_000_000;
+        self.capacity -= 1_000_000;
         let decision = Decision {
             request: tag(&self.key, request),
             class: class.to_string(),
@@ -103,9 +103,9 @@
 
     /// The vector changes: what was counted belongs to the one before, and is to be written down before the change is.
     pub fn turn(&mut self, vector: u64) -> Vec<Entry> {
-        let said = self.sum();
+        let events = self.sum();
         self.vector = vector;
-        said
+        events
     }
 
     /// What is to be written down by now.
@@ -125,14 +125,14 @@
         self.due = None;
         let counts = std::mem::take(&mut self.counts);
         let counts: BTreeMap<String, u64> = counts.into_iter().map(|(r, n)| (r.to_string(), n)).collect();
-        let mut said = Vec::new();
+        let mut events = Vec::new();
         if !counts.is_empty() {
-            said.push(Entry::Sum { vector: self.vector, counts });
+            events.push(Entry::Sum { vector: self.vector, counts });
         }
         match std::mem::take(&mut self.dropped) {
             0 => {}
-            count => said.push(Entry::Dropped { count }),
+            count => events.push(Entry::Dropped { count }),
         }
-        said
+        events
     }
 }
--- a/crates/audit/src/peers.rs
+++ b/crates/audit/src/gossip.rs
@@ -3,7 +3,7 @@
 //! A change is told at once to three others by each that learns it, within a pace; besides that each tells one other from time to time what has
 //! changed last and, in turn, what has not. So words a node and second don't grow with the fleet.
 
-use crate::record::{Digest, Point};
+use crate::audit_log::{Digest, Point};
 use crate::version::{Content, Vector};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
@@ -44,13 +44,13 @@
     pub life: u64,
     /// Where its record ends.
     pub head: Point,
-    /// What steers it, see [`Vector::told`].
+    /// What steers it, see [`Vector::notified`].
     pub content: Content,
 }
 
 /// One word between two nodes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct Message {
     /// What nodes say of themselves.
     pub stories: Vec<Story>,
     /// What some of their contents are.
@@ -61,7 +61,7 @@
 
 /// What has come to be known.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum AuditUpdate {
     /// A node is steered by something else than before.
     Changed {
         /// Which node.
@@ -104,7 +104,7 @@
     story: Story,
     /// Since when its content is known here, and when it was heard last.
     since: Micros,
-    heard: Micros,
+    received: Micros,
     /// How many are still to be told.
     hot: u8,
     points: BTreeMap<u64, Digest>,
@@ -127,7 +127,7 @@
     turn: u32,
     next_hot: Micros,
     next_idle: Micros,
-    news: Vec<News>,
+    updates: Vec<AuditUpdate>,
 }
 
 impl Peers {
@@ -144,7 +144,7 @@
             turn: 0,
             next_hot: now,
             next_idle: now.saturating_add((chance % 1_000) as i64 * pace.idle / 1_000),
-            news: Vec::new(),
+            updates: Vec::new(),
         }
     }
 
@@ -157,14 +157,14 @@
     }
 
     /// This node's own story; `unix` is its clock, which may go back.
-    pub fn tell(&mut self, vector: &Vector, life: u64, head: Point, unix: Micros, now: Micros) {
-        let told = vector.told();
-        let content = told.content();
+    pub fn report(&mut self, vector: &Vector, life: u64, head: Point, unix: Micros, now: Micros) {
+        let notified = vector.notified();
+        let content = notified.content();
         let before = self.known.get(&self.me).map(|k| k.story);
         if before.is_some_and(|s| (s.content, s.life, s.head) == (content, life, head)) {
             return;
         }
-        self.vectors.insert(content, told);
+        self.vectors.insert(content, notified);
         let at = before.map_or(unix, |s| unix.max(s.at.saturating_add(1)));
         self.learn(Story { node: self.me, at, life, head, content }, now);
     }
@@ -181,15 +181,15 @@
         if let Some(was) = before.filter(|_| node != self.me) {
             let (was, is) = (&was.story, &story);
             if was.life != is.life {
-                self.news.push(News::AnotherRecord { node });
+                self.updates.push(AuditUpdate::AnotherRecord { node });
             } else if is.head.number < was.head.number {
                 disputed = Some((was.life, was.head));
-                self.news.push(News::WentBack { node, was: was.head.number, is: is.head.number });
+                self.updates.push(AuditUpdate::WentBack { node, was: was.head.number, is: is.head.number });
             }
             let (number, digest) = (is.head.number, is.head.digest);
             if let Some(known) = points.get(&number).filter(|known| **known != digest) {
                 disputed = Some((is.life, Point { number, digest: *known }));
-                self.news.push(News::Contradicts { node, number });
+                self.updates.push(AuditUpdate::Contradicts { node, number });
             }
             if disputed.is_some() {
                 self.next_idle = now;
@@ -206,22 +206,22 @@
             self.changed.retain(|n| *n != node);
             self.changed.push_back(node);
             if steers && node != self.me {
-                self.news.push(News::Changed { node, content: story.content });
+                self.updates.push(AuditUpdate::Changed { node, content: story.content });
             }
         }
-        self.known.insert(node, Known { story, since, heard: now, hot, points, disputed });
+        self.known.insert(node, Known { story, since, received: now, hot, points, disputed });
     }
 
     /// A word came. Stories of nobody that is known, and older ones than are known, change nothing.
-    pub fn hear(&mut self, word: &Word, now: Micros) {
-        for vector in word.vectors.iter().take(VECTORS) {
-            let told = vector.told();
+    pub fn receive(&mut self, message: &Message, now: Micros) {
+        for vector in message.vectors.iter().take(VECTORS) {
+            let notified = vector.notified();
             // Kept only while somebody is steered by it; see `forget`.
-            self.vectors.entry(told.content()).or_insert(told);
+            self.vectors.entry(notified.content()).or_insert(notified);
         }
-        let disputed = word.disputed.iter().take(STORIES);
-        self.news.extend(disputed.map(|(life, point)| News::OfOwn { life: *life, point: *point }));
-        for story in word.stories.iter().take(STORIES) {
+        let disputed = message.disputed.iter().take(STORIES);
+        self.updates.extend(disputed.map(|(life, point)| AuditUpdate::OfOwn { life: *life, point: *point }));
+        for story in message.stories.iter().take(STORIES) {
             if story.node == self.me {
                 self.own(*story, now);
                 continue;
@@ -242,12 +242,12 @@
         let Some(known) = self.known.get_mut(&self.me) else { return };
         if known.points.get(&story.head.number) != Some(&story.head.digest) || story.life != known.story.life
         {
-            self.news.push(News::OfOwn { life: story.life, point: story.head });
+            self.updates.push(AuditUpdate::OfOwn { life: story.life, point: story.head });
         }
         if story.at > known.story.at || (story.at == known.story.at && story != known.story) {
             // Its clock has gone back: what it says has to be newer than what it has said.
             known.story.at = story.at.saturating_add(1);
-            (known.hot, known.heard) = (FANOUT, now);
+            (known.hot, known.received) = (FANOUT, now);
         }
     }
 
@@ -273,7 +273,7 @@
         self.others.get(place).copied().unwrap_or(self.me)
     }
 
-    fn word(&self, nodes: &[u32]) -> Word {
+    fn message(&self, nodes: &[u32]) -> Message {
         let stories: Vec<Story> = nodes.iter().filter_map(|n| Some(self.known.get(n)?.story)).collect();
         let mut contents: Vec<Content> = Vec::new();
         // The most told one first: after a release all are steered by one.
@@ -284,26 +284,26 @@
         }
         contents.sort_by_key(|c| std::cmp::Reverse(stories.iter().filter(|s| s.content == *c).count()));
         let vectors = contents.iter().filter_map(|c| self.vectors.get(c)).take(VECTORS).cloned().collect();
-        Word { stories, vectors, disputed: Vec::new() }
+        Message { stories, vectors, disputed: Vec::new() }
     }
 
     /// What is to be said now, and to whom.
-    pub fn says(&mut self, now: Micros) -> Vec<(u32, Word)> {
-        let mut said = Vec::new();
+    pub fn take_outgoing(&mut self, now: Micros) -> Vec<(u32, Message)> {
+        let mut events = Vec::new();
         if self.others.is_empty() {
-            return said;
+            return events;
         }
         if now >= self.next_hot {
             let hot: Vec<u32> = self.known.iter().filter(|(_, k)| k.hot > 0).map(|(n, _)| *n).collect();
             if !hot.is_empty() {
                 let start = self.dice(hot.len());
-                let told: Vec<u32> =
+                let notified: Vec<u32> =
                     hot.iter().cycle().skip(start).take(hot.len().min(STORIES)).copied().collect();
-                for node in &told {
+                for node in &notified {
                     self.known.entry(*node).and_modify(|k| k.hot -= 1);
                 }
                 let to = self.someone();
-                said.push((to, self.word(&told)));
+                events.push((to, self.message(&notified)));
                 self.next_hot = now.saturating_add(self.pace.hot);
             }
         }
@@ -325,15 +325,17 @@
                 }
             });
             let to = self.someone();
-            said.push((to, self.word(&nodes)));
+            events.push((to, self.message(&nodes)));
             let disputed = self.known.iter().filter_map(|(node, k)| Some((*node, k.disputed?))).take(STORIES);
-            said.extend(disputed.map(|(node, of)| (node, Word { disputed: vec![of], ..Word::default() })));
+            events.extend(
+                disputed.map(|(node, of)| (node, Message { disputed: vec![of], ..Message::default() })),
+            );
             let newest = self.changed.back().and_then(|n| self.known.get(n)).map(|k| k.since);
             let lately =
                 newest.is_some_and(|since| now.saturating_sub(since) < self.pace.idle.saturating_mul(5));
             self.next_idle = now.saturating_add(if lately { self.pace.idle / 4 } else { self.pace.idle });
         }
-        said
+        events
     }
 
     /// When something is to be said.
@@ -345,13 +347,13 @@
     }
 
     /// What has come to be known since it was last asked.
-    pub fn news(&mut self) -> Vec<News> {
-        std::mem::take(&mut self.news)
+    pub fn take_updates(&mut self) -> Vec<AuditUpdate> {
+        std::mem::take(&mut self.updates)
     }
 
     /// Where each node stands: its story, what steers it where that was told, since when that is known here and when it was heard last.
-    pub fn stand(&self) -> impl Iterator<Item = (&Story, Option<&Vector>, Micros, Micros)> {
-        self.known.values().map(|k| (&k.story, self.vectors.get(&k.story.content), k.since, k.heard))
+    pub fn readiness(&self) -> impl Iterator<Item = (&Story, Option<&Vector>, Micros, Micros)> {
+        self.known.values().map(|k| (&k.story, self.vectors.get(&k.story.content), k.since, k.received))
     }
 
     /// Points of a node's record as they were told, to verify it by.
--- a/crates/audit/src/rollout.rs
+++ b/crates/audit/src/rollout.rs
@@ -61,7 +61,7 @@
     Worse,
     /// It was not decided in time, or the canaries did not take it.
     Undecided,
-    /// Too many did not take it ([`crate::behind::Said::Stopped`]).
+    /// Too many did not take it ([`crate::version_lag::LagEvent::Stopped`]).
     Stopped,
     /// An operator said so.
     ByHand,
@@ -71,7 +71,7 @@
 
 /// What the test says so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum StageResult {
     /// As good as the others.
     Well,
     /// Worse.
@@ -101,9 +101,9 @@
 }
 
 /// Judge `new` beside `old`.
-pub fn judge(steps: &Steps, old: Counts, new: Counts) -> Verdict {
+pub fn judge(steps: &Steps, old: Counts, new: Counts) -> StageResult {
     if old.all() < ENOUGH {
-        return Verdict::Open;
+        return StageResult::Open;
     }
     let usual = (old.bad as f64 / old.all() as f64).max(steps.least).min(0.5);
     // What fails nearly always can't fail twice as often; it may still fail more often than not.
@@ -111,11 +111,11 @@
     let ratio =
         new.bad as f64 * (worse / usual).ln() + new.good as f64 * ((1.0 - worse) / (1.0 - usual)).ln();
     if ratio >= ((1.0 - steps.beta) / steps.alpha).ln() {
-        Verdict::Worse
+        StageResult::Worse
     } else if ratio <= (steps.beta / (1.0 - steps.alpha)).ln() {
-        Verdict::Well
+        StageResult::Well
     } else {
-        Verdict::Open
+        StageResult::Open
     }
 }
 
@@ -226,12 +226,12 @@
     /// What follows by now, if anything.
     pub fn pass(&mut self, now: Micros) -> Option<(Stage, Why)> {
         let watched = self.complete.is_some_and(|at| now - at >= self.steps.watch);
-        let verdict = judge(&self.steps, self.old, self.new);
-        match (self.stage, verdict) {
-            (Stage::Canary | Stage::Rest, Verdict::Worse) => {
+        let outcome = judge(&self.steps, self.old, self.new);
+        match (self.stage, outcome) {
+            (Stage::Canary | Stage::Rest, StageResult::Worse) => {
                 Some(self.moved(Stage::CalledBack, Why::Worse, now))
             }
-            (Stage::Canary, Verdict::Well) if watched => {
+            (Stage::Canary, StageResult::Well) if watched => {
                 // The rest is judged by what it does itself.
                 self.new = Counts::default();
                 Some(self.moved(Stage::Rest, Why::Well, now))
--- a/crates/audit/src/version.rs
+++ b/crates/audit/src/version.rs
@@ -202,7 +202,7 @@
     }
 
     /// What others need to know of it: not the list, which changes all the time, nor what each node counts for itself.
-    pub fn told(&self) -> Vector {
+    pub fn notified(&self) -> Vector {
         let items = self.0.iter().filter(|(item, _)| **item != Item::List);
         let plain = |item: Item, v: &Version| {
             let number = if item.is_numbered() { v.number } else { 0 };
--- a/crates/audit/src/behind.rs
+++ b/crates/audit/src/version_lag.rs
@@ -84,7 +84,8 @@
     /// It was not heard.
     Silent,
     /// It was heard again.
-    Heard,
+    #[serde(rename = "Heard")]
+    Received,
     /// A peer has pushed what it lacks.
     Pushed,
     /// It acts on what is required.
@@ -97,7 +98,7 @@
 
 /// One thing that has come about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Said {
+pub enum LagEvent {
     /// A node's state has changed.
     Moved {
         /// Which node.
@@ -131,7 +132,8 @@
     state: State,
     /// Since when it is in that state.
     since: Micros,
-    heard: Micros,
+    #[serde(rename = "heard")]
+    received: Micros,
     /// Since when it acts on something older.
     older: Option<Micros>,
     reported: Vector,
@@ -150,7 +152,8 @@
     before: Vector,
     stopped: bool,
     nodes: BTreeMap<u32, Node>,
-    said: Vec<Said>,
+    #[serde(rename = "said")]
+    events: Vec<LagEvent>,
 }
 
 impl Overseer {
@@ -162,7 +165,7 @@
             before: Vector::default(),
             stopped: false,
             nodes: BTreeMap::new(),
-            said: Vec::new(),
+            events: Vec::new(),
         }
     }
 
@@ -173,7 +176,7 @@
             self.nodes.entry(*node).or_insert_with(|| Node {
                 state: State::Unreached,
                 since: now,
-                heard: now,
+                received: now,
                 older: None,
                 reported: Vector::default(),
                 acted: None,
@@ -210,7 +213,7 @@
     /// A node's own word of what steers it. One of nobody that is known changes nothing.
     pub fn report(&mut self, node: u32, vector: &Vector, now: Micros) {
         if let Some(node) = self.nodes.get_mut(&node) {
-            node.heard = node.heard.max(now);
+            node.received = node.received.max(now);
             node.reported = vector.clone();
         }
         self.pass(now);
@@ -228,7 +231,7 @@
     pub fn pushed(&mut self, number: u32, now: Micros) {
         if let Some(node) = self.nodes.get_mut(&number).filter(|n| n.state == State::Behind) {
             node.state = State::BringingUp;
-            self.said.push(Said::Moved {
+            self.events.push(LagEvent::Moved {
                 node: number,
                 from: State::Behind,
                 to: State::BringingUp,
@@ -257,8 +260,8 @@
     }
 
     /// What has come about since it was last asked.
-    pub fn says(&mut self) -> Vec<Said> {
-        std::mem::take(&mut self.said)
+    pub fn take_outgoing(&mut self) -> Vec<LagEvent> {
+        std::mem::take(&mut self.events)
     }
 
     /// So many may be shut out at once.
@@ -286,7 +289,7 @@
                 State::Readmitted => Some(n.since + rules.hold),
                 _ => None,
             };
-            let silent = (n.state != State::Unreached).then(|| n.heard + rules.silent);
+            let silent = (n.state != State::Unreached).then(|| n.received + rules.silent);
             ends.into_iter().chain(silent).min()
         };
         self.nodes.values().filter_map(of).min()
@@ -316,19 +319,20 @@
         let (state, since, rules) = (node.state, node.since, self.rules);
         let two = node.reported.against(&self.required).into_iter().filter(|(_, lag)| *lag == Lag::Apart);
         let two: Vec<Item> = two.map(|(item, _)| item).filter(|item| !node.two.contains(item)).collect();
-        let silent = now - node.heard >= rules.silent;
+        let silent = now - node.received >= rules.silent;
         // A node that was never heard has said nothing.
-        let heard = node.heard > since || (node.heard == since && node.reported != Vector::default());
+        let received =
+            node.received > since || (node.received == since && node.reported != Vector::default());
         let because = |(item, contradicts)| match contradicts {
             true => Why::Contradicts(item),
             false => Why::Older(item),
         };
         let to = match (state, behind) {
-            (State::Unreached, _) if silent || !heard => None,
+            (State::Unreached, _) if silent || !received => None,
             (_, _) if silent => Some((State::Unreached, Why::Silent)),
             // It was away: it is brought up from now on, and may not place meanwhile what must not run twice.
-            (State::Unreached, Some(_)) => Some((State::Confined, Why::Heard)),
-            (State::Unreached, None) => Some((State::Readmitted, Why::Heard)),
+            (State::Unreached, Some(_)) => Some((State::Confined, Why::Received)),
+            (State::Unreached, None) => Some((State::Readmitted, Why::Received)),
             (State::Current, Some(why)) if older.is_some_and(|older| now - older >= rules.behind) => {
                 Some((State::Behind, because(why)))
             }
@@ -348,17 +352,17 @@
             let out = self.nodes.values().filter(|n| n.state == State::ShutOut).count();
             if out + 1 > self.most_out() {
                 self.stopped = true;
-                self.said.push(Said::Stopped { out, wanted: out + 1 });
+                self.events.push(LagEvent::Stopped { out, wanted: out + 1 });
                 return true;
             }
         }
-        self.said.extend(two.iter().map(|item| Said::Two { node: number, item: *item }));
+        self.events.extend(two.iter().map(|item| LagEvent::Two { node: number, item: *item }));
         if let Some(node) = self.nodes.get_mut(&number) {
             node.two.extend(two);
             node.older = older;
             if let Some((to, why)) = to {
                 (node.state, node.since) = (to, now);
-                self.said.push(Said::Moved { node: number, from: state, to, why });
+                self.events.push(LagEvent::Moved { node: number, from: state, to, why });
             }
         }
         to.is_some()
--- a/crates/audit/tests/behind.rs
+++ b/crates/audit/tests/behind.rs
@@ -1,8 +1,8 @@
 //! Who is behind, what follows and when; never more shut out than may be.
 
 use proptest::prelude::*;
-use shorepath_audit::behind::{Admits, Overseer, Rules, Said, State, Why};
 use shorepath_audit::version::{Content, Item, Vector};
+use shorepath_audit::version_lag::{Admits, LagEvent, Overseer, Rules, State, Why};
 use shorepath_audit::Micros;
 
 const S: Micros = 1_000_000;
@@ -24,7 +24,7 @@
         now += S;
     }
     assert!((0..nodes).all(|n| overseer.state(n) == Some(State::Current)));
-    overseer.says();
+    overseer.take_outgoing();
     overseer
 }
 
@@ -34,37 +34,37 @@
     nodes: u32,
     from: i64,
     to: i64,
-    word: impl Fn(u32, i64) -> Option<Vector>,
-) -> Vec<(i64, Said)> {
-    let mut said = Vec::new();
+    message: impl Fn(u32, i64) -> Option<Vector>,
+) -> Vec<(i64, LagEvent)> {
+    let mut events = Vec::new();
     for second in from..to {
         for node in 0..nodes {
             if overseer.state(node) == Some(State::Behind) {
                 overseer.pushed(node, second * S);
             }
-            if let Some(vector) = word(node, second) {
+            if let Some(vector) = message(node, second) {
                 overseer.report(node, &vector, second * S);
             }
         }
         overseer.pass(second * S);
-        said.extend(overseer.says().into_iter().map(|s| (second, s)));
+        events.extend(overseer.take_outgoing().into_iter().map(|s| (second, s)));
     }
-    said
+    events
 }
 
-fn moves(said: &[(i64, Said)], of: u32) -> Vec<(i64, State)> {
-    let to = |(second, said): &(i64, Said)| match said {
-        Said::Moved { node, to, .. } if *node == of => Some((*second, *to)),
+fn moves(events: &[(i64, LagEvent)], of: u32) -> Vec<(i64, State)> {
+    let to = |(second, events): &(i64, LagEvent)| match events {
+        LagEvent::Moved { node, to, .. } if *node == of => Some((*second, *to)),
         _ => None,
     };
-    said.iter().filter_map(to).collect()
+    events.iter().filter_map(to).collect()
 }
 
 #[test]
 fn a_straggler_is_brought_up_confined_shut_out_and_readmitted_each_at_its_time() {
     let mut overseer = fleet(20);
     overseer.require(at(2));
-    let said = play(&mut overseer, 20, 101, 160, |node, second| match node {
+    let events = play(&mut overseer, 20, 101, 160, |node, second| match node {
         3 if second < 140 => Some(at(1)),
         _ => Some(at(2)),
     });
@@ -76,8 +76,8 @@
         (140, State::Readmitted),
         (150, State::Current),
     ];
-    assert_eq!(moves(&said, 3), expected);
-    assert_eq!(said.len(), expected.len(), "nobody else moved: {said:?}");
+    assert_eq!(moves(&events, 3), expected);
+    assert_eq!(events.len(), expected.len(), "nobody else moved: {events:?}");
 }
 
 #[test]
@@ -85,15 +85,15 @@
     let mut overseer = fleet(20);
     overseer.require(at(2));
     // Half of the fleet rejects the file.
-    let said = play(&mut overseer, 20, 101, 140, |node, _| Some(at(if node < 10 { 1 } else { 2 })));
+    let events = play(&mut overseer, 20, 101, 140, |node, _| Some(at(if node < 10 { 1 } else { 2 })));
     let out = (0..20).filter(|n| overseer.state(*n) == Some(State::ShutOut)).count();
-    let stopped: Vec<_> = said.iter().filter(|(_, s)| matches!(s, Said::Stopped { .. })).collect();
-    assert_eq!(stopped.len(), 1, "{said:?}");
+    let stopped: Vec<_> = events.iter().filter(|(_, s)| matches!(s, LagEvent::Stopped { .. })).collect();
+    assert_eq!(stopped.len(), 1, "{events:?}");
     assert_eq!(stopped[0].0, 126);
     // What was required before counts as well, so all of them are back, those that were shut out, too.
-    assert_eq!(out, 0, "{said:?}");
-    let said = play(&mut overseer, 20, 140, 160, |node, _| Some(at(if node < 10 { 1 } else { 2 })));
-    assert!((0..20).all(|n| overseer.state(n) == Some(State::Current)), "{said:?}");
+    assert_eq!(out, 0, "{events:?}");
+    let events = play(&mut overseer, 20, 140, 160, |node, _| Some(at(if node < 10 { 1 } else { 2 })));
+    assert!((0..20).all(|n| overseer.state(n) == Some(State::Current)), "{events:?}");
     // Called back: the old content under a greater number. Whoever lags then is judged again.
     overseer.require(at(3));
     assert!(!overseer.is_stopped());
@@ -106,14 +106,16 @@
 fn a_node_that_reports_a_change_and_does_not_act_on_it_is_behind() {
     let mut overseer = fleet(10);
     overseer.require(at(2));
-    let mut said = Vec::new();
+    let mut events = Vec::new();
     for second in 101..130 {
         (0..10).for_each(|n| overseer.report(n, &at(2), second * S));
         overseer.acted(4, &at(1), second * S);
-        said.extend(overseer.says().into_iter().map(|s| (second, s)));
+        events.extend(overseer.take_outgoing().into_iter().map(|s| (second, s)));
     }
     assert_eq!(overseer.state(4), Some(State::ShutOut));
-    assert!(said.iter().any(|(_, s)| matches!(s, Said::Moved { why: Why::Contradicts(Item::Sites), .. })));
+    assert!(events
+        .iter()
+        .any(|(_, s)| matches!(s, LagEvent::Moved { why: Why::Contradicts(Item::Sites), .. })));
     overseer.acted(4, &at(2), 130 * S);
     assert_eq!(overseer.state(4), Some(State::Readmitted));
 }
@@ -124,12 +126,12 @@
     overseer.require(at(2));
     play(&mut overseer, 10, 101, 130, |node, second| Some(at(if node == 1 && second < 128 { 1 } else { 2 })));
     assert_eq!(overseer.state(1), Some(State::Readmitted));
-    let said = play(&mut overseer, 10, 130, 131, |node, _| Some(at(if node == 1 { 1 } else { 2 })));
+    let events = play(&mut overseer, 10, 130, 131, |node, _| Some(at(if node == 1 { 1 } else { 2 })));
     assert_eq!(
-        said,
+        events,
         [(
             130,
-            Said::Moved {
+            LagEvent::Moved {
                 node: 1,
                 from: State::Readmitted,
                 to: State::Confined,
@@ -144,15 +146,15 @@
     let mut overseer = fleet(10);
     // Both halves of a partition: nobody of the other half is heard, and the change goes on.
     overseer.require(at(2));
-    let said = play(&mut overseer, 10, 101, 160, |node, _| (node < 5).then(|| at(2)));
+    let events = play(&mut overseer, 10, 101, 160, |node, _| (node < 5).then(|| at(2)));
     assert!(!overseer.is_stopped());
-    assert!((5..10).all(|n| overseer.state(n) == Some(State::Unreached)), "{said:?}");
+    assert!((5..10).all(|n| overseer.state(n) == Some(State::Unreached)), "{events:?}");
     assert_eq!(overseer.admits(7), Admits::Repeatable);
-    let said = play(&mut overseer, 10, 160, 175, |node, second| {
+    let events = play(&mut overseer, 10, 160, 175, |node, second| {
         Some(at(if node >= 5 && second < 163 { 1 } else { 2 }))
     });
     let expected = [(160, State::Confined), (163, State::Readmitted), (173, State::Current)];
-    assert_eq!(moves(&said, 7), expected);
+    assert_eq!(moves(&events, 7), expected);
 }
 
 #[test]
@@ -161,9 +163,9 @@
     overseer.require(at(2));
     let mut other = Vector::default();
     other.take(Item::Sites, Content::of(b"another"), Some(2)).unwrap();
-    let said =
+    let events =
         play(&mut overseer, 10, 101, 150, |node, _| Some(if node == 6 { other.clone() } else { at(2) }));
-    assert_eq!(said, [(101, Said::Two { node: 6, item: Item::Sites })]);
+    assert_eq!(events, [(101, LagEvent::Two { node: 6, item: Item::Sites })]);
 }
 
 proptest! {
@@ -193,9 +195,9 @@
             let out = (0..nodes).filter(|n| overseer.state(*n) == Some(State::ShutOut)).count();
             prop_assert!(out <= overseer.most_out(), "{out} of {}", overseer.most_out());
             prop_assert!(overseer.due().is_none_or(|due| due > now), "due {:?} at {now}", overseer.due());
-            let said = overseer.says();
+            let events = overseer.take_outgoing();
             overseer.pass(now);
-            prop_assert!(overseer.says().is_empty(), "a second pass says more than {said:?}");
+            prop_assert!(overseer.take_outgoing().is_empty(), "a second pass says more than {events:?}");
         }
     }
 }
--- a/crates/audit/tests/model.rs
+++ b/crates/audit/tests/model.rs
@@ -1,7 +1,7 @@
 //! A node that confines itself, and who answers it: all orders of asking, answering, losing, doubling, crashing and of a clock that
 //! is off. Once the time has passed that [`Own::outlives`] says, nothing guarded is done that was forbidden.
 
-use shorepath_audit::behind::{Admits, Own};
+use shorepath_audit::version_lag::{Admits, Own};
 use stateright::{Checker, Model, Property};
 
 const LEASE: i64 = 4;
@@ -35,7 +35,7 @@
     answers: Vec<((u8, i64), u64, Admits)>,
     numbered: u64,
     /// Who answers says no more than this from now on.
-    says: Admits,
+    outgoing_messages: Admits,
     /// When it last said that all may be done.
     last_all: Option<i64>,
     crashes: u8,
@@ -69,7 +69,7 @@
             asks: Vec::new(),
             answers: Vec::new(),
             numbered: 0,
-            says: Admits::All,
+            outgoing_messages: Admits::All,
             last_all: None,
             crashes: 0,
         }]
@@ -91,7 +91,7 @@
         steps.extend(
             world.answers.iter().map(|(asked, number, admits)| Step::Arrive(*asked, *number, *admits)),
         );
-        if world.says == Admits::All {
+        if world.outgoing_messages == Admits::All {
             steps.push(Step::Confine);
         }
         if world.crashes == 0 {
@@ -113,10 +113,10 @@
             Step::Ask => world.asks.push((world.crashes, world.clock)),
             Step::Answer(asked) => {
                 world.numbered += 1;
-                if world.says == Admits::All {
+                if world.outgoing_messages == Admits::All {
                     world.last_all = Some(world.now);
                 }
-                world.answers.push((asked, world.numbered, world.says));
+                world.answers.push((asked, world.numbered, world.outgoing_messages));
             }
             Step::Arrive((life, asked), number, admits) => {
                 let asked = if self.0 == Planted::FromArrival { world.clock } else { asked };
@@ -125,7 +125,7 @@
                     return None;
                 }
             }
-            Step::Confine => world.says = Admits::Repeatable,
+            Step::Confine => world.outgoing_messages = Admits::Repeatable,
             Step::Crash => {
                 world.crashes += 1;
                 if self.0 != Planted::CrashKeeps {
@@ -143,7 +143,7 @@
             Property::always("confined once the time is over", |fleet: &Fleet, world: &World| {
                 let drift = if fleet.0 == Planted::NoDrift { 0 } else { DRIFT };
                 let over = world.last_all.is_none_or(|last| world.now - last >= Own::outlives(LEASE, drift));
-                let confined = world.says < Admits::All && over;
+                let confined = world.outgoing_messages < Admits::All && over;
                 !confined || world.own.admits(world.clock) < Admits::All
             }),
             Property::sometimes("a confirmed node does all", |_, world: &World| {
--- a/crates/audit/tests/peers.rs
+++ b/crates/audit/tests/peers.rs
@@ -3,8 +3,8 @@
 
 use proptest::prelude::*;
 use rstest::rstest;
-use shorepath_audit::peers::{News, Pace, Peers, Story, Word};
-use shorepath_audit::record::{Digest, Point};
+use shorepath_audit::audit_log::{Digest, Point};
+use shorepath_audit::gossip::{AuditUpdate, Message, Pace, Peers, Story};
 use shorepath_audit::version::{Content, Item, Vector};
 use shorepath_audit::Micros;
 use std::collections::BTreeMap;
@@ -25,10 +25,10 @@
 struct Net {
     nodes: Vec<Peers>,
     now: Micros,
-    flying: Vec<(Micros, u32, Word)>,
+    flying: Vec<(Micros, u32, Message)>,
     lost_of_ten: u64,
     chance: u64,
-    words: u64,
+    messages: u64,
     bytes: usize,
 }
 
@@ -37,12 +37,12 @@
         let all: Vec<u32> = (0..count).collect();
         let chance = |n: u32| u64::from(n).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x1234_5678;
         let nodes = all.iter().map(|n| Peers::new(*n, &all, Pace::default(), chance(*n), 0)).collect();
-        Net { nodes, now: 0, flying: Vec::new(), lost_of_ten, chance: 7, words: 0, bytes: 0 }
+        Net { nodes, now: 0, flying: Vec::new(), lost_of_ten, chance: 7, messages: 0, bytes: 0 }
     }
 
-    fn tell(&mut self, node: u32, version: u64) {
+    fn report(&mut self, node: u32, version: u64) {
         let (now, unix) = (self.now, self.now + 1_000_000_000);
-        self.nodes[node as usize].tell(&vector(version), u64::from(node), point(version, 1), unix, now);
+        self.nodes[node as usize].report(&vector(version), u64::from(node), point(version, 1), unix, now);
     }
 
     fn step(&mut self) {
@@ -50,20 +50,20 @@
         let now = self.now;
         let (come, flying) = std::mem::take(&mut self.flying).into_iter().partition(|(at, ..)| *at <= now);
         self.flying = flying;
-        let come: Vec<(Micros, u32, Word)> = come;
-        for (_, to, word) in come {
-            self.nodes[to as usize].hear(&word, now);
+        let come: Vec<(Micros, u32, Message)> = come;
+        for (_, to, message) in come {
+            self.nodes[to as usize].receive(&message, now);
         }
         for node in &mut self.nodes {
-            for (to, word) in node.says(now) {
-                self.words += 1;
-                self.bytes += postcard::to_stdvec(&word).unwrap().len();
+            for (to, message) in node.take_outgoing(now) {
+                self.messages += 1;
+                self.bytes += postcard::to_stdvec(&message).unwrap().len();
                 self.chance = self
                     .chance
                     .wrapping_mul(6_364_136_223_846_793_005)
                     .wrapping_add(1_442_695_040_888_963_407);
                 if (self.chance >> 33) % 10 >= self.lost_of_ten {
-                    self.flying.push((now + 20 * MS, to, word));
+                    self.flying.push((now + 20 * MS, to, message));
                 }
             }
         }
@@ -71,9 +71,9 @@
 
     /// How many know that `of` stands at that version.
     fn knowing(&self, of: u32, version: u64) -> usize {
-        let content = vector(version).told().content();
+        let content = vector(version).notified().content();
         let knows =
-            |n: &&Peers| n.stand().any(|(s, v, ..)| s.node == of && s.content == content && v.is_some());
+            |n: &&Peers| n.readiness().any(|(s, v, ..)| s.node == of && s.content == content && v.is_some());
         self.nodes.iter().filter(knows).count()
     }
 }
@@ -81,19 +81,19 @@
 /// Until half, 99 in 100 and all know one node's change, in ms; words and bytes a node and second when idle.
 fn measured(count: u32, lost_of_ten: u64) -> ([Micros; 3], f64, f64) {
     let mut net = Net::new(count, lost_of_ten);
-    (0..count).for_each(|n| net.tell(n, 1));
+    (0..count).for_each(|n| net.report(n, 1));
     while (0..count).any(|of| net.knowing(of, 1) < count as usize) {
         (0..50).for_each(|_| net.step());
         assert!(net.now < 600_000 * MS, "not all know all after ten minutes");
     }
     // Until nothing is hot any more.
     (0..2_000).for_each(|_| net.step());
-    let (words, bytes, since) = (net.words, net.bytes, net.now);
+    let (messages, bytes, since) = (net.messages, net.bytes, net.now);
     (0..1_000).for_each(|_| net.step());
     let span = (net.now - since) as f64 / 1e6 * f64::from(count);
-    let idle = ((net.words - words) as f64 / span, (net.bytes - bytes) as f64 / span);
+    let idle = ((net.messages - messages) as f64 / span, (net.bytes - bytes) as f64 / span);
     let begun = net.now;
-    net.tell(3, 2);
+    net.report(3, 2);
     let mut reached = [0; 3];
     let wanted = [count.div_ceil(2), (count * 99).div_ceil(100), count];
     while reached[2] == 0 {
@@ -114,10 +114,10 @@
 #[case::many(60, 0)]
 #[case::lossy(60, 3)]
 fn a_change_is_known_everywhere_within_seconds_and_idle_words_are_few(#[case] count: u32, #[case] lost: u64) {
-    let (reached, words, bytes) = measured(count, lost);
-    println!("{count} nodes, {lost} of 10 lost: {reached:?} ms, {words:.2} words, {bytes:.0} bytes");
+    let (reached, messages, bytes) = measured(count, lost);
+    println!("{count} nodes, {lost} of 10 lost: {reached:?} ms, {messages:.2} words, {bytes:.0} bytes");
     assert!(reached[1] <= 2_000 && reached[2] <= 10_000, "{reached:?}");
-    assert!(words <= 1.05 && bytes <= 1_200.0, "{words} words, {bytes} bytes");
+    assert!(messages <= 1.05 && bytes <= 1_200.0, "{messages} words, {bytes} bytes");
 }
 
 /// `cargo test --release -p shorepath-audit --test peers -- --ignored --nocapture`
@@ -125,19 +125,19 @@
 #[ignore = "minutes: for the table in the design note"]
 fn table() {
     for (count, lost) in [(5, 0), (100, 0), (100, 3), (300, 0), (300, 3), (1_000, 0)] {
-        let (reached, words, bytes) = measured(count, lost);
-        println!("{count} nodes, {lost} of 10 lost: {reached:?} ms, {words:.2} words, {bytes:.0} bytes");
+        let (reached, messages, bytes) = measured(count, lost);
+        println!("{count} nodes, {lost} of 10 lost: {reached:?} ms, {messages:.2} words, {bytes:.0} bytes");
     }
 }
 
 /// What node 2 says of itself, heard by node 1.
-fn heard(stories: &[Story]) -> Vec<News> {
+fn received(stories: &[Story]) -> Vec<AuditUpdate> {
     let mut node = Peers::new(1, &[1, 2], Pace::default(), 5, 0);
-    node.tell(&vector(1), 9, point(1, 1), 0, 0);
+    node.report(&vector(1), 9, point(1, 1), 0, 0);
     for (n, story) in stories.iter().enumerate() {
-        node.hear(&Word { stories: vec![*story], ..Word::default() }, n as Micros);
+        node.receive(&Message { stories: vec![*story], ..Message::default() }, n as Micros);
     }
-    node.news()
+    node.take_updates()
 }
 
 fn story(at: Micros, life: u64, head: Point) -> Story {
@@ -147,77 +147,77 @@
 #[test]
 fn a_record_that_contradicts_itself_goes_back_or_begins_anew_is_named() {
     let first = story(10, 4, point(7, 1));
-    let changed = News::Changed { node: 2, content: first.content };
-    assert_eq!(heard(&[first, story(11, 4, point(9, 1))]), std::slice::from_ref(&changed));
-    let contradicts = News::Contradicts { node: 2, number: 7 };
-    assert_eq!(heard(&[first, story(11, 4, point(7, 2))]), [changed.clone(), contradicts.clone()]);
+    let changed = AuditUpdate::Changed { node: 2, content: first.content };
+    assert_eq!(received(&[first, story(11, 4, point(9, 1))]), std::slice::from_ref(&changed));
+    let contradicts = AuditUpdate::Contradicts { node: 2, number: 7 };
+    assert_eq!(received(&[first, story(11, 4, point(7, 2))]), [changed.clone(), contradicts.clone()]);
     // Also where it has gone on in the meantime, and tells of an earlier entry again.
-    let back = News::WentBack { node: 2, was: 9, is: 7 };
+    let back = AuditUpdate::WentBack { node: 2, was: 9, is: 7 };
     let stories = [first, story(11, 4, point(9, 1)), story(12, 4, point(7, 2))];
-    assert_eq!(heard(&stories), [changed.clone(), back, contradicts]);
+    assert_eq!(received(&stories), [changed.clone(), back, contradicts]);
     assert_eq!(
-        heard(&[first, story(11, 5, point(1, 3))]),
-        [changed.clone(), News::AnotherRecord { node: 2 }]
+        received(&[first, story(11, 5, point(1, 3))]),
+        [changed.clone(), AuditUpdate::AnotherRecord { node: 2 }]
     );
     // What is older says nothing, whoever tells it.
-    assert_eq!(heard(&[first, story(9, 5, point(1, 3)), story(10, 6, point(1, 3))]), [changed]);
+    assert_eq!(received(&[first, story(9, 5, point(1, 3)), story(10, 6, point(1, 3))]), [changed]);
 }
 
 /// Whoever heard the other story tells it so, until it begins another record.
 #[test]
 fn a_record_that_went_back_is_told_so_until_another_begins() {
     let mut node = Peers::new(1, &[1, 2, 3], Pace::default(), 5, 0);
-    node.tell(&vector(1), 9, point(1, 1), 0, 0);
-    let hear = |node: &mut Peers, story, now| {
-        node.hear(&Word { stories: vec![story], ..Word::default() }, now);
-        let said = node.says(now).into_iter().filter(|(to, w)| *to == 2 && !w.disputed.is_empty());
-        said.map(|(_, w)| w.disputed).collect::<Vec<_>>()
+    node.report(&vector(1), 9, point(1, 1), 0, 0);
+    let receive = |node: &mut Peers, story, now| {
+        node.receive(&Message { stories: vec![story], ..Message::default() }, now);
+        let events = node.take_outgoing(now).into_iter().filter(|(to, w)| *to == 2 && !w.disputed.is_empty());
+        events.map(|(_, w)| w.disputed).collect::<Vec<_>>()
     };
-    assert!(hear(&mut node, story(10, 4, point(7, 1)), 0).is_empty());
-    assert_eq!(hear(&mut node, story(11, 4, point(5, 1)), 10), [[(4, point(7, 1))]]);
+    assert!(receive(&mut node, story(10, 4, point(7, 1)), 0).is_empty());
+    assert_eq!(receive(&mut node, story(11, 4, point(5, 1)), 10), [[(4, point(7, 1))]]);
     // It goes on past that, and tells the number otherwise.
-    assert_eq!(hear(&mut node, story(12, 4, point(7, 2)), 2_000_000), [[(4, point(7, 1))]]);
-    assert_eq!(hear(&mut node, story(13, 4, point(9, 2)), 4_000_000), [[(4, point(7, 1))]]);
-    assert!(hear(&mut node, story(14, 5, point(1, 2)), 6_000_000).is_empty());
+    assert_eq!(receive(&mut node, story(12, 4, point(7, 2)), 2_000_000), [[(4, point(7, 1))]]);
+    assert_eq!(receive(&mut node, story(13, 4, point(9, 2)), 4_000_000), [[(4, point(7, 1))]]);
+    assert!(receive(&mut node, story(14, 5, point(1, 2)), 6_000_000).is_empty());
     // The one that is told so looks it up.
-    let mut told = Peers::new(2, &[1, 2, 3], Pace::default(), 5, 0);
-    told.hear(&Word { disputed: vec![(4, point(7, 1))], ..Word::default() }, 1);
-    assert_eq!(told.news(), [News::OfOwn { life: 4, point: point(7, 1) }]);
+    let mut notified = Peers::new(2, &[1, 2, 3], Pace::default(), 5, 0);
+    notified.receive(&Message { disputed: vec![(4, point(7, 1))], ..Message::default() }, 1);
+    assert_eq!(notified.take_updates(), [AuditUpdate::OfOwn { life: 4, point: point(7, 1) }]);
 }
 
 #[test]
 fn a_node_whose_clock_went_back_is_heard_again_and_learns_what_others_know_of_its_record() {
     let mut node = Peers::new(1, &[1, 2], Pace::default(), 5, 0);
-    node.tell(&vector(1), 9, point(3, 1), 500, 0);
+    node.report(&vector(1), 9, point(3, 1), 500, 0);
     let before = Story { node: 1, at: 900, life: 9, head: point(8, 2), content: Content::of_number(1) };
-    node.hear(&Word { stories: vec![before], ..Word::default() }, 1);
-    assert_eq!(node.news(), [News::OfOwn { life: 9, point: point(8, 2) }]);
-    let own = node.stand().next().unwrap().0;
+    node.receive(&Message { stories: vec![before], ..Message::default() }, 1);
+    assert_eq!(node.take_updates(), [AuditUpdate::OfOwn { life: 9, point: point(8, 2) }]);
+    let own = node.readiness().next().unwrap().0;
     assert_eq!((own.at, own.head), (901, point(3, 1)));
     // And so are its further stories.
-    node.tell(&vector(2), 9, point(4, 1), 501, 2);
-    assert_eq!(node.stand().next().unwrap().0.at, 902);
+    node.report(&vector(2), 9, point(4, 1), 501, 2);
+    assert_eq!(node.readiness().next().unwrap().0.at, 902);
 }
 
 proptest! {
     /// Whatever comes, in whatever order and however often: the newest story of each node of the fleet is known, of nobody else any, and nothing grows.
     #[test]
-    fn the_newest_story_of_each_wins(words in prop::collection::vec(prop::collection::vec((0_u32..8, 0_i64..50, 0_u64..3, 0_u64..40, 0_u64..5), 0..12), 0..60)) {
+    fn the_newest_story_of_each_wins(messages in prop::collection::vec(prop::collection::vec((0_u32..8, 0_i64..50, 0_u64..3, 0_u64..40, 0_u64..5), 0..12), 0..60)) {
         let mut node = Peers::new(0, &[0, 1, 2, 3, 4], Pace::default(), 5, 0);
         let mut newest: BTreeMap<u32, i64> = BTreeMap::new();
-        for (n, word) in words.iter().enumerate() {
+        for (n, message) in messages.iter().enumerate() {
             let of = |(node, at, life, number, content): &(u32, i64, u64, u64, u64)| Story {
                 node: *node, at: *at, life: *life, head: point(*number, 1), content: Content::of_number(*content),
             };
-            let stories: Vec<Story> = word.iter().map(of).collect();
+            let stories: Vec<Story> = message.iter().map(of).collect();
             for story in stories.iter().take(10).filter(|s| (1..5).contains(&s.node)) {
                 newest.entry(story.node).and_modify(|at| *at = story.at.max(*at)).or_insert(story.at);
             }
             let vectors = (0..4).map(|k| vector(n as u64 * 4 + k)).collect();
-            node.hear(&Word { stories, vectors, ..Word::default() }, n as Micros);
-            prop_assert!(node.says(n as Micros * 100_000).iter().all(|(to, w)| *to != 0 && w.stories.len() <= 10 && w.vectors.len() <= 2));
+            node.receive(&Message { stories, vectors, ..Message::default() }, n as Micros);
+            prop_assert!(node.take_outgoing(n as Micros * 100_000).iter().all(|(to, w)| *to != 0 && w.stories.len() <= 10 && w.vectors.len() <= 2));
         }
-        let known: BTreeMap<u32, i64> = node.stand().map(|(s, ..)| (s.node, s.at)).collect();
+        let known: BTreeMap<u32, i64> = node.readiness().map(|(s, ..)| (s.node, s.at)).collect();
         prop_assert_eq!(known, newest);
         for n in 1..5 {
             prop_assert!(node.points(n).is_none_or(|(_, points)| points.len() <= 64));
--- a/crates/audit/tests/record.rs
+++ b/crates/audit/tests/record.rs
@@ -2,8 +2,8 @@
 
 use proptest::prelude::*;
 use rstest::rstest;
-use shorepath_audit::meter::{Meter, Sampling};
-use shorepath_audit::record::{decode, encode, verify, Entry, Point, Record, RecordError, Timed, Why};
+use shorepath_audit::audit_log::{decode, encode, verify, Entry, Point, Record, RecordError, Timed, Why};
+use shorepath_audit::decision_counters::{Meter, Sampling};
 use shorepath_audit::version::{BackError, Content, Item, Lag, Vector};
 use std::collections::BTreeMap;
 
@@ -70,7 +70,7 @@
     assert_eq!(verify(base, numbered(&entries, 0), head, &known), Ok(()));
 }
 
-fn digest(entries: &[Vec<u8>], base: Point, number: usize) -> shorepath_audit::record::Digest {
+fn digest(entries: &[Vec<u8>], base: Point, number: usize) -> shorepath_audit::audit_log::Digest {
     entries[..number].iter().fold(base, |at, kept| at.follow(&kept[32..])).digest
 }
 
@@ -161,7 +161,7 @@
     let sampling = Sampling { one_in: 10, a_second: 20, sum: 1_000_000 };
     let mut meter = Meter::new(sampling, [3; 16], 1, 0);
     let (mut kept, mut refused, mut summed, mut dropped, mut sampled) = (0, 0, 0, 0, 0);
-    let mut tell = |entries: Vec<Entry>| {
+    let mut reply = |entries: Vec<Entry>| {
         for entry in entries {
             match entry {
                 Entry::Sum { counts, vector } => {
@@ -183,9 +183,9 @@
             Some(_) => kept += 1,
             None => {}
         }
-        tell(meter.pass(now));
+        reply(meter.pass(now));
     }
-    tell(meter.turn(2));
+    reply(meter.turn(2));
     assert_eq!(summed, 100_000);
     assert_eq!(kept + refused + dropped, sampled);
     // 20 at once and 20 a second.
--- a/crates/audit/tests/rollout.rs
+++ b/crates/audit/tests/rollout.rs
@@ -1,7 +1,7 @@
 //! A change in steps: how often it is judged wrongly, how soon, and what ends it.
 
 use rstest::rstest;
-use shorepath_audit::rollout::{judge, Counts, Rollout, Stage, Steps, Verdict, Why};
+use shorepath_audit::rollout::{judge, Counts, Rollout, Stage, StageResult, Steps, Why};
 
 const S: i64 = 1_000_000;
 
@@ -24,18 +24,18 @@
     for _ in 0..1_000 {
         let (mut old, mut new) = (Counts::default(), Counts::default());
         // The others are nine times as many.
-        let verdict = loop {
+        let outcome = loop {
             for _ in 0..9 {
                 *(if chance.next() < usual { &mut old.bad } else { &mut old.good }) += 1;
             }
             *(if chance.next() < now { &mut new.bad } else { &mut new.good }) += 1;
             match judge(&steps, old, new) {
-                Verdict::Open if new.good + new.bad < 1_000_000 => {}
-                verdict => break verdict,
+                StageResult::Open if new.good + new.bad < 1_000_000 => {}
+                outcome => break outcome,
             }
         };
-        assert_ne!(verdict, Verdict::Open);
-        worse += u32::from(verdict == Verdict::Worse);
+        assert_ne!(outcome, StageResult::Open);
+        worse += u32::from(outcome == StageResult::Worse);
         jobs += new.good + new.bad;
     }
     (f64::from(worse) / 1_000.0, jobs as f64 / 1_000.0)
--- a/crates/lab/src/budgets.rs
+++ b/crates/lab/src/budgets.rs
@@ -1,4 +1,4 @@
-//! Fleet-wide budgets in virtual time: the real dividers, ledgers and seats of `shorepath-budgets`, with a network that loses,
+//! Fleet-wide budgets in virtual time: the real dividers, ledgers and seats of `shorepath-quota`, with a network that loses,
 //! delays, doubles and cuts, processes that die and stand still, clocks that drift, and an agreement that takes its time.
 //!
 //! What is emulated of the agreement is what its library promises: one order of entries, a leader that is replaced after a while,
@@ -8,12 +8,12 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rayon::prelude::*;
-use shorepath_budgets::divider::{Divider, Entry};
-use shorepath_budgets::file::{Budget, Per, Place, Plan};
-use shorepath_budgets::meter::Meter;
-use shorepath_budgets::seat::{Seat, Use};
-use shorepath_budgets::words::Word;
-use shorepath_budgets::{Life, Micros, NodeId};
+use shorepath_quota::allocator::{Allocator, Entry};
+use shorepath_quota::client::{QuotaClient, Use};
+use shorepath_quota::config::{Budget, Per, Place, Plan};
+use shorepath_quota::messages::Message;
+use shorepath_quota::rate_limiter::Meter;
+use shorepath_quota::{Micros, NodeId, NodeIncarnation};
 use std::collections::{BTreeMap, VecDeque};
 
 const MS: Micros = 1_000;
@@ -115,7 +115,7 @@
 struct Node {
     name: String,
     /// Its process, if one runs.
-    seat: Option<Seat>,
+    seat: Option<QuotaClient>,
     clock: Clock,
     meter: Meter,
     lives: u64,
@@ -131,7 +131,7 @@
 }
 
 struct Voter {
-    divider: Divider,
+    divider: Allocator,
     clock: Clock,
     applied: usize,
     halted: Micros,
@@ -185,7 +185,7 @@
     Plan {
         version: 1,
         nodes: trial.nodes,
-        dividers: (0..trial.dividers).map(|k| place('d', k)).collect(),
+        allocators: (0..trial.dividers).map(|k| place('d', k)).collect(),
         members: (0..trial.nodes as usize).map(|k| place('n', k)).collect(),
         term: trial.term,
         drift_ppm: trial.drift_ppm,
@@ -203,7 +203,7 @@
         let plan = plan_of(trial);
         let voters = (0..trial.dividers)
             .map(|k| Voter {
-                divider: Divider::new(&format!("d{k}"), plan.clone(), rng.random()),
+                divider: Allocator::new(&format!("d{k}"), plan.clone(), rng.random()),
                 clock: Clock::drawn(&mut rng, trial.drift_ppm),
                 applied: 0,
                 halted: 0,
@@ -249,7 +249,7 @@
         }
     }
 
-    fn say(&mut self, to: To, word: &Word) {
+    fn say(&mut self, to: To, word: &Message) {
         let bytes = word.bytes();
         self.said += 1;
         self.bytes += bytes.len() as u64;
@@ -335,7 +335,7 @@
                 let changed = voter.divider.apply(&entry, now);
                 voter.applied = self.log.len();
                 for say in voter.divider.settled(&entry, changed, now) {
-                    self.tell_life(who, say.to, &say.word);
+                    self.tell_life(who, say.to, &say.message);
                 }
             }
         }
@@ -355,7 +355,7 @@
         }
     }
 
-    fn tell_life(&mut self, from: usize, life: Life, word: &Word) {
+    fn tell_life(&mut self, from: usize, life: NodeIncarnation, word: &Message) {
         let node = self.nodes.iter().position(|n| NodeId::of(&n.name) == life.node);
         if let Some(node) = node {
             self.say(To::Node(node as u32, from), word);
@@ -365,7 +365,7 @@
     fn deliver(&mut self) {
         while let Some((&key, _)) = self.way.first_key_value().filter(|(k, _)| k.0 <= self.now) {
             let Some((to, bytes)) = self.way.remove(&key) else { return };
-            let Ok(word) = Word::read(&bytes) else { continue };
+            let Ok(word) = Message::read(&bytes) else { continue };
             match to {
                 To::Divider(d, n) => {
                     if !self.alive(d) {
@@ -377,10 +377,10 @@
                     let voter = &mut self.voters[d];
                     let now = voter.clock.at(self.now);
                     if voter.divider.leads() {
-                        voter.divider.hear(&word, now);
-                    } else if matches!(word, Word::Ask { .. }) {
+                        voter.divider.receive(&word, now);
+                    } else if matches!(word, Message::Ask { .. }) {
                         let leader = leader.map(|l| format!("d{l}"));
-                        self.say(To::Node(n, d), &Word::Elsewhere { leader });
+                        self.say(To::Node(n, d), &Message::Elsewhere { leader });
                     }
                 }
                 To::Node(n, d) => {
@@ -391,7 +391,7 @@
                     }
                     let now = node.clock.at(self.now);
                     node.seat.iter_mut().for_each(|s| {
-                        s.hear(d, &word, now);
+                        s.receive(d, &word, now);
                     });
                 }
             }
@@ -404,8 +404,8 @@
         let node = &mut self.nodes[k];
         node.lives += 1;
         let at = node.clock.at(now);
-        let life = Life { node: NodeId::of(&node.name), incarnation: node.lives };
-        let mut seat = Seat::new(life, plan, seed, at);
+        let life = NodeIncarnation { node: NodeId::of(&node.name), incarnation: node.lives };
+        let mut seat = QuotaClient::new(life, plan, seed, at);
         seat.own(true, at);
         node.meter = Meter::new(200 * MS, at);
         (node.seat, node.back, node.wants) = (Some(seat), None, 0.0);
@@ -456,8 +456,8 @@
             }
             seat.used(FLIGHT, Use { wanted: wants, used: node.own.len() as u64 });
             seat.pass(at);
-            for say in seat.says() {
-                self.say(To::Divider(say.to, k as u32), &say.word);
+            for say in seat.take_outgoing() {
+                self.say(To::Divider(say.to, k as u32), &say.message);
             }
         }
         self.judge(used, (does, best, even));
@@ -529,8 +529,8 @@
                 let at = self.nodes[k].clock.at(self.now);
                 if let Some(mut seat) = self.nodes[k].seat.take() {
                     seat.leave(at);
-                    for say in seat.says() {
-                        self.say(To::Divider(say.to, k as u32), &say.word);
+                    for say in seat.take_outgoing() {
+                        self.say(To::Divider(say.to, k as u32), &say.message);
                     }
                     self.nodes[k].back = Some(self.now + long / 4);
                 }
@@ -543,7 +543,7 @@
                 // A divider starts again with its disk: all it agreed on counts from now.
                 let d = self.rng.random_range(0..self.voters.len());
                 let now = self.voters[d].clock.at(self.now);
-                let mut divider = Divider::new(&format!("d{d}"), self.plan.clone(), self.rng.random());
+                let mut divider = Allocator::new(&format!("d{d}"), self.plan.clone(), self.rng.random());
                 divider.restore(&self.voters[d].divider.book().kept(), now);
                 self.voters[d].divider = divider;
                 if self.leader == Some(d) {
@@ -557,7 +557,7 @@
                 self.log.clear();
                 self.proposals.clear();
                 for (d, voter) in self.voters.iter_mut().enumerate() {
-                    voter.divider = Divider::new(&format!("d{d}"), self.plan.clone(), self.rng.random());
+                    voter.divider = Allocator::new(&format!("d{d}"), self.plan.clone(), self.rng.random());
                     (voter.applied, voter.term) = (0, 0);
                 }
                 self.leader = None;
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -3,7 +3,7 @@
 use crate::scenario::{self, Scenario};
 use shorepath_scheduler::name_hash;
 use shorepath_sexp::splice::{self, SpliceError};
-use shorepath_sexp::{Complaints, Form};
+use shorepath_sexp::{Form, ParseErrors};
 use std::path::{Path, PathBuf};
 
 /// Runs that one experiment may have.
@@ -17,7 +17,7 @@
     File(PathBuf, std::io::Error),
     /// A file says something wrong.
     #[error("{0}")]
-    Complaints(#[from] Complaints),
+    Complaints(#[from] ParseErrors),
     /// A change can't be made.
     #[error("{0}: {1}")]
     Change(String, SpliceError),
@@ -27,7 +27,7 @@
         /// The change.
         change: String,
         /// What is wrong then.
-        complaints: Complaints,
+        complaints: ParseErrors,
     },
     /// There are too many points.
     #[error("the grid has {0} runs; {MOST} at most")]
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -93,7 +93,7 @@
                     let Some((request, attempt)) = id.split_once('.') else { continue };
                     self.further += u64::from(attempt != "0");
                     self.after_a_run += u64::from(attempt != "0" && ran.contains(request));
-                    if ["Error", "Reset", "Timeout", "Cancelled", "Rejected"].contains(&status) {
+                    if ["Error", "Reset", "Timeout", "Cancelled", "BadRequest"].contains(&status) {
                         ran.insert(request.to_string());
                     }
                 }
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -4,7 +4,7 @@
 use shorepath_scheduler::{
     ClassSettings, DedupScope, Idempotency, KindId, Micros, Settings, TenantSettings, ZoneId,
 };
-use shorepath_sexp::{Complaints, Form};
+use shorepath_sexp::{Form, ParseErrors};
 use std::ops::RangeInclusive;
 
 /// The longest time that a file may name.
@@ -315,7 +315,7 @@
 ///
 /// # Errors
 /// All faults of the text, with their places.
-pub fn read(file: &str, text: &str) -> Result<Scenario, Complaints> {
+pub fn read(file: &str, text: &str) -> Result<Scenario, ParseErrors> {
     shorepath_sexp::read(file, text, "scenario", scenario)
 }
 
--- a/crates/lab/src/sites/file.rs
+++ b/crates/lab/src/sites/file.rs
@@ -1,7 +1,7 @@
 //! What becomes of a fleet of sites, as a file of S-expressions says it.
 
 use super::{Micros, MS, S};
-use shorepath_sexp::{Complaints, Form};
+use shorepath_sexp::{Form, ParseErrors};
 
 /// The longest that a time may be.
 const LONGEST: Micros = 3_600 * S;
@@ -158,7 +158,7 @@
 ///
 /// # Errors
 /// All faults of the text, with their places.
-pub fn read(file: &str, text: &str) -> Result<Scenario, Complaints> {
+pub fn read(file: &str, text: &str) -> Result<Scenario, ParseErrors> {
     shorepath_sexp::read(file, text, "sites-scenario", scenario)
 }
 
--- a/crates/lab/src/sites/node.rs
+++ b/crates/lab/src/sites/node.rs
@@ -2,19 +2,19 @@
 
 use super::file::Scenario;
 use super::{Micros, MS, S};
-use shorepath_accounts::book::{Book, News};
-use shorepath_accounts::confirmation::Confirmation;
-use shorepath_accounts::credit::{Note, Part as CreditPart, Purse};
-use shorepath_accounts::file::Decree;
-use shorepath_accounts::ruling::{bars, Now, Purses};
-use shorepath_accounts::spread::{self, Spread};
+use shorepath_accounts::admission::{restrictions, CreditBalances, Now};
+use shorepath_accounts::config::AccountsFile;
+use shorepath_accounts::credit::{CreditBalance, Note, Part as CreditPart};
+use shorepath_accounts::freshness::Confirmation;
+use shorepath_accounts::gossip::{self, Spread};
+use shorepath_accounts::registry::{Book, RegistryUpdate};
 use shorepath_scheduler::Scheduler;
 use shorepath_scheduler::*;
 use shorepath_scheduler::{QuotaKind, QuotaShare};
-use shorepath_sites::file::Plan;
-use shorepath_sites::homecoming::Pace;
-use shorepath_sites::lending::{Class, Lending};
-use shorepath_sites::seeing::{self, Changed, Seeing};
+use shorepath_sites::config::Plan;
+use shorepath_sites::health::{self, Changed, SiteHealth};
+use shorepath_sites::load_shifting::{Class, LoadShifting};
+use shorepath_sites::recovery_ramp::Pace;
 
 /// The account that is closed, and that has a credit.
 pub const ACME: &str = "acme";
@@ -28,9 +28,9 @@
 #[derive(Clone, Debug)]
 pub enum Said {
     /// About accounts.
-    Accounts(spread::Word),
+    Accounts(gossip::Message),
     /// About sites.
-    Seeing(seeing::Word),
+    Seeing(health::Message),
 }
 
 /// What is kept on a node's disk.
@@ -42,11 +42,11 @@
 
 /// What a node knows of sites; nothing of it is there in the program without this part.
 pub struct Siting {
-    pub seeing: Seeing,
-    pub lending: Lending,
+    pub seeing: SiteHealth,
+    pub lending: LoadShifting,
     pub spread: Spread,
     confirmation: Confirmation,
-    purses: Purses,
+    purses: CreditBalances,
     lends_at: Micros,
     parts: Vec<QuotaShare>,
     pub disk: Disk,
@@ -113,14 +113,14 @@
         let peers = plan.nodes().map(|(_, n)| n.number).collect();
         let mut spread = Spread::new(number, peers, seed, now);
         spread.restore(&disk.book);
-        let mut purses = Purses::new();
+        let mut purses = CreditBalances::new();
         if let (Some(credit), Some(part)) = (of.credit, plan.credit_part(ACME, number)) {
             let part = CreditPart { whole: part.jobs, reserve: part.reserve };
-            purses.insert(ACME.to_string(), Purse::restore(part, credit.shrink, CHUNK, disk.purse));
+            purses.insert(ACME.to_string(), CreditBalance::restore(part, credit.shrink, CHUNK, disk.purse));
         }
         Some(Siting {
-            seeing: Seeing::new(number, plan, seed, now).ok()?,
-            lending: Lending::new(Pace { share: of.cold, time: of.warm_up }, now),
+            seeing: SiteHealth::new(number, plan, seed, now).ok()?,
+            lending: LoadShifting::new(Pace { share: of.cold, time: of.warm_up }, now),
             spread,
             confirmation: Confirmation::new(now),
             purses,
@@ -130,16 +130,16 @@
         })
     }
 
-    pub fn learn(&mut self, decree: &Decree, now: Micros) {
+    pub fn learn(&mut self, decree: &AccountsFile, now: Micros) {
         self.spread.learn(decree, now);
     }
 
     pub fn hear(&mut self, from: u32, said: &Said, now: Micros) {
         match said {
-            Said::Accounts(word) => self.spread.hear(from, word, now),
+            Said::Accounts(word) => self.spread.receive(from, word, now),
             Said::Seeing(word) => {
-                if self.seeing.hear(from, word, now).is_ok()
-                    && self.lending.heard(&self.seeing, from, word, now)
+                if self.seeing.receive(from, word, now).is_ok()
+                    && self.lending.received(&self.seeing, from, word, now)
                 {
                     self.lends_at = now;
                 }
@@ -160,7 +160,7 @@
     }
 
     /// The disk of the lab takes everything at once.
-    fn note(purse: &mut Purse, disk: &mut Disk) {
+    fn note(purse: &mut CreditBalance, disk: &mut Disk) {
         if let Some(note) = purse.durable_to() {
             purse.wrote(note);
             disk.purse = Some(note);
@@ -178,11 +178,11 @@
             self.lending.pass(&mut self.seeing, &classes, std::mem::take(outcomes), true, now);
         }
         passed.changed = self.seeing.changes();
-        self.confirmation.pass(self.seeing.heard(now), now);
+        self.confirmation.pass(self.seeing.received(now), now);
         let alone_since = self.confirmation.alone_since();
-        for news in self.spread.news() {
-            if let News::Changed { change, .. } = news {
-                passed.barred.extend(change.standing.bars().then_some(change.number));
+        for news in self.spread.take_updates() {
+            if let RegistryUpdate::Changed { change, .. } = news {
+                passed.barred.extend(change.standing.rejects_new_work().then_some(change.number));
             }
         }
         self.disk.book.clone_from(self.spread.book());
@@ -192,7 +192,8 @@
             }
             Self::note(purse, &mut self.disk);
         }
-        let all = bars(self.spread.book(), &mut self.purses, Now { unix: now, steady: now, alone_since });
+        let all =
+            restrictions(self.spread.book(), &mut self.purses, Now { unix: now, steady: now, alone_since });
         let mut parts = Vec::new();
         if let Some(bar) = all.get(ACME) {
             if let Some(units) = bar.begin {
@@ -218,9 +219,11 @@
             self.parts.clone_from(&parts);
             passed.parts = Some(parts);
         }
-        let accounts = self.spread.says().into_iter().map(|(to, word)| (to, Said::Accounts(word)));
+        let accounts = self.spread.take_outgoing().into_iter().map(|(to, word)| (to, Said::Accounts(word)));
         passed.words.extend(accounts);
-        passed.words.extend(self.seeing.says().into_iter().map(|(to, word)| (to, Said::Seeing(word))));
+        passed
+            .words
+            .extend(self.seeing.take_outgoing().into_iter().map(|(to, word)| (to, Said::Seeing(word))));
         let due = self.spread.due(now).min(self.seeing.due(now) - now);
         passed.next = now + due.clamp(MS, LOOKS);
         passed
@@ -228,7 +231,7 @@
 }
 
 /// What the module is told of what is lent and taken back.
-fn lent(lending: &Lending) -> Vec<QuotaShare> {
+fn lent(lending: &LoadShifting) -> Vec<QuotaShare> {
     let limits = lending.limits();
     let part = |of, units, span| QuotaShare { kind: of, units, total: units, window: span };
     let guests = limits.guests.iter().flatten().enumerate();
--- a/crates/lab/src/sites/study.rs
+++ b/crates/lab/src/sites/study.rs
@@ -6,7 +6,7 @@
 use crate::plot::{Plot, Series};
 use rayon::prelude::*;
 use serde::Serialize;
-use shorepath_sexp::Complaints;
+use shorepath_sexp::ParseErrors;
 use shorepath_sites::Seen;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -206,11 +206,11 @@
 ///
 /// # Errors
 /// As [`run`].
-pub fn study(of: &Scenario, seeds: u64, beside: bool) -> Result<(Row, Plot), Complaints> {
+pub fn study(of: &Scenario, seeds: u64, beside: bool) -> Result<(Row, Plot), ParseErrors> {
     let ways: &[(bool, bool)] =
         if beside { &[(true, true), (false, true), (true, false)] } else { &[(true, true)] };
     let all: Vec<(u64, usize)> = (0..seeds).flat_map(|s| (0..ways.len()).map(move |w| (s, w))).collect();
-    let played: Result<Vec<_>, Complaints> = all
+    let played: Result<Vec<_>, ParseErrors> = all
         .par_iter()
         .map(|(s, w)| {
             let (with, strikes) = ways[*w];
--- a/crates/lab/src/sites/world.rs
+++ b/crates/lab/src/sites/world.rs
@@ -6,13 +6,13 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rustc_hash::FxHashMap;
-use shorepath_accounts::file::{self as accounts, FileError};
-use shorepath_budgets::NodeId;
+use shorepath_accounts::config::{self as accounts, FileError};
+use shorepath_quota::NodeId;
 use shorepath_scheduler::QuotaKind;
 use shorepath_scheduler::Scheduler;
 use shorepath_scheduler::*;
-use shorepath_sexp::Complaints;
-use shorepath_sites::file::{self, Plan};
+use shorepath_sexp::ParseErrors;
+use shorepath_sites::config::{self, Plan};
 use shorepath_sites::Seen;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -141,7 +141,7 @@
     out: Outcome,
 }
 
-fn plan(of: &Scenario, members: &[Vec<usize>]) -> Result<Plan, Complaints> {
+fn plan(of: &Scenario, members: &[Vec<usize>]) -> Result<Plan, ParseErrors> {
     let ms = |t: Micros| format!("{} ms", t / MS);
     let mut text = "(sites (fleet \"lab\") (key \"k\")".to_string();
     text += &format!("(confirm {}) (alone {}) (hold {})", ms(of.confirm), ms(of.alone), ms(of.hold));
@@ -157,7 +157,7 @@
         text +=
             &format!("(credit {ACME} (jobs {}) (reserve {}) (shrink {}))", c.jobs, c.reserve, ms(c.shrink));
     }
-    file::read("lab", &(text + ")"))
+    config::read("lab", &(text + ")"))
 }
 
 impl World<'_> {
@@ -503,7 +503,7 @@
 ///
 /// # Errors
 /// Where sites can't lend so much, or there can't be so many.
-pub fn run(of: &Scenario, with: bool) -> Result<Outcome, Complaints> {
+pub fn run(of: &Scenario, with: bool) -> Result<Outcome, ParseErrors> {
     let mut members = vec![Vec::new(); of.sites];
     (0..of.nodes).for_each(|node| members[node % of.sites].push(node));
     let plan = plan(of, &members)?;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -59,7 +59,7 @@
 /// Where a member stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Standing {
+pub enum MemberState {
     /// It answers.
     Alive,
     /// It has not answered somebody, and has not contradicted that yet.
@@ -76,7 +76,7 @@
     /// Which life of it.
     pub peer: Peer,
     /// Where it stands.
-    pub standing: Standing,
+    pub standing: MemberState,
     /// Since when, on the caller's clock.
     pub since: Micros,
 }
@@ -85,7 +85,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Say that to a member, in a datagram; it may be lost.
-    Say {
+    Outgoing {
         /// The member's number.
         to: u32,
         /// What.
@@ -98,7 +98,7 @@
 /// Why something heard was passed over.
 #[derive(Debug, thiserror::Error)]
 #[error("no word of a member: {0}")]
-pub struct HeardError(String);
+pub struct ReceiveError(String);
 
 /// That a life has left of its own will, told along with what else is said.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -122,16 +122,16 @@
         let leaving: Leaving = postcard::from_bytes(data)?;
         let mut all = self.0.borrow_mut();
         let known = all.entry(leaving.0.node).or_default();
-        let news = leaving.0.incarnation > *known;
+        let updates = leaving.0.incarnation > *known;
         *known = (*known).max(leaving.0.incarnation);
-        Ok(news.then_some(leaving))
+        Ok(updates.then_some(leaving))
     }
 }
 
 /// What foca asks for while it is called.
 #[derive(Default)]
 struct Wants {
-    say: Vec<(u32, Vec<u8>)>,
+    outgoing: Vec<(u32, Vec<u8>)>,
     wait: Vec<(Duration, Timer<Peer>)>,
 }
 
@@ -139,7 +139,7 @@
     fn notify(&mut self, _: foca::Notification<'_, Peer>) {}
 
     fn send_to(&mut self, to: Peer, data: &[u8]) {
-        self.say.push((to.node, data.to_vec()));
+        self.outgoing.push((to.node, data.to_vec()));
     }
 
     fn submit_after(&mut self, timer: Timer<Peer>, after: Duration) {
@@ -213,12 +213,12 @@
     ///
     /// # Errors
     /// Where it makes no sense; nothing has changed then.
-    pub fn hear(&mut self, now: Micros, bytes: &[u8]) -> Result<(), HeardError> {
+    pub fn receive(&mut self, now: Micros, bytes: &[u8]) -> Result<(), ReceiveError> {
         if self.left {
             return Ok(());
         }
-        let heard = self.call(now, |swim, wants| swim.handle_data(bytes, wants));
-        heard.map_err(|e| HeardError(e.to_string()))
+        let received = self.call(now, |swim, wants| swim.handle_data(bytes, wants));
+        received.map_err(|e| ReceiveError(e.to_string()))
     }
 
     /// Time has passed. One that stood still meanwhile catches up with what was due in its order.
@@ -253,11 +253,11 @@
     /// Say that this member leaves; it says nothing more afterwards.
     pub fn leave(&mut self, now: Micros) {
         let me = Leaving(self.me());
-        let told = postcard::to_allocvec(&me).ok();
+        let notified = postcard::to_allocvec(&me).ok();
         // Nothing to tell where nobody is known.
         let _ = self.call(now, |swim, wants| {
-            if let Some(told) = &told {
-                swim.add_broadcast(told)?;
+            if let Some(notified) = &notified {
+                swim.add_broadcast(notified)?;
             }
             swim.leave_cluster(wants)
         });
@@ -276,7 +276,7 @@
     }
 
     /// Where a member stands, if it was ever heard of.
-    pub fn standing(&self, node: u32) -> Option<Standing> {
+    pub fn standing(&self, node: u32) -> Option<MemberState> {
         self.known.get(&node).map(|m| m.standing)
     }
 
@@ -291,7 +291,7 @@
             self.count += 1;
             self.timers.insert((now + after.as_micros() as Micros, self.count), timer);
         }
-        self.out.extend(wants.say.into_iter().map(|(to, bytes)| Effect::Say { to, bytes }));
+        self.out.extend(wants.outgoing.into_iter().map(|(to, bytes)| Effect::Outgoing { to, bytes }));
         self.look(now);
         done
     }
@@ -300,26 +300,26 @@
     fn look(&mut self, now: Micros) {
         let me = self.swim.identity().node;
         let left = self.departures.0.borrow();
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         for member in self.swim.iter_membership_state().filter(|m| m.id().node != me) {
             let (peer, state) = (*member.id(), member.state());
             let gone = if left.get(&peer.node).is_some_and(|l| *l >= peer.incarnation) {
-                Standing::Left
+                MemberState::Left
             } else {
-                Standing::Gone
+                MemberState::Gone
             };
             let standing = match state {
-                State::Alive => Standing::Alive,
-                State::Suspect => Standing::Suspect,
+                State::Alive => MemberState::Alive,
+                State::Suspect => MemberState::Suspect,
                 State::Down => gone,
             };
             let known = self.known.get(&peer.node);
             if known.is_none_or(|k| k.peer != peer || k.standing != standing) {
-                news.push(Member { peer, standing, since: now });
+                updates.push(Member { peer, standing, since: now });
             }
         }
         drop(left);
-        for member in news {
+        for member in updates {
             self.known.insert(member.peer.node, member);
             self.out.push(Effect::Changed(member));
         }
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -3,7 +3,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use rstest::rstest;
-use shorepath_membership::{Effect, Membership, Micros, Peer, Standing};
+use shorepath_membership::{Effect, MemberState, Membership, Micros, Peer};
 use std::collections::BTreeMap;
 
 const MS: Micros = 1_000;
@@ -19,7 +19,7 @@
     loss: f64,
     rng: SmallRng,
     way: BTreeMap<(Micros, u64), (u32, Vec<u8>)>,
-    said: u64,
+    sent: u64,
     bytes: u64,
 }
 
@@ -34,7 +34,7 @@
             loss,
             rng,
             way: BTreeMap::new(),
-            said: 0,
+            sent: 0,
             bytes: 0,
         };
         (0..size).for_each(|node| world.start(node, size, 1_000));
@@ -50,13 +50,13 @@
 
     fn settle(&mut self, from: u32) {
         for effect in self.members.get_mut(&from).map(Membership::effects).unwrap_or_default() {
-            let Effect::Say { to, bytes } = effect else { continue };
+            let Effect::Outgoing { to, bytes } = effect else { continue };
             let apart = self.cut.is_some_and(|c| (from < c) != (to < c));
-            self.said += 1;
+            self.sent += 1;
             self.bytes += bytes.len() as u64;
             if !apart && self.rng.random::<f64>() >= self.loss {
                 let at = self.now + self.rng.random_range(1..40) * MS;
-                self.way.insert((at, self.said), (to, bytes));
+                self.way.insert((at, self.sent), (to, bytes));
             }
         }
     }
@@ -74,7 +74,7 @@
                 }
                 let now = self.now;
                 // What was meant for a life that is over makes no sense to the next.
-                let _ = self.members.get_mut(&to).map(|m| m.hear(now, &bytes));
+                let _ = self.members.get_mut(&to).map(|m| m.receive(now, &bytes));
                 self.settle(to);
             }
             for node in self.members.keys().copied().collect::<Vec<_>>() {
@@ -88,7 +88,7 @@
     }
 
     /// How many members hold that one for that, and how many there are to do so.
-    fn hold(&self, node: u32, standing: Standing) -> (usize, usize) {
+    fn hold(&self, node: u32, standing: MemberState) -> (usize, usize) {
         let others = || self.members.iter().filter(|(n, _)| **n != node);
         (others().filter(|(_, m)| m.standing(node) == Some(standing)).count(), others().count())
     }
@@ -103,7 +103,7 @@
     }
 
     fn all_alive(&self) -> bool {
-        self.members.keys().all(|n| matches!(self.hold(*n, Standing::Alive), (a, b) if a == b))
+        self.members.keys().all(|n| matches!(self.hold(*n, MemberState::Alive), (a, b) if a == b))
     }
 }
 
@@ -114,7 +114,7 @@
     let mut world = World::new(8, loss, 5);
     assert!(world.within(20 * S, World::all_alive), "{:?}", world.members);
     world.members.remove(&3);
-    assert!(world.within(40 * S, |w| w.hold(3, Standing::Gone) == (7, 7)), "{:?}", world.members);
+    assert!(world.within(40 * S, |w| w.hold(3, MemberState::Gone) == (7, 7)), "{:?}", world.members);
     // It starts again by a clock that was set back.
     world.start(3, 8, 1);
     assert!(world.within(40 * S, World::all_alive), "{:?}", world.members);
@@ -129,7 +129,7 @@
     world.members.get_mut(&2).unwrap().leave(now);
     world.settle(2);
     world.run(3 * S);
-    assert_eq!(world.hold(2, Standing::Left), (5, 5), "{:?}", world.members);
+    assert_eq!(world.hold(2, MemberState::Left), (5, 5), "{:?}", world.members);
     world.members.remove(&2);
     world.start(2, 6, 2_000);
     world.run(15 * S);
@@ -143,7 +143,7 @@
     world.run(8 * S);
     world.halted.push(1);
     world.run(30 * S);
-    assert_eq!(world.hold(1, Standing::Gone), (4, 4), "{:?}", world.members);
+    assert_eq!(world.hold(1, MemberState::Gone), (4, 4), "{:?}", world.members);
     world.halted.clear();
     world.run(15 * S);
     assert!(world.all_alive(), "{:?}", world.members);
@@ -157,7 +157,7 @@
     world.run(8 * S);
     world.cut = Some(3);
     world.run(30 * S);
-    assert_eq!(world.hold(0, Standing::Alive), (2, 6));
+    assert_eq!(world.hold(0, MemberState::Alive), (2, 6));
     world.cut = None;
     world.run(30 * S);
     assert!(world.all_alive(), "{:?}", world.members);
@@ -170,10 +170,10 @@
         let mut world = World::new(size, 0.0, 2);
         world.run(40 * S);
         assert!(world.all_alive());
-        let (said, bytes) = (world.said, world.bytes);
+        let (sent, bytes) = (world.sent, world.bytes);
         world.run(20 * S);
         let per = f64::from(size) * 20.0;
-        ((world.said - said) as f64 / per, (world.bytes - bytes) as f64 / per)
+        ((world.sent - sent) as f64 / per, (world.bytes - bytes) as f64 / per)
     };
     let (few, many) = (rate(5), rate(60));
     println!("words and bytes a member and second: {few:?} of 5, {many:?} of 60");
@@ -184,7 +184,7 @@
 fn nonsense_is_told_and_changes_nothing() {
     let mut one = Membership::new(Peer { node: 1, incarnation: 1 }, vec![2], 1, 0);
     for bytes in [&b""[..], b"x", &[255; 900]] {
-        assert!(one.hear(0, bytes).is_err());
+        assert!(one.receive(0, bytes).is_err());
     }
     assert_eq!(one.members().count(), 0);
 }
--- a/crates/envelope/benches/envelope.rs
+++ b/crates/message-auth/benches/envelope.rs
@@ -1,10 +1,10 @@
 //! What an envelope costs a word of 300 bytes: sealed, and opened by one who believes one key, or two of which it is the second.
 //!
-//!     cargo bench -p shorepath-envelope
+//!     cargo bench -p shorepath-message-auth
 
 use criterion::{criterion_group, criterion_main, Criterion};
-use shorepath_envelope::keys::Keys;
-use shorepath_envelope::word::{Opener, Sealer};
+use shorepath_message_auth::keyring::Keys;
+use shorepath_message_auth::signed_message::{Opener, Sealer};
 use std::hint::black_box;
 
 fn envelope(c: &mut Criterion) {
@@ -17,8 +17,8 @@
         let mut opener = Opener::new("tidal", keys);
         c.bench_function(name, |b| {
             b.iter(|| {
-                let word = sealer.seal(black_box(&body));
-                assert!(opener.open(&word).is_ok());
+                let message = sealer.seal(black_box(&body));
+                assert!(opener.open(&message).is_ok());
             })
         });
     }
--- a/crates/envelope/src/line.rs
+++ b/crates/message-auth/src/channel.rs
@@ -1,7 +1,7 @@
 //! A process's datagrams, under a code where the operators name a key, and as they are where they don't.
 
-use crate::keys::Keys;
-use crate::word::{Opener, Refused, Sealer};
+use crate::keyring::Keys;
+use crate::signed_message::{Opener, Refused, Sealer};
 use std::collections::BTreeMap;
 
 /// Lives of a sender that are heard at once: a process that was replaced goes on for as long as its work lasts, and so may the one
@@ -10,11 +10,11 @@
 
 /// A datagram that is taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Heard<'a> {
+pub struct Received<'a> {
     /// Who says it, where a code proves that.
     pub sender: Option<u32>,
     /// What is said.
-    pub said: &'a [u8],
+    pub sent: &'a [u8],
 }
 
 /// A datagram that is not.
@@ -28,17 +28,17 @@
 
 /// Both ways of one process's datagrams.
 #[derive(Debug)]
-pub struct Line {
+pub struct Channel {
     sender: u32,
     fleet: String,
     coded: Option<(Sealer, Opener)>,
 }
 
-impl Line {
+impl Channel {
     /// For the sender of that number. Without keys nothing is sealed and everything is taken, byte for byte. For lives see
     /// [`Sealer::new`].
-    pub fn new(sender: u32, life: u64, fleet: &str, keys: Option<&Keys>) -> Line {
-        let mut line = Line { sender, fleet: fleet.to_string(), coded: None };
+    pub fn new(sender: u32, life: u64, fleet: &str, keys: Option<&Keys>) -> Channel {
+        let mut line = Channel { sender, fleet: fleet.to_string(), coded: None };
         line.set(life, fleet, keys);
         line
     }
@@ -60,10 +60,10 @@
     }
 
     /// The datagram that says it.
-    pub fn seal(&mut self, said: Vec<u8>) -> Vec<u8> {
+    pub fn seal(&mut self, sent: Vec<u8>) -> Vec<u8> {
         match &mut self.coded {
-            Some((sealer, _)) => sealer.seal(&said),
-            None => said,
+            Some((sealer, _)) => sealer.seal(&sent),
+            None => sent,
         }
     }
 
@@ -71,10 +71,10 @@
     ///
     /// # Errors
     /// Why it has to be dropped.
-    pub fn open<'a>(&mut self, bytes: &'a [u8], seems: u32) -> Result<Heard<'a>, Dropped> {
-        let Some((_, opener)) = &mut self.coded else { return Ok(Heard { sender: None, said: bytes }) };
+    pub fn open<'a>(&mut self, bytes: &'a [u8], seems: u32) -> Result<Received<'a>, Dropped> {
+        let Some((_, opener)) = &mut self.coded else { return Ok(Received { sender: None, sent: bytes }) };
         match opener.open(bytes) {
-            Ok(opened) => Ok(Heard { sender: Some(opened.sender), said: opened.body }),
+            Ok(opened) => Ok(Received { sender: Some(opened.sender), sent: opened.body }),
             Err(refused) => Err(Dropped { refused, first: opener.first(refused, seems) }),
         }
     }
--- a/crates/envelope/src/lib.rs
+++ b/crates/message-auth/src/lib.rs
@@ -3,13 +3,13 @@
 //! Whoever has the key may close an account or adopt a key by a word, so each word carries a code (HMAC, RFC 2104, over SHA-256) with
 //! its sender, the sender's life and its number. One without a code, of another fleet or heard before is dropped and counted.
 //!
-//! - [`keys`]: the keys of a fleet, and the codes of files;
-//! - [`word`]: words under a code;
-//! - [`line`]: both ways of a process's datagrams, with or without.
+//! - [`keyring`]: the keys of a fleet, and the codes of files;
+//! - [`signed_message`]: words under a code;
+//! - [`channel`]: both ways of a process's datagrams, with or without.
 
-pub mod keys;
-pub mod line;
-pub mod word;
+pub mod channel;
+pub mod keyring;
+pub mod signed_message;
 
 use miette::Diagnostic;
 
--- a/crates/envelope/src/word.rs
+++ b/crates/message-auth/src/signed_message.rs
@@ -22,7 +22,7 @@
 //! or is numbered by its own authority and meant for one life (grants of budgets, membership's incarnations, keys that are adopted). It
 //! must not be a command such as "one more".
 
-use crate::keys::{Code, Keys};
+use crate::keyring::{Code, Keys};
 use hmac::Mac;
 use miette::Diagnostic;
 use sha2::{Digest, Sha256};
@@ -43,7 +43,7 @@
 /// Senders that are remembered, at most; each needs some 200 bytes. Only those with a key count.
 pub const SENDERS: usize = 65_536;
 /// Senders that are told of for one reason, at most.
-const TOLD: usize = 256;
+const NOTIFIED_AFTER: usize = 256;
 
 /// Why a word is not believed.
 #[derive(Clone, Copy, Debug, Diagnostic, Error, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -137,18 +137,18 @@
     /// The word with that body. Each has a number of its own, so what is said to several may be sealed once.
     pub fn seal(&mut self, body: &[u8]) -> Vec<u8> {
         self.number = self.number.saturating_add(1);
-        let mut word = Vec::with_capacity(body.len() + ADDED);
-        word.push(VERSION);
-        word.extend_from_slice(&self.short);
-        word.extend_from_slice(&self.sender.to_be_bytes());
-        word.extend_from_slice(&self.life.to_be_bytes());
-        word.extend_from_slice(&self.number.to_be_bytes());
-        word.extend_from_slice(body);
+        let mut message = Vec::with_capacity(body.len() + ADDED);
+        message.push(VERSION);
+        message.extend_from_slice(&self.short);
+        message.extend_from_slice(&self.sender.to_be_bytes());
+        message.extend_from_slice(&self.life.to_be_bytes());
+        message.extend_from_slice(&self.number.to_be_bytes());
+        message.extend_from_slice(body);
         if let Some(code) = self.codes.first() {
-            let whole = code.clone().chain_update(&word).finalize().into_bytes();
-            word.extend(whole.iter().take(CODE));
+            let whole = code.clone().chain_update(&message).finalize().into_bytes();
+            message.extend(whole.iter().take(CODE));
         }
-        word
+        message
     }
 }
 
@@ -167,23 +167,23 @@
 
 /// Which numbers of a life were heard: the highest one, and those within [`WINDOW`] below it, a bit each at its number modulo the window.
 #[derive(Clone, Debug)]
-struct Heard {
+struct Received {
     life: u64,
     highest: u64,
     bits: [u64; (WINDOW / 64) as usize],
 }
 
-impl Heard {
-    fn new(life: u64, number: u64) -> Heard {
-        let mut heard = Heard { life, highest: number, bits: [0; (WINDOW / 64) as usize] };
-        heard.mark(number, true);
-        heard
+impl Received {
+    fn new(life: u64, number: u64) -> Received {
+        let mut received = Received { life, highest: number, bits: [0; (WINDOW / 64) as usize] };
+        received.mark(number, true);
+        received
     }
 
-    fn mark(&mut self, number: u64, heard: bool) {
+    fn mark(&mut self, number: u64, received: bool) {
         let (at, bit) = ((number % WINDOW / 64) as usize, 1 << (number % 64));
         if let Some(bits) = self.bits.get_mut(at) {
-            *bits = if heard { *bits | bit } else { *bits & !bit };
+            *bits = if received { *bits | bit } else { *bits & !bit };
         }
     }
 
@@ -191,7 +191,7 @@
         self.bits.get((number % WINDOW / 64) as usize).is_none_or(|bits| bits & (1 << (number % 64)) != 0)
     }
 
-    fn hear(&mut self, number: u64) -> Result<(), Refused> {
+    fn receive(&mut self, number: u64) -> Result<(), Refused> {
         if number > self.highest {
             if number - self.highest >= WINDOW {
                 self.bits = [0; (WINDOW / 64) as usize];
@@ -216,13 +216,13 @@
     short: [u8; 8],
     codes: Vec<Code>,
     /// The newest lives of each sender, the newest last.
-    senders: BTreeMap<u32, Vec<Heard>>,
+    senders: BTreeMap<u32, Vec<Received>>,
     /// Lives of a sender that are remembered.
     lives: usize,
     /// Senders that are remembered.
     bound: usize,
     counts: BTreeMap<Refused, u64>,
-    told: BTreeMap<Refused, BTreeSet<u32>>,
+    notified: BTreeMap<Refused, BTreeSet<u32>>,
 }
 
 impl fmt::Debug for Opener {
@@ -242,7 +242,7 @@
             lives: 1,
             bound: SENDERS,
             counts: BTreeMap::new(),
-            told: BTreeMap::new(),
+            notified: BTreeMap::new(),
         }
     }
 
@@ -262,7 +262,7 @@
     /// Believe these from now on. What was heard stays heard; what was told may be told again.
     pub fn rekey(&mut self, keys: &Keys) {
         self.codes = begun(&self.fleet, keys);
-        self.told.clear();
+        self.notified.clear();
     }
 
     /// What a word says, if it is believed. One that isn't changes nothing but the counts.
@@ -270,7 +270,7 @@
     /// # Errors
     /// Why it has to be dropped.
     pub fn open<'a>(&mut self, bytes: &'a [u8]) -> Result<Opened<'a>, Refused> {
-        let opened = self.believe(bytes).and_then(|word| self.hear(&word).map(|()| word));
+        let opened = self.believe(bytes).and_then(|message| self.receive(&message).map(|()| message));
         if let Err(refused) = opened {
             *self.counts.entry(refused).or_default() += 1;
         }
@@ -283,7 +283,7 @@
         if *version != VERSION {
             return Err(Refused::Version);
         }
-        let (said, code) = bytes.split_last_chunk::<CODE>().ok_or(Refused::Short)?;
+        let (sent, code) = bytes.split_last_chunk::<CODE>().ok_or(Refused::Short)?;
         let (fleet, rest) = rest.split_first_chunk::<8>().ok_or(Refused::Short)?;
         let (sender, rest) = rest.split_first_chunk::<4>().ok_or(Refused::Short)?;
         let (life, rest) = rest.split_first_chunk::<8>().ok_or(Refused::Short)?;
@@ -292,7 +292,7 @@
         if *fleet != self.short {
             return Err(Refused::Fleet);
         }
-        let is = |own: &Code| own.clone().chain_update(said).verify_truncated_left(code).is_ok();
+        let is = |own: &Code| own.clone().chain_update(sent).verify_truncated_left(code).is_ok();
         if !self.codes.iter().any(is) {
             return Err(Refused::Code);
         }
@@ -300,18 +300,20 @@
         Ok(Opened { sender, life, number: u64::from_be_bytes(*number), body })
     }
 
-    fn hear(&mut self, word: &Opened<'_>) -> Result<(), Refused> {
+    fn receive(&mut self, message: &Opened<'_>) -> Result<(), Refused> {
         let crowded = self.senders.len() >= self.bound;
-        if crowded && !self.senders.contains_key(&word.sender) {
+        if crowded && !self.senders.contains_key(&message.sender) {
             return Err(Refused::Crowd);
         }
-        let known = self.senders.entry(word.sender).or_default();
-        match known.binary_search_by_key(&word.life, |heard| heard.life) {
-            Ok(at) => known.get_mut(at).map_or(Err(Refused::Life), |heard| heard.hear(word.number)),
+        let known = self.senders.entry(message.sender).or_default();
+        match known.binary_search_by_key(&message.life, |received| received.life) {
+            Ok(at) => {
+                known.get_mut(at).map_or(Err(Refused::Life), |received| received.receive(message.number))
+            }
             // Older than all that are remembered, and there is no room for more.
             Err(0) if known.len() >= self.lives => Err(Refused::Life),
             Err(at) => {
-                known.insert(at, Heard::new(word.life, word.number));
+                known.insert(at, Received::new(message.life, message.number));
                 if known.len() > self.lives {
                     known.remove(0);
                 }
@@ -328,7 +330,7 @@
     /// Whether nobody was told yet of that reason with that sender: so a log has one line for each. The sender is who it seems to be, 0
     /// for strangers: a word that isn't believed proves none. For one reason 256 are told of; the others are counted alone.
     pub fn first(&mut self, reason: Refused, sender: u32) -> bool {
-        let told = self.told.entry(reason).or_default();
-        told.len() < TOLD && told.insert(sender)
+        let notified = self.notified.entry(reason).or_default();
+        notified.len() < NOTIFIED_AFTER && notified.insert(sender)
     }
 }
--- a/crates/envelope/tests/keys.rs
+++ b/crates/message-auth/tests/keys.rs
@@ -1,8 +1,8 @@
 //! Keys as they stand in files, and codes that openssl makes, too.
 
 use rstest::rstest;
-use shorepath_envelope::advice;
-use shorepath_envelope::keys::{FileCodeError, Keys, KeysError};
+use shorepath_message_auth::advice;
+use shorepath_message_auth::keyring::{FileCodeError, Keys, KeysError};
 
 const A: &str = "0101010101010101010101010101010101010101010101010101010101010101";
 const B: &str = "0202020202020202020202020202020202020202020202020202020202020202";
@@ -17,16 +17,16 @@
     "60e431591ee0b67f0d8a26aacbf5b77f8e0bc6213728c5140546040f0ee37f54")]
 #[case(b"This is a test using a larger than block-size key and a larger than block-size data. The key needs to be hashed before being used by the HMAC algorithm.".as_slice(),
     "9b09ffa71b942fcb27635fbcd5b0e944bfdc63644f0713938a7f51535c3a35e2")]
-fn the_codes_of_rfc_4231(#[case] said: &[u8], #[case] code: &str) {
+fn the_codes_of_rfc_4231(#[case] sent: &[u8], #[case] code: &str) {
     let keys = keys(&"aa".repeat(131));
-    assert_eq!(hex::encode(keys.code(said)), code);
-    assert!(keys.is_code(said, &hex::decode(code).unwrap()));
-    assert!(!keys.is_code(&said[1..], &hex::decode(code).unwrap()));
+    assert_eq!(hex::encode(keys.code(sent)), code);
+    assert!(keys.is_code(sent, &hex::decode(code).unwrap()));
+    assert!(!keys.is_code(&sent[1..], &hex::decode(code).unwrap()));
     for text in [code.to_string(), format!("HMAC-SHA2-256(a=b.sexp)= {code}\n")] {
-        assert_eq!(keys.verify_file(said, &text), Ok(()), "{text}");
+        assert_eq!(keys.verify_file(sent, &text), Ok(()), "{text}");
     }
-    assert_eq!(keys.verify_file(&said[1..], code), Err(FileCodeError::Wrong));
-    assert_eq!(keys.verify_file(said, &code[2..]), Err(FileCodeError::NoCode));
+    assert_eq!(keys.verify_file(&sent[1..], code), Err(FileCodeError::Wrong));
+    assert_eq!(keys.verify_file(sent, &code[2..]), Err(FileCodeError::NoCode));
 }
 
 #[rstest]
--- a/crates/envelope/tests/word.rs
+++ b/crates/message-auth/tests/word.rs
@@ -2,8 +2,8 @@
 
 use proptest::prelude::*;
 use rstest::rstest;
-use shorepath_envelope::keys::Keys;
-use shorepath_envelope::word::{Opener, Refused, Sealer, ADDED, HEAD, WINDOW};
+use shorepath_message_auth::keyring::Keys;
+use shorepath_message_auth::signed_message::{Opener, Refused, Sealer, ADDED, HEAD, WINDOW};
 use std::sync::LazyLock;
 
 fn keys(digits: &[&str]) -> Keys {
@@ -23,49 +23,49 @@
         body in prop::collection::vec(any::<u8>(), 0..64), bit in any::<prop::sample::Index>(), life in any::<u64>(),
     ) {
         let (mut sealer, mut opener) = pair(life);
-        let word = sealer.seal(&body);
+        let message = sealer.seal(&body);
         let mut other = Sealer::new("tidal", 8, life.wrapping_add(1), &keys(&["01"]));
         let _ = other.seal(&body);
         let foreign = other.seal(&body);
-        let mut changed = word.clone();
-        let at = bit.index(word.len() * 8);
+        let mut changed = message.clone();
+        let at = bit.index(message.len() * 8);
         changed[at / 8] ^= 1 << (at % 8);
         prop_assert!(opener.open(&changed).is_err());
-        for length in 0..word.len() {
-            prop_assert!(opener.open(&word[..length]).is_err());
+        for length in 0..message.len() {
+            prop_assert!(opener.open(&message[..length]).is_err());
         }
         for field in [9..13, 13..21, 21..29] {
-            let mut swapped = word.clone();
+            let mut swapped = message.clone();
             swapped[field.clone()].copy_from_slice(&foreign[field]);
             prop_assert_eq!(opener.open(&swapped), Err(Refused::Code));
         }
-        prop_assert_eq!(opener.counts().values().sum::<u64>(), word.len() as u64 + 4);
-        let opened = opener.open(&word);
+        prop_assert_eq!(opener.counts().values().sum::<u64>(), message.len() as u64 + 4);
+        let opened = opener.open(&message);
         prop_assert_eq!(opened.map(|o| (o.sender, o.life, o.number, o.body)), Ok((7, life, 1, body.as_slice())));
-        prop_assert_eq!(opener.open(&word), Err(Refused::Repeated));
+        prop_assert_eq!(opener.open(&message), Err(Refused::Repeated));
     }
 
     /// In any order within the window, with any repeats: each once, as a set that forgets nothing would have it.
     #[test]
     fn reordered_words_are_taken_once(steps in prop::collection::vec((0u64..1500, any::<bool>()), 1..400)) {
-        static WORDS: LazyLock<Vec<Vec<u8>>> = LazyLock::new(|| {
+        static MESSAGES: LazyLock<Vec<Vec<u8>>> = LazyLock::new(|| {
             let mut sealer = pair(1).0;
             (0..4_000).map(|_| sealer.seal(b"x")).collect()
         });
-        let (words, mut opener) = (&*WORDS, pair(1).1);
-        let (mut heard, mut highest) = (std::collections::BTreeSet::new(), 0);
+        let (messages, mut opener) = (&*MESSAGES, pair(1).1);
+        let (mut received, mut highest) = (std::collections::BTreeSet::new(), 0);
         for (step, ahead) in steps {
             let number = if ahead { highest + 1 + step / 64 } else { highest.saturating_sub(step) };
-            let Some(word) = number.checked_sub(1).and_then(|n| words.get(n as usize)) else { continue };
+            let Some(message) = number.checked_sub(1).and_then(|n| messages.get(n as usize)) else { continue };
             let expected = if highest.saturating_sub(number) >= WINDOW {
                 Err(Refused::Old)
-            } else if heard.insert(number) {
+            } else if received.insert(number) {
                 Ok(number)
             } else {
                 Err(Refused::Repeated)
             };
             highest = highest.max(number);
-            prop_assert_eq!(opener.open(word).map(|o| o.number), expected);
+            prop_assert_eq!(opener.open(message).map(|o| o.number), expected);
         }
     }
 }
@@ -105,7 +105,7 @@
 fn each_reason_is_counted_and_told_once() {
     let (mut sealer, opener) = pair(1);
     let mut opener = opener.senders(1);
-    let mut refused = |word: &[u8]| opener.open(word).unwrap_err();
+    let mut refused = |message: &[u8]| opener.open(message).unwrap_err();
     assert_eq!(refused(b""), Refused::Short);
     assert_eq!(refused(&sealer.seal(b"")[..ADDED - 1]), Refused::Short);
     assert_eq!(refused(&sealer.seal(b"x")[..HEAD]), Refused::Short);
@@ -119,6 +119,6 @@
         opener.first(Refused::Short, 7) && opener.first(Refused::Code, 7) && opener.first(Refused::Short, 8)
     );
     assert!(!opener.first(Refused::Short, 7));
-    let told = (0..1_000).filter(|sender| opener.first(Refused::Old, *sender)).count();
-    assert_eq!(told, 256);
+    let notified = (0..1_000).filter(|sender| opener.first(Refused::Old, *sender)).count();
+    assert_eq!(notified, 256);
 }
