--- a/crates/mutants/src/systems/accounts.rs
+++ b/crates/mutants/src/systems/accounts.rs
@@ -7,14 +7,14 @@
 use crate::core::{Actor, Broken};
 use crate::troupe::{word, Deed, Part, Script};
 use crate::Micros;
-use shorepath_accounts::book::{Book, News};
-use shorepath_accounts::confirmation::Confirmation;
-use shorepath_accounts::credit::{parts, Credit, Note, Purse, Share};
-use shorepath_accounts::file::Decree;
-use shorepath_accounts::ruling::{bars, rule, Now, Purses, Ruling};
-use shorepath_accounts::running::{Key, Taken};
-use shorepath_accounts::spread::{Spread, Word};
-use shorepath_accounts::Standing;
+use shorepath_accounts::admission::{restrictions, rule, AdmissionDecision, CreditBalances, Now};
+use shorepath_accounts::config::AccountsFile;
+use shorepath_accounts::credit::{parts, Credit, CreditBalance, Note, Share};
+use shorepath_accounts::freshness::Confirmation;
+use shorepath_accounts::gossip::{Message, Spread};
+use shorepath_accounts::in_flight::{Key, Taken};
+use shorepath_accounts::registry::{Book, RegistryUpdate};
+use shorepath_accounts::AccountStatus;
 use std::collections::{BTreeMap, BTreeSet};
 
 const MS: Micros = 1_000;
@@ -30,16 +30,16 @@
 const ACCOUNT: &str = "acme";
 
 /// The files in the order in which they are handed out: their numbers, and how the account stands. Two have one number.
-const FILES: [(u64, Standing); 6] = [
-    (1, Standing::Warned),
-    (2, Standing::Closing),
-    (3, Standing::Warned),
-    (3, Standing::Closing),
-    (4, Standing::Reopened),
-    (5, Standing::Closed),
+const FILES: [(u64, AccountStatus); 6] = [
+    (1, AccountStatus::Warned),
+    (2, AccountStatus::Closing),
+    (3, AccountStatus::Warned),
+    (3, AccountStatus::Closing),
+    (4, AccountStatus::Reopened),
+    (5, AccountStatus::Closed),
 ];
 
-fn file(at: usize) -> Option<Decree> {
+fn file(at: usize) -> Option<AccountsFile> {
     let (number, standing) = *FILES.get(at)?;
     let change = |standing, reason: &str| {
         let reason = reason.to_string();
@@ -47,9 +47,9 @@
     };
     let mut all = BTreeMap::from([(ACCOUNT.to_string(), change(standing, "by the books"))]);
     if number % 2 == 1 {
-        all.insert("fyn".into(), change(Standing::Good, "paid \u{e6}"));
+        all.insert("fyn".into(), change(AccountStatus::Good, "paid \u{e6}"));
     }
-    Some(Decree::new(number, all))
+    Some(AccountsFile::new(number, all))
 }
 
 /// Whether a node that knows that file, and whether there were two of it, may begin nothing new: said apart from the cores.
@@ -64,7 +64,7 @@
     life: u64,
     spread: Spread,
     confirmation: Confirmation,
-    purses: Purses,
+    purses: CreditBalances,
     taken: Taken,
     /// What is on its disk beside the book.
     disk: Option<Note>,
@@ -90,13 +90,13 @@
         book.into_iter().for_each(|book| spread.restore(book));
         let sites = ["a", "b"].map(|s| Share { site: s.into(), nodes: NODES as u32 / 2, weight: None });
         let part = parts(&CREDIT, &sites).ok().and_then(|all| all.into_iter().flatten().nth(me));
-        let purse = Purse::restore(part.unwrap_or_default(), CREDIT.shrink_after, 2, disk);
+        let purse = CreditBalance::restore(part.unwrap_or_default(), CREDIT.shrink_after, 2, disk);
         Node {
             me,
             life,
             spread,
             confirmation: Confirmation::new(now),
-            purses: Purses::from([(ACCOUNT.to_string(), purse)]),
+            purses: CreditBalances::from([(ACCOUNT.to_string(), purse)]),
             taken: Taken::new(256, 60 * S),
             disk,
             knew: (0, false),
@@ -126,7 +126,7 @@
             let story = format!("{} knew file {} and goes by {number}", self.me, self.knew.0);
             self.breaks("never an older number", story);
         }
-        let two = self.spread.news().contains(&News::TwoFiles { number });
+        let two = self.spread.take_updates().contains(&RegistryUpdate::TwoFiles { number });
         self.knew = if number > self.knew.0 { (number, two) } else { (self.knew.0, self.knew.1 || two) };
     }
 
@@ -148,13 +148,13 @@
             purse.wrote(note);
             self.disk = Some(note);
         }
-        let bar = bars(book, &mut self.purses, times).get(ACCOUNT).copied();
+        let bar = restrictions(book, &mut self.purses, times).get(ACCOUNT).copied();
         let Some(purse) = self.purses.get_mut(ACCOUNT) else { return };
         self.asked += 1;
         let key = Key::Request(format!("{}-{}-{}", self.me, self.life, self.asked));
         let ruling = rule(book, Some(purse), &self.taken, ACCOUNT, Some(&key), times);
-        self.alone += u64::from(ruling == Ruling::TakeOnCredit);
-        if !matches!(ruling, Ruling::Refuse(_)) {
+        self.alone += u64::from(ruling == AdmissionDecision::TakeOnCredit);
+        if !matches!(ruling, AdmissionDecision::Refuse(_)) {
             self.taken.take(ACCOUNT, Some(&key), now);
             if barred(self.knew.0, self.knew.1) || bar.is_some_and(|b| b.begin == Some(0)) {
                 let story = format!("{} knows {:?}, bars {bar:?}, and begins {key:?}", self.me, self.knew);
@@ -164,11 +164,12 @@
             }
         }
         let runs = self.last.take();
-        self.last = if matches!(ruling, Ruling::Refuse(_)) { runs.clone() } else { Some((now, key)) };
-        if let Some((_, key)) = runs.filter(|_| standing != Standing::Closed) {
+        self.last =
+            if matches!(ruling, AdmissionDecision::Refuse(_)) { runs.clone() } else { Some((now, key)) };
+        if let Some((_, key)) = runs.filter(|_| standing != AccountStatus::Closed) {
             let Some(purse) = self.purses.get_mut(ACCOUNT) else { return };
             let ruling = rule(book, Some(purse), &self.taken, ACCOUNT, Some(&key), times);
-            if ruling != Ruling::Take {
+            if ruling != AdmissionDecision::Take {
                 self.breaks("what runs is finished", format!("{} has {ruling:?} for {key:?}", self.me));
             }
         }
@@ -177,13 +178,13 @@
 
 impl<const OLDER: bool> Part for Node<OLDER> {
     fn hear(&mut self, now: Micros, from: Actor, bytes: &[u8]) -> Result<(), String> {
-        let word: Word = word(bytes)?;
+        let word: Message = word(bytes)?;
         if (from < NODES / 2) != (self.me < NODES / 2) {
             self.heard = Some(now);
         }
         let before = self.spread.counts();
-        self.spread.hear(from as u32, &word, now);
-        if let (true, Word::Piece { telling, .. }) = (OLDER, &word) {
+        self.spread.receive(from as u32, &word, now);
+        if let (true, Message::Piece { telling, .. }) = (OLDER, &word) {
             let again = !self.came.insert((from, bytes.to_vec()));
             self.older = (0..FILES.len())
                 .filter_map(file)
@@ -215,7 +216,7 @@
     }
 
     fn says(&mut self) -> Vec<(Actor, Vec<u8>)> {
-        let said = self.spread.says().into_iter();
+        let said = self.spread.take_outgoing().into_iter();
         said.filter_map(|(to, word)| Some((to as Actor, serde_json::to_vec(&word).ok()?))).collect()
     }
 
@@ -300,12 +301,12 @@
     }
 
     fn settled(parts: &[Option<Self::Part>], now: Micros) -> Result<(), Broken> {
-        let all: Vec<(u64, u64, Standing)> = parts
+        let all: Vec<(u64, u64, AccountStatus)> = parts
             .iter()
             .flatten()
             .map(|n| (n.book().highest(), n.book().hash(), n.book().standing(ACCOUNT, UNIX + now)))
             .collect();
-        let first = all.first().filter(|f| (f.0, f.2) == (5, Standing::Closed) && all.len() == NODES);
+        let first = all.first().filter(|f| (f.0, f.2) == (5, AccountStatus::Closed) && all.len() == NODES);
         match first.filter(|first| all.iter().all(|a| a == *first)) {
             Some(_) => Ok(()),
             None => Err(Broken::new("all books are equal", format!("{all:?}"))),
--- a/crates/mutants/src/systems/budgets.rs
+++ b/crates/mutants/src/systems/budgets.rs
@@ -7,11 +7,11 @@
 use crate::change::{Change, Form};
 use crate::core::{Actor, Broken, Said, System};
 use crate::Micros;
-use shorepath_budgets::divider::{Book, Divider, Entry};
-use shorepath_budgets::file::{read, Per, Plan};
-use shorepath_budgets::seat::{Seat, Use};
-use shorepath_budgets::words::Word;
-use shorepath_budgets::{Life, NodeId, Skew};
+use shorepath_quota::allocator::{Allocator, Book, Entry};
+use shorepath_quota::client::{QuotaClient, Use};
+use shorepath_quota::config::{read, Per, Plan};
+use shorepath_quota::messages::Message;
+use shorepath_quota::{ClockSkew, NodeId, NodeIncarnation};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::OnceLock;
 
@@ -29,15 +29,15 @@
 /// Around the real cores, for tests: what a fault would make of what they hear and let be used.
 pub trait Around: Default + Clone {
     /// A divider with that book hears a word; what it is told in its place.
-    fn to_divider(&mut self, word: Word, _book: &Book) -> Vec<Word> {
+    fn to_divider(&mut self, word: Message, _book: &Book) -> Vec<Message> {
         vec![word]
     }
 
     /// A node has heard a word, at that time of its clock.
-    fn at_node(&mut self, _life: Life, _word: &Word, _now: Micros) {}
+    fn at_node(&mut self, _life: NodeIncarnation, _word: &Message, _now: Micros) {}
 
     /// What a node uses of a budget, where the real core says so much.
-    fn usable(&self, _life: Life, _budget: &str, real: u64, _now: Micros) -> u64 {
+    fn usable(&self, _life: NodeIncarnation, _budget: &str, real: u64, _now: Micros) -> u64 {
         real
     }
 }
@@ -114,11 +114,11 @@
 #[derive(Clone)]
 struct Node {
     name: String,
-    skew: Skew,
+    skew: ClockSkew,
     cut: bool,
     plan: u64,
     lives: u64,
-    seat: Option<Seat>,
+    seat: Option<QuotaClient>,
     /// Attempts out: of which life, of which budget, and when they end in real time.
     jobs: Vec<(u64, &'static str, Micros)>,
     /// Askings that may be answered, and the greatest grant heard, by budget: for telling why a grant is refused.
@@ -130,13 +130,13 @@
 
 #[derive(Clone)]
 struct Council {
-    skew: Skew,
-    divider: Divider,
+    skew: ClockSkew,
+    divider: Allocator,
     /// How much of the log it has applied.
     applied: usize,
-    addresses: BTreeMap<Life, Actor>,
+    addresses: BTreeMap<NodeIncarnation, Actor>,
     /// The greatest asking heard of a life and budget.
-    asked: BTreeMap<(Life, String), u64>,
+    asked: BTreeMap<(NodeIncarnation, String), u64>,
 }
 
 /// See [`crate::systems::budgets`].
@@ -155,8 +155,8 @@
     around: A,
 }
 
-fn life(name: &str, count: u64) -> Life {
-    Life { node: NodeId::of(name), incarnation: 7_000 + count }
+fn life(name: &str, count: u64) -> NodeIncarnation {
+    NodeIncarnation { node: NodeId::of(name), incarnation: 7_000 + count }
 }
 
 impl<A: Around> Budgets<A> {
@@ -166,7 +166,7 @@
         node.lives += 1;
         let at = node.skew.at(now);
         let mut seat =
-            Seat::new(life(&node.name, node.lives), plan(node.plan).clone(), seed as usize + n, at);
+            QuotaClient::new(life(&node.name, node.lives), plan(node.plan).clone(), seed as usize + n, at);
         seat.own(true, at);
         node.seat = Some(seat);
         node.asked.clear();
@@ -216,8 +216,8 @@
     fn speak(&mut self, n: usize) {
         let node = &mut self.nodes[n];
         let Some(seat) = &mut node.seat else { return };
-        for say in seat.says() {
-            if let Word::Ask { claims, .. } = &say.word {
+        for say in seat.take_outgoing() {
+            if let Message::Ask { claims, .. } = &say.message {
                 for c in claims {
                     let asked = node.asked.entry(c.budget.clone()).or_default();
                     asked.push_back(c.answers);
@@ -236,7 +236,7 @@
                 }
             }
             if say.to < DIVIDERS {
-                self.out.push(Said { from: n, to: NODES + say.to, bytes: say.word.bytes() });
+                self.out.push(Said { from: n, to: NODES + say.to, bytes: say.message.bytes() });
             }
         }
     }
@@ -261,7 +261,7 @@
         let says = council.divider.settled(&entry, changed, at);
         for say in says {
             if let Some(to) = council.addresses.get(&say.to) {
-                self.out.push(Said { from: NODES + d, to: *to, bytes: say.word.bytes() });
+                self.out.push(Said { from: NODES + d, to: *to, bytes: say.message.bytes() });
             }
         }
         for (budget, _) in WHOLES {
@@ -316,21 +316,24 @@
 
     fn hear_at_node(&mut self, now: Micros, from: Actor, to: usize, bytes: &[u8]) -> Result<(), String> {
         let place = from.checked_sub(NODES).filter(|d| *d < DIVIDERS).ok_or("no divider")?;
-        let word = Word::read(bytes).map_err(|_| "no word")?;
+        let word = Message::read(bytes).map_err(|_| "no word")?;
         self.count(to, now, 0);
         let node = &mut self.nodes[to];
         let at = node.skew.at(now);
         let Some(seat) = &mut node.seat else { return Err("nobody is there".into()) };
         let refused = match &word {
-            Word::Grants { life, .. } | Word::Hurry { life } if *life != seat.life() => {
+            Message::Grants { life, .. } | Message::Hurry { life } if *life != seat.life() => {
                 Some("another life's")
             }
-            Word::Ask { .. } | Word::Goes { .. } | Word::Returns { .. } => Some("no word for a node"),
-            Word::Elsewhere { leader } => {
-                let known = leader.as_ref().is_none_or(|l| seat.plan().dividers.iter().any(|d| d.name == *l));
+            Message::Ask { .. } | Message::Goes { .. } | Message::Returns { .. } => {
+                Some("no word for a node")
+            }
+            Message::Elsewhere { leader } => {
+                let known =
+                    leader.as_ref().is_none_or(|l| seat.plan().allocators.iter().any(|d| d.name == *l));
                 (!known).then_some("no divider of the file")
             }
-            Word::Grants { grants, .. } => {
+            Message::Grants { grants, .. } => {
                 let mut whys = grants.iter().map(|g| {
                     let asked = node.asked.get(&g.budget).is_some_and(|a| a.contains(&g.answers));
                     let before = node.heard.get(&g.budget).copied().unwrap_or_default();
@@ -352,30 +355,34 @@
                 }
                 first.filter(|_| !taken)
             }
-            Word::Hurry { .. } => None,
+            Message::Hurry { .. } => None,
         };
         self.around.at_node(seat.life(), &word, at);
-        seat.hear(place, &word, at);
+        seat.receive(place, &word, at);
         self.count(to, now, 0);
         self.speak(to);
         refused.map_or(Ok(()), |why| Err(why.into()))
     }
 
     fn hear_at_divider(&mut self, now: Micros, from: Actor, d: usize, bytes: &[u8]) -> Result<(), String> {
-        let word = Word::read(bytes).map_err(|_| "no word")?;
+        let word = Message::read(bytes).map_err(|_| "no word")?;
         let council = &mut self.dividers[d];
         let at = council.skew.at(now);
         let leads = council.divider.leads();
-        if let Word::Ask { life, .. } = &word {
+        if let Message::Ask { life, .. } = &word {
             if !leads {
                 let leader = self.leader.map(|l| format!("d{l}"));
-                self.out.push(Said { from: NODES + d, to: from, bytes: Word::Elsewhere { leader }.bytes() });
+                self.out.push(Said {
+                    from: NODES + d,
+                    to: from,
+                    bytes: Message::Elsewhere { leader }.bytes(),
+                });
                 return Err("does not lead".into());
             }
             council.addresses.insert(*life, from);
         }
         let book = council.divider.book();
-        let unknown = |life: &Life, by: &[(String, u32, u64)]| {
+        let unknown = |life: &NodeIncarnation, by: &[(String, u32, u64)]| {
             let held = |(b, _, n): &(String, u32, u64)| {
                 book.ledger(b).is_some_and(|l| l.newest(*life) >= *n && *n > 0)
             };
@@ -383,10 +390,10 @@
         };
         let refused = match &word {
             _ if !leads => Some("does not lead"),
-            Word::Ask { life, .. } if book.plan().is_none_or(|p| p.name_of(life.node).is_none()) => {
+            Message::Ask { life, .. } if book.plan().is_none_or(|p| p.name_of(life.node).is_none()) => {
                 Some("no node of the file")
             }
-            Word::Ask { life, claims, .. } => {
+            Message::Ask { life, claims, .. } => {
                 let mut news = claims.is_empty();
                 for c in claims {
                     let asked = council.asked.entry((*life, c.budget.clone())).or_default();
@@ -395,12 +402,12 @@
                 }
                 (!news).then_some("no newer asking")
             }
-            Word::Goes { life, by } => unknown(life, by).then_some("no such grant"),
-            Word::Returns { life, of } => unknown(life, of).then_some("no such grant"),
+            Message::Goes { life, by } => unknown(life, by).then_some("no such grant"),
+            Message::Returns { life, of } => unknown(life, of).then_some("no such grant"),
             _ => Some("no word for a divider"),
         };
         for word in self.around.to_divider(word, council.divider.book()) {
-            council.divider.hear(&word, at);
+            council.divider.receive(&word, at);
         }
         refused.map_or(Ok(()), |why| Err(why.into()))
     }
@@ -422,7 +429,10 @@
     fn start(seed: u64) -> Self {
         let skew = |k: u64| {
             let mixed = (seed + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(7 * k as u32);
-            Skew { offset: (mixed % 1_000) as i64 * S + 5 * S, drift_ppm: (mixed >> 32) as i64 % 801 - 400 }
+            ClockSkew {
+                offset: (mixed % 1_000) as i64 * S + 5 * S,
+                drift_ppm: (mixed >> 32) as i64 % 801 - 400,
+            }
         };
         let node = |n: usize| Node {
             name: format!("n{n}"),
@@ -438,7 +448,7 @@
         };
         let council = |d: usize| Council {
             skew: skew(5 + d as u64),
-            divider: Divider::new(&format!("d{d}"), plan(1).clone(), 40 + d as u32),
+            divider: Allocator::new(&format!("d{d}"), plan(1).clone(), 40 + d as u32),
             applied: 0,
             addresses: BTreeMap::new(),
             asked: BTreeMap::new(),
--- a/crates/mutants/src/systems/homes.rs
+++ b/crates/mutants/src/systems/homes.rs
@@ -9,21 +9,21 @@
 use crate::troupe::{word, Deed, Part, Script};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
-use shorepath_budgets::divider::Divider;
-use shorepath_budgets::file::{self as budgets, Plan as Budgets};
-use shorepath_budgets::seat::{Seat, Use};
-use shorepath_budgets::words::Word as Grants;
-use shorepath_budgets::{Life, NodeId, Skew};
-use shorepath_placements::chain::{encode, follow, origin, Piece, Point};
-use shorepath_placements::exchange::{Exchange, Settings, Word as Pieces};
+use shorepath_placements::anti_entropy::{Exchange, Message as Pieces, Settings};
+use shorepath_placements::hash_chain::{encode, follow, origin, Piece, Point};
 use shorepath_placements::history::History;
-use shorepath_placements::keys::{Keys, Known};
+use shorepath_placements::idempotency_index::{Keys, Known};
 use shorepath_placements::{End, Entry, Placement, Timed, Writer};
-use shorepath_sites::file::{read, Plan};
-use shorepath_sites::homes::{Fence, Gone, Homes, Kept, Proof};
-use shorepath_sites::partners::partners;
-use shorepath_sites::proof::{self, Proving};
-use shorepath_sites::seeing::{Seeing, Word as Sees};
+use shorepath_quota::allocator::Allocator;
+use shorepath_quota::client::{QuotaClient, Use};
+use shorepath_quota::config::{self as budgets, Plan as Budgets};
+use shorepath_quota::messages::Message as Grants;
+use shorepath_quota::{ClockSkew, NodeId, NodeIncarnation};
+use shorepath_sites::catch_up::{self, Proving};
+use shorepath_sites::config::{read, Plan};
+use shorepath_sites::health::{Message as Sees, SiteHealth};
+use shorepath_sites::key_ownership::{Fence, Gone, Kept, KeyOwnership, Proof};
+use shorepath_sites::peer_selection::selected_peers;
 use shorepath_sites::Seen;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::OnceLock;
@@ -99,9 +99,9 @@
     (mixed ^ mixed >> 29).wrapping_mul(0xbf58_476d_1ce4_e5b9) >> 20
 }
 
-fn skew(seed: u64, actor: Actor) -> Skew {
+fn skew(seed: u64, actor: Actor) -> ClockSkew {
     let drawn = mixed(seed, 7_000 + actor as u64);
-    Skew { offset: (drawn % 1_000) as i64 * S + 5 * S, drift_ppm: (drawn >> 12) as i64 % 801 - 400 }
+    ClockSkew { offset: (drawn % 1_000) as i64 * S + 5 * S, drift_ppm: (drawn >> 12) as i64 % 801 - 400 }
 }
 
 /// A word between two nodes; those of divider and nodes are the budgets' own.
@@ -114,7 +114,7 @@
     },
     Home {
         #[serde(rename = "of")]
-        word: proof::Word,
+        word: catch_up::Message,
     },
     /// A word of the exchange of histories, in hexadecimal figures.
     Log { x: String },
@@ -134,11 +134,11 @@
 pub struct Node<const FAULT: u8> {
     seed: u64,
     me: usize,
-    skew: Skew,
-    seat: Seat,
-    homes: Homes,
+    skew: ClockSkew,
+    seat: QuotaClient,
+    homes: KeyOwnership,
     proving: Proving,
-    seeing: Seeing,
+    seeing: SiteHealth,
     wanted: BTreeSet<String>,
     gone: BTreeMap<u32, Micros>,
     history: History,
@@ -173,15 +173,15 @@
 
     fn wake(&mut self, life: u64, now: Micros) {
         let (seed, me, at) = (self.seed, self.me, self.skew.at(now));
-        let named = Life { node: NodeId(number(me)), incarnation: Homed::<FAULT>::name(life) };
-        self.seat = Seat::new(named, divided().clone(), 0, at);
+        let named = NodeIncarnation { node: NodeId(number(me)), incarnation: Homed::<FAULT>::name(life) };
+        self.seat = QuotaClient::new(named, divided().clone(), 0, at);
         self.seat.own(true, at);
-        self.homes = Homes::new(number(me), plan(), &self.kept);
+        self.homes = KeyOwnership::new(number(me), plan(), &self.kept);
         self.proving = Proving::default();
-        let seeing = Seeing::new(number(me), plan(), seed ^ (me as u64) << 16 ^ life << 32, at);
+        let seeing = SiteHealth::new(number(me), plan(), seed ^ (me as u64) << 16 ^ life << 32, at);
         // Where the file doesn't name it, nobody settles.
         self.seeing = seeing.unwrap_or_else(|e| unreachable!("{e}"));
-        let others = partners(plan(), number(me)).into_iter().filter_map(place);
+        let others = selected_peers(plan(), number(me)).into_iter().filter_map(place);
         self.exchanges =
             others.map(|o| (o, Exchange::new(SETTINGS, Homed::<FAULT>::name(life), at))).collect();
         (self.next, self.ticks) = (now, 0);
@@ -205,7 +205,7 @@
                 {
                     lease = Some((grant, at));
                 }
-                if lease.is_none() && arrived.is_some_and(|(_, at)| now < at + term.of_holder()) {
+                if lease.is_none() && arrived.is_some_and(|(_, at)| now < at + term.for_holder()) {
                     continue;
                 }
             }
@@ -231,14 +231,15 @@
 
     /// Hand on what the cores have said.
     fn speak(&mut self) {
-        let grants = self.seat.says().into_iter().map(|s| (DIVIDER, s.word.bytes()));
+        let grants = self.seat.take_outgoing().into_iter().map(|s| (DIVIDER, s.message.bytes()));
         self.says.extend(grants.collect::<Vec<_>>());
-        for (to, word) in self.seeing.says() {
+        for (to, word) in self.seeing.take_outgoing() {
             if let Some(to) = place(to) {
                 self.say(to, &Wire::Sees { word });
             }
         }
-        let words = self.exchanges.iter_mut().flat_map(|(o, e)| e.says().into_iter().map(|w| (*o, w)));
+        let words =
+            self.exchanges.iter_mut().flat_map(|(o, e)| e.take_outgoing().into_iter().map(|w| (*o, w)));
         for (to, word) in words.collect::<Vec<_>>() {
             self.say(to, &Wire::Log { x: hex(&word.encode()) });
         }
@@ -276,7 +277,7 @@
             self.breaks("one's own log goes on", e.to_string());
         }
         self.keys.entry(&self.writer, self.head.0, &entry);
-        self.exchanges.iter_mut().for_each(|(_, e)| e.news(&self.writer));
+        self.exchanges.iter_mut().for_each(|(_, e)| e.note_update(&self.writer));
         self.head.0
     }
 
@@ -320,32 +321,32 @@
             taken: now,
             on_credit: false,
             list: 1,
-            fence: fence.word(),
+            fence: fence.message(),
         };
         let of = self.write(now, Entry::Placed(placement));
         self.placed.push((key, of, fence));
     }
 
-    fn hear_proof(&mut self, from: Actor, bytes: &[u8], word: proof::Word) -> Result<(), String> {
+    fn hear_proof(&mut self, from: Actor, bytes: &[u8], word: catch_up::Message) -> Result<(), String> {
         match word {
-            proof::Word::Ask { home, fence } => {
+            catch_up::Message::Ask { home, fence } => {
                 let (log, last) = (self.writer.log, self.head.0);
                 let (site, node) = (&self.writer.site, &self.writer.node);
-                if !proof::known(&self.history, site, node, (log, 0)) {
+                if !catch_up::known(&self.history, site, node, (log, 0)) {
                     return Err("its disk is not whole".into());
                 }
-                self.say(from, &Wire::Home { word: proof::Word::Tell { home, fence, log, last } });
+                self.say(from, &Wire::Home { word: catch_up::Message::Reply { home, fence, log, last } });
             }
-            proof::Word::Tell { home, fence, log, last } => {
+            catch_up::Message::Reply { home, fence, log, last } => {
                 let twice = !self.came.insert((from, bytes.to_vec()));
-                self.proving.told(number(from), &home, fence, log, last);
+                self.proving.notified(number(from), &home, fence, log, last);
                 if FAULT == fault::TOLD_TWICE && twice {
                     for (site, node) in plan().nodes().filter(|(_, n)| n.number != number(from)) {
                         let mine = |w: &&Writer| w.site == site.name && w.node == node.name;
                         let log = self.history.writers().find(mine).cloned();
                         let last = log.iter().flat_map(|w| self.history.heads(w)).map(|p| p.0).max();
                         let log = log.map_or(0, |w| w.log);
-                        self.proving.told(node.number, &home, fence, log, last.unwrap_or(0));
+                        self.proving.notified(node.number, &home, fence, log, last.unwrap_or(0));
                     }
                 }
             }
@@ -357,15 +358,15 @@
         let word = unhex(text).and_then(|bytes| Pieces::decode(&bytes).ok()).ok_or("no piece")?;
         let found = self.exchanges.iter_mut().find(|(o, _)| *o == from);
         let (_, exchange) = found.ok_or("no partner")?;
-        let heard = exchange.hear(&mut self.history, word, now).map_err(|_| "not to be taken")?;
+        let heard = exchange.receive(&mut self.history, word, now).map_err(|_| "not to be taken")?;
         for piece in &heard.pieces {
             for (number, bytes) in (piece.after + 1..).zip(&piece.entries) {
-                if let Ok(timed) = shorepath_placements::chain::decode(number, bytes) {
+                if let Ok(timed) = shorepath_placements::hash_chain::decode(number, bytes) {
                     self.keys.entry(&piece.writer, number, &timed.entry);
                 }
             }
             let others = self.exchanges.iter_mut().filter(|(o, _)| *o != from);
-            others.for_each(|(_, e)| e.news(&piece.writer));
+            others.for_each(|(_, e)| e.note_update(&piece.writer));
         }
         Ok(())
     }
@@ -382,7 +383,7 @@
                 *last = if g.number > last.0 { (g.number, now) } else { *last };
             }
         }
-        let heard = self.seat.hear(0, &word, now);
+        let heard = self.seat.receive(0, &word, now);
         // Before anything is said of it.
         self.leased(now);
         if heard {
@@ -403,9 +404,9 @@
 /// The one divider.
 #[derive(Clone, Debug)]
 pub struct Council {
-    skew: Skew,
-    divider: Divider,
-    addresses: BTreeMap<Life, Actor>,
+    skew: ClockSkew,
+    divider: Allocator,
+    addresses: BTreeMap<NodeIncarnation, Actor>,
     next: Micros,
     says: Vec<(Actor, Vec<u8>)>,
 }
@@ -429,7 +430,7 @@
                     DIVIDER => node.hear_grants(bytes, at),
                     _ => match word(bytes)? {
                         Wire::Sees { word } => {
-                            let heard = node.seeing.hear(number(from), &word, at);
+                            let heard = node.seeing.receive(number(from), &word, at);
                             heard.map_err(|e| e.to_string().chars().filter(|c| !c.is_ascii_digit()).collect())
                         }
                         Wire::Home { word } => node.hear_proof(from, bytes, word),
@@ -445,7 +446,7 @@
                 if let Grants::Ask { life, .. } = &word {
                     council.addresses.insert(*life, from);
                 }
-                council.divider.hear(&word, at);
+                council.divider.receive(&word, at);
                 Ok(())
             }
         }
@@ -489,7 +490,7 @@
                 let changed = council.divider.apply(&entry, at);
                 for say in council.divider.settled(&entry, changed, at) {
                     if let Some(to) = council.addresses.get(&say.to) {
-                        council.says.push((*to, say.word.bytes()));
+                        council.says.push((*to, say.message.bytes()));
                     }
                 }
             }
@@ -551,7 +552,7 @@
     fn start(seed: u64, actor: Actor, life: u64, now: Micros) -> Self::Part {
         let skew = skew(seed, actor);
         if actor == DIVIDER {
-            let mut divider = Divider::new("d0", divided().clone(), 40);
+            let mut divider = Allocator::new("d0", divided().clone(), 40);
             divider.lead(true);
             let (addresses, says) = (BTreeMap::new(), Vec::new());
             return Player::Council(Council { skew, divider, addresses, next: now, says });
@@ -563,15 +564,15 @@
             node: name(here.map(|(_, n)| n.name.as_str())),
             log: seed << 8 | actor as u64 | 1 << 40,
         };
-        let me = Life { node: NodeId(number(actor)), incarnation: 0 };
+        let me = NodeIncarnation { node: NodeId(number(actor)), incarnation: 0 };
         let mut node = Node {
             seed,
             me: actor,
             skew,
-            seat: Seat::new(me, divided().clone(), 0, 0),
-            homes: Homes::new(number(actor), plan(), &Kept::default()),
+            seat: QuotaClient::new(me, divided().clone(), 0, 0),
+            homes: KeyOwnership::new(number(actor), plan(), &Kept::default()),
             proving: Proving::default(),
-            seeing: Seeing::new(number(actor), plan(), 0, 0).unwrap_or_else(|e| unreachable!("{e}")),
+            seeing: SiteHealth::new(number(actor), plan(), 0, 0).unwrap_or_else(|e| unreachable!("{e}")),
             wanted: BTreeSet::new(),
             gone: BTreeMap::new(),
             history: History::new(),
--- a/crates/mutants/src/systems/lending.rs
+++ b/crates/mutants/src/systems/lending.rs
@@ -7,11 +7,11 @@
 use crate::core::{Actor, Broken};
 use crate::troupe::{word, Deed, Part, Script};
 use crate::Micros;
-use shorepath_recovery::ramp::Pace;
-use shorepath_sites::file::{read, Plan};
-use shorepath_sites::lending::{Class, Lending};
-use shorepath_sites::seeing::{Seeing, Word};
-use shorepath_sites::share::{plan as shared, Standing};
+use shorepath_recovery::slow_start::Pace;
+use shorepath_sites::config::{read, Plan};
+use shorepath_sites::health::{Message, SiteHealth};
+use shorepath_sites::load_allocation::{plan as shared, SiteLoad};
+use shorepath_sites::load_shifting::{Class, LoadShifting};
 use shorepath_sites::Seen;
 use std::collections::BTreeSet;
 use std::sync::OnceLock;
@@ -71,7 +71,7 @@
                 (class.to_string(), each * 2 * (S / TICK) as u64)
             };
             let seen = if name == "s2" { Seen::Lost } else { Seen::Linked };
-            Standing { seen, bears: BEARS, demand: CLASSES.iter().map(rate).collect(), part: 100 }
+            SiteLoad { seen, bears: BEARS, demand: CLASSES.iter().map(rate).collect(), part: 100 }
         };
         let now = plan().sites.iter().map(|s| (s.name.clone(), demand(&s.name))).collect();
         let worth = CLASSES.iter().map(|(name, worth, ..)| (name.to_string(), *worth)).collect();
@@ -89,8 +89,8 @@
 pub struct Node<const TWICE: bool> {
     me: usize,
     began: Micros,
-    seeing: Seeing,
-    lending: Lending,
+    seeing: SiteHealth,
+    lending: LoadShifting,
     next: Micros,
     came: BTreeSet<(Actor, Vec<u8>)>,
     /// What it lends, the greatest since it turned last, the most at all, and how often it turned.
@@ -131,15 +131,15 @@
 
 impl<const TWICE: bool> Part for Node<TWICE> {
     fn hear(&mut self, now: Micros, from: Actor, bytes: &[u8]) -> Result<(), String> {
-        let mut word: Word = word(bytes)?;
+        let mut word: Message = word(bytes)?;
         if TWICE && !self.came.insert((from, bytes.to_vec())) {
             let demand = word.load.iter_mut().flat_map(|l| l.demand.iter_mut());
             demand.for_each(|(_, rate)| *rate *= 2);
         }
         let from = number(from);
-        let heard = self.seeing.hear(from, &word, now);
+        let heard = self.seeing.receive(from, &word, now);
         heard.map_err(|e| e.to_string().chars().filter(|c| !c.is_ascii_digit()).collect::<String>())?;
-        self.lending.heard(&self.seeing, from, &word, now);
+        self.lending.received(&self.seeing, from, &word, now);
         Ok(())
     }
 
@@ -160,7 +160,7 @@
 
     fn says(&mut self) -> Vec<(Actor, Vec<u8>)> {
         let place = |to: u32| plan().nodes().position(|(_, n)| n.number == to);
-        let said = self.seeing.says().into_iter();
+        let said = self.seeing.take_outgoing().into_iter();
         said.filter_map(|(to, word)| Some((place(to)?, serde_json::to_vec(&word).ok()?))).collect()
     }
 
@@ -184,10 +184,10 @@
     const ACTORS: usize = NODES;
 
     fn start(seed: u64, me: Actor, life: u64, now: Micros) -> Self::Part {
-        let seeing = Seeing::new(number(me), plan(), seed ^ (me as u64) << 16 ^ life << 32, now);
+        let seeing = SiteHealth::new(number(me), plan(), seed ^ (me as u64) << 16 ^ life << 32, now);
         // Where the file doesn't name it, nobody settles.
         let seeing = seeing.unwrap_or_else(|e| unreachable!("{e}"));
-        let (lending, came) = (Lending::new(PACE, now), BTreeSet::new());
+        let (lending, came) = (LoadShifting::new(PACE, now), BTreeSet::new());
         let turned = (0, true, 0);
         Node { me, began: now, seeing, lending, next: now, came, lends: 0, turned, peak: 0, broken: None }
     }
--- a/crates/mutants/src/systems/members.rs
+++ b/crates/mutants/src/systems/members.rs
@@ -4,7 +4,7 @@
 use crate::core::{Actor, Broken};
 use crate::troupe::{Deed, Part, Script};
 use crate::Micros;
-use shorepath_membership::{Effect, Membership, Peer, Standing};
+use shorepath_membership::{Effect, MemberState, Membership, Peer};
 
 const S: Micros = 1_000_000;
 const MEMBERS: usize = 4;
@@ -17,7 +17,7 @@
     fn hear(&mut self, now: Micros, _: Actor, bytes: &[u8]) -> Result<(), String> {
         // What the library says of it, without what differs from word to word.
         let why = |e: String| e.chars().filter(|c| !c.is_ascii_digit()).take(60).collect();
-        self.0.hear(now, bytes).map_err(|e| why(e.to_string()))
+        self.0.receive(now, bytes).map_err(|e| why(e.to_string()))
     }
 
     fn pass(&mut self, now: Micros) {
@@ -29,7 +29,7 @@
     }
 
     fn says(&mut self) -> Vec<(Actor, Vec<u8>)> {
-        let said = |e| if let Effect::Say { to, bytes } = e { Some((to as Actor, bytes)) } else { None };
+        let said = |e| if let Effect::Outgoing { to, bytes } = e { Some((to as Actor, bytes)) } else { None };
         self.0.effects().into_iter().filter_map(said).collect()
     }
 }
@@ -81,7 +81,7 @@
             for other in (0..MEMBERS).filter(|o| *o != actor) {
                 let standing = member.0.standing(other as u32);
                 // The network goes on losing words: a suspicion may stand at any moment, and is contradicted or becomes Gone.
-                if !matches!(standing, Some(Standing::Alive | Standing::Suspect)) {
+                if !matches!(standing, Some(MemberState::Alive | MemberState::Suspect)) {
                     return Err(Broken::new(
                         "all agree on who lives",
                         format!("{actor} holds {other} for {standing:?}"),
--- a/crates/mutants/src/systems/placements.rs
+++ b/crates/mutants/src/systems/placements.rs
@@ -7,11 +7,11 @@
 use crate::core::{Actor, Broken};
 use crate::troupe::{Deed, Part, Script};
 use crate::Micros;
-use shorepath_placements::beginning::{Beginning, Slot, Verdict};
-use shorepath_placements::chain::{encode, follow, origin, Piece, Point};
-use shorepath_placements::exchange::{Dropped, Exchange, Settings, Word};
+use shorepath_placements::anti_entropy::{Dropped, Exchange, Message, Settings};
+use shorepath_placements::hash_chain::{encode, follow, origin, Piece, Point};
 use shorepath_placements::history::{History, HistoryError};
-use shorepath_placements::keys::{Keys, Known};
+use shorepath_placements::idempotency_index::{Keys, Known};
+use shorepath_placements::log_recovery::{LogFate, LogRecovery, Slot};
 use shorepath_placements::{End, Entry, Placement, Timed, Writer};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -45,7 +45,7 @@
     writer: Writer,
     head: Point,
     /// What is held until it is known which log goes on.
-    beginning: Beginning,
+    beginning: LogRecovery,
     placed: u64,
     /// Placements of its own that have no end yet.
     open: VecDeque<(Slot, Micros)>,
@@ -73,11 +73,11 @@
             Slot::Written(number) => Some(number),
             Slot::Held(_) => None,
         });
-        self.beginning = Beginning::new(now, ASKING, written);
+        self.beginning = LogRecovery::new(now, ASKING, written);
         if FAULT == HASTY {
-            let (mut beginning, verdict) = (self.beginning.clone(), Verdict::GoesOn(false));
+            let (mut beginning, verdict) = (self.beginning.clone(), LogFate::GoesOn(false));
             beginning.write(verdict, |timed| self.write(now, timed.entry));
-            self.beginning = Beginning::new(now, ASKING, []);
+            self.beginning = LogRecovery::new(now, ASKING, []);
         }
         let others = (0..NODES).filter(|o| *o != me);
         self.exchanges = others.map(|o| (o, Exchange::new(SETTINGS, life, now))).collect();
@@ -95,7 +95,7 @@
             Err(e) => self.breaks("one's own log goes on", e.to_string()),
         }
         self.keys.entry(&self.writer, self.head.0, &entry);
-        self.exchanges.iter_mut().for_each(|(_, e)| e.news(&self.writer));
+        self.exchanges.iter_mut().for_each(|(_, e)| e.note_update(&self.writer));
         self.look();
         Some(self.head.0)
     }
@@ -105,7 +105,7 @@
         let exchanges = self.exchanges.iter().map(|(_, e)| e);
         let verdict = self.beginning.ask(exchanges, &self.history, &self.writer, self.head, now);
         let Some(verdict) = verdict else { return };
-        if let Verdict::Anew(_) = verdict {
+        if let LogFate::Refounded(_) = verdict {
             self.writer.log = self.life << 32 | self.me as u64;
             self.head = origin(&self.writer);
             self.open.retain(|(slot, _)| matches!(slot, Slot::Held(_)));
@@ -199,8 +199,8 @@
             Dropped::History(HistoryError::Entry { .. }) => "no entry",
             Dropped::History(_) => "not to be taken",
         };
-        let word = Word::decode(bytes).map_err(|e| why(&e).to_string())?;
-        if let (true, Word::Piece { piece }) = (FAULT == TWICE, &word) {
+        let word = Message::decode(bytes).map_err(|e| why(&e).to_string())?;
+        if let (true, Message::Piece { piece }) = (FAULT == TWICE, &word) {
             if !self.came.insert((from, bytes.to_vec())) {
                 self.counted += piece.entries.len() as u64;
                 self.look();
@@ -209,16 +209,16 @@
         let Some((_, exchange)) = self.exchanges.iter_mut().find(|(o, _)| *o == from) else {
             return Err("nobody's".into());
         };
-        let heard = exchange.hear(&mut self.history, word, now).map_err(|e| why(&e).to_string())?;
+        let heard = exchange.receive(&mut self.history, word, now).map_err(|e| why(&e).to_string())?;
         self.counted += heard.new;
         for piece in &heard.pieces {
             for (number, bytes) in (piece.after + 1..).zip(&piece.entries) {
-                if let Ok(timed) = shorepath_placements::chain::decode(number, bytes) {
+                if let Ok(timed) = shorepath_placements::hash_chain::decode(number, bytes) {
                     self.keys.entry(&piece.writer, number, &timed.entry);
                 }
             }
             let others = self.exchanges.iter_mut().filter(|(o, _)| *o != from);
-            others.for_each(|(_, e)| e.news(&piece.writer));
+            others.for_each(|(_, e)| e.note_update(&piece.writer));
         }
         if heard.new > 0 || heard.sealed.is_some() {
             self.look();
@@ -243,7 +243,7 @@
 
     fn says(&mut self) -> Vec<(Actor, Vec<u8>)> {
         let all = self.exchanges.iter_mut();
-        all.flat_map(|(o, e)| e.says().into_iter().map(|w| (*o, w.encode()))).collect()
+        all.flat_map(|(o, e)| e.take_outgoing().into_iter().map(|w| (*o, w.encode()))).collect()
     }
 
     fn does(&mut self, _: Micros, _: u32) {
@@ -279,7 +279,7 @@
             exchanges: Vec::new(),
             head: origin(&writer),
             writer,
-            beginning: Beginning::new(now, ASKING, []),
+            beginning: LogRecovery::new(now, ASKING, []),
             placed: seed,
             open: VecDeque::new(),
             next: now,
--- a/crates/mutants/src/systems/seeing.rs
+++ b/crates/mutants/src/systems/seeing.rs
@@ -7,8 +7,8 @@
 use crate::core::{Actor, Broken};
 use crate::troupe::{word, Deed, Part, Script};
 use crate::Micros;
-use shorepath_sites::file::{read, Plan};
-use shorepath_sites::seeing::{Seeing, Word};
+use shorepath_sites::config::{read, Plan};
+use shorepath_sites::health::{Message, SiteHealth};
 use shorepath_sites::Seen;
 use std::collections::BTreeMap;
 use std::sync::OnceLock;
@@ -51,7 +51,7 @@
 pub struct Node<const ARRIVAL: bool> {
     seed: u64,
     me: usize,
-    seeing: Seeing,
+    seeing: SiteHealth,
     next: Micros,
     /// Changes of each site, and the greatest number that came from it.
     changes: BTreeMap<String, usize>,
@@ -61,7 +61,7 @@
 
 impl<const ARRIVAL: bool> Node<ARRIVAL> {
     /// The word as the fault has it.
-    fn renewed(&mut self, mut word: Word) -> Word {
+    fn renewed(&mut self, mut word: Message) -> Message {
         let own = plan().sites.get(self.me / 2).map_or(0, |s| s.number);
         let greatest = self.greatest.entry(word.site).or_default();
         if ARRIVAL && word.number < *greatest && word.site != own {
@@ -107,7 +107,7 @@
     fn hear(&mut self, now: Micros, from: Actor, bytes: &[u8]) -> Result<(), String> {
         let word = word(bytes)?;
         let word = self.renewed(word);
-        let heard = self.seeing.hear(number(from), &word, now);
+        let heard = self.seeing.receive(number(from), &word, now);
         heard.map_err(|e| e.to_string().chars().filter(|c| !c.is_ascii_digit()).collect())
     }
 
@@ -129,7 +129,7 @@
 
     fn says(&mut self) -> Vec<(Actor, Vec<u8>)> {
         let place = |to: u32| plan().nodes().position(|(_, n)| n.number == to);
-        let said = self.seeing.says().into_iter();
+        let said = self.seeing.take_outgoing().into_iter();
         said.filter_map(|(to, word)| Some((place(to)?, serde_json::to_vec(&word).ok()?))).collect()
     }
 
@@ -162,7 +162,7 @@
     fn start(seed: u64, me: Actor, life: u64, now: Micros) -> Self::Part {
         let drawn = seed ^ (me as u64) << 16 ^ life << 32;
         // Where the file doesn't name it, nobody settles.
-        let seeing = Seeing::new(number(me), plan(), drawn, now);
+        let seeing = SiteHealth::new(number(me), plan(), drawn, now);
         let seeing = seeing.unwrap_or_else(|e| unreachable!("{e}"));
         let (changes, greatest) = (BTreeMap::new(), BTreeMap::new());
         Node { seed, me, seeing, next: now, changes, greatest, broken: None }
--- a/crates/mutants/tests/plants.rs
+++ b/crates/mutants/tests/plants.rs
@@ -1,8 +1,5 @@
 //! Faults put around the real cores: each is found by a mutant, and that mutant finds nothing without the fault.
 
-use shorepath_budgets::divider::Book;
-use shorepath_budgets::words::Word;
-use shorepath_budgets::Life;
 use shorepath_mutants::campaign::{run, Campaign};
 use shorepath_mutants::change::Change;
 use shorepath_mutants::core::{play, End, Mutant, Record, System};
@@ -14,12 +11,15 @@
 use shorepath_mutants::systems::seeing::Sites;
 use shorepath_mutants::troupe::Troupe;
 use shorepath_mutants::Micros;
+use shorepath_quota::allocator::Book;
+use shorepath_quota::messages::Message;
+use shorepath_quota::NodeIncarnation;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a node was granted last: of which number, how much, and until when it goes by that.
-type Granted = BTreeMap<(Life, String), (u64, u64, Micros)>;
+type Granted = BTreeMap<(NodeIncarnation, String), (u64, u64, Micros)>;
 
-fn granted(all: &Granted, life: Life, budget: &str, now: Micros) -> Option<u64> {
+fn granted(all: &Granted, life: NodeIncarnation, budget: &str, now: Micros) -> Option<u64> {
     all.get(&(life, budget.to_string())).filter(|g| now < g.2).map(|g| g.1)
 }
 
@@ -28,8 +28,8 @@
 struct OlderWins(Granted);
 
 impl Around for OlderWins {
-    fn at_node(&mut self, life: Life, word: &Word, now: Micros) {
-        let Word::Grants { life: to, grants, .. } = word else { return };
+    fn at_node(&mut self, life: NodeIncarnation, word: &Message, now: Micros) {
+        let Message::Grants { life: to, grants, .. } = word else { return };
         for g in grants.iter().filter(|_| *to == life) {
             let held = self.0.entry((life, g.budget.clone())).or_default();
             // Only an older one is used otherwise than the core does.
@@ -37,7 +37,7 @@
         }
     }
 
-    fn usable(&self, life: Life, budget: &str, real: u64, now: Micros) -> u64 {
+    fn usable(&self, life: NodeIncarnation, budget: &str, real: u64, now: Micros) -> u64 {
         granted(&self.0, life, budget, now).unwrap_or(real)
     }
 }
@@ -47,8 +47,8 @@
 struct FromArrival(Granted);
 
 impl Around for FromArrival {
-    fn at_node(&mut self, life: Life, word: &Word, now: Micros) {
-        let Word::Grants { life: to, grants, .. } = word else { return };
+    fn at_node(&mut self, life: NodeIncarnation, word: &Message, now: Micros) {
+        let Message::Grants { life: to, grants, .. } = word else { return };
         for g in grants.iter().filter(|_| *to == life) {
             let held = self.0.entry((life, g.budget.clone())).or_default();
             if g.number > held.0 {
@@ -57,7 +57,7 @@
         }
     }
 
-    fn usable(&self, life: Life, budget: &str, real: u64, now: Micros) -> u64 {
+    fn usable(&self, life: NodeIncarnation, budget: &str, real: u64, now: Micros) -> u64 {
         granted(&self.0, life, budget, now).map_or(real, |amount| real.max(amount))
     }
 }
@@ -67,8 +67,8 @@
 struct TwiceFreed(BTreeSet<Vec<u8>>);
 
 impl Around for TwiceFreed {
-    fn to_divider(&mut self, word: Word, book: &Book) -> Vec<Word> {
-        let Word::Returns { life, of } = &word else { return vec![word] };
+    fn to_divider(&mut self, word: Message, book: &Book) -> Vec<Message> {
+        let Message::Returns { life, of } = &word else { return vec![word] };
         if self.0.insert(word.bytes()) {
             return vec![word];
         }
@@ -77,7 +77,7 @@
             let ledger = book.ledger(budget).unwrap();
             for other in ledger.lives().filter(|l| l != life) {
                 let of = vec![(budget.clone(), *epoch, ledger.newest(other))];
-                all.push(Word::Returns { life: other, of });
+                all.push(Message::Returns { life: other, of });
             }
         }
         all
--- a/crates/placements/examples/reconcile.rs
+++ b/crates/placements/examples/reconcile.rs
@@ -1,13 +1,13 @@
 //! What placements cost on this machine: an append on its disk, and two sites that each placed half of so many exchanging them and
 //! reconciling. `cargo run --release -p shorepath-placements --example reconcile [PLACEMENTS...]`; with 0 first, nothing is appended on the disk
 
-use shorepath_placements::chain::{self, Piece};
-use shorepath_placements::exchange::{Exchange, Settings, Word};
+use shorepath_placements::anti_entropy::{Exchange, Message, Settings};
+use shorepath_placements::hash_chain::{self, Piece};
 use shorepath_placements::history::History;
 use shorepath_placements::log::Log;
 use shorepath_placements::reconcile::{self, Decision, Reconciler};
 use shorepath_placements::{End, Entry, Placement, Timed, Writer};
-use shorepath_store::keeper::Keeper;
+use shorepath_store::group_commit::GroupCommit;
 use shorepath_store::Store;
 use std::collections::VecDeque;
 use std::sync::mpsc::channel;
@@ -42,17 +42,17 @@
 fn history(site: &str, count: u64, begin: u64) -> Result<History, Failed> {
     let writer = Writer { site: site.into(), node: format!("{site}-1"), log: begin };
     let mut history = History::new();
-    let mut at = chain::origin(&writer);
+    let mut at = hash_chain::origin(&writer);
     let mut entries = Vec::new();
     let mut number = 0;
     for k in 0..count {
         let job = if k % 1_000 < 2 { k } else { begin + k };
         for timed in [placed(job, job.is_multiple_of(10)), ended(job, number + 1)] {
-            entries.push(chain::encode(&timed)?);
+            entries.push(hash_chain::encode(&timed)?);
         }
         number += 2;
         if entries.len() >= 1_000 || k + 1 == count {
-            let head = entries.iter().fold(at.1, |d, e| chain::follow(&d, e));
+            let head = entries.iter().fold(at.1, |d, e| hash_chain::follow(&d, e));
             let some = std::mem::take(&mut entries);
             let piece = Piece { writer: writer.clone(), after: at.0, before: at.1, entries: some, head };
             at = piece.last();
@@ -100,20 +100,20 @@
     let (mut now, mut bytes, mut held) = (0, 0, 0);
     loop {
         while wire.front().is_some_and(|(at, ..)| *at <= now) {
-            let Some((_, to, word)) = wire.pop_front() else { break };
-            let word = Word::decode(&word)?;
+            let Some((_, to, message)) = wire.pop_front() else { break };
+            let message = Message::decode(&message)?;
             let (holdings, side) = if to == 0 { (&mut *a, &mut sides[0]) } else { (&mut *b, &mut sides[1]) };
-            side.hear(holdings, word, now)?;
+            side.receive(holdings, message, now)?;
         }
         for from in [0, 1] {
             let side = &mut sides[from];
             if side.due() <= now {
                 side.pass(if from == 0 { &*a } else { &*b }, now, 0);
                 held = held.max(side.held());
-                for word in side.says() {
-                    let word = word.encode();
-                    bytes += word.len();
-                    wire.push_back((now + one_way, 1 - from, word));
+                for message in side.take_outgoing() {
+                    let message = message.encode();
+                    bytes += message.len();
+                    wire.push_back((now + one_way, 1 - from, message));
                 }
             }
         }
@@ -210,25 +210,25 @@
     let dir = std::env::temp_dir().join(format!("shorepath-placements-{}", std::process::id()));
     let open = || -> Result<Log, Failed> {
         let store = Arc::new(Store::open(&dir, 1 << 20)?);
-        let keeper = Arc::new(Keeper::new(store.clone())?);
-        Ok(Log::open(store, keeper, "north", "north-1", 7)?)
+        let group_commit = Arc::new(GroupCommit::new(store.clone())?);
+        Ok(Log::open(store, group_commit, "north", "north-1", 7)?)
     };
     let log = open()?;
     let mut k = 0;
     for clients in [1, 16, 128] {
-        let (tell, told) = channel();
+        let (reply, notified) = channel();
         let count = 20_000.min(3_000 * clients);
         let begin = Instant::now();
         let mut ends: VecDeque<u64> = VecDeque::new();
         let mut ask = || -> Result<(), Failed> {
-            let (tell, at) = (tell.clone(), Instant::now());
+            let (reply, at) = (reply.clone(), Instant::now());
             k += 1;
             // A client's placement, and the end of an earlier one, which goes with it.
             if ends.len() > 200 {
                 log.later(&ended(k, ends.pop_front().unwrap_or(0)))?;
             }
             ends.push_back(log.append(&placed(k, true), move |done| {
-                let _ = tell.send((done.is_ok(), at.elapsed().as_secs_f64() * 1e3));
+                let _ = reply.send((done.is_ok(), at.elapsed().as_secs_f64() * 1e3));
             })?);
             Ok(())
         };
@@ -237,7 +237,7 @@
         }
         let mut took = Vec::new();
         for n in 0..count {
-            let (ok, ms) = told.recv()?;
+            let (ok, ms) = notified.recv()?;
             assert!(ok);
             took.push(ms);
             if n + clients < count {
@@ -261,9 +261,9 @@
         took.push(at.elapsed().as_secs_f64() * 1e6);
     }
     let asked = begin.elapsed().as_secs_f64();
-    let (tell, told) = channel();
-    log.flush(move |done| drop(tell.send(done)));
-    told.recv()??;
+    let (reply, notified) = channel();
+    log.flush(move |done| drop(reply.send(done)));
+    notified.recv()??;
     took.sort_by(f64::total_cmp);
     println!(
         "free, with its end: p50 {:.1} us, p99 {:.1} us for who asks ({asked:.2} s for {count}); on the disk {:.0} a second",
--- a/crates/placements/src/exchange.rs
+++ b/crates/placements/src/anti_entropy.rs
@@ -1,6 +1,6 @@
 //! How two nodes give each other what the other lacks of all logs: bounded words, paced, from where the other stands.
 //!
-//! Each says what it has ([`Word::Have`]): at first and from time to time all of it, soon after something came that log. What the other
+//! Each says what it has ([`Message::Have`]): at first and from time to time all of it, soon after something came that log. What the other
 //! said it has stays true for its life, so words may be lost, doubled, late or out of order. Pieces are sent ahead of what was
 //! confirmed by a window at most, and again from there where nothing is confirmed for a time; so nothing is queued but the window, and after a
 //! cut it goes on where it stood. Where logs forked, points at doubling distances from the end tell where they part (as block locators of
@@ -12,14 +12,14 @@
 //!
 //! One exchange is one node's side towards one other node. Entries are read and taken through [`Holdings`], which the shell may keep as it likes.
 
-use crate::chain::{self, Digest, Piece, Point};
+use crate::hash_chain::{self, Digest, Piece, Point};
 use crate::history::{Base, History, HistoryError, Judged, Remembered};
 use crate::{Micros, Writer};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// A word has this many bytes at most, encoded, where the names of a site and a node hold 60 together.
-pub const MOST_WORD: usize = 1_150;
+pub const MAX_MESSAGE: usize = 1_150;
 /// A claim that was not backed is waited for so many times [`Settings::again`] at most, before the other is sent something once more.
 const MOST_WAIT: Micros = 16;
 
@@ -47,7 +47,7 @@
         writer: &Writer,
         points: &[Point],
         most: usize,
-        tell: &mut dyn FnMut(Point, &[u8]) -> bool,
+        reply: &mut dyn FnMut(Point, &[u8]) -> bool,
     ) -> Option<(Point, Point)>;
     /// See [`History::on_line`].
     fn on_line(&self, writer: &Writer, point: &Point, number: u64) -> Option<Digest>;
@@ -90,9 +90,9 @@
         writer: &Writer,
         points: &[Point],
         most: usize,
-        tell: &mut dyn FnMut(Point, &[u8]) -> bool,
+        reply: &mut dyn FnMut(Point, &[u8]) -> bool,
     ) -> Option<(Point, Point)> {
-        History::walk(self, writer, points, most, tell)
+        History::walk(self, writer, points, most, reply)
     }
     fn on_line(&self, writer: &Writer, point: &Point, number: u64) -> Option<Digest> {
         History::on_line(self, writer, point, number)
@@ -118,9 +118,9 @@
     pub taking: Option<(Point, u64)>,
 }
 
-/// What one node says to another. Encoded by postcard ([`Word::encode`]); in a text format it is longer than [`MOST_WORD`].
+/// What one node says to another. Encoded by postcard ([`Message::encode`]); in a text format it is longer than [`MAX_MESSAGE`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub enum Message {
     /// What I have.
     Have {
         /// The life of the node that says it. What was known of another one is not known any more: it may have another disk. A late word of
@@ -159,7 +159,7 @@
 
 fn check(writer: &Writer, point: &Point, from: u64, total: u64, remembered: &[Remembered]) -> Digest {
     let bytes = postcard::to_stdvec(&(point, from, total, remembered)).unwrap_or_default();
-    chain::follow(&chain::origin(writer).1, &bytes)
+    hash_chain::follow(&hash_chain::origin(writer).1, &bytes)
 }
 
 /// Why a word was dropped.
@@ -179,7 +179,7 @@
     History(#[from] HistoryError),
 }
 
-impl Word {
+impl Message {
     /// As it is sent.
     pub fn encode(&self) -> Vec<u8> {
         // Nothing in a word fails to be written.
@@ -190,9 +190,9 @@
     ///
     /// # Errors
     /// It is no word.
-    pub fn decode(bytes: &[u8]) -> Result<Word, Dropped> {
+    pub fn decode(bytes: &[u8]) -> Result<Message, Dropped> {
         match postcard::take_from_bytes(bytes) {
-            Ok((word, [])) => Ok(word),
+            Ok((message, [])) => Ok(message),
             _ => Err(Dropped::Unreadable),
         }
     }
@@ -222,7 +222,7 @@
 
 /// What a word brought.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Heard {
+pub struct Received {
     /// Pieces of which something was new: to be kept on the disk ([`crate::log::Copies::piece`]).
     pub pieces: Vec<Piece>,
     /// A log of which somebody has sealed more ([`crate::log::Copies::base`]).
@@ -260,7 +260,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Spare {
     /// It lacks something, and has not come on since then.
-    Stands(Micros),
+    Stalled(Micros),
     /// It stood for too long: it is sent from here, until it comes on another way.
     Sent,
 }
@@ -278,7 +278,7 @@
 
 /// What was sent of one log and is not confirmed.
 #[derive(Clone, Debug, Default)]
-struct Told {
+struct Unconfirmed {
     points: Vec<Point>,
     keys: Option<(Point, u64)>,
 }
@@ -292,8 +292,9 @@
     writer: &Writer,
     own: Point,
 ) -> Option<u64> {
-    let says = |e: &Exchange| e.ahead(writer).map(|point| point.0).max(e.parted(writer).then_some(own.0));
-    let ahead = exchanges.into_iter().filter_map(says).max();
+    let outgoing_messages =
+        |e: &Exchange| e.ahead(writer).map(|point| point.0).max(e.parted(writer).then_some(own.0));
+    let ahead = exchanges.into_iter().filter_map(outgoing_messages).max();
     let back = match history.judge(writer, own) {
         Judged::Sound => None,
         Judged::WentBack { known, .. } => Some(known),
@@ -316,7 +317,7 @@
     complete: bool,
     theirs: BTreeMap<Writer, Theirs>,
     /// Sent and not confirmed: until it is sent again it counts as had.
-    told: BTreeMap<Writer, Told>,
+    notified: BTreeMap<Writer, Unconfirmed>,
     flying: VecDeque<Flight>,
     /// Pieces that came before the ones before them, and when.
     early: BTreeMap<(Writer, u64), (Piece, Micros)>,
@@ -336,7 +337,7 @@
     part_ways: BTreeSet<Writer>,
     next_whole: Micros,
     /// When it last said what it has.
-    said: Micros,
+    sent: Micros,
     /// What may be sent now, in bytes; below nothing where a word was longer.
     may: i64,
     filled: Micros,
@@ -345,7 +346,7 @@
     full: bool,
     /// The writer that is served next.
     turn: usize,
-    out: Vec<Word>,
+    out: Vec<Message>,
 }
 
 impl Exchange {
@@ -360,7 +361,7 @@
             ended: 0,
             complete: false,
             theirs: BTreeMap::new(),
-            told: BTreeMap::new(),
+            notified: BTreeMap::new(),
             flying: VecDeque::new(),
             early: BTreeMap::new(),
             early_bytes: 0,
@@ -373,7 +374,7 @@
             next_look: now,
             part_ways: BTreeSet::new(),
             next_whole: now,
-            said: now.saturating_sub(settings.soon),
+            sent: now.saturating_sub(settings.soon),
             may: 0,
             filled: now,
             more: false,
@@ -430,19 +431,24 @@
 
     /// What is held here for the other's sake, in bytes: what flies, and what came early.
     pub fn held(&self) -> usize {
-        self.early_bytes + self.out.len() * MOST_WORD
+        self.early_bytes + self.out.len() * MAX_MESSAGE
     }
 
     /// A word came. What it brought is taken at once.
     ///
     /// # Errors
     /// It was dropped.
-    pub fn hear(&mut self, holdings: &mut impl Holdings, word: Word, now: Micros) -> Result<Heard, Dropped> {
-        match word {
-            Word::Have { life, number, part, parts, of } => {
+    pub fn receive(
+        &mut self,
+        holdings: &mut impl Holdings,
+        message: Message,
+        now: Micros,
+    ) -> Result<Received, Dropped> {
+        match message {
+            Message::Have { life, number, part, parts, of } => {
                 if self.other.replace(life) != Some(life) {
                     self.theirs.clear();
-                    self.told.clear();
+                    self.notified.clear();
                     self.spares.clear();
                     self.flying.clear();
                     (self.whole, self.ended) = ((0, BTreeSet::new()), 0);
@@ -464,11 +470,11 @@
                         self.theirs.values_mut().for_each(|theirs| theirs.wholes += 1);
                     }
                 }
-                Ok(Heard::default())
+                Ok(Received::default())
             }
-            Word::Piece { piece } => self.piece(holdings, piece, now),
-            Word::Sealed { writer, point, from, total, remembered, check: said } => {
-                if said != check(&writer, &point, from, total, &remembered) {
+            Message::Piece { piece } => self.piece(holdings, piece, now),
+            Message::Sealed { writer, point, from, total, remembered, check: sent } => {
+                if sent != check(&writer, &point, from, total, &remembered) {
                     return Err(Dropped::Changed);
                 }
                 Ok(self.sealed(holdings, writer, point, (from, total), remembered))
@@ -524,9 +530,9 @@
         let (points, keys) = (&theirs.points, theirs.taking.map_or(0, |(_, keys)| keys));
         if let Some(spare) = self.spares.get(&writer) {
             // It has come on; further than it was sent from here only another way.
-            let told = self.told.get(&writer).and_then(|t| t.points.iter().map(|p| p.0).max());
-            let further = |told| points.iter().any(|p| p.0 > told);
-            if *spare != Spare::Sent || told.is_some_and(further) {
+            let notified = self.notified.get(&writer).and_then(|t| t.points.iter().map(|p| p.0).max());
+            let further = |notified| points.iter().any(|p| p.0 > notified);
+            if *spare != Spare::Sent || notified.is_some_and(further) {
                 self.spares.remove(&writer);
             }
         }
@@ -558,20 +564,25 @@
         });
     }
 
-    fn piece(&mut self, holdings: &mut impl Holdings, piece: Piece, now: Micros) -> Result<Heard, Dropped> {
+    fn piece(
+        &mut self,
+        holdings: &mut impl Holdings,
+        piece: Piece,
+        now: Micros,
+    ) -> Result<Received, Dropped> {
         let writer = piece.writer.clone();
         self.soon.insert(writer.clone());
         self.unsaid += piece.size();
-        let mut heard = Heard::default();
+        let mut received = Received::default();
         let last = (!piece.entries.is_empty()).then(|| piece.last());
         let mut next = Some(piece);
         while let Some(piece) = next.take() {
             match holdings.take(&piece) {
                 Ok(new) => {
-                    heard.new += new;
+                    received.new += new;
                     let last = piece.last().0;
                     if new > 0 {
-                        heard.pieces.push(piece);
+                        received.pieces.push(piece);
                     }
                     // What came early may follow now.
                     let range = (writer.clone(), 0)..=(writer.clone(), last);
@@ -592,7 +603,7 @@
                         self.part_ways.insert(writer.clone());
                     }
                     // What was taken before it stays, and is to be kept.
-                    if heard.pieces.is_empty() {
+                    if received.pieces.is_empty() {
                         return Err(e.into());
                     }
                 }
@@ -605,10 +616,10 @@
         theirs.points.extend(had.filter(|point| holdings.knows(&writer, point)));
         holdings.prune(&writer, &mut theirs.points);
         theirs.points.sort_unstable();
-        if let (Some(claim), true) = (&mut theirs.ahead, heard.new > 0) {
+        if let (Some(claim), true) = (&mut theirs.ahead, received.new > 0) {
             *claim = Claim { since: now, wait: self.settings.again, given_up: false, ..*claim };
         }
-        Ok(heard)
+        Ok(received)
     }
 
     fn sealed(
@@ -618,13 +629,13 @@
         point: Point,
         (from, total): (u64, u64),
         remembered: Vec<Remembered>,
-    ) -> Heard {
+    ) -> Received {
         self.soon.insert(writer.clone());
         self.waited = true;
         // What is known that far needs no word of what was sealed; whatever is sealed here follows from one's own entries.
         if point.0 <= holdings.sealed(&writer).0 || holdings.knows(&writer, &point) {
             self.taking.remove(&writer);
-            return Heard::default();
+            return Received::default();
         }
         let taking = self.taking.entry(writer.clone()).or_insert((point, Vec::new()));
         if taking.0 != point {
@@ -634,18 +645,18 @@
             taking.1.extend(remembered);
         }
         if taking.1.len() as u64 != total {
-            return Heard::default();
+            return Received::default();
         }
-        let Some((point, remembered)) = self.taking.remove(&writer) else { return Heard::default() };
+        let Some((point, remembered)) = self.taking.remove(&writer) else { return Received::default() };
         let base = Base { point, remembered };
         holdings.adopt(&writer, &base);
-        Heard { sealed: Some((writer, base)), ..Heard::default() }
+        Received { sealed: Some((writer, base)), ..Received::default() }
     }
 
-    /// Time has passed: what is to be said is made ([`Exchange::says`]). `chance` spreads the sayings of many.
+    /// Time has passed: what is to be said is made ([`Exchange::take_outgoing`]). `chance` spreads the sayings of many.
     pub fn pass(&mut self, holdings: &impl Holdings, now: Micros, chance: u64) {
         let rate = i64::try_from(self.settings.rate).unwrap_or(i64::MAX).max(1);
-        let burst = (rate / 50).max(MOST_WORD as i64);
+        let burst = (rate / 50).max(MAX_MESSAGE as i64);
         let gone = (now - self.filled).clamp(0, 1_000_000);
         let add = rate.saturating_mul(gone) / 1_000_000;
         if add > 0 {
@@ -658,12 +669,12 @@
             self.have(holdings, &all, true);
             let spread = (self.settings.every / 8).max(1);
             self.next_whole = now + self.settings.every + (chance % spread as u64) as Micros;
-            self.said = now;
+            self.sent = now;
             self.soon.retain(|writer| !all.contains(writer));
         } else if !self.soon.is_empty() && now >= self.next_soon() {
             let some: Vec<Writer> = std::mem::take(&mut self.soon).into_iter().collect();
             self.have(holdings, &some, false);
-            self.said = now;
+            self.sent = now;
         }
         let again = self.settings.again;
         let mut late: Vec<Writer> =
@@ -671,7 +682,7 @@
         late.dedup();
         for writer in late {
             self.flying.retain(|f| f.writer != writer);
-            self.told.remove(&writer);
+            self.notified.remove(&writer);
             // What it was sent though it says that it is ahead did not get there either: less of that.
             if let Some(claim) = self.theirs.get_mut(&writer).and_then(|t| t.ahead.as_mut()) {
                 let wait = (claim.wait * 2).min(again.saturating_mul(MOST_WAIT));
@@ -709,9 +720,9 @@
             let Some(writer) = writers.get(self.turn % writers.len()) else { break };
             let held = self.is_spare(writer) && self.holds(holdings, writer, looks, now);
             match if held { None } else { self.next(holdings, writer) } {
-                Some((word, point, keys)) => {
+                Some((message, point, keys)) => {
                     let writer = writer.clone();
-                    let bytes = self.say(word);
+                    let bytes = self.send(message);
                     self.flying.push_back(Flight { writer, point, keys, bytes, since: now });
                     flying += bytes;
                     idle = 0;
@@ -739,9 +750,9 @@
             self.spares.remove(writer);
             return true;
         }
-        let spare = self.spares.entry(writer.clone()).or_insert(Spare::Stands(now));
+        let spare = self.spares.entry(writer.clone()).or_insert(Spare::Stalled(now));
         match *spare {
-            Spare::Stands(since) if now - since < 3 * self.settings.soon => true,
+            Spare::Stalled(since) if now - since < 3 * self.settings.soon => true,
             _ => {
                 *spare = Spare::Sent;
                 false
@@ -752,19 +763,19 @@
     /// When it says what it has of logs of which something came.
     fn next_soon(&self) -> Micros {
         let hurry = self.waited || self.unsaid >= self.settings.window / 4;
-        self.said + if hurry { self.settings.soon / 10 } else { self.settings.soon }
+        self.sent + if hurry { self.settings.soon / 10 } else { self.settings.soon }
     }
 
     /// Have that said; how many bytes it has.
-    fn say(&mut self, word: Word) -> usize {
-        let bytes = word.encode().len();
+    fn send(&mut self, message: Message) -> usize {
+        let bytes = message.encode().len();
         self.may -= bytes as i64;
-        self.out.push(word);
+        self.out.push(message);
         bytes
     }
 
     /// The next word that the other lacks of that log.
-    fn next(&mut self, holdings: &impl Holdings, writer: &Writer) -> Option<(Word, Point, u64)> {
+    fn next(&mut self, holdings: &impl Holdings, writer: &Writer) -> Option<(Message, Point, u64)> {
         let theirs = self.theirs.get(writer);
         if theirs.is_none() && !self.complete {
             return None;
@@ -774,40 +785,40 @@
             return None;
         }
         let had = theirs.map_or(&[][..], |t| t.points.as_slice());
-        let told = self.told.entry(writer.clone()).or_default();
+        let notified = self.notified.entry(writer.clone()).or_default();
         let sealed = holdings.sealed(writer);
         let names = writer.site.len() + writer.node.len();
         if sealed.0 > 0 && had.is_empty() {
             let upto = |keys: Option<(Point, u64)>| keys.filter(|(p, _)| *p == sealed).map_or(0, |(_, n)| n);
-            let told_keys = upto(told.keys);
-            let from = told_keys.max(upto(theirs.and_then(|t| t.taking)));
+            let notified_keys = upto(notified.keys);
+            let from = notified_keys.max(upto(theirs.and_then(|t| t.taking)));
             let (total, remembered) =
-                holdings.remembered(writer, from, (MOST_WORD - 180).saturating_sub(names));
+                holdings.remembered(writer, from, (MAX_MESSAGE - 180).saturating_sub(names));
             // After the last one, one word more, so that the other surely knows that it was.
-            if told_keys > total {
+            if notified_keys > total {
                 return None;
             }
             let from = from.min(total);
             let keys = if remembered.is_empty() { total + 1 } else { from + remembered.len() as u64 };
-            told.keys = Some((sealed, keys));
+            notified.keys = Some((sealed, keys));
             let (writer, point) = (writer.clone(), sealed);
             let check = check(&writer, &point, from, total, &remembered);
-            return Some((Word::Sealed { writer, point, from, total, remembered, check }, sealed, keys));
+            return Some((Message::Sealed { writer, point, from, total, remembered, check }, sealed, keys));
         }
-        let told = &mut told.points;
-        let points: Vec<Point> = had.iter().chain(told.iter()).copied().collect();
-        let piece = holdings.lacking(writer, &points, (MOST_WORD - 120).saturating_sub(names))?;
-        told.retain(|p| *p != (piece.after, piece.before));
-        told.push(piece.last());
+        let notified = &mut notified.points;
+        let points: Vec<Point> = had.iter().chain(notified.iter()).copied().collect();
+        let piece = holdings.lacking(writer, &points, (MAX_MESSAGE - 120).saturating_sub(names))?;
+        notified.retain(|p| *p != (piece.after, piece.before));
+        notified.push(piece.last());
         let last = piece.last();
-        Some((Word::Piece { piece }, last, 0))
+        Some((Message::Piece { piece }, last, 0))
     }
 
     /// Say what is had of those logs.
     fn have(&mut self, holdings: &impl Holdings, writers: &[Writer], whole: bool) {
         let point_size = 36;
         let mut groups: Vec<Vec<Known>> = vec![Vec::new()];
-        let mut room = MOST_WORD - 40;
+        let mut capacity = MAX_MESSAGE - 40;
         for writer in writers {
             let sealed = holdings.sealed(writer);
             let lines = if self.part_ways.remove(writer) {
@@ -817,7 +828,7 @@
             };
             let taking = self.taking.get(writer).map(|(point, keys)| (*point, keys.len() as u64));
             let base = writer.site.len() + writer.node.len() + 20 + point_size + 45;
-            let most = ((MOST_WORD - 40).saturating_sub(base) / point_size).max(1);
+            let most = ((MAX_MESSAGE - 40).saturating_sub(base) / point_size).max(1);
             // A log of which nothing is held is said, too: so the other knows.
             let mut chunks: Vec<&[Point]> = lines.chunks(most).collect();
             if chunks.is_empty() {
@@ -825,11 +836,11 @@
             }
             for points in chunks {
                 let size = base + points.len() * point_size;
-                if size > room && groups.last().is_some_and(|g| !g.is_empty()) {
+                if size > capacity && groups.last().is_some_and(|g| !g.is_empty()) {
                     groups.push(Vec::new());
-                    room = MOST_WORD - 40;
+                    capacity = MAX_MESSAGE - 40;
                 }
-                room = room.saturating_sub(size);
+                capacity = capacity.saturating_sub(size);
                 let known = Known { writer: writer.clone(), sealed, points: points.to_vec(), taking };
                 if let Some(group) = groups.last_mut() {
                     group.push(known);
@@ -840,17 +851,17 @@
         let (life, number) = (self.life, self.number);
         let parts = if whole { groups.len() as u32 } else { 0 };
         for (part, of) in (0..).zip(groups) {
-            self.say(Word::Have { life, number, part, parts, of });
+            self.send(Message::Have { life, number, part, parts, of });
         }
     }
 
     /// Something of that log came another way: the other is told soon, so that it does not send it, too.
-    pub fn news(&mut self, writer: &Writer) {
+    pub fn note_update(&mut self, writer: &Writer) {
         self.soon.insert(writer.clone());
     }
 
     /// What is to be said now.
-    pub fn says(&mut self) -> Vec<Word> {
+    pub fn take_outgoing(&mut self) -> Vec<Message> {
         std::mem::take(&mut self.out)
     }
 
--- a/crates/placements/src/seal.rs
+++ b/crates/placements/src/compaction.rs
@@ -6,7 +6,7 @@
 //!
 //! The age must be longer than a node may take to write what it heard on its disk, and than a repeat of a request may come late.
 
-use crate::chain::Point;
+use crate::hash_chain::Point;
 use crate::history::History;
 use crate::{Entry, Micros, Writer};
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,7 +18,7 @@
 
 /// Up to where a log may be sealed now, where that is further than it is.
 ///
-/// `confirmed` is what each site has of it, by its own word ([`crate::exchange::Word::Have`]); all sites of the operator's file have to be in
+/// `confirmed` is what each site has of it, by its own word ([`crate::anti_entropy::Message::Have`]); all sites of the operator's file have to be in
 /// it, a lost one, too, until the operator takes it out. `now` is Unix time; clocks that go ahead are what `age` has to bear.
 pub fn upto(
     history: &History,
--- a/crates/placements/src/history.rs
+++ b/crates/placements/src/history.rs
@@ -4,9 +4,9 @@
 //! one number of one log mean that two processes wrote it: its disk was copied, or an older one was put back. Both lines are kept
 //! then, as a tree that looks the same at all sites whatever came first, and the fork is named; nobody chooses between them.
 //!
-//! The root of each log may be sealed: its entries are dropped, what stands for them and the memory of guarded keys stay ([`crate::seal`]).
+//! The root of each log may be sealed: its entries are dropped, what stands for them and the memory of guarded keys stay ([`crate::compaction`]).
 
-use crate::chain::{self, Digest, EntryError, Piece, Point};
+use crate::hash_chain::{self, Digest, EntryError, Piece, Point};
 use crate::{End, Entry, Micros, Timed, Writer};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -195,7 +195,7 @@
         let chunk = self.chunks.get(chunk)?;
         let mut digest = chunk.before;
         for i in 0..=k {
-            digest = chain::follow(&digest, chunk.entry(i)?);
+            digest = hash_chain::follow(&digest, chunk.entry(i)?);
         }
         Some(digest)
     }
@@ -208,7 +208,7 @@
             chunk.bytes.extend_from_slice(entry);
             chunk.ends.push(chunk.bytes.len() as u32);
         }
-        self.head = chain::follow(&self.head, entry);
+        self.head = hash_chain::follow(&self.head, entry);
         self.last += 1;
         if self.last.is_multiple_of(EVERY) {
             if let Some(chunk) = self.chunks.last_mut() {
@@ -314,12 +314,12 @@
         (from >= self.first, lack)
     }
 
-    fn leaves<'a>(&'a self, path: &mut Vec<&'a Run>, tell: &mut dyn FnMut(&[&'a Run])) {
+    fn leaves<'a>(&'a self, path: &mut Vec<&'a Run>, report: &mut dyn FnMut(&[&'a Run])) {
         path.push(self);
         if self.next.is_empty() {
-            tell(path);
+            report(path);
         }
-        self.next.iter().for_each(|run| run.leaves(path, tell));
+        self.next.iter().for_each(|run| run.leaves(path, report));
         path.pop();
     }
 
@@ -375,7 +375,7 @@
 
 impl Log {
     fn new(writer: &Writer) -> Log {
-        let point = chain::origin(writer);
+        let point = hash_chain::origin(writer);
         Log { point, remembered: Vec::new(), root: Run::after(point) }
     }
 }
@@ -438,7 +438,7 @@
     /// Whether that entry and all before it are held, or were sealed.
     pub fn knows(&self, writer: &Writer, point: &Point) -> bool {
         self.logs.get(writer).is_some_and(|log| log.root.find(point).is_some())
-            || *point == chain::origin(writer)
+            || *point == hash_chain::origin(writer)
     }
 
     /// What stands for the entry of that number on the line that holds that point.
@@ -462,7 +462,7 @@
 
     /// The last entry that was sealed of a log, the beginning where none was.
     pub fn sealed(&self, writer: &Writer) -> Point {
-        self.logs.get(writer).map_or_else(|| chain::origin(writer), |log| log.point)
+        self.logs.get(writer).map_or_else(|| hash_chain::origin(writer), |log| log.point)
     }
 
     /// How many guarded keys of what was sealed there are, and those from that place on, of `most` bytes at most, but one at least.
@@ -506,7 +506,7 @@
         fn of(run: &Run, number: u64) -> Option<&[u8]> {
             run.entry(number).or_else(|| run.next.iter().find_map(|run| of(run, number)))
         }
-        chain::decode(number, of(&self.logs.get(writer)?.root, number)?).ok()
+        hash_chain::decode(number, of(&self.logs.get(writer)?.root, number)?).ok()
     }
 
     /// The first entries that somebody lacks who has these points and all before them: `most` bytes at most, but one entry at least.
@@ -526,7 +526,7 @@
         writer: &Writer,
         points: &[Point],
         most: usize,
-        tell: &mut dyn FnMut(Point, &[u8]) -> bool,
+        report: &mut dyn FnMut(Point, &[u8]) -> bool,
     ) -> Option<(Point, Point)> {
         let (run, after) = self.logs.get(writer)?.root.lacking(points).1?;
         let before = (after, run.digest(after)?);
@@ -537,8 +537,8 @@
             if held > most && last != before {
                 break;
             }
-            last = (number, chain::follow(&last.1, entry));
-            if !tell(last, entry) {
+            last = (number, hash_chain::follow(&last.1, entry));
+            if !report(last, entry) {
                 break;
             }
         }
@@ -559,7 +559,7 @@
         }
         for (number, entry) in (piece.after + 1..).zip(&piece.entries) {
             let why = |why| HistoryError::Entry { writer: writer.clone(), number, why };
-            chain::decode(number, entry).map_err(why)?;
+            hash_chain::decode(number, entry).map_err(why)?;
         }
         self.graft(piece)
     }
@@ -576,7 +576,7 @@
         while at.0 < log.point.0 {
             // What is sealed can't be compared any more but at its end.
             let Some((entry, rest)) = entries.split_first() else { return Ok(0) };
-            at = (at.0 + 1, chain::follow(&at.1, entry));
+            at = (at.0 + 1, hash_chain::follow(&at.1, entry));
             entries = rest;
         }
         if at.0 == log.point.0 && at.1 != log.point.1 {
@@ -656,7 +656,7 @@
         let (mut open, mut remembered) = (BTreeMap::new(), by_key(&log.remembered));
         for number in log.root.first..=upto {
             let bytes = log.root.entry(number).ok_or_else(no)?;
-            let timed = chain::decode(number, bytes).map_err(|_| no())?;
+            let timed = hash_chain::decode(number, bytes).map_err(|_| no())?;
             match timed.entry {
                 Entry::Placed(placement) => drop(open.insert(number, (timed.at, placement))),
                 Entry::Ended { of, how } => {
--- a/crates/placements/src/lib.rs
+++ b/crates/placements/src/lib.rs
@@ -3,14 +3,14 @@
 //! Each node with a disk writes a log of its own; histories of several are merged by a join, so that order, repetition and partial
 //! delivery don't matter. No I/O but in [`log`], no clock, no randomness.
 
-pub mod beginning;
-pub mod chain;
-pub mod exchange;
+pub mod anti_entropy;
+pub mod compaction;
+pub mod hash_chain;
 pub mod history;
-pub mod keys;
+pub mod idempotency_index;
 pub mod log;
+pub mod log_recovery;
 pub mod reconcile;
-pub mod seal;
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/placements/src/log.rs
+++ b/crates/placements/src/log.rs
@@ -4,11 +4,11 @@
 //! chain are given at once, in the order of asking; only what is on the disk is ever shown ([`Log::read`], [`Log::pour`]), so that a crash
 //! never takes back what another site has heard. After a write that failed nothing more is taken until the log is opened again.
 
-use crate::chain::{self, Digest, EntryError, Piece, Point};
+use crate::hash_chain::{self, Digest, EntryError, Piece, Point};
 use crate::history::{Base, History, HistoryError};
 use crate::{Entry, Placement, Timed, Writer};
 use serde::{Deserialize, Serialize};
-use shorepath_store::keeper::Keeper;
+use shorepath_store::group_commit::GroupCommit;
 use shorepath_store::{Op, Store, StoreError};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -145,7 +145,7 @@
 #[derive(Debug)]
 pub struct Log {
     store: Arc<Store>,
-    keeper: Arc<Keeper>,
+    group_commit: Arc<GroupCommit>,
     state: Arc<Mutex<State>>,
 }
 
@@ -158,7 +158,7 @@
     store: &Store,
     writer: &Writer,
     base: Point,
-    mut tell: impl FnMut(u64, Timed),
+    mut report: impl FnMut(u64, Timed),
 ) -> Result<Point, LogError> {
     let (name, log, mut at) = (journal(writer), writer.log, base);
     loop {
@@ -172,11 +172,11 @@
             }
             let changed = LogError::Changed { log, number };
             let (digest, entry) = record.split_first_chunk::<32>().ok_or(changed.clone())?;
-            at = (number, chain::follow(&at.1, entry));
+            at = (number, hash_chain::follow(&at.1, entry));
             if at.1 .0 != *digest {
                 return Err(changed);
             }
-            tell(number, chain::decode(number, entry).map_err(|_| changed)?);
+            report(number, hash_chain::decode(number, entry).map_err(|_| changed)?);
         }
     }
     let end: u64 = store.fact(&end_of(writer))?.unwrap_or(0);
@@ -219,7 +219,7 @@
     /// It is another node's, an entry is missing or was changed, or the disk fails.
     pub fn open(
         store: Arc<Store>,
-        keeper: Arc<Keeper>,
+        group_commit: Arc<GroupCommit>,
         site: &str,
         node: &str,
         drawn: u64,
@@ -228,7 +228,7 @@
             Some(identity) => identity,
             None => {
                 let writer = Writer { site: site.into(), node: node.into(), log: drawn };
-                let base = chain::origin(&writer);
+                let base = hash_chain::origin(&writer);
                 let identity = Identity { writer, base, retired: Vec::new() };
                 // On a full disk it is founded with what comes first once there is room.
                 if store.takes() {
@@ -250,7 +250,7 @@
         let (waiting, fresh) = (Vec::new(), (head, VecDeque::new()));
         let state =
             State { identity, head, durable: head, open, waiting, fresh, failed, unrecorded: 0, again: 0 };
-        Ok(Log { store, keeper, state: Arc::new(Mutex::new(state)) })
+        Ok(Log { store, group_commit, state: Arc::new(Mutex::new(state)) })
     }
 
     /// Who writes it.
@@ -283,13 +283,13 @@
         if let Some(why) = &state.failed {
             return Err(why.clone());
         }
-        let bytes = chain::encode(timed)?;
+        let bytes = hash_chain::encode(timed)?;
         let number = state.head.0 + 1;
         match &timed.entry {
             Entry::Placed(placement) => drop(state.open.insert(number, placement.clone())),
             Entry::Ended { of, .. } => drop(state.open.remove(of).ok_or(LogError::NotOpen(*of))?),
         }
-        state.head = (number, chain::follow(&state.head.1, &bytes));
+        state.head = (number, hash_chain::follow(&state.head.1, &bytes));
         let record = [&state.head.1 .0, bytes.as_slice()].concat();
         state.waiting.push(Op::Append(journal(&state.identity.writer), number, record));
         let digest = state.head.1;
@@ -317,7 +317,7 @@
         }
         ops.extend(besides);
         let (shared, log, again) = (self.state.clone(), state.identity.writer.log, state.again);
-        self.keeper.commit(ops, move |result| {
+        self.group_commit.commit(ops, move |result| {
             let result = {
                 let mut state = lock(&shared);
                 match &result {
@@ -485,7 +485,7 @@
         Some(Piece { writer, after, before, entries, head: durable.1 })
     }
 
-    /// Drop entries up to that one, which has to be on the disk and without an open placement before it; see [`crate::seal`].
+    /// Drop entries up to that one, which has to be on the disk and without an open placement before it; see [`crate::compaction`].
     ///
     /// # Errors
     /// There is an open placement, or the disk fails.
@@ -514,7 +514,7 @@
     ///
     /// # Errors
     /// The disk fails.
-    pub fn found_anew(&self, drawn: u64) -> Result<BTreeMap<u64, Placement>, LogError> {
+    pub fn refound(&self, drawn: u64) -> Result<BTreeMap<u64, Placement>, LogError> {
         let mut state = lock(&self.state);
         if let Some(why) = &state.failed {
             return Err(why.clone());
@@ -523,7 +523,7 @@
             return Ok(BTreeMap::new());
         }
         let writer = Writer { log: drawn, ..state.identity.writer.clone() };
-        let base = chain::origin(&writer);
+        let base = hash_chain::origin(&writer);
         let mut retired = state.identity.retired.clone();
         retired.push((state.identity.writer.clone(), state.identity.base));
         let identity = Identity { writer, base, retired };
@@ -542,7 +542,7 @@
 /// What the disk holds of others' logs: pieces in the order in which they came.
 #[derive(Debug)]
 pub struct Copies {
-    keeper: Arc<Keeper>,
+    group_commit: Arc<GroupCommit>,
     /// The next number, and what was gathered.
     next: Mutex<(u64, Vec<Op>)>,
     /// What follows this node's own log, until that is poured.
@@ -560,7 +560,11 @@
     ///
     /// # Errors
     /// A copy is damaged, or the disk fails.
-    pub fn restore(store: &Store, keeper: Arc<Keeper>, history: &mut History) -> Result<Copies, LogError> {
+    pub fn restore(
+        store: &Store,
+        group_commit: Arc<GroupCommit>,
+        history: &mut History,
+    ) -> Result<Copies, LogError> {
         let (mut next, mut early) = (0, Vec::new());
         loop {
             let records = store.journal(COPIES, next, READ)?;
@@ -579,7 +583,7 @@
                 }
             }
         }
-        Ok(Copies { keeper, next: Mutex::new((next, Vec::new())), early: Mutex::new(early) })
+        Ok(Copies { group_commit, next: Mutex::new((next, Vec::new())), early: Mutex::new(early) })
     }
 
     /// Called once the own log was poured into that history: take the copies that follow it, as after an older disk was put back.
@@ -614,7 +618,7 @@
         done: impl FnOnce(Result<(), LogError>) + Send + 'static,
     ) {
         let ops = std::mem::take(&mut held.1);
-        self.keeper.commit(ops, move |result| done(result.map_err(|e| LogError::from(e.as_ref()))));
+        self.group_commit.commit(ops, move |result| done(result.map_err(|e| LogError::from(e.as_ref()))));
     }
 
     /// Keep a piece that was taken into the history with the next [`Log::flush_with`], or with what is kept at once. What is lost
@@ -645,7 +649,7 @@
     }
 
     /// What does that, to be committed before any further piece: after pieces that the disk did not take.
-    pub fn anew(&self, history: &History) -> Vec<Op> {
+    pub fn rewrite_all(&self, history: &History) -> Vec<Op> {
         std::mem::take(&mut self.all(history).1)
     }
 
--- a/crates/placements/src/beginning.rs
+++ b/crates/placements/src/log_recovery.rs
@@ -7,8 +7,8 @@
 //!
 //! Where nobody is heard for a stated time the log goes on unproved: a node that is alone has to record what it does. Guarded work goes on waiting.
 
-use crate::chain::Point;
-use crate::exchange::{beyond, Exchange};
+use crate::anti_entropy::{beyond, Exchange};
+use crate::hash_chain::Point;
 use crate::history::History;
 use crate::{End, Entry, Micros, Timed, Writer};
 use std::collections::BTreeMap;
@@ -18,11 +18,11 @@
 
 /// What becomes of the log that the last life left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum LogFate {
     /// It goes on; `true` where partners were asked, `false` where none was heard in time.
     GoesOn(bool),
     /// Others know that entry of it, the disk does not: another log is founded before anything is written.
-    Anew(u64),
+    Refounded(u64),
 }
 
 /// Where a placement is until it has ended.
@@ -50,7 +50,7 @@
 
 /// The first moments of a node's life.
 #[derive(Clone, Debug)]
-pub struct Beginning {
+pub struct LogRecovery {
     began: Micros,
     wait: Micros,
     stage: Stage,
@@ -61,11 +61,11 @@
     lost: u64,
 }
 
-impl Beginning {
+impl LogRecovery {
     /// A life that begins now, with what the log holds without an end. Partners are waited for at least until one has said all that it
     /// knows, and for the others `wait` at most.
-    pub fn new(now: Micros, wait: Micros, open: impl IntoIterator<Item = u64>) -> Beginning {
-        Beginning {
+    pub fn new(now: Micros, wait: Micros, open: impl IntoIterator<Item = u64>) -> LogRecovery {
+        LogRecovery {
             began: now,
             wait,
             stage: Stage::Waits,
@@ -115,7 +115,7 @@
     }
 
     /// What becomes of the log, whose last entry on the disk is `own`, once that is known; told once, or twice where it went on unproved
-    /// first. [`Beginning::write`] is to follow.
+    /// first. [`LogRecovery::write`] is to follow.
     pub fn ask<'a>(
         &mut self,
         exchanges: impl Iterator<Item = &'a Exchange> + Clone,
@@ -123,7 +123,7 @@
         writer: &Writer,
         own: Point,
         now: Micros,
-    ) -> Option<Verdict> {
+    ) -> Option<LogFate> {
         let over = now - self.began >= self.wait;
         let some = exchanges.clone().any(Exchange::complete);
         let asked = some && (over || exchanges.clone().all(Exchange::complete));
@@ -133,18 +133,18 @@
             _ => return None,
         };
         let known = beyond(exchanges, history, writer, own);
-        Some(known.map_or(Verdict::GoesOn(asked), Verdict::Anew))
+        Some(known.map_or(LogFate::GoesOn(asked), LogFate::Refounded))
     }
 
     /// Write what was held, in its order. `write` gives each its number, or none where it can't be recorded. What is held without an end, by ticket, with
     /// its number.
     pub fn write(
         &mut self,
-        verdict: Verdict,
+        outcome: LogFate,
         mut write: impl FnMut(Timed) -> Option<u64>,
     ) -> BTreeMap<u64, u64> {
         let open = std::mem::take(&mut self.open);
-        if matches!(verdict, Verdict::GoesOn(_)) {
+        if matches!(outcome, LogFate::GoesOn(_)) {
             for (of, how) in open {
                 write(Timed { at: 0, entry: Entry::Ended { of, how } });
             }
@@ -175,24 +175,24 @@
         let (history, writer, own) = (
             History::new(),
             Writer { site: "west".into(), node: "n0".into(), log: 1 },
-            (9, crate::chain::Digest::default()),
+            (9, crate::hash_chain::Digest::default()),
         );
-        let mut beginning = Beginning::new(0, 3, [4]);
+        let mut log_recovery = LogRecovery::new(0, 3, [4]);
         let none: [&Exchange; 0] = [];
-        let ask = |b: &mut Beginning, now| b.ask(none.into_iter(), &history, &writer, own, now);
-        assert_eq!(ask(&mut beginning, 3), Some(Verdict::GoesOn(false)));
+        let ask = |b: &mut LogRecovery, now| b.ask(none.into_iter(), &history, &writer, own, now);
+        assert_eq!(ask(&mut log_recovery, 3), Some(LogFate::GoesOn(false)));
         let mut written = Vec::new();
-        let mut write = |b: &mut Beginning| {
+        let mut write = |b: &mut LogRecovery| {
             let mut number = 10;
-            b.write(Verdict::GoesOn(false), |timed| {
+            b.write(LogFate::GoesOn(false), |timed| {
                 written.push(timed.entry);
                 number += 1;
                 Some(number)
             })
         };
-        write(&mut beginning);
-        beginning.again(10, [(5, End::NeverRan), (6, End::Unknown)]);
-        assert!(beginning.holds() && !beginning.asked());
+        write(&mut log_recovery);
+        log_recovery.again(10, [(5, End::NeverRan), (6, End::Unknown)]);
+        assert!(log_recovery.holds() && !log_recovery.asked());
         let placement = crate::Placement {
             key: None,
             class: "c".into(),
@@ -205,11 +205,14 @@
             list: 0,
             fence: 0,
         };
-        let held = beginning.place(Timed { at: 11, entry: Entry::Placed(placement.clone()) });
+        let held = log_recovery.place(Timed { at: 11, entry: Entry::Placed(placement.clone()) });
         assert_eq!(held, Some(Slot::Held(0)));
-        assert_eq!((ask(&mut beginning, 12), ask(&mut beginning, 13)), (None, Some(Verdict::GoesOn(false))));
-        assert_eq!(write(&mut beginning), BTreeMap::from([(0, 13)]));
-        assert!(write(&mut beginning).is_empty());
+        assert_eq!(
+            (ask(&mut log_recovery, 12), ask(&mut log_recovery, 13)),
+            (None, Some(LogFate::GoesOn(false)))
+        );
+        assert_eq!(write(&mut log_recovery), BTreeMap::from([(0, 13)]));
+        assert!(write(&mut log_recovery).is_empty());
         let ended = |of, how| Entry::Ended { of, how };
         let all = [
             ended(4, End::Unknown),
--- a/crates/placements/src/reconcile.rs
+++ b/crates/placements/src/reconcile.rs
@@ -10,8 +10,8 @@
 //! placement; some 70 for each remembered key of a free class ([`Settings::keys`]); the rest is bounded by [`Settings`], and by the
 //! credit that was given.
 
-use crate::chain::{self, Digest, Point};
-use crate::exchange::Holdings;
+use crate::anti_entropy::Holdings;
+use crate::hash_chain::{self, Digest, Point};
 use crate::history::Remembered;
 use crate::{End, Entry, Micros, Placement, Writer};
 use serde::{Deserialize, Serialize};
@@ -72,7 +72,7 @@
 /// Whether whoever began something could know that it was not to begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Faith {
+pub enum Trust {
     /// It was not told yet.
     Good,
     /// It had been told: the number that it wrote is the closing's or a later one.
@@ -128,7 +128,8 @@
         /// The number of the change that closed it.
         number: u64,
         /// Whether that was known there.
-        faith: Faith,
+        #[serde(rename = "faith")]
+        trust: Trust,
         /// Who began it.
         writer: Writer,
         /// The number of the entry.
@@ -254,21 +255,21 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Stand {
+struct KeyPlacement {
     at: Micros,
     server: u32,
     fence: u64,
     standing: u64,
     how: Option<End>,
     /// It was said that it may have run.
-    told: bool,
+    notified: bool,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Key {
-    stands: Vec<(Place, Stand)>,
+    key_placements: Vec<(Place, KeyPlacement)>,
     /// So many scenes the last story had.
-    told: usize,
+    notified: usize,
 }
 
 #[derive(Clone, Debug)]
@@ -454,8 +455,8 @@
 
     /// Go on for [`Settings::steps`] steps: give up what has no end for too long by `now`, in Unix time, judge again what is to be, and read what
     /// is new: `news` where something may have come since the last slice. What follows, and whether there is more to do.
-    pub fn slice(&mut self, holdings: &impl Holdings, now: Micros, news: bool) -> (Vec<Decision>, bool) {
-        if news {
+    pub fn slice(&mut self, holdings: &impl Holdings, now: Micros, updates: bool) -> (Vec<Decision>, bool) {
+        if updates {
             (self.calm, self.level) = (0, false);
         }
         let most = self.settings.steps.max(1);
@@ -531,7 +532,7 @@
         while !all && *left > 0 {
             let walked = holdings.walk(writer, &points, 1 << 16, &mut |point, entry| {
                 *left -= 1;
-                if let Ok(timed) = chain::decode(point.0, entry) {
+                if let Ok(timed) = hash_chain::decode(point.0, entry) {
                     self.entry(holdings, writer, point, timed.at, timed.entry);
                 }
                 *left > 0
@@ -628,7 +629,8 @@
                 // A log that forked after a placement may end it twice.
                 if holdings.heads(writer).len() > 1 {
                     let own = holdings.on_line(writer, &(number, digest), of).map(|d| (who, of, tag(&d)));
-                    let of_place = |key: &Key| key.stands.iter().any(|(place, _)| Some(*place) == own);
+                    let of_place =
+                        |key: &Key| key.key_placements.iter().any(|(place, _)| Some(*place) == own);
                     let named =
                         self.keys.iter().find(|(_, key)| of_place(key)).map(|(named, _)| named.clone());
                     if let (Some(named), Some(place)) = (named, own) {
@@ -663,9 +665,13 @@
             self.counts.guarded += 1;
             open.guarded = Some((class, key.clone()));
             if let Some(key) = key {
-                let stand = Stand { at, server, fence, standing, how: None, told: false };
-                self.keys.entry((class, key.clone())).or_default().stands.push((place, stand));
-                self.tell(&(class, key));
+                let key_placement = KeyPlacement { at, server, fence, standing, how: None, notified: false };
+                self.keys
+                    .entry((class, key.clone()))
+                    .or_default()
+                    .key_placements
+                    .push((place, key_placement));
+                self.report(&(class, key));
             }
         } else if key.is_some() {
             self.free_key(job, site);
@@ -691,15 +697,15 @@
     fn settled(&mut self, named: (u32, String), place: Place, how: End) {
         let mut cleared = false;
         if let Some(found) = self.keys.get_mut(&named) {
-            for (_, stand) in found.stands.iter_mut().filter(|(p, _)| *p == place) {
-                if rank(stand.how) < rank(Some(how)) {
-                    stand.how = Some(how);
+            for (_, key_placement) in found.key_placements.iter_mut().filter(|(p, _)| *p == place) {
+                if rank(key_placement.how) < rank(Some(how)) {
+                    key_placement.how = Some(how);
                 }
-                cleared |= stand.told && stand.how != Some(End::Unknown);
-                stand.told &= stand.how == Some(End::Unknown);
+                cleared |= key_placement.notified && key_placement.how != Some(End::Unknown);
+                key_placement.notified &= key_placement.how == Some(End::Unknown);
             }
         }
-        self.tell(&named);
+        self.report(&named);
         let (class, key) = named;
         if how == End::Unknown {
             self.may_have_run(class, Some(key), place);
@@ -711,8 +717,10 @@
     fn may_have_run(&mut self, class: u32, key: Option<String>, place: Place) {
         if let Some(key) = &key {
             let found = self.keys.get_mut(&(class, key.clone()));
-            let stand = found.and_then(|k| k.stands.iter_mut().find(|(p, _)| *p == place));
-            if stand.is_some_and(|(_, stand)| std::mem::replace(&mut stand.told, true)) {
+            let key_placement = found.and_then(|k| k.key_placements.iter_mut().find(|(p, _)| *p == place));
+            if key_placement
+                .is_some_and(|(_, key_placement)| std::mem::replace(&mut key_placement.notified, true))
+            {
                 return;
             }
         }
@@ -722,26 +730,31 @@
 
     fn story(&self, named: &(u32, String)) -> Option<Story> {
         let key = self.keys.get(named)?;
-        let scene = |(place, stand): &(Place, Stand)| Scene {
+        let scene = |(place, key_placement): &(Place, KeyPlacement)| Scene {
             writer: self.by_number(place.0),
             number: place.1,
-            at: stand.at,
-            server: self.names.name(stand.server),
-            fence: stand.fence,
-            standing: stand.standing,
-            how: stand.how,
+            at: key_placement.at,
+            server: self.names.name(key_placement.server),
+            fence: key_placement.fence,
+            standing: key_placement.standing,
+            how: key_placement.how,
         };
-        let ran = key.stands.iter().filter(|(_, stand)| stand.how != Some(End::NeverRan));
+        let ran =
+            key.key_placements.iter().filter(|(_, key_placement)| key_placement.how != Some(End::NeverRan));
         let mut scenes: Vec<Scene> = ran.map(scene).collect();
         scenes.sort();
         Some(Story { class: self.names.name(named.0), key: named.1.clone(), scenes })
     }
 
     /// Say what is to be said of a key, where that is new.
-    fn tell(&mut self, named: &(u32, String)) {
+    fn report(&mut self, named: &(u32, String)) {
         let Some(key) = self.keys.get_mut(named) else { return };
-        let ran = key.stands.iter().filter(|(_, stand)| stand.how != Some(End::NeverRan)).count();
-        let before = std::mem::replace(&mut key.told, ran);
+        let ran = key
+            .key_placements
+            .iter()
+            .filter(|(_, key_placement)| key_placement.how != Some(End::NeverRan))
+            .count();
+        let before = std::mem::replace(&mut key.notified, ran);
         if ran > 1 && ran != before {
             self.out.extend(self.story(named).map(Decision::Violation));
         } else if ran <= 1 && before > 1 {
@@ -754,14 +767,20 @@
         let (class, server) = (self.names.number(&kept.class), self.names.number(&kept.server));
         let named = (class, kept.key);
         let key = self.keys.entry(named.clone()).or_default();
-        if key.stands.iter().any(|(place, _)| place.0 == who && place.1 == kept.number) {
+        if key.key_placements.iter().any(|(place, _)| place.0 == who && place.1 == kept.number) {
             return;
         }
-        let stand =
-            Stand { at: kept.at, server, fence: kept.fence, standing: 0, how: Some(kept.how), told: false };
+        let key_placement = KeyPlacement {
+            at: kept.at,
+            server,
+            fence: kept.fence,
+            standing: 0,
+            how: Some(kept.how),
+            notified: false,
+        };
         let place = (who, kept.number, 0);
-        key.stands.push((place, stand));
-        self.tell(&named);
+        key.key_placements.push((place, key_placement));
+        self.report(&named);
         if kept.how == End::Unknown {
             self.may_have_run(class, Some(named.1), place);
         }
@@ -843,10 +862,10 @@
             return;
         }
         *blamed = change.number;
-        let faith = if *standing >= change.number { Faith::AgainstKnowledge } else { Faith::Good };
+        let trust = if *standing >= change.number { Trust::AgainstKnowledge } else { Trust::Good };
         let (tenant, number, entry) = (tenant.to_string(), change.number, at.1 .1);
         let writer = self.by_number(at.1 .0);
-        self.out.push(Decision::Standing { tenant, number, faith, writer, entry });
+        self.out.push(Decision::Standing { tenant, number, trust, writer, entry });
     }
 
     fn charge(&mut self, tenant: &str) {
--- a/crates/placements/tests/beginning.rs
+++ b/crates/placements/tests/beginning.rs
@@ -4,10 +4,10 @@
 
 use common::*;
 use rstest::rstest;
-use shorepath_placements::beginning::{Beginning, Slot, Verdict, MOST_HELD};
-use shorepath_placements::chain::Point;
-use shorepath_placements::exchange::{Exchange, Settings, Word};
+use shorepath_placements::anti_entropy::{Exchange, Message, Settings};
+use shorepath_placements::hash_chain::Point;
 use shorepath_placements::history::History;
+use shorepath_placements::log_recovery::{LogFate, LogRecovery, Slot, MOST_HELD};
 use shorepath_placements::{End, Entry, Timed};
 
 const WAIT: i64 = 3_000_000;
@@ -25,15 +25,15 @@
 }
 
 /// The exchanges of a node that holds that history, with partners that hold these; `None` has said nothing.
-fn asked(history: &mut History, partners: &[Option<History>]) -> Vec<Exchange> {
+fn asked(history: &mut History, peers: &[Option<History>]) -> Vec<Exchange> {
     let mut exchanges = Vec::new();
-    for (life, partner) in (2..).zip(partners) {
+    for (life, peer) in (2..).zip(peers) {
         let mut here = Exchange::new(Settings::default(), 1, 0);
-        if let Some(partner) = partner {
+        if let Some(peer) = peer {
             let mut there = Exchange::new(Settings::default(), life, 0);
-            there.pass(partner, 0, 0);
-            for word in there.says().into_iter().filter(|w| matches!(w, Word::Have { .. })) {
-                here.hear(history, word, 0).unwrap();
+            there.pass(peer, 0, 0);
+            for message in there.take_outgoing().into_iter().filter(|w| matches!(w, Message::Have { .. })) {
+                here.receive(history, message, 0).unwrap();
             }
         }
         exchanges.push(here);
@@ -42,53 +42,56 @@
 }
 
 #[rstest]
-#[case::all_know_it(40, 1, &[Some((40, 1)), Some((20, 1))], 0, Some(Verdict::GoesOn(true)))]
+#[case::all_know_it(40, 1, &[Some((40, 1)), Some((20, 1))], 0, Some(LogFate::GoesOn(true)))]
 #[case::one_is_waited_for(40, 1, &[Some((40, 1)), None], WAIT - 1, None)]
-#[case::one_was_not_heard_in_time(40, 1, &[Some((40, 1)), None], WAIT, Some(Verdict::GoesOn(true)))]
+#[case::one_was_not_heard_in_time(40, 1, &[Some((40, 1)), None], WAIT, Some(LogFate::GoesOn(true)))]
 #[case::nobody_yet(40, 1, &[None, None], WAIT - 1, None)]
-#[case::nobody_in_time(40, 1, &[None, None], WAIT, Some(Verdict::GoesOn(false)))]
-#[case::an_older_disk(40, 1, &[Some((60, 1)), None], WAIT, Some(Verdict::Anew(60)))]
-#[case::an_older_disk_heard_last(40, 1, &[Some((20, 1)), Some((60, 1))], 0, Some(Verdict::Anew(60)))]
-#[case::written_since_by_less(60, 2, &[Some((80, 1))], 0, Some(Verdict::Anew(80)))]
-#[case::written_since_by_more(60, 2, &[Some((50, 1))], 0, Some(Verdict::Anew(60)))]
+#[case::nobody_in_time(40, 1, &[None, None], WAIT, Some(LogFate::GoesOn(false)))]
+#[case::an_older_disk(40, 1, &[Some((60, 1)), None], WAIT, Some(LogFate::Refounded(60)))]
+#[case::an_older_disk_heard_last(40, 1, &[Some((20, 1)), Some((60, 1))], 0, Some(LogFate::Refounded(60)))]
+#[case::written_since_by_less(60, 2, &[Some((80, 1))], 0, Some(LogFate::Refounded(80)))]
+#[case::written_since_by_more(60, 2, &[Some((50, 1))], 0, Some(LogFate::Refounded(60)))]
 fn the_log_goes_on_or_not(
     #[case] own: usize,
     #[case] salt: u64,
     #[case] others: &[Option<(usize, u64)>],
     #[case] now: i64,
-    #[case] wanted: Option<Verdict>,
+    #[case] wanted: Option<LogFate>,
 ) {
     // The node's disk parts from the common line after entry 40.
     let mut history = log(40, own, salt);
-    let partners: Vec<_> = others.iter().map(|o| o.map(|(length, salt)| log(40, length, salt))).collect();
-    let exchanges = asked(&mut history, &partners);
+    let peers: Vec<_> = others.iter().map(|o| o.map(|(length, salt)| log(40, length, salt))).collect();
+    let exchanges = asked(&mut history, &peers);
     let w = writer("north", 1);
     let point: Point = history.have()[&w];
-    let mut beginning = Beginning::new(0, WAIT, []);
-    assert_eq!(beginning.ask(exchanges.iter(), &history, &w, point, now), wanted);
-    assert_eq!(beginning.holds(), wanted.is_none());
-    assert_eq!(beginning.asked(), !matches!(wanted, None | Some(Verdict::GoesOn(false))));
+    let mut log_recovery = LogRecovery::new(0, WAIT, []);
+    assert_eq!(log_recovery.ask(exchanges.iter(), &history, &w, point, now), wanted);
+    assert_eq!(log_recovery.holds(), wanted.is_none());
+    assert_eq!(log_recovery.asked(), !matches!(wanted, None | Some(LogFate::GoesOn(false))));
     // Asked again it says no more, unless nobody was heard.
-    assert_eq!(beginning.ask(exchanges.iter(), &history, &w, point, now), None);
-    if wanted == Some(Verdict::GoesOn(false)) {
+    assert_eq!(log_recovery.ask(exchanges.iter(), &history, &w, point, now), None);
+    if wanted == Some(LogFate::GoesOn(false)) {
         let exchanges = asked(&mut history, &[Some(log(40, 60, 1)), None]);
-        assert_eq!(beginning.ask(exchanges.iter(), &history, &w, point, now), Some(Verdict::Anew(60)));
+        assert_eq!(
+            log_recovery.ask(exchanges.iter(), &history, &w, point, now),
+            Some(LogFate::Refounded(60))
+        );
     }
 }
 
 /// All that is held is written in its order, each end with the number that its placement was given.
 #[rstest]
-#[case(Verdict::GoesOn(true), 100)]
-#[case(Verdict::GoesOn(false), 100)]
-#[case(Verdict::Anew(60), 0)]
-fn what_is_held_is_written_once(#[case] verdict: Verdict, #[case] before: u64) {
-    let mut beginning = Beginning::new(0, WAIT, [90, 95]);
+#[case(LogFate::GoesOn(true), 100)]
+#[case(LogFate::GoesOn(false), 100)]
+#[case(LogFate::Refounded(60), 0)]
+fn what_is_held_is_written_once(#[case] outcome: LogFate, #[case] before: u64) {
+    let mut log_recovery = LogRecovery::new(0, WAIT, [90, 95]);
     let slots: Vec<Slot> =
-        (0..5).map(|k| beginning.place(placed(k, placement(k as u64, false))).unwrap()).collect();
+        (0..5).map(|k| log_recovery.place(placed(k, placement(k as u64, false))).unwrap()).collect();
     let Slot::Held(third) = slots[2] else { panic!("{slots:?}") };
-    beginning.end(third, 9, End::Served);
+    log_recovery.end(third, 9, End::Served);
     let mut written: Vec<Timed> = Vec::new();
-    let numbers = beginning.write(verdict, |timed| {
+    let numbers = log_recovery.write(outcome, |timed| {
         written.push(timed);
         Some(before + written.len() as u64)
     });
@@ -100,21 +103,22 @@
     assert_eq!(written, wanted);
     let out: Vec<_> = numbers.into_values().collect();
     assert_eq!(out, [first, first + 1, first + 3, first + 4]);
-    assert!(beginning.write(verdict, |timed| panic!("once more: {timed:?}")).is_empty());
+    assert!(log_recovery.write(outcome, |timed| panic!("once more: {timed:?}")).is_empty());
 }
 
 #[test]
 fn so_many_are_held_and_no_more_and_an_end_has_always_room() {
-    let mut beginning = Beginning::new(0, WAIT, []);
-    let slots: Vec<Slot> =
-        (0..MOST_HELD + 3).filter_map(|k| beginning.place(placed(0, placement(k as u64, false)))).collect();
-    assert_eq!((slots.len(), beginning.lost()), (MOST_HELD, 3));
+    let mut log_recovery = LogRecovery::new(0, WAIT, []);
+    let slots: Vec<Slot> = (0..MOST_HELD + 3)
+        .filter_map(|k| log_recovery.place(placed(0, placement(k as u64, false))))
+        .collect();
+    assert_eq!((slots.len(), log_recovery.lost()), (MOST_HELD, 3));
     for slot in slots {
         let Slot::Held(ticket) = slot else { panic!("{slot:?}") };
-        beginning.end(ticket, 1, End::Served);
+        log_recovery.end(ticket, 1, End::Served);
     }
     let (mut count, mut ends) = (0, 0);
-    let left = beginning.write(Verdict::GoesOn(true), |timed| {
+    let left = log_recovery.write(LogFate::GoesOn(true), |timed| {
         count += 1;
         ends += usize::from(matches!(timed.entry, Entry::Ended { .. }));
         Some(count)
--- a/crates/placements/tests/common/mod.rs
+++ b/crates/placements/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! What the tests of this package share.
 #![allow(dead_code, missing_docs)]
 
-use shorepath_placements::chain::{self, Piece, Point};
+use shorepath_placements::hash_chain::{self, Piece, Point};
 use shorepath_placements::{End, Entry, Placement, Timed, Writer};
 
 pub fn writer(site: &str, log: u64) -> Writer {
@@ -43,14 +43,14 @@
 
 /// Those entries after that point, as one piece.
 pub fn piece(writer: &Writer, (after, before): Point, entries: &[Timed]) -> Piece {
-    let entries: Vec<Vec<u8>> = entries.iter().map(|t| chain::encode(t).unwrap()).collect();
-    let head = entries.iter().fold(before, |d, e| chain::follow(&d, e));
+    let entries: Vec<Vec<u8>> = entries.iter().map(|t| hash_chain::encode(t).unwrap()).collect();
+    let head = entries.iter().fold(before, |d, e| hash_chain::follow(&d, e));
     Piece { writer: writer.clone(), after, before, entries, head }
 }
 
 /// A log of so many entries in pieces of `size`.
 pub fn pieces(writer: &Writer, all: &[Timed], size: usize) -> Vec<Piece> {
-    let mut at = chain::origin(writer);
+    let mut at = hash_chain::origin(writer);
     let mut pieces = Vec::new();
     for some in all.chunks(size) {
         let piece = piece(writer, at, some);
--- a/crates/placements/tests/exchange.rs
+++ b/crates/placements/tests/exchange.rs
@@ -5,8 +5,8 @@
 
 use common::*;
 use proptest::prelude::*;
-use shorepath_placements::chain::{Digest, Piece, Point};
-use shorepath_placements::exchange::{beyond, Exchange, Holdings, Known, Settings, Word, MOST_WORD};
+use shorepath_placements::anti_entropy::{beyond, Exchange, Holdings, Known, Message, Settings, MAX_MESSAGE};
+use shorepath_placements::hash_chain::{Digest, Piece, Point};
 use shorepath_placements::history::{Base, History, HistoryError, Remembered};
 use shorepath_placements::{Entry, Timed, Writer};
 use std::collections::{BTreeMap, BTreeSet};
@@ -57,9 +57,9 @@
         writer: &Writer,
         points: &[Point],
         most: usize,
-        tell: &mut dyn FnMut(Point, &[u8]) -> bool,
+        reply: &mut dyn FnMut(Point, &[u8]) -> bool,
     ) -> Option<(Point, Point)> {
-        self.history.walk(writer, points, most, tell)
+        self.history.walk(writer, points, most, reply)
     }
     fn on_line(&self, writer: &Writer, point: &Point, number: u64) -> Option<Digest> {
         self.history.on_line(writer, point, number)
@@ -77,12 +77,12 @@
             // What ends something would be refused at a lower number.
             let mut moved = piece.clone();
             moved.entries.retain(|e| {
-                let entry = shorepath_placements::chain::decode(u64::MAX, e).map(|t| t.entry);
+                let entry = shorepath_placements::hash_chain::decode(u64::MAX, e).map(|t| t.entry);
                 matches!(entry, Ok(Entry::Placed(_)))
             });
             (moved.after, moved.before) = after;
             moved.head =
-                moved.entries.iter().fold(after.1, |d, e| shorepath_placements::chain::follow(&d, e));
+                moved.entries.iter().fold(after.1, |d, e| shorepath_placements::hash_chain::follow(&d, e));
             moved
         };
         match (self.fault, &found, head) {
@@ -152,12 +152,12 @@
                 break;
             }
             let Some((_, (from, to, bytes))) = wire.pop_first() else { break };
-            let word = Word::decode(&bytes).unwrap();
+            let message = Message::decode(&bytes).unwrap();
             let side = sides.get_mut(&(to, from)).unwrap();
-            if let Ok(heard) = side.hear(&mut nodes[to], word, now) {
-                let logs: BTreeSet<Writer> = heard.pieces.into_iter().map(|p| p.writer).collect();
+            if let Ok(received) = side.receive(&mut nodes[to], message, now) {
+                let logs: BTreeSet<Writer> = received.pieces.into_iter().map(|p| p.writer).collect();
                 for other in (0..count).filter(|k| *k != to && *k != from) {
-                    logs.iter().for_each(|w| sides.get_mut(&(to, other)).unwrap().news(w));
+                    logs.iter().for_each(|w| sides.get_mut(&(to, other)).unwrap().note_update(w));
                 }
             }
         }
@@ -167,13 +167,13 @@
             }
             side.pass(&nodes[*from], now, chance(&mut seed));
             held = held.max(side.held());
-            for word in side.says() {
-                if let Word::Piece { piece } = &word {
+            for message in side.take_outgoing() {
+                if let Message::Piece { piece } = &message {
                     sent_on +=
                         if piece.writer.site == format!("site{from}") { 0 } else { piece.entries.len() };
                 }
-                let bytes = word.encode();
-                assert!(bytes.len() <= MOST_WORD, "{}", bytes.len());
+                let bytes = message.encode();
+                assert!(bytes.len() <= MAX_MESSAGE, "{}", bytes.len());
                 sent += bytes.len();
                 let cut = weather.cuts.iter().any(|(a, b)| (*a..*b).contains(&now))
                     || weather.dead.contains(&(*from, *to));
@@ -380,8 +380,8 @@
     let (mut here, mut there) = (Exchange::new(settings(), 1, 0), Exchange::new(settings(), 2, 0));
     there.pass(&new, 0, 0);
     assert!(!here.complete());
-    for word in there.says() {
-        here.hear(&mut old, word, 1_000).unwrap();
+    for message in there.take_outgoing() {
+        here.receive(&mut old, message, 1_000).unwrap();
     }
     assert!(here.complete());
     assert_eq!(here.ahead(&w).map(|p| p.0), Some(400));
@@ -404,13 +404,13 @@
     let (mut here, mut one, mut other) = ([begin(1), begin(1)], begin(2), begin(3));
     for now in (0..200_000).step_by(10_000) {
         here[0].pass(&old, now, 0);
-        here[0].says().into_iter().for_each(|word| drop(one.hear(&mut new, word, now)));
+        here[0].take_outgoing().into_iter().for_each(|message| drop(one.receive(&mut new, message, now)));
         one.pass(&new, now, 0);
-        one.says().into_iter().for_each(|word| drop(here[0].hear(&mut old, word, now)));
+        one.take_outgoing().into_iter().for_each(|message| drop(here[0].receive(&mut old, message, now)));
     }
     assert_eq!(old.have(), new.have());
     other.pass(&new, 200_000, 0);
-    other.says().into_iter().for_each(|word| drop(here[1].hear(&mut old, word, 200_000)));
+    other.take_outgoing().into_iter().for_each(|message| drop(here[1].receive(&mut old, message, 200_000)));
     assert!(here.iter().all(|e| e.complete() && e.ahead(&w).is_none()));
     assert_eq!(beyond(&here, &old, &w, own), Some(60));
     assert_eq!(beyond(&here, &old, &w, old.have()[&w]), None);
@@ -431,16 +431,18 @@
         for step in 0..200 {
             let now = life as i64 * 10_000_000 + step * 10_000;
             there.pass(&history, now, 0);
-            let words = there.says();
-            late.extend(words.clone());
+            let messages = there.take_outgoing();
+            late.extend(messages.clone());
             // Now and then one of any life, again.
             let again = late.get(step as usize * 7 % late.len().max(1));
             let again = again.filter(|_| step % 3 == 0 && step < 100).cloned();
-            for word in words.into_iter().chain(again) {
-                here.hear(&mut full, word, now).unwrap();
+            for message in messages.into_iter().chain(again) {
+                here.receive(&mut full, message, now).unwrap();
             }
             here.pass(&full, now, 0);
-            here.says().into_iter().for_each(|word| drop(there.hear(&mut history, word, now).unwrap()));
+            here.take_outgoing()
+                .into_iter()
+                .for_each(|message| drop(there.receive(&mut history, message, now).unwrap()));
         }
         assert_eq!(history.bytes(), full.bytes(), "life {life}");
         assert!(here.level(&full) && there.level(&history), "life {life}");
@@ -458,11 +460,11 @@
         for from in [0, 1] {
             let (history, exchange) = &mut sides[from];
             exchange.pass(history, now, 0);
-            for word in exchange.says() {
-                let bytes = change(now, from, word.encode());
-                let Ok(word) = Word::decode(&bytes) else { continue };
+            for message in exchange.take_outgoing() {
+                let bytes = change(now, from, message.encode());
+                let Ok(message) = Message::decode(&bytes) else { continue };
                 let (history, exchange) = &mut sides[1 - from];
-                let _ = exchange.hear(history, word, now);
+                let _ = exchange.receive(history, message, now);
             }
         }
     }
@@ -538,11 +540,11 @@
 fn what_was_said_once_of_a_log_that_is_not_held_is_not_waited_for() {
     let (sides, wanted) = two(false);
     let mut changed = false;
-    let sides = plays(sides, 200, |_, from, bytes| match Word::decode(&bytes) {
-        Ok(Word::Have { life, number, part, parts: 0, mut of }) if from == 0 && !changed => {
+    let sides = plays(sides, 200, |_, from, bytes| match Message::decode(&bytes) {
+        Ok(Message::Have { life, number, part, parts: 0, mut of }) if from == 0 && !changed => {
             let known = of.iter_mut().find(|k| k.writer.site == "south").unwrap();
             (known.sealed.0, changed) = (31, true);
-            Word::Have { life, number, part, parts: 0, of }.encode()
+            Message::Have { life, number, part, parts: 0, of }.encode()
         }
         _ => bytes,
     });
@@ -556,8 +558,8 @@
     let claims = |lies: bool| {
         let (sides, wanted) = two(false);
         let mut sent = 0;
-        let sides = plays(sides, 300, |_, from, bytes| match Word::decode(&bytes) {
-            Ok(Word::Have { life, number, part, parts, mut of }) if from == 0 && lies => {
+        let sides = plays(sides, 300, |_, from, bytes| match Message::decode(&bytes) {
+            Ok(Message::Have { life, number, part, parts, mut of }) if from == 0 && lies => {
                 for known in &mut of {
                     known.points.push((1_000, Digest([9; 32])));
                 }
@@ -567,7 +569,7 @@
                     ..of[0].clone()
                 };
                 of.push(south);
-                Word::Have { life, number, part, parts, of }.encode()
+                Message::Have { life, number, part, parts, of }.encode()
             }
             _ => {
                 sent += bytes.len();
@@ -588,11 +590,11 @@
     let mut history = History::new();
     for log in 0..50 {
         for piece in pieces(&writer("nowhere", log), &entries(60, log), 20).into_iter().skip(1) {
-            exchange.hear(&mut history, Word::Piece { piece }, 1_000).unwrap();
+            exchange.receive(&mut history, Message::Piece { piece }, 1_000).unwrap();
         }
     }
     assert!(exchange.held() > settings().window, "{}", exchange.held());
     exchange.pass(&history, 1_000 + settings().again, 0);
-    exchange.says();
+    exchange.take_outgoing();
     assert_eq!(exchange.held(), 0);
 }
--- a/crates/placements/tests/history.rs
+++ b/crates/placements/tests/history.rs
@@ -4,8 +4,8 @@
 
 use common::*;
 use proptest::prelude::*;
-use shorepath_placements::chain::{self, Piece};
-use shorepath_placements::exchange::Word;
+use shorepath_placements::anti_entropy::Message;
+use shorepath_placements::hash_chain::{self, Piece};
 use shorepath_placements::history::{History, HistoryError, Judged};
 use shorepath_placements::{End, Timed, Writer};
 
@@ -104,7 +104,7 @@
             let mut back = copy.clone();
             back.merge(&whole);
             prop_assert!(back.bytes() == whole.bytes(), "it does not get back what it had");
-            let own = copy.have().get(&w).copied().unwrap_or(chain::origin(&w));
+            let own = copy.have().get(&w).copied().unwrap_or(hash_chain::origin(&w));
             // What is sealed can't be told from another line any more; both found another log.
             let judged = whole.judge(&w, own);
             let sealed = whole.sealed(&w).0;
@@ -121,16 +121,16 @@
     #[test]
     fn a_cut_word_is_refused(length in 1usize..30, keep in any::<prop::sample::Index>(), at in any::<prop::sample::Index>()) {
         let w = writer("north", 1);
-        let whole = piece(&w, chain::origin(&w), &entries(length as u64, 0));
-        let bytes = Word::Piece { piece: whole.clone() }.encode();
-        prop_assert!(Word::decode(&bytes[..at.index(bytes.len())]).is_err());
+        let whole = piece(&w, hash_chain::origin(&w), &entries(length as u64, 0));
+        let bytes = Message::Piece { piece: whole.clone() }.encode();
+        prop_assert!(Message::decode(&bytes[..at.index(bytes.len())]).is_err());
         let keep = keep.index(length);
         let mut cut = whole.clone();
         cut.entries.truncate(keep);
         let mut found = History::new();
         prop_assert_eq!(found.take(&cut).is_ok(), keep == 0);
         prop_assert_eq!(found.held().0, 0);
-        let honest = piece(&w, chain::origin(&w), &entries(keep as u64, 0));
+        let honest = piece(&w, hash_chain::origin(&w), &entries(keep as u64, 0));
         prop_assert_eq!(found.take(&honest), Ok(keep as u64));
         prop_assert_eq!(found.take(&whole), Ok((length - keep) as u64));
         prop_assert!(found.bytes() == history(&[(1, 0, length as u64)]).bytes());
@@ -211,7 +211,7 @@
     let mut empty = History::new();
     empty.merge(&sealed);
     assert_eq!(empty.bytes(), sealed.bytes());
-    let from = |line, length| piece(&w, chain::origin(&w), &line_of(line, length));
+    let from = |line, length| piece(&w, hash_chain::origin(&w), &line_of(line, length));
     assert_eq!(empty.take(&from(0, 20)), Ok(0));
     assert_eq!(empty.take(&from(0, 60)), Ok(0));
     assert!(matches!(empty.take(&from(1, 40)), Err(HistoryError::Sealed { number: 30, .. })));
@@ -224,8 +224,8 @@
         node: node.into(),
         log: 1,
     });
-    assert_ne!(chain::origin(&all[0]), chain::origin(&all[1]));
-    let mut piece = piece(&all[0], chain::origin(&all[0]), &entries(2, 1));
+    assert_ne!(hash_chain::origin(&all[0]), hash_chain::origin(&all[1]));
+    let mut piece = piece(&all[0], hash_chain::origin(&all[0]), &entries(2, 1));
     piece.writer = all[1].clone();
     assert!(matches!(
         History::new().take(&piece),
@@ -241,7 +241,7 @@
         .flat_map(|k| [placed(k as i64, placement(1, true)), ended(9, k * 2 + 1, ends[k as usize])])
         .collect();
     let mut whole = History::new();
-    whole.take(&piece(&w, chain::origin(&w), &all)).unwrap();
+    whole.take(&piece(&w, hash_chain::origin(&w), &all)).unwrap();
     whole.seal(&w, 6).unwrap();
     let remembered = whole.base(&w).unwrap().remembered;
     assert_eq!(remembered.iter().map(|r| (r.number, r.how)).collect::<Vec<_>>(), [(3, End::Unknown)]);
--- a/crates/placements/tests/keys.rs
+++ b/crates/placements/tests/keys.rs
@@ -1,7 +1,7 @@
 //! What is known of a key does not depend on the order in which logs are heard, nor on how often.
 
 use proptest::prelude::*;
-use shorepath_placements::keys::{Keys, Known};
+use shorepath_placements::idempotency_index::{Keys, Known};
 use shorepath_placements::{End, Entry, Placement, Writer};
 
 fn placed(key: u8, guarded: bool) -> Entry {
--- a/crates/placements/tests/log.rs
+++ b/crates/placements/tests/log.rs
@@ -6,49 +6,49 @@
 use shorepath_placements::history::{History, Judged};
 use shorepath_placements::log::{Copies, Log, LogError};
 use shorepath_placements::{End, Entry};
-use shorepath_store::faulty::Faulty;
-use shorepath_store::keeper::Keeper;
+use shorepath_store::fault_injection::FaultyDisk;
+use shorepath_store::group_commit::GroupCommit;
 use shorepath_store::{Op, Store, StoreError};
 use std::sync::mpsc::channel;
 use std::sync::Arc;
 
 struct Disk {
     store: Arc<Store>,
-    keeper: Arc<Keeper>,
+    group_commit: Arc<GroupCommit>,
 }
 
-fn on(disk: &Faulty) -> Result<Disk, StoreError> {
+fn on(disk: &FaultyDisk) -> Result<Disk, StoreError> {
     let store = Arc::new(Store::on(disk.clone(), 1 << 20)?);
-    let keeper = Arc::new(Keeper::new(store.clone()).unwrap());
-    Ok(Disk { store, keeper })
+    let group_commit = Arc::new(GroupCommit::new(store.clone()).unwrap());
+    Ok(Disk { store, group_commit })
 }
 
 fn open(disk: &Disk, drawn: u64) -> Result<Log, LogError> {
-    Log::open(disk.store.clone(), disk.keeper.clone(), "north", "north-1", drawn)
+    Log::open(disk.store.clone(), disk.group_commit.clone(), "north", "north-1", drawn)
 }
 
 /// Append durably and wait.
 fn sure(log: &Log, timed: &shorepath_placements::Timed) -> Result<u64, LogError> {
-    let (tell, told) = channel();
-    log.append(timed, move |done| tell.send(done).unwrap())?;
-    told.recv().unwrap()
+    let (reply, notified) = channel();
+    log.append(timed, move |done| reply.send(done).unwrap())?;
+    notified.recv().unwrap()
 }
 
 fn flushed(log: &Log) -> Result<(), LogError> {
-    let (tell, told) = channel();
-    log.flush(move |done| tell.send(done).unwrap());
-    told.recv().unwrap()
+    let (reply, notified) = channel();
+    log.flush(move |done| reply.send(done).unwrap());
+    notified.recv().unwrap()
 }
 
 /// Guarded and free placements and their ends; the last number that was said to be on the disk, and the last that was given.
-fn work(disk: &Faulty, rounds: u64) -> Option<(u64, u64)> {
+fn work(disk: &FaultyDisk, rounds: u64) -> Option<(u64, u64)> {
     let log = open(&on(disk).ok()?, 7).ok()?;
-    let (mut said, mut given) = (0, 0);
+    let (mut sent, mut given) = (0, 0);
     for k in 0..rounds {
         let Ok(free) = log.later(&placed(1, placement(k, false))) else { break };
         given = free;
         let Ok(guarded) = sure(&log, &placed(2, placement(k, true))) else { break };
-        (said, given) = (guarded, guarded);
+        (sent, given) = (guarded, guarded);
         if log.later(&ended(3, free, End::Served)).is_err() {
             break;
         }
@@ -57,24 +57,24 @@
             given += 1;
         }
     }
-    Some((said, given.max(said + 1)))
+    Some((sent, given.max(sent + 1)))
 }
 
 #[test]
 fn a_crash_at_any_write_leaves_a_valid_chain() {
-    let whole = Faulty::new();
+    let whole = FaultyDisk::new();
     work(&whole, 6);
     let mut tried = 0;
     for cut in 0..=whole.calls() {
-        let disk = Faulty::new();
+        let disk = FaultyDisk::new();
         disk.cut_at(cut);
-        let Some((said, given)) = work(&disk, 6) else { continue };
+        let Some((sent, given)) = work(&disk, 6) else { continue };
         for seed in 0..4 {
             let name = format!("cut {cut}, seed {seed}");
             let again = on(&disk.after_power_loss(seed * 1_000 + cut)).unwrap();
             let log = open(&again, 8).unwrap_or_else(|e| panic!("{name}: {e}"));
             let (last, _) = log.durable();
-            assert!(said <= last && last <= given, "{name}: {said} {last} {given}");
+            assert!(sent <= last && last <= given, "{name}: {sent} {last} {given}");
             assert_eq!(log.writer().log, 7, "{name}");
             let mut history = History::new();
             assert_eq!(log.pour(&mut history).unwrap(), last, "{name}");
@@ -91,14 +91,14 @@
 
 #[test]
 fn a_full_disk_denies_guarded_work_and_counts_the_rest() {
-    let disk = Faulty::new();
+    let disk = FaultyDisk::new();
     let log = open(&on(&disk).unwrap(), 7).unwrap();
     sure(&log, &placed(1, placement(1, true))).unwrap();
-    disk.room(disk.image().len() as u64);
-    let mut said = 1;
+    disk.set_capacity(disk.image().len() as u64);
+    let mut sent = 1;
     let why = loop {
-        match sure(&log, &placed(1, placement(said, true))) {
-            Ok(number) => said = number,
+        match sure(&log, &placed(1, placement(sent, true))) {
+            Ok(number) => sent = number,
             Err(why) => break why,
         }
     };
@@ -108,9 +108,9 @@
     assert_eq!(log.later(&placed(1, placement(1, false))), Err(LogError::Full));
     assert_eq!(log.append(&placed(1, placement(1, true)), |_| panic!("told")), Err(LogError::Full));
     assert_eq!(log.unrecorded(), before + 1);
-    assert_eq!(log.durable().0, said);
+    assert_eq!(log.durable().0, sent);
     let again = open(&on(&disk.after_power_loss(5)).unwrap(), 8).unwrap();
-    assert!(again.durable().0 >= said);
+    assert!(again.durable().0 >= sent);
 }
 
 #[test]
@@ -121,7 +121,7 @@
         ("middle", LogError::Missing { log: 7, number: 4 }),
         ("end", LogError::Missing { log: 7, number: 6 }),
     ] {
-        let disk = Faulty::new();
+        let disk = FaultyDisk::new();
         let here = on(&disk).unwrap();
         let log = open(&here, 7).unwrap();
         assert!(entries(6, 1).iter().all(|timed| sure(&log, timed).is_ok()));
@@ -141,7 +141,7 @@
 /// A disk is put back as it was earlier: the log is found to have gone back, and founded anew; nothing is lost.
 #[test]
 fn an_old_disk_is_found_and_founds_another_log() {
-    let disk = Faulty::new();
+    let disk = FaultyDisk::new();
     let log = open(&on(&disk).unwrap(), 7).unwrap();
     sure(&log, &placed(1, placement(1, true))).unwrap();
     let old = disk.after_power_loss(1);
@@ -159,7 +159,7 @@
     assert_eq!(log.pour(&mut others), Ok(1));
     assert_eq!(others.forks().len(), 1);
     let number = sure(&log, &placed(6, placement(2, true))).unwrap();
-    let open_ones = log.found_anew(9).unwrap();
+    let open_ones = log.refound(9).unwrap();
     assert_eq!(open_ones.into_keys().collect::<Vec<_>>(), [number]);
     assert_eq!(sure(&log, &placed(7, placement(3, true))), Ok(1));
     drop(log);
@@ -168,7 +168,7 @@
     assert_eq!(log.pour(&mut others), Ok(2));
     assert_eq!(others.judge(&log.writer(), log.durable()), Judged::Sound);
     assert!(matches!(
-        Log::open(here.store.clone(), here.keeper.clone(), "south", "south-1", 1),
+        Log::open(here.store.clone(), here.group_commit.clone(), "south", "south-1", 1),
         Err(LogError::Another { .. })
     ));
 }
@@ -176,7 +176,7 @@
 /// What others know of a node's own log beyond an older disk is kept there as a copy, and found again at the next start.
 #[test]
 fn what_others_knew_of_an_old_disks_log_is_found_again() {
-    let disk = Faulty::new();
+    let disk = FaultyDisk::new();
     let log = open(&on(&disk).unwrap(), 7).unwrap();
     sure(&log, &placed(1, placement(1, true))).unwrap();
     let old = disk.after_power_loss(1);
@@ -188,18 +188,18 @@
     let here = on(&old).unwrap();
     let log = open(&here, 9).unwrap();
     let mut history = History::new();
-    let copies = Copies::restore(&here.store, here.keeper.clone(), &mut history).unwrap();
+    let copies = Copies::restore(&here.store, here.group_commit.clone(), &mut history).unwrap();
     log.pour(&mut history).unwrap();
     let piece = others.lacking(&log.writer(), &history.heads(&log.writer()), 1 << 16).unwrap();
     assert_eq!((piece.after, history.take(&piece)), (1, Ok(2)));
-    let (tell, told) = channel();
-    copies.piece(&piece, move |done| tell.send(done).unwrap());
-    told.recv().unwrap().unwrap();
-    log.found_anew(9).unwrap();
+    let (reply, notified) = channel();
+    copies.piece(&piece, move |done| reply.send(done).unwrap());
+    notified.recv().unwrap().unwrap();
+    log.refound(9).unwrap();
     drop((log, copies));
 
     let mut again = History::new();
-    let copies = Copies::restore(&here.store, here.keeper.clone(), &mut again).unwrap();
+    let copies = Copies::restore(&here.store, here.group_commit.clone(), &mut again).unwrap();
     open(&here, 11).unwrap().pour(&mut again).unwrap();
     copies.rest(&mut again).unwrap();
     assert_eq!(again.bytes(), history.bytes());
@@ -207,24 +207,24 @@
 
 #[test]
 fn copies_and_sealed_logs_are_found_again() {
-    let here = on(&Faulty::new()).unwrap();
+    let here = on(&FaultyDisk::new()).unwrap();
     let log = open(&here, 7).unwrap();
     assert!(entries(40, 1).iter().all(|timed| log.later(timed).is_ok()));
     assert_eq!(log.durable().0, 0, "what waits is not shown");
     flushed(&log).unwrap();
     let mut history = History::new();
-    let copies = Copies::restore(&here.store, here.keeper.clone(), &mut history).unwrap();
-    let (tell, told) = channel();
+    let copies = Copies::restore(&here.store, here.group_commit.clone(), &mut history).unwrap();
+    let (reply, notified) = channel();
     for piece in pieces(&writer("south", 3), &entries(100, 2), 7) {
         history.take(&piece).unwrap();
-        let tell = tell.clone();
-        copies.piece(&piece, move |done| tell.send(done).unwrap());
+        let reply = reply.clone();
+        copies.piece(&piece, move |done| reply.send(done).unwrap());
     }
-    assert!(told.iter().take(15).all(|done| done.is_ok()));
+    assert!(notified.iter().take(15).all(|done| done.is_ok()));
     log.pour(&mut history).unwrap();
     let restored = || {
         let mut history = History::new();
-        let copies = Copies::restore(&here.store, here.keeper.clone(), &mut history).unwrap();
+        let copies = Copies::restore(&here.store, here.group_commit.clone(), &mut history).unwrap();
         open(&here, 1).unwrap().pour(&mut history).unwrap();
         (history, copies)
     };
@@ -233,9 +233,9 @@
     history.seal(&writer("south", 3), 64).unwrap();
     history.seal(&log.writer(), 32).unwrap();
     log.seal(history.sealed(&log.writer())).unwrap();
-    let tell = tell.clone();
-    copies.rewrite(&history, move |done| tell.send(done).unwrap());
-    told.recv().unwrap().unwrap();
+    let reply = reply.clone();
+    copies.rewrite(&history, move |done| reply.send(done).unwrap());
+    notified.recv().unwrap().unwrap();
     let (again, _) = restored();
     assert_eq!(again.bytes(), history.bytes());
     assert_eq!(again.held().0, 36 + 8);
@@ -248,58 +248,58 @@
 fn a_log_goes_on_once_its_store_was_opened_again() {
     let folder = tempfile::tempdir().unwrap();
     let store = Arc::new(Store::open(folder.path(), 1 << 20).unwrap());
-    let keeper = Arc::new(Keeper::new(store.clone()).unwrap());
-    let log = Log::open(store.clone(), keeper.clone(), "north", "north-1", 7).unwrap();
+    let group_commit = Arc::new(GroupCommit::new(store.clone()).unwrap());
+    let log = Log::open(store.clone(), group_commit.clone(), "north", "north-1", 7).unwrap();
     let first = sure(&log, &placed(1, placement(1, true))).unwrap();
-    let (tell, told) = channel();
-    let again = tell.clone();
-    keeper.reopen(move |done| again.send(done.is_ok()).unwrap());
-    assert!(told.recv().unwrap());
+    let (reply, notified) = channel();
+    let again = reply.clone();
+    group_commit.reopen(move |done| again.send(done.is_ok()).unwrap());
+    assert!(notified.recv().unwrap());
     assert!(sure(&log, &placed(2, placement(2, true))).is_err(), "the store takes nothing");
     assert!(log.failed().is_some() && log.later(&placed(3, placement(3, false))).is_err());
     let ops = log.recover().unwrap();
     assert!(ops.is_empty() && log.failed().is_none());
     assert_eq!(log.open_placements().into_keys().collect::<Vec<_>>(), [first]);
-    let (early, heard) = channel();
-    keeper.resume(ops, move |done| tell.send(done.is_ok()).unwrap());
+    let (early, received) = channel();
+    group_commit.resume(ops, move |done| reply.send(done.is_ok()).unwrap());
     log.append(&placed(4, placement(4, true)), move |done| early.send(done).unwrap()).unwrap();
-    assert!(told.recv().unwrap());
-    assert_eq!(heard.recv().unwrap(), Ok(first + 1));
+    assert!(notified.recv().unwrap());
+    assert_eq!(received.recv().unwrap(), Ok(first + 1));
     assert_eq!(sure(&log, &ended(5, first, End::Served)), Ok(first + 2));
     let mut history = History::new();
     assert_eq!(log.pour(&mut history), Ok(3));
-    drop((log, keeper, store));
+    drop((log, group_commit, store));
     let store = Arc::new(Store::open(folder.path(), 1 << 20).unwrap());
-    let keeper = Arc::new(Keeper::new(store.clone()).unwrap());
-    let log = Log::open(store, keeper, "north", "north-1", 8).unwrap();
+    let group_commit = Arc::new(GroupCommit::new(store.clone()).unwrap());
+    let log = Log::open(store, group_commit, "north", "north-1", 8).unwrap();
     assert_eq!(log.durable().0, first + 2);
 }
 
 /// What was gathered goes to the disk with the log's next entries, in one commit, and not with a crash before it.
 #[test]
 fn gathered_copies_go_with_the_log() {
-    let disk = Faulty::new();
+    let disk = FaultyDisk::new();
     let here = on(&disk).unwrap();
     let log = open(&here, 7).unwrap();
     let (mut history, w) = (History::new(), writer("south", 3));
-    let copies = Copies::restore(&here.store, here.keeper.clone(), &mut history).unwrap();
+    let copies = Copies::restore(&here.store, here.group_commit.clone(), &mut history).unwrap();
     for piece in pieces(&w, &entries(30, 2), 7) {
         history.take(&piece).unwrap();
         copies.later(&piece);
     }
     log.later(&placed(1, placement(1, false))).unwrap();
-    let restored = |disk: &Faulty| {
+    let restored = |disk: &FaultyDisk| {
         let here = on(&disk.after_power_loss(1)).unwrap();
         let mut history = History::new();
-        Copies::restore(&here.store, here.keeper.clone(), &mut history).unwrap();
+        Copies::restore(&here.store, here.group_commit.clone(), &mut history).unwrap();
         open(&here, 1).unwrap().pour(&mut history).unwrap();
         history
     };
     assert_eq!(restored(&disk).held().0, 0);
     let before = disk.calls();
-    let (tell, told) = channel();
-    log.flush_with(&copies, move |done| tell.send(done).unwrap());
-    told.recv().unwrap().unwrap();
+    let (reply, notified) = channel();
+    log.flush_with(&copies, move |done| reply.send(done).unwrap());
+    notified.recv().unwrap().unwrap();
     let both = disk.calls() - before;
     assert_eq!(log.pour(&mut history), Ok(1));
     assert_eq!(restored(&disk).bytes(), history.bytes());
@@ -312,9 +312,9 @@
     history.take(&more).unwrap();
     copies.later(&more);
     history.seal(&w, 16).unwrap();
-    let (tell, told) = channel();
-    copies.rewrite(&history, move |done| tell.send(done).unwrap());
-    told.recv().unwrap().unwrap();
+    let (reply, notified) = channel();
+    copies.rewrite(&history, move |done| reply.send(done).unwrap());
+    notified.recv().unwrap().unwrap();
     log.flush_with(&copies, |_| ());
     flushed(&log).unwrap();
     log.pour(&mut history).unwrap();
--- a/crates/placements/tests/reconcile.rs
+++ b/crates/placements/tests/reconcile.rs
@@ -5,10 +5,10 @@
 use common::*;
 use proptest::prelude::*;
 use rstest::rstest;
-use shorepath_placements::chain;
+use shorepath_placements::compaction::{self, SEGMENT};
+use shorepath_placements::hash_chain;
 use shorepath_placements::history::History;
-use shorepath_placements::reconcile::{Change, Debts, Decision, Faith, Kind, Reconciler, Settings, Story};
-use shorepath_placements::seal::{self, SEGMENT};
+use shorepath_placements::reconcile::{Change, Debts, Decision, Kind, Reconciler, Settings, Story, Trust};
 use shorepath_placements::{End, Placement, Timed, Writer};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -40,8 +40,9 @@
     let found = all(&mut reconciler, &history(&logs));
     let [Decision::Violation(Story { class, key, scenes })] = found.as_slice() else { panic!("{found:?}") };
     assert_eq!((class.as_str(), key.as_str()), ("valve", "k7"));
-    let told: Vec<_> = scenes.iter().map(|s| (s.writer.clone(), s.number, s.at, s.fence, s.how)).collect();
-    assert_eq!(told, [(a, 3, 30, 4, Some(End::Served)), (b, 1, 50, 5, None)]);
+    let notified: Vec<_> =
+        scenes.iter().map(|s| (s.writer.clone(), s.number, s.at, s.fence, s.how)).collect();
+    assert_eq!(notified, [(a, 3, 30, 4, Some(End::Served)), (b, 1, 50, 5, None)]);
     assert!(all(&mut reconciler, &history(&logs)).is_empty(), "told once");
     // It turns out that the second one never ran.
     logs[1].1.push(ended(60, 1, End::NeverRan));
@@ -82,16 +83,16 @@
 }
 
 #[rstest]
-#[case::not_told(100, 4, Some(Faith::Good))]
-#[case::told(100, 5, Some(Faith::AgainstKnowledge))]
-#[case::told_later(100, 9, Some(Faith::AgainstKnowledge))]
+#[case::not_told(100, 4, Some(Trust::Good))]
+#[case::notified(100, 5, Some(Trust::AgainstKnowledge))]
+#[case::told_later(100, 9, Some(Trust::AgainstKnowledge))]
 #[case::taken_before(99, 4, None)]
 #[case::taken_before_and_told(99, 5, None)]
 #[case::after_it_was_reopened(200, 4, None)]
 fn work_begun_under_a_closed_standing_is_told_from_running_work(
     #[case] taken: i64,
     #[case] standing: u64,
-    #[case] faith: Option<Faith>,
+    #[case] trust: Option<Trust>,
 ) {
     let a = writer("north", 1);
     let mut one = placed(300, Placement { standing, ..placement(1, false) });
@@ -99,8 +100,8 @@
         p.taken = taken;
     }
     let history = history(&[(a.clone(), vec![one])]);
-    let wanted: Vec<Decision> = faith
-        .map(|faith| Decision::Standing { tenant: "t1".into(), number: 5, faith, writer: a, entry: 1 })
+    let wanted: Vec<Decision> = trust
+        .map(|trust| Decision::Standing { tenant: "t1".into(), number: 5, trust, writer: a, entry: 1 })
         .into_iter()
         .collect();
     let changes =
@@ -212,7 +213,7 @@
                     for decision in reconciler.pass(&history) {
                         match decision {
                             Decision::Debt { tenant, kind, jobs } => debts.owe(&tenant, kind, jobs),
-                            Decision::Standing { writer, entry, faith, .. } => drop(standing.insert((writer, entry, faith))),
+                            Decision::Standing { writer, entry, trust, .. } => drop(standing.insert((writer, entry, trust))),
                             _ => {}
                         }
                     }
@@ -251,15 +252,15 @@
             reconciler
         };
         let known = |found: &[Decision]| {
-            let (mut debts, mut told) = (Debts::default(), BTreeSet::new());
+            let (mut debts, mut notified) = (Debts::default(), BTreeSet::new());
             for decision in found {
                 match decision {
                     Decision::Debt { tenant, kind, jobs } => debts.owe(tenant, *kind, *jobs),
-                    Decision::Standing { writer, entry, faith, .. } => drop(told.insert((writer.clone(), *entry, *faith))),
+                    Decision::Standing { writer, entry, trust, .. } => drop(notified.insert((writer.clone(), *entry, *trust))),
                     _ => {}
                 }
             }
-            (debts, told)
+            (debts, notified)
         };
         let mut at_once = begin(settings());
         let mut wanted = at_once.pass(&whole);
@@ -275,16 +276,16 @@
             if stage == 1 {
                 found.extend(reconciler.standing("t1", change));
             }
-            let (mut more, mut news) = (true, true);
+            let (mut more, mut updates) = (true, true);
             while more {
                 let read = |r: &Reconciler| r.counts().placements + r.counts().ends + r.counts().lost;
                 let before = read(&reconciler);
-                let (some, rest) = reconciler.slice(&history, now, news);
+                let (some, rest) = reconciler.slice(&history, now, updates);
                 let made = read(&reconciler) - before;
                 prop_assert!(made <= steps as u64, "{made} in {steps} steps");
                 found.extend(some);
-                news = come.next().map(|piece| history.take(piece).unwrap()).is_some();
-                more = rest || news;
+                updates = come.next().map(|piece| history.take(piece).unwrap()).is_some();
+                more = rest || updates;
                 turns += 1;
                 prop_assert!(turns < 2_000, "it does not end");
             }
@@ -308,12 +309,12 @@
     let mut log = entries(SEGMENT * 3, 1);
     let whole = history(&[(w.clone(), log.clone())]);
     let at = |n: u64| {
-        let piece = piece(&w, chain::origin(&w), &log[..n as usize]);
+        let piece = piece(&w, hash_chain::origin(&w), &log[..n as usize]);
         piece.last()
     };
     let all = |n: u64, m: u64| BTreeMap::from([("north".to_string(), at(n)), ("south".to_string(), at(m))]);
     let rule = |history: &History, confirmed: &BTreeMap<_, _>, now| {
-        seal::upto(history, &w, confirmed, &sites, 50, now)
+        compaction::upto(history, &w, confirmed, &sites, 50, now)
     };
     let now = last + 50;
     assert_eq!(rule(&whole, &all(SEGMENT * 3, SEGMENT * 3), now), Some(SEGMENT * 3));
@@ -322,7 +323,7 @@
     let one = BTreeMap::from([("north".to_string(), at(SEGMENT * 3))]);
     assert_eq!(rule(&whole, &one, now), None, "a site was not heard");
     let mut other = all(SEGMENT * 3, SEGMENT * 3);
-    other.insert("south".into(), (SEGMENT * 3, chain::Digest([7; 32])));
+    other.insert("south".into(), (SEGMENT * 3, hash_chain::Digest([7; 32])));
     assert_eq!(rule(&whole, &other, now), None, "a site has another line");
     let mut sealed = whole.clone();
     sealed.seal(&w, SEGMENT * 2).unwrap();
--- a/crates/divider/src/clock.rs
+++ b/crates/quota-server/src/clock.rs
@@ -1,18 +1,18 @@
 //! The steady clock that leases are counted by.
 
-use shorepath_budgets::{Micros, Skew};
+use shorepath_quota::{ClockSkew, Micros};
 use std::time::Instant;
 
 /// A clock that goes on evenly; tests have it wrong on purpose.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
-    skew: Skew,
+    skew: ClockSkew,
 }
 
 impl Clock {
     /// One that begins now.
-    pub fn new(skew: Skew) -> Clock {
+    pub fn new(skew: ClockSkew) -> Clock {
         Clock { origin: Instant::now(), skew }
     }
 
--- a/crates/divider/src/main.rs
+++ b/crates/quota-server/src/main.rs
@@ -1,12 +1,12 @@
 //! The command line of a divider.
 
 use bpaf::Bpaf;
-use shorepath_budgets::file::{self, Plan};
-use shorepath_budgets::Skew;
-use shorepath_divider::clock::Clock;
-use shorepath_divider::serve::{serve, Options};
-use shorepath_envelope::advice;
-use shorepath_envelope::keys::Keys;
+use shorepath_message_auth::advice;
+use shorepath_message_auth::keyring::Keys;
+use shorepath_quota::config::{self, Plan};
+use shorepath_quota::ClockSkew;
+use shorepath_quota_server::clock::Clock;
+use shorepath_quota_server::server::{serve, Options};
 use std::io::Read;
 use std::net::SocketAddr;
 use std::os::unix::fs::MetadataExt;
@@ -55,7 +55,7 @@
 
 fn read(path: &Path) -> Result<(Plan, Option<Keys>), Box<dyn std::error::Error>> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let plan = file::read(&path.display().to_string(), &text)?;
+    let plan = config::read(&path.display().to_string(), &text)?;
     let keys = plan.key.as_deref().map(keys).transpose()?;
     Ok((plan, keys))
 }
@@ -63,14 +63,14 @@
 fn run(command: Command) -> Result<(), Box<dyn std::error::Error>> {
     let (plan, keys) = read(&command.budgets)?;
     let level = if command.verbose { Level::DEBUG } else { Level::INFO };
-    let own = format!("shorepath_divider={level},warn");
+    let own = format!("shorepath_quota_server={level},warn");
     let targets: tracing_subscriber::filter::Targets = own.parse()?;
     use tracing_subscriber::layer::SubscriberExt;
     use tracing_subscriber::util::SubscriberInitExt;
     let lines = tracing_subscriber::fmt::layer().with_writer(std::io::stderr).with_target(false);
     tracing_subscriber::registry().with(lines).with(targets).init();
     let clock =
-        Clock::new(Skew { offset: command.offset.saturating_mul(1_000_000), drift_ppm: command.drift });
+        Clock::new(ClockSkew { offset: command.offset.saturating_mul(1_000_000), drift_ppm: command.drift });
     let options =
         Options { name: command.name, listen: command.listen, state: command.state, plan, keys, clock };
     let path = command.budgets;
--- a/crates/divider/src/agreement.rs
+++ b/crates/quota-server/src/raft.rs
@@ -1,6 +1,6 @@
 //! What openraft needs to know of us: the types, and how one divider calls another.
 
-use crate::calls::{Call, Caller, Reply};
+use crate::rpc::{Call, Caller, Reply};
 use openraft::error::{InstallSnapshotError, NetworkError, RPCError, RaftError, RemoteError, Unreachable};
 use openraft::network::{RPCOption, RaftNetwork, RaftNetworkFactory};
 use openraft::raft::{
@@ -8,8 +8,8 @@
     VoteRequest, VoteResponse,
 };
 use openraft::{BasicNode, Config, SnapshotPolicy};
-use shorepath_budgets::divider::Entry;
-use shorepath_budgets::NodeId;
+use shorepath_quota::allocator::Entry;
+use shorepath_quota::NodeId;
 use std::io::Cursor;
 use std::sync::Arc;
 use std::time::Duration;
@@ -79,8 +79,8 @@
         option: &RPCOption,
         read: impl FnOnce(Reply) -> Option<Result<T, RaftError<u64, E>>>,
     ) -> Result<T, Failed<E>> {
-        let patience = option.hard_ttl().min(Duration::from_secs(2));
-        let answer = self.caller.call(parts_of(self.target).0, &call, patience).await;
+        let timeout = option.hard_ttl().min(Duration::from_secs(2));
+        let answer = self.caller.call(parts_of(self.target).0, &call, timeout).await;
         let reply = answer.map_err(|e| RPCError::Unreachable(Unreachable::new(&e)))?;
         match read(reply) {
             Some(Ok(answer)) => Ok(answer),
--- a/crates/divider/src/store.rs
+++ b/crates/quota-server/src/raft_storage.rs
@@ -1,8 +1,8 @@
 //! What a divider keeps on its disk: the log of the agreement, its vote and its last snapshot, by redb; each write is on the disk
 //! before it is said to be.
 
-use crate::agreement::Types;
 use crate::clock::Clock;
+use crate::raft::Types;
 use openraft::storage::{LogFlushed, LogState, RaftLogStorage, RaftStateMachine, Snapshot};
 use openraft::{
     BasicNode, Entry, EntryPayload, LogId, RaftLogReader, RaftSnapshotBuilder, SnapshotMeta, StorageError,
@@ -11,7 +11,7 @@
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
-use shorepath_budgets::divider::{Divider, Kept};
+use shorepath_quota::allocator::{Allocator, Kept};
 use std::fmt::Debug;
 use std::io::Cursor;
 use std::ops::RangeBounds;
@@ -248,7 +248,7 @@
 pub struct Machine {
     store: Store,
     clock: Clock,
-    divider: Arc<Mutex<Divider>>,
+    allocator: Arc<Mutex<Allocator>>,
     applied: Option<LogId<u64>>,
     membership: StoredMembership<u64, BasicNode>,
 }
@@ -258,10 +258,10 @@
     ///
     /// # Errors
     /// The snapshot can't be read.
-    pub fn new(store: Store, clock: Clock, divider: Arc<Mutex<Divider>>) -> Result<Machine, StoreError> {
+    pub fn new(store: Store, clock: Clock, allocator: Arc<Mutex<Allocator>>) -> Result<Machine, StoreError> {
         let shot: Option<Shot> = store.fact("snapshot")?;
         let mut machine =
-            Machine { store, clock, divider, applied: None, membership: StoredMembership::default() };
+            Machine { store, clock, allocator, applied: None, membership: StoredMembership::default() };
         if let Some(shot) = shot {
             machine.go_on(&shot);
         }
@@ -270,13 +270,13 @@
 
     fn go_on(&mut self, shot: &Shot) {
         let now = self.clock.now();
-        self.divider().restore(&shot.kept, now);
+        self.allocator().restore(&shot.kept, now);
         (self.applied, self.membership) = (shot.meta.last_log_id, shot.meta.last_membership.clone());
     }
 
-    fn divider(&self) -> MutexGuard<'_, Divider> {
+    fn allocator(&self) -> MutexGuard<'_, Allocator> {
         // Whoever panicked with it has changed nothing by halves that counts: entries go in whole.
-        self.divider.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+        self.allocator.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 }
 
@@ -317,7 +317,7 @@
             self.applied = Some(entry.log_id);
             changed.push(match entry.payload {
                 EntryPayload::Blank => false,
-                EntryPayload::Normal(entry) => self.divider().apply(&entry, now),
+                EntryPayload::Normal(entry) => self.allocator().apply(&entry, now),
                 EntryPayload::Membership(m) => {
                     self.membership = StoredMembership::new(Some(entry.log_id), m);
                     true
@@ -333,7 +333,7 @@
             last_membership: self.membership.clone(),
             snapshot_id: format!("{}", self.applied.map_or(0, |l| l.index)),
         };
-        let kept = self.divider().book().kept();
+        let kept = self.allocator().book().kept();
         Builder { store: self.store.clone(), shot: Shot { meta, kept } }
     }
 
--- a/crates/divider/src/calls.rs
+++ b/crates/quota-server/src/rpc.rs
@@ -1,6 +1,6 @@
 //! Calls between dividers, and those of operators: one question, one answer, each a piece of JSON with its length before it.
 
-use crate::agreement::Types;
+use crate::raft::Types;
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use openraft::error::{Infallible, InstallSnapshotError, RaftError};
@@ -9,9 +9,9 @@
     VoteRequest, VoteResponse,
 };
 use serde::{Deserialize, Serialize};
-use shorepath_budgets::file::Plan;
-use shorepath_budgets::words::Status;
-use shorepath_budgets::NodeId;
+use shorepath_quota::config::Plan;
+use shorepath_quota::messages::Status;
+use shorepath_quota::NodeId;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, RwLock};
@@ -62,7 +62,7 @@
 
 /// How a divider stands.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Stand {
+pub enum Readiness {
     /// It has an empty disk, and waits to hear how the others stand.
     Fresh,
     /// It has taken its first disk's number, and waits for the fleet to be founded.
@@ -84,7 +84,8 @@
     /// To [`Call::Hello`].
     Hello {
         /// How it stands.
-        stand: Stand,
+        #[serde(rename = "stand")]
+        readiness: Readiness,
         /// Who leads, as far as it knows.
         leader: Option<String>,
     },
@@ -131,7 +132,7 @@
 impl Caller {
     /// The dividers are where that file says.
     pub fn follow(&self, plan: &Plan) {
-        let all = plan.dividers.iter().map(|d| (NodeId::of(&d.name), d.address)).collect();
+        let all = plan.allocators.iter().map(|d| (NodeId::of(&d.name), d.address)).collect();
         // Nobody panics while holding it.
         if let Ok(mut addresses) = self.addresses.write() {
             *addresses = all;
@@ -142,7 +143,7 @@
     ///
     /// # Errors
     /// There was no answer in that time.
-    pub async fn call(&self, to: NodeId, call: &Call, patience: Duration) -> Result<Reply, CallError> {
+    pub async fn call(&self, to: NodeId, call: &Call, timeout: Duration) -> Result<Reply, CallError> {
         let address = self.addresses.read().ok().and_then(|a| a.get(&to).copied());
         let address = address.ok_or(CallError::Unlisted(to.0))?;
         let slot = self.lines.lock().await.entry(to).or_default().clone();
@@ -161,7 +162,7 @@
             *slot = Some(line);
             Ok(reply)
         };
-        tokio::time::timeout(patience, asked).await.unwrap_or(Err(CallError::Late))
+        tokio::time::timeout(timeout, asked).await.unwrap_or(Err(CallError::Late))
     }
 }
 
--- a/crates/divider/src/serve.rs
+++ b/crates/quota-server/src/server.rs
@@ -1,19 +1,19 @@
 //! One divider at work: datagrams of nodes in and out, calls of other dividers and of operators, and the agreement between.
 
-use crate::agreement::{config, parts_of, voter, Peers, Raft};
-use crate::calls::{codec, Call, Caller, Reply, Stand};
 use crate::clock::Clock;
-use crate::store::{Machine, Store, StoreError};
+use crate::raft::{config, parts_of, voter, Peers, Raft};
+use crate::raft_storage::{Machine, Store, StoreError};
+use crate::rpc::{codec, Call, Caller, Readiness, Reply};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use openraft::{BasicNode, ChangeMembers, ServerState};
-use shorepath_budgets::divider::{Divider, Entry, Say};
-use shorepath_budgets::file::Plan;
-use shorepath_budgets::words::Word;
-use shorepath_budgets::{Life, Micros, NodeId};
-use shorepath_envelope::keys::Keys;
-use shorepath_envelope::line::{Dropped, Line};
-use shorepath_membership::{Effect, Membership, Peer, Standing};
+use shorepath_membership::{Effect, MemberState, Membership, Peer};
+use shorepath_message_auth::channel::{Channel, Dropped};
+use shorepath_message_auth::keyring::Keys;
+use shorepath_quota::allocator::{Allocator, Entry, Outgoing};
+use shorepath_quota::config::Plan;
+use shorepath_quota::messages::Message;
+use shorepath_quota::{Micros, NodeId, NodeIncarnation};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
 /// How often a fresh divider asks the others how they stand.
 const ASKS: Duration = Duration::from_millis(300);
 /// How long a divider may take to answer that.
-const PATIENCE: Duration = Duration::from_millis(800);
+const TIMEOUT: Duration = Duration::from_millis(800);
 /// Addresses of lives that are kept, for each node listed.
 const KEPT: usize = 8;
 
@@ -79,15 +79,15 @@
     plan: RefCell<Plan>,
     clock: Clock,
     caller: Caller,
-    divider: Arc<Mutex<Divider>>,
+    allocator: Arc<Mutex<Allocator>>,
     raft: RefCell<Option<(u64, Raft)>>,
     members: RefCell<Membership>,
-    line: RefCell<Line>,
+    line: RefCell<Channel>,
 }
 
 impl Shared {
-    fn divider(&self) -> MutexGuard<'_, Divider> {
-        self.divider.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    fn allocator(&self) -> MutexGuard<'_, Allocator> {
+        self.allocator.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     fn raft(&self) -> Option<(u64, Raft)> {
@@ -99,8 +99,8 @@
     }
 
     /// Say it to whoever is there. Lost is lost: what matters is said again.
-    async fn send(&self, socket: &UdpSocket, said: Vec<u8>, to: SocketAddr) {
-        let datagram = self.line.borrow_mut().seal(said);
+    async fn send(&self, socket: &UdpSocket, sent: Vec<u8>, to: SocketAddr) {
+        let datagram = self.line.borrow_mut().seal(sent);
         let _ = socket.send_to(&datagram, to).await;
     }
 
@@ -110,11 +110,11 @@
         self.name_of(leader)
     }
 
-    async fn stand(&self) -> Stand {
+    async fn readiness(&self) -> Readiness {
         match self.raft() {
-            None => Stand::Fresh,
-            Some((_, raft)) if raft.is_initialized().await.unwrap_or(false) => Stand::Founded,
-            Some(_) => Stand::Ready,
+            None => Readiness::Fresh,
+            Some((_, raft)) if raft.is_initialized().await.unwrap_or(false) => Readiness::Founded,
+            Some(_) => Readiness::Ready,
         }
     }
 }
@@ -137,7 +137,7 @@
     again: impl Fn() -> Option<(Plan, Option<Keys>)>,
 ) -> Result<(), ServeError> {
     let Options { name, listen, state, plan, keys, clock } = options;
-    let own = plan.dividers.iter().find(|d| d.name == name).ok_or(ServeError::Unlisted(name.clone()))?;
+    let own = plan.allocators.iter().find(|d| d.name == name).ok_or(ServeError::Unlisted(name.clone()))?;
     let address = listen.unwrap_or(own.address);
     let mut hangup = signal(SignalKind::hangup())?;
     let mut terminate = signal(SignalKind::terminate())?;
@@ -146,7 +146,7 @@
     let calls = TcpListener::bind(address).await?;
     let socket = UdpSocket::bind(address).await?;
     let me = NodeId::of(&name);
-    let all = plan.dividers.iter().chain(&plan.members).map(|p| NodeId::of(&p.name).0);
+    let all = plan.allocators.iter().chain(&plan.members).map(|p| NodeId::of(&p.name).0);
     let others: Vec<u32> = all.filter(|n| *n != me.0).collect();
     // Grows over restarts as long as the clock is not set back over one; see the envelope's words.
     let begun = unix();
@@ -155,10 +155,10 @@
         name: name.clone(),
         clock,
         caller: Caller::default(),
-        divider: Arc::new(Mutex::new(Divider::new(&name, plan.clone(), chance()? as u32))),
+        allocator: Arc::new(Mutex::new(Allocator::new(&name, plan.clone(), chance()? as u32))),
         raft: RefCell::default(),
         members: RefCell::new(Membership::new(peer, others, chance()?, clock.now())),
-        line: RefCell::new(Line::new(me.0, begun, &plan.fleet, keys.as_ref())),
+        line: RefCell::new(Channel::new(me.0, begun, &plan.fleet, keys.as_ref())),
         plan: RefCell::new(plan.clone()),
     });
     shared.caller.follow(&plan);
@@ -167,7 +167,7 @@
     let mut joining = spawn_local(join(shared.clone(), store));
     let (done, mut agreed) = mpsc::unbounded_channel();
     let (leads, mut led) = mpsc::unbounded_channel();
-    let mut addresses: HashMap<Life, SocketAddr> = HashMap::new();
+    let mut addresses: HashMap<NodeIncarnation, SocketAddr> = HashMap::new();
     let mut look = interval(LOOK);
     look.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let (mut buffer, mut term, mut joined) = (vec![0; 64 * 1024], None, false);
@@ -180,7 +180,7 @@
                     info!("file of version {} read again", newer.version);
                     shared.line.borrow_mut().set(unix(), &newer.fleet, keys.as_ref());
                     shared.caller.follow(&newer);
-                    shared.divider().file(newer.clone());
+                    shared.allocator().file(newer.clone());
                     shared.plan.replace(newer);
                 }
                 None => warn!("the old file stays"),
@@ -193,19 +193,19 @@
             came = socket.recv_from(&mut buffer) => {
                 // An error is somebody's closed port, told late.
                 let Ok((n, from)) = came else { continue };
-                hear(&shared, &socket, &buffer[..n], from, &mut addresses).await;
+                receive(&shared, &socket, &buffer[..n], from, &mut addresses).await;
             }
             Some((entry, changed)) = agreed.recv() => {
                 let entry: Entry = entry;
                 let now = clock.now();
-                let says = shared.divider().settled(&entry, changed, now);
+                let outgoing_messages = shared.allocator().settled(&entry, changed, now);
                 log_entry(&shared, &entry, changed);
-                say_all(&shared, &socket, says, &addresses).await;
+                send_all(&shared, &socket, outgoing_messages, &addresses).await;
             }
             Some((in_term, ready)) = led.recv() => {
                 if term == Some(in_term) && ready {
                     info!("{name} leads in term {in_term}");
-                    shared.divider().lead(true);
+                    shared.allocator().lead(true);
                 } else if term == Some(in_term) {
                     term = None; // asked again at the next look
                 }
@@ -213,7 +213,7 @@
             _ = look.tick() => {
                 let now = clock.now();
                 shared.members.borrow_mut().pass(now);
-                say_members(&shared, &socket).await;
+                send_membership(&shared, &socket).await;
                 let Some((id, raft)) = shared.raft() else { continue };
                 let leading = {
                     let metrics = raft.metrics();
@@ -226,7 +226,7 @@
                 };
                 if leading != term {
                     term = leading;
-                    shared.divider().lead(false);
+                    shared.allocator().lead(false);
                     if let Some(in_term) = leading {
                         let (leads, raft) = (leads.clone(), raft.clone());
                         spawn_local(async move {
@@ -238,7 +238,7 @@
                         info!("{name} does not lead");
                     }
                 }
-                let proposed = shared.divider().propose(now);
+                let proposed = shared.allocator().propose(now);
                 if let Some(entry) = proposed {
                     let done = done.clone();
                     spawn_local(async move {
@@ -251,7 +251,7 @@
     }
     info!("{name} stops");
     shared.members.borrow_mut().leave(clock.now());
-    say_members(&shared, &socket).await;
+    send_membership(&shared, &socket).await;
     calling.abort();
     if let Some((_, raft)) = shared.raft() {
         let _ = raft.shutdown().await;
@@ -280,22 +280,27 @@
     }
 }
 
-async fn say_all(shared: &Shared, socket: &UdpSocket, says: Vec<Say>, addresses: &HashMap<Life, SocketAddr>) {
-    for say in says {
-        if let Some(to) = addresses.get(&say.to) {
-            shared.send(socket, say.word.bytes(), *to).await;
+async fn send_all(
+    shared: &Shared,
+    socket: &UdpSocket,
+    outgoing_messages: Vec<Outgoing>,
+    addresses: &HashMap<NodeIncarnation, SocketAddr>,
+) {
+    for outgoing in outgoing_messages {
+        if let Some(to) = addresses.get(&outgoing.to) {
+            shared.send(socket, outgoing.message.bytes(), *to).await;
         }
     }
 }
 
-async fn say_members(shared: &Shared, socket: &UdpSocket) {
+async fn send_membership(shared: &Shared, socket: &UdpSocket) {
     let effects = shared.members.borrow_mut().effects();
     for effect in effects {
         match effect {
-            Effect::Say { to, bytes } => {
+            Effect::Outgoing { to, bytes } => {
                 let address = {
                     let plan = shared.plan.borrow();
-                    let mut all = plan.dividers.iter().chain(&plan.members);
+                    let mut all = plan.allocators.iter().chain(&plan.members);
                     all.find(|p| NodeId::of(&p.name).0 == to).map(|p| p.address)
                 };
                 if let Some(address) = address {
@@ -306,57 +311,59 @@
                 let plan = shared.plan.borrow();
                 let node = NodeId(member.peer.node);
                 info!("member {} {:?}", plan.name_of(node).unwrap_or("?"), member.standing);
-                if matches!(member.standing, Standing::Left | Standing::Gone) {
-                    shared.divider().lost(node);
+                if matches!(member.standing, MemberState::Left | MemberState::Gone) {
+                    shared.allocator().lost(node);
                 }
             }
         }
     }
 }
 
-async fn hear(
+async fn receive(
     shared: &Shared,
     socket: &UdpSocket,
     bytes: &[u8],
     from: SocketAddr,
-    addresses: &mut HashMap<Life, SocketAddr>,
+    addresses: &mut HashMap<NodeIncarnation, SocketAddr>,
 ) {
     let seems = shared.plan.borrow().node_at(from).map_or(0, |n| n.0);
     let opened = shared.line.borrow_mut().open(bytes, seems);
     let (sender, bytes) = match opened {
-        Ok(heard) => (heard.sender, heard.said),
+        Ok(received) => (received.sender, received.sent),
         Err(Dropped { refused, first }) => {
             if first {
                 warn!(
                     "from {from}: {}; told once, counted from now on",
-                    shorepath_envelope::advice(&refused)
+                    shorepath_message_auth::advice(&refused)
                 );
             }
             return;
         }
     };
     if let Some((&MEMBERS, rest)) = bytes.split_first() {
-        if let Err(e) = shared.members.borrow_mut().hear(shared.clock.now(), rest) {
+        if let Err(e) = shared.members.borrow_mut().receive(shared.clock.now(), rest) {
             tracing::debug!("from {from}: {e}");
         }
-        return say_members(shared, socket).await;
+        return send_membership(shared, socket).await;
     }
-    let word = match Word::read(bytes) {
-        Ok(word) => word,
+    let message = match Message::read(bytes) {
+        Ok(message) => message,
         Err(e) => return warn!("from {from}: {e}"),
     };
-    if let (Some(sender), Word::Ask { life, .. } | Word::Goes { life, .. } | Word::Returns { life, .. }) =
-        (sender, &word)
+    if let (
+        Some(sender),
+        Message::Ask { life, .. } | Message::Goes { life, .. } | Message::Returns { life, .. },
+    ) = (sender, &message)
     {
         if life.node.0 != sender {
             return warn!("from {from}: a word in another's name");
         }
     }
-    if let Word::Ask { life, .. } = &word {
-        let leads = shared.divider().leads();
+    if let Message::Ask { life, .. } = &message {
+        let leads = shared.allocator().leads();
         if !leads {
             let leader = shared.leader().filter(|l| *l != shared.name);
-            return shared.send(socket, Word::Elsewhere { leader }.bytes(), from).await;
+            return shared.send(socket, Message::Elsewhere { leader }.bytes(), from).await;
         }
         // Guards against lives without number: those that come and go, and those that somebody makes up.
         if addresses.len() > KEPT * shared.plan.borrow().nodes.max(8) as usize {
@@ -365,7 +372,7 @@
         addresses.insert(*life, from);
     }
     let now: Micros = shared.clock.now();
-    shared.divider().hear(&word, now);
+    shared.allocator().receive(&message, now);
 }
 
 // ---------------------------------------------------------------- calls
@@ -420,11 +427,11 @@
             Some(raft) => Reply::Snapshot(raft.install_snapshot(rpc).await),
             None => none(),
         },
-        Call::Hello => Reply::Hello { stand: shared.stand().await, leader: shared.leader() },
+        Call::Hello => Reply::Hello { readiness: shared.readiness().await, leader: shared.leader() },
         Call::Join { name, disk } => take_in(shared, &name, disk),
         Call::Status => {
             let now = shared.clock.now();
-            let mut status = shared.divider().status(shared.leader(), now);
+            let mut status = shared.allocator().status(shared.leader(), now);
             let plan = shared.plan.borrow();
             let named = |n: u32| plan.name_of(NodeId(n)).map_or_else(|| format!("?{n}"), str::to_string);
             let members = shared.members.borrow();
@@ -450,7 +457,7 @@
         return Reply::No("does not lead".into());
     }
     let node = NodeId::of(name);
-    if shared.plan.borrow().dividers.iter().all(|d| d.name != name) {
+    if shared.plan.borrow().allocators.iter().all(|d| d.name != name) {
         return Reply::No(format!("{name} is not listed here"));
     }
     let membership = metrics.membership_config.membership();
@@ -492,7 +499,7 @@
         None => fresh(&shared, &store).await?,
     };
     let id = voter(&shared.name, disk);
-    let machine = Machine::new(store.clone(), shared.clock, shared.divider.clone())?;
+    let machine = Machine::new(store.clone(), shared.clock, shared.allocator.clone())?;
     let raft = Raft::new(id, config(), Peers(shared.caller.clone()), store, machine).await;
     let raft = raft.map_err(|e| ServeError::Agreement(e.to_string()))?;
     shared.raft.replace(Some((id, raft.clone())));
@@ -512,12 +519,12 @@
 
 /// The answers of all other dividers, by name; `None` for those that gave none.
 async fn ask_others(shared: &Rc<Shared>, call: impl Fn() -> Call) -> BTreeMap<String, Option<Reply>> {
-    let names: Vec<String> = shared.plan.borrow().dividers.iter().map(|d| d.name.clone()).collect();
+    let names: Vec<String> = shared.plan.borrow().allocators.iter().map(|d| d.name.clone()).collect();
     let mut asked = Vec::new();
     for name in names.into_iter().filter(|n| *n != shared.name) {
         let (shared, call) = (shared.clone(), call());
         asked.push(spawn_local(async move {
-            let reply = shared.caller.call(NodeId::of(&name), &call, PATIENCE).await;
+            let reply = shared.caller.call(NodeId::of(&name), &call, TIMEOUT).await;
             (name, reply.ok())
         }));
     }
@@ -531,20 +538,20 @@
 /// With an empty disk: nothing is done before it is known whether there is a fleet. Which of its disks this is.
 async fn fresh(shared: &Rc<Shared>, store: &Store) -> Result<u32, ServeError> {
     loop {
-        let stands = ask_others(shared, || Call::Hello).await;
-        let stand = |r: &Option<Reply>| match r {
-            Some(Reply::Hello { stand, .. }) => Some(stand.clone()),
+        let replies = ask_others(shared, || Call::Hello).await;
+        let readiness = |r: &Option<Reply>| match r {
+            Some(Reply::Hello { readiness, .. }) => Some(readiness.clone()),
             _ => None,
         };
-        if stands.values().all(|r| matches!(stand(r), Some(Stand::Fresh | Stand::Ready))) {
+        if replies.values().all(|r| matches!(readiness(r), Some(Readiness::Fresh | Readiness::Ready))) {
             // Nobody has ever voted: it may be what the file calls it.
             store.keep("disk", &0u32)?;
             return Ok(0);
         }
-        if stands.values().any(|r| stand(r) == Some(Stand::Founded)) {
-            let told = ask_others(shared, || Call::Join { name: shared.name.clone(), disk: None }).await;
+        if replies.values().any(|r| readiness(r) == Some(Readiness::Founded)) {
+            let notified = ask_others(shared, || Call::Join { name: shared.name.clone(), disk: None }).await;
             let disk =
-                told.values().find_map(|r| if let Some(Reply::Joins(d)) = r { Some(*d) } else { None });
+                notified.values().find_map(|r| if let Some(Reply::Joins(d)) = r { Some(*d) } else { None });
             if let Some(disk) = disk {
                 info!("{} has lost its disk; it comes back as its disk {disk}", shared.name);
                 store.keep("disk", &disk)?;
@@ -558,14 +565,15 @@
 /// Found the fleet, if this divider is the one to do so: once all are ready. What grants an earlier one gave end before this
 /// one gives any.
 async fn found(shared: &Rc<Shared>, raft: &Raft) -> Result<(), ServeError> {
-    let dividers = shared.plan.borrow().dividers.clone();
+    let allocators = shared.plan.borrow().allocators.clone();
     while !raft.is_initialized().await.unwrap_or(true) {
-        if dividers.first().is_some_and(|d| d.name == shared.name) {
-            let stands = ask_others(shared, || Call::Hello).await;
-            let ready = |r: &Option<Reply>| matches!(r, Some(Reply::Hello { stand: Stand::Ready, .. }));
-            if stands.values().all(ready) {
+        if allocators.first().is_some_and(|d| d.name == shared.name) {
+            let replies = ask_others(shared, || Call::Hello).await;
+            let ready =
+                |r: &Option<Reply>| matches!(r, Some(Reply::Hello { readiness: Readiness::Ready, .. }));
+            if replies.values().all(ready) {
                 let all: BTreeMap<u64, BasicNode> =
-                    dividers.iter().map(|d| (voter(&d.name, 0), BasicNode::new(&d.name))).collect();
+                    allocators.iter().map(|d| (voter(&d.name, 0), BasicNode::new(&d.name))).collect();
                 info!("{} founds the fleet with {} dividers", shared.name, all.len());
                 // Who was faster has founded it.
                 let _ = raft.initialize(all).await;
--- a/crates/divider/tests/golden.rs
+++ b/crates/quota-server/tests/golden.rs
@@ -1,6 +1,6 @@
 //! Golden files of dividers: their calls, and a state folder with a log, a vote and a snapshot, as an earlier version left them.
 //!
-//! To take them anew, after a change of a format that was meant: `GOLDEN_RECORD=1 cargo test -p shorepath-divider --test golden`.
+//! To take them anew, after a change of a format that was meant: `GOLDEN_RECORD=1 cargo test -p shorepath-quota-server --test golden`.
 
 #[path = "../../rig/src/addresses.rs"]
 mod addresses;
@@ -12,13 +12,13 @@
 use openraft::storage::{RaftLogStorage, RaftStateMachine};
 use openraft::{RaftLogReader, RaftSnapshotBuilder};
 use serde_json::{json, Value};
-use shorepath_budgets::divider::Divider;
-use shorepath_budgets::file::{read, Plan};
-use shorepath_budgets::words::{Claiming, Granting, Status, Word};
-use shorepath_budgets::{Life, NodeId, Skew};
-use shorepath_divider::calls::{Call, Caller, Reply};
-use shorepath_divider::clock::Clock;
-use shorepath_divider::store::{Machine, Store};
+use shorepath_quota::allocator::Allocator;
+use shorepath_quota::config::{read, Plan};
+use shorepath_quota::messages::{Claiming, Granting, Message, Status};
+use shorepath_quota::{ClockSkew, NodeId, NodeIncarnation};
+use shorepath_quota_server::clock::Clock;
+use shorepath_quota_server::raft_storage::{Machine, Store};
+use shorepath_quota_server::rpc::{Call, Caller, Reply};
 use std::fs::File;
 use std::io;
 use std::net::UdpSocket;
@@ -72,7 +72,7 @@
     let vote = json!({"leader_id": {"term": 3, "node_id": 77}, "committed": false});
     let mut all: Vec<Value> = ["Fresh", "Ready", "Founded"]
         .iter()
-        .map(|stand| json!({"Hello": {"stand": stand, "leader": "d0"}}))
+        .map(|readiness| json!({"Hello": {"stand": readiness, "leader": "d0"}}))
         .collect();
     all.extend([
         json!({"Joins": 2}),
@@ -80,7 +80,7 @@
         json!({"Append": {"Ok": "Success"}}),
         json!({"Vote": {"Ok": {"vote": vote, "vote_granted": true, "last_log_id": null}}}),
         json!({"Snapshot": {"Ok": {"vote": vote}}}),
-        json!({"Status": serde_json::to_value(Status { divider: "d0".into(), ..Status::default() }).unwrap()}),
+        json!({"Status": serde_json::to_value(Status { allocator: "d0".into(), ..Status::default() }).unwrap()}),
     ]);
     all
 }
@@ -144,15 +144,15 @@
 
     /// Ask until something is granted.
     fn granted(&self, plan: u64, incarnation: u64) -> Granting {
-        let (begin, life) = (Instant::now(), Life { node: NodeId::of("n0"), incarnation });
+        let (begin, life) = (Instant::now(), NodeIncarnation { node: NodeId::of("n0"), incarnation });
         for answers in 1.. {
             assert!(begin.elapsed() < LONG, "no grant");
             let claim = Claiming { budget: "quota:a".into(), answers, demand: 30, used: 0, goes_by: (0, 0) };
-            let ask = Word::Ask { life, plan, claims: vec![claim] };
-            let _ = self.socket.send_to(&ask.bytes(), self.plan.dividers[0].address);
+            let ask = Message::Ask { life, plan, claims: vec![claim] };
+            let _ = self.socket.send_to(&ask.bytes(), self.plan.allocators[0].address);
             let mut buffer = [0; 2_000];
             while let Ok((n, _)) = self.socket.recv_from(&mut buffer) {
-                let Ok(Word::Grants { grants, .. }) = Word::read(&buffer[..n]) else { continue };
+                let Ok(Message::Grants { grants, .. }) = Message::read(&buffer[..n]) else { continue };
                 if let Some(grant) = grants.into_iter().find(|g| g.amount > 0) {
                     return grant;
                 }
@@ -186,10 +186,10 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
         let mut store = Store::open(folder).unwrap();
-        let clock = Clock::new(Skew::default());
+        let clock = Clock::new(ClockSkew::default());
         let text = "(budgets (version 1) (divider d0 \"127.0.0.1:1\") (node n0 \"127.0.0.1:2\") (budget probes (whole 9)))";
-        let divider = Arc::new(Mutex::new(Divider::new("d0", read("b", text).unwrap(), 1)));
-        let mut machine = Machine::new(store.clone(), clock, divider).unwrap();
+        let allocator = Arc::new(Mutex::new(Allocator::new("d0", read("b", text).unwrap(), 1)));
+        let mut machine = Machine::new(store.clone(), clock, allocator).unwrap();
         let entries = store.try_get_log_entries(..).await.unwrap();
         let middle = entries[entries.len() / 2].log_id;
         machine.apply(entries).await.unwrap();
