--- a/crates/divider/tests/processes.rs
+++ b/crates/quota-server/tests/processes.rs
@@ -5,13 +5,13 @@
 mod addresses;
 
 use addresses::fresh;
-use shorepath_budgets::file::{read, Plan};
-use shorepath_budgets::holder::Holder;
-use shorepath_budgets::words::{Claiming, Granting, Status, Word};
-use shorepath_budgets::{Life, NodeId};
-use shorepath_divider::calls::{Call, Caller, Reply};
-use shorepath_envelope::keys::Keys;
-use shorepath_envelope::line::Line;
+use shorepath_message_auth::channel::Channel;
+use shorepath_message_auth::keyring::Keys;
+use shorepath_quota::config::{read, Plan};
+use shorepath_quota::lease::Holder;
+use shorepath_quota::messages::{Claiming, Granting, Message, Status};
+use shorepath_quota::{NodeId, NodeIncarnation};
+use shorepath_quota_server::rpc::{Call, Caller, Reply};
 use std::net::UdpSocket;
 use std::os::unix::fs::PermissionsExt;
 use std::path::PathBuf;
@@ -25,19 +25,19 @@
 struct Fleet {
     dir: tempfile::TempDir,
     plan: Plan,
-    dividers: Vec<Option<Child>>,
+    allocators: Vec<Option<Child>>,
     socket: UdpSocket,
-    life: Life,
+    life: NodeIncarnation,
     count: u64,
     caller: Caller,
     runtime: tokio::runtime::Runtime,
     /// The code of the node that the test plays.
-    line: Line,
+    line: Channel,
 }
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        for child in self.dividers.iter_mut().flatten() {
+        for child in self.allocators.iter_mut().flatten() {
             let _ = (child.kill(), child.wait());
         }
     }
@@ -53,21 +53,21 @@
 }
 
 /// The line of the node that the test plays, in that life.
-fn coded(life: u64, keys: &[&str]) -> Line {
+fn coded(life: u64, keys: &[&str]) -> Channel {
     let lines: Vec<String> = keys.iter().map(|k| k.repeat(32)).collect();
-    Line::new(NodeId::of("n0").0, life, "tidal", Keys::read(&lines.join("\n")).ok().as_ref())
+    Channel::new(NodeId::of("n0").0, life, "tidal", Keys::read(&lines.join("\n")).ok().as_ref())
 }
 
 impl Fleet {
-    fn new(dividers: usize) -> Fleet {
-        Fleet::with(dividers, None)
+    fn new(allocators: usize) -> Fleet {
+        Fleet::with(allocators, None)
     }
 
-    fn with(dividers: usize, key: Option<&str>) -> Fleet {
+    fn with(allocators: usize, key: Option<&str>) -> Fleet {
         let dir = tempfile::tempdir().unwrap();
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         let other = fresh().unwrap();
-        let places = (0..dividers).map(|k| format!("(divider d{k} \"{}\")", fresh().unwrap()));
+        let places = (0..allocators).map(|k| format!("(divider d{k} \"{}\")", fresh().unwrap()));
         let places: String = places.collect();
         let key = key.map_or(String::new(), |digits| {
             write_keys(&dir.path().join("fleet.key"), &[digits], 0o600);
@@ -84,11 +84,11 @@
         let caller = Caller::default();
         caller.follow(&plan);
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-        let life = Life { node: NodeId::of("n0"), incarnation: 1 };
+        let life = NodeIncarnation { node: NodeId::of("n0"), incarnation: 1 };
         let mut fleet = Fleet {
             dir,
             plan,
-            dividers: Vec::new(),
+            allocators: Vec::new(),
             socket,
             life,
             count: 0,
@@ -96,8 +96,8 @@
             runtime,
             line: coded(1, &[]),
         };
-        for k in 0..dividers {
-            fleet.dividers.push(None);
+        for k in 0..allocators {
+            fleet.allocators.push(None);
             fleet.start(k);
         }
         fleet
@@ -120,18 +120,18 @@
         let offset = ["0", "3600", "-3600"][k % 3];
         let mut command = self.command(k);
         command.args([format!("--test-clock-drift={drift}"), format!("--test-clock-offset={offset}")]);
-        self.dividers[k] = Some(command.stderr(log).spawn().unwrap());
+        self.allocators[k] = Some(command.stderr(log).spawn().unwrap());
     }
 
     fn kill(&mut self, k: usize) {
-        let mut child = self.dividers[k].take().unwrap();
+        let mut child = self.allocators[k].take().unwrap();
         child.kill().unwrap();
         child.wait().unwrap();
     }
 
     fn logs(&self) -> String {
         let log = |k| std::fs::read_to_string(self.dir.path().join(format!("d{k}.log"))).unwrap_or_default();
-        (0..self.dividers.len()).map(|k| format!("d{k}:\n{}\n", log(k))).collect()
+        (0..self.allocators.len()).map(|k| format!("d{k}:\n{}\n", log(k))).collect()
     }
 
     fn status(&self, k: usize) -> Option<Status> {
@@ -148,13 +148,13 @@
     fn leader(&self) -> usize {
         let begin = Instant::now();
         while begin.elapsed() < LONG {
-            let running = (0..self.dividers.len()).filter(|k| self.dividers[*k].is_some());
-            let said: Vec<Option<String>> = running.map(|k| self.status(k)?.leader).collect();
+            let running = (0..self.allocators.len()).filter(|k| self.allocators[*k].is_some());
+            let sent: Vec<Option<String>> = running.map(|k| self.status(k)?.leader).collect();
             if let Some(leader) =
-                said.first().cloned().flatten().filter(|l| said.iter().all(|s| s.as_ref() == Some(l)))
+                sent.first().cloned().flatten().filter(|l| sent.iter().all(|s| s.as_ref() == Some(l)))
             {
                 let k: usize = leader[1..].parse().unwrap();
-                if self.dividers[k].is_some() {
+                if self.allocators[k].is_some() {
                     return k;
                 }
             }
@@ -174,16 +174,16 @@
         while begin.elapsed() < limit {
             self.count += 1;
             let claim = Claiming { budget: "quota:a".into(), answers: self.count, demand, used: 0, goes_by };
-            let ask = Word::Ask { life: self.life, plan: 1, claims: vec![claim] };
+            let ask = Message::Ask { life: self.life, plan: 1, claims: vec![claim] };
             let ask = self.line.seal(ask.bytes());
-            for divider in &self.plan.dividers {
-                let _ = self.socket.send_to(&ask, divider.address);
+            for allocator in &self.plan.allocators {
+                let _ = self.socket.send_to(&ask, allocator.address);
             }
             let mut buffer = [0; 2_000];
             while let Ok((n, _)) = self.socket.recv_from(&mut buffer) {
                 // Membership and dividers that don't lead speak, too.
-                let Ok(heard) = self.line.open(&buffer[..n], 0) else { continue };
-                if let Ok(Word::Grants { grants, .. }) = Word::read(heard.said) {
+                let Ok(received) = self.line.open(&buffer[..n], 0) else { continue };
+                if let Ok(Message::Grants { grants, .. }) = Message::read(received.sent) {
                     if let Some(grant) = grants.into_iter().find(|g| g.answers == self.count && g.amount > 0)
                     {
                         return Some(grant);
@@ -227,7 +227,7 @@
     fleet.kill(last);
     let goes_by = (third.epoch, third.number);
     assert_eq!(fleet.granted_within(Duration::from_millis(1_800), 30, goes_by), None, "{}", fleet.logs());
-    let alone = (0..3).find(|k| fleet.dividers[*k].is_some()).unwrap();
+    let alone = (0..3).find(|k| fleet.allocators[*k].is_some()).unwrap();
     fleet.start(last);
     let fourth = fleet.granted(30, (third.epoch, third.number));
     assert!(fourth.number > third.number, "with its disk it goes on\n{}", fleet.logs());
@@ -250,9 +250,10 @@
     assert!(first.epoch != second.epoch && second.amount == 90, "{first:?} {second:?}");
     // The first life's process still runs: by its own clock its grant is over.
     let term = fleet.plan.term_of(&fleet.plan.budgets[0]);
-    let mut holder = Holder::new(Life { incarnation: 1, ..fleet.life }, 0, term);
+    let mut holder = Holder::new(NodeIncarnation { incarnation: 1, ..fleet.life }, 0, term);
     holder.ask(0);
-    assert!(holder.granted(Granting { answers: 1, ..first }.to(Life { incarnation: 1, ..fleet.life }), 0));
+    assert!(holder
+        .granted(Granting { answers: 1, ..first }.to(NodeIncarnation { incarnation: 1, ..fleet.life }), 0));
     assert_eq!(holder.usable(asked.elapsed().as_micros() as i64), 0);
 }
 
@@ -267,13 +268,16 @@
     while fleet.status(0).is_none() {
         assert!(begin.elapsed() < LONG, "{}", fleet.logs());
     }
-    let (code, told) = run(&mut fleet.command(0));
-    assert_eq!(code, Some(1), "{told}");
-    assert!(told.contains("can't be used") && told.lines().count() == 1, "the folder is another's: {told}");
+    let (code, notified) = run(&mut fleet.command(0));
+    assert_eq!(code, Some(1), "{notified}");
+    assert!(
+        notified.contains("can't be used") && notified.lines().count() == 1,
+        "the folder is another's: {notified}"
+    );
     let mut stranger = Command::new(PROGRAM);
     stranger.arg("--budgets").arg(fleet.dir.path().join("b.sexp")).args(["--name", "dx", "--state", "x"]);
-    let (code, told) = run(&mut stranger);
-    assert!(code == Some(1) && told.contains("dx is no (divider ...)"), "{told}");
+    let (code, notified) = run(&mut stranger);
+    assert!(code == Some(1) && notified.contains("dx is no (divider ...)"), "{notified}");
 }
 
 /// Where the file names a key, words without its code, under another and heard before are dropped, counted and told once each; grants
@@ -283,18 +287,19 @@
     let mut fleet = Fleet::with(1, Some(KEY));
     fleet.line = coded(1, &[KEY]);
     let first = fleet.granted(30, (0, 0));
-    let divider = fleet.plan.dividers[0].address;
+    let allocator = fleet.plan.allocators[0].address;
     // With these the life would hand everything back, were they believed.
     let of = vec![("quota:a".to_string(), first.epoch, first.number)];
-    let said = Word::Returns { life: fleet.life, of }.bytes();
-    let another = Word::Returns { life: Life { node: NodeId::of("n1"), incarnation: 1 }, of: Vec::new() };
-    let heard = fleet.line.seal(another.bytes());
+    let sent = Message::Returns { life: fleet.life, of }.bytes();
+    let another =
+        Message::Returns { life: NodeIncarnation { node: NodeId::of("n1"), incarnation: 1 }, of: Vec::new() };
+    let received = fleet.line.seal(another.bytes());
     let mut forged = coded(9, &[OTHER]);
     let before = fleet.granted(30, (first.epoch, first.number));
-    fleet.socket.send_to(&heard, divider).unwrap();
+    fleet.socket.send_to(&received, allocator).unwrap();
     for _ in 0..2 {
-        for word in [&said, &forged.seal(said.clone()), &heard] {
-            fleet.socket.send_to(word, divider).unwrap();
+        for message in [&sent, &forged.seal(sent.clone()), &received] {
+            fleet.socket.send_to(message, allocator).unwrap();
         }
     }
     // The divider has heard all of them before it answers this.
@@ -312,7 +317,7 @@
     assert_eq!(fleet.granted_within(Duration::from_millis(300), 30, (0, 0)), None);
     let file = fleet.dir.path().join("fleet.key");
     write_keys(&file, &[OTHER, KEY], 0o600);
-    let pid = fleet.dividers[0].as_ref().unwrap().id().to_string();
+    let pid = fleet.allocators[0].as_ref().unwrap().id().to_string();
     assert!(Command::new("kill").args(["-HUP", &pid]).status().unwrap().success());
     fleet.granted(30, (after.epoch, after.number));
     fleet.line = coded(3, &[KEY, OTHER]);
@@ -320,9 +325,9 @@
     // A file that others may read is none.
     write_keys(&file, &[KEY], 0o640);
     let output = fleet.command(0).output().unwrap();
-    let told = String::from_utf8_lossy(&output.stderr);
+    let notified = String::from_utf8_lossy(&output.stderr);
     assert!(
-        output.status.code() == Some(1) && told.contains("0640") && told.contains("chmod 0600"),
-        "{told}"
+        output.status.code() == Some(1) && notified.contains("0640") && notified.contains("chmod 0600"),
+        "{notified}"
     );
 }
--- a/crates/divider/tests/words.rs
+++ b/crates/quota-server/tests/words.rs
@@ -1,16 +1,16 @@
 //! Words that an earlier version of the program said, kept as they were heard: processes of both stand side by side during an upgrade.
 
 use serde_json::{json, Value};
-use shorepath_budgets::words::Word;
-use shorepath_divider::calls::{Call, Reply};
 use shorepath_membership::{Membership, Peer};
+use shorepath_quota::messages::Message;
+use shorepath_quota_server::rpc::{Call, Reply};
 
 const HEARD: &str = include_str!("words/04a2ff7.txt");
 
 /// The lines of a kind.
-fn heard(kind: &str) -> Vec<&'static str> {
+fn received(kind: &str) -> Vec<&'static str> {
     let all = HEARD.lines().filter_map(|line| line.split_once(' ')).filter(|(k, _)| *k == kind);
-    all.map(|(_, said)| said).collect()
+    all.map(|(_, sent)| sent).collect()
 }
 
 /// Whether all that one value says the other says as well, by the same names: an older reader finds what it reads.
@@ -45,12 +45,12 @@
 fn words_of_an_earlier_version_are_understood_and_said_as_it_reads_them() {
     type Again = fn(&str) -> Result<Value, serde_json::Error>;
     let again: [(&str, &str, Again); 3] = [
-        ("word", "b", |text| serde_json::to_value(serde_json::from_str::<Word>(text)?)),
+        ("word", "b", |text| serde_json::to_value(serde_json::from_str::<Message>(text)?)),
         ("call", "version", |text| serde_json::to_value(serde_json::from_str::<Call>(text)?)),
         ("reply", "version", |text| serde_json::to_value(serde_json::from_str::<Reply>(text)?)),
     ];
     for (kind, beside, again) in again {
-        let all = heard(kind);
+        let all = received(kind);
         assert!(all.len() >= 5, "{kind}: {}", all.len());
         for text in all {
             let old: Value = serde_json::from_str(text).unwrap();
@@ -83,12 +83,12 @@
     let bytes = |text: &str| -> Vec<u8> {
         (0..text.len()).step_by(2).map(|k| u8::from_str_radix(&text[k..k + 2], 16).unwrap()).collect()
     };
-    let all = heard("member");
+    let all = received("member");
     assert!(all.len() >= 4);
     for text in all {
         let datagram = bytes(text);
-        assert_eq!(datagram[0], shorepath_divider::serve::MEMBERS);
+        assert_eq!(datagram[0], shorepath_quota_server::server::MEMBERS);
         let mut members = Membership::new(Peer { node: 1, incarnation: 1 }, vec![2, 3], 4, 0);
-        members.hear(0, &datagram[1..]).unwrap_or_else(|e| panic!("{e}: {text}"));
+        members.receive(0, &datagram[1..]).unwrap_or_else(|e| panic!("{e}: {text}"));
     }
 }
--- a/crates/budgets/src/divider.rs
+++ b/crates/quota/src/allocator.rs
@@ -4,11 +4,11 @@
 //! that leads hears nodes ask, divides, and proposes; its proposal names the numbers that it builds on, so that one which was
 //! worked out before somebody else's changes nothing, however late it is agreed on.
 
-use crate::divide::{next, Claim, Moves};
-use crate::file::{Bounds, Budget, Plan};
+use crate::allocation::{next, Claim, Moves};
+use crate::config::{Bounds, Budget, Plan};
 use crate::ledger::Ledger;
-use crate::words::{BudgetStatus, Granting, PartStatus, Status, Word};
-use crate::{Grant, Life, Micros, NodeId, Term};
+use crate::messages::{BudgetStatus, Granting, Message, PartStatus, Status};
+use crate::{Grant, LeasePeriod, Micros, NodeId, NodeIncarnation};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -147,7 +147,7 @@
         // One that only an older plan named is still counted.
         book.resize();
         for (name, kept) in &kept.ledgers {
-            let term = Term { length: 0, drift_ppm: 0, longest: 0 };
+            let term = LeasePeriod { length: 0, drift_ppm: 0, longest: 0 };
             let ledger = book.ledgers.entry(name.clone()).or_insert_with(|| Ledger::new(0, 0, term));
             ledger.restore(kept, now);
         }
@@ -157,7 +157,7 @@
     /// From when on grants of an earlier fleet can't hold any more.
     fn opens(&self) -> Option<Micros> {
         let longest =
-            self.plans.iter().flat_map(|p| p.budgets.iter().map(|b| p.term_of(b).of_divider())).max();
+            self.plans.iter().flat_map(|p| p.budgets.iter().map(|b| p.term_of(b).for_allocator())).max();
         Some(self.founded? + longest?)
     }
 
@@ -183,7 +183,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Asker {
-    heard: Micros,
+    received: Micros,
     plan: u64,
     claims: BTreeMap<String, Claimed>,
     hurried: Micros,
@@ -206,23 +206,23 @@
 
 /// Something to say to a life.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Say {
+pub struct Outgoing {
     /// To whom.
-    pub to: Life,
+    pub to: NodeIncarnation,
     /// What.
-    pub word: Word,
+    pub message: Message,
 }
 
 /// One divider.
 #[derive(Clone, Debug)]
-pub struct Divider {
+pub struct Allocator {
     name: String,
     /// The operator's file as this divider has it.
     file: Plan,
     book: Book,
     leads: bool,
     proposing: bool,
-    askers: BTreeMap<Life, Asker>,
+    askers: BTreeMap<NodeIncarnation, Asker>,
     proposed: Micros,
     /// The number of the fleet, should this one found it.
     epoch: u32,
@@ -232,10 +232,10 @@
     pressed: bool,
 }
 
-impl Divider {
+impl Allocator {
     /// One of that name, with that file of the operator's; it leads nobody yet. `epoch` is drawn by chance.
-    pub fn new(name: &str, file: Plan, epoch: u32) -> Divider {
-        Divider {
+    pub fn new(name: &str, file: Plan, epoch: u32) -> Allocator {
+        Allocator {
             name: name.to_string(),
             file,
             book: Book::default(),
@@ -286,22 +286,22 @@
     }
 
     /// A node has said something. Words are for the divider that leads: the others say who does.
-    pub fn hear(&mut self, word: &Word, now: Micros) {
+    pub fn receive(&mut self, message: &Message, now: Micros) {
         if !self.leads {
             return;
         }
-        match word {
-            Word::Ask { life, plan, claims } => {
+        match message {
+            Message::Ask { life, plan, claims } => {
                 if self.book.plan().is_none_or(|p| p.name_of(life.node).is_none()) {
                     return;
                 }
                 let asker = self.askers.entry(*life).or_insert(Asker {
-                    heard: now,
+                    received: now,
                     plan: *plan,
                     claims: BTreeMap::new(),
                     hurried: Micros::MIN / 2,
                 });
-                (asker.heard, asker.plan) = (now, *plan);
+                (asker.received, asker.plan) = (now, *plan);
                 let epoch = self.book.epoch;
                 for c in claims {
                     let Some(ledger) = self.book.ledgers.get_mut(&c.budget) else { continue };
@@ -322,12 +322,12 @@
                 }
                 self.pressed |= asker.is_pressed();
             }
-            Word::Goes { life, by } => {
+            Message::Goes { life, by } => {
                 for (name, _, number) in by.iter().filter(|b| Some(b.1) == self.book.epoch) {
                     self.book.ledgers.get_mut(name).into_iter().for_each(|l| l.taken(*life, *number));
                 }
             }
-            Word::Returns { life, of } => {
+            Message::Returns { life, of } => {
                 for (name, epoch, number) in of {
                     let same = Some(*epoch) == self.book.epoch;
                     self.book
@@ -345,7 +345,7 @@
                     self.askers.remove(life);
                 }
             }
-            Word::Grants { .. } | Word::Hurry { .. } | Word::Elsewhere { .. } => {}
+            Message::Grants { .. } | Message::Hurry { .. } | Message::Elsewhere { .. } => {}
         }
     }
 
@@ -353,31 +353,31 @@
     pub fn lost(&mut self, node: NodeId) {
         for life in self.askers.keys().copied().filter(|l| l.node == node).collect::<Vec<_>>() {
             self.askers.remove(&life);
-            self.book.ledgers.values_mut().for_each(|l| l.doubt(life, true));
+            self.book.ledgers.values_mut().for_each(|l| l.suspect(life, true));
         }
     }
 
     fn tidy(&mut self, now: Micros) {
         self.book.expire(now);
         let from = now - self.silence();
-        self.askers.retain(|_, a| a.heard >= from);
+        self.askers.retain(|_, a| a.received >= from);
         for ledger in self.book.ledgers.values_mut() {
             for life in ledger.lives().collect::<Vec<_>>() {
-                ledger.doubt(life, !self.askers.contains_key(&life));
+                ledger.suspect(life, !self.askers.contains_key(&life));
             }
         }
     }
 
     /// The part of each life that is heard of, by demand.
-    fn parts(&self, budget: &Budget, now: Micros) -> BTreeMap<Life, u64> {
+    fn parts(&self, budget: &Budget, now: Micros) -> BTreeMap<NodeIncarnation, u64> {
         let Some(ledger) = self.book.ledgers.get(&budget.name) else { return BTreeMap::new() };
-        let who: Vec<(Life, Claimed)> =
+        let who: Vec<(NodeIncarnation, Claimed)> =
             self.askers.iter().filter_map(|(l, a)| Some((*l, *a.claims.get(&budget.name)?))).collect();
         // A home is not shared by demand: its own node has it if it wants it, else who has it keeps it while it wants it. Nobody is lent it,
         // since who may have held it may have placed its keys.
         if let Some(Bounds::Home(home)) = Bounds::of(&budget.name) {
             let own = home.split_once('/').map(|(_, node)| NodeId::of(node));
-            let rank = |l: &Life| (Some(l.node) != own, ledger.charge(*l) == 0, *l);
+            let rank = |l: &NodeIncarnation| (Some(l.node) != own, ledger.charge(*l) == 0, *l);
             let first = who.iter().filter(|(_, c)| c.demand > 0).map(|(l, _)| *l).min_by_key(rank);
             return who.into_iter().map(|(l, _)| (l, u64::from(Some(l) == first))).collect();
         }
@@ -402,7 +402,7 @@
         who.into_iter().map(|(life, _)| life).zip(parts.unwrap_or_default()).collect()
     }
 
-    /// What the fleet should agree on now, if anything; one proposal at a time, see [`Divider::settled`].
+    /// What the fleet should agree on now, if anything; one proposal at a time, see [`Allocator::settled`].
     pub fn propose(&mut self, now: Micros) -> Option<Entry> {
         if !self.leads || self.proposing || self.rests(now) {
             return None;
@@ -444,15 +444,15 @@
             let before = ledger.last();
             // Who shrinks comes first, then who is owed an answer; whoever is short of its part may have more of an
             // earlier asking's.
-            let mut order: Vec<Life> = parts.keys().copied().collect();
-            let claimed = |l: &Life| self.askers[l].claims[&budget.name];
+            let mut order: Vec<NodeIncarnation> = parts.keys().copied().collect();
+            let claimed = |l: &NodeIncarnation| self.askers[l].claims[&budget.name];
             order.sort_by_cached_key(|l| (parts[l] > ledger.charge(*l), !claimed(l).owed, *l));
             for life in order {
                 let (c, part) = (claimed(&life), parts[&life]);
                 let grant = ledger.offer(life, part, c.answers);
                 // Nothing at all needs no grant, unless it takes the place of something.
-                let says = grant.amount > 0 || ledger.charge(life) > 0;
-                if says && (c.owed || grant.amount > c.granted) {
+                let outgoing_messages = grant.amount > 0 || ledger.charge(life) > 0;
+                if outgoing_messages && (c.owed || grant.amount > c.granted) {
                     ledger.enter(grant, now);
                     grants.push((budget.name.clone(), grant));
                 }
@@ -480,26 +480,30 @@
     }
 
     /// What was proposed has been agreed on, and changed something, or not. What is to be said now.
-    pub fn settled(&mut self, entry: &Entry, agreed: bool, now: Micros) -> Vec<Say> {
+    pub fn settled(&mut self, entry: &Entry, agreed: bool, now: Micros) -> Vec<Outgoing> {
         self.proposing = false;
         let (Entry::Grants { grants, .. }, true, true) = (entry, agreed, self.leads) else {
             return Vec::new();
         };
-        let mut told: BTreeMap<Life, Vec<Granting>> = BTreeMap::new();
+        let mut notified: BTreeMap<NodeIncarnation, Vec<Granting>> = BTreeMap::new();
         for (name, grant) in grants {
-            told.entry(grant.life).or_default().push(Granting::of(name, grant));
+            notified.entry(grant.life).or_default().push(Granting::of(name, grant));
             let asker = self.askers.get_mut(&grant.life);
             if let Some(c) = asker.and_then(|a| a.claims.get_mut(name)).filter(|c| c.answers == grant.answers)
             {
                 (c.granted, c.owed) = (grant.amount, false);
             }
         }
-        self.answers(told, now)
+        self.answers(notified, now)
     }
 
     /// Grants to their lives, a bare answer to who was owed one and had nothing granted, and a call to who has more than its part
     /// while others are short.
-    fn answers(&mut self, mut told: BTreeMap<Life, Vec<Granting>>, now: Micros) -> Vec<Say> {
+    fn answers(
+        &mut self,
+        mut notified: BTreeMap<NodeIncarnation, Vec<Granting>>,
+        now: Micros,
+    ) -> Vec<Outgoing> {
         let plan = self.covered();
         for (life, asker) in &mut self.askers {
             let mut owed = false;
@@ -507,16 +511,16 @@
                 (c.owed, c.granted, owed) = (false, 0, true);
             }
             if owed {
-                told.entry(*life).or_default();
+                notified.entry(*life).or_default();
             }
         }
-        let mut all: Vec<Say> = told
+        let mut all: Vec<Outgoing> = notified
             .into_iter()
-            .map(|(life, grants)| Say { to: life, word: Word::Grants { life, plan, grants } })
+            .map(|(life, grants)| Outgoing { to: life, message: Message::Grants { life, plan, grants } })
             .collect();
         for life in self.has_too_much(now) {
             self.askers.get_mut(&life).into_iter().for_each(|a| a.hurried = now);
-            all.push(Say { to: life, word: Word::Hurry { life } });
+            all.push(Outgoing { to: life, message: Message::Hurry { life } });
         }
         all
     }
@@ -532,16 +536,17 @@
         self.covered
     }
 
-    fn has_too_much(&self, now: Micros) -> BTreeSet<Life> {
+    fn has_too_much(&self, now: Micros) -> BTreeSet<NodeIncarnation> {
         let mut found = BTreeSet::new();
         for budget in self.book.plan().map(|p| p.budgets.as_slice()).unwrap_or_default() {
             let Some(ledger) = self.book.ledgers.get(&budget.name) else { continue };
             let parts = self.parts(budget, now);
-            let granted = |l: &Life| self.askers[l].claims[&budget.name].granted;
+            let granted = |l: &NodeIncarnation| self.askers[l].claims[&budget.name].granted;
             if !parts.iter().any(|(l, p)| *p > granted(l)) {
                 continue;
             }
-            let much = |l: &Life, p: u64| ledger.charge(*l) > p && now >= self.askers[l].hurried + HURRY;
+            let much =
+                |l: &NodeIncarnation, p: u64| ledger.charge(*l) > p && now >= self.askers[l].hurried + HURRY;
             found.extend(parts.iter().filter(|(l, p)| much(l, **p)).map(|(l, _)| *l));
         }
         found
@@ -553,7 +558,7 @@
         let budgets = plan.budgets.iter().filter_map(|b| self.budget_status(b, &plan, now)).collect();
         let kept = self.book.plans.iter().rev().skip(1).map(|p| p.version).collect();
         Status {
-            divider: self.name.clone(),
+            allocator: self.name.clone(),
             leader,
             plan: plan.version,
             epoch: self.book.epoch,
@@ -567,9 +572,10 @@
     fn budget_status(&self, b: &Budget, plan: &Plan, now: Micros) -> Option<BudgetStatus> {
         let ledger = self.book.ledgers.get(&b.name)?;
         let account = ledger.account();
-        let claimed =
-            |l: &Life| self.askers.get(l).and_then(|a| a.claims.get(&b.name)).copied().unwrap_or_default();
-        let mut lives: BTreeSet<Life> = ledger.lives().collect();
+        let claimed = |l: &NodeIncarnation| {
+            self.askers.get(l).and_then(|a| a.claims.get(&b.name)).copied().unwrap_or_default()
+        };
+        let mut lives: BTreeSet<NodeIncarnation> = ledger.lives().collect();
         lives.extend(self.askers.iter().filter(|(_, a)| a.claims.contains_key(&b.name)).map(|(l, _)| *l));
         let parts: Vec<PartStatus> = lives
             .iter()
@@ -580,18 +586,18 @@
                 demand: claimed(l).demand,
                 used: claimed(l).used,
                 number: ledger.newest(*l),
-                heard: self.askers.get(l).map(|a| now - a.heard),
-                doubted: ledger.doubted(*l),
+                received: self.askers.get(l).map(|a| now - a.received),
+                is_suspected: ledger.is_suspected(*l),
             })
             .collect();
-        let beyond = |p: &PartStatus| if p.doubted { 0 } else { p.amount.saturating_sub(p.demand) };
+        let beyond = |p: &PartStatus| if p.is_suspected { 0 } else { p.amount.saturating_sub(p.demand) };
         Some(BudgetStatus {
             name: b.name.clone(),
             whole: account.whole,
             reserved: account.reserved,
             granted: account.granted,
-            lent: parts.iter().map(beyond).sum(),
-            in_doubt: account.in_doubt,
+            surplus: parts.iter().map(beyond).sum(),
+            withheld: account.withheld,
             free: account.free,
             debt: account.debt,
             used: parts.iter().map(|p| p.used).sum(),
--- a/crates/budgets/src/seat.rs
+++ b/crates/quota/src/client.rs
@@ -1,9 +1,9 @@
 //! One node's side of all budgets: when it asks whom, what it may use now, and what it says as it leaves.
 
-use crate::file::{Bounds, Budget, Per, Plan};
-use crate::holder::Holder;
-use crate::words::{Claiming, Word};
-use crate::{Grant, Life, Micros, Term};
+use crate::config::{Bounds, Budget, Per, Plan};
+use crate::lease::Holder;
+use crate::messages::{Claiming, Message};
+use crate::{Grant, LeasePeriod, Micros, NodeIncarnation};
 use std::collections::BTreeMap;
 
 /// It asks this often in a term at least.
@@ -28,11 +28,11 @@
 
 /// Something to say to a divider.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Say {
+pub struct Outgoing {
     /// Its place in the file.
     pub to: usize,
     /// What.
-    pub word: Word,
+    pub message: Message,
 }
 
 #[derive(Clone, Debug)]
@@ -41,7 +41,7 @@
     holder: Holder,
     /// Wanted since the last asking, and the demand that was told then.
     since: Use,
-    told: u64,
+    notified: u64,
     /// What was wanted lately, by the second or at once.
     mean: f64,
     /// The number of the grant that nothing in use goes beyond any more.
@@ -60,9 +60,9 @@
             Per::Moment { .. } => self.holder.debt(self.since.used, now),
         };
         let number = self.holder.goes_by();
-        let news = debt == 0 && number != self.settled;
-        self.settled = if news { number } else { self.settled };
-        news.then_some(number)
+        let updates = debt == 0 && number != self.settled;
+        self.settled = if updates { number } else { self.settled };
+        updates.then_some(number)
     }
 
     /// What was wanted lately, that long after the last asking, and the demand that follows from it: hardly more, since where all
@@ -102,8 +102,8 @@
 
 /// One life of a node, and what it may use.
 #[derive(Clone, Debug)]
-pub struct Seat {
-    life: Life,
+pub struct QuotaClient {
+    life: NodeIncarnation,
     plan: Plan,
     held: BTreeMap<String, Held>,
     /// Budgets that a file named no more. One that is named again goes on from here: what was on the way to it meanwhile would
@@ -114,7 +114,7 @@
     owns: bool,
     /// The version that the dividers last named.
     agreed: Option<u64>,
-    divider: usize,
+    allocator: usize,
     /// When it last asked, and whether that was answered.
     asked: Option<Micros>,
     answered: bool,
@@ -122,14 +122,14 @@
     /// How often this asking was sent on to another divider.
     sent_on: u32,
     left: bool,
-    say: Vec<Say>,
+    outgoing: Vec<Outgoing>,
 }
 
-impl Seat {
+impl QuotaClient {
     /// One that starts now, with that file. `first` says which divider it asks first.
-    pub fn new(life: Life, plan: Plan, first: usize, now: Micros) -> Seat {
-        let divider = first % plan.dividers.len().max(1);
-        let mut seat = Seat {
+    pub fn new(life: NodeIncarnation, plan: Plan, first: usize, now: Micros) -> QuotaClient {
+        let allocator = first % plan.allocators.len().max(1);
+        let mut quota_client = QuotaClient {
             life,
             plan: Plan::default(),
             held: BTreeMap::new(),
@@ -137,20 +137,20 @@
             born: now,
             owns: false,
             agreed: None,
-            divider,
+            allocator,
             asked: None,
             answered: false,
             hurry: true,
             sent_on: 0,
             left: false,
-            say: Vec::new(),
+            outgoing: Vec::new(),
         };
-        seat.replan(plan, now);
-        seat
+        quota_client.replan(plan, now);
+        quota_client
     }
 
     /// Which life it is.
-    pub fn life(&self) -> Life {
+    pub fn life(&self) -> NodeIncarnation {
         self.life
     }
 
@@ -166,11 +166,11 @@
         let mut of = Vec::new();
         for (name, mut held) in gone.into_iter().filter_map(|name| self.held.remove_entry(&name)) {
             of.extend(held.give_back());
-            (held.mean, held.told, held.shrinks, held.since.wanted) = (0.0, 0, false, 0);
+            (held.mean, held.notified, held.shrinks, held.since.wanted) = (0.0, 0, false, 0);
             self.gone.insert(name, held);
         }
         if !of.is_empty() {
-            self.say(Word::Returns { life: self.life, of });
+            self.send(Message::Returns { life: self.life, of });
         }
         for budget in &plan.budgets {
             let term = plan.term_of(budget);
@@ -178,7 +178,7 @@
                 budget: budget.clone(),
                 holder: Holder::new(self.life, 0, term),
                 since: Use::default(),
-                told: 0,
+                notified: 0,
                 mean: 0.0,
                 settled: (0, 0),
                 shrinks: false,
@@ -187,7 +187,7 @@
             let before = self.gone.remove(&budget.name);
             self.held.entry(budget.name.clone()).or_insert_with(|| before.unwrap_or_else(new));
         }
-        self.divider %= plan.dividers.len().max(1);
+        self.allocator %= plan.allocators.len().max(1);
         let before = std::mem::replace(&mut self.plan, plan);
         for held in self.held.values_mut() {
             let Some(budget) = self.plan.budgets.iter().find(|b| b.name == held.budget.name) else {
@@ -216,7 +216,7 @@
             let over = match held.budget.per {
                 Per::Second { .. } => self.born,
                 Per::Moment { .. } => {
-                    self.born + self.plan.term_of(&held.budget).of_divider() - self.plan.term
+                    self.born + self.plan.term_of(&held.budget).for_allocator() - self.plan.term
                 }
             };
             let usable = self.owns && counted && now >= over && !self.left;
@@ -224,14 +224,14 @@
         }
     }
 
-    fn say(&mut self, word: Word) {
-        let to = self.divider;
-        self.say.push(Say { to, word });
+    fn send(&mut self, message: Message) {
+        let to = self.allocator;
+        self.outgoing.push(Outgoing { to, message });
     }
 
     /// What is to be said, since this was last asked.
-    pub fn says(&mut self) -> Vec<Say> {
-        std::mem::take(&mut self.say)
+    pub fn take_outgoing(&mut self) -> Vec<Outgoing> {
+        std::mem::take(&mut self.outgoing)
     }
 
     /// What was done with a budget, since this was last told.
@@ -264,7 +264,7 @@
     pub fn lease(&self, budget: &str, now: Micros) -> Option<(Grant, Micros)> {
         let held = self.held.get(budget)?;
         let grant = held.holder.grant(now)?;
-        let length = Term { length: grant.length, ..self.plan.term_of(&held.budget) }.of_holder();
+        let length = LeasePeriod { length: grant.length, ..self.plan.term_of(&held.budget) }.for_holder();
         Some((grant, held.holder.until()? - length))
     }
 
@@ -280,15 +280,15 @@
     /// Whether much more is wanted of some budget than may be used, and than the dividers were told.
     fn is_short(&self, now: Micros) -> bool {
         let span = self.asked.map_or(SOONEST, |at| now - at);
-        let much = |told: u64| told.saturating_add(told / 8 + 2);
-        self.held.values().any(|h| h.demand(span).1 > much(h.holder.usable(now).max(h.told)))
+        let much = |notified: u64| notified.saturating_add(notified / 8 + 2);
+        self.held.values().any(|h| h.demand(span).1 > much(h.holder.usable(now).max(h.notified)))
     }
 
     /// Time has passed: ask, if it is time to.
     pub fn pass(&mut self, now: Micros) {
         self.reserves(now);
         self.settle(now);
-        if self.left || self.plan.dividers.is_empty() {
+        if self.left || self.plan.allocators.is_empty() {
             return;
         }
         let due = match self.asked {
@@ -296,7 +296,7 @@
             Some(_) if (1..=SENT_ON).contains(&self.sent_on) && self.hurry => true,
             Some(at) if now < at + SOONEST => false,
             Some(at) if !self.answered && now >= at + ANSWER => {
-                self.divider = (self.divider + 1) % self.plan.dividers.len();
+                self.allocator = (self.allocator + 1) % self.plan.allocators.len();
                 self.sent_on = 0;
                 true
             }
@@ -317,7 +317,7 @@
             }
         }
         if !by.is_empty() {
-            self.say(Word::Goes { life: self.life, by });
+            self.send(Message::Goes { life: self.life, by });
         }
     }
 
@@ -325,8 +325,8 @@
         let span = self.asked.map_or(SOONEST, |at| now - at);
         let mut claims = Vec::new();
         for (name, held) in &mut self.held {
-            (held.mean, held.told) = held.demand(span);
-            held.ever |= held.told > 0;
+            (held.mean, held.notified) = held.demand(span);
+            held.ever |= held.notified > 0;
             // There is a home for each node of a fleet: those that this one never wanted would fill its words.
             if !held.ever && held.is_home() {
                 continue;
@@ -338,7 +338,7 @@
             claims.push(Claiming {
                 budget: name.clone(),
                 answers: held.holder.ask(now),
-                demand: held.told,
+                demand: held.notified,
                 used,
                 goes_by: held.settled,
             });
@@ -348,14 +348,14 @@
             }
         }
         (self.asked, self.answered, self.hurry) = (Some(now), false, false);
-        self.say(Word::Ask { life: self.life, plan: self.plan.version, claims });
+        self.send(Message::Ask { life: self.life, plan: self.plan.version, claims });
     }
 
     /// A divider has said something, the one of that place in the file. Whether what may be used has changed.
-    pub fn hear(&mut self, from: usize, word: &Word, now: Micros) -> bool {
-        match word {
-            Word::Grants { life, plan, grants } if *life == self.life && !self.left => {
-                (self.answered, self.divider, self.sent_on) = (true, from, 0);
+    pub fn receive(&mut self, from: usize, message: &Message, now: Micros) -> bool {
+        match message {
+            Message::Grants { life, plan, grants } if *life == self.life && !self.left => {
+                (self.answered, self.allocator, self.sent_on) = (true, from, 0);
                 self.agreed = Some(self.agreed.map_or(*plan, |v| v.max(*plan)));
                 if *plan >= self.plan.version {
                     for held in self.held.values_mut() {
@@ -372,16 +372,17 @@
                 self.settle(now);
                 true
             }
-            Word::Hurry { life } if *life == self.life => {
+            Message::Hurry { life } if *life == self.life => {
                 self.hurry = true;
                 false
             }
-            Word::Elsewhere { leader } => {
-                let place = |name: &String| self.plan.dividers.iter().position(|d| d.name == *name);
-                let place = leader.as_ref().and_then(place).filter(|p| *p != self.divider && !self.answered);
+            Message::Elsewhere { leader } => {
+                let place = |name: &String| self.plan.allocators.iter().position(|d| d.name == *name);
+                let place =
+                    leader.as_ref().and_then(place).filter(|p| *p != self.allocator && !self.answered);
                 // Guards against two dividers that each send it to the other.
                 if let Some(place) = place.filter(|_| self.sent_on < SENT_ON) {
-                    (self.divider, self.hurry, self.sent_on) = (place, true, self.sent_on + 1);
+                    (self.allocator, self.hurry, self.sent_on) = (place, true, self.sent_on + 1);
                 }
                 false
             }
@@ -396,11 +397,11 @@
         self.left = true;
         self.reserves(now);
         if !of.is_empty() {
-            self.say(Word::Returns { life: self.life, of });
+            self.send(Message::Returns { life: self.life, of });
         }
     }
 
-    /// When [`Seat::pass`] has something to do next, or something may no longer be used.
+    /// When [`QuotaClient::pass`] has something to do next, or something may no longer be used.
     pub fn due(&self, now: Micros) -> Micros {
         let ends = self.held.values().filter_map(|h| h.holder.until()).filter(|at| *at > now);
         let asks = match self.asked {
--- a/crates/budgets/src/file.rs
+++ b/crates/quota/src/config.rs
@@ -9,10 +9,10 @@
 //!   (budget flight:actuator-cmd (per moment) (whole 4000) (longest 5 s)))
 //! ```
 
-use crate::divide::FloorsError;
-use crate::{Micros, NodeId, Term};
+use crate::allocation::FloorsError;
+use crate::{LeasePeriod, Micros, NodeId};
 use serde::{Deserialize, Serialize};
-use shorepath_sexp::{Complaints, Form};
+use shorepath_sexp::{Form, ParseErrors};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -20,7 +20,7 @@
 const DAY: Micros = 86_400_000_000;
 
 /// Dividers at most; more only make agreement slower.
-const DIVIDERS: usize = 9;
+const ALLOCATORS: usize = 9;
 
 /// What a budget bounds, by its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -116,7 +116,8 @@
     /// Which file this is; grows with each that is put into service.
     pub version: u64,
     /// Those that divide; empty where only the division is looked at.
-    pub dividers: Vec<Place>,
+    #[serde(rename = "dividers")]
+    pub allocators: Vec<Place>,
     /// The nodes, where they are listed.
     pub members: Vec<Place>,
     /// Nodes of the fleet, at most.
@@ -137,20 +138,20 @@
 
 impl Plan {
     /// For how long grants of a budget hold.
-    pub fn term_of(&self, budget: &Budget) -> Term {
+    pub fn term_of(&self, budget: &Budget) -> LeasePeriod {
         let longest = if let Per::Moment { longest } = budget.per { longest } else { 0 };
-        Term { length: self.term, drift_ppm: self.drift_ppm, longest }
+        LeasePeriod { length: self.term, drift_ppm: self.drift_ppm, longest }
     }
 
     /// The name that a number stands for.
     pub fn name_of(&self, node: NodeId) -> Option<&str> {
-        let all = self.members.iter().chain(&self.dividers);
+        let all = self.members.iter().chain(&self.allocators);
         all.map(|p| p.name.as_str()).find(|name| NodeId::of(name) == node)
     }
 
     /// Who is listed at an address.
     pub fn node_at(&self, address: SocketAddr) -> Option<NodeId> {
-        let mut all = self.members.iter().chain(&self.dividers);
+        let mut all = self.members.iter().chain(&self.allocators);
         all.find(|p| p.address == address).map(|p| NodeId::of(&p.name))
     }
 
@@ -168,7 +169,7 @@
 ///
 /// # Errors
 /// All faults of the text, with their places.
-pub fn read(file: &str, text: &str) -> Result<Plan, Complaints> {
+pub fn read(file: &str, text: &str) -> Result<Plan, ParseErrors> {
     shorepath_sexp::read(file, text, "budgets", |f| plan(f, Path::new(file)))
 }
 
@@ -218,18 +219,18 @@
 fn plan(f: &Form, file: &Path) -> Plan {
     const UNITS: std::ops::RangeInclusive<u64> = 0..=1_000_000_000_000;
     let mut taken = Vec::new();
-    let dividers = places(f, "divider", &mut taken);
+    let allocators = places(f, "divider", &mut taken);
     let members = places(f, "node", &mut taken);
-    if dividers.len() > DIVIDERS {
-        f.complain(format!("{} dividers; {DIVIDERS} at most", dividers.len()));
+    if allocators.len() > ALLOCATORS {
+        f.complain(format!("{} dividers; {ALLOCATORS} at most", allocators.len()));
     }
-    if dividers.is_empty() != members.is_empty() {
+    if allocators.is_empty() != members.is_empty() {
         f.complain("(divider ...) and (node ...) come together: who divides, and among whom");
     }
     let mut plan = Plan {
         version: f.count("version", 1, 1..=1_000_000_000),
         nodes: f.count("nodes", members.len().max(1) as u64, 1..=100_000) as u32,
-        dividers,
+        allocators,
         members,
         term: f.time("term", 5_000_000, 100_000..=DAY),
         drift_ppm: f.count("drift-ppm", 500, 0..=100_000) as u32,
--- a/crates/budgets/src/holder.rs
+++ b/crates/quota/src/lease.rs
@@ -1,6 +1,6 @@
 //! What a node may use now, by the grants that it was given.
 
-use crate::{Grant, Life, Micros, Term};
+use crate::{Grant, LeasePeriod, Micros, NodeIncarnation};
 use std::collections::VecDeque;
 
 /// Askings that may be out; an answer to an older one is as good as lost.
@@ -9,8 +9,8 @@
 /// One life's side of a budget.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Holder {
-    life: Life,
-    term: Term,
+    life: NodeIncarnation,
+    term: LeasePeriod,
     /// What it may use with or without a grant; the operators' file counts that inside the whole. It belongs to the one
     /// process that has the node's address.
     reserve: u64,
@@ -23,7 +23,7 @@
 
 impl Holder {
     /// One that has only its reserve.
-    pub fn new(life: Life, reserve: u64, term: Term) -> Holder {
+    pub fn new(life: NodeIncarnation, reserve: u64, term: LeasePeriod) -> Holder {
         Holder { life, term, reserve, asked: VecDeque::new(), count: 0, held: None, returned: (0, 0) }
     }
 
@@ -42,7 +42,7 @@
     /// back, or over already, is not.
     pub fn granted(&mut self, grant: Grant, now: Micros) -> bool {
         let Some(&(_, asked)) = self.asked.iter().find(|(n, _)| *n == grant.answers) else { return false };
-        let until = asked.saturating_add(Term { length: grant.length, ..self.term }.of_holder());
+        let until = asked.saturating_add(LeasePeriod { length: grant.length, ..self.term }.for_holder());
         // Numbers of another fleet have no order beside these; that one gives nothing before all of the last one's has ended.
         let newer = match self.held {
             Some((held, _)) if held.epoch == grant.epoch => grant.number > held.number,
@@ -59,7 +59,7 @@
     /// Units that may be used now, of a second or at once. A process that stood still, and wakes, asks this before it acts.
     pub fn usable(&self, now: Micros) -> u64 {
         // Where the clock was set back the end has not moved: time since the asking can't be negative.
-        let length = |g: &Grant| Term { length: g.length, ..self.term }.of_holder();
+        let length = |g: &Grant| LeasePeriod { length: g.length, ..self.term }.for_holder();
         let holds = |(g, until): &(Grant, Micros)| now < *until && now >= until - length(g);
         self.held
             .as_ref()
--- a/crates/budgets/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -4,7 +4,7 @@
 //! ledger. Only the times are its own: each counts a grant from the moment at which it knew itself that it was agreed on, which is
 //! later than its holder did; one that begins anew counts all of them from its beginning.
 
-use crate::{Grant, Life, Micros, Term};
+use crate::{Grant, LeasePeriod, Micros, NodeIncarnation};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -23,7 +23,7 @@
     /// Taken for used by lives that were heard of lately.
     pub granted: u64,
     /// Taken for used by lives that are thought dead, until their grants have surely ended.
-    pub in_doubt: u64,
+    pub withheld: u64,
     /// What can be granted now.
     pub free: u64,
     /// How much more is taken for used than the whole allows, since that was lowered.
@@ -33,21 +33,21 @@
 /// One budget's ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Ledger {
-    term: Term,
+    term: LeasePeriod,
     whole: u64,
     reserved: u64,
     epoch: u32,
     last: u64,
-    out: BTreeMap<Life, Vec<Out>>,
+    out: BTreeMap<NodeIncarnation, Vec<Out>>,
     /// What all lives together have to be taken to use: a thousand lives are asked for it a thousand times in a division.
     charged: u64,
-    dead: BTreeSet<Life>,
+    dead: BTreeSet<NodeIncarnation>,
 }
 
 impl Ledger {
     /// Nothing granted yet. `reserved` units are kept for nodes that have no grant, all nodes together; they are counted
     /// inside the whole.
-    pub fn new(whole: u64, reserved: u64, term: Term) -> Ledger {
+    pub fn new(whole: u64, reserved: u64, term: LeasePeriod) -> Ledger {
         Ledger {
             term,
             whole,
@@ -61,12 +61,12 @@
     }
 
     /// What a life has to be taken to use: the greatest of its grants, as it may not have heard of the last one.
-    pub fn charge(&self, life: Life) -> u64 {
+    pub fn charge(&self, life: NodeIncarnation) -> u64 {
         self.out.get(&life).and_then(|all| all.iter().map(|o| o.grant.amount).max()).unwrap_or(0)
     }
 
     /// Change what is out to a life, and the sum with it.
-    fn change(&mut self, life: Life, change: impl FnOnce(&mut Vec<Out>)) {
+    fn change(&mut self, life: NodeIncarnation, change: impl FnOnce(&mut Vec<Out>)) {
         let greatest = |all: &[Out]| all.iter().map(|o| o.grant.amount).max().unwrap_or(0);
         let all = self.out.entry(life).or_default();
         let before = greatest(all);
@@ -82,16 +82,16 @@
     /// Where all units are.
     pub fn account(&self) -> Account {
         let (whole, reserved, charged) = (self.whole, self.reserved, self.charged);
-        let in_doubt = self.dead.iter().map(|life| self.charge(*life)).sum();
+        let withheld = self.dead.iter().map(|life| self.charge(*life)).sum();
         let used = reserved.saturating_add(charged);
-        let granted = charged - in_doubt;
+        let granted = charged - withheld;
         let (free, debt) = (whole.saturating_sub(used), used.saturating_sub(whole));
-        Account { whole, reserved, granted, in_doubt, free, debt }
+        Account { whole, reserved, granted, withheld, free, debt }
     }
 
     /// The grant that would give a life so much, or as much of it as the others leave of the whole by all that they have to be
     /// taken to use. It counts once the fleet has agreed on it, see [`Ledger::enter`].
-    pub fn offer(&self, life: Life, wanted: u64, answers: u64) -> Grant {
+    pub fn offer(&self, life: NodeIncarnation, wanted: u64, answers: u64) -> Grant {
         // Not what it has itself and what is free: a divider that took over counts grants that are long over, and would give
         // a life its own old part although another has that by now (found by the model).
         let others = self.charged.saturating_sub(self.charge(life));
@@ -112,7 +112,7 @@
     }
 
     /// A life has said that it goes by that grant: it never goes back to an earlier one.
-    pub fn taken(&mut self, life: Life, number: u64) {
+    pub fn taken(&mut self, life: NodeIncarnation, number: u64) {
         if self.out.get(&life).is_some_and(|all| all.iter().any(|o| o.grant.number == number)) {
             self.change(life, |all| all.retain(|o| o.grant.number >= number));
         }
@@ -120,14 +120,14 @@
     }
 
     /// A life has said that it uses nothing of that grant any more, nor of earlier ones, and never will.
-    pub fn returned(&mut self, life: Life, number: u64) {
+    pub fn returned(&mut self, life: NodeIncarnation, number: u64) {
         if self.out.contains_key(&life) {
             self.change(life, |all| all.retain(|o| o.grant.number > number));
         }
     }
 
     /// A life is thought dead, or heard of again. That frees nothing: it may only be cut off.
-    pub fn doubt(&mut self, life: Life, dead: bool) {
+    pub fn suspect(&mut self, life: NodeIncarnation, dead: bool) {
         if dead && self.out.contains_key(&life) {
             self.dead.insert(life);
         } else {
@@ -137,7 +137,7 @@
 
     /// Grants that have surely ended by now are over. When the next one will be.
     pub fn expire(&mut self, now: Micros) -> Option<Micros> {
-        let over: Vec<Life> =
+        let over: Vec<NodeIncarnation> =
             self.out.iter().filter(|(_, all)| all.iter().any(|o| o.until <= now)).map(|(l, _)| *l).collect();
         for life in over {
             self.change(life, |all| all.retain(|o| o.until > now));
@@ -147,7 +147,7 @@
 
     /// For how long a grant is taken for used, from the moment at which this divider knew of it.
     fn counted(&self, grant: &Grant) -> Micros {
-        Term { length: grant.length, ..self.term }.of_divider()
+        LeasePeriod { length: grant.length, ..self.term }.for_allocator()
     }
 
     /// All grants that have to be taken for used, and the number of the last one ever entered: what another divider
@@ -179,32 +179,32 @@
     }
 
     /// The greatest number of a life's grants, 0 for none.
-    pub fn newest(&self, life: Life) -> u64 {
+    pub fn newest(&self, life: NodeIncarnation) -> u64 {
         self.out.get(&life).and_then(|all| all.iter().map(|o| o.grant.number).max()).unwrap_or(0)
     }
 
     /// Whether a life that has to be taken to use something is thought dead.
-    pub fn doubted(&self, life: Life) -> bool {
+    pub fn is_suspected(&self, life: NodeIncarnation) -> bool {
         self.dead.contains(&life)
     }
 
     /// The operators' file has another whole, another reserve, or another term. What is granted stays granted, for as long
     /// as it was granted; what may still be in use after that is taken for the longest that was ever said.
-    pub fn resize(&mut self, whole: u64, reserved: u64, term: Term) {
+    pub fn resize(&mut self, whole: u64, reserved: u64, term: LeasePeriod) {
         (self.whole, self.reserved) = (whole, reserved.min(whole));
         let longest = self.term.longest.max(term.longest);
         let drift_ppm = self.term.drift_ppm.max(term.drift_ppm);
-        self.term = Term { longest, drift_ppm, ..term };
+        self.term = LeasePeriod { longest, drift_ppm, ..term };
     }
 
     /// What may be divided among lives that are heard of: the whole less the reserve and what is in doubt.
     pub fn to_divide(&self) -> u64 {
         let a = self.account();
-        a.whole.saturating_sub(a.reserved).saturating_sub(a.in_doubt)
+        a.whole.saturating_sub(a.reserved).saturating_sub(a.withheld)
     }
 
     /// All lives that have to be taken to use something.
-    pub fn lives(&self) -> impl Iterator<Item = Life> + '_ {
+    pub fn lives(&self) -> impl Iterator<Item = NodeIncarnation> + '_ {
         self.out.keys().copied()
     }
 }
--- a/crates/budgets/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -6,23 +6,23 @@
 //! agree. The argument is the one of leases ("Leases: an efficient fault-tolerant mechanism for distributed file cache
 //! consistency", Gray and Cheriton, section 2), with the drift on both sides.
 //!
-//! - [`file`]: what the operator wants;
-//! - [`divide`]: which node should have how much;
+//! - [`config`]: what the operator wants;
+//! - [`allocation`]: which node should have how much;
 //! - [`ledger`]: what the divider has granted and can't grant again yet;
-//! - [`holder`]: what a node may use now;
-//! - [`meter`]: keeping to a part that is so many a second;
-//! - [`words`]: what nodes and dividers say to each other;
-//! - [`divider`]: one divider: who asks for what, what is to be agreed on, and what follows from it;
-//! - [`seat`]: one node: when it asks whom, and what it may use of every budget.
+//! - [`lease`]: what a node may use now;
+//! - [`rate_limiter`]: keeping to a part that is so many a second;
+//! - [`messages`]: what nodes and dividers say to each other;
+//! - [`allocator`]: one divider: who asks for what, what is to be agreed on, and what follows from it;
+//! - [`client`]: one node: when it asks whom, and what it may use of every budget.
 
-pub mod divide;
-pub mod divider;
-pub mod file;
-pub mod holder;
+pub mod allocation;
+pub mod allocator;
+pub mod client;
+pub mod config;
+pub mod lease;
 pub mod ledger;
-pub mod meter;
-pub mod seat;
-pub mod words;
+pub mod messages;
+pub mod rate_limiter;
 
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
@@ -33,14 +33,14 @@
 
 /// How a steady clock is wrong on purpose, in tests: its beginning and its rate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Skew {
+pub struct ClockSkew {
     /// It begins there, in microseconds.
     pub offset: Micros,
     /// It gains so many millionths.
     pub drift_ppm: i64,
 }
 
-impl Skew {
+impl ClockSkew {
     /// What it shows when that much time has passed.
     pub fn at(&self, gone: Micros) -> Micros {
         let (whole, rest) = (gone / 1_000_000, gone % 1_000_000);
@@ -65,7 +65,7 @@
 
 /// One life of a node: a process from its start to its end. Two processes under one name have different ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life {
+pub struct NodeIncarnation {
     /// The node.
     pub node: NodeId,
     /// Which of its lives; drawn at the start, never used twice.
@@ -74,7 +74,7 @@
 
 /// For how long grants hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Term {
+pub struct LeasePeriod {
     /// The length of a grant, in microseconds of real time.
     pub length: Micros,
     /// A clock gains or loses this many millionths of real time at most.
@@ -84,15 +84,15 @@
     pub longest: Micros,
 }
 
-impl Term {
+impl LeasePeriod {
     /// How long a holder may begin something under a grant, on its own clock, from the moment at which it asked.
-    pub fn of_holder(&self) -> Micros {
+    pub fn for_holder(&self) -> Micros {
         let kept = i128::from(MILLION.saturating_sub(self.drift_ppm));
         (i128::from(self.length) * kept / i128::from(MILLION)) as Micros
     }
 
     /// How long a divider has to take a grant for used, on its own clock, from the moment at which it knew of it.
-    pub fn of_divider(&self) -> Micros {
+    pub fn for_allocator(&self) -> Micros {
         let gained = i128::from(self.length + self.longest) * i128::from(self.drift_ppm);
         let rounded = (gained + i128::from(MILLION) - 1) / i128::from(MILLION);
         self.length + self.longest + rounded as Micros
@@ -103,7 +103,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Grant {
     /// Whose.
-    pub life: Life,
+    pub life: NodeIncarnation,
     /// Which fleet gave it: drawn anew each time a fleet is founded, which is when its dividers begin with nothing. Numbers of
     /// different ones have no order; what one gave has ended before the next one gives anything.
     pub epoch: u32,
--- a/crates/budgets/src/words.rs
+++ b/crates/quota/src/messages.rs
@@ -1,7 +1,7 @@
 //! What nodes and dividers say to each other, one word a datagram. Words are JSON: fields that a program doesn't know are
 //! passed over, so that two versions of it can stand side by side; a word that it doesn't know at all is told as such.
 
-use crate::{Grant, Life, Micros};
+use crate::{Grant, Micros, NodeIncarnation};
 use serde::{Deserialize, Serialize};
 
 /// What a node says of one budget as it asks.
@@ -55,7 +55,7 @@
     }
 
     /// The grant, to the life that was told.
-    pub fn to(&self, life: Life) -> Grant {
+    pub fn to(&self, life: NodeIncarnation) -> Grant {
         let Granting { epoch, number, amount, answers, length, .. } = *self;
         Grant { life, epoch, number, amount, answers, length }
     }
@@ -64,12 +64,12 @@
 /// One word.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", tag = "w")]
-pub enum Word {
+pub enum Message {
     /// A node asks for parts, and says what it has.
     Ask {
         /// Who.
         #[serde(flatten)]
-        life: Life,
+        life: NodeIncarnation,
         /// The version of its file.
         plan: u64,
         /// Budgets.
@@ -80,7 +80,7 @@
     Goes {
         /// Who.
         #[serde(flatten)]
-        life: Life,
+        life: NodeIncarnation,
         /// Budgets, with the fleets and numbers of the grants.
         by: Vec<(String, u32, u64)>,
     },
@@ -88,7 +88,7 @@
     Returns {
         /// Who.
         #[serde(flatten)]
-        life: Life,
+        life: NodeIncarnation,
         /// Budgets, with the fleets and numbers of the grants.
         of: Vec<(String, u32, u64)>,
     },
@@ -96,7 +96,7 @@
     Grants {
         /// The life that it is for.
         #[serde(flatten)]
-        life: Life,
+        life: NodeIncarnation,
         /// The version of the file that the fleet has agreed on.
         plan: u64,
         /// Budgets; none for what there is nothing of.
@@ -107,7 +107,7 @@
     Hurry {
         /// The life that is meant.
         #[serde(flatten)]
-        life: Life,
+        life: NodeIncarnation,
     },
     /// This divider does not lead; the one named does, as far as it knows.
     Elsewhere {
@@ -119,9 +119,9 @@
 /// Why a datagram is no word.
 #[derive(Debug, thiserror::Error)]
 #[error("no word: {0}")]
-pub struct WordError(#[from] serde_json::Error);
+pub struct MessageError(#[from] serde_json::Error);
 
-impl Word {
+impl Message {
     /// As it is said.
     pub fn bytes(&self) -> Vec<u8> {
         // It holds nothing that JSON can't say.
@@ -132,7 +132,7 @@
     ///
     /// # Errors
     /// Where it makes no sense to this program.
-    pub fn read(bytes: &[u8]) -> Result<Word, WordError> {
+    pub fn read(bytes: &[u8]) -> Result<Message, MessageError> {
         Ok(serde_json::from_slice(bytes)?)
     }
 }
@@ -149,9 +149,11 @@
     /// Granted to lives that were heard of lately.
     pub granted: u64,
     /// Of these, beyond what they ask for.
-    pub lent: u64,
+    #[serde(rename = "lent")]
+    pub surplus: u64,
     /// Held back for lives that are thought dead.
-    pub in_doubt: u64,
+    #[serde(rename = "in_doubt")]
+    pub withheld: u64,
     /// Free.
     pub free: u64,
     /// Granted beyond the whole, since that was lowered.
@@ -180,16 +182,19 @@
     /// The number of its newest grant.
     pub number: u64,
     /// How long ago it was heard of, in microseconds.
-    pub heard: Option<Micros>,
+    #[serde(rename = "heard")]
+    pub received: Option<Micros>,
     /// It is thought dead.
-    pub doubted: bool,
+    #[serde(rename = "doubted")]
+    pub is_suspected: bool,
 }
 
 /// A divider's view, for operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// Whose view.
-    pub divider: String,
+    #[serde(rename = "divider")]
+    pub allocator: String,
     /// Who divides, as far as it knows.
     pub leader: Option<String>,
     /// The version of the file that was agreed on; 0 for none.
--- a/crates/budgets/tests/division.rs
+++ b/crates/quota/tests/division.rs
@@ -1,7 +1,7 @@
 //! The division: whole units that add up, fair, with floors, and not moved for nothing.
 
 use proptest::prelude::*;
-use shorepath_budgets::divide::{fair, next, Claim, FloorsError, Moves};
+use shorepath_quota::allocation::{fair, next, Claim, FloorsError, Moves};
 
 fn claim(demand: u64, floor: u64, held: u64) -> Claim {
     Claim { demand, floor, held }
--- a/crates/budgets/tests/file.rs
+++ b/crates/quota/tests/file.rs
@@ -1,7 +1,7 @@
 //! The operator's file: read as it is meant, or told where it can't be.
 
 use rstest::rstest;
-use shorepath_budgets::file::{read, Budget, Per};
+use shorepath_quota::config::{read, Budget, Per};
 use std::path::Path;
 
 const EXAMPLE: &str = include_str!("../../../deploy/budgets.sexp");
@@ -10,7 +10,7 @@
 fn the_example_is_read_as_it_is_meant() {
     let plan = read("budgets.sexp", EXAMPLE).unwrap();
     assert_eq!((plan.version, plan.nodes, plan.term, plan.drift_ppm), (1, 300, 5_000_000, 500));
-    assert_eq!((plan.dividers.len(), plan.members.len()), (3, 2));
+    assert_eq!((plan.allocators.len(), plan.members.len()), (3, 2));
     let flight = plan.budgets.iter().find(|b| b.name == "flight:actuator-cmd").unwrap();
     let per = Per::Moment { longest: 5_000_000 };
     let wanted = Budget { name: flight.name.clone(), per, whole: 1200, floor: 1, reserve: 1 };
@@ -18,8 +18,8 @@
     assert_eq!(plan.left(flight), Ok(600));
     // What was begun under a grant runs on: its units are back that much later.
     let quota = &plan.budgets[0];
-    assert!(plan.term_of(flight).of_divider() - plan.term_of(quota).of_divider() >= 5_000_000);
-    assert_eq!(plan.term_of(flight).of_holder(), plan.term_of(quota).of_holder());
+    assert!(plan.term_of(flight).for_allocator() - plan.term_of(quota).for_allocator() >= 5_000_000);
+    assert_eq!(plan.term_of(flight).for_holder(), plan.term_of(quota).for_holder());
 }
 
 /// A key lies where the file does, unless its path says otherwise; neither it nor the fleet's name is agreed on.
@@ -31,8 +31,8 @@
     let text = format!("(budgets (fleet tidal) {key} (budget probes (whole 1)))");
     let plan = read("/etc/shorepath/b.sexp", &text).unwrap();
     assert_eq!((plan.fleet.as_str(), plan.key.as_deref()), ("tidal", path.map(Path::new)));
-    let told = serde_json::to_string(&plan).unwrap();
-    assert!(!told.contains("tidal") && !told.contains("key"), "{told}");
+    let notified = serde_json::to_string(&plan).unwrap();
+    assert!(!notified.contains("tidal") && !notified.contains("key"), "{notified}");
 }
 
 #[rstest]
@@ -76,6 +76,6 @@
 #[case::key("(budgets (budget probes (whole 1))\n (key 5))", "2:7", "is no word for a text")]
 #[case::no_key("(budgets (budget probes (whole 1))\n (key \"\"))", "2:2", "(key) needs a text")]
 fn a_file_that_cannot_be_used_says_where(#[case] text: &str, #[case] place: &str, #[case] why: &str) {
-    let told = read("b.sexp", text).unwrap_err().to_string();
-    assert!(told.contains(&format!("b.sexp:{place}")) && told.contains(why), "{told}");
+    let notified = read("b.sexp", text).unwrap_err().to_string();
+    assert!(notified.contains(&format!("b.sexp:{place}")) && notified.contains(why), "{notified}");
 }
--- /dev/null
+++ b/crates/quota/tests/fleet.rs
@@ -0,0 +1,407 @@
+//! One divider and one node's seat, each by itself.
+
+use shorepath_quota::allocator::{Allocator, Entry};
+use shorepath_quota::client::{QuotaClient, Use};
+use shorepath_quota::config::{read, Plan};
+use shorepath_quota::messages::{Claiming, Granting, Message};
+use shorepath_quota::{NodeId, NodeIncarnation};
+
+const S: i64 = 1_000_000;
+
+fn plan(version: u64, whole: u64, reserve: u64) -> Plan {
+    let text = format!(
+        "(budgets (version {version}) (term 5 s) (divider d0 \"127.0.0.1:1\") (divider d1 \"127.0.0.1:2\")
+           (node n0 \"127.0.0.1:3\") (node n1 \"127.0.0.1:4\")
+           (budget quota:a (whole {whole}) (reserve {reserve}))
+           (budget flight:v (per moment) (whole 8) (reserve 1) (longest 2 s)))"
+    );
+    read("b.sexp", &text).unwrap()
+}
+
+fn life(name: &str) -> NodeIncarnation {
+    NodeIncarnation { node: NodeId::of(name), incarnation: 1 }
+}
+
+fn ask(name: &str, plan: u64, answers: u64, demand: u64) -> Message {
+    let claim = Claiming { budget: "quota:a".into(), answers, demand, used: 0, goes_by: (0, 0) };
+    Message::Ask { life: life(name), plan, claims: vec![claim] }
+}
+
+/// Have what it proposes agreed on until it proposes nothing more.
+fn agree(allocator: &mut Allocator, now: i64) -> Vec<Entry> {
+    let mut all = Vec::new();
+    while let Some(entry) = allocator.propose(now) {
+        let changed = allocator.apply(&entry, now);
+        allocator.settled(&entry, changed, now);
+        all.push(entry);
+    }
+    all
+}
+
+fn opened(file: Plan) -> Allocator {
+    let mut allocator = Allocator::new("d0", file, 7);
+    allocator.lead(true);
+    assert!(matches!(agree(&mut allocator, 0)[..], [Entry::Plan(_)]));
+    assert!(agree(&mut allocator, 6 * S).is_empty(), "an earlier fleet's grants may still hold");
+    assert_eq!(agree(&mut allocator, 8 * S), [Entry::Open(7)]);
+    allocator
+}
+
+#[test]
+fn reserves_of_an_older_file_are_kept_until_every_node_goes_by_the_newer() {
+    let mut allocator = opened(plan(1, 100, 20));
+    let reserved = |d: &Allocator| d.book().ledger("quota:a").unwrap().account().reserved;
+    assert_eq!(reserved(&allocator), 40);
+    allocator.file(plan(2, 100, 1));
+    let mut now = 9 * S;
+    agree(&mut allocator, now);
+    assert_eq!((allocator.book().plan().unwrap().version, reserved(&allocator)), (2, 40));
+    for (first, second, wanted) in [(1, 1, 40), (2, 1, 40), (2, 2, 2)] {
+        now += S;
+        allocator.receive(&ask("n0", first, now as u64, 5), now);
+        allocator.receive(&ask("n1", second, now as u64, 5), now);
+        agree(&mut allocator, now);
+        assert_eq!(reserved(&allocator), wanted, "n0 by {first}, n1 by {second}");
+    }
+    // A file of an older version, read again by mistake, changes nothing.
+    allocator.file(plan(1, 100, 20));
+    agree(&mut allocator, now + S);
+    assert_eq!(allocator.book().plan().unwrap().version, 2);
+}
+
+/// What was worked out before somebody else's grants were agreed on changes nothing, however late it is agreed on itself.
+#[test]
+fn a_proposal_that_was_overtaken_changes_nothing() {
+    let mut old = opened(plan(1, 100, 0));
+    let mut new = old.clone();
+    let now = 9 * S;
+    old.receive(&ask("n0", 1, 1, 100), now);
+    let late = old.propose(now).unwrap();
+    for (name, answers) in [("n1", 1), ("n1", 2)] {
+        new.receive(&ask(name, 1, answers, 40), now + answers as i64 * S);
+        assert!(!agree(&mut new, now + answers as i64 * S).is_empty());
+    }
+    let before = new.book().clone();
+    assert!(!new.apply(&late, now + 4 * S));
+    assert_eq!(*new.book(), before);
+    assert!(old.apply(&late, now), "in its turn it would have held");
+}
+
+/// A stranger gets nothing, and who left is not divided to.
+#[test]
+fn only_those_listed_and_heard_of_are_divided_to() {
+    let mut allocator = opened(plan(1, 100, 0));
+    allocator.receive(&ask("stranger", 1, 1, 50), 9 * S);
+    allocator.receive(&ask("n0", 1, 1, 1_000), 9 * S);
+    allocator.receive(&ask("n1", 1, 1, 1_000), 9 * S);
+    agree(&mut allocator, 9 * S);
+    let charge = |d: &Allocator, name: &str| d.book().ledger("quota:a").unwrap().charge(life(name));
+    assert_eq!(
+        (charge(&allocator, "stranger"), charge(&allocator, "n0"), charge(&allocator, "n1")),
+        (0, 50, 50)
+    );
+    let of = vec![("quota:a".to_string(), 7, 2)];
+    allocator.receive(&Message::Returns { life: life("n1"), of }, 10 * S);
+    allocator.receive(&ask("n0", 1, 2, 1_000), 10 * S);
+    agree(&mut allocator, 10 * S);
+    assert_eq!((charge(&allocator, "n0"), charge(&allocator, "n1")), (100, 0));
+    let status = allocator.status(Some("d0".into()), 10 * S);
+    assert_eq!((status.budgets[0].granted, status.budgets[0].free), (100, 0));
+}
+
+fn grants(to: NodeIncarnation, plan: u64, answers: u64, amount: u64, number: u64) -> Message {
+    let g =
+        |budget: &str| Granting { budget: budget.into(), epoch: 1, number, amount, answers, length: 5 * S };
+    Message::Grants { life: to, plan, grants: vec![g("quota:a"), g("flight:v")] }
+}
+
+#[test]
+fn a_seat_uses_what_it_may_and_says_what_it_gave_up() {
+    let me = life("n0");
+    let mut quota_client = QuotaClient::new(me, plan(1, 100, 3), 0, 0);
+    let usable =
+        |s: &QuotaClient, now| (s.usable("quota:a", now).unwrap(), s.usable("flight:v", now).unwrap());
+    assert_eq!(usable(&quota_client, 0), (0, 0), "another process has the node's address");
+    quota_client.own(true, 0);
+    assert_eq!(usable(&quota_client, 0), (3, 0), "an earlier life's jobs may still run");
+    quota_client.pass(0);
+    let asked = quota_client.take_outgoing();
+    assert!(matches!(&asked[..], [s] if s.to == 0 && matches!(s.message, Message::Ask { .. })), "{asked:?}");
+    assert!(quota_client.receive(0, &grants(me, 1, 1, 6, 10), 1_000));
+    assert_eq!(usable(&quota_client, 3 * S), (9, 6));
+    quota_client.pass(3 * S);
+    assert_eq!(usable(&quota_client, 3 * S), (9, 7), "nothing of an earlier life is out any more");
+    // Seven are out as the part shrinks to two: it is gone by once no more than three are.
+    quota_client.used("flight:v", Use { wanted: 7, used: 7 });
+    quota_client.pass(3 * S);
+    quota_client.take_outgoing();
+    quota_client.receive(0, &grants(me, 1, 2, 2, 11), 3 * S + 1_000);
+    let goes = |s: &mut QuotaClient| {
+        s.take_outgoing().into_iter().find_map(|s| {
+            if let Message::Goes { by, .. } = s.message {
+                Some(by)
+            } else {
+                None
+            }
+        })
+    };
+    assert_eq!(goes(&mut quota_client), Some(vec![("quota:a".to_string(), 1, 11)]));
+    assert_eq!(usable(&quota_client, 3 * S + 1_000), (5, 3));
+    quota_client.used("flight:v", Use { wanted: 4, used: 4 });
+    quota_client.pass(3 * S + 2_000);
+    assert_eq!(goes(&mut quota_client), None);
+    quota_client.used("flight:v", Use { wanted: 3, used: 3 });
+    quota_client.pass(3 * S + 3_000);
+    assert_eq!(goes(&mut quota_client), Some(vec![("flight:v".to_string(), 1, 11)]));
+    // It leaves with three out: those are counted until their grant has ended.
+    quota_client.leave(4 * S);
+    let left = quota_client.take_outgoing();
+    assert!(
+        matches!(&left[..], [s] if s.message == Message::Returns { life: me, of: vec![("quota:a".into(), 1, 11)] }),
+        "{left:?}"
+    );
+    assert_eq!(usable(&quota_client, 4 * S), (0, 0));
+    assert!(!quota_client.receive(0, &grants(me, 1, 2, 9, 12), 4 * S));
+}
+
+#[test]
+fn a_greater_reserve_is_used_once_the_dividers_count_it() {
+    let me = life("n0");
+    let mut quota_client = QuotaClient::new(me, plan(1, 100, 3), 0, 0);
+    quota_client.own(true, 0);
+    quota_client.pass(0);
+    quota_client.receive(0, &grants(me, 1, 1, 5, 1), 1_000);
+    quota_client.replan(plan(2, 100, 9), 2_000);
+    assert_eq!(
+        quota_client.usable("quota:a", 2_000),
+        Some(5),
+        "what is granted; which reserve is counted is not known"
+    );
+    quota_client.pass(S);
+    quota_client.receive(0, &grants(me, 1, 2, 5, 2), S);
+    assert_eq!(quota_client.usable("quota:a", S), Some(5));
+    quota_client.pass(3 * S);
+    quota_client.receive(0, &grants(me, 2, 3, 5, 3), 3 * S);
+    assert_eq!(quota_client.usable("quota:a", 3 * S), Some(14));
+}
+
+/// It goes on to the next divider where one is silent, follows the one that is named, and is not sent to and fro for ever.
+#[test]
+fn a_seat_finds_the_divider_that_leads() {
+    let mut quota_client = QuotaClient::new(life("n0"), plan(1, 100, 3), 0, 0);
+    let to = |s: &mut QuotaClient, now| {
+        s.pass(now);
+        s.take_outgoing().iter().map(|s| s.to).collect::<Vec<_>>()
+    };
+    assert_eq!(to(&mut quota_client, 0), [0]);
+    assert_eq!(to(&mut quota_client, 200_000), [0usize; 0], "it waits for an answer");
+    assert_eq!(to(&mut quota_client, 300_000), [1]);
+    let elsewhere = |name: &str| Message::Elsewhere { leader: Some(name.into()) };
+    let mut now = 300_000;
+    let mut sent = Vec::new();
+    for k in 0..20 {
+        quota_client.receive((k + 1) % 2, &elsewhere(["d0", "d1"][k % 2]), now);
+        now += 1_000;
+        sent.extend(to(&mut quota_client, now));
+    }
+    assert_eq!(sent, [0, 1], "twice, and then it waits");
+}
+
+/// Two processes under one name are two lives: both are counted, and both get what is fair.
+#[test]
+fn two_nodes_with_one_name_are_two_lives() {
+    let mut allocator = opened(plan(1, 100, 0));
+    let twin = NodeIncarnation { incarnation: 2, ..life("n0") };
+    for k in 1..=3 {
+        let now = 8 * S + k * S;
+        allocator.receive(&ask("n0", 1, k as u64, 1_000), now);
+        let Message::Ask { plan, claims, .. } = ask("n0", 1, k as u64, 1_000) else { unreachable!() };
+        allocator.receive(&Message::Ask { life: twin, plan, claims }, now);
+        for entry in agree(&mut allocator, now) {
+            let Entry::Grants { grants, .. } = entry else { continue };
+            for (name, grant) in grants {
+                allocator
+                    .receive(&Message::Goes { life: grant.life, by: vec![(name, 7, grant.number)] }, now);
+            }
+        }
+        let ledger = allocator.book().ledger("quota:a").unwrap();
+        assert!(ledger.charge(life("n0")) + ledger.charge(twin) <= 100);
+    }
+    let ledger = allocator.book().ledger("quota:a").unwrap();
+    assert_eq!((ledger.charge(life("n0")), ledger.charge(twin)), (50, 50));
+}
+
+/// One unit over three hundred nodes is one node's at a time, and another's later.
+#[test]
+fn a_single_unit_goes_round() {
+    let nodes: String = (0..300).map(|k| format!("(node n{k} \"127.0.0.2:{}\")", k + 1)).collect();
+    let text =
+        format!("(budgets (term 1 s) (divider d0 \"127.0.0.1:1\") {nodes} (budget quota:a (whole 1)))");
+    let mut allocator = Allocator::new("d0", read("b.sexp", &text).unwrap(), 7);
+    allocator.lead(true);
+    agree(&mut allocator, 0);
+    let (mut now, mut had) = (2 * S, std::collections::BTreeSet::new());
+    for round in 1..=40 {
+        for k in 0..300 {
+            allocator.receive(&ask(&format!("n{k}"), 1, round, 10), now);
+        }
+        agree(&mut allocator, now);
+        let ledger = allocator.book().ledger("quota:a").unwrap();
+        let out: Vec<NodeIncarnation> = ledger.lives().filter(|l| ledger.charge(*l) > 0).collect();
+        assert!(out.len() <= 1, "{out:?}");
+        had.extend(out);
+        now += S / 4;
+    }
+    assert!(had.len() >= 3, "{had:?}");
+}
+
+/// What another version of the program says in addition is passed over, and what it leaves out has its usual value.
+#[test]
+fn words_of_another_version_are_understood() {
+    let newer = r#"{"w":"ask","node":5,"incarnation":9,"plan":3,"zone":"a","c":[{"b":"probes","a":1,"d":2,"u":1,"g":[7,4],"x":true}]}"#;
+    let older = r#"{"w":"ask","node":5,"incarnation":9,"plan":3,"c":[{"b":"probes","a":1,"d":2}]}"#;
+    let goes_by = |text: &str| match Message::read(text.as_bytes()).unwrap() {
+        Message::Ask { claims, .. } => claims[0].goes_by,
+        other => panic!("{other:?}"),
+    };
+    assert_eq!((goes_by(newer), goes_by(older)), ((7, 4), (0, 0)));
+    assert!(Message::read(br#"{"w":"sings"}"#).is_err() && Message::read(b"\xff").is_err());
+    let message = ask("n0", 1, 2, 3);
+    assert_eq!(Message::read(&message.bytes()).unwrap(), message);
+}
+
+/// A budget that a file leaves out and the next one names again: askings go on counting, and what was on the way is not gone by.
+#[test]
+fn a_budget_that_comes_back_goes_on_counting() {
+    let me = life("n0");
+    let mut quota_client = QuotaClient::new(me, plan(1, 100, 0), 0, 0);
+    let asked = |s: &mut QuotaClient, now| {
+        s.pass(now);
+        s.take_outgoing().into_iter().find_map(|s| match s.message {
+            Message::Ask { claims, .. } => claims.iter().find(|c| c.budget == "quota:a").map(|c| c.answers),
+            _ => None,
+        })
+    };
+    assert_eq!(asked(&mut quota_client, 0), Some(1));
+    assert!(quota_client.receive(0, &grants(me, 1, 1, 6, 10), 1_000));
+    let mut without = plan(2, 100, 0);
+    without.budgets.retain(|b| b.name != "quota:a");
+    quota_client.replan(without, S);
+    assert_eq!(quota_client.usable("quota:a", S), None);
+    quota_client.replan(plan(3, 100, 0), 20 * S);
+    assert_eq!(asked(&mut quota_client, 20 * S), Some(2));
+    // Late, of an asking before, and counted from it; then one that was given back.
+    quota_client.receive(0, &grants(me, 3, 1, 50, 11), 20 * S + 1_000);
+    quota_client.receive(0, &grants(me, 3, 2, 50, 10), 20 * S + 2_000);
+    assert_eq!(quota_client.usable("quota:a", 20 * S + 2_000), Some(0));
+    quota_client.receive(0, &grants(me, 3, 2, 7, 12), 20 * S + 3_000);
+    assert_eq!(quota_client.usable("quota:a", 20 * S + 3_000), Some(7));
+}
+
+/// A word that nobody of the fleet said may hold any number: what is used is wrong then, but nothing panics.
+#[test]
+fn the_largest_numbers_in_a_grant_are_borne() {
+    let text = "(budgets (term 5 s) (drift-ppm 0) (divider d0 \"127.0.0.1:1\") (node n0 \"127.0.0.1:3\")
+                  (budget quota:a (whole 100)))";
+    let me = life("n0");
+    let mut quota_client = QuotaClient::new(me, read("b.sexp", text).unwrap(), 0, 0);
+    quota_client.own(true, S);
+    quota_client.pass(S);
+    let g = Granting {
+        budget: "quota:a".into(),
+        epoch: 1,
+        number: u64::MAX,
+        amount: u64::MAX,
+        answers: 1,
+        length: i64::MAX,
+    };
+    quota_client.receive(0, &Message::Grants { life: me, plan: u64::MAX, grants: vec![g] }, S);
+    quota_client.used("quota:a", Use { wanted: 9, used: 9 });
+    quota_client.pass(2 * S);
+    assert_eq!(quota_client.usable("quota:a", 2 * S), Some(u64::MAX));
+}
+
+/// Nodes are told of a file with a greater reserve once it has room beside what was granted before.
+#[test]
+fn a_greater_reserve_waits_for_parts_that_were_granted_before() {
+    let mut allocator = opened(plan(1, 100, 0));
+    let sent = |d: &mut Allocator, now| {
+        let mut notified = Vec::new();
+        while let Some(entry) = d.propose(now) {
+            let changed = d.apply(&entry, now);
+            for outgoing in d.settled(&entry, changed, now) {
+                if let Message::Grants { plan, grants, .. } = outgoing.message {
+                    let g = grants.iter().find(|g| g.budget == "quota:a");
+                    notified.push((outgoing.to, plan, g.map(|g| (g.amount, g.number))));
+                }
+            }
+        }
+        notified
+    };
+    let ask_both = |d: &mut Allocator, plan, answers, now| {
+        ["n0", "n1"].iter().for_each(|n| d.receive(&ask(n, plan, answers, 1_000), now));
+        sent(d, now)
+    };
+    let notified = ask_both(&mut allocator, 1, 1, 9 * S);
+    assert!(notified.iter().all(|t| t.1 == 1 && t.2.is_some_and(|g| g.0 == 50)), "{notified:?}");
+    allocator.file(plan(2, 100, 10));
+    assert!(ask_both(&mut allocator, 2, 2, 10 * S).is_empty(), "the file is agreed on first");
+    let notified = ask_both(&mut allocator, 2, 3, 11 * S);
+    assert!(
+        notified.len() == 2 && notified.iter().all(|t| t.1 == 1 && t.2.is_some_and(|g| g.0 < 50)),
+        "{notified:?}"
+    );
+    for (to, _, g) in notified {
+        let by = vec![("quota:a".to_string(), 7, g.unwrap().1)];
+        allocator.receive(&Message::Goes { life: to, by }, 11 * S);
+    }
+    let notified = ask_both(&mut allocator, 2, 4, 12 * S);
+    assert!(notified.len() == 2 && notified.iter().all(|t| t.1 == 2), "{notified:?}");
+}
+
+/// A home goes to its own node if that wants it, else to whoever has it; to nobody who doesn't. Its seat tells of those alone that it
+/// ever wanted, and tells when the one that it goes by was asked for.
+#[test]
+fn a_home_is_its_own_nodes_and_swings_between_no_two() {
+    let text =
+        "(budgets (term 5 s) (divider d0 \"127.0.0.1:1\") (node n0 \"127.0.0.1:3\") (node n1 \"127.0.0.1:4\")
+        (node n2 \"127.0.0.1:5\") (budget home:w/n0 (per moment) (whole 1) (longest 1 s)))";
+    let file = read("b.sexp", text).unwrap();
+    let mut allocator = Allocator::new("d0", file.clone(), 7);
+    allocator.lead(true);
+    (0..8).for_each(|k| drop(agree(&mut allocator, k * S)));
+    let mut seats = ["n0", "n1", "n2"].map(|n| QuotaClient::new(life(n), file.clone(), 0, 0));
+    let mut round = |now: i64, wants: [u64; 3]| {
+        for (quota_client, wanted) in seats.iter_mut().zip(wants) {
+            quota_client.used("home:w/n0", Use { wanted, used: 0 });
+            quota_client.pass(now);
+            quota_client
+                .take_outgoing()
+                .iter()
+                .for_each(|outgoing| allocator.receive(&outgoing.message, now));
+        }
+        for _ in 0..3 {
+            while let Some(entry) = allocator.propose(now) {
+                let changed = allocator.apply(&entry, now);
+                for outgoing in allocator.settled(&entry, changed, now) {
+                    for quota_client in &mut seats {
+                        quota_client.receive(0, &outgoing.message, now);
+                    }
+                }
+            }
+        }
+        let has =
+            |s: &QuotaClient| s.lease("home:w/n0", now).filter(|(g, _)| g.amount > 0).map(|(_, asked)| asked);
+        [has(&seats[0]), has(&seats[1]), has(&seats[2])]
+    };
+    let at = |k: i64| 10 * S + k * 2 * S;
+    assert_eq!(round(at(0), [0, 0, 0]), [None; 3], "it is lent to nobody");
+    assert_eq!(round(at(1), [0, 0, 1]), [None, None, Some(at(1))]);
+    for k in 2..10 {
+        assert_eq!(round(at(k), [0, 1, 1]), [None, None, Some(at(k))]);
+    }
+    // Its own node is back: the one that has it says that it goes by nothing, and then it comes home.
+    round(at(10), [1, 1, 1]);
+    assert_eq!(round(at(11), [1, 1, 1]), [Some(at(11)), None, None]);
+    assert_eq!(round(at(12), [1, 0, 0]), [Some(at(12)), None, None]);
+}
--- a/crates/budgets/tests/model.rs
+++ b/crates/quota/tests/model.rs
@@ -2,15 +2,15 @@
 //! and messages that are lost, doubled and late: the sum of what may be used never exceeds the whole. The same search finds
 //! each planted fault.
 
-use shorepath_budgets::holder::Holder;
-use shorepath_budgets::ledger::Ledger;
-use shorepath_budgets::{Grant, Life, Micros, NodeId, Term};
+use shorepath_quota::lease::Holder;
+use shorepath_quota::ledger::Ledger;
+use shorepath_quota::{Grant, LeasePeriod, Micros, NodeId, NodeIncarnation};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
 /// Two units between two nodes; a grant holds for two ticks, and clocks go at 8, 10 or 12 a tick, which is 10 in truth.
 const WHOLE: u64 = 2;
-const TERM: Term = Term { length: 20, drift_ppm: 200_000, longest: 0 };
+const TERM: LeasePeriod = LeasePeriod { length: 20, drift_ppm: 200_000, longest: 0 };
 const RATES: [Micros; 2] = [8, 12];
 const LAST_TICK: Micros = 3;
 /// What each node asks for, one after the other.
@@ -33,10 +33,10 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
-    Ask { life: Life, answers: u64, wanted: u64 },
+    Ask { life: NodeIncarnation, answers: u64, wanted: u64 },
     Grant(Grant),
-    Taken { life: Life, number: u64 },
-    Returned { life: Life, number: u64 },
+    Taken { life: NodeIncarnation, number: u64 },
+    Returned { life: NodeIncarnation, number: u64 },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -46,7 +46,7 @@
     holders: [Holder; 2],
     asked: [u64; 2],
     lives: [u64; 2],
-    divider: Ledger,
+    allocator: Ledger,
     /// One that was replaced, and doesn't know it.
     replaced: Option<Ledger>,
     agreed: Vec<Grant>,
@@ -82,15 +82,15 @@
     }
 }
 
-fn life(node: usize, incarnation: u64) -> Life {
-    Life { node: NodeId(node as u32), incarnation }
+fn life(node: usize, incarnation: u64) -> NodeIncarnation {
+    NodeIncarnation { node: NodeId(node as u32), incarnation }
 }
 
 impl World {
-    fn holder_term(&self) -> Term {
+    fn holder_term(&self) -> LeasePeriod {
         // Without its margin a holder goes by the bare length.
         if self.0 == Fault::NoMargin {
-            Term { drift_ppm: 0, ..TERM }
+            LeasePeriod { drift_ppm: 0, ..TERM }
         } else {
             TERM
         }
@@ -112,7 +112,7 @@
                     holders,
                     asked: [0; 2],
                     lives: [1; 2],
-                    divider: Ledger::new(WHOLE, 0, TERM),
+                    allocator: Ledger::new(WHOLE, 0, TERM),
                     replaced: None,
                     agreed: Vec::new(),
                     more: u32::from(self.0 == Fault::None),
@@ -167,11 +167,11 @@
             Step::More(n) => {
                 let now = s.clock(2);
                 s.more -= 1;
-                s.divider.expire(now);
+                s.allocator.expire(now);
                 let answered = s.agreed.iter().rfind(|g| g.life.node.0 as usize == n)?;
-                let grant = s.divider.offer(answered.life, WHOLE, answered.answers);
+                let grant = s.allocator.offer(answered.life, WHOLE, answered.answers);
                 s.agreed.push(grant);
-                s.divider.enter(grant, now);
+                s.allocator.enter(grant, now);
                 s.messages.insert(Message::Grant(grant));
             }
             Step::Replace => {
@@ -181,7 +181,7 @@
                 if self.0 == Fault::EarlyRegrant {
                     next.expire(now + 1_000);
                 }
-                let old = std::mem::replace(&mut s.divider, next);
+                let old = std::mem::replace(&mut s.allocator, next);
                 // What it still believes matters only where somebody listens to it.
                 let unheard = Ledger::new(0, 0, TERM);
                 s.replaced = Some(if self.0 == Fault::NoFence { old } else { unheard });
@@ -200,18 +200,18 @@
                 let now = s.clock(2);
                 match message {
                     Message::Ask { life, answers, wanted } => {
-                        s.divider.expire(now);
+                        s.allocator.expire(now);
                         if s.agreed.iter().any(|g| g.life == life && g.answers == answers) {
                             return None; // answered already
                         }
-                        let mut grant = s.divider.offer(life, wanted, answers);
+                        let mut grant = s.allocator.offer(life, wanted, answers);
                         if self.0 == Fault::OwnCharge {
-                            grant.amount = wanted.min(s.divider.charge(life) + s.divider.account().free);
+                            grant.amount = wanted.min(s.allocator.charge(life) + s.allocator.account().free);
                         }
                         s.agreed.push(grant);
-                        s.divider.enter(grant, now);
+                        s.allocator.enter(grant, now);
                         if self.0 == Fault::EarlyShrink {
-                            s.divider.taken(life, grant.number);
+                            s.allocator.taken(life, grant.number);
                         }
                         s.messages.insert(Message::Grant(grant));
                     }
@@ -223,8 +223,8 @@
                         }
                         s.messages.insert(Message::Taken { life: grant.life, number: grant.number });
                     }
-                    Message::Taken { life, number } => s.divider.taken(life, number),
-                    Message::Returned { life, number } => s.divider.returned(life, number),
+                    Message::Taken { life, number } => s.allocator.taken(life, number),
+                    Message::Returned { life, number } => s.allocator.returned(life, number),
                 }
             }
         }
--- a/crates/budgets/tests/parts.rs
+++ b/crates/quota/tests/parts.rs
@@ -1,20 +1,20 @@
 //! Ledger, holder and meter, each by itself.
 
 use proptest::prelude::*;
-use shorepath_budgets::holder::Holder;
-use shorepath_budgets::ledger::Ledger;
-use shorepath_budgets::meter::Meter;
-use shorepath_budgets::{Grant, Life, NodeId, Term};
+use shorepath_quota::lease::Holder;
+use shorepath_quota::ledger::Ledger;
+use shorepath_quota::rate_limiter::Meter;
+use shorepath_quota::{Grant, LeasePeriod, NodeId, NodeIncarnation};
 
 const S: i64 = 1_000_000;
-const TERM: Term = Term { length: 10 * S, drift_ppm: 1_000, longest: 0 };
+const TERM: LeasePeriod = LeasePeriod { length: 10 * S, drift_ppm: 1_000, longest: 0 };
 
-fn life(node: u32, incarnation: u64) -> Life {
-    Life { node: NodeId(node), incarnation }
+fn life(node: u32, incarnation: u64) -> NodeIncarnation {
+    NodeIncarnation { node: NodeId(node), incarnation }
 }
 
 /// Grant it, and have it taken.
-fn give(ledger: &mut Ledger, life: Life, wanted: u64, now: i64) -> Grant {
+fn give(ledger: &mut Ledger, life: NodeIncarnation, wanted: u64, now: i64) -> Grant {
     let grant = ledger.offer(life, wanted, 1);
     ledger.enter(grant, now);
     ledger.taken(life, grant.number);
@@ -27,9 +27,9 @@
     let mut ledger = Ledger::new(100, 10, TERM);
     assert_eq!(give(&mut ledger, life(0, 1), 60, 0).amount, 60);
     assert_eq!(give(&mut ledger, life(1, 1), 60, 0).amount, 30, "what is left, less the reserve");
-    ledger.doubt(life(0, 1), true);
+    ledger.suspect(life(0, 1), true);
     let a = ledger.account();
-    assert_eq!((a.whole, a.reserved, a.granted, a.in_doubt, a.free, a.debt), (100, 10, 30, 60, 0, 0));
+    assert_eq!((a.whole, a.reserved, a.granted, a.withheld, a.free, a.debt), (100, 10, 30, 60, 0, 0));
     assert_eq!(ledger.to_divide(), 30);
     // It restarts three times within its term, and asks anew each time: nothing is there for it.
     for incarnation in 2..=4 {
@@ -92,8 +92,8 @@
     assert!(!holder.granted(grant(1, 9, asked + 1), 101 * S), "answers nothing");
     assert!(holder.granted(grant(5, 9, asked), 104 * S));
     assert!(!holder.granted(grant(4, 50, asked), 104 * S), "older");
-    let ends = 100 * S + TERM.of_holder();
-    assert!(TERM.of_holder() < TERM.length && TERM.length < TERM.of_divider());
+    let ends = 100 * S + TERM.for_holder();
+    assert!(TERM.for_holder() < TERM.length && TERM.length < TERM.for_allocator());
     assert_eq!((holder.usable(ends - 1), holder.usable(ends), holder.until()), (11, 2, Some(ends)));
     assert_eq!((holder.debt(12, ends - 1), holder.debt(12, ends)), (1, 10));
     assert_eq!(holder.usable(99 * S), 2, "a clock that was set back is no reason to use it for longer");
--- a/crates/recovery/src/guard.rs
+++ b/crates/recovery/src/at_most_once.rs
@@ -16,7 +16,7 @@
 
 /// What becomes of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Verdict {
+pub enum Decision {
     /// Write its intent, and send it once that is on the disk.
     Send,
     /// Answer as it was answered.
@@ -24,7 +24,7 @@
     /// Answer that it failed: it may have run.
     Failed,
     /// Deny it; asking again is harmless. Nothing of this kind is sent now.
-    Deny,
+    Reject,
 }
 
 /// What one node knows of requests that must not run twice. Keys are what repeats are known by: a request's id, and what it
@@ -51,7 +51,7 @@
     }
 
     /// A peer knows that of a key.
-    pub fn heard(&mut self, key: &str, what: Known) {
+    pub fn received(&mut self, key: &str, what: Known) {
         let known = self.known.entry(key.to_string()).or_insert(what);
         // A final answer says more than that something may have run.
         *known = (*known).max(what);
@@ -70,14 +70,14 @@
     }
 
     /// What becomes of a request with those keys; `peers` is whether all who may know of them have been asked.
-    pub fn judge(&self, keys: &[&str], peers: bool) -> Verdict {
+    pub fn judge(&self, keys: &[&str], peers: bool) -> Decision {
         let known = keys.iter().filter_map(|k| self.known.get(*k)).max();
         match known {
-            Some(Known::Answered(status)) => Verdict::Again(*status),
-            Some(Known::MayHaveRun) => Verdict::Failed,
-            Some(Known::Ceded) => Verdict::Deny,
-            None if self.epoch.is_some() && peers => Verdict::Send,
-            None => Verdict::Deny,
+            Some(Known::Answered(status)) => Decision::Again(*status),
+            Some(Known::MayHaveRun) => Decision::Failed,
+            Some(Known::Ceded) => Decision::Reject,
+            None if self.epoch.is_some() && peers => Decision::Send,
+            None => Decision::Reject,
         }
     }
 
@@ -100,7 +100,7 @@
     /// It has its final answer.
     pub fn answered(&mut self, keys: &[&str], status: u16) {
         for key in keys {
-            self.heard(key, Known::Answered(status));
+            self.received(key, Known::Answered(status));
         }
     }
 
--- a/crates/recovery/src/trust.rs
+++ b/crates/recovery/src/disk_trust.rs
@@ -1,6 +1,7 @@
 //! What is believed of what the disk holds. The table with the reasons is in `docs/design/recovery.md`.
 
 use crate::Micros;
+use std::fmt;
 
 const DAY: Micros = 86_400_000_000;
 /// Learned speeds and windows say something about servers for so long.
@@ -41,13 +42,25 @@
     /// It holds.
     AsIs,
     /// It is a beginning, until something newer is learned.
-    AsBeginning,
+    AsInitial,
     /// Only if a peer or discovery says the same.
     IfConfirmed,
     /// It means nothing any more.
     Never,
 }
 
+/// As operators are shown it.
+impl fmt::Display for Belief {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Belief::AsIs => "AsIs",
+            Belief::AsInitial => "AsBeginning",
+            Belief::IfConfirmed => "IfConfirmed",
+            Belief::Never => "Never",
+        })
+    }
+}
+
 /// Whose disk this is, as it says.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
@@ -113,10 +126,10 @@
         Item::Epoch => Belief::AsIs,
         // Their time ran on; nobody knows for how long.
         Item::Leases | Item::Health => Belief::Never,
-        Item::List if within(LIST) => Belief::AsBeginning,
+        Item::List if within(LIST) => Belief::AsInitial,
         Item::List => Belief::IfConfirmed,
-        Item::Speeds if within(SPEEDS) => Belief::AsBeginning,
-        Item::Debts if within(DEBTS) && disk == Disk::Own => Belief::AsBeginning,
+        Item::Speeds if within(SPEEDS) => Belief::AsInitial,
+        Item::Debts if within(DEBTS) && disk == Disk::Own => Belief::AsInitial,
         Item::Speeds | Item::Debts => Belief::Never,
     }
 }
--- a/crates/recovery/src/steps.rs
+++ b/crates/recovery/src/phases.rs
@@ -1,6 +1,6 @@
 //! From dark to serving: each step with what it waits for, for how long, and what then.
 
-use crate::trust::Disk;
+use crate::disk_trust::Disk;
 use crate::Micros;
 use std::fmt;
 
@@ -60,7 +60,7 @@
 
 /// Something that was learned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum News {
+pub enum Observation {
     /// The disk has been read.
     Read(Disk),
     /// Discovery's list has come in this life, with so many servers.
@@ -165,17 +165,17 @@
     }
 
     /// Something was learned.
-    pub fn learn(&mut self, news: News, now: Micros) -> Vec<Moved> {
+    pub fn learn(&mut self, updates: Observation, now: Micros) -> Vec<Moved> {
         let mut moved = Vec::new();
-        match news {
-            News::Read(disk) => self.disk = Some(disk),
-            News::Listed(servers) => self.servers = servers,
-            News::Peers => self.peers = true,
-            News::CaughtUp => self.caught_up = true,
-            News::Epoch(there) => self.epoch = there,
-            News::Release(step) if step == self.step => moved.extend(self.release(now)),
+        match updates {
+            Observation::Read(disk) => self.disk = Some(disk),
+            Observation::Listed(servers) => self.servers = servers,
+            Observation::Peers => self.peers = true,
+            Observation::CaughtUp => self.caught_up = true,
+            Observation::Epoch(there) => self.epoch = there,
+            Observation::Release(step) if step == self.step => moved.extend(self.release(now)),
             // A word for a step that it has left meanwhile.
-            News::Release(_) => {}
+            Observation::Release(_) => {}
         }
         moved.extend(self.pass(now));
         moved
--- a/crates/recovery/tests/model.rs
+++ b/crates/recovery/tests/model.rs
@@ -1,7 +1,7 @@
 //! Two nodes that lose power in any order, with their disks or without, while a client asks one and then the other for a thing that
 //! must not be done twice: it is done once at most. The same search finds each planted fault.
 
-use shorepath_recovery::guard::{Guard, Known, Verdict};
+use shorepath_recovery::at_most_once::{Decision, Guard, Known};
 use stateright::{Checker, Model, Property};
 
 const KEY: &str = "valve-1";
@@ -28,7 +28,7 @@
     /// It has been asked, and asks its peer.
     Asked,
     /// Its peer has answered, or could not.
-    Heard(bool),
+    Received(bool),
     /// Its intent is on the disk; the send is not out.
     Intended,
     /// The send is out.
@@ -136,7 +136,7 @@
             }
             match node.phase {
                 Phase::Asked => actions.push(Step::Peer(n)),
-                Phase::Heard(_) => actions.push(Step::Decide(n)),
+                Phase::Received(_) => actions.push(Step::Decide(n)),
                 Phase::Intended => actions.push(Step::Send(n)),
                 Phase::Sent if s.runs > 0 => actions.push(Step::Served(n)),
                 _ => {}
@@ -164,36 +164,36 @@
                 let peer = &mut s.nodes[1 - n];
                 let whole = peer.whole || self.0 == Fault::BelievesTheLost;
                 // A peer without power answers nothing.
-                let told = match peer.guard.as_mut().filter(|_| whole) {
+                let replies = match peer.guard.as_mut().filter(|_| whole) {
                     Some(guard) if self.0 == Fault::KeepsIt => Some(guard.known(KEY)),
                     Some(guard) => Some(guard.cede(KEY)),
                     None => None,
                 };
                 let node = &mut s.nodes[n];
-                if let Some(Some(known)) = told {
-                    node.guard.as_mut()?.heard(KEY, known);
+                if let Some(Some(known)) = replies {
+                    node.guard.as_mut()?.received(KEY, known);
                 }
-                node.phase = Phase::Heard(told.is_some());
+                node.phase = Phase::Received(replies.is_some());
             }
             Step::Decide(n) => {
                 let (node, epoch) = (&mut s.nodes[n], s.epoch);
-                let Phase::Heard(heard) = node.phase else { return None };
+                let Phase::Received(received) = node.phase else { return None };
                 let guard = node.guard.as_mut()?;
                 // A node whose own disk is not whole sends nothing of this kind.
                 let whole = node.whole || self.0 == Fault::BelievesTheLost;
-                let verdict = guard.judge(&[KEY], heard && whole);
-                match verdict {
-                    Verdict::Send => {
+                let outcome = guard.judge(&[KEY], received && whole);
+                match outcome {
+                    Decision::Send => {
                         guard.intended(&[KEY]);
                         node.phase = Phase::Intended;
                         if self.0 != Fault::SentFirst {
                             (node.open, node.floor) = (true, epoch);
                         }
                     }
-                    Verdict::Again(_) | Verdict::Failed | Verdict::Deny => {
+                    Decision::Again(_) | Decision::Failed | Decision::Reject => {
                         node.phase = Phase::Idle;
                         // Whoever has given up waiting does not hear it.
-                        s.done |= s.waits == Some(n) && verdict != Verdict::Deny;
+                        s.done |= s.waits == Some(n) && outcome != Decision::Reject;
                         s.waits = s.waits.filter(|w| *w != n);
                     }
                 }
--- a/crates/recovery/tests/parts.rs
+++ b/crates/recovery/tests/parts.rs
@@ -2,10 +2,10 @@
 
 use proptest::prelude::*;
 use rstest::rstest;
-use shorepath_recovery::guard::{Guard, Known, Verdict};
-use shorepath_recovery::ramp::{come_back, part, Pace, Warming};
-use shorepath_recovery::steps::{Admits, Limits, News, Return, Step};
-use shorepath_recovery::trust::{belief, judge, outage, Belief, Disk, Identity, Item};
+use shorepath_recovery::at_most_once::{Decision, Guard, Known};
+use shorepath_recovery::disk_trust::{belief, judge, outage, Belief, Disk, Identity, Item};
+use shorepath_recovery::phases::{Admits, Limits, Observation, Return, Step};
+use shorepath_recovery::slow_start::{come_back, part, Pace, Warming};
 
 const S: i64 = 1_000_000;
 const LIMITS: Limits = Limits { reading: 10 * S, asking: 3 * S, catching_up: 2 * S, outlive: 6 * S };
@@ -15,31 +15,37 @@
 fn a_node_comes_back_step_by_step() {
     let mut node = Return::new(LIMITS, 0);
     assert_eq!(
-        node.learn(News::Read(Disk::Own), S).iter().map(|m| m.to).collect::<Vec<_>>(),
+        node.learn(Observation::Read(Disk::Own), S).iter().map(|m| m.to).collect::<Vec<_>>(),
         [Step::Reading, Step::Asking]
     );
     assert_eq!((node.admits(), node.waits_for(S)), (Admits::Nothing, Some("discovery's list")));
-    assert!(node.learn(News::Peers, S).is_empty());
+    assert!(node.learn(Observation::Peers, S).is_empty());
     assert!(node.pass(60 * S).is_empty(), "without a list nobody can be served, however long that takes");
-    node.learn(News::Listed(9), 61 * S);
-    node.learn(News::CaughtUp, 61 * S);
+    node.learn(Observation::Listed(9), 61 * S);
+    node.learn(Observation::CaughtUp, 61 * S);
     assert_eq!((node.step(), node.admits()), (Step::Guarded, Admits::Repeatable));
     assert_eq!(node.waits_for(61 * S), Some("an epoch of this life"));
-    node.learn(News::Epoch(true), 61 * S);
+    node.learn(Observation::Epoch(true), 61 * S);
     assert_eq!((node.step(), node.admits(), node.waits_for(61 * S)), (Step::Serving, Admits::All, None));
     // Discovery's list is empty, and its epoch is taken away: what must not run twice goes first, and stays away.
-    node.learn(News::Listed(0), 62 * S);
+    node.learn(Observation::Listed(0), 62 * S);
     assert_eq!(node.admits(), Admits::Nothing);
-    node.learn(News::Listed(9), 63 * S);
-    assert_eq!(node.learn(News::Epoch(false), 63 * S)[0].to, Step::Guarded);
+    node.learn(Observation::Listed(9), 63 * S);
+    assert_eq!(node.learn(Observation::Epoch(false), 63 * S)[0].to, Step::Guarded);
     assert_eq!(node.admits(), Admits::Repeatable);
 }
 
 #[test]
 fn nothing_of_an_earlier_life_is_outrun() {
     let mut node = Return::new(LIMITS, 0);
-    for news in [News::Read(Disk::Own), News::Listed(3), News::Peers, News::CaughtUp, News::Epoch(true)] {
-        node.learn(news, S);
+    for updates in [
+        Observation::Read(Disk::Own),
+        Observation::Listed(3),
+        Observation::Peers,
+        Observation::CaughtUp,
+        Observation::Epoch(true),
+    ] {
+        node.learn(updates, S);
     }
     assert_eq!((node.step(), node.due()), (Step::Guarded, Some(6 * S)));
     assert!(node.pass(6 * S - 1).is_empty());
@@ -49,12 +55,12 @@
 /// What does not come is waited for only so long where service can do without it.
 #[rstest]
 #[case::disk(&[], 10 * S, Step::Asking)]
-#[case::peers(&[News::Read(Disk::Own), News::Listed(2)], 3 * S, Step::CatchingUp)]
-#[case::taking_in(&[News::Read(Disk::Own), News::Listed(2), News::Peers], 2 * S, Step::Guarded)]
-fn each_step_has_a_limit(#[case] news: &[News], #[case] limit: i64, #[case] next: Step) {
+#[case::peers(&[Observation::Read(Disk::Own), Observation::Listed(2)], 3 * S, Step::CatchingUp)]
+#[case::taking_in(&[Observation::Read(Disk::Own), Observation::Listed(2), Observation::Peers], 2 * S, Step::Guarded)]
+fn each_step_has_a_limit(#[case] updates: &[Observation], #[case] limit: i64, #[case] next: Step) {
     let mut node = Return::new(LIMITS, 0);
     node.pass(0);
-    news.iter().for_each(|n| drop(node.learn(*n, 0)));
+    updates.iter().for_each(|n| drop(node.learn(*n, 0)));
     assert!(node.pass(limit - 1).is_empty() && node.step() < next, "{node:?}");
     assert_eq!(node.pass(limit).last().map(|m| m.to), Some(next));
 }
@@ -68,16 +74,18 @@
 #[case(Disk::Strange)]
 fn what_may_be_missing_waits_for_an_operator(#[case] disk: Disk) {
     let mut node = Return::new(LIMITS, 0);
-    for news in [News::Read(disk), News::Listed(3), News::Peers, News::CaughtUp] {
-        node.learn(news, 10 * S);
+    for updates in
+        [Observation::Read(disk), Observation::Listed(3), Observation::Peers, Observation::CaughtUp]
+    {
+        node.learn(updates, 10 * S);
     }
     assert_eq!((node.step(), node.admits()), (Step::Guarded, Admits::Repeatable));
     assert!(node.waits_for(10 * S).unwrap().starts_with("an operator"));
-    assert!(node.learn(News::Release(Step::Reading), 10 * S).is_empty(), "a word for an earlier step");
-    let moved = node.learn(News::Release(Step::Guarded), 10 * S);
+    assert!(node.learn(Observation::Release(Step::Reading), 10 * S).is_empty(), "a word for an earlier step");
+    let moved = node.learn(Observation::Release(Step::Guarded), 10 * S);
     assert!(moved.len() == 1 && moved[0].by_hand);
     assert_eq!(node.step(), Step::Guarded);
-    assert_eq!(node.learn(News::Epoch(true), 11 * S)[0].to, Step::Serving);
+    assert_eq!(node.learn(Observation::Epoch(true), 11 * S)[0].to, Step::Serving);
 }
 
 #[test]
@@ -99,9 +107,9 @@
         (Item::Epoch, Belief::AsIs, Belief::AsIs),
         (Item::Leases, Belief::Never, Belief::Never),
         (Item::Health, Belief::Never, Belief::Never),
-        (Item::List, Belief::AsBeginning, Belief::IfConfirmed),
-        (Item::Speeds, Belief::AsBeginning, Belief::Never),
-        (Item::Debts, Belief::AsBeginning, Belief::Never),
+        (Item::List, Belief::AsInitial, Belief::IfConfirmed),
+        (Item::Speeds, Belief::AsInitial, Belief::Never),
+        (Item::Debts, Belief::AsInitial, Belief::Never),
     ] {
         assert_eq!(belief(item, Disk::Own, Some(5 * S)), known, "{item:?}");
         assert_eq!(belief(item, Disk::Own, None), unknown, "{item:?} without a clock");
@@ -114,24 +122,24 @@
     let mut guard = Guard::new(["a".to_string()], [("b".to_string(), 200)], 4);
     assert_eq!(
         (guard.judge(&["a"], true), guard.judge(&["b"], true)),
-        (Verdict::Failed, Verdict::Again(200))
+        (Decision::Failed, Decision::Again(200))
     );
     assert!(!guard.act_under(Some(4)), "an epoch of before the loss");
-    assert_eq!(guard.judge(&["c"], true), Verdict::Deny);
+    assert_eq!(guard.judge(&["c"], true), Decision::Reject);
     assert!(guard.act_under(Some(5)));
-    assert_eq!((guard.judge(&["c"], false), guard.judge(&["c"], true)), (Verdict::Deny, Verdict::Send));
+    assert_eq!((guard.judge(&["c"], false), guard.judge(&["c"], true)), (Decision::Reject, Decision::Send));
     guard.intended(&["c", "about-c"]);
     assert_eq!(
         (guard.judge(&["d", "about-c"], true), guard.cede("c")),
-        (Verdict::Failed, Some(Known::MayHaveRun))
+        (Decision::Failed, Some(Known::MayHaveRun))
     );
     guard.never_ran(&["c", "about-c"]);
-    assert_eq!(guard.judge(&["c"], true), Verdict::Send);
+    assert_eq!(guard.judge(&["c"], true), Decision::Send);
     // A peer takes it: it is not sent from here any more.
-    assert_eq!((guard.cede("c"), guard.judge(&["c"], true)), (None, Verdict::Deny));
-    guard.heard("c", Known::Answered(502));
-    guard.heard("c", Known::MayHaveRun);
-    assert_eq!(guard.judge(&["c"], true), Verdict::Again(502), "a final answer stays");
+    assert_eq!((guard.cede("c"), guard.judge(&["c"], true)), (None, Decision::Reject));
+    guard.received("c", Known::Answered(502));
+    guard.received("c", Known::MayHaveRun);
+    assert_eq!(guard.judge(&["c"], true), Decision::Again(502), "a final answer stays");
 }
 
 proptest! {
--- a/crates/rig/src/disks.rs
+++ b/crates/rig/src/disks.rs
@@ -1,10 +1,10 @@
 //! What nodes' disks hold of placements once their processes have ended, read as the program itself reads them.
 
-use shorepath_placements::chain;
+use shorepath_placements::hash_chain;
 use shorepath_placements::history::History;
 use shorepath_placements::log::{Copies, Log, LogError};
 use shorepath_placements::{End, Entry, Placement, Writer};
-use shorepath_store::keeper::Keeper;
+use shorepath_store::group_commit::GroupCommit;
 use shorepath_store::{Store, StoreError};
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -45,7 +45,7 @@
 /// It can't be opened, or what is on it is damaged.
 pub fn read(folder: &Path, site: &str, node: &str) -> Result<Disk, DiskError> {
     let store = Arc::new(Store::open(folder, ANSWERS)?);
-    let keeper = Arc::new(Keeper::new(store.clone())?);
+    let keeper = Arc::new(GroupCommit::new(store.clone())?);
     let mut history = History::new();
     let copies = Copies::restore(&store, keeper.clone(), &mut history)?;
     Log::open(store, keeper, site, node, 0)?.pour(&mut history)?;
@@ -55,7 +55,7 @@
         let mut points = Vec::new();
         loop {
             let mut entries = Vec::new();
-            let mut tell = |point: (u64, chain::Digest), bytes: &[u8]| {
+            let mut tell = |point: (u64, hash_chain::Digest), bytes: &[u8]| {
                 entries.push((point, bytes.to_vec()));
                 true
             };
@@ -66,7 +66,7 @@
             points.push(last);
             for ((number, digest), bytes) in entries {
                 // It was verified as it was read.
-                let Ok(timed) = chain::decode(number, &bytes) else { continue };
+                let Ok(timed) = hash_chain::decode(number, &bytes) else { continue };
                 match timed.entry {
                     Entry::Placed(p) if p.guarded => {
                         placed.insert((writer.clone(), number, digest.0), (p, None));
--- a/crates/rig/src/script.rs
+++ b/crates/rig/src/script.rs
@@ -5,7 +5,7 @@
 use crate::relay::How;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use shorepath_sexp::{Complaints, Form};
+use shorepath_sexp::{Form, ParseErrors};
 use std::fmt;
 use std::ops::RangeInclusive;
 
@@ -443,7 +443,7 @@
 ///
 /// # Errors
 /// All faults of the text, with their places.
-pub fn read(file: &str, text: &str) -> Result<Script, Complaints> {
+pub fn read(file: &str, text: &str) -> Result<Script, ParseErrors> {
     shorepath_sexp::read(file, text, "script", script)
 }
 
--- a/crates/rig/src/sites.rs
+++ b/crates/rig/src/sites.rs
@@ -17,7 +17,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::{json, Value};
-use shorepath_envelope::keys::Keys;
+use shorepath_message_auth::keyring::Keys;
 use shorepath_placements::history::History as Placements;
 use shorepath_placements::End;
 use std::cell::{Cell, RefCell};
--- a/crates/scheduler/benches/decision.rs
+++ b/crates/scheduler/benches/decision.rs
@@ -2,7 +2,7 @@
 //! wake-ups between) at one scheduler that keeps its fleet 60% busy, that has a small part of it, or whose jobs
 //! start late.
 //!
-//!     cargo bench -p shorepath-core
+//!     cargo bench -p shorepath-scheduler
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, Throughput};
 use shorepath_scheduler::Scheduler;
--- a/crates/scheduler/src/quota.rs
+++ b/crates/scheduler/src/quota.rs
@@ -3,7 +3,7 @@
 use crate::event::{Request, WorkState};
 use crate::ids::{ClassId, RequestId, TenantId};
 use crate::request::{AttemptId, PendingRequest};
-use shorepath_budgets::meter::Meter;
+use shorepath_quota::rate_limiter::Meter;
 use shorepath_types::Micros;
 use std::cell::Cell;
 use std::collections::BTreeMap;
--- a/crates/scheduler/tests/endpoint_order.rs
+++ b/crates/scheduler/tests/endpoint_order.rs
@@ -1,6 +1,7 @@
 //! The order of endpoints against the plain way of doing it.
 
-// The package keeps both files to itself; of the identifiers only one is used here.
+// The package keeps both files to itself; a part of them is used here.
+#[allow(dead_code)]
 #[path = "../src/endpoint_order.rs"]
 mod endpoint_order;
 #[allow(dead_code)]
--- a/crates/sexp/src/lib.rs
+++ b/crates/sexp/src/lib.rs
@@ -1,6 +1,6 @@
 //! Reads files of S-expressions whose lists begin with a word: `(length 30 s)`.
 //!
-//! A file is checked whole: a getter that finds something wrong notes a [`Complaint`] with its place and
+//! A file is checked whole: a getter that finds something wrong notes a [`ParseError`] with its place and
 //! returns the usual value, so that one reading names every fault. [`read`] returns what was built only
 //! where nothing was noted. What a file holds beyond what was asked for is a fault, too.
 
@@ -23,7 +23,7 @@
 
 /// One fault of a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Complaint {
+pub struct ParseError {
     /// Where.
     pub place: Place,
     /// What is wrong, and a hint where there is one.
@@ -32,14 +32,14 @@
 
 /// All that is wrong with a file, in the order of its places.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub struct Complaints {
+pub struct ParseErrors {
     /// The file's name.
     pub file: String,
     /// At least one.
-    pub list: Vec<Complaint>,
+    pub list: Vec<ParseError>,
 }
 
-impl fmt::Display for Complaints {
+impl fmt::Display for ParseErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (k, c) in self.list.iter().enumerate() {
             let line = if k > 0 { "\n" } else { "" };
@@ -55,7 +55,7 @@
 /// Numbers above this are refused: they would lose digits as whole microseconds.
 const MOST: f64 = 1e15;
 
-type Notes = RefCell<Vec<Complaint>>;
+type Notes = RefCell<Vec<ParseError>>;
 
 /// Read a text whose one list begins with `head`, and build from it.
 ///
@@ -66,12 +66,12 @@
     text: &str,
     head: &'static str,
     build: impl FnOnce(&Form) -> T,
-) -> Result<T, Complaints> {
+) -> Result<T, ParseErrors> {
     let notes = Notes::default();
-    let fail = |mut list: Vec<Complaint>| {
+    let fail = |mut list: Vec<ParseError>| {
         list.sort();
         list.dedup();
-        Complaints { file: file.to_string(), list }
+        ParseErrors { file: file.to_string(), list }
     };
     let start = Place { line: 1, column: 1 };
     let mut data = Vec::new();
@@ -82,7 +82,7 @@
                 let place =
                     e.location().map_or(start, |l| Place { line: l.line(), column: l.column().max(1) });
                 let text = format!("can't be read: {}", plain(&e.to_string()));
-                return Err(fail(vec![Complaint { place, text }]));
+                return Err(fail(vec![ParseError { place, text }]));
             }
         }
     }
@@ -90,7 +90,7 @@
     let built = match forms.next() {
         None => {
             let text = format!("is empty; it needs ({head} ...)");
-            return Err(fail(vec![Complaint { place: start, text }]));
+            return Err(fail(vec![ParseError { place: start, text }]));
         }
         Some(Some(form)) if form.head == head => {
             let built = build(&form);
@@ -159,7 +159,7 @@
         let at = place(&datum);
         let bad = |text: &str| {
             let text = format!("{} {text}", show(datum.value()));
-            notes.borrow_mut().push(Complaint { place: at, text });
+            notes.borrow_mut().push(ParseError { place: at, text });
             None
         };
         if !datum.value().is_list() {
@@ -189,7 +189,7 @@
     }
 
     fn complain_at(&self, place: Place, text: impl Into<String>) {
-        self.notes.borrow_mut().push(Complaint { place, text: text.into() });
+        self.notes.borrow_mut().push(ParseError { place, text: text.into() });
     }
 
     /// The lists in it that begin with that word.
--- a/crates/sexp/tests/complaints.rs
+++ b/crates/sexp/tests/complaints.rs
@@ -66,7 +66,7 @@
 ])]
 fn every_fault_is_named_with_its_place(#[case] text: &str, #[case] wanted: &[&str]) {
     let complaints = read("f", text, "test", build).unwrap_err();
-    let told = complaints.to_string();
-    let told: Vec<&str> = told.lines().map(|l| l.strip_prefix("f:").unwrap()).collect();
-    assert_eq!(told, wanted);
+    let notified = complaints.to_string();
+    let notified: Vec<&str> = notified.lines().map(|l| l.strip_prefix("f:").unwrap()).collect();
+    assert_eq!(notified, wanted);
 }
--- a/crates/sites/src/proof.rs
+++ b/crates/sites/src/catch_up.rs
@@ -8,8 +8,8 @@
 //! not told nobody can name. It proves nothing, and says nothing where it knows so itself by what its partners kept of it. **What nobody can see** is a disk that was lost before anything on it was told: its
 //! node looks new. So a node whose disk is lost comes back under another name.
 
-use crate::file::Plan;
-use crate::homes::Fence;
+use crate::config::Plan;
+use crate::key_ownership::Fence;
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use shorepath_placements::history::History;
@@ -23,7 +23,7 @@
 /// One word between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Word {
+pub enum Message {
     /// How far does your log go?
     Ask {
         /// The range.
@@ -32,7 +32,8 @@
         fence: Fence,
     },
     /// So far, on the disk.
-    Tell {
+    #[serde(rename = "tell")]
+    Reply {
         /// As it was asked.
         home: String,
         /// As it was asked.
@@ -45,7 +46,7 @@
 }
 
 /// Words, and to which nodes.
-pub type Says = Vec<(u32, Word)>;
+pub type OutgoingMessages = Vec<(u32, Message)>;
 
 /// What others answered of one holding of a range.
 #[derive(Clone, Debug, Default)]
@@ -54,7 +55,7 @@
     /// When it was asked for first and last.
     begun: Option<Micros>,
     asked: Option<Micros>,
-    told: BTreeMap<u32, (u64, u64)>,
+    notified: BTreeMap<u32, (u64, u64)>,
 }
 
 /// All ranges of one node that are to be proved.
@@ -64,13 +65,13 @@
 }
 
 /// Whether the history holds a node's log that far, and no other log of it. A log is its number and its last entry's.
-pub fn known(history: &History, site: &str, node: &str, told: (u64, u64)) -> bool {
+pub fn known(history: &History, site: &str, node: &str, notified: (u64, u64)) -> bool {
     let mut logs = history.writers().filter(|w| w.site == site && w.node == node);
     match (logs.next(), logs.next()) {
-        (None, _) => told.1 == 0,
+        (None, _) => notified.1 == 0,
         (Some(writer), None) => {
             let heads = history.heads(writer);
-            writer.log == told.0 && heads.len() <= 1 && heads.first().map_or(0, |h| h.0) >= told.1
+            writer.log == notified.0 && heads.len() <= 1 && heads.first().map_or(0, |h| h.0) >= notified.1
         }
         _ => false,
     }
@@ -78,7 +79,7 @@
 
 impl Proving {
     /// Time has passed: what is to be asked of whom, and which ranges are proved now. `unproven` is what
-    /// [`crate::homes::Homes::unproven`] gives; of this node its number and its log.
+    /// [`crate::key_ownership::KeyOwnership::unproven`] gives; of this node its number and its log.
     pub fn pass(
         &mut self,
         plan: &Plan,
@@ -86,16 +87,16 @@
         unproven: &[(String, Fence, Fence)],
         history: &History,
         now: Micros,
-    ) -> (Says, Vec<(String, Fence)>) {
+    ) -> (OutgoingMessages, Vec<(String, Fence)>) {
         self.pending.retain(|home, p| unproven.iter().any(|(h, first, _)| h == home && *first == p.fence));
-        let (mut says, mut proved) = (Vec::new(), Vec::new());
+        let (mut outgoing_messages, mut proved) = (Vec::new(), Vec::new());
         for (home, first, held) in unproven {
             let new = || Pending { fence: *first, ..Pending::default() };
             let pending = self.pending.entry(home.clone()).or_insert_with(new);
-            let clear = |(site, node): (&crate::file::Site, &crate::file::Node)| {
-                let told = pending.told.get(&node.number).copied();
-                let told = told.or_else(|| (node.number == me).then_some(own));
-                told.is_some_and(|told| known(history, &site.name, &node.name, told))
+            let clear = |(site, node): (&crate::config::Site, &crate::config::Node)| {
+                let notified = pending.notified.get(&node.number).copied();
+                let notified = notified.or_else(|| (node.number == me).then_some(own));
+                notified.is_some_and(|notified| known(history, &site.name, &node.name, notified))
             };
             if plan.nodes().all(clear) {
                 proved.push((home.clone(), *held));
@@ -104,12 +105,13 @@
             if pending.asked.is_none_or(|at| now - at >= AGAIN) {
                 pending.asked = Some(now);
                 pending.begun = pending.begun.or(Some(now));
-                let silent = |n: &u32| *n != me && !pending.told.contains_key(n);
-                let word = Word::Ask { home: home.clone(), fence: *first };
-                says.extend(plan.nodes().map(|(_, n)| n.number).filter(silent).map(|n| (n, word.clone())));
+                let silent = |n: &u32| *n != me && !pending.notified.contains_key(n);
+                let message = Message::Ask { home: home.clone(), fence: *first };
+                outgoing_messages
+                    .extend(plan.nodes().map(|(_, n)| n.number).filter(silent).map(|n| (n, message.clone())));
             }
         }
-        (says, proved)
+        (outgoing_messages, proved)
     }
 
     /// Whether a range may be proved soon: asking for it again helps then.
@@ -119,9 +121,9 @@
     }
 
     /// A node has answered.
-    pub fn told(&mut self, from: u32, home: &str, fence: Fence, log: u64, last: u64) {
+    pub fn notified(&mut self, from: u32, home: &str, fence: Fence, log: u64, last: u64) {
         if let Some(pending) = self.pending.get_mut(home).filter(|p| p.fence == fence) {
-            pending.told.insert(from, (log, last));
+            pending.notified.insert(from, (log, last));
         }
     }
 }
@@ -129,7 +131,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use shorepath_placements::chain::{encode, follow, origin, Piece};
+    use shorepath_placements::hash_chain::{encode, follow, origin, Piece};
     use shorepath_placements::{Entry, Placement, Timed, Writer};
 
     const FENCE: Fence = Fence { epoch: 7, number: 3 };
@@ -160,21 +162,21 @@
     fn a_range_is_proved_by_what_was_told_after_its_grant() {
         let text = "(sites (version 1) (fleet f) (key k) (site a (node n0 \"127.0.0.1:1\") (bears 1))
                      (site b (node n1 \"127.0.0.1:2\") (bears 1)))";
-        let plan = crate::file::read("t", text).unwrap();
+        let plan = crate::config::read("t", text).unwrap();
         let (mut history, mut proving) = (History::new(), Proving::default());
         let [me, other] = [0, 1].map(|k| plan.nodes().nth(k).unwrap().1.number);
         let unproven = [("a/n0".to_string(), FENCE, Fence { number: 4, ..FENCE })];
         let pass = |p: &mut Proving, h: &History, now| p.pass(&plan, (me, (1, 0)), &unproven, h, now);
-        let ask = Word::Ask { home: "a/n0".into(), fence: FENCE };
+        let ask = Message::Ask { home: "a/n0".into(), fence: FENCE };
         assert_eq!(pass(&mut proving, &history, 0), (vec![(other, ask.clone())], vec![]));
         assert_eq!(pass(&mut proving, &history, 1), (vec![], vec![]), "asked again at once");
-        proving.told(other, "a/n0", Fence { number: 2, ..FENCE }, 5, 0);
+        proving.notified(other, "a/n0", Fence { number: 2, ..FENCE }, 5, 0);
         assert_eq!(
             pass(&mut proving, &history, AGAIN),
             (vec![(other, ask)], vec![]),
             "told of another holding"
         );
-        proving.told(other, "a/n0", FENCE, 5, 1);
+        proving.notified(other, "a/n0", FENCE, 5, 1);
         assert_eq!(pass(&mut proving, &history, 3 * AGAIN), (vec![], vec![]), "its log is not here yet");
         take(&mut history, 5);
         let proved = vec![("a/n0".to_string(), Fence { number: 4, ..FENCE })];
--- a/crates/sites/src/file.rs
+++ b/crates/sites/src/config.rs
@@ -14,7 +14,7 @@
 //!   (recover (remember 64 MiB) (outlive 5 s)))
 //! ```
 //!
-//! A file of one site is one with `(recover ...)`, see [`crate::recover`].
+//! A file of one site is one with `(recover ...)`, see [`crate::recovery_config`].
 //!
 //! `(lost SITE (number N))` is an operator's word that a site is gone. **Its danger**: other sites ask for the leases of that site's
 //! keys at once. If the site does live, it may place its keys until its leases end by its own clock, and places none afterwards, although
@@ -22,11 +22,11 @@
 //! what the site has placed and could not tell may yet be asked for anew elsewhere, and is answered there as 'may have run'. The file
 //! travels under the fleet's code, so the line can't be forged.
 
-use crate::recover::{self, Recover};
+use crate::recovery_config::{self, Recover};
 use crate::{Micros, Seen};
 use serde::{Deserialize, Serialize};
-use shorepath_budgets::NodeId;
-use shorepath_sexp::{Complaints, Form};
+use shorepath_quota::NodeId;
+use shorepath_sexp::{Form, ParseErrors};
 use siphasher::sip::SipHasher13;
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hasher;
@@ -104,7 +104,7 @@
 /// The whole file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Which file this is; grows with each that is put into service, see [`crate::used`].
+    /// Which file this is; grows with each that is put into service, see [`crate::config_history`].
     pub version: u64,
     /// The fleet's name.
     pub fleet: String,
@@ -230,7 +230,7 @@
     }
 
     /// What the file alone says of a site.
-    pub fn said(&self, site: &str) -> Option<Seen> {
+    pub fn sent(&self, site: &str) -> Option<Seen> {
         self.declared_lost(site).map(|_| Seen::Lost)
     }
 }
@@ -239,7 +239,7 @@
 ///
 /// # Errors
 /// All faults of the text, with their places.
-pub fn read(file: &str, text: &str) -> Result<Plan, Complaints> {
+pub fn read(file: &str, text: &str) -> Result<Plan, ParseErrors> {
     shorepath_sexp::read(file, text, "sites", plan)
 }
 
@@ -296,9 +296,9 @@
     if nodes.is_empty() {
         form.complain(format!("the site {name} needs a (node NAME \"ADDRESS\")"));
     }
-    let words =
+    let messages =
         |list: &'static str| form.given(list, |f| Some(f.words("a word in quotes"))).unwrap_or_default();
-    let (prefixes, zones) = (words("server-prefix"), words("zones"));
+    let (prefixes, zones) = (messages("server-prefix"), messages("zones"));
     for prefix in &prefixes {
         if prefix.is_empty() {
             form.complain("(server-prefix \"\") would make all servers its own");
@@ -396,7 +396,7 @@
 }
 
 fn plan(f: &Form) -> Plan {
-    let recover = f.given("recover", |f| Some(recover::clause(f)));
+    let recover = f.given("recover", |f| Some(recovery_config::clause(f)));
     let least = if recover.is_some() { 1 } else { 2 };
     let path = |name: &'static str| f.given(name, |f| Some(f.word("a path in quotes")));
     let mut plan = Plan {
--- a/crates/sites/src/used.rs
+++ b/crates/sites/src/config_history.rs
@@ -1,7 +1,7 @@
 //! Which files of sites a node has gone by, as its disk remembers: one that is older than the newest of them never holds again, nor does an
 //! older word that a site is lost.
 
-use crate::file::Plan;
+use crate::config::Plan;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -103,7 +103,7 @@
             "(sites (version {version}) (fleet f) (key k) (site a (node n0 \"127.0.0.1:1\") (bears 1))
              (site b (node n1 \"127.0.0.1:2\") (bears 1)) {more})"
         );
-        crate::file::read("t", &text).unwrap()
+        crate::config::read("t", &text).unwrap()
     }
 
     /// After files 3 to 5, of which 3 and 4 declared a loss of b and 5 does not.
--- a/crates/sites/src/seeing.rs
+++ b/crates/sites/src/health.rs
@@ -1,6 +1,6 @@
 //! Sites as one node sees them: linked, only slow, cut off, or lost.
 //!
-//! Each node tells one node of each other site in turn, and nodes of its own, what it knows of all sites ([`Word`]): how long ago its
+//! Each node tells one node of each other site in turn, and nodes of its own, what it knows of all sites ([`Message`]): how long ago its
 //! site heard another one directly, whether that one hears it, and the newest sign of life of it that anybody has told of. So a cut between
 //! two sites is told from a loss by the word of a third, and a link that works one way by what the other side says it hears.
 //!
@@ -11,18 +11,18 @@
 //!
 //! What is seen is a hint, never a permission: a lost site's keys are its own until their leases have ended.
 
-use crate::file::Plan;
+use crate::config::Plan;
 use crate::{Micros, Seen};
 use oorandom::Rand32;
 use serde::{Deserialize, Serialize};
-use shorepath_budgets::NodeId;
+use shorepath_quota::NodeId;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 
 /// Each other site is told something so often in the time after which it would be alone.
-const TELLS: Micros = 10;
+const NOTIFY_INTERVAL: Micros = 10;
 /// Nodes of one's own site are told this often in it.
-const TELLS_OWN: Micros = 20;
+const NOTIFY_OWN: Micros = 20;
 /// A site that is quiet for this part of it is told as often, by the nodes of a site of a few: there, a few words that are lost are all.
 const QUIET: Micros = 5;
 const FEW: usize = 4;
@@ -43,7 +43,7 @@
 /// What a node says of one other site, ages in milliseconds. As a list in JSON, to be short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "(u32, u64, u32, u64, u32, u32)", into = "(u32, u64, u32, u64, u32, u32)")]
-pub struct Told {
+pub struct SiteReport {
     /// The site, by the number of its name.
     pub site: u32,
     /// Its newest sign of life that the speaker knows of, by anybody; 0 for none.
@@ -58,14 +58,16 @@
     pub back_age: u32,
 }
 
-impl From<(u32, u64, u32, u64, u32, u32)> for Told {
-    fn from((site, sign, sign_age, direct, direct_age, back_age): (u32, u64, u32, u64, u32, u32)) -> Told {
-        Told { site, sign, sign_age, direct, direct_age, back_age }
+impl From<(u32, u64, u32, u64, u32, u32)> for SiteReport {
+    fn from(
+        (site, sign, sign_age, direct, direct_age, back_age): (u32, u64, u32, u64, u32, u32),
+    ) -> SiteReport {
+        SiteReport { site, sign, sign_age, direct, direct_age, back_age }
     }
 }
 
-impl From<Told> for (u32, u64, u32, u64, u32, u32) {
-    fn from(t: Told) -> Self {
+impl From<SiteReport> for (u32, u64, u32, u64, u32, u32) {
+    fn from(t: SiteReport) -> Self {
         (t.site, t.sign, t.sign_age, t.direct, t.direct_age, t.back_age)
     }
 }
@@ -96,7 +98,7 @@
 
 /// What a node says to another one. In JSON unknown fields are passed over; 1,200 bytes hold it at 20 sites.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Word {
+pub struct Message {
     /// The speaker's site, by the number of its name.
     #[serde(rename = "s")]
     pub site: u32,
@@ -111,7 +113,7 @@
     pub digest: u32,
     /// All other sites.
     #[serde(rename = "o")]
-    pub others: Vec<Told>,
+    pub others: Vec<SiteReport>,
     /// What the speaker's site bears and is asked for, where the speaker knows.
     #[serde(rename = "l", default)]
     pub load: Option<Load>,
@@ -119,19 +121,19 @@
 
 /// Why a word was passed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error, miette::Diagnostic)]
-pub enum HeardError {
+pub enum ReceiveError {
     /// The speaker is not in the file.
     #[error("no node of the file has the number {0}")]
     #[diagnostic(help("put one file of sites into service at all nodes; compare their versions"))]
     Stranger(u32),
     /// The speaker takes itself for a node of another site.
-    #[error("node {node} says that it is of a site numbered {says}, the file has it elsewhere")]
+    #[error("node {node} says that it is of a site numbered {outgoing_messages}, the file has it elsewhere")]
     #[diagnostic(help("put one file of sites into service at all nodes; compare their versions"))]
     Elsewhere {
         /// The speaker.
         node: u32,
         /// The site that it names.
-        says: u32,
+        outgoing_messages: u32,
     },
     /// It was said before this process last stood still, or was on the way for far too long.
     #[error("said long ago: this process stood still, or the word lay somewhere")]
@@ -235,19 +237,19 @@
 
 impl View {
     /// When this site, by this node or another one, last heard it directly.
-    fn heard(&self) -> Micros {
+    fn received(&self) -> Micros {
         self.direct.1.max(self.arrived)
     }
 
     /// From when its newest sign of life is, by anybody.
     fn signed(&self) -> Micros {
-        self.sign.1.max(self.heard())
+        self.sign.1.max(self.received())
     }
 }
 
 /// All other sites, as this node sees them.
 #[derive(Clone, Debug)]
-pub struct Seeing {
+pub struct SiteHealth {
     me: u32,
     plan: Plan,
     /// The place of one's own site in the file.
@@ -275,7 +277,7 @@
     /// Other files that were told of already.
     differed: BTreeSet<(u64, u32)>,
     differs: Vec<Differs>,
-    out: Vec<(u32, Word)>,
+    out: Vec<(u32, Message)>,
     changed: Vec<Changed>,
 }
 
@@ -302,13 +304,13 @@
     }
 }
 
-impl Seeing {
+impl SiteHealth {
     /// A node that begins now, by its number in the file. All others are linked until it has listened for long enough to say otherwise.
     ///
     /// # Errors
     /// Where the file does not name the node.
-    pub fn new(me: u32, plan: &Plan, seed: u64, now: Micros) -> Result<Seeing, NoSiteError> {
-        let mut seeing = Seeing {
+    pub fn new(me: u32, plan: &Plan, seed: u64, now: Micros) -> Result<SiteHealth, NoSiteError> {
+        let mut site_health = SiteHealth {
             me,
             plan: Plan::default(),
             own: 0,
@@ -331,8 +333,8 @@
             out: Vec::new(),
             changed: Vec::new(),
         };
-        seeing.replan(plan, now)?;
-        Ok(seeing)
+        site_health.replan(plan, now)?;
+        Ok(site_health)
     }
 
     /// Another file holds. What is known of sites that it still names is kept.
@@ -370,7 +372,7 @@
         Ok(())
     }
 
-    fn doubt(&self) -> Micros {
+    fn suspect(&self) -> Micros {
         self.plan.alone / 2
     }
 
@@ -406,34 +408,34 @@
     ///
     /// # Errors
     /// Where it was passed over; nothing has changed then.
-    pub fn hear(&mut self, from: u32, word: &Word, now: Micros) -> Result<(), HeardError> {
+    pub fn receive(&mut self, from: u32, message: &Message, now: Micros) -> Result<(), ReceiveError> {
         self.wake(now);
-        let site = self.plan.site_of_node(from).ok_or(HeardError::Stranger(from))?;
-        if site.number != word.site {
-            return Err(HeardError::Elsewhere { node: from, says: word.site });
+        let site = self.plan.site_of_node(from).ok_or(ReceiveError::Stranger(from))?;
+        if site.number != message.site {
+            return Err(ReceiveError::Elsewhere { node: from, outgoing_messages: message.site });
         }
-        let place = self.plan.place_of(word.site).ok_or(HeardError::Stranger(from))?;
+        let place = self.plan.place_of(message.site).ok_or(ReceiveError::Stranger(from))?;
         let me = self.views.get(self.own).map_or(0, |v| v.number);
         let mate = place == self.own;
-        let about_us = word.others.iter().find(|t| t.site == me).copied();
+        let about_us = message.others.iter().find(|t| t.site == me).copied();
         // Words are checked whole before anything of them counts.
         let reach = |known: u64, number: u64| known > 1 && number > known.saturating_add(AHEAD);
-        for t in &word.others {
+        for t in &message.others {
             let view = self.views.iter().find(|v| v.number == t.site);
             let known = if t.site == me { Some(self.number) } else { view.map(|v| v.sign.0) };
             let greatest = t.sign.max(t.direct);
             if known.is_some_and(|known| reach(known, greatest)) || greatest > MOST {
-                return Err(HeardError::OutOfReach(greatest));
+                return Err(ReceiveError::OutOfReach(greatest));
             }
         }
         let known = if mate { self.number } else { self.views.get(place).map_or(0, |v| v.sign.0) };
-        if reach(known, word.number) || word.number > MOST {
-            return Err(HeardError::OutOfReach(word.number));
+        if reach(known, message.number) || message.number > MOST {
+            return Err(ReceiveError::OutOfReach(message.number));
         }
         // What it echoes of one's own site, and how long that was on the way there and back.
-        let echo = if mate { word.number } else { about_us.map_or(0, |t| t.direct) };
+        let echo = if mate { message.number } else { about_us.map_or(0, |t| t.direct) };
         if now < self.woke.0 && echo < self.woke.1 {
-            return Err(HeardError::Stale);
+            return Err(ReceiveError::Stale);
         }
         let trip = match about_us.filter(|t| !mate && t.direct > 0 && t.direct_age < OLDEST) {
             Some(t) => {
@@ -443,23 +445,23 @@
             None => 0,
         };
         if trip >= 2 * self.plan.alone {
-            return Err(HeardError::Stale);
+            return Err(ReceiveError::Stale);
         }
         let version = self.versions.entry(from).or_default();
-        if word.version >= version.0 {
-            *version = (word.version, word.digest);
+        if message.version >= version.0 {
+            *version = (message.version, message.digest);
         }
-        self.compare(from, word);
-        if let Some(load) = &word.load {
+        self.compare(from, message);
+        if let Some(load) = &message.load {
             self.loads.insert(from, (load.clone(), now));
         }
         if mate {
-            self.count(word.number, now);
+            self.count(message.number, now);
         }
         if let Some(t) = about_us {
             self.count(t.sign.max(t.direct), now);
         }
-        for t in word.others.iter().filter(|t| t.site != me) {
+        for t in message.others.iter().filter(|t| t.site != me) {
             let Some(view) = self.views.iter_mut().find(|v| v.number == t.site) else { continue };
             if t.sign > view.sign.0 {
                 view.sign = (t.sign, view.sign.1.max(from_age(t.sign_age, now)));
@@ -470,12 +472,12 @@
             }
         }
         if let Some(view) = self.views.get_mut(place).filter(|_| !mate) {
-            if word.number > view.sign.0 {
-                view.sign = (word.number, now);
+            if message.number > view.sign.0 {
+                view.sign = (message.number, now);
             }
             // One that lags behind its site says nothing of when its newest was heard.
-            if word.number > view.direct.0 {
-                view.direct = (word.number, now);
+            if message.number > view.direct.0 {
+                view.direct = (message.number, now);
             }
             view.arrived = now;
             if let Some(t) = about_us.filter(|t| t.direct > 0) {
@@ -487,11 +489,11 @@
     }
 
     /// Notice that another node goes by a newer file, or by another one of this version.
-    fn compare(&mut self, from: u32, word: &Word) {
-        let (version, own) = (word.version, self.plan.version);
-        let other = version > own || (version == own && word.digest != 0 && word.digest != self.digest);
+    fn compare(&mut self, from: u32, message: &Message) {
+        let (version, own) = (message.version, self.plan.version);
+        let other = version > own || (version == own && message.digest != 0 && message.digest != self.digest);
         // A bound: whoever has the key can name any version.
-        if !other || self.differed.len() >= REMEMBERED || !self.differed.insert((version, word.digest)) {
+        if !other || self.differed.len() >= REMEMBERED || !self.differed.insert((version, message.digest)) {
             return;
         }
         let node = self.plan.node(from).map_or(String::new(), |n| n.name.clone());
@@ -503,32 +505,32 @@
         std::mem::take(&mut self.differs)
     }
 
-    /// Time has passed: look at all sites anew, and speak where it is time to. Call it when [`Seeing::due`] says so, at the latest.
+    /// Time has passed: look at all sites anew, and speak where it is time to. Call it when [`SiteHealth::due`] says so, at the latest.
     pub fn pass(&mut self, now: Micros) {
         self.wake(now);
         self.look(now);
         let sites = self.plan.sites.len();
         if now >= self.next_own {
-            self.next_own = now + self.plan.alone / TELLS_OWN;
+            self.next_own = now + self.plan.alone / NOTIFY_OWN;
             self.mint(now);
             let nodes = self.plan.sites.get(self.own).map_or(0, |s| s.nodes.len());
             let first = self.luck.rand_range(0..nodes.max(1) as u32) as usize;
-            let mut told = 0;
+            let mut notified = 0;
             for k in 0..nodes {
                 let at = (first + k) % nodes;
                 let to = self.plan.sites.get(self.own).and_then(|s| s.nodes.get(at)).map(|n| n.number);
-                if let Some(to) = to.filter(|to| *to != self.me && told < OWN) {
-                    told += 1;
-                    self.say(to, now);
+                if let Some(to) = to.filter(|to| *to != self.me && notified < OWN) {
+                    notified += 1;
+                    self.send(to, now);
                 }
             }
             for place in (0..sites).filter(|_| nodes <= FEW) {
                 if self.is_quiet(place, now) {
-                    self.tell_site(place, now);
+                    self.notify_site(place, now);
                 }
             }
         }
-        let step = (self.plan.alone / TELLS / (sites.max(2) as Micros - 1)).max(1);
+        let step = (self.plan.alone / NOTIFY_INTERVAL / (sites.max(2) as Micros - 1)).max(1);
         // One that comes late says what is due now, and nothing twice.
         let mut most = sites.saturating_sub(1);
         if most == 0 {
@@ -543,17 +545,17 @@
             }
             let place = self.far % sites;
             self.far = place + 1;
-            self.tell_site(place, now);
+            self.notify_site(place, now);
         }
     }
 
     /// Say something to the next node of a site.
-    fn tell_site(&mut self, place: usize, now: Micros) {
+    fn notify_site(&mut self, place: usize, now: Micros) {
         let nodes = self.plan.sites.get(place).map(|s| s.nodes.as_slice()).unwrap_or_default();
         let Some(view) = self.views.get_mut(place) else { return };
         view.turn = (view.turn + 1) % nodes.len().max(1);
         if let Some(to) = nodes.get(view.turn).map(|n| n.number) {
-            self.say(to, now);
+            self.send(to, now);
         }
     }
 
@@ -561,20 +563,20 @@
     fn is_quiet(&self, place: usize, now: Micros) -> bool {
         let there = |v: &&View| place != self.own && !matches!(v.seen, Seen::Alone | Seen::Lost);
         let view = self.views.get(place).filter(there);
-        view.is_some_and(|v| self.quiet(v.heard().min(v.back), now) >= self.plan.alone / QUIET)
+        view.is_some_and(|v| self.quiet(v.received().min(v.back), now) >= self.plan.alone / QUIET)
     }
 
     /// Count up, unless somebody of this site has just done so.
     fn mint(&mut self, now: Micros) {
         let last = self.numbers.back().map_or(NEVER, |(_, at)| *at);
-        if now - last >= self.plan.alone / TELLS_OWN * 4 / 5 {
+        if now - last >= self.plan.alone / NOTIFY_OWN * 4 / 5 {
             self.count(self.number + 1, now);
         }
     }
 
-    fn say(&mut self, to: u32, now: Micros) {
+    fn send(&mut self, to: u32, now: Micros) {
         let own = self.views.get(self.own).map_or(0, |v| v.number);
-        let others = self.views.iter().filter(|v| v.number != own).map(|v| Told {
+        let others = self.views.iter().filter(|v| v.number != own).map(|v| SiteReport {
             site: v.number,
             sign: v.sign.0,
             sign_age: age(v.sign.1, now),
@@ -584,12 +586,12 @@
         });
         let (others, load) = (others.collect(), self.loads.get(&self.me).map(|(l, _)| l.clone()));
         let (number, version, digest) = (self.number, self.plan.version, self.digest);
-        let word = Word { site: own, number, version, digest, others, load };
-        self.out.push((to, word));
+        let message = Message { site: own, number, version, digest, others, load };
+        self.out.push((to, message));
     }
 
     /// What this node says of its site's load from now on.
-    pub fn tell(&mut self, mut load: Load) {
+    pub fn report(&mut self, mut load: Load) {
         load.demand.truncate(CLASSES);
         self.loads.insert(self.me, (load, self.last));
     }
@@ -598,29 +600,29 @@
     /// as the others, on average. `None` where nothing was said.
     pub fn load(&self, site: &str) -> Option<Load> {
         let nodes = &self.plan.site(site)?.nodes;
-        let said: Vec<&(Load, Micros)> = nodes.iter().filter_map(|n| self.loads.get(&n.number)).collect();
-        let count = u64::try_from(said.len()).ok().filter(|c| *c > 0)?;
+        let sent: Vec<&(Load, Micros)> = nodes.iter().filter_map(|n| self.loads.get(&n.number)).collect();
+        let count = u64::try_from(sent.len()).ok().filter(|c| *c > 0)?;
         // A node that is gone for good would hold its site's return up by what it last said.
-        let late = said.iter().map(|(_, at)| *at).max().unwrap_or(0) - 2 * self.plan.alone;
+        let late = sent.iter().map(|(_, at)| *at).max().unwrap_or(0) - 2 * self.plan.alone;
         let mut demand: BTreeMap<u32, u128> = BTreeMap::new();
-        for (class, units) in said.iter().flat_map(|(l, _)| &l.demand) {
+        for (class, units) in sent.iter().flat_map(|(l, _)| &l.demand) {
             *demand.entry(*class).or_default() += u128::from(*units);
         }
         let whole =
             |sum: u128| u64::try_from(sum * nodes.len() as u128 / u128::from(count)).unwrap_or(u64::MAX);
         Some(Load {
-            part: said.iter().filter(|(_, at)| *at >= late).map(|(l, _)| l.part).min().unwrap_or(100),
-            bears: (said.iter().map(|(l, _)| u128::from(l.bears)).sum::<u128>() / u128::from(count)) as u64,
+            part: sent.iter().filter(|(_, at)| *at >= late).map(|(l, _)| l.part).min().unwrap_or(100),
+            bears: (sent.iter().map(|(l, _)| u128::from(l.bears)).sum::<u128>() / u128::from(count)) as u64,
             demand: demand.into_iter().map(|(class, sum)| (class, whole(sum))).collect(),
         })
     }
 
     /// What is to be said to which node, since this was last asked.
-    pub fn says(&mut self) -> Vec<(u32, Word)> {
+    pub fn take_outgoing(&mut self) -> Vec<(u32, Message)> {
         std::mem::take(&mut self.out)
     }
 
-    /// When [`Seeing::pass`] has something to do next.
+    /// When [`SiteHealth::pass`] has something to do next.
     pub fn due(&self, now: Micros) -> Micros {
         self.next_own.min(self.next_far).max(now)
     }
@@ -641,7 +643,7 @@
         }
         for place in 0..self.views.len() {
             let good = self.views.get(place).is_some_and(|v| self.link(v, now).is_none());
-            let lives = self.views.get(place).is_some_and(|v| self.quiet(v.signed(), now) < self.doubt());
+            let lives = self.views.get(place).is_some_and(|v| self.quiet(v.signed(), now) < self.suspect());
             if let Some(view) = self.views.get_mut(place) {
                 view.good = if good { view.good.or(Some(now)) } else { None };
                 view.lives = if lives { view.lives.or(Some(now)) } else { None };
@@ -660,11 +662,11 @@
 
     /// What is wrong with the link to a site, if anything is.
     fn link(&self, v: &View, now: Micros) -> Option<Why> {
-        let (direct, back) = (self.quiet(v.heard(), now), self.quiet(v.back, now));
-        if v.trip.0 >= self.doubt() && now - v.trip.1 < self.doubt() {
+        let (direct, back) = (self.quiet(v.received(), now), self.quiet(v.back, now));
+        if v.trip.0 >= self.suspect() && now - v.trip.1 < self.suspect() {
             return Some(Why::Slow(v.trip.0));
         }
-        if direct >= self.doubt() {
+        if direct >= self.suspect() {
             return Some(Why::Quiet(direct));
         }
         // What the other side hears comes by two words, each of which may be lost: it may be older.
@@ -677,9 +679,9 @@
         }
         let alone = self.plan.alone;
         let sign = self.quiet(v.signed(), now);
-        let heard = now - v.trip.1 < self.doubt();
+        let received = now - v.trip.1 < self.suspect();
         let wrong = self.link(v, now);
-        let slow = heard && matches!(wrong, Some(Why::Slow(_)));
+        let slow = received && matches!(wrong, Some(Why::Slow(_)));
         let good = v.good.map_or(0, |at| now - at);
         let worse = |to: Seen, why: Why| (v.seen != to).then_some((to, why));
         // Words that come late are words: such a site lives, and hears.
@@ -687,11 +689,11 @@
             return worse(Seen::Lost, Why::Silent(sign));
         }
         // What the other side hears comes by two words, each of which may be lost: it may be older.
-        let cut = self.quiet(v.heard(), now) >= alone || self.quiet(v.back, now) >= alone * 5 / 4;
+        let cut = self.quiet(v.received(), now) >= alone || self.quiet(v.back, now) >= alone * 5 / 4;
         // Somebody must have heard of it lately; else it is about to be taken for lost, and one change is enough. So it is for one
         // that was lost and is about to be reached.
         let lives = v.lives.map_or(0, |at| now - at);
-        if !slow && cut && sign < self.doubt() && (v.seen != Seen::Lost || lives >= self.plan.confirm) {
+        if !slow && cut && sign < self.suspect() && (v.seen != Seen::Lost || lives >= self.plan.confirm) {
             return worse(Seen::Alone, Why::Cut);
         }
         match (v.seen, wrong) {
@@ -708,7 +710,7 @@
         }
     }
 
-    /// A returning site has taken all of its load ([`Seeing::load`] says which part it takes), and histories are one.
+    /// A returning site has taken all of its load ([`SiteHealth::load`] says which part it takes), and histories are one.
     pub fn whole(&mut self, site: &str, now: Micros) {
         let place = self.plan.sites.iter().position(|s| s.name == site);
         let Some(view) = place.and_then(|p| self.views.get_mut(p)) else { return };
@@ -753,29 +755,31 @@
 
     /// The last moment at which a majority of the sites, this one counted, had been heard; none where that is longer ago than the file's
     /// time to confirm. What lay in a buffer while this process stood still does not count.
-    pub fn heard(&self, now: Micros) -> Option<Micros> {
+    pub fn received(&self, now: Micros) -> Option<Micros> {
         let confirm = self.plan.confirm;
         // Where there is one site there is nobody else to confirm anything.
         if self.plan.sites.len() == 1 {
             return Some(now);
         }
         let others = self.views.iter().enumerate().filter(|(p, v)| *p != self.own && v.trip.0 < confirm);
-        let mut heard: Vec<Micros> = others.map(|(_, v)| v.heard()).collect();
-        heard.sort_unstable_by(|a, b| b.cmp(a));
+        let mut received: Vec<Micros> = others.map(|(_, v)| v.received()).collect();
+        received.sort_unstable_by(|a, b| b.cmp(a));
         // A majority without this one.
-        let last = heard.get((self.plan.sites.len() / 2).checked_sub(1)?);
+        let last = received.get((self.plan.sites.len() / 2).checked_sub(1)?);
         last.copied().filter(|at| now - at < confirm)
     }
 
     /// Whether that is within the file's time to confirm.
     pub fn confirmed(&self, now: Micros) -> bool {
-        self.heard(now).is_some()
+        self.received(now).is_some()
     }
 
     /// Whether every other node of the file has said that it goes by this one: a node with a newer one may take others for homes. Sites that
     /// an operator declares lost are not waited for. Each node is heard of in turn, so this takes a while in a fleet of many.
     pub fn all_go_by(&self) -> bool {
-        let same = |told: &(u64, u32)| told.0 == self.plan.version && (told.1 == 0 || told.1 == self.digest);
+        let same = |notified: &(u64, u32)| {
+            notified.0 == self.plan.version && (notified.1 == 0 || notified.1 == self.digest)
+        };
         let goes = |node: u32| node == self.me || self.versions.get(&node).is_some_and(same);
         let mut waited = self.plan.nodes().filter(|(s, _)| self.plan.declared_lost(&s.name).is_none());
         waited.all(|(_, n)| goes(n.number))
--- a/crates/sites/src/homes.rs
+++ b/crates/sites/src/key_ownership.rs
@@ -6,16 +6,16 @@
 //! or believes; what is seen of sites only says who asks. A grant's epoch and number are the fence.
 //!
 //! A file with other nodes moves keys from range to range. A key that it moves is placed nowhere until all nodes go by that file
-//! ([`crate::seeing::Seeing::all_go_by`]); all others go on. A node is taken out of the file only when it has been stopped for longer than a
+//! ([`crate::health::SiteHealth::all_go_by`]); all others go on. A node is taken out of the file only when it has been stopped for longer than a
 //! lease and its longest job, and a node never goes back to an older file.
 //!
 //! A range that somebody else may have held in between is *adopted*, also by its own node: its keys may have been placed by
 //! others, and are placed here only where the history proves that they were not.
 
-use crate::file::Plan;
+use crate::config::Plan;
 use crate::{Micros, Seen};
-use shorepath_budgets::file::Bounds;
-use shorepath_budgets::{Grant, NodeId, Term};
+use shorepath_quota::config::Bounds;
+use shorepath_quota::{Grant, LeasePeriod, NodeId};
 use siphasher::sip::SipHasher13;
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hasher;
@@ -98,7 +98,7 @@
 
 impl Fence {
     /// As it stands with a placement: the epoch above, the lower half of the number below.
-    pub fn word(self) -> u64 {
+    pub fn message(self) -> u64 {
         u64::from(self.epoch) << 32 | self.number & u64::from(u32::MAX)
     }
 }
@@ -165,7 +165,7 @@
 
 /// One node's leases of ranges.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Homes {
+pub struct KeyOwnership {
     me: u32,
     ranges: Vec<Range>,
     classes: BTreeSet<String>,
@@ -184,12 +184,12 @@
 pub fn unmatched<'a>(plan: &Plan, budgets: impl Iterator<Item = &'a str>) -> (Vec<String>, Vec<String>) {
     let named = |b: &&str| matches!(Bounds::of(b), Some(Bounds::Home(_)));
     let given: BTreeSet<String> = budgets.filter(named).map(str::to_string).collect();
-    let homes: BTreeSet<String> = plan.nodes().map(|(s, n)| budget(&s.name, &n.name)).collect();
+    let ownership: BTreeSet<String> = plan.nodes().map(|(s, n)| budget(&s.name, &n.name)).collect();
     if given.is_empty() {
         return (Vec::new(), Vec::new());
     }
     let less = |a: &BTreeSet<String>, b: &BTreeSet<String>| a.difference(b).cloned().collect();
-    (less(&homes, &given), less(&given, &homes))
+    (less(&ownership, &given), less(&given, &ownership))
 }
 
 /// The heirs of a node's range after itself: the next nodes of its site, then those of the next sites, by the file's order. Ranges of one
@@ -237,17 +237,17 @@
     SipHasher13::new_with_keys(key, u64::from(node)).finish()
 }
 
-impl Homes {
-    /// A node's, by its number in the file. `kept` is what [`Homes::kept`] gave, from its disk; nothing for a disk that is empty, older than
+impl KeyOwnership {
+    /// A node's, by its number in the file. `kept` is what [`KeyOwnership::kept`] gave, from its disk; nothing for a disk that is empty, older than
     /// its last life, or another's.
-    pub fn new(me: u32, plan: &Plan, kept: &Kept) -> Homes {
+    pub fn new(me: u32, plan: &Plan, kept: &Kept) -> KeyOwnership {
         let ranges = ranges(plan, &kept.fences);
         let nodes: BTreeSet<u32> = ranges.iter().map(|r| r.number).collect();
         let between = !kept.by.is_empty() && kept.by != nodes;
-        // As with a file that comes while a node runs, see [`Homes::replan`].
+        // As with a file that comes while a node runs, see [`KeyOwnership::replan`].
         let before = if between && kept.nodes != kept.by { BTreeSet::new() } else { kept.nodes.clone() };
         let settled = before == nodes;
-        Homes { me, ranges, classes: plan.home.clone(), before, settled }
+        KeyOwnership { me, ranges, classes: plan.home.clone(), before, settled }
     }
 
     fn nodes(&self) -> BTreeSet<u32> {
@@ -272,7 +272,7 @@
         }
     }
 
-    /// All nodes go by this file now, see [`crate::seeing::Seeing::all_go_by`].
+    /// All nodes go by this file now, see [`crate::health::SiteHealth::all_go_by`].
     pub fn settled(&mut self) {
         (self.settled, self.before) = (true, self.nodes());
     }
@@ -322,11 +322,18 @@
 
     /// The unit of a range was granted to this life, by an asking at that time on its own clock: the lease counts from there. Whether it
     /// is gone by from now on.
-    pub fn granted(&mut self, budget: &str, grant: &Grant, asked: Micros, term: Term, now: Micros) -> bool {
+    pub fn granted(
+        &mut self,
+        budget: &str,
+        grant: &Grant,
+        asked: Micros,
+        term: LeasePeriod,
+        now: Micros,
+    ) -> bool {
         let Some(Bounds::Home(home)) = Bounds::of(budget) else { return false };
         let Some(range) = self.ranges.iter_mut().find(|r| r.home == home) else { return false };
         let fence = Fence { epoch: grant.epoch, number: grant.number };
-        let until = asked + Term { length: grant.length, ..term }.of_holder();
+        let until = asked + LeasePeriod { length: grant.length, ..term }.for_holder();
         if grant.life.node != NodeId(self.me) {
             return false;
         }
--- a/crates/sites/src/lib.rs
+++ b/crates/sites/src/lib.rs
@@ -3,24 +3,24 @@
 //! A site is a named group of nodes, dividers and backend servers with a disk that lasts.
 //!
 //! - [`mod@file`]: what the operators want;
-//! - [`seeing`]: sites as one node sees them;
-//! - [`share`]: where the load of a site goes that can't take it, and what is refused first;
-//! - [`homecoming`]: the return of a site's load, in steps;
-//! - [`homes`]: which node may place a key that must not repeat;
-//! - [`used`]: which files may hold, after those that did.
+//! - [`health`]: sites as one node sees them;
+//! - [`load_allocation`]: where the load of a site goes that can't take it, and what is refused first;
+//! - [`recovery_ramp`]: the return of a site's load, in steps;
+//! - [`key_ownership`]: which node may place a key that must not repeat;
+//! - [`config_history`]: which files may hold, after those that did.
 
 use serde::{Deserialize, Serialize};
 
-pub mod file;
-pub mod homecoming;
-pub mod homes;
-pub mod lending;
-pub mod partners;
-pub mod proof;
-pub mod recover;
-pub mod seeing;
-pub mod share;
-pub mod used;
+pub mod catch_up;
+pub mod config;
+pub mod config_history;
+pub mod health;
+pub mod key_ownership;
+pub mod load_allocation;
+pub mod load_shifting;
+pub mod peer_selection;
+pub mod recovery_config;
+pub mod recovery_ramp;
 
 /// A point in time on one's own steady clock, or a length of time, in microseconds.
 pub type Micros = i64;
--- a/crates/sites/src/share.rs
+++ b/crates/sites/src/load_allocation.rs
@@ -6,7 +6,7 @@
 //! `(least ...)` keeps a class there from being starved by one that is worth more. Own load and guests together are
 //! never more than the site bears.
 
-use crate::file::Plan;
+use crate::config::Plan;
 use crate::Seen;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
 
 /// What is known of one site.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Standing {
+pub struct SiteLoad {
     /// How it is seen; one's own is linked.
     pub seen: Seen,
     /// What its servers bear now, in units of work a second.
@@ -146,35 +146,35 @@
 /// Split a whole by weights, exactly, in their order.
 fn split(whole: u64, weights: &[u64]) -> Vec<u64> {
     let sum: u128 = weights.iter().map(|w| u128::from(*w)).sum();
-    let (mut before, mut told) = (0u128, 0u128);
+    let (mut before, mut notified) = (0u128, 0u128);
     let mut parts = Vec::with_capacity(weights.len());
     for weight in weights {
         before += u128::from(*weight);
         let upto = (u128::from(whole) * before).checked_div(sum).unwrap_or(0);
-        parts.push((upto - told) as u64);
-        told = upto;
+        parts.push((upto - notified) as u64);
+        notified = upto;
     }
     parts
 }
 
 /// Give what is wanted to places with so much room each, in proportion to the room: none gets more than it has.
-fn place(wanted: u64, rooms: &[u64]) -> Vec<u64> {
-    let all = rooms.iter().fold(0u64, |sum, r| sum.saturating_add(*r));
-    split(wanted.min(all), rooms)
+fn place(wanted: u64, capacities: &[u64]) -> Vec<u64> {
+    let all = capacities.iter().fold(0u64, |sum, r| sum.saturating_add(*r));
+    split(wanted.min(all), capacities)
 }
 
 /// The plan. `worth` is what a class is worth for its work, in thousandths, as the operators' configuration has it; a class that it
 /// does not name is worth nothing. Sites that `now` does not name take no part.
-pub fn plan(file: &Plan, now: &BTreeMap<String, Standing>, worth: &BTreeMap<String, u64>) -> Share {
+pub fn plan(file: &Plan, now: &BTreeMap<String, SiteLoad>, worth: &BTreeMap<String, u64>) -> Share {
     // Sums of what is said stay whole, whatever is said.
-    let bounded = |s: &Standing| Standing {
+    let bounded = |s: &SiteLoad| SiteLoad {
         bears: s.bears.min(MOST),
         demand: s.demand.iter().map(|(c, d)| (c.clone(), (*d).min(MOST))).collect(),
         ..s.clone()
     };
-    let now: BTreeMap<&str, Standing> = now.iter().map(|(name, s)| (name.as_str(), bounded(s))).collect();
+    let now: BTreeMap<&str, SiteLoad> = now.iter().map(|(name, s)| (name.as_str(), bounded(s))).collect();
     let standing = |name: &str| now.get(name);
-    let hosts: Vec<(&str, &Standing)> =
+    let hosts: Vec<(&str, &SiteLoad)> =
         file.sites.iter().filter_map(|s| Some((s.name.as_str(), standing(&s.name)?))).collect();
     // Lost sites come first: the clients of one that is only cut off have their own site as well.
     let mut needs: [Vec<(&str, BTreeMap<String, u64>)>; 2] = Default::default();
@@ -197,7 +197,7 @@
         *sum = sum.saturating_add(*units);
     }
     wanted.retain(|_, units| *units > 0);
-    let hosts: Vec<(&str, &Standing)> = hosts
+    let hosts: Vec<(&str, &SiteLoad)> = hosts
         .into_iter()
         .filter(|(_, s)| matches!(s.seen, Seen::Linked | Seen::Doubtful | Seen::WholeAgain) && s.bears > 0)
         .collect();
@@ -207,9 +207,9 @@
     let mut rates: Vec<BTreeMap<String, u64>> = vec![BTreeMap::new(); hosts.len()];
     let mut open = wanted.clone();
     for (class, units) in open.iter_mut() {
-        let rooms: Vec<u64> =
+        let capacities: Vec<u64> =
             hosts.iter().map(|(name, s)| hundredths(s.bears, u64::from(lends(name, class)))).collect();
-        for (rate, part) in rates.iter_mut().zip(place(*units, &rooms)) {
+        for (rate, part) in rates.iter_mut().zip(place(*units, &capacities)) {
             rate.insert(class.clone(), part);
             *units -= part;
         }
@@ -225,15 +225,15 @@
         .collect();
     for (k, (name, _)) in hosts.iter().enumerate() {
         let ask = |class: &String| {
-            let room = |((host, _), spare): (&(&str, &Standing), &u64)| {
+            let capacity = |((host, _), spare): (&(&str, &SiteLoad), &u64)| {
                 if lends(host, class) > 0 {
                     *spare
                 } else {
                     0
                 }
             };
-            let rooms: Vec<u64> = hosts.iter().zip(&spares).skip(k).map(room).collect();
-            place(open.get(class).copied().unwrap_or(0), &rooms).first().copied().unwrap_or(0)
+            let capacities: Vec<u64> = hosts.iter().zip(&spares).skip(k).map(capacity).collect();
+            place(open.get(class).copied().unwrap_or(0), &capacities).first().copied().unwrap_or(0)
         };
         let asked = wanted.keys().filter(|c| lends(name, c) > 0).map(|c| (c.clone(), ask(c))).collect();
         for (class, part) in spread(spares.get(k).copied().unwrap_or(0), &asked, file, worth) {
@@ -255,9 +255,9 @@
             let mut guests = Guests { rate: units, ..Guests::default() };
             guests.part = (u128::from(units) * 100 / u128::from(s.bears.max(1))) as u8;
             for tier in &mut left {
-                let rooms: Vec<u64> =
+                let capacities: Vec<u64> =
                     tier.iter().map(|(_, need)| need.get(&class).copied().unwrap_or(0)).collect();
-                for ((guest, need), part) in tier.iter_mut().zip(place(units, &rooms)) {
+                for ((guest, need), part) in tier.iter_mut().zip(place(units, &capacities)) {
                     if let Some(open) = need.get_mut(&class).filter(|_| part > 0) {
                         *open -= part;
                         units -= part;
--- a/crates/sites/src/lending.rs
+++ b/crates/sites/src/load_shifting.rs
@@ -1,16 +1,16 @@
 //! What one node lends clients of other sites, and what it takes of its own site's load while that comes back.
 //!
 //! A unit of work is a request here: a site that bears 400 serves as many a second. What a site lends in any case its guests have also
-//! while no site is lost; what [`crate::share::plan`] adds of its spare capacity they have only where a lost site's load needs it. Both are
+//! while no site is lost; what [`crate::load_allocation::plan`] adds of its spare capacity they have only where a lost site's load needs it. Both are
 //! divided evenly among the site's nodes, by the file: a node that is down leaves its part unused, and nodes that don't hear each other
 //! lend no more than the whole together.
 
-use crate::file::Plan;
-use crate::homecoming::{Homecoming, Moved, Steps};
-use crate::seeing::{class_number, Load, Seeing, Word};
-use crate::share::{self, Standing};
+use crate::config::Plan;
+use crate::health::{class_number, Load, Message, SiteHealth};
+use crate::load_allocation::{self, SiteLoad};
+use crate::recovery_ramp::{Moved, RecoveryRamp, Steps};
 use crate::{Micros, Seen};
-use shorepath_recovery::ramp::{self, Pace, Warming};
+use shorepath_recovery::slow_start::{self, Pace, Warming};
 use std::collections::{BTreeMap, VecDeque};
 
 /// What is asked for is counted over this long.
@@ -82,7 +82,7 @@
 
 /// One node's part in it.
 #[derive(Clone, Debug)]
-pub struct Lending {
+pub struct LoadShifting {
     pace: Pace,
     begun: Micros,
     /// Requests of the own site's clients so far, by the number of the class, and what that was some time ago.
@@ -97,15 +97,15 @@
     /// When other nodes last told of their load, and which part of it their site takes.
     parts: BTreeMap<u32, (Micros, u8)>,
     /// The own site's way back, and since when.
-    home: Option<(Homecoming, Micros)>,
+    home: Option<(RecoveryRamp, Micros)>,
     was_alone: bool,
     limits: Limits,
 }
 
-impl Lending {
+impl LoadShifting {
     /// One of a node that begins now, whose backend servers warm up like that.
-    pub fn new(pace: Pace, now: Micros) -> Lending {
-        Lending {
+    pub fn new(pace: Pace, now: Micros) -> LoadShifting {
+        LoadShifting {
             pace,
             begun: now,
             asked: Vec::new(),
@@ -128,22 +128,22 @@
         self.asked.get_mut(class).into_iter().for_each(|n| *n += 1);
     }
 
-    /// Another node has said something that [`Seeing`] has taken. A node that has just begun learns by it that its site was lost: the
+    /// Another node has said something that [`SiteHealth`] has taken. A node that has just begun learns by it that its site was lost: the
     /// newest sign of its life that others know is old, or a node of its own site is on the way back. Whether the way back begins now.
-    pub fn heard(&mut self, seeing: &Seeing, from: u32, word: &Word, now: Micros) -> bool {
-        let plan = seeing.plan();
-        if let Some(load) = &word.load {
+    pub fn received(&mut self, site_health: &SiteHealth, from: u32, message: &Message, now: Micros) -> bool {
+        let plan = site_health.plan();
+        if let Some(load) = &message.load {
             self.parts.insert(from, (now, load.part));
         }
-        let Some(own) = plan.site(seeing.site()).map(|s| s.number) else { return false };
+        let Some(own) = plan.site(site_health.site()).map(|s| s.number) else { return false };
         if self.home.is_some() || now - self.begun > 4 * plan.alone {
             return false;
         }
-        let old = word.others.iter().find(|t| t.site == own && t.sign > 0);
+        let old = message.others.iter().find(|t| t.site == own && t.sign > 0);
         let was_lost = old.is_some_and(|t| Micros::from(t.sign_age) * 1_000 >= plan.alone);
-        let mate_returns = word.site == own && word.load.as_ref().is_some_and(|l| l.part < 100);
+        let mate_returns = message.site == own && message.load.as_ref().is_some_and(|l| l.part < 100);
         if was_lost || mate_returns {
-            self.home = Some((Homecoming::new(Steps::usual(self.pace), now), now));
+            self.home = Some((RecoveryRamp::new(Steps::usual(self.pace), now), now));
         }
         was_lost || mate_returns
     }
@@ -152,7 +152,7 @@
     pub fn cold(&mut self, now: Micros) -> bool {
         let begins = self.home.as_ref().is_none_or(|(home, _)| home.is_whole());
         if begins {
-            self.home = Some((Homecoming::new(Steps::usual(self.pace), now), now));
+            self.home = Some((RecoveryRamp::new(Steps::usual(self.pace), now), now));
         }
         begins
     }
@@ -160,7 +160,7 @@
     /// What the own servers do now of what they do warm. They are taken to have come back with the site.
     fn warm(&self, now: Micros) -> f64 {
         let Some((_, since)) = &self.home else { return 1.0 };
-        ramp::part(&[Warming { started: (*since).max(1), size: 1.0 }], self.pace, now.max(1))
+        slow_start::part(&[Warming { started: (*since).max(1), size: 1.0 }], self.pace, now.max(1))
     }
 
     /// The part of the own site's load that is taken here, in hundredths.
@@ -199,14 +199,14 @@
     /// site's load; whoever took all of its load is whole again. What became of the own site's way back, if anything.
     pub fn pass(
         &mut self,
-        seeing: &mut Seeing,
+        site_health: &mut SiteHealth,
         classes: &[Class],
         (served, failed): (u64, u64),
         has_servers: bool,
         now: Micros,
     ) -> Vec<Moved> {
         let mut moved = Vec::new();
-        let (warm, alone) = (self.warm(now), seeing.am_alone());
+        let (warm, alone) = (self.warm(now), site_health.am_alone());
         if let Some((home, _)) = &mut self.home {
             home.outcomes(served, failed);
             if alone && !self.was_alone && !home.is_whole() {
@@ -215,54 +215,56 @@
             moved.extend(home.pass(now, warm));
         }
         self.was_alone = alone;
-        let own = seeing.site().to_string();
-        let Some(bears) = seeing.plan().site(&own).map(|s| s.bears) else { return moved };
+        let own = site_health.site().to_string();
+        let Some(bears) = site_health.plan().site(&own).map(|s| s.bears) else { return moved };
         let bears = if has_servers { (bears as f64 * warm) as u64 } else { 0 };
         let demand = self.demand(now);
         let mut named: Vec<(u32, u64)> =
             classes.iter().zip(demand).map(|(c, rate)| (class_number(&c.name), rate)).collect();
         named.retain(|(_, rate)| *rate > 0);
         named.sort_by_key(|(_, rate)| std::cmp::Reverse(*rate));
-        seeing.tell(Load { part: self.part(now), bears, demand: named });
-        self.take_note(seeing, now);
-        self.limits = self.limit(seeing, classes, &own, now);
+        site_health.report(Load { part: self.part(now), bears, demand: named });
+        self.take_note(site_health, now);
+        self.limits = self.limit(site_health, classes, &own, now);
         moved
     }
 
     /// Remember what lost sites were asked for, and see who is whole again.
-    fn take_note(&mut self, seeing: &mut Seeing, now: Micros) {
+    fn take_note(&mut self, site_health: &mut SiteHealth, now: Micros) {
         let gone = now - std::mem::replace(&mut self.noted, now);
-        for (site, seen, since) in seeing.states() {
-            let told: BTreeMap<u32, u64> =
-                seeing.load(&site).map(|l| l.demand.into_iter().collect()).unwrap_or_default();
+        for (site, seen, since) in site_health.states() {
+            let notified: BTreeMap<u32, u64> =
+                site_health.load(&site).map(|l| l.demand.into_iter().collect()).unwrap_or_default();
             let known = self.known.entry(site.clone()).or_default();
             match seen {
                 Seen::Linked | Seen::Doubtful | Seen::WholeAgain => {
-                    for (class, rate) in &told {
+                    for (class, rate) in &notified {
                         known
                             .entry(*class)
                             .or_insert(Asked { last: 0, mean: rate.saturating_mul(1_000_000) });
                     }
                     for (class, asked) in known.iter_mut() {
-                        asked.note(told.get(class).copied().unwrap_or(0), gone);
+                        asked.note(notified.get(class).copied().unwrap_or(0), gone);
                     }
                     // Nothing is kept of a class that nobody asks for.
                     known.retain(|_, asked| asked.last > 0 || asked.mean > 10_000);
                 }
                 // Its clients are elsewhere, so little is asked of it.
-                Seen::Lost | Seen::Alone | Seen::Returning => told.into_iter().for_each(|(class, rate)| {
-                    let before = known.entry(class).or_default();
-                    before.last = rate.max(before.last);
-                }),
+                Seen::Lost | Seen::Alone | Seen::Returning => {
+                    notified.into_iter().for_each(|(class, rate)| {
+                        let before = known.entry(class).or_default();
+                        before.last = rate.max(before.last);
+                    })
+                }
             }
-            if seen != Seen::Returning || now - since < seeing.plan().confirm {
+            if seen != Seen::Returning || now - since < site_health.plan().confirm {
                 continue;
             }
-            let nodes = seeing.plan().site(&site).map(|s| s.nodes.as_slice()).unwrap_or_default();
-            let mut told = nodes.iter().filter_map(|n| self.parts.get(&n.number)).filter(|p| p.0 > since);
-            let first = told.next();
-            if first.is_some_and(|p| p.1 == 100) && told.all(|p| p.1 == 100) {
-                seeing.whole(&site, now);
+            let nodes = site_health.plan().site(&site).map(|s| s.nodes.as_slice()).unwrap_or_default();
+            let mut notified = nodes.iter().filter_map(|n| self.parts.get(&n.number)).filter(|p| p.0 > since);
+            let first = notified.next();
+            if first.is_some_and(|p| p.1 == 100) && notified.all(|p| p.1 == 100) {
+                site_health.whole(&site, now);
             }
         }
     }
@@ -283,9 +285,9 @@
         Micros::try_from(time).unwrap_or(KEPT.1).clamp(KEPT.0, KEPT.1)
     }
 
-    fn limit(&self, seeing: &Seeing, classes: &[Class], own: &str, now: Micros) -> Limits {
-        let plan = seeing.plan();
-        let (part, me) = (self.part(now), seeing.me());
+    fn limit(&self, site_health: &SiteHealth, classes: &[Class], own: &str, now: Micros) -> Limits {
+        let plan = site_health.plan();
+        let (part, me) = (self.part(now), site_health.me());
         let returns = self.home.as_ref().is_some_and(|(home, _)| !home.is_whole());
         let bears = plan.site(own).map_or(0, |s| s.bears);
         let home = returns.then(|| Self::share_of(plan, own, me, bears * u64::from(part) / 100).max(1));
@@ -295,15 +297,15 @@
         }
         let name_of = |number: u32| classes.iter().find(|c| class_number(&c.name) == number);
         let mut now_of = BTreeMap::new();
-        for (site, seen, _) in seeing.states() {
-            let load = seeing.load(&site);
+        for (site, seen, _) in site_health.states() {
+            let load = site_health.load(&site);
             let usual = plan.site(&site).map_or(0, |s| s.bears);
             let known = self.known.get(&site).into_iter().flatten();
             // Whoever takes its own load is asked for what it says; a lost one for what is usual.
             let here = matches!(seen, Seen::Linked | Seen::Doubtful | Seen::WholeAgain);
             let rate = |a: &Asked| if here { a.last } else { a.usual() };
             let demand = known.filter_map(|(class, a)| Some((name_of(*class)?.name.clone(), rate(a))));
-            let standing = Standing {
+            let standing = SiteLoad {
                 seen: if site != own {
                     seen
                 } else if returns {
@@ -318,7 +320,7 @@
             now_of.insert(site, standing);
         }
         let worth = classes.iter().map(|c| (c.name.clone(), c.worth)).collect();
-        let share = share::plan(plan, &now_of, &worth);
+        let share = load_allocation::plan(plan, &now_of, &worth);
         let (bears, asked) = now_of
             .get(own)
             .map_or((0, 0), |s| (s.bears, s.demand.values().fold(0u64, |a, b| a.saturating_add(*b))));
@@ -326,16 +328,16 @@
         let planned = hosting.map_or(0, |h| h.rate());
         let spare = bears.saturating_sub(asked).saturating_sub(planned);
         let guests = classes.iter().enumerate().map(|(k, class)| {
-            let lent = plan.lends.get(own).and_then(|l| l.get(&class.name)).copied().unwrap_or(0);
-            let lent = if returns { 0 } else { bears * u64::from(lent) / 100 };
+            let shifted = plan.lends.get(own).and_then(|l| l.get(&class.name)).copied().unwrap_or(0);
+            let shifted = if returns { 0 } else { bears * u64::from(shifted) / 100 };
             let wanted = share.rate(own, &class.name);
             // Of what is spare beyond all that is wanted, by what the class has of that.
             let more = (u128::from(spare) * u128::from(wanted) / u128::from(planned.max(1))) as u64;
-            let rate = Self::share_of(plan, own, me, lent.max(wanted + more.min(wanted / HEADROOM)));
+            let rate = Self::share_of(plan, own, me, shifted.max(wanted + more.min(wanted / HEADROOM)));
             let before = self.limits.guests.as_ref().and_then(|g| g.get(k)).copied().unwrap_or(0);
             // Less holds at once; a little more does not, but what is lent in any case always does.
-            let lent = Self::share_of(plan, own, me, lent);
-            if rate > before && before >= lent && rate - before <= before / LITTLE {
+            let shifted = Self::share_of(plan, own, me, shifted);
+            if rate > before && before >= shifted && rate - before <= before / LITTLE {
                 before
             } else {
                 rate
@@ -359,16 +361,17 @@
 
     /// With what chance a guest that was served is told that its own site takes it again. It follows the room that there is, so
     /// that guests go home no faster than their site takes them, and none is sent to one that is full.
-    pub fn may_go_home(&self, seeing: &Seeing, site: &str) -> f64 {
-        let back = matches!(seeing.state(site), Some(Seen::Linked | Seen::Returning | Seen::WholeAgain));
-        let (Some(usual), Some(load), true) = (seeing.plan().site(site), seeing.load(site), back) else {
+    pub fn may_go_home(&self, site_health: &SiteHealth, site: &str) -> f64 {
+        let back = matches!(site_health.state(site), Some(Seen::Linked | Seen::Returning | Seen::WholeAgain));
+        let (Some(usual), Some(load), true) = (site_health.plan().site(site), site_health.load(site), back)
+        else {
             return 0.0;
         };
         let has = load.demand.iter().fold(0u64, |sum, (_, rate)| sum.saturating_add(*rate));
-        let room = (usual.bears * u64::from(load.part) / 100).min(load.bears).saturating_sub(has);
+        let capacity = (usual.bears * u64::from(load.part) / 100).min(load.bears).saturating_sub(has);
         let known = self.known.get(site).into_iter().flatten().map(|(_, asked)| asked.usual());
         let wanted = known.fold(0u64, u64::saturating_add).saturating_mul(ROUNDS).max(ROUNDS);
-        (room as f64 / wanted as f64).clamp(0.0, 1.0)
+        (capacity as f64 / wanted as f64).clamp(0.0, 1.0)
     }
 
     /// The own site's way back, for operators: the part that it takes, in hundredths; `None` where it is not on the way.
--- a/crates/sites/src/partners.rs
+++ b/crates/sites/src/peer_selection.rs
@@ -1,6 +1,6 @@
 //! With whom a node exchanges histories, so that words a node stay flat in the number of nodes and no loss of a few parts the fleet.
 
-use crate::file::Plan;
+use crate::config::Plan;
 use std::collections::{BTreeSet, VecDeque};
 
 /// Nodes of another site with which each node exchanges.
@@ -9,7 +9,7 @@
 const BESIDE: usize = 2;
 
 /// The nodes with which that one exchanges histories, by their numbers; who is a partner of another has that one for a partner, too.
-pub fn partners(plan: &Plan, me: u32) -> Vec<u32> {
+pub fn selected_peers(plan: &Plan, me: u32) -> Vec<u32> {
     let places = places(plan);
     let Some(own) = plan.index_of(me) else { return Vec::new() };
     let nodes = plan.nodes().map(|(_, n)| n.number).enumerate();
@@ -36,8 +36,8 @@
                 }
             }
         }
-        for (partner, spare) in own.iter().zip(&mut spares) {
-            if from.get(*partner) != Some(&Some(me)) {
+        for (peer, spare) in own.iter().zip(&mut spares) {
+            if from.get(*peer) != Some(&Some(me)) {
                 spare.insert((site.name.clone(), node.name.clone()));
             }
         }
@@ -76,7 +76,7 @@
             (0..nodes).for_each(|n| text += &format!("(node n{s}x{n} \"127.0.{s}.{n}:1\")"));
             text += ")";
         }
-        crate::file::read("t", &(text + ")")).unwrap()
+        crate::config::read("t", &(text + ")")).unwrap()
     }
 
     /// What each node writes comes to each other one from one partner, and from the writer where that is one.
@@ -87,10 +87,10 @@
             let count = sites * nodes;
             let mut gets: BTreeMap<(u32, String), Vec<u32>> = BTreeMap::new();
             for (_, node) in plan.nodes() {
-                for (partner, spare) in routes(&plan, node.number) {
+                for (peer, spare) in routes(&plan, node.number) {
                     for (site, writer) in plan.nodes() {
                         if !spare.contains(&(site.name.clone(), writer.name.clone())) {
-                            gets.entry((partner, writer.name.clone())).or_default().push(node.number);
+                            gets.entry((peer, writer.name.clone())).or_default().push(node.number);
                         }
                     }
                 }
@@ -98,7 +98,9 @@
             assert_eq!(gets.len(), count * (count - 1));
             for ((to, writer), from) in gets {
                 let writer = plan.node_named(&writer).unwrap().number;
-                assert!(from.len() == 1 && (from[0] == writer || !partners(&plan, writer).contains(&to)));
+                assert!(
+                    from.len() == 1 && (from[0] == writer || !selected_peers(&plan, writer).contains(&to))
+                );
             }
         }
     }
@@ -116,7 +118,7 @@
                 let mut reached = BTreeSet::from([left[0]]);
                 let mut next = vec![left[0]];
                 while let Some(node) = next.pop() {
-                    let met = partners(&plan, node);
+                    let met = selected_peers(&plan, node);
                     assert!(met.len() <= 2 * BESIDE + 2 * ACROSS * (sites - 1), "{met:?}");
                     next.extend(met.into_iter().filter(|n| !gone.contains(n) && reached.insert(*n)));
                 }
--- a/crates/sites/src/recover.rs
+++ b/crates/sites/src/recovery_config.rs
@@ -4,11 +4,11 @@
 //! (recover (remember 64 MiB) (answer 64 KiB) (outlive 5 s) (peers 3 s) (catch-up 2 s))
 //! ```
 //!
-//! Each has a usual value: `(recover)` alone switches it on. What the steps are: `shorepath_recovery::steps`.
+//! Each has a usual value: `(recover)` alone switches it on. What the steps are: `shorepath_recovery::phases`.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
-use shorepath_recovery::steps::Limits;
+use shorepath_recovery::phases::Limits;
 use shorepath_sexp::Form;
 use std::ops::RangeInclusive;
 
--- a/crates/sites/src/homecoming.rs
+++ b/crates/sites/src/recovery_ramp.rs
@@ -1,11 +1,11 @@
 //! The return of a site's load: in steps, bounded by what its cold servers bear, each judged by its outcomes before the next one.
 //!
-//! One of these is at each node of the returning site, and tells the others by [`crate::seeing::Load`] which part it takes; so hosts let go of
+//! One of these is at each node of the returning site, and tells the others by [`crate::health::Load`] which part it takes; so hosts let go of
 //! what the site takes back, and of nothing sooner.
 
 use crate::Micros;
-use shorepath_recovery::ramp;
-pub use shorepath_recovery::ramp::Pace;
+use shorepath_recovery::slow_start;
+pub use shorepath_recovery::slow_start::Pace;
 use std::fmt;
 
 /// How a site takes its load back.
@@ -20,7 +20,7 @@
     /// A step is good where no more than this many hundredths of its outcomes are failures.
     pub failed: u8,
     /// A step without enough outcomes, for want of clients, is over after so long, in microseconds.
-    pub patience: Micros,
+    pub timeout: Micros,
     /// How its servers warm up.
     pub pace: Pace,
 }
@@ -29,7 +29,7 @@
     /// A fifth in each step, each a tenth of the warm-up long at least.
     pub fn usual(pace: Pace) -> Steps {
         let least = (pace.time / 10).max(1);
-        Steps { parts: vec![20, 40, 60, 80, 100], least, outcomes: 20, failed: 10, patience: 3 * least, pace }
+        Steps { parts: vec![20, 40, 60, 80, 100], least, outcomes: 20, failed: 10, timeout: 3 * least, pace }
     }
 }
 
@@ -70,7 +70,7 @@
 
 /// A site on its way back.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Homecoming {
+pub struct RecoveryRamp {
     steps: Steps,
     /// The place of the step; past the last one all is taken.
     at: usize,
@@ -84,14 +84,14 @@
 /// Steps are held twice as long for each setback, this often at most.
 const SETBACKS: u32 = 3;
 
-impl Homecoming {
+impl RecoveryRamp {
     /// One that begins now with its first step. Parts that don't grow, and those over a hundred, are left out.
-    pub fn new(mut steps: Steps, now: Micros) -> Homecoming {
+    pub fn new(mut steps: Steps, now: Micros) -> RecoveryRamp {
         steps.parts.retain(|p| (1..100).contains(p));
         steps.parts.sort_unstable();
         steps.parts.dedup();
         steps.parts.push(100);
-        Homecoming { steps, at: 0, since: now, served: 0, failed: 0, setbacks: 0 }
+        RecoveryRamp { steps, at: 0, since: now, served: 0, failed: 0, setbacks: 0 }
     }
 
     /// What became of jobs at the site's servers since this was last told.
@@ -121,7 +121,7 @@
             && u128::from(self.failed) * 100 > all * u128::from(self.steps.failed)
     }
 
-    /// Time has passed. `warm` is the part of what the site's servers do warm that they can do now ([`ramp::part`]): no step goes beyond it.
+    /// Time has passed. `warm` is the part of what the site's servers do warm that they can do now ([`slow_start::part`]): no step goes beyond it.
     pub fn pass(&mut self, now: Micros, warm: f64) -> Option<Moved> {
         if self.is_whole() {
             return None;
@@ -142,7 +142,7 @@
         if enough {
             return self.go(self.at + 1, Why::Good(self.served, self.failed), now);
         }
-        (time >= self.steps.patience.max(self.least())).then_some(())?;
+        (time >= self.steps.timeout.max(self.least())).then_some(())?;
         self.go(self.at + 1, Why::NobodyAsks, now)
     }
 
@@ -168,10 +168,10 @@
     /// When a client that is denied is told to come back, in microseconds from now: spread over what is left of the way. `luck` is
     /// drawn from 0 to 1 by the caller.
     pub fn come_back(&self, warm: f64, least: Micros, most: Micros, luck: f64) -> Micros {
-        ramp::come_back(f64::from(self.part(warm)) / 100.0, self.steps.pace, least, most, luck)
+        slow_start::come_back(f64::from(self.part(warm)) / 100.0, self.steps.pace, least, most, luck)
     }
 
-    /// When [`Homecoming::pass`] has something to do next, unless outcomes come.
+    /// When [`RecoveryRamp::pass`] has something to do next, unless outcomes come.
     pub fn due(&self) -> Option<Micros> {
         (!self.is_whole()).then(|| self.since + self.least())
     }
--- a/crates/sites/tests/file.rs
+++ b/crates/sites/tests/file.rs
@@ -1,7 +1,7 @@
 //! The operator's file: what is right is read, and each fault is told with its place.
 
 use rstest::rstest;
-use shorepath_sites::file::{read, Plan};
+use shorepath_sites::config::{read, Plan};
 use std::path::{Path, PathBuf};
 
 const GOOD: &str = r#"(sites (version 3) (fleet "odense") (key "fleet.key") (accounts "accounts.sexp")
@@ -67,10 +67,10 @@
 #[case("(hold 10 s)", "(hold 1 s)", "1:1: (hold) is shorter than (alone)")]
 #[case("(key \"fleet.key\") ", "", "1:1: a file of sites needs a (key \"FILE\")")]
 #[case("(confirm", "(confrim", "did you mean confirm?")]
-fn each_fault_is_told_with_its_place(#[case] from: &str, #[case] to: &str, #[case] told: &str) {
+fn each_fault_is_told_with_its_place(#[case] from: &str, #[case] to: &str, #[case] notified: &str) {
     assert!(GOOD.contains(from));
     let error = read("sites.sexp", &GOOD.replacen(from, to, 1)).unwrap_err().to_string();
-    assert!(error.contains(told), "{error}");
+    assert!(error.contains(notified), "{error}");
 }
 
 #[test]
@@ -106,9 +106,9 @@
 #[case("(recover (outlive 2 h))", "3:11: (outlive) lies in")]
 #[case("(recover (forget 1 s))", "forget")]
 #[case("(recover) (recover)", "(recover) is given twice")]
-fn faults_of_the_clause_are_told(#[case] clause: &str, #[case] told: &str) {
+fn faults_of_the_clause_are_told(#[case] clause: &str, #[case] notified: &str) {
     let error = recovering(clause).unwrap_err();
-    assert!(error.contains(told), "{error}");
+    assert!(error.contains(notified), "{error}");
 }
 
 #[test]
