--- a/crates/sites/tests/joint.rs
+++ b/crates/sites/tests/joint.rs
@@ -10,36 +10,36 @@
 //! at once. What is searched whole is the key and the account each for itself, over all the cores; both together are searched in part and
 //! walked through by chance. A site whose disk is lost comes back under another name, as `docs/design/sites.md` asks for, which has no range of keys.
 
-use shorepath_accounts::book::Book;
-use shorepath_accounts::credit::{parts, Credit, Note, Part, Purse, Share};
-use shorepath_accounts::file::Decree;
-use shorepath_accounts::ruling::{bars, rule, Now, Purses, Ruling};
-use shorepath_accounts::running::{Key, Taken};
-use shorepath_accounts::{Change, Standing};
-use shorepath_budgets::holder::Holder;
-use shorepath_budgets::ledger::Ledger;
-use shorepath_budgets::{Grant, Life, Micros, NodeId, Term};
-use shorepath_placements::chain::{encode, follow, origin, Piece, Point};
+use shorepath_accounts::admission::{restrictions, rule, AdmissionDecision, CreditBalances, Now};
+use shorepath_accounts::config::AccountsFile;
+use shorepath_accounts::credit::{parts, Credit, CreditBalance, Note, Part, Share};
+use shorepath_accounts::in_flight::{Key, Taken};
+use shorepath_accounts::registry::Book;
+use shorepath_accounts::{AccountStatus, Change};
+use shorepath_placements::hash_chain::{encode, follow, origin, Piece, Point};
 use shorepath_placements::history::History;
-use shorepath_placements::keys::{Keys, Known};
+use shorepath_placements::idempotency_index::{Keys, Known};
 use shorepath_placements::{End, Entry, Placement, Timed, Writer};
-use shorepath_sites::file::{read, Plan};
-use shorepath_sites::homes::{Fence, Homes, Kept, Proof};
-use shorepath_sites::proof::{Proving, Word};
+use shorepath_quota::lease::Holder;
+use shorepath_quota::ledger::Ledger;
+use shorepath_quota::{Grant, LeasePeriod, Micros, NodeId, NodeIncarnation};
+use shorepath_sites::catch_up::{Message, Proving};
+use shorepath_sites::config::{read, Plan};
+use shorepath_sites::key_ownership::{Fence, Kept, KeyOwnership, Proof};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
 /// A lease holds for two ticks, and clocks go at 8, 10 or 12 a tick, which is 10 in truth.
-const TERM: Term = Term { length: 20, drift_ppm: 200_000, longest: 0 };
+const TERM: LeasePeriod = LeasePeriod { length: 20, drift_ppm: 200_000, longest: 0 };
 /// The key's range is the first site's.
 const BUDGET: &str = "home:a/n";
 const CLASS: &str = "valve";
 const ACME: &str = "acme";
 const CREDIT: Credit = Credit { whole: 2, reserve: 0, shrink_after: 1_000 };
 /// What the authority's files say, one after the other: closing, and named no more.
-const FILES: [Option<Standing>; 2] = [Some(Standing::Closing), None];
+const FILES: [Option<AccountStatus>; 2] = [Some(AccountStatus::Closing), None];
 /// The guarded job; others count from 1.
 const GUARDED: u8 = 0;
 
@@ -81,14 +81,14 @@
 
 /// All that a site's disk and its partners' give of all logs. What is asked of it is made once.
 #[derive(Clone, Debug)]
-struct Told {
+struct SiteReport {
     history: Arc<History>,
     bytes: Arc<Vec<u8>>,
     known: Known,
 }
 
-impl Told {
-    fn of(history: History) -> Told {
+impl SiteReport {
+    fn of(history: History) -> SiteReport {
         let mut keys = Keys::default();
         for writer in history.writers() {
             let last = history.heads(writer).iter().map(|p| p.0).max().unwrap_or(0);
@@ -98,19 +98,19 @@
             }
         }
         let (bytes, known) = (Arc::new(history.bytes()), keys.known(CLASS, "key"));
-        Told { history: Arc::new(history), bytes, known }
+        SiteReport { history: Arc::new(history), bytes, known }
     }
 }
 
-impl PartialEq for Told {
-    fn eq(&self, other: &Told) -> bool {
+impl PartialEq for SiteReport {
+    fn eq(&self, other: &SiteReport) -> bool {
         self.bytes == other.bytes
     }
 }
 
-impl Eq for Told {}
+impl Eq for SiteReport {}
 
-impl Hash for Told {
+impl Hash for SiteReport {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.bytes.hash(state);
     }
@@ -123,7 +123,7 @@
     /// Its disk was lost: it has another name, and no range.
     renamed: bool,
     holder: Holder,
-    homes: Homes,
+    ownership: KeyOwnership,
     kept: Kept,
     asked: u8,
     /// A grant on its way to it.
@@ -131,9 +131,9 @@
     writer: Writer,
     /// The last entry of its own log that is on the disk.
     head: Point,
-    told: Told,
+    notified: SiteReport,
     book: Book,
-    purse: Purse,
+    balance: CreditBalance,
     note: Option<Note>,
     taken: Taken,
     /// Jobs that were taken here and have no answer yet, with the number of their placement, which is on the disk.
@@ -157,7 +157,7 @@
     cut: bool,
     cuts: u8,
     crashes: u8,
-    divider: Ledger,
+    allocator: Ledger,
     issued: usize,
     jobs: u8,
     /// How often the guarded job ran in truth.
@@ -178,7 +178,7 @@
     /// The authority hands its next file to a site.
     Issue(usize),
     /// Books, and a piece of the histories, from one to the other.
-    Tell(usize),
+    Reply(usize),
     Exchange(usize),
     /// Links have stood for long enough.
     Confirm(usize),
@@ -206,21 +206,21 @@
 fn world(fault: Fault, size: Size) -> World {
     let text = r#"(sites (fleet "f") (key "k") (site a (node n "1.1.1.1:1") (bears 1)) (site b (node m "1.1.1.1:2") (bears 1)))"#;
     let plan = read("s", text).unwrap();
-    let homes = Homes::new(0, &plan, &Kept::default());
-    let key = (0..100).map(|k| format!("k{k}")).find(|k| homes.home(k) == "a/n").unwrap();
+    let ownership = KeyOwnership::new(0, &plan, &Kept::default());
+    let key = (0..100).map(|k| format!("k{k}")).find(|k| ownership.home(k) == "a/n").unwrap();
     let share = || Share { site: String::new(), nodes: 1, weight: None };
     let parts = parts(&CREDIT, &[share(), share()]).unwrap().concat();
     World { fault, size, plan, key, parts }
 }
 
-fn file(number: usize) -> Decree {
+fn file(number: usize) -> AccountsFile {
     let change = |standing| Change { number: number as u64, standing, from: 0, reason: String::new() };
     let named = FILES[number - 1].map(|s| (ACME.to_string(), change(s)));
-    Decree::new(number as u64, named.into_iter().collect())
+    AccountsFile::new(number as u64, named.into_iter().collect())
 }
 
 /// Whether the file of that number bars new work; none was told by 0.
-fn barred(number: u64) -> bool {
+fn rejection(number: u64) -> bool {
     number > 0 && FILES[number as usize - 1].is_some()
 }
 
@@ -255,9 +255,9 @@
         self.head = (after + 1, follow(&before, &bytes));
         let writer = self.writer.clone();
         let piece = Piece { writer, after, before, entries: vec![bytes], head: self.head.1 };
-        let mut history = (*self.told.history).clone();
+        let mut history = (*self.notified.history).clone();
         assert_eq!(history.take(&piece), Ok(1));
-        self.told = Told::of(history);
+        self.notified = SiteReport::of(history);
     }
 
     fn placed(&mut self, job: u8, fence: u64, on_credit: bool) {
@@ -275,40 +275,40 @@
 
     /// Whether a request of the account is taken, and on credit.
     fn take(&mut self, fault: Fault, job: u8) -> Option<bool> {
-        if let Some(note) = self.purse.durable_to().filter(|_| self.alone) {
-            self.purse.wrote(note);
+        if let Some(note) = self.balance.durable_to().filter(|_| self.alone) {
+            self.balance.wrote(note);
             self.note = Some(note);
         }
         let now = self.now();
-        let ruling = rule(&self.book, Some(&mut self.purse), &self.taken, ACME, Some(&name(job)), now);
-        let on_credit = match ruling {
-            Ruling::Refuse(_) => return None,
-            ruling => ruling == Ruling::TakeOnCredit,
+        let admission = rule(&self.book, Some(&mut self.balance), &self.taken, ACME, Some(&name(job)), now);
+        let on_credit = match admission {
+            AdmissionDecision::Refuse(_) => return None,
+            admission => admission == AdmissionDecision::TakeOnCredit,
         };
         self.begun += u64::from(on_credit);
         self.taken.take(ACME, Some(&name(job)), 1);
-        if fault == Fault::Dropped && self.book.standing(ACME, 1).bars() {
+        if fault == Fault::Dropped && self.book.standing(ACME, 1).rejects_new_work() {
             self.taken = Taken::new(8, 100);
         }
         Some(on_credit)
     }
 
-    fn hear(&mut self, fault: Fault, number: u64, what: impl FnOnce(&mut Book)) {
+    fn receive(&mut self, fault: Fault, number: u64, what: impl FnOnce(&mut Book)) {
         if fault == Fault::OlderWins {
             self.book = Book::new();
         }
         what(&mut self.book);
         self.number = self.number.max(number);
-        if fault == Fault::Dropped && self.book.standing(ACME, 1).bars() {
+        if fault == Fault::Dropped && self.book.standing(ACME, 1).rejects_new_work() {
             self.taken = Taken::new(8, 100);
         }
     }
 }
 
 impl World {
-    fn life(&self, n: usize, incarnation: u64) -> Life {
+    fn life(&self, n: usize, incarnation: u64) -> NodeIncarnation {
         let number = self.plan.nodes().nth(n).unwrap().1.number;
-        Life { node: NodeId(number), incarnation }
+        NodeIncarnation { node: NodeId(number), incarnation }
     }
 
     fn writer(n: usize, log: u64) -> Writer {
@@ -325,15 +325,15 @@
             life: 1,
             renamed: false,
             holder: Holder::new(life, 0, TERM),
-            homes: Homes::new(life.node.0, &self.plan, &self.founded()),
+            ownership: KeyOwnership::new(life.node.0, &self.plan, &self.founded()),
             kept: self.founded(),
             asked: 0,
             grant: None,
             head: origin(&writer),
             writer,
-            told: Told::of(History::new()),
+            notified: SiteReport::of(History::new()),
             book: Book::new(),
-            purse: Purse::restore(part, CREDIT.shrink_after, 1, Some(Note::default())),
+            balance: CreditBalance::restore(part, CREDIT.shrink_after, 1, Some(Note::default())),
             note: Some(Note::default()),
             taken: Taken::new(8, 100),
             running: BTreeMap::new(),
@@ -358,7 +358,7 @@
 
     /// Whether it takes itself for the home, whatever it knows of the key.
     fn holds(&self, s: &State, n: usize) -> bool {
-        s.sites[n].homes.may_place(&self.key, clock(s, n), |_| Proof::Clean).is_ok()
+        s.sites[n].ownership.may_place(&self.key, clock(s, n), |_| Proof::Clean).is_ok()
     }
 
     fn own_alone<'a>(&self, site: &'a Site) -> Option<&'a Writer> {
@@ -368,8 +368,8 @@
     /// What both sites have once all links are whole and nothing more happens.
     fn whole(&self, s: &State) -> bool {
         let [a, b] = &s.sites;
-        let mut all = [(*a.told.history).clone(), (*b.told.history).clone()];
-        if a.told != b.told {
+        let mut all = [(*a.notified.history).clone(), (*b.notified.history).clone()];
+        if a.notified != b.notified {
             loop {
                 let [left, right] = &mut all;
                 let new = give(left, self.own_alone(a), right, self.size.piece)
@@ -397,7 +397,7 @@
         if !disk {
             (site.book, site.number, site.note) = (Book::new(), 0, None);
             site.running.clear();
-            site.told = Told::of(History::new());
+            site.notified = SiteReport::of(History::new());
             if self.fault == Fault::LostIsWhole {
                 (site.note, site.kept) = (Some(Note::default()), self.founded());
             } else {
@@ -407,14 +407,14 @@
             site.head = origin(&site.writer);
         }
         let note = if self.fault == Fault::Refill { Some(Note::default()) } else { site.note };
-        site.purse = Purse::restore(self.parts[n], CREDIT.shrink_after, 1, note);
+        site.balance = CreditBalance::restore(self.parts[n], CREDIT.shrink_after, 1, note);
         site.taken = Taken::new(8, 100);
         let names: Vec<Key> = site.running.keys().map(|job| name(*job)).collect();
         site.taken.restore(names.iter().map(|name| (ACME, name, 0)), 1);
         site.holder = Holder::new(life, 0, TERM);
-        site.homes = Homes::new(life.node.0, &self.plan, &site.kept);
+        site.ownership = KeyOwnership::new(life.node.0, &self.plan, &site.kept);
         // There is one file, which all go by.
-        site.homes.settled();
+        site.ownership.settled();
     }
 
     fn ask(&self, s: &mut State, n: usize, wanted: u64) {
@@ -425,13 +425,13 @@
         (site.asked, site.grant) = (site.asked + 1, None);
         if wanted == 0 {
             // One that others should hold is not used any more from now on.
-            site.homes.ended(BUDGET);
+            site.ownership.ended(BUDGET);
         }
-        let early = if self.fault == Fault::EarlyHeir && n == 1 { TERM.of_divider() } else { 0 };
-        s.divider.expire(at + early);
-        let grant = s.divider.offer(life, wanted, answers);
-        if grant.amount > 0 || s.divider.charge(life) > 0 {
-            s.divider.enter(grant, at);
+        let early = if self.fault == Fault::EarlyHeir && n == 1 { TERM.for_allocator() } else { 0 };
+        s.allocator.expire(at + early);
+        let grant = s.allocator.offer(life, wanted, answers);
+        if grant.amount > 0 || s.allocator.charge(life) > 0 {
+            s.allocator.enter(grant, at);
             site.grant = Some(grant);
         }
     }
@@ -440,29 +440,29 @@
         let now = clock(s, n);
         let other = s.sites[1 - n].clone();
         let site = Arc::make_mut(&mut s.sites[n]);
-        let unproven = site.homes.unproven(now);
+        let unproven = site.ownership.unproven(now);
         let me = (self.life(n, 1).node.0, (site.writer.log, site.head.0));
         let mut proving = Proving::default();
-        for (to, word) in proving.pass(&self.plan, me, &unproven, &site.told.history, 0).0 {
-            let Word::Ask { home, fence } = word else { continue };
-            proving.told(to, &home, fence, other.writer.log, other.head.0);
+        for (to, message) in proving.pass(&self.plan, me, &unproven, &site.notified.history, 0).0 {
+            let Message::Ask { home, fence } = message else { continue };
+            proving.notified(to, &home, fence, other.writer.log, other.head.0);
         }
-        let (_, proved) = proving.pass(&self.plan, me, &unproven, &site.told.history, 0);
-        proved.iter().for_each(|(home, fence)| site.homes.proved(home, *fence));
+        let (_, proved) = proving.pass(&self.plan, me, &unproven, &site.notified.history, 0);
+        proved.iter().for_each(|(home, fence)| site.ownership.proved(home, *fence));
     }
 
     fn guard(&self, s: &mut State, n: usize) {
         let now = clock(s, n);
         let site = Arc::make_mut(&mut s.sites[n]);
-        let may = site.homes.may_place(&self.key, now, |_| Proof::Unknown);
-        let Some(fence) = may.ok().filter(|_| site.told.known == Known::Free) else { return };
-        let barred = barred(site.number) && !site.taken.holds(ACME, Some(&name(GUARDED)), 1);
+        let may = site.ownership.may_place(&self.key, now, |_| Proof::Unknown);
+        let Some(fence) = may.ok().filter(|_| site.notified.known == Known::Free) else { return };
+        let rejection = rejection(site.number) && !site.taken.holds(ACME, Some(&name(GUARDED)), 1);
         if site.take(self.fault, GUARDED).is_none() {
             return;
         }
-        s.wrong |= barred;
+        s.wrong |= rejection;
         site.pending = Some(fence);
-        site.kept = site.homes.kept();
+        site.kept = site.ownership.kept();
         if self.fault == Fault::SendsFirst {
             (s.runs, s.adopted) = (s.runs + 1, s.adopted || n == 1);
         }
@@ -472,11 +472,11 @@
         let now = clock(s, n);
         let site = Arc::make_mut(&mut s.sites[n]);
         let Some(fence) = site.pending.take() else { return };
-        site.placed(GUARDED, fence.word(), false);
+        site.placed(GUARDED, fence.message(), false);
         if self.fault == Fault::SendsFirst {
             return;
         }
-        if self.fault == Fault::SendsLate || site.homes.still(&self.key, fence, now) {
+        if self.fault == Fault::SendsLate || site.ownership.still(&self.key, fence, now) {
             (s.runs, s.adopted) = (s.runs + 1, s.adopted || n == 1);
         } else {
             // It surely never ran, and its client is told so.
@@ -504,7 +504,7 @@
                     cut: false,
                     cuts: 0,
                     crashes: 0,
-                    divider: Ledger::new(1, 0, TERM),
+                    allocator: Ledger::new(1, 0, TERM),
                     issued: 0,
                     jobs: 0,
                     runs: 0,
@@ -539,14 +539,14 @@
             }
             if !s.cut {
                 if site.book.hash() != other.book.hash() {
-                    actions.push(Step::Tell(n));
+                    actions.push(Step::Reply(n));
                 } else if site.alone {
                     actions.push(Step::Confirm(n));
                 }
-                if site.told != other.told {
+                if site.notified != other.notified {
                     actions.push(Step::Exchange(n));
                 }
-                if !site.renamed && !other.renamed && !site.homes.unproven(clock(s, n)).is_empty() {
+                if !site.renamed && !other.renamed && !site.ownership.unproven(clock(s, n)).is_empty() {
                     actions.push(Step::Prove(n));
                 }
             }
@@ -584,26 +584,26 @@
                 s.issued += 1;
                 let number = s.issued;
                 let site = Arc::make_mut(&mut s.sites[n]);
-                site.hear(fault, number as u64, |book| drop(book.learn(&file(number))));
+                site.receive(fault, number as u64, |book| drop(book.learn(&file(number))));
             }
-            Step::Tell(n) => {
+            Step::Reply(n) => {
                 let (book, number) = (s.sites[n].book.clone(), s.sites[n].number);
                 let site = Arc::make_mut(&mut s.sites[1 - n]);
-                site.hear(fault, number, |known| drop(known.merge(&book)));
+                site.receive(fault, number, |known| drop(known.merge(&book)));
             }
             Step::Exchange(n) => {
                 let from = s.sites[n].clone();
                 let site = Arc::make_mut(&mut s.sites[1 - n]);
-                let mut history = (*site.told.history).clone();
-                if give(&from.told.history, self.own_alone(&from), &mut history, self.size.piece) == 0 {
+                let mut history = (*site.notified.history).clone();
+                if give(&from.notified.history, self.own_alone(&from), &mut history, self.size.piece) == 0 {
                     return None;
                 }
-                site.told = Told::of(history);
+                site.notified = SiteReport::of(history);
             }
             Step::Confirm(n) => {
                 let site = Arc::make_mut(&mut s.sites[n]);
                 let change = site.book.change(ACME, 1);
-                site.purse.confirmed(&change);
+                site.balance.confirmed(&change);
                 (site.alone, site.begun) = (false, 0);
             }
             Step::Ask(n, wanted) => self.ask(&mut s, n, wanted),
@@ -612,9 +612,9 @@
                 let site = Arc::make_mut(&mut s.sites[n]);
                 let grant = site.grant.take()?;
                 if site.holder.granted(grant, at) {
-                    let asked = site.holder.until()? - TERM.of_holder();
-                    site.homes.granted(BUDGET, &grant, asked, TERM, at);
-                    s.divider.taken(grant.life, grant.number);
+                    let asked = site.holder.until()? - TERM.for_holder();
+                    site.ownership.granted(BUDGET, &grant, asked, TERM, at);
+                    s.allocator.taken(grant.life, grant.number);
                 }
             }
             Step::Prove(n) => self.prove(&mut s, n),
@@ -622,10 +622,10 @@
                 s.jobs += 1;
                 let job = s.jobs;
                 let site = Arc::make_mut(&mut s.sites[n]);
-                let barred = barred(site.number);
+                let rejection = rejection(site.number);
                 if let Some(on_credit) = site.take(fault, job) {
                     site.placed(job, 0, on_credit);
-                    s.wrong |= barred;
+                    s.wrong |= rejection;
                 }
             }
             Step::Guard(n) => self.guard(&mut s, n),
@@ -646,14 +646,15 @@
             Property::always(CREDITED, |w: &World, s: &State| {
                 s.sites.iter().zip(&w.parts).all(|(site, part)| site.begun <= part.whole)
             }),
-            Property::always(TOLD, |_, s: &State| !s.wrong),
+            Property::always(NOTIFIED_AFTER, |_, s: &State| !s.wrong),
             Property::always(FINISHED, |_, s: &State| {
                 s.sites.iter().all(|site| {
-                    let sent =
-                        bars(&site.book, &mut Purses::new(), site.now()).get(ACME).is_none_or(|bar| bar.send);
+                    let sent = restrictions(&site.book, &mut CreditBalances::new(), site.now())
+                        .get(ACME)
+                        .is_none_or(|restriction| restriction.send);
                     let repeat = |job: &u8| {
                         rule(&site.book, None, &site.taken, ACME, Some(&name(*job)), site.now())
-                            == Ruling::Take
+                            == AdmissionDecision::Take
                     };
                     sent && site.running.keys().all(repeat)
                 })
@@ -677,10 +678,10 @@
 const ONCE: &str = "the guarded key runs once";
 const ONE_HOME: &str = "one home at a time";
 const CREDITED: &str = "begun on credit within the whole";
-const TOLD: &str = "nothing new after it was told";
+const NOTIFIED_AFTER: &str = "nothing new after it was told";
 const FINISHED: &str = "running work goes on";
 const EQUAL: &str = "whole links make one history and one book";
-const ALWAYS: [&str; 6] = [ONCE, ONE_HOME, CREDITED, TOLD, FINISHED, EQUAL];
+const ALWAYS: [&str; 6] = [ONCE, ONE_HOME, CREDITED, NOTIFIED_AFTER, FINISHED, EQUAL];
 
 /// The key with a cut or a crash; the account with a cut, or both and one file.
 const KEY_CUT: Size = Size { ticks: 3, asks: 1, jobs: 0, files: 0, cuts: 1, crashes: 0, piece: 1 << 16 };
@@ -775,7 +776,7 @@
         (Fault::SendsFirst, KEY_CRASH, ONCE),
         (Fault::SendsLate, KEY_CUT, ONCE),
         (Fault::Refill, ACCOUNT_CRASH, CREDITED),
-        (Fault::OlderWins, ACCOUNT, TOLD),
+        (Fault::OlderWins, ACCOUNT, NOTIFIED_AFTER),
         (Fault::Dropped, ACCOUNT, FINISHED),
         (Fault::OwnAlone, ACCOUNT_CRASH, EQUAL),
     ] {
--- a/crates/sites/tests/lending.rs
+++ b/crates/sites/tests/lending.rs
@@ -1,9 +1,9 @@
 //! What nodes of a site lend together, and how one learns that its site was lost.
 
-use shorepath_sites::file::{read, Plan};
-use shorepath_sites::homecoming::Pace;
-use shorepath_sites::lending::{guest_of, Class, Lending};
-use shorepath_sites::seeing::Seeing;
+use shorepath_sites::config::{read, Plan};
+use shorepath_sites::health::SiteHealth;
+use shorepath_sites::load_shifting::{guest_of, Class, LoadShifting};
+use shorepath_sites::recovery_ramp::Pace;
 use shorepath_sites::Seen;
 use std::collections::BTreeMap;
 
@@ -23,7 +23,7 @@
 struct Fleet {
     plan: Plan,
     now: i64,
-    nodes: BTreeMap<u32, (Seeing, Lending)>,
+    nodes: BTreeMap<u32, (SiteHealth, LoadShifting)>,
     classes: Vec<Class>,
 }
 
@@ -41,8 +41,8 @@
 
     fn start(&mut self, node: &str) {
         let number = self.number(node);
-        let seeing = Seeing::new(number, &self.plan, 1, self.now).unwrap();
-        self.nodes.insert(number, (seeing, Lending::new(PACE, self.now)));
+        let site_health = SiteHealth::new(number, &self.plan, 1, self.now).unwrap();
+        self.nodes.insert(number, (site_health, LoadShifting::new(PACE, self.now)));
     }
 
     /// Let time pass, in which clients of those nodes ask for so many jobs a second.
@@ -53,26 +53,28 @@
             let now = self.now;
             for (node, rate) in demand {
                 let number = self.number(node);
-                let Some((_, lending)) = self.nodes.get_mut(&number) else { continue };
-                (0..rate / 20).for_each(|_| lending.asked(0));
+                let Some((_, load_shifting)) = self.nodes.get_mut(&number) else { continue };
+                (0..rate / 20).for_each(|_| load_shifting.asked(0));
             }
-            let mut words = Vec::new();
-            for (from, (seeing, lending)) in &mut self.nodes {
-                seeing.pass(now);
-                lending.pass(seeing, &self.classes, (1, 0), true, now);
-                words.extend(seeing.says().into_iter().map(|(to, word)| (*from, to, word)));
+            let mut messages = Vec::new();
+            for (from, (site_health, load_shifting)) in &mut self.nodes {
+                site_health.pass(now);
+                load_shifting.pass(site_health, &self.classes, (1, 0), true, now);
+                messages.extend(
+                    site_health.take_outgoing().into_iter().map(|(to, message)| (*from, to, message)),
+                );
             }
-            for (from, to, word) in words {
-                let Some((seeing, lending)) = self.nodes.get_mut(&to) else { continue };
-                if seeing.hear(from, &word, now).is_ok() {
-                    lending.heard(seeing, from, &word, now);
+            for (from, to, message) in messages {
+                let Some((site_health, load_shifting)) = self.nodes.get_mut(&to) else { continue };
+                if site_health.receive(from, &message, now).is_ok() {
+                    load_shifting.received(site_health, from, &message, now);
                 }
             }
         }
     }
 
     /// What guests of a class may begin at those nodes together.
-    fn lent(&self, nodes: &[&str], class: usize) -> u64 {
+    fn shifted(&self, nodes: &[&str], class: usize) -> u64 {
         let of = |n: &&str| self.nodes[&self.number(n)].1.limits().guests.as_ref().unwrap()[class];
         nodes.iter().map(of).sum()
     }
@@ -84,17 +86,17 @@
     let demand = [("a0", 20), ("a1", 20), ("b0", 80), ("c0", 40)];
     fleet.pass(4 * S, &demand);
     // A tenth of 103, and nothing of what is not named; the others lend nothing at all.
-    assert_eq!((fleet.lent(&["a0", "a1"], 0), fleet.lent(&["a0", "a1"], 1)), (10, 0));
-    assert_eq!(fleet.lent(&["b0", "c0"], 0), 0);
+    assert_eq!((fleet.shifted(&["a0", "a1"], 0), fleet.shifted(&["a0", "a1"], 1)), (10, 0));
+    assert_eq!(fleet.shifted(&["b0", "c0"], 0), 0);
     let lost = fleet.number("b0");
     fleet.nodes.remove(&lost);
     fleet.pass(10 * S, &demand);
     // It wants 80, a bears 103 and its own clients ask for 40: ten are lent anyway, the rest of what is spare goes to guests.
-    let lent = fleet.lent(&["a0", "a1"], 0);
-    assert!((55..=63).contains(&lent), "{lent}");
+    let shifted = fleet.shifted(&["a0", "a1"], 0);
+    assert!((55..=63).contains(&shifted), "{shifted}");
     // More of its own load takes it back at once, but for what is lent anyway.
     fleet.pass(3 * S, &[("a0", 60), ("a1", 60), ("c0", 40)]);
-    assert_eq!(fleet.lent(&["a0", "a1"], 0), 10);
+    assert_eq!(fleet.shifted(&["a0", "a1"], 0), 10);
 }
 
 /// A small rise is no reason to stay below what the file lends.
@@ -102,14 +104,14 @@
 fn what_is_lent_in_any_case_is_lent_however_little_it_grows() {
     let mut fleet = Fleet::new("(lend c (class job (part 32)))");
     fleet.pass(2 * S, &[]);
-    assert_eq!(fleet.lent(&["c0"], 0), 32);
+    assert_eq!(fleet.shifted(&["c0"], 0), 32);
     fleet.plan = file("(version 2) (lend c (class job (part 33)))");
     let now = fleet.now;
-    for (seeing, _) in fleet.nodes.values_mut() {
-        seeing.replan(&fleet.plan, now).unwrap();
+    for (site_health, _) in fleet.nodes.values_mut() {
+        site_health.replan(&fleet.plan, now).unwrap();
     }
     fleet.pass(2 * S, &[]);
-    assert_eq!(fleet.lent(&["c0"], 0), 33);
+    assert_eq!(fleet.shifted(&["c0"], 0), 33);
 }
 
 #[test]
@@ -136,8 +138,8 @@
         if seen.last() != Some(&now) {
             seen.push(now);
         }
-        let (seeing, lending) = &fleet.nodes[&a0];
-        let chance = lending.may_go_home(seeing, "b");
+        let (site_health, load_shifting) = &fleet.nodes[&a0];
+        let chance = load_shifting.may_go_home(site_health, "b");
         // It is asked for all that it can take by now.
         assert!(now == Seen::Linked || chance < 0.3, "{now:?} {chance}");
     }
@@ -165,7 +167,7 @@
     );
     let mut fleet = Fleet::new("");
     fleet.pass(S, &[]);
-    assert!(fleet.nodes.values().all(|(_, lending)| lending.limits().guests.is_none()));
+    assert!(fleet.nodes.values().all(|(_, load_shifting)| load_shifting.limits().guests.is_none()));
 }
 
 /// Guards guests at nodes that have few requests a second: what they did not use was kept for a quarter of a second, which is less
@@ -180,11 +182,11 @@
         );
         let plan = read("f", &text).unwrap();
         let number = plan.node_named("a0").unwrap().number;
-        let mut seeing = Seeing::new(number, &plan, 1, S).unwrap();
-        let mut lending = Lending::new(PACE, S);
+        let mut site_health = SiteHealth::new(number, &plan, 1, S).unwrap();
+        let mut load_shifting = LoadShifting::new(PACE, S);
         let classes = [Class { name: "job".to_string(), worth: 1_000 }];
-        lending.pass(&mut seeing, &classes, (0, 0), true, S);
-        lending.limits().kept
+        load_shifting.pass(&mut site_health, &classes, (0, 0), true, S);
+        load_shifting.limits().kept
     };
     // Of its even part of what is borne a third for so long is eight, where that is no more than two seconds.
     assert_eq!(kept(10_000, 2), 250 * MS);
@@ -202,23 +204,24 @@
     );
     let plan = read("f", &text).unwrap();
     let classes = [Class { name: "job".to_string(), worth: 1_000 }];
-    let (mut told, mut count) = (0, 0);
+    let (mut notified, mut count) = (0, 0);
     for k in 0..40 {
         let number = plan.node_named(&format!("a{k}")).unwrap().number;
-        let mut seeing = Seeing::new(number, &plan, 1, S).unwrap();
-        let mut lending = Lending::new(PACE, S);
+        let mut site_health = SiteHealth::new(number, &plan, 1, S).unwrap();
+        let mut load_shifting = LoadShifting::new(PACE, S);
         // Six requests in ten seconds, at other times at each node.
         for step in 0..300_i64 {
             if (step * 3 + k * 7) % 50 < 3 {
-                lending.asked(0);
+                load_shifting.asked(0);
             }
-            lending.pass(&mut seeing, &classes, (0, 0), true, S + step * 100 * MS);
+            load_shifting.pass(&mut site_health, &classes, (0, 0), true, S + step * 100 * MS);
             if step >= 100 {
-                told += seeing.load("a").unwrap().demand.iter().map(|(_, rate)| *rate / 40).sum::<u64>();
+                notified +=
+                    site_health.load("a").unwrap().demand.iter().map(|(_, rate)| *rate / 40).sum::<u64>();
                 count += 1;
             }
         }
     }
-    let rate = told as f64 / count as f64;
+    let rate = notified as f64 / count as f64;
     assert!((0.5..0.7).contains(&rate), "{rate} told of 0.6 a second");
 }
--- a/crates/sites/tests/model.rs
+++ b/crates/sites/tests/model.rs
@@ -2,16 +2,16 @@
 //! are late or never come, a cut, one crash with the disk or without. Never two that may place it at once, and never placed twice. The
 //! same search finds each planted fault.
 
-use shorepath_budgets::holder::Holder;
-use shorepath_budgets::ledger::Ledger;
-use shorepath_budgets::{Grant, Life, Micros, NodeId, Term};
-use shorepath_sites::file::{read, Plan};
-use shorepath_sites::homes::{Fence, Homes, Kept, Proof};
+use shorepath_quota::lease::Holder;
+use shorepath_quota::ledger::Ledger;
+use shorepath_quota::{Grant, LeasePeriod, Micros, NodeId, NodeIncarnation};
+use shorepath_sites::config::{read, Plan};
+use shorepath_sites::key_ownership::{Fence, Kept, KeyOwnership, Proof};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A lease holds for two ticks, and clocks go at 8, 10 or 12 a tick, which is 10 in truth.
-const TERM: Term = Term { length: 20, drift_ppm: 200_000, longest: 0 };
+const TERM: LeasePeriod = LeasePeriod { length: 20, drift_ppm: 200_000, longest: 0 };
 const RATES: [Micros; 2] = [8, 12];
 const LAST_TICK: Micros = 3;
 /// States looked at.
@@ -36,16 +36,16 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
-    Ask { life: Life, answers: u64, wanted: u64 },
+    Ask { life: NodeIncarnation, answers: u64, wanted: u64 },
     Grant(Grant),
-    Taken { life: Life, number: u64 },
+    Taken { life: NodeIncarnation, number: u64 },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Site {
     rate: Micros,
     holder: Holder,
-    homes: Homes,
+    ownership: KeyOwnership,
     asked: u8,
     life: u64,
     /// What its disk says: by what it held ranges, whether it placed the key, and which disk it is.
@@ -60,7 +60,7 @@
 struct State {
     tick: Micros,
     sites: [Site; 2],
-    divider: Ledger,
+    allocator: Ledger,
     agreed: Vec<Grant>,
     messages: BTreeSet<Message>,
     /// Not yet, now, no more.
@@ -87,15 +87,15 @@
 fn world(fault: Fault) -> World {
     let text = r#"(sites (fleet "f") (key "k") (site a (node n "1.1.1.1:1") (bears 1)) (site b (node m "1.1.1.1:2") (bears 1)))"#;
     let plan = read("s", text).unwrap();
-    let homes = Homes::new(0, &plan, &Kept::default());
-    let key = (0..100).map(|k| format!("k{k}")).find(|k| homes.home(k) == "a/n").unwrap();
+    let ownership = KeyOwnership::new(0, &plan, &Kept::default());
+    let key = (0..100).map(|k| format!("k{k}")).find(|k| ownership.home(k) == "a/n").unwrap();
     World(fault, plan, key)
 }
 
 impl World {
-    fn life(&self, n: usize, incarnation: u64) -> Life {
+    fn life(&self, n: usize, incarnation: u64) -> NodeIncarnation {
         let number = self.1.nodes().nth(n).unwrap().1.number;
-        Life { node: NodeId(number), incarnation }
+        NodeIncarnation { node: NodeId(number), incarnation }
     }
 
     fn start(&self, n: usize, rate: Micros) -> Site {
@@ -103,9 +103,9 @@
         // The fleet is new: what others may have placed is nothing. So says the disk that it was founded with.
         let fences = BTreeMap::from([("a/n".to_string(), Fence { epoch: 0, number: 0 })]);
         let kept = Kept { fences, nodes: self.1.nodes().map(|(_, n)| n.number).collect(), ..Kept::default() };
-        let homes = Homes::new(life.node.0, &self.1, &kept);
+        let ownership = KeyOwnership::new(life.node.0, &self.1, &kept);
         let holder = Holder::new(life, 0, TERM);
-        Site { rate, holder, homes, asked: 0, life: 1, kept, placed: false, disk: 1, goes_on: false }
+        Site { rate, holder, ownership, asked: 0, life: 1, kept, placed: false, disk: 1, goes_on: false }
     }
 
     /// Whether a site may place the key, by all that it has.
@@ -119,12 +119,12 @@
             _ if other.placed => Proof::Placed,
             _ => Proof::Clean,
         };
-        here.goes_on || here.homes.may_place(&self.2, clock(s, n), history).is_ok()
+        here.goes_on || here.ownership.may_place(&self.2, clock(s, n), history).is_ok()
     }
 
     /// Whether it takes itself for the home, whatever it knows of the key.
     fn holds(&self, s: &State, n: usize) -> bool {
-        s.sites[n].goes_on || s.sites[n].homes.may_place(&self.2, clock(s, n), |_| Proof::Clean).is_ok()
+        s.sites[n].goes_on || s.sites[n].ownership.may_place(&self.2, clock(s, n), |_| Proof::Clean).is_ok()
     }
 }
 
@@ -148,7 +148,7 @@
                 all.push(State {
                     tick: 0,
                     sites: [self.start(0, a), self.start(1, b)],
-                    divider: Ledger::new(1, 0, TERM),
+                    allocator: Ledger::new(1, 0, TERM),
                     agreed: Vec::new(),
                     messages: BTreeSet::new(),
                     cut: 0,
@@ -199,7 +199,7 @@
             Step::Place(n) => {
                 s.placements += 1;
                 s.sites[n].placed = true;
-                s.sites[n].kept = s.sites[n].homes.kept();
+                s.sites[n].kept = s.sites[n].ownership.kept();
             }
             Step::Crash(n, disk) => {
                 let site = &mut s.sites[n];
@@ -209,30 +209,30 @@
                 (site.life, site.asked, site.goes_on) = (site.life + 1, 0, false);
                 let life = self.life(n, site.life);
                 site.holder = Holder::new(life, 0, TERM);
-                site.homes = Homes::new(life.node.0, &self.1, &site.kept);
+                site.ownership = KeyOwnership::new(life.node.0, &self.1, &site.kept);
                 // There is one file, which all go by.
-                site.homes.settled();
+                site.ownership.settled();
             }
             Step::BySight => {
                 let (now, life) = (clock(&s, 1), self.life(1, s.sites[1].life));
-                let number = s.divider.last() + 1;
+                let number = s.allocator.last() + 1;
                 let grant = Grant { life, epoch: 0, number, amount: 1, answers: 0, length: TERM.length };
-                s.sites[1].homes.granted(BUDGET, &grant, now, TERM, now);
+                s.sites[1].ownership.granted(BUDGET, &grant, now, TERM, now);
             }
             Step::Deliver(message) => {
                 let now = divider_clock(&s);
                 match message {
                     Message::Ask { life, answers, wanted } => {
-                        s.divider.expire(now);
+                        s.allocator.expire(now);
                         if s.agreed.iter().any(|g| g.life == life && g.answers == answers) {
                             return None; // answered already
                         }
-                        let grant = s.divider.offer(life, wanted, answers);
-                        if grant.amount == 0 && s.divider.charge(life) == 0 {
+                        let grant = s.allocator.offer(life, wanted, answers);
+                        if grant.amount == 0 && s.allocator.charge(life) == 0 {
                             return None;
                         }
                         s.agreed.push(grant);
-                        s.divider.enter(grant, now);
+                        s.allocator.enter(grant, now);
                         s.messages.insert(Message::Grant(grant));
                     }
                     Message::Grant(grant) => {
@@ -245,15 +245,15 @@
                         let took = site.holder.granted(grant, at);
                         let asked = match self.0 {
                             Fault::FromArrival => at,
-                            _ if took => site.holder.until()? - TERM.of_holder(),
+                            _ if took => site.holder.until()? - TERM.for_holder(),
                             _ => return None,
                         };
-                        let held = site.homes.may_place(&self.2, at, |_| Proof::Clean).is_ok();
-                        site.homes.granted(BUDGET, &grant, asked, TERM, at);
+                        let held = site.ownership.may_place(&self.2, at, |_| Proof::Clean).is_ok();
+                        site.ownership.granted(BUDGET, &grant, asked, TERM, at);
                         site.goes_on = self.0 == Fault::GoesOn && held && grant.amount == 0;
                         s.messages.insert(Message::Taken { life: grant.life, number: grant.number });
                     }
-                    Message::Taken { life, number } => s.divider.taken(life, number),
+                    Message::Taken { life, number } => s.allocator.taken(life, number),
                 }
             }
         }
--- a/crates/sites/tests/plan.rs
+++ b/crates/sites/tests/plan.rs
@@ -1,11 +1,11 @@
 //! The plan of load, the return, and who asks for which range: properties over many fleets.
 
 use proptest::prelude::*;
-use shorepath_recovery::ramp::{part, Pace, Warming};
-use shorepath_sites::file::{read, Plan};
-use shorepath_sites::homecoming::{Homecoming, Steps, Why};
-use shorepath_sites::homes::{Fence, Gone, Homes, Kept, Proof, Refused};
-use shorepath_sites::share::{plan, refusal, Job, Refusal, Share, Standing};
+use shorepath_recovery::slow_start::{part, Pace, Warming};
+use shorepath_sites::config::{read, Plan};
+use shorepath_sites::key_ownership::{Fence, Gone, Kept, KeyOwnership, Proof, Refused};
+use shorepath_sites::load_allocation::{plan, refusal, Job, Refusal, Share, SiteLoad};
+use shorepath_sites::recovery_ramp::{RecoveryRamp, Steps, Why};
 use shorepath_sites::Seen;
 use std::collections::BTreeMap;
 
@@ -19,21 +19,21 @@
         let nodes: String = (0..2).map(|n| format!("(node s{s}n{n} \"10.0.{s}.{n}:1\")")).collect();
         text += &format!("(site s{s} (bears 100) {nodes})");
         let classes = CLASSES.iter().zip(parts).filter(|(_, p)| **p > 0);
-        let lent: String = classes.map(|(c, p)| format!("(class {c} (part {p}))")).collect();
+        let shifted: String = classes.map(|(c, p)| format!("(class {c} (part {p}))")).collect();
         // A site that lends nothing is one that the file says nothing of.
-        text += &if lent.is_empty() { lent } else { format!("(lend s{s}{lent})") };
+        text += &if shifted.is_empty() { shifted } else { format!("(lend s{s}{shifted})") };
     }
     let kept = CLASSES.iter().zip(least).filter(|(_, p)| *p > 0);
     text += &kept.map(|(c, p)| format!("(least {c} {p})")).collect::<String>();
     read("s", &(text + more + ")")).unwrap()
 }
 
-fn standing(seen: Seen, bears: u64, demand: [u64; 3]) -> Standing {
+fn standing(seen: Seen, bears: u64, demand: [u64; 3]) -> SiteLoad {
     let demand = CLASSES.iter().zip(demand).map(|(c, d)| (c.to_string(), d)).collect();
-    Standing { seen, bears, demand, part: 40 }
+    SiteLoad { seen, bears, demand, part: 40 }
 }
 
-fn of(all: &[Standing]) -> BTreeMap<String, Standing> {
+fn of(all: &[SiteLoad]) -> BTreeMap<String, SiteLoad> {
     all.iter().enumerate().map(|(k, s)| (format!("s{k}"), s.clone())).collect()
 }
 
@@ -84,7 +84,7 @@
     assert!(ranks.windows(2).all(|w| w[0] < w[1]), "{ranks:?}");
 }
 
-fn a_site() -> impl Strategy<Value = Standing> {
+fn a_site() -> impl Strategy<Value = SiteLoad> {
     let seen = prop_oneof![
         Just(Seen::Linked),
         Just(Seen::Doubtful),
@@ -116,18 +116,18 @@
         prop_assert_eq!(&share, &plan(&file, &of(&all), &worth()));
         for (k, (s, lends)) in all.iter().zip(&lends).enumerate() {
             // As much as is ever counted.
-            let s = &Standing { bears: s.bears.min(1 << 50), ..s.clone() };
+            let s = &SiteLoad { bears: s.bears.min(1 << 50), ..s.clone() };
             let Some(host) = share.hosts.get(&format!("s{k}")) else { continue };
             prop_assert!(matches!(s.seen, Seen::Linked | Seen::Doubtful | Seen::WholeAgain));
             let own: u64 = s.demand.values().sum();
-            let lent: u64 = lends.iter().map(|p| s.bears * u64::from(*p) / 100).sum();
-            prop_assert!(host.rate() <= lent.max(s.bears.saturating_sub(own)), "s{k}: {host:?}");
+            let shifted: u64 = lends.iter().map(|p| s.bears * u64::from(*p) / 100).sum();
+            prop_assert!(host.rate() <= shifted.max(s.bears.saturating_sub(own)), "s{k}: {host:?}");
             prop_assert!(host.rate() + own.saturating_sub(host.taken) <= s.bears.max(own), "s{k}: {host:?}");
-            prop_assert!(host.rate() <= s.bears && host.taken <= lent, "s{k}: {host:?}");
+            prop_assert!(host.rate() <= s.bears && host.taken <= shifted, "s{k}: {host:?}");
             host.classes.values().for_each(|g| assert_eq!(g.to.values().sum::<u64>(), g.rate));
         }
         for class in CLASSES {
-            let missing = |s: &Standing| match s.seen {
+            let missing = |s: &SiteLoad| match s.seen {
                 Seen::Lost | Seen::Alone => s.demand[class],
                 Seen::Returning => s.demand[class] * 60 / 100,
                 _ => 0,
@@ -163,7 +163,7 @@
 }
 
 /// Sites of all sizes of a file, with what each lends, and the least parts.
-fn a_fleet() -> impl Strategy<Value = (Vec<[u8; 3]>, [u8; 3], Vec<Standing>)> {
+fn a_fleet() -> impl Strategy<Value = (Vec<[u8; 3]>, [u8; 3], Vec<SiteLoad>)> {
     (2usize..=20).prop_flat_map(|count| {
         let lends = prop::collection::vec(prop::array::uniform3(0u8..33), count);
         let all = prop::collection::vec(a_site(), count);
@@ -171,12 +171,12 @@
     })
 }
 
-fn lives(s: &Standing) -> bool {
+fn lives(s: &SiteLoad) -> bool {
     matches!(s.seen, Seen::Linked | Seen::Doubtful | Seen::WholeAgain)
 }
 
 /// What a site's clients ask for elsewhere, in units of a class.
-fn missing(s: &Standing, class: &str) -> u64 {
+fn missing(s: &SiteLoad, class: &str) -> u64 {
     let part = match s.seen {
         Seen::Lost | Seen::Alone => 100,
         Seen::Returning => 100 - u64::from(s.part),
@@ -210,9 +210,9 @@
             let (s, bears) = (&all[k], all[k].bears.min(1 << 50));
             prop_assert!(lives(s), "{name}: {:?}", s.seen);
             let own: u64 = s.demand.values().sum();
-            let lent: u64 = lends[k].iter().map(|p| bears * u64::from(*p) / 100).sum();
-            prop_assert!(host.rate() <= lent.max(bears.saturating_sub(own)), "{name}: {host:?}");
-            prop_assert!(host.taken <= lent && host.taken <= host.rate(), "{name}: {host:?}");
+            let shifted: u64 = lends[k].iter().map(|p| bears * u64::from(*p) / 100).sum();
+            prop_assert!(host.rate() <= shifted.max(bears.saturating_sub(own)), "{name}: {host:?}");
+            prop_assert!(host.taken <= shifted && host.taken <= host.rate(), "{name}: {host:?}");
             for (class, guests) in &host.classes {
                 let part = lends[k][CLASSES.iter().position(|c| c == class).unwrap()];
                 prop_assert!(part > 0 && guests.rate > 0, "{name} lends no {class}: {guests:?}");
@@ -249,7 +249,7 @@
         // One that bears nothing and is asked for nothing is as one that nobody knows.
         let mut less = of(&all);
         let gone = format!("s{}", drawn % all.len());
-        less.insert(gone.clone(), Standing { bears: 0, ..standing(all[drawn % all.len()].seen, 0, [0; 3]) });
+        less.insert(gone.clone(), SiteLoad { bears: 0, ..standing(all[drawn % all.len()].seen, 0, [0; 3]) });
         let with = plan(&file, &less, &worth());
         less.remove(&gone);
         prop_assert_eq!(with, plan(&file, &less, &worth()));
@@ -286,7 +286,7 @@
 
 #[test]
 fn a_site_takes_its_load_back_in_steps_that_cold_servers_bear() {
-    let mut home = Homecoming::new(Steps::usual(PACE), 0);
+    let mut home = RecoveryRamp::new(Steps::usual(PACE), 0);
     let (mut parts, mut whole) = (vec![home.part(warm(1))], 0);
     for now in (1..=40).map(|k| k * S) {
         home.outcomes(100, 2);
@@ -302,7 +302,7 @@
 
 #[test]
 fn bad_outcomes_and_a_second_loss_step_back_and_slow_the_rest() {
-    let mut home = Homecoming::new(Steps::usual(PACE), 0);
+    let mut home = RecoveryRamp::new(Steps::usual(PACE), 0);
     home.outcomes(100, 0);
     assert_eq!(home.pass(3 * S, 1.0).map(|m| (m.from, m.to)), Some((20, 40)));
     home.outcomes(10, 10);
@@ -318,39 +318,42 @@
 
 #[test]
 fn clients_are_told_to_come_back_spread_out() {
-    let home = Homecoming::new(Steps::usual(PACE), 0);
-    let told: Vec<i64> = (0..=10).map(|k| home.come_back(0.2, S, 60 * S, f64::from(k) / 10.0)).collect();
-    assert!(told.windows(2).all(|w| w[1] - w[0] >= 2 * S) && told[0] >= S && told[10] <= 60 * S, "{told:?}");
+    let home = RecoveryRamp::new(Steps::usual(PACE), 0);
+    let notified: Vec<i64> = (0..=10).map(|k| home.come_back(0.2, S, 60 * S, f64::from(k) / 10.0)).collect();
+    assert!(
+        notified.windows(2).all(|w| w[1] - w[0] >= 2 * S) && notified[0] >= S && notified[10] <= 60 * S,
+        "{notified:?}"
+    );
 }
 
 #[test]
 fn ranges_are_even_stable_and_asked_for_by_their_heirs_alone() {
     let plan = file(&[[10; 3]; 3], [0; 3], "");
     let number = |n: &str| plan.node_named(n).unwrap().number;
-    let mut homes = Homes::new(number("s1n0"), &plan, &Kept::default());
+    let mut ownership = KeyOwnership::new(number("s1n0"), &plan, &Kept::default());
     let mut count: BTreeMap<String, u32> = BTreeMap::new();
-    (0..6_000).for_each(|k| *count.entry(homes.home(&format!("key-{k}")).to_string()).or_default() += 1);
+    (0..6_000).for_each(|k| *count.entry(ownership.home(&format!("key-{k}")).to_string()).or_default() += 1);
     assert!(count.len() == 6 && count.values().all(|c| (850..1_150).contains(c)), "{count:?}");
-    assert!(homes.guards("g") && !homes.guards("a"));
+    assert!(ownership.guards("g") && !ownership.guards("a"));
     let mut gone = Gone::default();
-    assert_eq!(homes.claims(&plan, &gone, 0), ["home:s1/s1n0"]);
+    assert_eq!(ownership.claims(&plan, &gone, 0), ["home:s1/s1n0"]);
     gone.sites.insert("s0".into(), (Seen::Lost, 0));
-    assert_eq!(homes.claims(&plan, &gone, 9 * S), ["home:s1/s1n0"]);
-    assert_eq!(homes.claims(&plan, &gone, 10 * S), ["home:s0/s0n0", "home:s1/s1n0"]);
+    assert_eq!(ownership.claims(&plan, &gone, 9 * S), ["home:s1/s1n0"]);
+    assert_eq!(ownership.claims(&plan, &gone, 10 * S), ["home:s0/s0n0", "home:s1/s1n0"]);
     gone.nodes.insert(number("s1n1"), 5 * S);
     assert_eq!(
-        homes.claims(&plan, &gone, 15 * S),
+        ownership.claims(&plan, &gone, 15 * S),
         ["home:s0/s0n0", "home:s0/s0n1", "home:s1/s1n0", "home:s1/s1n1"]
     );
     // It is seen again: the heir asks for it no more.
     gone.sites.insert("s0".into(), (Seen::Returning, 20 * S));
-    assert_eq!(homes.claims(&plan, &gone, 20 * S), ["home:s1/s1n0", "home:s1/s1n1"]);
+    assert_eq!(ownership.claims(&plan, &gone, 20 * S), ["home:s1/s1n0", "home:s1/s1n1"]);
     // An operator's word needs no waiting, and holds for the site itself.
-    let told = file(&[[10; 3]; 3], [0; 3], "(lost s0 (number 1))");
-    assert_eq!(homes.claims(&told, &Gone::default(), 0), ["home:s0/s0n0", "home:s1/s1n0"]);
-    let mut lost = Homes::new(number("s0n0"), &told, &Kept::default());
+    let notified = file(&[[10; 3]; 3], [0; 3], "(lost s0 (number 1))");
+    assert_eq!(ownership.claims(&notified, &Gone::default(), 0), ["home:s0/s0n0", "home:s1/s1n0"]);
+    let mut lost = KeyOwnership::new(number("s0n0"), &notified, &Kept::default());
     lost.settled();
-    assert!(lost.claims(&told, &Gone::default(), 0).is_empty());
+    assert!(lost.claims(&notified, &Gone::default(), 0).is_empty());
     let key = (0..).map(|k| format!("k{k}")).find(|k| lost.home(k) == "s0/s0n0").unwrap();
     let refused = lost.may_place(&key, 0, |_| Proof::Clean);
     assert_eq!(refused, Err(Refused::Elsewhere { home: "s1/s1n0".into() }));
@@ -358,64 +361,71 @@
 
 #[test]
 fn a_lease_counts_from_its_asking_and_what_others_held_may_have_run() {
-    use shorepath_budgets::{Grant, Life, NodeId, Term};
+    use shorepath_quota::{Grant, LeasePeriod, NodeId, NodeIncarnation};
     let plan = file(&[[10; 3]; 3], [0; 3], "");
     let me = plan.node_named("s0n0").unwrap().number;
-    let term = Term { length: 5 * S, drift_ppm: 500, longest: S };
+    let term = LeasePeriod { length: 5 * S, drift_ppm: 500, longest: S };
     let fences = BTreeMap::from([("s0/s0n0".to_string(), Fence { epoch: 7, number: 4 })]);
     let kept = Kept { fences, nodes: plan.nodes().map(|(_, n)| n.number).collect(), ..Kept::default() };
-    let mut homes = Homes::new(me, &plan, &kept);
-    let key = (0..).map(|k| format!("k{k}")).find(|k| homes.home(k) == "s0/s0n0").unwrap();
-    let life = Life { node: NodeId(me), incarnation: 1 };
+    let mut ownership = KeyOwnership::new(me, &plan, &kept);
+    let key = (0..).map(|k| format!("k{k}")).find(|k| ownership.home(k) == "s0/s0n0").unwrap();
+    let life = NodeIncarnation { node: NodeId(me), incarnation: 1 };
     let grant = |number| Grant { life, epoch: 7, number, amount: 1, answers: 1, length: 5 * S };
     let mut give = |number: u64, asked: i64, now: i64| {
-        let took = homes.granted("home:s0/s0n0", &grant(number), asked, term, now);
-        (took, homes.may_place(&key, now, |_| Proof::Unknown), homes.clone())
+        let took = ownership.granted("home:s0/s0n0", &grant(number), asked, term, now);
+        (took, ownership.may_place(&key, now, |_| Proof::Unknown), ownership.clone())
     };
     // The next number after its own: nobody else had it. An older one, and one that was on the way for too long, change nothing.
-    let (took, placed, homes) = give(5, 0, 3 * S);
+    let (took, placed, ownership) = give(5, 0, 3 * S);
     assert_eq!((took, placed), (true, Ok(Fence { epoch: 7, number: 5 })));
-    assert!(homes.may_place(&key, 5 * S, |_| Proof::Clean).is_err());
+    assert!(ownership.may_place(&key, 5 * S, |_| Proof::Clean).is_err());
     assert!(!give(4, 3 * S, 4 * S).0 && !give(6, -2 * S, 4 * S).0);
     // After a gap the history has to prove it.
-    let (_, refused, mut homes) = give(9, 20 * S, 21 * S);
+    let (_, refused, mut ownership) = give(9, 20 * S, 21 * S);
     assert_eq!(refused, Err(Refused::MayHaveRun { home: "s0/s0n0".into() }));
-    assert!(homes.may_place(&key, 21 * S, |_| Proof::Clean).is_ok());
-    assert!(!homes.kept().fences.contains_key("s0/s0n0"));
-    homes.proved("s0/s0n0", Fence { epoch: 7, number: 9 });
-    assert!(homes.may_place(&key, 21 * S, |_| Proof::Unknown).is_ok());
-    homes.ended("home:s0/s0n0");
+    assert!(ownership.may_place(&key, 21 * S, |_| Proof::Clean).is_ok());
+    assert!(!ownership.kept().fences.contains_key("s0/s0n0"));
+    ownership.proved("s0/s0n0", Fence { epoch: 7, number: 9 });
+    assert!(ownership.may_place(&key, 21 * S, |_| Proof::Unknown).is_ok());
+    ownership.ended("home:s0/s0n0");
     assert_eq!(
-        homes.may_place(&key, 21 * S, |_| Proof::Clean),
+        ownership.may_place(&key, 21 * S, |_| Proof::Clean),
         Err(Refused::NoLease { home: "s0/s0n0".into() })
     );
 }
 
 #[test]
 fn keys_that_a_new_file_moves_wait_until_all_nodes_go_by_it() {
-    use shorepath_budgets::{Grant, Life, NodeId, Term};
+    use shorepath_quota::{Grant, LeasePeriod, NodeId, NodeIncarnation};
     let (before, after) = (file(&[[10; 3]; 2], [0; 3], ""), file(&[[10; 3]; 3], [0; 3], ""));
     let me = before.node_named("s0n0").unwrap().number;
-    let mut homes = Homes::new(me, &before, &Kept::default());
-    let life = Life { node: NodeId(me), incarnation: 1 };
+    let mut ownership = KeyOwnership::new(me, &before, &Kept::default());
+    let life = NodeIncarnation { node: NodeId(me), incarnation: 1 };
     let grant = Grant { life, epoch: 1, number: 1, amount: 1, answers: 1, length: 5 * S };
-    assert!(homes.granted("home:s0/s0n0", &grant, 0, Term { length: 5 * S, drift_ppm: 0, longest: 0 }, 0));
-    let own =
-        |h: &Homes| (0..400).map(|k| format!("k{k}")).filter(|k| h.home(k) == "s0/s0n0").collect::<Vec<_>>();
-    let all = own(&homes);
-    let may = |h: &Homes, k: &String| h.may_place(k, 1, |_| Proof::Clean).is_ok();
+    assert!(ownership.granted(
+        "home:s0/s0n0",
+        &grant,
+        0,
+        LeasePeriod { length: 5 * S, drift_ppm: 0, longest: 0 },
+        0
+    ));
+    let own = |h: &KeyOwnership| {
+        (0..400).map(|k| format!("k{k}")).filter(|k| h.home(k) == "s0/s0n0").collect::<Vec<_>>()
+    };
+    let all = own(&ownership);
+    let may = |h: &KeyOwnership, k: &String| h.may_place(k, 1, |_| Proof::Clean).is_ok();
     // One that begins without a disk does not know what others go by.
-    assert!(!all.iter().any(|k| may(&homes, k)));
-    homes.settled();
-    assert!(all.iter().all(|k| may(&homes, k)));
-    homes.replan(&after);
-    let left = own(&homes);
-    assert!(left.len() < all.len() && left.iter().all(|k| all.contains(k) && may(&homes, k)));
+    assert!(!all.iter().any(|k| may(&ownership, k)));
+    ownership.settled();
+    assert!(all.iter().all(|k| may(&ownership, k)));
+    ownership.replan(&after);
+    let left = own(&ownership);
+    assert!(left.len() < all.len() && left.iter().all(|k| all.contains(k) && may(&ownership, k)));
     // Back to where it was: who had gone by the file in between is not known here.
-    homes.replan(&before);
-    assert!(!all.iter().any(|k| may(&homes, k)));
-    homes.settled();
-    assert!(all.iter().all(|k| may(&homes, k)) && homes.kept().nodes.len() == 4);
+    ownership.replan(&before);
+    assert!(!all.iter().any(|k| may(&ownership, k)));
+    ownership.settled();
+    assert!(all.iter().all(|k| may(&ownership, k)) && ownership.kept().nodes.len() == 4);
 }
 
 /// A node that has skipped a file goes by the newest one at once only where no other can take itself for the home by the one in between: in
@@ -427,28 +437,28 @@
     let two = file(&[[10; 3]; 2], [0; 3], "");
     let three = file(&[[10; 3]; 3], [0; 3], "");
     let me = two.node_named("s0n0").unwrap().number;
-    let mut homes = Homes::new(me, &two, &Kept::default());
-    homes.settled();
+    let mut ownership = KeyOwnership::new(me, &two, &Kept::default());
+    ownership.settled();
     // Keys that are at home here by each of the files.
-    let by = |plan: &Plan, key: &str| Homes::new(me, plan, &Kept::default()).home(key) == "s0/s0n0";
+    let by = |plan: &Plan, key: &str| KeyOwnership::new(me, plan, &Kept::default()).home(key) == "s0/s0n0";
     let key = (0..).map(|k| format!("k{k}")).find(|k| by(&two, k) && by(&three, k)).unwrap();
-    let lease = |homes: &mut Homes| {
-        use shorepath_budgets::{Grant, Life, NodeId, Term};
-        let life = Life { node: NodeId(me), incarnation: 1 };
+    let lease = |ownership: &mut KeyOwnership| {
+        use shorepath_quota::{Grant, LeasePeriod, NodeId, NodeIncarnation};
+        let life = NodeIncarnation { node: NodeId(me), incarnation: 1 };
         let grant = Grant { life, epoch: 9, number: 1, amount: 1, answers: 1, length: 5 * S };
-        let term = Term { length: 5 * S, drift_ppm: 500, longest: S };
-        homes.granted("home:s0/s0n0", &grant, 0, term, 0);
-        homes.may_place(&key, 0, |_| Proof::Clean)
+        let term = LeasePeriod { length: 5 * S, drift_ppm: 500, longest: S };
+        ownership.granted("home:s0/s0n0", &grant, 0, term, 0);
+        ownership.may_place(&key, 0, |_| Proof::Clean)
     };
-    let next = |homes: &mut Homes, plan: &Plan| match restarts {
-        true => *homes = Homes::new(me, plan, &homes.kept()),
-        false => homes.replan(plan),
+    let next = |ownership: &mut KeyOwnership, plan: &Plan| match restarts {
+        true => *ownership = KeyOwnership::new(me, plan, &ownership.kept()),
+        false => ownership.replan(plan),
     };
-    next(&mut homes, &three);
-    assert!(lease(&mut homes.clone()).is_ok(), "it is home by both");
-    next(&mut homes, &two);
+    next(&mut ownership, &three);
+    assert!(lease(&mut ownership.clone()).is_ok(), "it is home by both");
+    next(&mut ownership, &two);
     let moving = Err(Refused::Moving { home: "s0/s0n0".into() });
-    assert_eq!(lease(&mut homes.clone()), moving, "another may go by the one in between");
-    homes.settled();
-    assert!(lease(&mut homes).is_ok());
+    assert_eq!(lease(&mut ownership.clone()), moving, "another may go by the one in between");
+    ownership.settled();
+    assert!(lease(&mut ownership).is_ok());
 }
--- a/crates/sites/tests/sight/figures.rs
+++ b/crates/sites/tests/sight/figures.rs
@@ -12,8 +12,8 @@
     f.each_link(loss);
     f.run(30 * S);
     let wrong = |to: Seen| f.log.iter().filter(|(_, _, c)| c.to == to).count();
-    let (doubted, alone, lost) = (wrong(Seen::Doubtful), wrong(Seen::Alone), wrong(Seen::Lost));
-    let words = f.said as f64 / (sites * nodes) as f64 / 30.0;
+    let (is_suspected, alone, lost) = (wrong(Seen::Doubtful), wrong(Seen::Alone), wrong(Seen::Lost));
+    let messages = f.sent as f64 / (sites * nodes) as f64 / 30.0;
     f.log.clear();
     f.kill(1, true);
     f.run(45 * S);
@@ -23,7 +23,7 @@
     let at = |p: usize| times.get((times.len().max(1) - 1) * p / 100).map_or(f64::NAN, |t| *t as f64 / 1e6);
     println!(
         "{sites:2} sites, {:4} nodes, loss {loss:.1}: lost after {:.2} s (median), {:.2} (p99), {:.2} (last), {} of {}; \
-         wrongly doubtful {doubted}, alone {alone}, lost {lost} in 30 s; {words:.1} words a node and second",
+         wrongly doubtful {is_suspected}, alone {alone}, lost {lost} in 30 s; {messages:.1} words a node and second",
         sites * nodes,
         at(50),
         at(99),
@@ -61,9 +61,9 @@
         f.each_link(loss);
         f.run(3_600 * S);
         let wrong = |to: Seen| f.log.iter().filter(|(_, _, c)| c.to == to).count();
-        let (doubted, alone, lost) = (wrong(Seen::Doubtful), wrong(Seen::Alone), wrong(Seen::Lost));
+        let (is_suspected, alone, lost) = (wrong(Seen::Doubtful), wrong(Seen::Alone), wrong(Seen::Lost));
         println!(
-            "nodes {sizes:?}, loss {loss:.1}, 1 h: wrongly doubtful {doubted}, alone {alone}, lost {lost}"
+            "nodes {sizes:?}, loss {loss:.1}, 1 h: wrongly doubtful {is_suspected}, alone {alone}, lost {lost}"
         );
         assert_eq!((alone, lost), (0, 0), "{sizes:?}");
     }
--- a/crates/sites/tests/sight/fleet.rs
+++ b/crates/sites/tests/sight/fleet.rs
@@ -1,8 +1,8 @@
 //! A fleet in virtual time: nodes that see sites, and a network that loses, delays and cuts.
 
 use oorandom::Rand32;
-use shorepath_sites::file::{read, Plan};
-use shorepath_sites::seeing::{Changed, Seeing, Word};
+use shorepath_sites::config::{read, Plan};
+use shorepath_sites::health::{Changed, Message, SiteHealth};
 use shorepath_sites::Micros;
 use std::collections::BTreeMap;
 
@@ -24,12 +24,12 @@
 pub struct Fleet {
     pub now: Micros,
     pub plan: Plan,
-    pub nodes: Vec<Seeing>,
+    pub nodes: Vec<SiteHealth>,
     /// Each node's site.
     pub site: Vec<usize>,
     index: BTreeMap<u32, usize>,
     /// Words on the way: the hearer, the speaker, what.
-    way: BTreeMap<(Micros, u64), (usize, usize, Word)>,
+    way: BTreeMap<(Micros, u64), (usize, usize, Message)>,
     wakes: BTreeMap<(Micros, usize), ()>,
     luck: Rand32,
     /// Shares lost, from site to site.
@@ -39,8 +39,8 @@
     /// Nodes that are gone, and those that stand still (their words wait).
     pub dead: Vec<bool>,
     pub still: Vec<bool>,
-    waiting: Vec<Vec<(usize, Word)>>,
-    pub said: u64,
+    waiting: Vec<Vec<(usize, Message)>>,
+    pub sent: u64,
     pub log: Vec<(Micros, usize, Changed)>,
 }
 
@@ -50,7 +50,7 @@
         let numbers: Vec<u32> = plan.nodes().map(|(_, n)| n.number).collect();
         let count = numbers.len();
         let seen =
-            numbers.iter().enumerate().map(|(k, n)| Seeing::new(*n, &plan, seed + k as u64, 0).unwrap());
+            numbers.iter().enumerate().map(|(k, n)| SiteHealth::new(*n, &plan, seed + k as u64, 0).unwrap());
         Fleet {
             now: 0,
             nodes: seen.collect(),
@@ -64,7 +64,7 @@
             dead: vec![false; count],
             still: vec![false; count],
             waiting: vec![Vec::new(); count],
-            said: 0,
+            sent: 0,
             log: Vec::new(),
             plan,
         }
@@ -88,12 +88,12 @@
         }
     }
 
-    pub fn stand(&mut self, node: usize, still: bool) {
+    pub fn readiness(&mut self, node: usize, still: bool) {
         self.still[node] = still;
         if !still {
-            for (from, word) in std::mem::take(&mut self.waiting[node]) {
+            for (from, message) in std::mem::take(&mut self.waiting[node]) {
                 let from = self.number(from);
-                let _ = self.nodes[node].hear(from, &word, self.now);
+                let _ = self.nodes[node].receive(from, &message, self.now);
             }
         }
     }
@@ -105,19 +105,19 @@
     pub fn run(&mut self, until: Micros) {
         let numbers: Vec<u32> = self.plan.nodes().map(|(_, n)| n.number).collect();
         loop {
-            let word = self.way.first_key_value().map(|(k, _)| k.0).unwrap_or(Micros::MAX);
+            let message = self.way.first_key_value().map(|(k, _)| k.0).unwrap_or(Micros::MAX);
             let wake = self.wakes.first_key_value().map(|(k, _)| k.0).unwrap_or(Micros::MAX);
-            let next = word.min(wake);
+            let next = message.min(wake);
             if next > until {
                 break;
             }
             self.now = next;
-            if word <= wake {
-                let Some((_, (to, from, word))) = self.way.pop_first() else { break };
+            if message <= wake {
+                let Some((_, (to, from, message))) = self.way.pop_first() else { break };
                 if self.still[to] {
-                    self.waiting[to].push((from, word));
+                    self.waiting[to].push((from, message));
                 } else if !self.dead[to] {
-                    let _ = self.nodes[to].hear(numbers[from], &word, next);
+                    let _ = self.nodes[to].receive(numbers[from], &message, next);
                 }
                 continue;
             }
@@ -129,15 +129,15 @@
             self.nodes[k].pass(next);
             let due = self.nodes[k].due(next).max(next + 1_000);
             self.wakes.insert((due, k), ());
-            for (to, word) in self.nodes[k].says() {
-                self.said += 1;
+            for (to, message) in self.nodes[k].take_outgoing() {
+                self.sent += 1;
                 let to = self.index[&to];
                 let (a, b) = (self.site[k], self.site[to]);
                 if self.luck.rand_float() < self.loss[a][b] {
                     continue;
                 }
                 let at = next + if a == b { 300 } else { self.delay[a][b] };
-                self.way.insert((at, self.said), (to, k, word));
+                self.way.insert((at, self.sent), (to, k, message));
             }
             self.log.extend(self.nodes[k].changes().into_iter().map(|c| (next, k, c)));
         }
--- a/crates/sites/tests/sight/leases.rs
+++ b/crates/sites/tests/sight/leases.rs
@@ -1,18 +1,18 @@
 //! Sites that are seen, leases that are asked for because of it, and a divider: who is home to a key while a site is lost and returns.
 
 use crate::fleet::{Fleet, S};
-use shorepath_budgets::divider::Divider;
-use shorepath_budgets::seat::{Seat, Use};
-use shorepath_budgets::{file, Life, NodeId};
-use shorepath_sites::homes::{budget, Gone, Homes, Kept, Proof};
+use shorepath_quota::allocator::Allocator;
+use shorepath_quota::client::{QuotaClient, Use};
+use shorepath_quota::{config, NodeId, NodeIncarnation};
+use shorepath_sites::key_ownership::{budget, Gone, Kept, KeyOwnership, Proof};
 use shorepath_sites::Micros;
 
 struct Leases {
     f: Fleet,
-    seats: Vec<Seat>,
-    homes: Vec<Homes>,
-    divider: Divider,
-    file: file::Plan,
+    seats: Vec<QuotaClient>,
+    ownership: Vec<KeyOwnership>,
+    allocator: Allocator,
+    file: config::Plan,
     /// Sites that the divider neither hears nor reaches.
     cut: Vec<bool>,
     key: String,
@@ -29,24 +29,30 @@
             text +=
                 &format!("(budget {} (per moment) (whole 1) (longest 1 s))", budget(&site.name, &node.name));
         }
-        let file = file::read("b", &(text + ")")).unwrap();
-        let mut divider = Divider::new("d", file.clone(), 7);
-        divider.lead(true);
+        let file = config::read("b", &(text + ")")).unwrap();
+        let mut allocator = Allocator::new("d", file.clone(), 7);
+        allocator.lead(true);
         let numbers: Vec<u32> = f.plan.nodes().map(|(_, n)| n.number).collect();
-        let homes: Vec<Homes> = numbers.iter().map(|n| Homes::new(*n, &f.plan, &Kept::default())).collect();
-        let key = (0..).map(|k| format!("k{k}")).find(|k| homes[0].home(k) == "s1/s1n0").unwrap();
-        let mut all = Leases { f, seats: Vec::new(), homes, divider, file, cut: vec![false; 3], key };
-        all.seats = numbers.iter().map(|n| all.seat(*n, 1)).collect();
+        let ownership: Vec<KeyOwnership> =
+            numbers.iter().map(|n| KeyOwnership::new(*n, &f.plan, &Kept::default())).collect();
+        let key = (0..).map(|k| format!("k{k}")).find(|k| ownership[0].home(k) == "s1/s1n0").unwrap();
+        let mut all = Leases { f, seats: Vec::new(), ownership, allocator, file, cut: vec![false; 3], key };
+        all.seats = numbers.iter().map(|n| all.quota_client(*n, 1)).collect();
         all
     }
 
-    fn seat(&self, node: u32, incarnation: u64) -> Seat {
-        Seat::new(Life { node: NodeId(node), incarnation }, self.file.clone(), 0, self.f.now)
+    fn quota_client(&self, node: u32, incarnation: u64) -> QuotaClient {
+        QuotaClient::new(
+            NodeIncarnation { node: NodeId(node), incarnation },
+            self.file.clone(),
+            0,
+            self.f.now,
+        )
     }
 
     /// Who may place the key now, whatever is known of it.
     fn holder(&self) -> Option<usize> {
-        let may = |k: &usize| self.homes[*k].may_place(&self.key, self.f.now, |_| Proof::Clean).is_ok();
+        let may = |k: &usize| self.ownership[*k].may_place(&self.key, self.f.now, |_| Proof::Clean).is_ok();
         let all: Vec<usize> = (0..3).filter(may).collect();
         assert!(all.len() < 2, "{all:?} at {}", self.f.now);
         all.first().copied()
@@ -59,25 +65,25 @@
             let states = self.f.nodes[k].states().into_iter().map(|(s, seen, since)| (s, (seen, since)));
             let gone = Gone { sites: states.collect(), ..Gone::default() };
             if self.f.nodes[k].all_go_by() {
-                self.homes[k].settled();
+                self.ownership[k].settled();
             }
-            let claims = self.homes[k].claims(&self.f.plan, &gone, now);
-            let seat = &mut self.seats[k];
+            let claims = self.ownership[k].claims(&self.f.plan, &gone, now);
+            let quota_client = &mut self.seats[k];
             for name in self.file.budgets.iter().map(|b| &b.name) {
-                seat.used(name, Use { wanted: u64::from(claims.contains(name)), used: 0 });
+                quota_client.used(name, Use { wanted: u64::from(claims.contains(name)), used: 0 });
             }
-            seat.pass(now);
-            for say in seat.says() {
+            quota_client.pass(now);
+            for outgoing in quota_client.take_outgoing() {
                 if !self.cut[k] {
-                    self.divider.hear(&say.word, now);
+                    self.allocator.receive(&outgoing.message, now);
                 }
             }
         }
-        while let Some(entry) = self.divider.propose(now) {
-            let changed = self.divider.apply(&entry, now);
-            for say in self.divider.settled(&entry, changed, now) {
+        while let Some(entry) = self.allocator.propose(now) {
+            let changed = self.allocator.apply(&entry, now);
+            for outgoing in self.allocator.settled(&entry, changed, now) {
                 for k in (0..3).filter(|k| !self.cut[*k] && !self.f.dead[*k]) {
-                    self.seats[k].hear(0, &say.word, now);
+                    self.seats[k].receive(0, &outgoing.message, now);
                 }
             }
         }
@@ -85,9 +91,9 @@
             for b in &self.file.budgets {
                 match self.seats[k].lease(&b.name, now) {
                     Some((grant, asked)) => {
-                        self.homes[k].granted(&b.name, &grant, asked, self.file.term_of(b), now);
+                        self.ownership[k].granted(&b.name, &grant, asked, self.file.term_of(b), now);
                     }
-                    None => self.homes[k].ended(&b.name),
+                    None => self.ownership[k].ended(&b.name),
                 }
             }
         }
@@ -142,6 +148,7 @@
     println!("lost: its heir has the range after {:.2} s", s(l.until(2)));
     l.f.kill(1, false);
     let number = l.f.plan.node_named("s1n0").unwrap().number;
-    (l.seats[1], l.homes[1]) = (l.seat(number, 2), Homes::new(number, &l.f.plan, &Kept::default()));
+    (l.seats[1], l.ownership[1]) =
+        (l.quota_client(number, 2), KeyOwnership::new(number, &l.f.plan, &Kept::default()));
     println!("started anew: the range is home after {:.2} s", s(l.until(1)));
 }
--- a/crates/sites/tests/sight/main.rs
+++ b/crates/sites/tests/sight/main.rs
@@ -5,8 +5,8 @@
 mod leases;
 
 use fleet::{Fleet, S};
-use shorepath_sites::file::{Declared, Plan};
-use shorepath_sites::seeing::{HeardError, Load, Seeing, Told, Why, Word};
+use shorepath_sites::config::{Declared, Plan};
+use shorepath_sites::health::{Load, Message, ReceiveError, SiteHealth, SiteReport, Why};
 use shorepath_sites::Seen;
 
 /// What all living nodes of other sites see a site as; panics where they differ.
@@ -114,10 +114,10 @@
 fn one_that_stood_still_listens_before_it_takes_others_for_lost() {
     let mut f = Fleet::new(&[2; 3], 7);
     f.run(10 * S);
-    (0..2).for_each(|k| f.stand(k, true));
+    (0..2).for_each(|k| f.readiness(k, true));
     f.run(40 * S);
     assert_eq!(f.nodes[2].state("s0"), Some(Seen::Lost));
-    (0..2).for_each(|k| f.stand(k, false));
+    (0..2).for_each(|k| f.readiness(k, false));
     // What lay in its buffer confirms nothing.
     assert!(!f.nodes[0].confirmed(f.now));
     f.run(60 * S);
@@ -131,8 +131,8 @@
 fn words_are_checked_short_and_open_to_newer_versions() {
     let plan = fleet::plan(&[1; 20]);
     let number = |k: usize| plan.nodes().nth(k).unwrap().1.number;
-    let mut at = Seeing::new(number(0), &plan, 1, 0).unwrap();
-    let told = |site| Told {
+    let mut at = SiteHealth::new(number(0), &plan, 1, 0).unwrap();
+    let notified = |site| SiteReport {
         site,
         sign: 999_999_999,
         sign_age: 99_999,
@@ -140,10 +140,10 @@
         direct_age: 99_999,
         back_age: 99_999,
     };
-    let others = plan.sites.iter().skip(1).map(|s| told(s.number)).collect();
+    let others = plan.sites.iter().skip(1).map(|s| notified(s.number)).collect();
     let demand = (0..6).map(|k| (u32::MAX - 9 + k, 1_000_000)).collect();
     let load = Some(Load { part: 100, bears: 1_000_000_000, demand });
-    let word = Word {
+    let message = Message {
         site: plan.sites[1].number,
         number: 999_999_999,
         version: 1_000_000_000,
@@ -151,20 +151,20 @@
         others,
         load,
     };
-    let json = serde_json::to_string(&word).unwrap();
-    let short = postcard::to_allocvec(&word).unwrap();
+    let json = serde_json::to_string(&message).unwrap();
+    let short = postcard::to_allocvec(&message).unwrap();
     println!("20 sites: {} bytes of JSON, {} of postcard", json.len(), short.len());
     assert!(json.len() < 1_200 && short.len() < 1_200);
-    assert_eq!(postcard::from_bytes::<Word>(&short).unwrap(), word);
+    assert_eq!(postcard::from_bytes::<Message>(&short).unwrap(), message);
     let newer = json.replacen('{', "{\"hue\":[1],", 1);
-    assert_eq!(serde_json::from_str::<Word>(&newer).unwrap(), word);
-    assert_eq!(at.hear(7, &word, 1), Err(HeardError::Stranger(7)));
-    let elsewhere = HeardError::Elsewhere { node: number(2), says: word.site };
-    assert_eq!(at.hear(number(2), &word, 1), Err(elsewhere));
-    at.hear(number(1), &word, 1).unwrap();
-    assert_eq!(at.load("s1"), word.load);
-    let far = Word { number: word.number + (1 << 33), ..word };
-    assert_eq!(at.hear(number(1), &far, 2), Err(HeardError::OutOfReach(far.number)));
+    assert_eq!(serde_json::from_str::<Message>(&newer).unwrap(), message);
+    assert_eq!(at.receive(7, &message, 1), Err(ReceiveError::Stranger(7)));
+    let elsewhere = ReceiveError::Elsewhere { node: number(2), outgoing_messages: message.site };
+    assert_eq!(at.receive(number(2), &message, 1), Err(elsewhere));
+    at.receive(number(1), &message, 1).unwrap();
+    assert_eq!(at.load("s1"), message.load);
+    let far = Message { number: message.number + (1 << 33), ..message };
+    assert_eq!(at.receive(number(1), &far, 2), Err(ReceiveError::OutOfReach(far.number)));
 }
 
 /// Numbers as they come, and at their edges.
@@ -193,24 +193,24 @@
     /// Whatever a node is told, it goes on: it speaks, and its own numbers stay in reach of others.
     #[test]
     fn nothing_that_is_said_stops_a_node(
-        said in proptest::collection::vec((0usize..5, proptest::collection::vec(extreme(), 6..7), 0usize..3), 1..20),
+        sent in proptest::collection::vec((0usize..5, proptest::collection::vec(extreme(), 6..7), 0usize..3), 1..20),
     ) {
         let plan = fleet::plan(&[2; 3]);
         let number = |k: usize| plan.nodes().nth(k).unwrap().1.number;
-        let mut at = Seeing::new(number(0), &plan, 1, 0).unwrap();
+        let mut at = SiteHealth::new(number(0), &plan, 1, 0).unwrap();
         let mut now = 0;
-        for (from, v, site) in said {
+        for (from, v, site) in sent {
             let age = |k: usize| v[k] as u32;
             let site = plan.sites[site].number;
-            let told = Told { site, sign: v[0], sign_age: age(1), direct: v[2], direct_age: age(3), back_age: age(4) };
+            let notified = SiteReport { site, sign: v[0], sign_age: age(1), direct: v[2], direct_age: age(3), back_age: age(4) };
             let load = Some(Load { part: 100, bears: v[5], demand: vec![(1, v[5]), (1, v[0])] });
             let own = plan.site_of_node(number(from + 1)).unwrap().number;
-            let word = Word { site: own, number: v[5], version: v[1], digest: 0, others: vec![told, told], load };
-            let _ = at.hear(number(from + 1), &word, now);
+            let message = Message { site: own, number: v[5], version: v[1], digest: 0, others: vec![notified, notified], load };
+            let _ = at.receive(number(from + 1), &message, now);
             now += S / 3;
             at.pass(now);
             (0..3).for_each(|s| drop(at.load(&format!("s{s}"))));
-            proptest::prop_assert!(at.says().iter().all(|(_, w)| w.number <= (1 << 53) + 20));
+            proptest::prop_assert!(at.take_outgoing().iter().all(|(_, w)| w.number <= (1 << 53) + 20));
         }
     }
 
@@ -226,12 +226,12 @@
                 1 => f.cut(a, 1.0),
                 2 => f.loss[a][b] = 1.0,
                 3 => f.kill(a, true),
-                _ => (0..2).for_each(|k| f.stand(2 * a + k, true)),
+                _ => (0..2).for_each(|k| f.readiness(2 * a + k, true)),
             }
             f.run(f.now + time * S);
             f.each_link(0.0);
             (0..3).for_each(|s| f.kill(s, false));
-            (0..6).filter(|k| f.still[*k]).collect::<Vec<_>>().into_iter().for_each(|k| f.stand(k, false));
+            (0..6).filter(|k| f.still[*k]).collect::<Vec<_>>().into_iter().for_each(|k| f.readiness(k, false));
         }
         f.run(f.now + 20 * S);
         for node in &mut f.nodes {
@@ -266,10 +266,10 @@
 fn what_is_known_of_a_lost_sites_load_stays_and_its_returning_part_is_the_least() {
     let mut f = Fleet::new(&[2; 3], 22);
     let load = |part: u8, units: u64| Load { part, bears: 50, demand: vec![(7, units)] };
-    f.nodes[2].tell(load(100, 10));
+    f.nodes[2].report(load(100, 10));
     f.run(5 * S);
     assert_eq!(f.nodes[0].load("s1"), Some(load(100, 20)), "as if the other node had as much");
-    f.nodes[3].tell(load(20, 30));
+    f.nodes[3].report(load(20, 30));
     f.run(10 * S);
     assert_eq!(f.nodes[0].load("s1"), Some(load(20, 40)));
     f.dead[3] = true;
@@ -313,8 +313,8 @@
     f.nodes[5].replan(&other, now).unwrap();
     f.run(20 * S);
     assert!((0..6).all(|k| !f.nodes[k].all_go_by()));
-    let told: Vec<_> = f.nodes[0].differs().into_iter().map(|d| (d.node, d.version, d.own)).collect();
-    assert!(told.last().is_some_and(|t| (t.1, t.2) == (version, 2)), "{told:?}");
+    let notified: Vec<_> = f.nodes[0].differs().into_iter().map(|d| (d.node, d.version, d.own)).collect();
+    assert!(notified.last().is_some_and(|t| (t.1, t.2) == (version, 2)), "{notified:?}");
     f.run(25 * S);
     assert!(f.nodes[0].differs().is_empty());
     let now = f.now;
--- a/crates/store/examples/cost.rs
+++ b/crates/store/examples/cost.rs
@@ -1,7 +1,7 @@
 //! What intents cost on this machine's disk: one at a time, and as many clients ask at once through the keeper; and how long a
 //! million open ones take to be opened and read. `cargo run --release -p shorepath-store --example cost`
 
-use shorepath_store::keeper::Keeper;
+use shorepath_store::group_commit::GroupCommit;
 use shorepath_store::{Intent, Op, Store};
 use std::sync::mpsc::channel;
 use std::sync::Arc;
@@ -27,17 +27,17 @@
     let store = Arc::new(Store::open(&dir, 1 << 20)?);
     let mut id = 0;
     for clients in [1, 16, 128] {
-        let keeper = Keeper::new(store.clone())?;
-        let (tell, told) = channel();
+        let group_commit = GroupCommit::new(store.clone())?;
+        let (reply, notified) = channel();
         let count = 20_000.min(3_000 * clients);
         let begin = Instant::now();
         let mut ask = |asked: u64| {
-            let (tell, at) = (tell.clone(), Instant::now());
+            let (reply, at) = (reply.clone(), Instant::now());
             id += 1;
             // A client's intent, and the end of an earlier one.
             let ops = vec![intent(id), Op::Settle(format!("{:016x}", id - id.min(200)))];
-            keeper.commit(ops, move |done| {
-                let _ = tell.send((done.is_ok(), at.elapsed().as_secs_f64() * 1e3));
+            group_commit.commit(ops, move |done| {
+                let _ = reply.send((done.is_ok(), at.elapsed().as_secs_f64() * 1e3));
             });
             asked + 1
         };
@@ -47,7 +47,7 @@
         }
         let mut took = Vec::new();
         while (took.len() as u64) < count {
-            let (ok, ms) = told.recv()?;
+            let (ok, ms) = notified.recv()?;
             assert!(ok);
             took.push(ms);
             if asked < count {
--- a/crates/store/src/faulty.rs
+++ b/crates/store/src/fault_injection.rs
@@ -27,12 +27,12 @@
     bad_sync: Option<u64>,
     syncs: u64,
     /// No file is longer than this.
-    room: Option<u64>,
+    capacity: Option<u64>,
 }
 
 /// A disk in memory; its copies are the same disk.
 #[derive(Clone, Debug, Default)]
-pub struct Faulty(Arc<Mutex<State>>);
+pub struct FaultyDisk(Arc<Mutex<State>>);
 
 /// A source of chance that needs nothing: splitmix64.
 fn chance(seed: &mut u64) -> u64 {
@@ -70,10 +70,10 @@
     }
 }
 
-impl Faulty {
+impl FaultyDisk {
     /// One that holds nothing.
-    pub fn new() -> Faulty {
-        Faulty::default()
+    pub fn new() -> FaultyDisk {
+        FaultyDisk::default()
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -101,26 +101,26 @@
     }
 
     /// There is room for so many bytes.
-    pub fn room(&self, bytes: u64) {
-        self.state().room = Some(bytes);
+    pub fn set_capacity(&self, bytes: u64) {
+        self.state().capacity = Some(bytes);
     }
 
     /// The disk as it is found once the power is back: of what was not synced each sector is there or not, by chance.
-    pub fn after_power_loss(&self, mut seed: u64) -> Faulty {
+    pub fn after_power_loss(&self, mut seed: u64) -> FaultyDisk {
         let state = self.state();
         let mut image = state.synced.clone();
         for change in &state.pending {
             apply(&mut image, change, || chance(&mut seed).is_multiple_of(2));
         }
-        Faulty(Arc::new(Mutex::new(State { synced: image.clone(), seen: image, ..State::default() })))
+        FaultyDisk(Arc::new(Mutex::new(State { synced: image.clone(), seen: image, ..State::default() })))
     }
 
     /// The same disk with one bit flipped.
-    pub fn flipped(&self, bit: u64) -> Faulty {
+    pub fn flipped(&self, bit: u64) -> FaultyDisk {
         let mut image = self.state().seen.clone();
         let at = (bit / 8) as usize % image.len().max(1);
         image[at] ^= 1 << (bit % 8);
-        Faulty(Arc::new(Mutex::new(State { synced: image.clone(), seen: image, ..State::default() })))
+        FaultyDisk(Arc::new(Mutex::new(State { synced: image.clone(), seen: image, ..State::default() })))
     }
 
     /// All that it holds.
@@ -138,7 +138,7 @@
             Pending::Write(offset, data) => offset + data.len() as u64,
             Pending::Length(length) => *length,
         };
-        if state.room.is_some_and(|room| end > room) {
+        if state.capacity.is_some_and(|capacity| end > capacity) {
             return Err(std::io::ErrorKind::StorageFull.into());
         }
         apply(&mut state.seen, &change, || true);
@@ -147,7 +147,7 @@
     }
 }
 
-impl StorageBackend for Faulty {
+impl StorageBackend for FaultyDisk {
     fn len(&self) -> Result<u64, std::io::Error> {
         Ok(self.state().seen.len() as u64)
     }
--- a/crates/store/src/keeper.rs
+++ b/crates/store/src/group_commit.rs
@@ -19,12 +19,12 @@
 }
 
 /// Commits in groups, in the order in which it was asked. It ends with this, after what it was asked for.
-pub struct Keeper {
+pub struct GroupCommit {
     asks: Option<Sender<Ask>>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl std::fmt::Debug for Keeper {
+impl std::fmt::Debug for GroupCommit {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Keeper").finish()
     }
@@ -59,19 +59,19 @@
             }
         }
         let done = store.commit(&ops).map_err(Arc::new);
-        group.into_iter().for_each(|tell| tell(done.clone()));
+        group.into_iter().for_each(|reply| reply(done.clone()));
     }
 }
 
-impl Keeper {
+impl GroupCommit {
     /// One that commits to that store.
     ///
     /// # Errors
     /// There is no thread to be had.
-    pub fn new(store: Arc<Store>) -> std::io::Result<Keeper> {
+    pub fn new(store: Arc<Store>) -> std::io::Result<GroupCommit> {
         let (asks, asked) = channel();
         let thread = std::thread::Builder::new().name("store".into()).spawn(move || work(&store, &asked))?;
-        Ok(Keeper { asks: Some(asks), thread: Some(thread) })
+        Ok(GroupCommit { asks: Some(asks), thread: Some(thread) })
     }
 
     fn ask(&self, ask: Ask) {
@@ -88,7 +88,7 @@
         self.ask(Ask::Commit(ops, Box::new(done)));
     }
 
-    /// See [`Store::reopen`]: all that is asked for from now on is refused until [`Keeper::resume`].
+    /// See [`Store::reopen`]: all that is asked for from now on is refused until [`GroupCommit::resume`].
     pub fn reopen(&self, done: impl FnOnce(Result<(), Arc<StoreError>>) + Send + 'static) {
         self.ask(Ask::Reopen(Box::new(done)));
     }
@@ -99,7 +99,7 @@
     }
 }
 
-impl Drop for Keeper {
+impl Drop for GroupCommit {
     fn drop(&mut self) {
         self.asks = None;
         if let Some(thread) = self.thread.take() {
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -9,11 +9,11 @@
 //! [`Store::commit`] returns. After a commit that failed nothing more is taken: what the disk holds is not known until it is
 //! opened again ([`Store::reopen`]). One that is opened on a full disk can be read, and takes nothing until then either. Each record carries a checksum of its own, so that a flipped bit is found and named.
 //!
-//! [`keeper::Keeper`] commits what many ask for at once; [`faulty::Faulty`] is a disk that loses, tears and refuses on purpose.
+//! [`group_commit::GroupCommit`] commits what many ask for at once; [`fault_injection::FaultyDisk`] is a disk that loses, tears and refuses on purpose.
 
-pub mod faulty;
-pub mod keeper;
-mod shadow;
+pub mod fault_injection;
+pub mod group_commit;
+mod overlay;
 
 use redb::backends::FileBackend;
 use redb::{
@@ -35,7 +35,7 @@
 /// Records by journal and number.
 const JOURNALS: TableDefinition<(&str, u64), &[u8]> = TableDefinition::new("journals");
 /// What is written to see whether there is room: that journal, with a record of so many bytes.
-const ROOM: (&str, usize) = ("room", 64 << 10);
+const CAPACITY: (&str, usize) = ("room", 64 << 10);
 /// The format of what is kept. Another one is refused, not guessed at.
 pub const FORMAT: u32 = 1;
 /// The name of the file in the store's folder.
@@ -224,7 +224,7 @@
     pub fn open(folder: &Path, most: u64) -> Result<Store, StoreError> {
         let store = Store::writable(folder, most);
         let store = match store {
-            Err(StoreError::Full) => Store::shadow(folder, most)?,
+            Err(StoreError::Full) => Store::overlay(folder, most)?,
             store => store?,
         };
         Ok(Store { folder: Some(folder.to_path_buf()), ..store })
@@ -240,15 +240,15 @@
     }
 
     /// What is in that folder, read and never written.
-    fn shadow(folder: &Path, most: u64) -> Result<Store, StoreError> {
+    fn overlay(folder: &Path, most: u64) -> Result<Store, StoreError> {
         let file = std::fs::OpenOptions::new().read(true).write(true).open(folder.join(FILE));
         let file = match file {
             Ok(file) => Some(FileBackend::new(file)?),
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => None,
             Err(e) => return Err(of_io(&e)),
         };
-        let shadow = shadow::Shadow::new(file).map_err(|e| of_io(&e))?;
-        let store = Store::checked(Builder::new().create_with_backend(shadow)?, most)?;
+        let overlay = overlay::Overlay::new(file).map_err(|e| of_io(&e))?;
+        let store = Store::checked(Builder::new().create_with_backend(overlay)?, most)?;
         store.unsure.store(true, Ordering::Release);
         Ok(store)
     }
@@ -264,16 +264,16 @@
         self.unsure.store(true, Ordering::Release);
         // Closed first: nobody may have it twice.
         *held = None;
-        let room = || {
+        let capacity = || {
             let store = Store::writable(folder, self.most)?;
-            store.commit(&[Op::Append(ROOM.0.to_string(), 0, vec![0; ROOM.1])])?;
-            store.commit(&[Op::Drop(ROOM.0.to_string(), 1)])?;
+            store.commit(&[Op::Append(CAPACITY.0.to_string(), 0, vec![0; CAPACITY.1])])?;
+            store.commit(&[Op::Drop(CAPACITY.0.to_string(), 1)])?;
             Ok(store)
         };
-        let opened = room();
+        let opened = capacity();
         let (store, done) = match opened {
             Ok(store) => (store, Ok(())),
-            Err(e) => (Store::shadow(folder, self.most)?, Err(e)),
+            Err(e) => (Store::overlay(folder, self.most)?, Err(e)),
         };
         self.held.store(store.held.into_inner(), Ordering::Release);
         *held = store.database.into_inner().unwrap_or_else(PoisonError::into_inner);
--- a/crates/store/src/shadow.rs
+++ b/crates/store/src/overlay.rs
@@ -19,16 +19,16 @@
 
 /// A file that is read and not written; none counts as empty.
 #[derive(Debug)]
-pub(crate) struct Shadow {
+pub(crate) struct Overlay {
     file: Option<FileBackend>,
     state: Mutex<State>,
 }
 
-impl Shadow {
-    pub(crate) fn new(file: Option<FileBackend>) -> Result<Shadow, Error> {
+impl Overlay {
+    pub(crate) fn new(file: Option<FileBackend>) -> Result<Overlay, Error> {
         let length = file.as_ref().map_or(Ok(0), StorageBackend::len)?;
         let state = State { length, valid: length, pages: BTreeMap::new() };
-        Ok(Shadow { file, state: Mutex::new(state) })
+        Ok(Overlay { file, state: Mutex::new(state) })
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -59,7 +59,7 @@
     }
 }
 
-impl StorageBackend for Shadow {
+impl StorageBackend for Overlay {
     fn len(&self) -> Result<u64, Error> {
         Ok(self.state().length)
     }
@@ -70,7 +70,7 @@
             return Err(ErrorKind::UnexpectedEof.into());
         }
         let mut done = 0;
-        for (page, from, count) in Shadow::pieces(offset, out.len()) {
+        for (page, from, count) in Overlay::pieces(offset, out.len()) {
             let bytes = self.page(&state, page)?;
             if let (Some(to), Some(part)) = (out.get_mut(done..done + count), bytes.get(from..from + count)) {
                 to.copy_from_slice(part);
@@ -105,7 +105,7 @@
             return Err(ErrorKind::UnexpectedEof.into());
         }
         let mut done = 0;
-        for (page, from, count) in Shadow::pieces(offset, data.len()) {
+        for (page, from, count) in Overlay::pieces(offset, data.len()) {
             let mut bytes = self.page(&state, page)?;
             if let (Some(to), Some(part)) = (bytes.get_mut(from..from + count), data.get(done..done + count))
             {
@@ -178,27 +178,27 @@
             let like = InMemoryBackend::new();
             like.set_len(first.len() as u64).unwrap();
             like.write(0, &first).unwrap();
-            let shadow = Shadow::new(Some(FileBackend::new(file.try_clone().unwrap()).unwrap())).unwrap();
+            let overlay = Overlay::new(Some(FileBackend::new(file.try_clone().unwrap()).unwrap())).unwrap();
             for act in acts {
                 let length = like.len().unwrap();
                 match act {
                     Act::Write(o, d) if o + d.len() as u64 <= length => {
                         like.write(o, &d).unwrap();
-                        shadow.write(o, &d).unwrap();
+                        overlay.write(o, &d).unwrap();
                     }
                     Act::Read(o, n) if o + n as u64 <= length => {
                         let (mut a, mut b) = (vec![1; n], vec![2; n]);
                         like.read(o, &mut a).unwrap();
-                        shadow.read(o, &mut b).unwrap();
+                        overlay.read(o, &mut b).unwrap();
                         prop_assert_eq!(a, b);
                     }
                     Act::Length(n) => {
                         like.set_len(n).unwrap();
-                        shadow.set_len(n).unwrap();
+                        overlay.set_len(n).unwrap();
                     }
-                    _ => prop_assert!(shadow.read(length, &mut [0]).is_err()),
+                    _ => prop_assert!(overlay.read(length, &mut [0]).is_err()),
                 }
-                prop_assert_eq!(shadow.len().unwrap(), like.len().unwrap());
+                prop_assert_eq!(overlay.len().unwrap(), like.len().unwrap());
             }
             let mut now = Vec::new();
             std::io::Seek::rewind(&mut file).unwrap();
--- a/crates/store/tests/faults.rs
+++ b/crates/store/tests/faults.rs
@@ -3,8 +3,8 @@
 
 use proptest::prelude::*;
 use rstest::rstest;
-use shorepath_store::faulty::Faulty;
-use shorepath_store::keeper::Keeper;
+use shorepath_store::fault_injection::FaultyDisk;
+use shorepath_store::group_commit::GroupCommit;
 use shorepath_store::{Answer, Intent, Op, Store, StoreError, DRAFT, FILE};
 use std::collections::BTreeMap;
 use std::sync::mpsc::channel;
@@ -29,14 +29,14 @@
 
 /// What a store should hold.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Shadow {
+struct Overlay {
     intents: BTreeMap<String, Intent>,
     answers: BTreeMap<String, Answer>,
     step: Option<u64>,
     journal: BTreeMap<u64, Vec<u8>>,
 }
 
-impl Shadow {
+impl Overlay {
     fn take(&mut self, ops: &[Op]) {
         for op in ops {
             match op.clone() {
@@ -50,8 +50,8 @@
         }
     }
 
-    fn of(store: &Store) -> Result<Shadow, StoreError> {
-        Ok(Shadow {
+    fn of(store: &Store) -> Result<Overlay, StoreError> {
+        Ok(Overlay {
             intents: store.intents()?.into_iter().collect(),
             answers: store.answers()?.into_iter().collect(),
             step: store.fact("step")?,
@@ -77,39 +77,39 @@
 
 /// Commit until something fails; what was said to be on the disk, and with the commit that failed. `None` where there was never
 /// a store: one on a disk of its own is made in place, which one in a folder is not.
-fn work(disk: &Faulty, commits: u64) -> Option<(Shadow, Option<Shadow>)> {
-    let mut shadow = Shadow::default();
+fn work(disk: &FaultyDisk, commits: u64) -> Option<(Overlay, Option<Overlay>)> {
+    let mut overlay = Overlay::default();
     let store = Store::on(disk.clone(), MOST).ok()?;
     for k in 0..commits {
         let ops = ops(k);
-        let mut next = shadow.clone();
+        let mut next = overlay.clone();
         next.take(&ops);
         if store.commit(&ops).is_err() {
             assert!(matches!(store.commit(&[]), Err(StoreError::Unsure)), "after a failure nothing is taken");
-            return Some((shadow, Some(next)));
+            return Some((overlay, Some(next)));
         }
-        shadow = next;
+        overlay = next;
     }
-    Some((shadow, None))
+    Some((overlay, None))
 }
 
 /// The power goes at every single write, and what was not synced is lost or torn in different ways each time.
 #[test]
 fn what_was_committed_survives_a_power_loss_at_any_point() {
     const COMMITS: u64 = 12;
-    let whole = Faulty::new();
+    let whole = FaultyDisk::new();
     work(&whole, COMMITS);
     let calls = whole.calls();
     assert!(calls > 50, "{calls}");
     let mut tried = 0;
     for cut in 0..=calls {
-        let disk = Faulty::new();
+        let disk = FaultyDisk::new();
         disk.cut_at(cut);
         let Some((sure, maybe)) = work(&disk, COMMITS) else { continue };
         for seed in 0..12 {
             let found = disk.after_power_loss(seed * 1_000 + cut);
             let store = Store::on(found, MOST).unwrap_or_else(|e| panic!("cut {cut}, seed {seed}: {e}"));
-            let held = Shadow::of(&store).unwrap();
+            let held = Overlay::of(&store).unwrap();
             assert!(
                 held == sure || maybe.as_ref() == Some(&held),
                 "cut {cut}, seed {seed}: {held:?}\n{sure:?}"
@@ -124,15 +124,15 @@
 /// A sync that failed is not tried again as if it had worked: what it was for may be lost, what was before is there.
 #[test]
 fn a_failed_sync_ends_what_can_be_said() {
-    let whole = Faulty::new();
+    let whole = FaultyDisk::new();
     work(&whole, 8);
     for number in 0..whole.syncs() {
-        let disk = Faulty::new();
+        let disk = FaultyDisk::new();
         disk.fail_sync(number);
         let Some((sure, maybe)) = work(&disk, 8) else { continue };
         for seed in 0..6 {
             let store = Store::on(disk.after_power_loss(seed), MOST).unwrap();
-            let held = Shadow::of(&store).unwrap();
+            let held = Overlay::of(&store).unwrap();
             assert!(held == sure || maybe.as_ref() == Some(&held), "sync {number}, seed {seed}");
         }
     }
@@ -140,10 +140,10 @@
 
 #[test]
 fn a_full_disk_is_told_as_such_and_loses_nothing() {
-    let disk = Faulty::new();
+    let disk = FaultyDisk::new();
     let store = Store::on(disk.clone(), MOST).unwrap();
-    disk.room(disk.image().len() as u64);
-    let mut sure = Shadow::default();
+    disk.set_capacity(disk.image().len() as u64);
+    let mut sure = Overlay::default();
     let mut k = 0;
     let error = loop {
         let ops: Vec<Op> = (0..40).map(|i| Op::Intend(format!("r{k}-{i}"), intent(k))).collect();
@@ -156,13 +156,13 @@
     assert!(matches!(error, StoreError::Full), "{error}");
     drop(store);
     let again = Store::on(disk.after_power_loss(3), MOST).unwrap();
-    assert_eq!(Shadow::of(&again).unwrap().intents.len(), sure.intents.len());
+    assert_eq!(Overlay::of(&again).unwrap().intents.len(), sure.intents.len());
 }
 
 /// No flipped bit goes unseen: it is named, or it changed nothing of what is kept.
 #[test]
 fn a_flipped_bit_is_found() {
-    let disk = Faulty::new();
+    let disk = FaultyDisk::new();
     let (sure, _) = work(&disk, 6).unwrap();
     let bits = disk.image().len() as u64 * 8;
     let (mut found, mut harmless) = (0, 0);
@@ -173,7 +173,7 @@
     let places = held.iter().step_by(step).map(|b| b + 3).chain((0..300).map(|k| k * (bits / 300) + 5));
     for bit in places {
         let flipped = disk.flipped(bit);
-        let read = std::panic::catch_unwind(|| Store::on(flipped, MOST).and_then(|s| Shadow::of(&s)));
+        let read = std::panic::catch_unwind(|| Store::on(flipped, MOST).and_then(|s| Overlay::of(&s)));
         match read {
             Ok(Ok(held)) => {
                 assert_eq!(held, sure, "bit {bit} changed what is kept, unseen");
@@ -228,7 +228,7 @@
     /// The oldest answers give way, and no more than has to.
     #[test]
     fn answers_keep_to_their_memory(sizes in proptest::collection::vec(1usize..400, 1..60)) {
-        let store = Store::on(Faulty::new(), 4_000).unwrap();
+        let store = Store::on(FaultyDisk::new(), 4_000).unwrap();
         for (k, size) in sizes.iter().enumerate() {
             let answer = Answer { status: 200, body: vec![1; *size], at: k as i64 };
             store.commit(&[Op::Answer(format!("{k:03}"), answer)]).unwrap();
@@ -243,7 +243,7 @@
 /// A journal is read by range, in bounded pieces, apart from the others.
 #[test]
 fn a_journal_is_read_by_range_and_dropped_from_below() {
-    let store = Store::on(Faulty::new(), MOST).unwrap();
+    let store = Store::on(FaultyDisk::new(), MOST).unwrap();
     assert!(store.journal("a", 0, 100).unwrap().is_empty());
     assert_eq!(store.journal_ends("a").unwrap(), None);
     let ops: Vec<Op> =
@@ -264,29 +264,29 @@
 /// What many ask for goes to the disk together, each is told, and a failure is everybody's.
 #[test]
 fn a_keeper_commits_in_groups() {
-    let disk = Faulty::new();
+    let disk = FaultyDisk::new();
     let store = Arc::new(Store::on(disk.clone(), MOST).unwrap());
     let before = disk.syncs();
-    let keeper = Keeper::new(store.clone()).unwrap();
-    let (tell, told) = channel();
+    let group_commit = GroupCommit::new(store.clone()).unwrap();
+    let (reply, notified) = channel();
     for k in 0..1_000 {
-        let tell = tell.clone();
-        keeper.commit(vec![Op::Intend(format!("r{k}"), intent(k))], move |done| {
-            tell.send((k, done.is_ok())).unwrap()
+        let reply = reply.clone();
+        group_commit.commit(vec![Op::Intend(format!("r{k}"), intent(k))], move |done| {
+            reply.send((k, done.is_ok())).unwrap()
         });
     }
-    let order: Vec<(u64, bool)> = told.iter().take(1_000).collect();
+    let order: Vec<(u64, bool)> = notified.iter().take(1_000).collect();
     assert!(order.iter().enumerate().all(|(k, (n, ok))| *n == k as u64 && *ok));
     assert!(disk.syncs() - before < 500, "{} syncs", disk.syncs() - before);
     assert_eq!(store.stats().unwrap().intents, 1_000);
     disk.cut_at(0);
-    let (tell, told) = channel();
+    let (reply, notified) = channel();
     for _ in 0..3 {
-        let tell = tell.clone();
-        keeper.commit(ops(5), move |done| tell.send(done.is_ok()).unwrap());
+        let reply = reply.clone();
+        group_commit.commit(ops(5), move |done| reply.send(done.is_ok()).unwrap());
     }
-    drop((tell, keeper));
-    assert_eq!(told.iter().collect::<Vec<bool>>(), [false; 3]);
+    drop((reply, group_commit));
+    assert_eq!(notified.iter().collect::<Vec<bool>>(), [false; 3]);
 }
 
 /// One that failed takes nothing until it was opened again and told to go on; what it had is there, and what was refused meanwhile is not.
@@ -295,24 +295,24 @@
     let folder = tempfile::tempdir().unwrap();
     let step = |n: u64| vec![Op::Remember("step".into(), n.to_string().into_bytes())];
     let store = Arc::new(Store::open(folder.path(), MOST).unwrap());
-    let keeper = Keeper::new(store.clone()).unwrap();
-    let (tell, told) = channel();
+    let group_commit = GroupCommit::new(store.clone()).unwrap();
+    let (reply, notified) = channel();
     let ask = |ops: Vec<Op>| {
-        let tell = tell.clone();
-        keeper.commit(ops, move |done| tell.send(done.is_ok()).unwrap());
+        let reply = reply.clone();
+        group_commit.commit(ops, move |done| reply.send(done.is_ok()).unwrap());
     };
     ask(step(1));
-    assert!(told.recv().unwrap() && store.takes());
-    let again = tell.clone();
-    keeper.reopen(move |done| again.send(done.is_ok()).unwrap());
+    assert!(notified.recv().unwrap() && store.takes());
+    let again = reply.clone();
+    group_commit.reopen(move |done| again.send(done.is_ok()).unwrap());
     ask(step(2));
-    assert!(told.recv().unwrap(), "it was opened again");
-    assert!(!told.recv().unwrap() && !store.takes(), "nobody has told it to go on");
+    assert!(notified.recv().unwrap(), "it was opened again");
+    assert!(!notified.recv().unwrap() && !store.takes(), "nobody has told it to go on");
     assert_eq!(store.fact::<u64>("step").unwrap(), Some(1));
-    let again = tell.clone();
-    keeper.resume(step(3), move |done| again.send(done.is_ok()).unwrap());
+    let again = reply.clone();
+    group_commit.resume(step(3), move |done| again.send(done.is_ok()).unwrap());
     ask(step(4));
-    assert!(told.recv().unwrap() && told.recv().unwrap());
-    drop((keeper, store));
+    assert!(notified.recv().unwrap() && notified.recv().unwrap());
+    drop((group_commit, store));
     assert_eq!(Store::open(folder.path(), MOST).unwrap().fact::<u64>("step").unwrap(), Some(4));
 }
--- a/src/ask.rs
+++ b/src/ask.rs
@@ -2,15 +2,15 @@
 
 use bpaf::Bpaf;
 use serde_json::{json, Value};
-use shorepath_budgets::file;
-use shorepath_budgets::words::{BudgetStatus, PartStatus, Status};
+use shorepath_quota::config;
+use shorepath_quota::messages::{BudgetStatus, PartStatus, Status};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
 use std::time::Duration;
 
 /// How long a divider may take.
-const PATIENCE: Duration = Duration::from_secs(2);
+const TIMEOUT: Duration = Duration::from_secs(2);
 /// An answer holds this much at most, in bytes.
 const LARGEST: u32 = 16 * 1024 * 1024;
 
@@ -20,7 +20,7 @@
     #[bpaf(command)]
     Status {
         #[bpaf(external)]
-        whom: Whom,
+        target: Target,
         /// Print JSON
         #[bpaf(long)]
         json: bool,
@@ -29,7 +29,7 @@
     #[bpaf(command)]
     Explain {
         #[bpaf(external)]
-        whom: Whom,
+        target: Target,
         /// The budget
         #[bpaf(positional("BUDGET"))]
         budget: String,
@@ -40,7 +40,7 @@
 }
 
 #[derive(Clone, Debug, Bpaf)]
-pub(crate) struct Whom {
+pub(crate) struct Target {
     /// The operator's file of budgets, which lists the dividers
     #[bpaf(long, argument("FILE"))]
     budgets: PathBuf,
@@ -48,8 +48,8 @@
 
 /// One question, one answer, each a piece of JSON with its length before it.
 fn call(address: SocketAddr) -> io::Result<Status> {
-    let mut stream = TcpStream::connect_timeout(&address, PATIENCE)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+    let mut stream = TcpStream::connect_timeout(&address, TIMEOUT)?;
+    stream.set_read_timeout(Some(TIMEOUT))?;
     let question = json!("Status").to_string();
     stream.write_all(&(question.len() as u32).to_be_bytes())?;
     stream.write_all(question.as_bytes())?;
@@ -66,16 +66,16 @@
 }
 
 /// The view of the divider that leads, or of any that answers where none does.
-fn status(whom: &Whom) -> Result<Status, String> {
-    let path = whom.budgets.display();
-    let text = std::fs::read_to_string(&whom.budgets).map_err(|e| format!("{path}: {e}"))?;
-    let plan = file::read(&path.to_string(), &text).map_err(|e| e.to_string())?;
+fn status(target: &Target) -> Result<Status, String> {
+    let path = target.budgets.display();
+    let text = std::fs::read_to_string(&target.budgets).map_err(|e| format!("{path}: {e}"))?;
+    let plan = config::read(&path.to_string(), &text).map_err(|e| e.to_string())?;
     let (mut best, mut why) = (None, "the file lists no divider".to_string());
-    for divider in &plan.dividers {
-        match call(divider.address) {
-            Ok(status) if status.leader.as_ref() == Some(&status.divider) => return Ok(status),
+    for allocator in &plan.allocators {
+        match call(allocator.address) {
+            Ok(status) if status.leader.as_ref() == Some(&status.allocator) => return Ok(status),
             Ok(status) => best = best.or(Some(status)),
-            Err(e) => why = format!("no divider answers; {} at {}: {e}", divider.name, divider.address),
+            Err(e) => why = format!("no divider answers; {} at {}: {e}", allocator.name, allocator.address),
         }
     }
     best.ok_or(why)
@@ -92,8 +92,8 @@
         None => "a fleet that was just founded, which grants nothing yet".into(),
     };
     let mut out =
-        format!("{fleet}, file of version {}, {leader} divides; told by {}\n", status.plan, status.divider);
-    if status.leader.as_ref() != Some(&status.divider) {
+        format!("{fleet}, file of version {}, {leader} divides; told by {}\n", status.plan, status.allocator);
+    if status.leader.as_ref() != Some(&status.allocator) {
         out += "this divider does not lead: it knows no demands, and what is granted only late\n";
     }
     if !status.kept.is_empty() {
@@ -104,7 +104,7 @@
     }
     let head = ["budget", "whole", "granted", "used", "lent", "in doubt", "reserved", "free", "debt"];
     let cells = |b: &BudgetStatus| {
-        let figures = [b.whole, b.granted, b.used, b.lent, b.in_doubt, b.reserved, b.free, b.debt];
+        let figures = [b.whole, b.granted, b.used, b.surplus, b.withheld, b.reserved, b.free, b.debt];
         std::iter::once(b.name.clone()).chain(figures.map(|f| f.to_string())).collect::<Vec<_>>()
     };
     let rows: Vec<Vec<String>> =
@@ -124,11 +124,11 @@
 }
 
 fn why(status: &Status, b: &BudgetStatus, p: &PartStatus) -> String {
-    let heard = match p.heard {
+    let received = match p.received {
         Some(ago) => format!("heard of {} ago", seconds(ago)),
         None => "not heard of lately".into(),
     };
-    let reason = if p.doubted {
+    let reason = if p.is_suspected {
         "held back until its grants have surely ended: it is not heard of".to_string()
     } else if p.amount >= p.demand && p.amount > 0 {
         format!("all that it asks for, {} of it lent", p.amount - p.demand)
@@ -136,15 +136,15 @@
         "less than it asks for, with some free: its next asking brings more".to_string()
     } else if b.debt > 0 {
         "less than it asks for: the whole was lowered, and more is out than there is".to_string()
-    } else if b.in_doubt > 0 {
-        format!("less than it asks for: {} are held back for lives that are not heard of", b.in_doubt)
+    } else if b.withheld > 0 {
+        format!("less than it asks for: {} are held back for lives that are not heard of", b.withheld)
     } else if status.epoch.is_none() {
         "nothing yet: what an earlier fleet granted may still hold".to_string()
     } else {
         "less than it asks for: all is asked for, and each has its fair part".to_string()
     };
     format!(
-        "{}/{:x}: {} of {} (grant {}), asks for {}, uses {}; {heard}; {reason}",
+        "{}/{:x}: {} of {} (grant {}), asks for {}, uses {}; {received}; {reason}",
         p.node, p.incarnation, p.amount, b.name, p.number, p.demand, p.used
     )
 }
@@ -154,13 +154,13 @@
     let mut out = io::stdout();
     // A reader that has left is no reason to panic.
     match question {
-        Question::Status { whom, json } => {
-            let status = status(whom)?;
+        Question::Status { target, json } => {
+            let status = status(target)?;
             let text = if *json { serde_json::to_string(&status)? + "\n" } else { table(&status) };
             let _ = out.write_all(text.as_bytes());
         }
-        Question::Explain { whom, budget, node } => {
-            let status = status(whom)?;
+        Question::Explain { target, budget, node } => {
+            let status = status(target)?;
             let found = status.budgets.iter().find(|b| b.name == *budget);
             let known = || status.budgets.iter().map(|b| b.name.as_str()).collect::<Vec<_>>().join(", ");
             let b = found.ok_or_else(|| format!("no budget {budget} is agreed on; known: {}", known()))?;
--- a/src/main.rs
+++ b/src/main.rs
@@ -7,8 +7,8 @@
 use shorepath::net::fleet::Sharing;
 use shorepath::net::sites::{Siting, SitingError};
 use shorepath::net::{Handing, Startup};
-use shorepath_budgets::file as budgets;
-use shorepath_budgets::Skew;
+use shorepath_quota::config as budgets;
+use shorepath_quota::ClockSkew;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use tracing::Level;
@@ -96,7 +96,7 @@
             let startup = Startup::new()?;
             let path = config.ok_or(ConfigError::Unnamed)?;
             let config = read(Some(&path))?;
-            let skew = Skew { offset: offset.saturating_mul(1_000_000), drift_ppm: drift };
+            let skew = ClockSkew { offset: offset.saturating_mul(1_000_000), drift_ppm: drift };
             let sharing = budgets.map(|file| Sharing::read(file, &config.name, skew)).transpose()?;
             let siting = match (sites, state) {
                 (Some(file), Some(state)) => Some(Siting::read(file, state, &config.name, skew)?),
@@ -139,7 +139,7 @@
             }
             if budgets.is_none() || sites.is_some() || config.is_some() {
                 let config = read(config.as_deref())?;
-                let read = |file| Siting::read(file, PathBuf::new(), &config.name, Skew::default());
+                let read = |file| Siting::read(file, PathBuf::new(), &config.name, ClockSkew::default());
                 let siting = sites.map(read).transpose()?;
                 if let Some(siting) = &siting {
                     let strange = config.strange_in_sites(siting);
@@ -155,14 +155,15 @@
                     }
                 }
                 if let Some(file) = budgets {
-                    let sharing = Sharing::read(file, &config.name, Skew::default())?;
+                    let sharing = Sharing::read(file, &config.name, ClockSkew::default())?;
                     let strange = config.strangers(&sharing.plan);
                     if !strange.is_empty() {
                         return Err(format!("nothing here is bounded by {}", strange.join(", ")).into());
                     }
                     if let Some(siting) = &siting {
                         let names = sharing.plan.budgets.iter().map(|b| b.name.as_str());
-                        let (missing, strange) = shorepath_sites::homes::unmatched(siting.plan(), names);
+                        let (missing, strange) =
+                            shorepath_sites::key_ownership::unmatched(siting.plan(), names);
                         if !missing.is_empty() {
                             let text = format!(
                                 "no budget for {}: nobody would place their keys",
--- a/src/net/door.rs
+++ b/src/net/admin.rs
@@ -1,13 +1,13 @@
 //! The operators' door: a second address, where operators ask whether the node takes clients and have
 //! it emptied. It has bounds of its own, so that whatever the frontend is busy with it answers at once.
 
+use super::close_reason::{CloseReason, Side};
 use super::codec::{Answer, FrontendCodec, Incoming, ReadError, Request};
 use super::deadlines::Deadlines;
-use super::ending::{Ending, Side};
 use super::frontend::Frontend;
 use super::pool::Pool;
 use super::sites::Sites;
-use shorepath_recovery::steps::Admits;
+use shorepath_recovery::phases::Admits;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -33,7 +33,7 @@
 
 /// Where operators call.
 #[derive(Debug)]
-pub struct Door {
+pub struct AdminServer {
     frontend: Rc<Frontend>,
     deadlines: Rc<Deadlines>,
     /// The node among sites, where there are any.
@@ -44,10 +44,10 @@
     came: Cell<u64>,
 }
 
-impl Door {
+impl AdminServer {
     /// A door to the node with that frontend.
     pub fn new(frontend: Rc<Frontend>, deadlines: Rc<Deadlines>, sites: Option<Rc<Sites>>) -> Rc<Self> {
-        Rc::new(Door {
+        Rc::new(AdminServer {
             frontend,
             deadlines,
             sites,
@@ -82,42 +82,44 @@
             let _ = oldest.map(|(_, close)| close.send(()));
         }
         self.callers.borrow_mut().insert(number, close);
-        let door = self.clone();
+        let admin = self.clone();
         tokio::task::spawn_local(async move {
             let _ = stream.set_nodelay(true);
-            let codec = FrontendCodec::new(&door.pool);
-            let mut connection = door.pool.framed::<Answer, _>(stream, codec);
-            let ending = tokio::select! {
+            let codec = FrontendCodec::new(&admin.pool);
+            let mut connection = admin.pool.framed::<Answer, _>(stream, codec);
+            let close_reason = tokio::select! {
                 biased;
-                ending = door.call(&mut connection) => ending,
-                _ = &mut closed => Ending::Evicted,
-                () = door.deadlines.after(CALL) => Ending::TooSlow,
+                close_reason = admin.call(&mut connection) => close_reason,
+                _ = &mut closed => CloseReason::Evicted,
+                () = admin.deadlines.after(CALL) => CloseReason::TooSlow,
             };
-            door.callers.borrow_mut().remove(&number);
-            door.pool.release(connection);
-            ending.log(Side::Door, peer, u64::from(ending == Ending::LastMessage));
+            admin.callers.borrow_mut().remove(&number);
+            admin.pool.release(connection);
+            close_reason.log(Side::AdminServer, peer, u64::from(close_reason == CloseReason::LastMessage));
         });
     }
 
     /// Answer the one call of a connection.
-    async fn call(&self, connection: &mut Framed<TcpStream, FrontendCodec>) -> Ending {
-        let (answer, ending) = loop {
+    async fn call(&self, connection: &mut Framed<TcpStream, FrontendCodec>) -> CloseReason {
+        let (answer, close_reason) = loop {
             match self.pool.next(connection).await {
-                None => return Ending::PeerClosed,
-                Some(Err(ReadError::Io(_))) => return Ending::PeerBroke,
+                None => return CloseReason::PeerClosed,
+                Some(Err(ReadError::Io(_))) => return CloseReason::PeerBroke,
                 Some(Err(ReadError::Bad { status, reason })) => {
-                    break (Answer::text(status, reason, true), Ending::Malformed)
+                    break (Answer::text(status, reason, true), CloseReason::Malformed)
                 }
                 Some(Ok(Incoming::Expects)) => {
                     if self.pool.send(connection, Answer::Continue).await.is_err() {
-                        return Ending::PeerBroke;
+                        return CloseReason::PeerBroke;
                     }
                 }
-                Some(Ok(Incoming::Request(request))) => break (self.answer(&request), Ending::LastMessage),
+                Some(Ok(Incoming::Request(request))) => {
+                    break (self.answer(&request), CloseReason::LastMessage)
+                }
             }
         };
         if self.pool.send(connection, answer).await.is_err() {
-            return Ending::PeerBroke;
+            return CloseReason::PeerBroke;
         }
         // A socket closed over unread bytes is reset, which can cost the caller its answer.
         if connection.get_mut().shutdown().await.is_ok() {
@@ -135,7 +137,7 @@
                 () = self.deadlines.after(LINGER) => {}
             }
         }
-        ending
+        close_reason
     }
 
     /// What may be served on the way back from a loss of power, where there is one.
--- a/src/net/answers.rs
+++ b/src/net/answers.rs
@@ -1,9 +1,9 @@
 //! Final answers of jobs that must not run twice, on the disk before their clients have them: a repeat of the key gets the same one.
 
 use super::deadlines::Deadlines;
-use shorepath_budgets::Micros;
-use shorepath_sites::recover::Recover;
-use shorepath_store::keeper::Keeper;
+use shorepath_quota::Micros;
+use shorepath_sites::recovery_config::Recover;
+use shorepath_store::group_commit::GroupCommit;
 use shorepath_store::{Answer, Op, Store};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use tracing::warn;
 
 /// A client waits no longer than this for its answer to be on the disk: it then has it, and a repeat of the key is told that it was served.
-const PATIENCE: Duration = Duration::from_secs(2);
+const TIMEOUT: Duration = Duration::from_secs(2);
 /// Nor than this after the client's own time: an answer that comes half a second late is lost, and it still has to arrive.
 const LATE: Duration = Duration::from_millis(300);
 
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub struct Answers {
     store: Arc<Store>,
-    keeper: Arc<Keeper>,
+    group_commit: Arc<GroupCommit>,
     /// A body that is kept is no longer than this, in bytes.
     longest: u64,
 }
@@ -35,7 +35,7 @@
         tokio::select! {
             biased;
             _ = self.0 => {}
-            () = deadlines.at((Instant::now() + PATIENCE).min(up + LATE)) => warn!("an answer is sent before it is on the disk, which takes too long"),
+            () = deadlines.at((Instant::now() + TIMEOUT).min(up + LATE)) => warn!("an answer is sent before it is on the disk, which takes too long"),
         }
     }
 }
@@ -47,8 +47,8 @@
 
 impl Answers {
     /// Those in that store.
-    pub fn new(store: Arc<Store>, keeper: Arc<Keeper>, clause: &Recover) -> Answers {
-        Answers { store, keeper, longest: clause.answer }
+    pub fn new(store: Arc<Store>, group_commit: Arc<GroupCommit>, clause: &Recover) -> Answers {
+        Answers { store, group_commit, longest: clause.answer }
     }
 
     /// The status and the body that were given, where they are still kept.
@@ -74,7 +74,7 @@
         }
         let answer = Answer { status, body: body.to_vec(), at };
         let (done, kept) = oneshot::channel();
-        self.keeper.commit(vec![Op::Answer(name(class, tenant, key), answer)], move |written| {
+        self.group_commit.commit(vec![Op::Answer(name(class, tenant, key), answer)], move |written| {
             if let Err(e) = written {
                 warn!("an answer is not kept: {e}");
             }
--- a/src/net/auditing.rs
+++ b/src/net/auditing.rs
@@ -4,13 +4,13 @@
 use super::exchange::{Attempt, Auditor};
 use super::Job;
 use serde::{Deserialize, Serialize};
-use shorepath_audit::meter::{Meter, Sampling};
-use shorepath_audit::peers::{News, Pace, Peers, Word};
-use shorepath_audit::record::{decode, verify, Entry, Point, Record, RecordError, Timed, Why};
+use shorepath_audit::audit_log::{decode, verify, Entry, Point, Record, RecordError, Timed, Why};
+use shorepath_audit::decision_counters::{Meter, Sampling};
+use shorepath_audit::gossip::{AuditUpdate, Message, Pace, Peers};
 use shorepath_audit::version::{Content, Item, Vector};
 use shorepath_audit::Micros;
-use shorepath_sites::file::Audit;
-use shorepath_store::keeper::Keeper;
+use shorepath_sites::config::Audit;
+use shorepath_store::group_commit::GroupCommit;
 use shorepath_store::{Op, Store, StoreError};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -51,7 +51,7 @@
     since: RefCell<Since>,
     peers: RefCell<Peers>,
     store: Arc<Store>,
-    keeper: Arc<Keeper>,
+    group_commit: Arc<GroupCommit>,
     origin: Instant,
     begun: Cell<bool>,
     failed: Failed,
@@ -122,7 +122,7 @@
 impl Auditing {
     /// The record in that store, founded where there is none or where it is not what was written; `key` is the fleet's, for the sample.
     pub fn open(
-        (store, keeper): (Arc<Store>, Arc<Keeper>),
+        (store, group_commit): (Arc<Store>, Arc<GroupCommit>),
         audit: Audit,
         (node, me, chance): (&str, u32, u64),
         key: [u8; 16],
@@ -134,7 +134,7 @@
             Some(kept) => match resume(&kept, &entries(&store, &kept)?, audit.bytes) {
                 Ok((record, vector, since)) => (kept.life, Ok(record), vector, since),
                 Err(e) => {
-                    let wrong = shorepath_envelope::advice(&e);
+                    let wrong = shorepath_message_auth::advice(&e);
                     warn!(
                         "audit: record {:016x} is not what was written: {wrong}; another one begins, and what is left of it stays",
                         kept.life
@@ -158,7 +158,7 @@
             since: RefCell::new(since),
             peers: RefCell::new(Peers::new(me, &[], Pace::default(), chance, 0)),
             store,
-            keeper,
+            group_commit,
             origin: Instant::now(),
             begun: Cell::new(false),
             failed: Failed::default(),
@@ -179,7 +179,7 @@
         }
         if let Err(e) = self.record.borrow_mut().note(&Timed { at: unix(), entry }) {
             self.unrecorded.set(self.unrecorded.get() + 1);
-            warn!("audit: an entry is not written down: {}", shorepath_envelope::advice(&e));
+            warn!("audit: an entry is not written down: {}", shorepath_message_auth::advice(&e));
         }
     }
 
@@ -212,14 +212,14 @@
     }
 
     /// What is to be said, and to whom.
-    pub fn says(&self) -> Vec<(u32, Vec<u8>)> {
+    pub fn take_outgoing(&self) -> Vec<(u32, Vec<u8>)> {
         let (now, mut peers) = (self.now(), self.peers.borrow_mut());
         let on_disk = *self.on_disk.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(head) = on_disk {
-            peers.tell(&self.vector.borrow(), self.life.get(), head, unix(), now);
+            peers.report(&self.vector.borrow(), self.life.get(), head, unix(), now);
         }
-        let words = peers.says(now).into_iter();
-        words.map(|(to, word)| (to, postcard::to_stdvec(&word).unwrap_or_default())).collect()
+        let messages = peers.take_outgoing(now).into_iter();
+        messages.map(|(to, message)| (to, postcard::to_stdvec(&message).unwrap_or_default())).collect()
     }
 
     /// How long it has nothing to say, in microseconds.
@@ -228,24 +228,24 @@
     }
 
     /// Another node's word.
-    pub fn hear(&self, word: &[u8]) {
-        let word = match postcard::from_bytes::<Word>(word) {
-            Ok(word) => word,
+    pub fn receive(&self, message: &[u8]) {
+        let message = match postcard::from_bytes::<Message>(message) {
+            Ok(message) => message,
             Err(e) => return debug!("audit: a word can't be read: {e}"),
         };
-        self.peers.borrow_mut().hear(&word, self.now());
-        let news = self.peers.borrow_mut().news();
-        for news in news {
-            match news {
-                News::Changed { node, content } => debug!("audit: node {node} is steered by {content}"),
-                News::OfOwn { life, point } => self.look_up(life, point),
-                News::AnotherRecord { node } => {
+        self.peers.borrow_mut().receive(&message, self.now());
+        let updates = self.peers.borrow_mut().take_updates();
+        for updates in updates {
+            match updates {
+                AuditUpdate::Changed { node, content } => debug!("audit: node {node} is steered by {content}"),
+                AuditUpdate::OfOwn { life, point } => self.look_up(life, point),
+                AuditUpdate::AnotherRecord { node } => {
                     warn!("audit: node {node} has begun another record: its disk was lost, or its record was not what was written");
                 }
-                News::WentBack { node, was, is } => warn!(
+                AuditUpdate::WentBack { node, was, is } => warn!(
                     "audit: the record of node {node} ends at {is}, and has ended at {was}: an older disk was put back"
                 ),
-                News::Contradicts { node, number } => warn!(
+                AuditUpdate::Contradicts { node, number } => warn!(
                     "audit: entry {number} of node {node} is another one than it has told: compare its record with what its peers hold"
                 ),
             }
@@ -296,7 +296,7 @@
         let kept = Kept { life: self.life.get(), base: self.record.borrow().base(), head: writing.head };
         ops.push(Op::Remember(KEPT.to_string(), serde_json::to_vec(&kept).unwrap_or_default()));
         let (failed, on_disk, head) = (self.failed.clone(), self.on_disk.clone(), writing.head);
-        self.keeper.commit(ops, move |done| match done {
+        self.group_commit.commit(ops, move |done| match done {
             Ok(()) => *on_disk.lock().unwrap_or_else(PoisonError::into_inner) = Some(head),
             Err(e) => {
                 if !failed.swap(true, Ordering::Relaxed) {
@@ -330,11 +330,11 @@
             let ms = since.map_or(0, |since| (unix() - since) / 1_000);
             text += &format!("{} {version} parent={} for_ms={ms}\n", item.name(), version.parent);
         }
-        for (story, steers, since, heard) in self.peers.borrow().stand() {
+        for (story, steers, since, received) in self.peers.borrow().readiness() {
             let versions = steers.map_or(String::new(), |v| {
                 v.iter().map(|(item, version)| format!(" {}={version}", item.name())).collect()
             });
-            let (for_ms, heard_ms) = ((self.now() - since) / 1_000, (self.now() - heard) / 1_000);
+            let (for_ms, heard_ms) = ((self.now() - since) / 1_000, (self.now() - received) / 1_000);
             text += &format!(
                 "node {} content={} last={} for_ms={for_ms} heard_ms={heard_ms}{versions}\n",
                 name(story.node),
--- a/src/net/backend.rs
+++ b/src/net/backend.rs
@@ -1,10 +1,10 @@
 //! The backend: connections to backend servers, and one attempt at a time on each. It carries out the
 //! exchange's orders, reports what becomes of them, and sends nothing again by itself.
 
+use super::close_reason::{CloseReason, Side};
 use super::codec::{ClientCodec, Outgoing, Piece, ReadError, MAX_BODY};
 use super::config::Config;
 use super::deadlines::Deadlines;
-use super::ending::{Ending, Side};
 use super::exchange::{DispatchId, Exchange, Order, Wanted};
 use super::pool::Pool;
 use super::{turn, Job};
@@ -160,7 +160,7 @@
 #[derive(Debug)]
 enum Call {
     Do(Task),
-    Close(Ending),
+    Close(CloseReason),
 }
 
 /// A line of a backend server's answer.
@@ -193,12 +193,12 @@
     /// The rest of the answer has to be read before it is used again.
     Tail,
     /// It ends.
-    Ends(Ending),
+    Ends(CloseReason),
 }
 
 impl End {
-    fn closing(status: AttemptStatus, ending: Ending) -> Self {
-        End { status, after: After::Ends(ending) }
+    fn closing(status: AttemptStatus, close_reason: CloseReason) -> Self {
+        End { status, after: After::Ends(close_reason) }
     }
 }
 
@@ -248,7 +248,7 @@
                 }
                 Order::Cancel(id) => drop(self.out.borrow_mut().remove(&id)),
                 Order::Probe(worker) => self.begin(worker, Task::Probe(Instant::now() + PROBE)),
-                Order::CloseIdle(worker) => self.close_idle(worker, Ending::ClosedIdle),
+                Order::CloseIdle(worker) => self.close_idle(worker, CloseReason::ClosedIdle),
                 Order::Server { worker, address, active } => self.server(worker, address, active),
             }
         }
@@ -258,7 +258,7 @@
     /// that is still reading the tail of an answer is not waited for longer than that may take.
     pub async fn shut_down(&self) {
         let all: Vec<_> = self.servers.borrow().keys().copied().collect();
-        all.into_iter().for_each(|worker| self.close_idle(worker, Ending::Shutdown));
+        all.into_iter().for_each(|worker| self.close_idle(worker, CloseReason::Shutdown));
         self.out.borrow_mut().clear();
         let all_ended = async {
             while self.connections.get() > 0 {
@@ -290,15 +290,15 @@
             }
         };
         if moved || !active {
-            self.close_idle(worker, Ending::ServerLeft);
+            self.close_idle(worker, CloseReason::ServerLeft);
         }
     }
 
-    fn close_idle(&self, worker: EndpointId, ending: Ending) {
+    fn close_idle(&self, worker: EndpointId, close_reason: CloseReason) {
         let mut servers = self.servers.borrow_mut();
         for (_, _, connection) in servers.get_mut(&worker).into_iter().flat_map(|s| s.idle.drain(..)) {
             // One that has just ended by itself needs no telling.
-            let _ = connection.try_send(Call::Close(ending));
+            let _ = connection.try_send(Call::Close(close_reason));
         }
     }
 
@@ -310,7 +310,7 @@
         let (worker, Some((_, _, connection))) = (*worker, server.idle.pop_front()) else { return false };
         drop(servers);
         self.exchange.idle_closed(worker, 0);
-        connection.try_send(Call::Close(Ending::Evicted)).is_ok()
+        connection.try_send(Call::Close(CloseReason::Evicted)).is_ok()
     }
 
     fn report(&self, id: DispatchId, status: AttemptStatus) {
@@ -362,9 +362,9 @@
         let backend = self.clone();
         tokio::task::spawn_local(async move {
             let address = target.address;
-            let (ending, messages, left) = backend.connection(target, task).await;
+            let (close_reason, messages, left) = backend.connection(target, task).await;
             backend.connections.set(backend.connections.get() - 1);
-            ending.log(Side::Backend, address, messages);
+            close_reason.log(Side::Backend, address, messages);
             backend.ended.notify_one();
             // It was dead before anything was written to it, so this is no repeat.
             if let Some(task) = left {
@@ -375,35 +375,39 @@
 
     /// Open a connection and use it until it ends: why, after how many attempts, and an attempt that
     /// was handed over too late to be written.
-    async fn connection(self: &Rc<Self>, mut target: Target, mut task: Task) -> (Ending, u64, Option<Task>) {
+    async fn connection(
+        self: &Rc<Self>,
+        mut target: Target,
+        mut task: Task,
+    ) -> (CloseReason, u64, Option<Task>) {
         let worker = target.worker;
         let mut connection = match self.connect(&mut target, &mut task).await {
             Ok(stream) => self.pool.framed::<Outgoing, _>(stream, ClientCodec::new(&self.pool, MAX_BODY)),
-            Err((status, ending)) => {
+            Err((status, close_reason)) => {
                 self.ended(worker, &task, status);
-                return (ending, 0, None);
+                return (close_reason, 0, None);
             }
         };
         // What came in the same turn is heard first. Guards against writing for a client whose leaving waits to be read, as where the
         // process stood still.
         turn().await;
         let (mut messages, mut answered_at, mut used_at) = (0, None, Instant::now());
-        let (ending, left) = loop {
+        let (close_reason, left) = loop {
             if task.is_wanted() {
                 messages += 1;
                 let is_job = matches!(task, Task::Dispatch(_));
-                let (ending, answered) = match task {
+                let (close_reason, answered) = match task {
                     Task::Dispatch(dispatch) => {
                         self.attempt(&mut connection, &target, dispatch, answered_at).await
                     }
                     Task::Probe(until) => self.probe(&target, &mut connection, until).await,
                 };
-                if let Some(ending) = ending {
+                if let Some(close_reason) = close_reason {
                     if answered {
                         // It counts as idle from its answer on.
                         self.exchange.idle_closed(worker, usize::MAX);
                     }
-                    break (ending, None);
+                    break (close_reason, None);
                 }
                 used_at = Instant::now();
                 if is_job {
@@ -420,7 +424,7 @@
             match self.servers.borrow_mut().get_mut(&worker) {
                 // Guards against a server that has left, or moved, while it answered.
                 Some(s) if target.takes() => s.idle.push_back((number, answered_at, call)),
-                _ => break (Ending::ServerLeft, None),
+                _ => break (CloseReason::ServerLeft, None),
             }
             match self.parked(&mut connection, calls, used_at).await {
                 Ok(next) => task = next,
@@ -438,14 +442,14 @@
             }
         };
         self.pool.release(connection);
-        (ending, messages, left)
+        (close_reason, messages, left)
     }
 
     async fn connect(
         &self,
         target: &mut Target,
         task: &mut Task,
-    ) -> Result<TcpStream, (AttemptStatus, Ending)> {
+    ) -> Result<TcpStream, (AttemptStatus, CloseReason)> {
         let address = target.address;
         let wait = Instant::now() + self.bounds.get().connect_timeout;
         let (by, excused) = task.connects_by();
@@ -453,16 +457,16 @@
         let stream = tokio::select! {
             biased;
             // Guards the places of those that are wanted: a server whose connections come up late holds what it is given for long.
-            status = task.over() => return Err((status, Ending::Cancelled)),
-            () = target.left() => return Err((AttemptStatus::NotSent, Ending::ServerLeft)),
+            status = task.over() => return Err((status, CloseReason::Cancelled)),
+            () = target.left() => return Err((AttemptStatus::NotSent, CloseReason::ServerLeft)),
             stream = TcpStream::connect(address) => stream,
-            () = self.deadlines.at(wait.min(by)) => return Err((late, Ending::ConnectTimeout)),
+            () = self.deadlines.at(wait.min(by)) => return Err((late, CloseReason::ConnectTimeout)),
         };
         let stream = stream.and_then(|s| s.set_nodelay(true).map(|()| s));
         stream.map_err(|e| {
             debug!("connecting to {address}: {e}");
             let remote = matches!(e.kind(), ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset);
-            (AttemptStatus::ConnectFailed, if remote { Ending::Refused } else { Ending::NoSockets })
+            (AttemptStatus::ConnectFailed, if remote { CloseReason::Refused } else { CloseReason::NoSockets })
         })
     }
 
@@ -473,17 +477,17 @@
         target: &Target,
         connection: &mut Connection,
         until: Instant,
-    ) -> (Option<Ending>, bool) {
+    ) -> (Option<CloseReason>, bool) {
         let (worker, address) = (target.worker, target.address);
         // A server that leaves is sent nothing at all.
         if !target.takes() {
             self.exchange.probed(worker, AttemptStatus::NotSent, |_| None);
-            return (Some(Ending::ServerLeft), false);
+            return (Some(CloseReason::ServerLeft), false);
         }
         let asked = async {
             let fields = format!("Host: {address}\r\n");
             let request = Outgoing { method: "GET", target: "/_load", fields, body: None };
-            self.pool.send(connection, request).await.map_err(|_| Ending::PeerBroke)?;
+            self.pool.send(connection, request).await.map_err(|_| CloseReason::PeerBroke)?;
             let (mut status, mut values) = (AttemptStatus::Error, Vec::new());
             loop {
                 match self.pool.next(connection).await {
@@ -492,24 +496,26 @@
                     Some(Ok(Piece::Head { .. } | Piece::Part(_))) => {}
                     Some(Ok(Piece::Line(line))) => values.extend(figures(&line)),
                     Some(Ok(Piece::End { reusable })) => return Ok((status, values, reusable)),
-                    Some(Err(ReadError::Bad { .. })) => return Err(Ending::Malformed),
-                    None | Some(Err(ReadError::Io(_))) => return Err(Ending::PeerBroke),
+                    Some(Err(ReadError::Bad { .. })) => return Err(CloseReason::Malformed),
+                    None | Some(Err(ReadError::Io(_))) => return Err(CloseReason::PeerBroke),
                 }
             }
         };
         let answer = tokio::select! {
             biased;
             answer = asked => answer,
-            () = self.deadlines.at(until) => Err(Ending::TimedOut),
+            () = self.deadlines.at(until) => Err(CloseReason::TimedOut),
         };
-        let (status, values, ending) = match answer {
-            Ok((status, values, reusable)) => (status, values, (!reusable).then_some(Ending::LastMessage)),
-            Err(Ending::TimedOut) => (AttemptStatus::Timeout, Vec::new(), Some(Ending::TimedOut)),
-            Err(ending) => (AttemptStatus::Reset, Vec::new(), Some(ending)),
+        let (status, values, close_reason) = match answer {
+            Ok((status, values, reusable)) => {
+                (status, values, (!reusable).then_some(CloseReason::LastMessage))
+            }
+            Err(CloseReason::TimedOut) => (AttemptStatus::Timeout, Vec::new(), Some(CloseReason::TimedOut)),
+            Err(close_reason) => (AttemptStatus::Reset, Vec::new(), Some(close_reason)),
         };
         let value = |name: &str| values.iter().find(|(n, _)| n == name).map(|(_, v)| *v);
         self.exchange.probed(worker, status, value);
-        (ending, matches!(status, AttemptStatus::Ok | AttemptStatus::Overloaded | AttemptStatus::Error))
+        (close_reason, matches!(status, AttemptStatus::Ok | AttemptStatus::Overloaded | AttemptStatus::Error))
     }
 
     /// Wait on a connection that has been idle since then for its next task, or why it ends.
@@ -518,27 +524,27 @@
         connection: &mut Connection,
         mut calls: mpsc::Receiver<Call>,
         since: Instant,
-    ) -> Result<Task, (Ending, Option<Task>)> {
-        let ending = tokio::select! {
+    ) -> Result<Task, (CloseReason, Option<Task>)> {
+        let close_reason = tokio::select! {
             biased;
             // First, so that a connection known to be dead is never used again.
             piece = self.pool.next(connection) => match piece {
-                None | Some(Err(ReadError::Io(_))) => Ending::PeerClosed,
-                Some(_) => Ending::Malformed,
+                None | Some(Err(ReadError::Io(_))) => CloseReason::PeerClosed,
+                Some(_) => CloseReason::Malformed,
             },
             call = calls.recv() => match call {
                 Some(Call::Do(task)) if connection.read_buffer().is_empty() => return Ok(task),
                 // Guards against half of a second answer, which would make one with what the next job is answered.
-                Some(Call::Do(task)) => return Err((Ending::Malformed, Some(task))),
-                Some(Call::Close(ending)) => ending,
-                None => Ending::Shutdown,
+                Some(Call::Do(task)) => return Err((CloseReason::Malformed, Some(task))),
+                Some(Call::Close(close_reason)) => close_reason,
+                None => CloseReason::Shutdown,
             },
-            () = self.deadlines.at(since + self.bounds.get().idle) => Ending::Idle,
+            () = self.deadlines.at(since + self.bounds.get().idle) => CloseReason::Idle,
         };
         calls.close();
         match calls.try_recv() {
-            Ok(Call::Do(task)) => Err((ending, Some(task))),
-            _ => Err((ending, None)),
+            Ok(Call::Do(task)) => Err((close_reason, Some(task))),
+            _ => Err((close_reason, None)),
         }
     }
 
@@ -550,7 +556,7 @@
         target: &Target,
         mut dispatch: Dispatch,
         answered_at: Option<Instant>,
-    ) -> (Option<Ending>, bool) {
+    ) -> (Option<CloseReason>, bool) {
         let id = dispatch.id;
         let ended = match self.write(connection, target, &mut dispatch).await {
             Err(end) => end,
@@ -558,9 +564,9 @@
                 let answer = self.answer(connection, id, &dispatch.payload);
                 tokio::select! {
                     biased;
-                    _ = &mut dispatch.cancelled => End::closing(AttemptStatus::Cancelled, Ending::Cancelled),
+                    _ = &mut dispatch.cancelled => End::closing(AttemptStatus::Cancelled, CloseReason::Cancelled),
                     end = answer => end,
-                    () = self.deadlines.at(dispatch.until) => End::closing(AttemptStatus::Timeout, Ending::TimedOut),
+                    () = self.deadlines.at(dispatch.until) => End::closing(AttemptStatus::Timeout, CloseReason::TimedOut),
                 }
             }
         };
@@ -569,15 +575,15 @@
         let doubtful =
             ended.status == AttemptStatus::Overloaded && dispatch.effect != Idempotency::Idempotent;
         let ended = match answered_at.filter(|at| doubtful && at.elapsed() < QUIET) {
-            Some(_) => End::closing(AttemptStatus::Cancelled, Ending::Cancelled),
+            Some(_) => End::closing(AttemptStatus::Cancelled, CloseReason::Cancelled),
             None => ended,
         };
         if ended.status != AttemptStatus::Ok {
             self.report(id, ended.status);
         }
         let answered = ended.status.has_response();
-        if let After::Ends(ending) = ended.after {
-            return (Some(ending), answered);
+        if let After::Ends(close_reason) = ended.after {
+            return (Some(close_reason), answered);
         }
         // With it goes the claim on its id: the attempt is over.
         drop(dispatch);
@@ -586,20 +592,20 @@
                 match self.pool.next(connection).await {
                     Some(Ok(Piece::Line(_) | Piece::Part(_))) => {}
                     Some(Ok(Piece::End { reusable: true })) => break None,
-                    Some(Ok(Piece::End { reusable: false })) => break Some(Ending::LastMessage),
+                    Some(Ok(Piece::End { reusable: false })) => break Some(CloseReason::LastMessage),
                     Some(Ok(Piece::Head { .. }) | Err(ReadError::Bad { .. })) => {
-                        break Some(Ending::Malformed)
+                        break Some(CloseReason::Malformed)
                     }
-                    None | Some(Err(ReadError::Io(_))) => break Some(Ending::PeerBroke),
+                    None | Some(Err(ReadError::Io(_))) => break Some(CloseReason::PeerBroke),
                 }
             }
         };
-        let ending = tokio::select! {
+        let close_reason = tokio::select! {
             biased;
-            ending = tail => ending,
-            () = self.deadlines.after(TAIL) => Some(Ending::TooSlow),
+            close_reason = tail => close_reason,
+            () = self.deadlines.after(TAIL) => Some(CloseReason::TooSlow),
         };
-        (ending, answered)
+        (close_reason, answered)
     }
 
     /// Write a request whole. Until its last byte is written nothing can have run.
@@ -611,17 +617,17 @@
     ) -> Result<(), End> {
         // Nothing is begun once the server is known to leave, or to be elsewhere.
         if !target.takes() {
-            return Err(End::closing(AttemptStatus::NotSent, Ending::ServerLeft));
+            return Err(End::closing(AttemptStatus::NotSent, CloseReason::ServerLeft));
         }
         // Guards against sending what is over: where the process stood still the connection and the end of the request's
         // time are seen together, and its client may have been told that it failed. And against a repeat that its server takes for
         // a new job, as it has forgotten the key.
         if Instant::now() >= dispatch.written_by {
-            return Err(End::closing(AttemptStatus::NotSent, Ending::TimedOut));
+            return Err(End::closing(AttemptStatus::NotSent, CloseReason::TimedOut));
         }
         // Guards keys that must not run twice: another node may be home to this one by now.
         if !self.exchange.may_send(dispatch.id) {
-            return Err(End::closing(AttemptStatus::NotSent, Ending::TimedOut));
+            return Err(End::closing(AttemptStatus::NotSent, CloseReason::TimedOut));
         }
         let job = &dispatch.payload;
         let left = dispatch.until.saturating_duration_since(Instant::now());
@@ -636,13 +642,13 @@
         let request = Outgoing { method: "POST", target: &job.target, fields, body: Some(&job.body) };
         tokio::select! {
             biased;
-            _ = &mut dispatch.cancelled => Err(End::closing(AttemptStatus::Cancelled, Ending::Cancelled)),
+            _ = &mut dispatch.cancelled => Err(End::closing(AttemptStatus::Cancelled, CloseReason::Cancelled)),
             sent = self.pool.send(connection, request) => sent.map_err(|e| {
                 debug!("writing a dispatch: {e}");
-                End::closing(AttemptStatus::ConnectFailed, Ending::PeerBroke)
+                End::closing(AttemptStatus::ConnectFailed, CloseReason::PeerBroke)
             }),
             () = self.deadlines.at(dispatch.written_by) => {
-                Err(End::closing(AttemptStatus::ConnectFailed, Ending::TooSlow))
+                Err(End::closing(AttemptStatus::ConnectFailed, CloseReason::TooSlow))
             }
         }
     }
@@ -651,7 +657,7 @@
     async fn answer(&self, connection: &mut Connection, id: DispatchId, job: &Job) -> End {
         let nonsense = |reason: &str| {
             warn!("a backend server's answer to {} makes no sense: {reason}", job.id);
-            End::closing(AttemptStatus::Error, Ending::Malformed)
+            End::closing(AttemptStatus::Error, CloseReason::Malformed)
         };
         loop {
             match self.pool.next(connection).await {
@@ -673,7 +679,7 @@
                 },
                 Some(Err(ReadError::Bad { reason, .. })) => return nonsense(reason),
                 Some(Ok(Piece::End { .. })) | Some(Err(ReadError::Io(_))) | None => {
-                    return End::closing(AttemptStatus::Reset, Ending::PeerBroke)
+                    return End::closing(AttemptStatus::Reset, CloseReason::PeerBroke)
                 }
             }
         }
@@ -714,7 +720,7 @@
 /// The figures of a load report as text, `TEXT inflight=7, queue=2`; what is no figure is passed over.
 fn figures(line: &[u8]) -> Vec<(String, f64)> {
     let text = String::from_utf8_lossy(line);
-    let words = text.split([' ', ',']).filter_map(|word| word.split_once('='));
+    let messages = text.split([' ', ',']).filter_map(|message| message.split_once('='));
     let figure = |(name, value): (&str, &str)| Some((name.to_string(), value.parse().ok()?));
-    words.filter_map(figure).filter(|(_, value): &(_, f64)| value.is_finite()).collect()
+    messages.filter_map(figure).filter(|(_, value): &(_, f64)| value.is_finite()).collect()
 }
--- a/src/net/backoff.rs
+++ b/src/net/backoff.rs
@@ -5,9 +5,9 @@
 
 /// What discovery has to tell counts as told this long after it fell silent, and after any call that failed this long
 /// after it had it and could be reached, whether it arrived or not: the clock by which all that follows is measured.
-pub const TOLD: Duration = Duration::from_millis(6_000);
+pub const NOTIFIED_AFTER: Duration = Duration::from_millis(6_000);
 /// Where the configuration names another discovery, what that has to tell counts as told by then.
-const TOLD_AFTER_MOVE: Duration = Duration::from_millis(4_000);
+const NOTIFIED_AFTER_MOVE: Duration = Duration::from_millis(4_000);
 /// As long as nothing changes an empty line comes this often, as the protocol says; the settings don't.
 const HEARTBEAT: Duration = Duration::from_millis(2_000);
 /// One that late is taken to be lost. A packet that is sent once more comes sooner.
@@ -39,7 +39,7 @@
 /// What one call may cost of the clock, after one more before it whose connection never came up.
 const CALL: Duration = CONNECT.saturating_add(FIRST).saturating_add(WAIT).saturating_add(TAKEN_IN);
 /// The longest spread that the clock leaves, where it has just begun.
-const WIDEST: Duration = TOLD.saturating_sub(CALL);
+const WIDEST: Duration = NOTIFIED_AFTER.saturating_sub(CALL);
 
 /// And after silence, which took some of the clock to notice.
 const NARROWEST: Duration = WIDEST.saturating_sub(SILENCE);
@@ -50,7 +50,7 @@
     /// There was none: the node has just started, with the list that it last held.
     Never,
     /// It told something, a list or that nothing has changed, before it fell silent or ended.
-    Told,
+    Notified,
     /// It was not answered at all.
     Nothing,
     /// Discovery turned it away, having too much to do.
@@ -78,7 +78,7 @@
     pub fn new(seed: u64, nodes: u32, now: Instant) -> Self {
         let rng = oorandom::Rand64::new(u128::from(seed));
         let agent = (FIRST, LONGEST);
-        Backoff { rng, nodes: nodes.max(1), agent, due: now + TOLD, busy: 0, nothing: 0 }
+        Backoff { rng, nodes: nodes.max(1), agent, due: now + NOTIFIED_AFTER, busy: 0, nothing: 0 }
     }
 
     /// So many nodes ask discovery for their lists from now on, and nothing new may go to a leaving server once that time
@@ -89,13 +89,13 @@
     }
 
     /// Discovery told something at that time, be it that nothing has changed.
-    pub fn heard(&mut self, at: Instant) {
-        self.due = at + TOLD;
+    pub fn received(&mut self, at: Instant) {
+        self.due = at + NOTIFIED_AFTER;
     }
 
     /// Another discovery is to be followed from now on.
     pub fn moved(&mut self, now: Instant) {
-        (self.due, self.busy, self.nothing) = (now + TOLD_AFTER_MOVE, 0, 0);
+        (self.due, self.busy, self.nothing) = (now + NOTIFIED_AFTER_MOVE, 0, 0);
     }
 
     /// How long a connection may take to come up.
@@ -139,7 +139,7 @@
             // What an agent has counts as told from the first moment of a process, and it answers at no cost.
             Watched::Never if self.nodes == 1 => Duration::ZERO,
             // Guards against a watch that fell silent before it was reset: the clock has run since it last told something.
-            Watched::Never | Watched::Told => spread.min(left.saturating_sub(CALL)).mul_f64(luck),
+            Watched::Never | Watched::Notified => spread.min(left.saturating_sub(CALL)).mul_f64(luck),
         }
     }
 }
@@ -150,13 +150,13 @@
     // when discovery had it and could be reached, which may have been just after that call began. No spread is
     // narrower than that after silence, or all would crowd together.
     let since_call = WIDEST.saturating_sub(took).max(NARROWEST);
-    let room = left.saturating_sub(TAKEN_IN);
-    if room >= NARROWEST {
+    let capacity = left.saturating_sub(TAKEN_IN);
+    if capacity >= NARROWEST {
         // Half of what is left is kept for the call, and for one more after it.
         NARROWEST.max(left / 2).min(since_call)
-    } else if took > room && room > FIRST {
+    } else if took > capacity && capacity > FIRST {
         // Time for one more before the clock runs out, which is as far from the others' as this one was.
-        room
+        capacity
     } else {
         since_call
     }
--- a/src/net/ending.rs
+++ b/src/net/close_reason.rs
@@ -5,7 +5,7 @@
 
 /// Why a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum CloseReason {
     /// The other side closed it between messages.
     PeerClosed,
     /// The other side closed or broke it inside a message, or while it was owed one.
@@ -46,29 +46,29 @@
     Moved,
 }
 
-impl Ending {
+impl CloseReason {
     /// The code in the log.
     pub fn code(self) -> &'static str {
         match self {
-            Ending::PeerClosed => "peer-closed",
-            Ending::PeerBroke => "peer-broke",
-            Ending::Idle => "idle",
-            Ending::Evicted => "evicted",
-            Ending::Shutdown => "shutdown",
-            Ending::Drained => "drained",
-            Ending::LastMessage => "last-message",
-            Ending::Malformed => "malformed",
-            Ending::TooSlow => "too-slow",
-            Ending::Refused => "refused",
-            Ending::ConnectTimeout => "connect-timeout",
-            Ending::NoSockets => "no-sockets",
-            Ending::Cancelled => "cancelled",
-            Ending::TimedOut => "timed-out",
-            Ending::ServerLeft => "server-left",
-            Ending::ClosedIdle => "closed-idle",
-            Ending::Silent => "silent",
-            Ending::Busy => "busy",
-            Ending::Moved => "moved",
+            CloseReason::PeerClosed => "peer-closed",
+            CloseReason::PeerBroke => "peer-broke",
+            CloseReason::Idle => "idle",
+            CloseReason::Evicted => "evicted",
+            CloseReason::Shutdown => "shutdown",
+            CloseReason::Drained => "drained",
+            CloseReason::LastMessage => "last-message",
+            CloseReason::Malformed => "malformed",
+            CloseReason::TooSlow => "too-slow",
+            CloseReason::Refused => "refused",
+            CloseReason::ConnectTimeout => "connect-timeout",
+            CloseReason::NoSockets => "no-sockets",
+            CloseReason::Cancelled => "cancelled",
+            CloseReason::TimedOut => "timed-out",
+            CloseReason::ServerLeft => "server-left",
+            CloseReason::ClosedIdle => "closed-idle",
+            CloseReason::Silent => "silent",
+            CloseReason::Busy => "busy",
+            CloseReason::Moved => "moved",
         }
     }
 
@@ -84,7 +84,7 @@
     /// To a client.
     Frontend,
     /// To an operator.
-    Door,
+    AdminServer,
     /// To a backend server.
     Backend,
     /// To discovery.
@@ -97,7 +97,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Side::Frontend => "frontend",
-            Side::Door => "door",
+            Side::AdminServer => "door",
             Side::Backend => "backend",
             Side::ServerTable => "server-table",
             Side::Handover => "handover",
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 use shorepath_audit::version::Content;
-use shorepath_budgets::file::{Bounds, Budget, Plan};
+use shorepath_quota::config::{Bounds, Budget, Plan};
 use shorepath_scheduler::{SettingsError, SettingsObject};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -203,8 +203,8 @@
     pub fn strange_in_sites(&self, siting: &Siting) -> Vec<String> {
         let (_, names) = self.setup.to_settings();
         let plan = siting.plan();
-        let lent = plan.lends.values().flat_map(|l| l.keys());
-        let classes = plan.home.iter().chain(plan.least.keys()).chain(lent).map(String::as_str);
+        let spillover = plan.lends.values().flat_map(|l| l.keys());
+        let classes = plan.home.iter().chain(plan.least.keys()).chain(spillover).map(String::as_str);
         let tenants = plan.credits.iter().map(|c| c.tenant.as_str()).chain(siting.accounts().map(|a| a.0));
         let strange = classes.filter(|c| names.classes.get(c).is_none());
         let strange = strange.chain(tenants.filter(|t| names.tenants.get(t).is_none()));
@@ -228,13 +228,13 @@
         ];
         let waits = same.into_iter().filter(|(_, same)| !same).map(|(field, _)| field).collect();
         let moved = newer.filed.filter(|_| newer.filed != self.filed);
-        let retuned = self.setup != newer.setup;
+        let is_reconfigured = self.setup != newer.setup;
         self.filed = newer.filed;
         self.discovery = moved.unwrap_or(self.discovery);
         self.setup = newer.setup;
         self.settings = newer.settings;
         self.keys = newer.keys;
-        Ok(Renewed { moved, retuned, waits })
+        Ok(Renewed { moved, is_reconfigured, waits })
     }
 }
 
@@ -244,7 +244,7 @@
     /// Discovery is there now.
     pub moved: Option<SocketAddr>,
     /// The settings are others.
-    pub retuned: bool,
+    pub is_reconfigured: bool,
     /// What has changed that only a restart brings.
     pub waits: Vec<&'static str>,
 }
@@ -284,7 +284,7 @@
             assert!(limits.connections(1) * 3 > sockets);
             assert!(limits.connections(1) * 2 + OWN_SOCKETS <= sockets);
             assert!(2 * (limits.connections(2) * 2 + OWN_SOCKETS) <= sockets);
-            const { assert!(crate::net::door::CALLERS < OWN_SOCKETS / 2) };
+            const { assert!(crate::net::admin::CALLERS < OWN_SOCKETS / 2) };
             assert!(limits.messages() * 3 < memory_mb << 20);
         }
     }
--- a/src/net/exchange.rs
+++ b/src/net/exchange.rs
@@ -4,12 +4,12 @@
 //! before the same decisions.
 
 use super::deadlines::Deadlines;
-use shorepath_budgets::file::Bounds;
+use shorepath_quota::config::Bounds;
 use shorepath_scheduler::Scheduler;
 use shorepath_scheduler::*;
 use shorepath_scheduler::{name_hash, Catalog, SettingsObject};
 use shorepath_scheduler::{QuotaKind, QuotaShare, QuotaUsage};
-use shorepath_sites::homecoming::Pace;
+use shorepath_sites::recovery_ramp::Pace;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -33,7 +33,7 @@
     /// When it had come.
     pub arrived: Instant,
     /// How long the client waits from then on.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// The client's guess at its work, in microseconds at speed 1.
     pub hint: Option<Micros>,
     /// Slots that it takes.
@@ -48,16 +48,16 @@
 
 /// The final answer to a request.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ResponseOutcome {
     /// A backend server made this result for it.
     Served(Vec<u8>),
-    /// Denied: trying again is harmless.
-    Denied {
+    /// Shed: trying again is harmless.
+    Shed {
         /// How long the client should stay away.
         retry_after: Option<Duration>,
     },
     /// Not taken here: nothing is left of a part that it needs from the start, or it belongs elsewhere.
-    Barred {
+    Rejected {
         /// The part.
         of: Option<QuotaKind>,
     },
@@ -225,7 +225,7 @@
     payload: Rc<P>,
     until: Instant,
     attempts: u32,
-    answer: oneshot::Sender<Verdict>,
+    answer: oneshot::Sender<ResponseOutcome>,
     /// Ends with this, which is what [`Wanted`] sees.
     wanted: watch::Sender<()>,
 }
@@ -336,7 +336,7 @@
     }
 
     /// Other settings hold for what comes from now on.
-    pub fn retune(&self, setup: SettingsObject) {
+    pub fn reconfigure(&self, setup: SettingsObject) {
         self.renew(|inner| inner.setup = setup);
     }
 
@@ -366,7 +366,7 @@
             inner.held.insert(source, parts);
             inner.held.values().flatten().cloned().collect()
         };
-        self.tell(Event::QuotaShares(all));
+        self.report(Event::QuotaShares(all));
     }
 
     /// What is dispatched is written down from now on.
@@ -392,7 +392,7 @@
         if done {
             return self.inner.borrow_mut().order(order);
         }
-        self.inner.borrow_mut().answer(id.request, Verdict::Denied { retry_after: None });
+        self.inner.borrow_mut().answer(id.request, ResponseOutcome::Shed { retry_after: None });
         self.ended(id, AttemptStatus::NotSent);
     }
 
@@ -443,7 +443,7 @@
 
     /// How many nodes ask discovery for their lists, by the settings in force, and how long after it was told that a server
     /// leaves a node may send it something new.
-    pub fn told(&self) -> (u32, Duration) {
+    pub fn notified(&self) -> (u32, Duration) {
         let inner = self.inner.borrow();
         (inner.setup.polling_nodes(), Duration::from_micros(inner.setup.drain_grace().max(0) as u64))
     }
@@ -479,7 +479,7 @@
             renewed.settings.processes = *parts;
             renewed
         };
-        self.tell(Event::Reconfigure(Box::new(renewed)));
+        self.report(Event::Reconfigure(Box::new(renewed)));
     }
 
     /// Told of each list of servers, and each change, with their number.
@@ -500,8 +500,8 @@
     /// Take a request. The ticket brings its one final answer; dropped before, the client is gone.
     pub fn take(self: &Rc<Self>, ask: Ask, payload: P) -> Ticket<P> {
         let (answer, answered) = oneshot::channel();
-        let margin = MARGIN.min(ask.patience / 4);
-        let until = ask.arrived + ask.patience - margin;
+        let margin = MARGIN.min(ask.timeout / 4);
+        let until = ask.arrived + ask.timeout - margin;
         let id = {
             let mut inner = self.inner.borrow_mut();
             inner.taken += 1;
@@ -512,7 +512,7 @@
             id
         };
         let time_left = until.saturating_duration_since(Instant::now()).as_micros() as Micros;
-        self.tell(Event::RequestArrived(Request {
+        self.report(Event::RequestArrived(Request {
             id,
             class: ask.class,
             tenant: ask.tenant,
@@ -529,12 +529,12 @@
 
     /// The job of an attempt has started.
     pub fn started(&self, id: DispatchId) {
-        self.tell(Event::AttemptStarted { id: id.request, attempt: id.attempt });
+        self.report(Event::AttemptStarted { id: id.request, attempt: id.attempt });
     }
 
     /// The job of an attempt has got this far.
     pub fn progress(&self, id: DispatchId, done: f64) {
-        self.tell(Event::AttemptProgress { id: id.request, attempt: id.attempt, done });
+        self.report(Event::AttemptProgress { id: id.request, attempt: id.attempt, done });
     }
 
     /// An attempt was served with this result. The first one is the request's answer.
@@ -543,7 +543,7 @@
         if let Some(taken) = taken {
             self.inner.borrow().audited(&taken, "served");
             // A client that has just gone has no use for it.
-            let _ = taken.answer.send(Verdict::Served(result));
+            let _ = taken.answer.send(ResponseOutcome::Served(result));
         }
         self.ended(id, AttemptStatus::Ok);
     }
@@ -572,25 +572,25 @@
             outcomes.1 += u64::from(fails);
         }
         debug!("dispatch {}.{} ended {status:?} settled={settled}", id.request.0, id.attempt);
-        self.tell(Event::AttemptEnded { id: id.request, attempt: id.attempt, status, is_final: settled });
+        self.report(Event::AttemptEnded { id: id.request, attempt: id.attempt, status, is_final: settled });
     }
 
     /// A probe of a backend server has ended.
     pub fn probed(&self, worker: EndpointId, status: AttemptStatus, value: impl Fn(&str) -> Option<f64>) {
         let report = self.inner.borrow().setup.load_report(value);
         debug!("probe of {} ended {status:?} {report:?}", worker.0);
-        self.tell(Event::ProbeEnded { endpoint: worker, status, report });
+        self.report(Event::ProbeEnded { endpoint: worker, status, report });
     }
 
     /// An idle connection to a backend server has ended unasked, the one in that place by its age.
     pub fn idle_closed(&self, worker: EndpointId, place: usize) {
-        self.tell(Event::IdleConnectionClosed { endpoint: worker, position: place });
+        self.report(Event::IdleConnectionClosed { endpoint: worker, position: place });
     }
 
     /// The server table has changed, or is all of this.
     pub fn servers(&self, list: Vec<Server>, whole: bool) {
         let members = self.inner.borrow_mut().members(list, whole);
-        self.tell(if whole { Event::EndpointList(members) } else { Event::EndpointUpdate(members) });
+        self.report(if whole { Event::EndpointList(members) } else { Event::EndpointUpdate(members) });
         self.lists.send_modify(|n| *n += 1);
     }
 
@@ -602,7 +602,7 @@
                 Some(at) => tokio::select! {
                     () = self.deadlines.at(at) => {
                         self.inner.borrow_mut().wake = None;
-                        self.tell(Event::Wake);
+                        self.report(Event::Wake);
                     }
                     () = self.rearmed.notified() => {}
                 },
@@ -615,14 +615,14 @@
     fn abandon(&self, id: RequestId) {
         let open = self.inner.borrow_mut().open.remove(&id).is_some();
         if open {
-            self.tell(Event::ClientLeft(id));
+            self.report(Event::ClientLeft(id));
         }
     }
 
-    fn tell(&self, event: Event) {
+    fn report(&self, event: Event) {
         let mut inner = self.inner.borrow_mut();
         let before = inner.wake;
-        inner.tell(event);
+        inner.report(event);
         if inner.wake != before {
             self.rearmed.notify_one();
         }
@@ -630,7 +630,7 @@
 }
 
 impl<P> Inner<P> {
-    fn tell(&mut self, event: Event) {
+    fn report(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle(self.clock.now(), event, &mut actions);
         actions.into_iter().for_each(|action| self.act(action));
@@ -683,10 +683,10 @@
             }
             Action::Shed { id, retry_after } => {
                 let retry_after = retry_after.map(|t| Duration::from_micros(t.max(0) as u64));
-                self.answer(id, Verdict::Denied { retry_after });
+                self.answer(id, ResponseOutcome::Shed { retry_after });
             }
-            Action::Reject { id, quota: of } => self.answer(id, Verdict::Barred { of }),
-            Action::Fail { id } => self.answer(id, Verdict::Failed),
+            Action::Reject { id, quota: of } => self.answer(id, ResponseOutcome::Rejected { of }),
+            Action::Fail { id } => self.answer(id, ResponseOutcome::Failed),
             Action::CancelAttempt { id, attempt } => {
                 self.order(Order::Cancel(DispatchId { request: id, attempt }))
             }
@@ -701,17 +701,17 @@
         }
     }
 
-    fn answer(&mut self, id: RequestId, verdict: Verdict) {
+    fn answer(&mut self, id: RequestId, outcome: ResponseOutcome) {
         if let Some(taken) = self.open.remove(&id) {
             let left = taken.until.saturating_duration_since(Instant::now()).as_millis();
-            let how = match verdict {
-                Verdict::Failed => "failed",
-                Verdict::Barred { .. } => "barred",
-                Verdict::Served(_) | Verdict::Denied { .. } => "denied",
+            let how = match outcome {
+                ResponseOutcome::Failed => "failed",
+                ResponseOutcome::Rejected { .. } => "barred",
+                ResponseOutcome::Served(_) | ResponseOutcome::Shed { .. } => "denied",
             };
             debug!("answer {} {how} attempts={} left_ms={left}", id.0, taken.attempts);
             self.audited(&taken, how);
-            let _ = taken.answer.send(verdict);
+            let _ = taken.answer.send(outcome);
         }
     }
 
@@ -767,7 +767,7 @@
 pub struct Ticket<P> {
     exchange: Rc<Exchange<P>>,
     id: RequestId,
-    answered: oneshot::Receiver<Verdict>,
+    answered: oneshot::Receiver<ResponseOutcome>,
     overdue: Instant,
 }
 
@@ -783,14 +783,14 @@
     }
 
     /// Its final answer, in time.
-    pub async fn verdict(&mut self) -> Verdict {
+    pub async fn outcome(&mut self) -> ResponseOutcome {
         tokio::select! {
             biased;
-            verdict = &mut self.answered => verdict.unwrap_or(Verdict::Failed),
+            outcome = &mut self.answered => outcome.unwrap_or(ResponseOutcome::Failed),
             // Guards against a request that the module has lost: the client is answered all the same.
             () = self.exchange.deadlines.at(self.overdue) => {
                 warn!("request {} was overdue", self.id.0);
-                Verdict::Failed
+                ResponseOutcome::Failed
             }
         }
     }
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -1,22 +1,22 @@
 //! This node's place in a fleet that shares budgets: datagrams to and from dividers and other members, and the parts that
-//! follow from them for the module. What is said, when, and what may be used is decided in `shorepath-budgets` and
+//! follow from them for the module. What is said, when, and what may be used is decided in `shorepath-quota` and
 //! `shorepath-membership`; off where the operator names no file of budgets.
 
 use super::deadlines::Deadlines;
 use super::exchange::{Exchange, Source};
 use super::frontend::Frontend;
-use super::homing::Homing;
+use super::key_leases::KeyLeases;
 use super::Job;
 use shorepath_audit::version::Content;
-use shorepath_budgets::file::{Bounds, Budget, Per, Place, Plan};
-use shorepath_budgets::meter::Meter;
-use shorepath_budgets::seat::{Seat, Use};
-use shorepath_budgets::words::Word;
-use shorepath_budgets::{Life, Micros, NodeId, Skew};
-use shorepath_envelope::advice;
-use shorepath_envelope::keys::{Keys, KeysError};
-use shorepath_envelope::line::{Dropped, Line};
-use shorepath_membership::{Effect, Membership, Peer, Standing};
+use shorepath_membership::{Effect, MemberState, Membership, Peer};
+use shorepath_message_auth::advice;
+use shorepath_message_auth::channel::{Channel, Dropped};
+use shorepath_message_auth::keyring::{Keys, KeysError};
+use shorepath_quota::client::{QuotaClient, Use};
+use shorepath_quota::config::{Bounds, Budget, Per, Place, Plan};
+use shorepath_quota::messages::Message;
+use shorepath_quota::rate_limiter::Meter;
+use shorepath_quota::{ClockSkew, Micros, NodeId, NodeIncarnation};
 use shorepath_scheduler::QuotaShare;
 use std::cell::{Cell, RefCell};
 use std::io::Read;
@@ -55,7 +55,7 @@
     /// The keys that it names, under which datagrams go.
     pub keys: Option<Keys>,
     /// How the clock is wrong; only tests have it so.
-    pub skew: Skew,
+    pub skew: ClockSkew,
 }
 
 /// Why a node can't take part.
@@ -79,7 +79,7 @@
     },
     /// The file can't be used.
     #[error("{0}")]
-    Wrong(#[from] shorepath_sexp::Complaints),
+    Wrong(#[from] shorepath_sexp::ParseErrors),
     /// The file does not list this node.
     #[error("{}: {name} is no (node ...) of the file", path.display())]
     Unlisted {
@@ -118,12 +118,12 @@
 
 impl Sharing {
     /// Read the file, in which a node of that name has to be listed.
-    pub fn read(path: PathBuf, name: &str, skew: Skew) -> Result<Sharing, SharingError> {
+    pub fn read(path: PathBuf, name: &str, skew: ClockSkew) -> Result<Sharing, SharingError> {
         let text = match std::fs::read_to_string(&path) {
             Ok(text) => text,
             Err(source) => return Err(SharingError::Unreadable { path, source }),
         };
-        let plan = shorepath_budgets::file::read(&path.display().to_string(), &text)?;
+        let plan = shorepath_quota::config::read(&path.display().to_string(), &text)?;
         if plan.members.iter().all(|m| m.name != name) {
             return Err(SharingError::Unlisted { path, name: name.to_string() });
         }
@@ -211,13 +211,13 @@
     deadlines: Rc<Deadlines>,
     lists: Rc<ListCalls>,
     origin: Instant,
-    seat: RefCell<Seat>,
+    quota_client: RefCell<QuotaClient>,
     members: RefCell<Membership>,
     /// Who is home to keys, where the file has budgets for that and there are sites.
-    homing: RefCell<Option<Rc<Homing>>>,
-    line: RefCell<Line>,
+    key_leases: RefCell<Option<Rc<KeyLeases>>>,
+    line: RefCell<Channel>,
     /// The parts that the module was told.
-    told: RefCell<Vec<QuotaShare>>,
+    notified: RefCell<Vec<QuotaShare>>,
     /// Budgets of which there is no grant.
     bare: RefCell<Vec<String>>,
     /// Something was used or wanted since it last looked.
@@ -239,13 +239,13 @@
         let chance = getrandom::u64().map_err(SharingError::Chance)?;
         let node = NodeId::of(name);
         let now = sharing.skew.at(0);
-        let life = Life { node, incarnation: chance };
+        let life = NodeIncarnation { node, incarnation: chance };
         let plan = &sharing.plan;
-        let seat = Seat::new(life, plan.clone(), chance as usize, now);
+        let quota_client = QuotaClient::new(life, plan.clone(), chance as usize, now);
         let begun = unix();
         let peer = Peer { node: node.0, incarnation: begun };
-        let line = Line::new(node.0, begun, &plan.fleet, sharing.keys.as_ref());
-        let all = plan.dividers.iter().chain(&plan.members).map(|p| NodeId::of(&p.name).0);
+        let line = Channel::new(node.0, begun, &plan.fleet, sharing.keys.as_ref());
+        let all = plan.allocators.iter().chain(&plan.members).map(|p| NodeId::of(&p.name).0);
         let members = Membership::new(peer, all.filter(|n| *n != node.0).collect(), chance, now);
         let fleet = Rc::new(Fleet {
             name: name.to_string(),
@@ -254,11 +254,11 @@
             deadlines,
             lists,
             origin: Instant::now(),
-            seat: RefCell::new(seat),
+            quota_client: RefCell::new(quota_client),
             members: RefCell::new(members),
-            homing: RefCell::default(),
+            key_leases: RefCell::default(),
             line: RefCell::new(line),
-            told: RefCell::default(),
+            notified: RefCell::default(),
             bare: RefCell::default(),
             busy: Cell::new(false),
             leaves: Notify::new(),
@@ -275,24 +275,24 @@
     }
 
     /// The clock that grants are counted by.
-    pub fn clock(&self) -> (Instant, Skew) {
+    pub fn clock(&self) -> (Instant, ClockSkew) {
         (self.origin, self.sharing.borrow().skew)
     }
 
     /// Whether the file has budgets of homes.
-    pub fn names_homes(&self) -> bool {
-        super::homing::named(&self.sharing.borrow().plan)
+    pub fn has_ownership_quotas(&self) -> bool {
+        super::key_leases::named(&self.sharing.borrow().plan)
     }
 
     /// Leases of ranges of keys follow from its budgets from now on.
-    pub fn home(&self, homing: Rc<Homing>) {
-        self.homing.replace(Some(homing));
+    pub fn home(&self, key_leases: Rc<KeyLeases>) {
+        self.key_leases.replace(Some(key_leases));
     }
 
     /// What the seat goes by may have changed.
     fn leased(&self) {
-        if let Some(homing) = &*self.homing.borrow() {
-            homing.leased(&self.seat.borrow());
+        if let Some(key_leases) = &*self.key_leases.borrow() {
+            key_leases.leased(&self.quota_client.borrow());
         }
     }
 
@@ -308,7 +308,7 @@
     }
 
     /// Read the operator's file again. One that can't be used changes nothing.
-    pub fn reread(&self) -> Result<u64, SharingError> {
+    pub fn reload(&self) -> Result<u64, SharingError> {
         let (path, skew) = {
             let sharing = self.sharing.borrow();
             (sharing.path.clone(), sharing.skew)
@@ -318,16 +318,16 @@
             return Err(SharingError::Drift { path: newer.path });
         }
         let version = newer.plan.version;
-        self.tell_refused();
+        self.log_rejected();
         self.line.borrow_mut().set(unix(), &newer.plan.fleet, newer.keys.as_ref());
-        self.seat.borrow_mut().replan(newer.plan.clone(), self.now());
+        self.quota_client.borrow_mut().replan(newer.plan.clone(), self.now());
         self.leased();
         self.sharing.replace(newer);
         Ok(version)
     }
 
     /// How many datagrams were dropped, if any were.
-    fn tell_refused(&self) {
+    fn log_rejected(&self) {
         for (why, count) in self.line.borrow().counts() {
             info!("{count} datagrams dropped so far: {why}");
         }
@@ -343,7 +343,7 @@
             if owns && replaced {
                 // The next process takes the address, and the reserve with it; what this one has it serves by its grants.
                 (socket, owns) = (None, false);
-                self.seat.borrow_mut().own(false, self.now());
+                self.quota_client.borrow_mut().own(false, self.now());
             }
             if !owns && !replaced && tried.is_none_or(|at| at.elapsed() >= BIND) {
                 tried = Some(Instant::now());
@@ -351,7 +351,7 @@
                     if let Ok(own) = UdpSocket::bind(address).await {
                         info!("this process is {} of the fleet, at {address}", self.name);
                         (socket, owns) = (Some(own), true);
-                        self.seat.borrow_mut().own(true, self.now());
+                        self.quota_client.borrow_mut().own(true, self.now());
                     }
                 }
             }
@@ -364,9 +364,9 @@
                 continue;
             };
             self.turn(line, owns).await;
-            let seat_due = self.seat.borrow().due(self.now()) - self.now();
+            let client_due = self.quota_client.borrow().due(self.now()) - self.now();
             let look = if self.busy.take() { LOOK } else { IDLE };
-            let wait = look.min(Duration::from_micros(seat_due.max(1_000) as u64));
+            let wait = look.min(Duration::from_micros(client_due.max(1_000) as u64));
             tokio::select! {
                 biased;
                 () = self.leaves.notified() => {
@@ -377,7 +377,7 @@
                 came = line.recv_from(&mut buffer) => {
                     // An error is somebody's closed port, told late.
                     if let Ok((n, from)) = came {
-                        self.hear(&buffer[..n], from);
+                        self.receive(&buffer[..n], from);
                     }
                 }
                 () = self.deadlines.after(wait) => {}
@@ -397,9 +397,9 @@
     async fn part(&self, line: &UdpSocket, owns: bool) {
         let now = self.now();
         self.count();
-        self.tell_refused();
-        self.seat.borrow_mut().leave(now);
-        self.homing.borrow().iter().for_each(|h| h.leaves());
+        self.log_rejected();
+        self.quota_client.borrow_mut().leave(now);
+        self.key_leases.borrow().iter().for_each(|h| h.leaves());
         self.members.borrow_mut().leave(now);
         self.speak(line, owns).await;
     }
@@ -408,31 +408,31 @@
     fn count(&self) {
         let used = self.exchange.parts_used();
         let lists = self.lists.done();
-        let mut seat = self.seat.borrow_mut();
-        let names: Vec<String> = seat.plan().budgets.iter().map(|b| b.name.clone()).collect();
+        let mut quota_client = self.quota_client.borrow_mut();
+        let names: Vec<String> = quota_client.plan().budgets.iter().map(|b| b.name.clone()).collect();
         for name in names {
             let of = self.exchange.bound(&name);
             let found = used.iter().find(|(bound, _)| Some(*bound) == of);
             let what = match found {
                 Some((_, what)) => Use { wanted: what.demand, used: what.used },
                 None if name == "lists" => lists,
-                None => match self.homing.borrow().as_ref().and_then(|h| h.wants(&name)) {
+                None => match self.key_leases.borrow().as_ref().and_then(|h| h.wants(&name)) {
                     Some(wanted) => {
-                        seat.used(&name, Use { wanted, used: 0 });
+                        quota_client.used(&name, Use { wanted, used: 0 });
                         continue;
                     }
                     None => continue,
                 },
             };
             self.busy.set(self.busy.get() || what != Use::default());
-            seat.used(&name, what);
+            quota_client.used(&name, what);
         }
     }
 
     async fn turn(&self, line: &UdpSocket, owns: bool) {
         self.count();
         let now = self.now();
-        self.seat.borrow_mut().pass(now);
+        self.quota_client.borrow_mut().pass(now);
         self.leased();
         if owns {
             self.members.borrow_mut().pass(now);
@@ -443,9 +443,9 @@
 
     /// Bring the module's parts in line with what may be used now.
     fn hold(&self, now: Micros) {
-        let seat = self.seat.borrow();
+        let quota_client = self.quota_client.borrow();
         let (mut parts, mut bare, mut lists) = (Vec::new(), Vec::new(), None);
-        for (budget, units) in seat.all_usable(now) {
+        for (budget, units) in quota_client.all_usable(now) {
             let Budget { name, per, whole, .. } = budget;
             let span = match per {
                 Per::Second { burst } => *burst,
@@ -457,11 +457,11 @@
                 parts.push(QuotaShare { kind: of, units, total: *whole, window: span });
             }
             let home = matches!(Bounds::of(name), Some(Bounds::Home(_)));
-            if !home && !seat.is_granted(name, now) {
+            if !home && !quota_client.is_granted(name, now) {
                 bare.push(name.clone());
             }
         }
-        drop(seat);
+        drop(quota_client);
         match lists {
             Some((rate, burst)) => self.lists.hold(rate, burst),
             None => self.lists.free(),
@@ -473,40 +473,41 @@
             }
             self.bare.replace(bare);
         }
-        if parts != *self.told.borrow() {
+        if parts != *self.notified.borrow() {
             debug!("budgets: {parts:?}");
-            self.told.replace(parts.clone());
+            self.notified.replace(parts.clone());
             self.exchange.parts_hold(Source::Budgets, parts);
         }
     }
 
     async fn speak(&self, line: &UdpSocket, owns: bool) {
-        let (says, effects) = (self.seat.borrow_mut().says(), self.members.borrow_mut().effects());
-        if says.is_empty() && effects.is_empty() {
+        let (outgoing_messages, effects) =
+            (self.quota_client.borrow_mut().take_outgoing(), self.members.borrow_mut().effects());
+        if outgoing_messages.is_empty() && effects.is_empty() {
             return;
         }
         let plan = self.sharing.borrow().plan.clone();
-        for say in says {
-            if let Some(divider) = plan.dividers.get(say.to) {
+        for outgoing in outgoing_messages {
+            if let Some(allocator) = plan.allocators.get(outgoing.to) {
                 // Lost is lost: it asks again.
-                let datagram = self.line.borrow_mut().seal(say.word.bytes());
-                let _ = line.send_to(&datagram, divider.address).await;
+                let datagram = self.line.borrow_mut().seal(outgoing.message.bytes());
+                let _ = line.send_to(&datagram, allocator.address).await;
             }
         }
         for effect in effects {
             match effect {
-                Effect::Say { to, bytes } if owns => {
-                    let mut all = plan.dividers.iter().chain(&plan.members);
+                Effect::Outgoing { to, bytes } if owns => {
+                    let mut all = plan.allocators.iter().chain(&plan.members);
                     if let Some(place) = all.find(|p| NodeId::of(&p.name).0 == to) {
-                        let said = [&[MEMBERS], bytes.as_slice()].concat();
-                        let datagram = self.line.borrow_mut().seal(said);
+                        let sent = [&[MEMBERS], bytes.as_slice()].concat();
+                        let datagram = self.line.borrow_mut().seal(sent);
                         let _ = line.send_to(&datagram, place.address).await;
                     }
                 }
-                Effect::Say { .. } => {}
+                Effect::Outgoing { .. } => {}
                 Effect::Changed(m) => {
-                    let gone = matches!(m.standing, Standing::Gone | Standing::Left);
-                    self.homing.borrow().iter().for_each(|h| h.member(NodeId(m.peer.node), gone));
+                    let gone = matches!(m.standing, MemberState::Gone | MemberState::Left);
+                    self.key_leases.borrow().iter().for_each(|h| h.member(NodeId(m.peer.node), gone));
                     let name = plan.name_of(NodeId(m.peer.node)).unwrap_or("?");
                     info!("member {name} {:?} incarnation={}", m.standing, m.peer.incarnation);
                 }
@@ -514,12 +515,12 @@
         }
     }
 
-    fn hear(&self, bytes: &[u8], from: SocketAddr) {
+    fn receive(&self, bytes: &[u8], from: SocketAddr) {
         let now = self.now();
         let seems = self.sharing.borrow().plan.node_at(from).map_or(0, |n| n.0);
         let opened = self.line.borrow_mut().open(bytes, seems);
         let (sender, bytes) = match opened {
-            Ok(heard) => (heard.sender, heard.said),
+            Ok(received) => (received.sender, received.sent),
             Err(Dropped { refused, first }) => {
                 if first {
                     warn!("from {from}: {}; told once, counted from now on", advice(&refused));
@@ -529,18 +530,18 @@
         };
         if let Some((&MEMBERS, rest)) = bytes.split_first() {
             let mut members = self.members.borrow_mut();
-            if let Err(e) = members.hear(now, rest).map_err(|e| e.to_string()) {
+            if let Err(e) = members.receive(now, rest).map_err(|e| e.to_string()) {
                 debug!("from {from}: {e}");
             }
             return;
         }
         let divides = |d: &Place| d.address == from && sender.is_none_or(|s| s == NodeId::of(&d.name).0);
-        let place = self.sharing.borrow().plan.dividers.iter().position(divides);
-        match (place, Word::read(bytes)) {
-            (Some(place), Ok(word)) => {
+        let place = self.sharing.borrow().plan.allocators.iter().position(divides);
+        match (place, Message::read(bytes)) {
+            (Some(place), Ok(message)) => {
                 // What is in use is known before anything is said of it.
                 self.count();
-                self.seat.borrow_mut().hear(place, &word, now);
+                self.quota_client.borrow_mut().receive(place, &message, now);
                 // Before anything is said: what is given up is free for others from then on.
                 self.leased();
             }
