--- a/src/net/frontend.rs
+++ b/src/net/frontend.rs
@@ -1,12 +1,12 @@
 //! The frontend: connections from clients, and what they ask for. Jobs go to the exchange; all else
 //! is answered here.
 
+use super::close_reason::{CloseReason, Side};
 use super::codec::{Answer, FrontendCodec, Incoming, ReadError, Request};
 use super::deadlines::Deadlines;
-use super::ending::{Ending, Side};
-use super::exchange::{Ask, Exchange, Ticket, Verdict};
+use super::exchange::{Ask, Exchange, ResponseOutcome, Ticket};
 use super::pool::{Ahead, Pool};
-use super::sites::{Barred, Mark, Sites};
+use super::sites::{Mark, Rejection, Sites};
 use super::stopping::Stopping;
 use super::{turn, Job};
 use futures_util::FutureExt;
@@ -31,7 +31,7 @@
 /// each later one from its own. Usual clients connect when they have a request to send.
 const REQUEST: Duration = Duration::from_millis(2_300);
 /// Under pressure, how long a new connection may say nothing: its request may be on the way.
-const SAY: Duration = Duration::from_millis(10);
+const ANNOUNCE_GRACE: Duration = Duration::from_millis(10);
 /// Under pressure, how long a request that has begun may stand still; slow ones come in pieces about
 /// 0.1 s apart.
 const STILL: Duration = Duration::from_millis(500);
@@ -51,11 +51,11 @@
 /// While clients are sent away, a connection that has nothing to say has at least this long to begin.
 const DRAIN_FIRST: Duration = Duration::from_millis(400);
 /// Words about ids that may wait for another process to hear them; an id a connection fits.
-const MOST_WORDS: usize = 4096;
+const MAX_TEXT: usize = 4096;
 /// The pause after a connection could not be accepted.
 const PAUSE: Duration = Duration::from_millis(10);
 /// One that was barred for want of confirmation may ask again after this, which links usually take to come back.
-const BARRED: Duration = Duration::from_secs(2);
+const REJECTION_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 type Connection = Framed<TcpStream, FrontendCodec>;
 
@@ -88,7 +88,7 @@
 
 impl State {
     /// Why no clients should be sent here, if they should not.
-    fn shuns(&self) -> Option<&'static str> {
+    fn avoids(&self) -> Option<&'static str> {
         match self {
             // The front must not hear that the address is gone: the next process serves there.
             State { replaced: true, .. } => None,
@@ -132,37 +132,37 @@
     /// Those of another process that is this node, too.
     others: HashSet<String>,
     /// What that process is to be told.
-    words: Option<mpsc::Sender<String>>,
+    messages: Option<mpsc::Sender<String>>,
 }
 
 impl Ids {
     /// Tell another process of them: words that each begin or end one.
     pub fn share(ids: &RefCell<Ids>) -> mpsc::Receiver<String> {
-        let (words, told) = mpsc::channel(MOST_WORDS);
+        let (messages, notified) = mpsc::channel(MAX_TEXT);
         let mut ids = ids.borrow_mut();
-        ids.words = Some(words);
-        ids.own.iter().for_each(|id| ids.tell("take", id));
-        told
+        ids.messages = Some(messages);
+        ids.own.iter().for_each(|id| ids.report("take", id));
+        notified
     }
 
     /// The other process has ended.
     pub fn part(ids: &RefCell<Ids>) {
         let mut ids = ids.borrow_mut();
-        ids.words = None;
+        ids.messages = None;
         ids.others.clear();
     }
 
     /// The other process has begun or ended a job with that id.
-    pub fn heard(&mut self, id: &str, open: bool) {
+    pub fn received(&mut self, id: &str, open: bool) {
         match open {
             true => self.others.insert(id.to_string()),
             false => self.others.remove(id),
         };
     }
 
-    fn tell(&self, word: &str, id: &str) {
-        let Some(words) = &self.words else { return };
-        if words.try_send(format!("{word} {id}")).is_err() {
+    fn report(&self, message: &str, id: &str) {
+        let Some(messages) = &self.messages else { return };
+        if messages.try_send(format!("{message} {id}")).is_err() {
             warn!("the other process hears nothing: it may take an id that is in use");
         }
     }
@@ -183,7 +183,7 @@
         let mut ids = all.borrow_mut();
         let free = !ids.others.contains(&id) && ids.own.insert(id.clone());
         free.then(|| {
-            ids.tell("take", &id);
+            ids.report("take", &id);
             Claim { id, all: all.clone() }
         })
     }
@@ -206,7 +206,7 @@
     fn drop(&mut self) {
         let mut ids = self.all.borrow_mut();
         ids.own.remove(&self.id);
-        ids.tell("free", &self.id);
+        ids.report("free", &self.id);
     }
 }
 
@@ -228,7 +228,7 @@
     /// How long one of that rank may stand still before it can be made to go.
     fn grace(self) -> Duration {
         match self {
-            Rank::Silent => SAY,
+            Rank::Silent => ANNOUNCE_GRACE,
             Rank::Begun => STILL,
             Rank::Served => Duration::ZERO,
         }
@@ -285,7 +285,7 @@
     /// Whether clients are taken, or why not.
     pub fn ready(&self) -> Result<(), &'static str> {
         let state = *self.state.borrow();
-        match state.shuns() {
+        match state.avoids() {
             Some(why) => Err(why),
             None if state.replaced => Err("replaced"),
             None if !state.accepts => Err("starting"),
@@ -345,7 +345,7 @@
     pub fn bound(&self, most: usize) {
         self.most.set(most);
         for _ in most..self.connections.get() {
-            let _ = self.make_room();
+            let _ = self.free_capacity();
         }
     }
 
@@ -425,7 +425,7 @@
             if full {
                 // Those just accepted come to stand idle first, and give way before usual clients do.
                 tokio::task::yield_now().await;
-                again = self.make_room().err().flatten();
+                again = self.free_capacity().err().flatten();
             }
             let again = async {
                 match again {
@@ -468,7 +468,7 @@
 
     /// Evict one if there are more connections than there may be without those that were told to go already.
     /// Guards against closing more than one for each that comes: those look for what has come before they end.
-    fn make_room(&self) -> Result<(), Option<Instant>> {
+    fn free_capacity(&self) -> Result<(), Option<Instant>> {
         match self.connections.get() > self.most.get() + self.going.get() {
             true => self.evict(),
             false => Err(None),
@@ -481,7 +481,7 @@
         for (rank, standing) in Rank::ALL.into_iter().zip(self.idle.borrow_mut().iter_mut()) {
             let Some(due) = standing.first_key_value().map(|(key, _)| key.0 + rank.grace()) else { continue };
             // What has served is spared for the moment in which one that says nothing may be let go.
-            let spared = rank == Rank::Served && soonest.is_some_and(|at| at <= now + SAY);
+            let spared = rank == Rank::Served && soonest.is_some_and(|at| at <= now + ANNOUNCE_GRACE);
             if spared {
                 break;
             }
@@ -506,12 +506,12 @@
             let mut connection =
                 frontend.pool.framed::<Answer, _>(stream, FrontendCodec::new(&frontend.pool));
             let mut messages = 0;
-            let ending = frontend.connection(&mut connection, &mut messages).await;
-            if !matches!(ending, Ending::PeerClosed | Ending::PeerBroke) {
-                frontend.linger(&mut connection, ending == Ending::Evicted).await;
+            let close_reason = frontend.connection(&mut connection, &mut messages).await;
+            if !matches!(close_reason, CloseReason::PeerClosed | CloseReason::PeerBroke) {
+                frontend.linger(&mut connection, close_reason == CloseReason::Evicted).await;
             }
             frontend.pool.release(connection);
-            ending.log(Side::Frontend, peer, messages);
+            close_reason.log(Side::Frontend, peer, messages);
             frontend.connections.set(frontend.connections.get() - 1);
             frontend.changed.notify_one();
         });
@@ -519,13 +519,13 @@
 
     /// End the sending and read on for a moment: a socket closed over unread bytes is reset, which
     /// can cost the client the answer that it was just sent. One whose room is needed reads what is there.
-    async fn linger(&self, connection: &mut Connection, makes_room: bool) {
+    async fn linger(&self, connection: &mut Connection, frees_capacity: bool) {
         if connection.get_mut().shutdown().await.is_err() {
             return;
         }
         connection.read_buffer_mut().clear();
-        if !makes_room {
-            let (place, mut closed) = self.stand_idle(Rank::Silent);
+        if !frees_capacity {
+            let (place, mut closed) = self.stay_idle(Rank::Silent);
             tokio::select! {
                 () = self.read_out(connection) => {}
                 _ = &mut closed => {}
@@ -549,12 +549,12 @@
     }
 
     /// Take a place among the connections that may have to go.
-    fn stand_idle(&self, rank: Rank) -> (Place, oneshot::Receiver<()>) {
+    fn stay_idle(&self, rank: Rank) -> (Place, oneshot::Receiver<()>) {
         let (close, closed) = oneshot::channel();
-        (self.stand(rank, close), closed)
+        (self.readiness(rank, close), closed)
     }
 
-    fn stand(&self, rank: Rank, close: oneshot::Sender<()>) -> Place {
+    fn readiness(&self, rank: Rank, close: oneshot::Sender<()>) -> Place {
         let number = self.idled.get();
         self.idled.set(number + 1);
         let key = (Instant::now(), number);
@@ -580,7 +580,7 @@
     }
 
     /// Answer requests, one at a time, until the connection ends.
-    async fn connection(&self, connection: &mut Connection, messages: &mut u64) -> Ending {
+    async fn connection(&self, connection: &mut Connection, messages: &mut u64) -> CloseReason {
         let (mut next, mut opened, mut has_served) = (None, Some(Instant::now()), false);
         loop {
             let item = match next.take() {
@@ -588,25 +588,25 @@
                 None => self.next(connection, opened, has_served).await,
             };
             let request = match item {
-                Err(ending) => {
-                    if ending == Ending::TooSlow {
+                Err(close_reason) => {
+                    if close_reason == CloseReason::TooSlow {
                         let _ = self
                             .write(connection, Answer::text(408, "the request took too long", true))
                             .await;
                     }
-                    return ending;
+                    return close_reason;
                 }
                 Ok(None) | Ok(Some(Err(ReadError::Io(_)))) => {
                     let broke = connection.codec().is_partial() || !connection.read_buffer().is_empty();
-                    return if broke { Ending::PeerBroke } else { Ending::PeerClosed };
+                    return if broke { CloseReason::PeerBroke } else { CloseReason::PeerClosed };
                 }
                 Ok(Some(Err(ReadError::Bad { status, reason }))) => {
                     let _ = self.write(connection, Answer::text(status, reason, true)).await;
-                    return Ending::Malformed;
+                    return CloseReason::Malformed;
                 }
                 Ok(Some(Ok(Incoming::Expects))) => {
-                    if let Err(ending) = self.write(connection, Answer::Continue).await {
-                        return ending;
+                    if let Err(close_reason) = self.write(connection, Answer::Continue).await {
+                        return close_reason;
                     }
                     continue;
                 }
@@ -617,16 +617,16 @@
             let keep_alive = request.keep_alive;
             let answer = match self.reply(connection, request).await {
                 Reply::Now(answer) => answer,
-                Reply::Gone => return Ending::PeerBroke,
+                Reply::Gone => return CloseReason::PeerBroke,
                 Reply::Later(mut ticket, mark) => {
                     has_served = true;
-                    let verdict = {
-                        let verdict = std::pin::pin!(ticket.verdict());
-                        let mut verdict = verdict.fuse();
+                    let outcome = {
+                        let outcome = std::pin::pin!(ticket.outcome());
+                        let mut outcome = outcome.fuse();
                         loop {
                             tokio::select! {
                                 biased;
-                                verdict = &mut verdict => break Some(verdict),
+                                outcome = &mut outcome => break Some(outcome),
                                 item = self.early(connection, next.is_some()) => match item {
                                     // The client has gone: dropping the ticket tells the exchange.
                                     None | Some(Err(ReadError::Io(_))) => break None,
@@ -636,24 +636,24 @@
                             }
                         }
                     };
-                    match verdict {
-                        Some(verdict) => {
-                            let tells = mark.as_ref().and_then(|mark| mark.tells(&verdict));
+                    match outcome {
+                        Some(outcome) => {
+                            let notifies = mark.as_ref().and_then(|mark| mark.extra_field(&outcome));
                             let mut keeping = None;
                             if let Some(mark) = mark.as_ref() {
-                                keeping = match &verdict {
-                                    Verdict::Served(body) => mark.keeps(200, body),
-                                    Verdict::Failed => mark.keeps(502, b"failed\n"),
-                                    Verdict::Denied { .. } | Verdict::Barred { .. } => None,
+                                keeping = match &outcome {
+                                    ResponseOutcome::Served(body) => mark.keeps(200, body),
+                                    ResponseOutcome::Failed => mark.keeps(502, b"failed\n"),
+                                    ResponseOutcome::Shed { .. } | ResponseOutcome::Rejected { .. } => None,
                                 };
                             }
-                            let barred = mark.and_then(|mark| mark.over(&verdict));
+                            let rejection = mark.and_then(|mark| mark.over(&outcome));
                             if let Some(keeping) = keeping {
                                 keeping.done(&self.deadlines, ticket.overdue()).await;
                             }
-                            answer_to(verdict, barred, tells, |wait| self.exchange.advice(wait))
+                            answer_to(outcome, rejection, notifies, |wait| self.exchange.advice(wait))
                         }
-                        None => return Ending::PeerBroke,
+                        None => return CloseReason::PeerBroke,
                     }
                 }
             };
@@ -668,11 +668,11 @@
             let closing = self.state.borrow().stage == Stage::Closing && !pending;
             // A client that is sent away hears it with its answer, and connects elsewhere next.
             let last = !keep_alive || (sends_away && !pending) || answer.is_last();
-            if let Err(ending) = self.write(connection, last_if(answer, last)).await {
-                return ending;
+            if let Err(close_reason) = self.write(connection, last_if(answer, last)).await {
+                return close_reason;
             }
             if last {
-                return if closing { Ending::Shutdown } else { Ending::LastMessage };
+                return if closing { CloseReason::Shutdown } else { CloseReason::LastMessage };
             }
         }
     }
@@ -699,9 +699,9 @@
         connection: &mut Connection,
         opened: Option<Instant>,
         has_served: bool,
-    ) -> Result<Option<Result<Incoming, ReadError>>, Ending> {
+    ) -> Result<Option<Result<Incoming, ReadError>>, CloseReason> {
         let rank = if has_served { Rank::Served } else { Rank::Silent };
-        let (mut place, mut closed) = self.stand_idle(rank);
+        let (mut place, mut closed) = self.stay_idle(rank);
         let mut unwanted = std::pin::pin!(self.unwanted(true));
         // Guards the end of the node against requests that are never completed.
         let closing = |s: State| s.stopping.filter(|_| s.stage == Stage::Closing);
@@ -710,17 +710,17 @@
         let due = opened.map_or_else(|| self.deadlines.after(IDLE), |o| self.deadlines.at(o + REQUEST));
         let mut due = std::pin::pin!(due);
         let begun = connection.codec().begun();
-        let (mut ending, mut has_begun) = (None, opened.is_some());
+        let (mut close_reason, mut has_begun) = (None, opened.is_some());
         let item = loop {
             // What has come is read before anything closes the connection.
             let mut over = tokio::select! {
                 biased;
                 item = self.pool.next(connection) => break Ok(item),
                 () = begun.notified() => None,
-                _ = &mut closed => Some(Ending::Evicted),
-                over = &mut unwanted, if ending != Some(Ending::Shutdown) => Some(over),
-                () = &mut due => Some(Ending::Idle),
-                () = &mut pressed, if ending == Some(Ending::Shutdown) => Some(Ending::Idle),
+                _ = &mut closed => Some(CloseReason::Evicted),
+                over = &mut unwanted, if close_reason != Some(CloseReason::Shutdown) => Some(over),
+                () = &mut due => Some(CloseReason::Idle),
+                () = &mut pressed, if close_reason == Some(CloseReason::Shutdown) => Some(CloseReason::Idle),
             };
             if over.is_some() {
                 // Guards what has come by now: the clock may have been looked at before the sockets were, as
@@ -730,9 +730,9 @@
                     break Ok(item);
                 }
                 // A part of a request has come: it did not stand still.
-                if over == Some(Ending::Evicted) && begun.notified().now_or_never().is_some() {
+                if over == Some(CloseReason::Evicted) && begun.notified().now_or_never().is_some() {
                     self.rise(place);
-                    (place, closed) = self.stand_idle(Rank::Begun);
+                    (place, closed) = self.stay_idle(Rank::Begun);
                     over = None;
                 }
             }
@@ -745,27 +745,27 @@
                     }
                     // It moves: guards slow clients against going before those that stand still.
                     if let Some(close) = self.stir(place) {
-                        place = self.stand(Rank::Begun, close);
+                        place = self.readiness(Rank::Begun, close);
                     }
                 }
                 (false, None) => {}
-                (true, Some(Ending::Evicted)) => break Err(Ending::Evicted),
+                (true, Some(CloseReason::Evicted)) => break Err(CloseReason::Evicted),
                 (false, Some(over)) => break Err(over),
-                (true, Some(Ending::Idle)) if !has_begun => {
+                (true, Some(CloseReason::Idle)) if !has_begun => {
                     due.set(self.deadlines.after(REQUEST));
                     has_begun = true;
                 }
-                (true, Some(Ending::Idle)) => break Err(Ending::TooSlow),
+                (true, Some(CloseReason::Idle)) => break Err(CloseReason::TooSlow),
                 // It has its time: what has begun is served before the node counts as emptied.
-                (true, Some(Ending::Drained)) => {
+                (true, Some(CloseReason::Drained)) => {
                     if !std::mem::replace(&mut has_begun, true) {
                         due.set(self.deadlines.after(REQUEST));
                     }
-                    ending = Some(Ending::Drained);
+                    close_reason = Some(CloseReason::Drained);
                     // The node may be told to stop, too, and then it has less.
                     unwanted.set(self.unwanted(false));
                 }
-                (true, Some(over)) => (ending, has_begun) = (Some(over), true),
+                (true, Some(over)) => (close_reason, has_begun) = (Some(over), true),
             }
         };
         self.rise(place);
@@ -773,12 +773,12 @@
     }
 
     /// Why a connection should no longer stand idle, once that is so; that the node is being emptied may be known.
-    async fn unwanted(&self, drains: bool) -> Ending {
+    async fn unwanted(&self, drains: bool) -> CloseReason {
         let (begun, mut state) = (Instant::now(), self.state.subscribe());
         loop {
             let now = *state.borrow_and_update();
             if now.stage == Stage::Closing {
-                return Ending::Shutdown;
+                return CloseReason::Shutdown;
             }
             let drained = now.drained.filter(|_| drains);
             let due = drained.map(|since| (since + DRAIN_IDLE).max(begun + DRAIN_FIRST));
@@ -791,18 +791,18 @@
             tokio::select! {
                 biased;
                 changed = state.changed() => if changed.is_err() {
-                    return Ending::Shutdown;
+                    return CloseReason::Shutdown;
                 },
-                () = drained => return Ending::Drained,
+                () = drained => return CloseReason::Drained,
             }
         }
     }
 
-    async fn write(&self, connection: &mut Connection, answer: Answer) -> Result<(), Ending> {
+    async fn write(&self, connection: &mut Connection, answer: Answer) -> Result<(), CloseReason> {
         tokio::select! {
             biased;
-            sent = self.pool.send(connection, answer) => sent.map_err(|_| Ending::PeerBroke),
-            () = self.deadlines.after(WRITE) => Err(Ending::TooSlow),
+            sent = self.pool.send(connection, answer) => sent.map_err(|_| CloseReason::PeerBroke),
+            () = self.deadlines.after(WRITE) => Err(CloseReason::TooSlow),
         }
     }
 
@@ -847,8 +847,8 @@
     }
 
     fn health(&self, request: &Request) -> Answer {
-        let shuns = self.state.borrow().shuns();
-        let (status, text) = shuns.map_or((200, "ok"), |why| (503, why));
+        let avoids = self.state.borrow().avoids();
+        let (status, text) = avoids.map_or((200, "ok"), |why| (503, why));
         match request.method.as_str() {
             "GET" => Answer::text(status, text, false),
             "HEAD" => head_only(Answer::text(status, text, false)),
@@ -872,10 +872,10 @@
             Err(e) => Err(malformed(&e.to_string())),
         };
         let id = field("request-id")?.ok_or_else(|| malformed("no Request-Id"))?.to_string();
-        let patience = field("request-timeout")?.ok_or_else(|| malformed("no Request-Timeout"))?;
-        let patience = timeout(patience).ok_or_else(|| malformed("Request-Timeout is no time"))?;
-        let most = self.state.borrow().stopping.and_then(|s| s.patience(request.arrived));
-        let patience = most.map_or(patience, |most| patience.min(most));
+        let timeout = field("request-timeout")?.ok_or_else(|| malformed("no Request-Timeout"))?;
+        let timeout = parse_timeout(timeout).ok_or_else(|| malformed("Request-Timeout is no time"))?;
+        let most = self.state.borrow().stopping.and_then(|s| s.timeout(request.arrived));
+        let timeout = most.map_or(timeout, |most| timeout.min(most));
         let tenant = field("tenant")?.map(str::to_string);
         let number = tenant.as_deref().and_then(|t| self.exchange.tenant(t));
         if self.exchange.has_tenants() && number.is_none() {
@@ -903,7 +903,7 @@
             tenant: number,
             key,
             arrived: request.arrived,
-            patience,
+            timeout,
             hint,
             slots: slots.clamp(1.0, 1e6) as u32,
             repeat: field("client-retry")? == Some("1"),
@@ -917,7 +917,7 @@
 }
 
 /// The time that a client waits: a number with its unit.
-fn timeout(text: &str) -> Option<Duration> {
+fn parse_timeout(text: &str) -> Option<Duration> {
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let number: f64 = number.parse().ok().filter(|n: &f64| n.is_finite() && *n > 0.0)?;
     let seconds = match unit {
@@ -960,46 +960,46 @@
 /// The words of HTTP for a final answer; `tells` is one more field of it, with a time. Whoever says how long to stay away, it is what
 /// the settings allow to advise.
 fn answer_to(
-    verdict: Verdict,
-    barred: Option<Barred>,
-    tells: Option<(&str, Duration)>,
+    outcome: ResponseOutcome,
+    rejection: Option<Rejection>,
+    notifies: Option<(&str, Duration)>,
     advice: impl Fn(Duration) -> Option<Duration>,
 ) -> Answer {
-    let mut answer = answer_in_words(verdict, barred, advice(BARRED));
-    let tells = tells.and_then(|(name, time)| match name {
+    let mut answer = answer_text(outcome, rejection, advice(REJECTION_RETRY_AFTER));
+    let notifies = notifies.and_then(|(name, time)| match name {
         "Retry-After" => Some((name, advice(time)?)),
         _ => Some((name, time)),
     });
-    if let (Answer::Full { fields, .. }, Some((name, time))) = (&mut answer, tells) {
+    if let (Answer::Full { fields, .. }, Some((name, time))) = (&mut answer, notifies) {
         *fields += &format!("{name}: {:.3}\r\n", time.as_secs_f64());
     }
     answer
 }
 
-fn answer_in_words(verdict: Verdict, barred: Option<Barred>, again: Option<Duration>) -> Answer {
-    match verdict {
-        Verdict::Served(body) => {
+fn answer_text(outcome: ResponseOutcome, rejection: Option<Rejection>, again: Option<Duration>) -> Answer {
+    match outcome {
+        ResponseOutcome::Served(body) => {
             Answer::Full { status: 200, fields: String::new(), body, close: false, head_only: false }
         }
-        Verdict::Denied { retry_after } => {
+        ResponseOutcome::Shed { retry_after } => {
             let mut answer = Answer::text(503, "denied: trying again is harmless", false);
             if let (Answer::Full { fields, .. }, Some(t)) = (&mut answer, retry_after) {
                 *fields = format!("Retry-After: {:.3}\r\n", t.as_secs_f64());
             }
             answer
         }
-        Verdict::Barred { .. } => {
-            let unknown = || Barred { status: 403, why: "not taken here".to_string(), retry: false };
-            let barred = barred.unwrap_or_else(unknown);
-            let mut answer = Answer::text(barred.status, &barred.why, false);
+        ResponseOutcome::Rejected { .. } => {
+            let unknown = || Rejection { status: 403, why: "not taken here".to_string(), retry: false };
+            let rejection = rejection.unwrap_or_else(unknown);
+            let mut answer = Answer::text(rejection.status, &rejection.why, false);
             if let Answer::Full { fields, .. } = &mut answer {
-                *fields = format!("Refused-Because: {}\r\n", barred.why);
-                if let Some(again) = again.filter(|_| barred.retry) {
+                *fields = format!("Refused-Because: {}\r\n", rejection.why);
+                if let Some(again) = again.filter(|_| rejection.retry) {
                     *fields += &format!("Retry-After: {:.3}\r\n", again.as_secs_f64());
                 }
             }
             answer
         }
-        Verdict::Failed => Answer::text(502, "failed", false),
+        ResponseOutcome::Failed => Answer::text(502, "failed", false),
     }
 }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -1,8 +1,8 @@
 //! Replacing the process: the serving process hands its listening socket to the next one over a Unix
 //! socket, and for as long as both live they are one node, which shares what it may hold.
 
+use super::close_reason::{CloseReason, Side};
 use super::deadlines::Deadlines;
-use super::ending::{Ending, Side};
 use super::frontend::{Frontend, Ids};
 use bytes::BytesMut;
 use futures_util::{SinkExt, StreamExt};
@@ -25,11 +25,11 @@
 
 /// How long the serving process may take to hand its listening socket over, before the next one takes
 /// it for dead and binds the address itself.
-pub const PATIENCE: Duration = Duration::from_secs(2);
+pub const TIMEOUT: Duration = Duration::from_secs(2);
 /// The pause after a process could not be accepted.
 const PAUSE: Duration = Duration::from_millis(100);
 /// A word between the two holds this much at most: an id, which a head has to hold.
-const LONGEST_WORD: usize = 9 * 1024;
+const MAX_LINE_BYTES: usize = 9 * 1024;
 
 /// What a process is handed by the one that it follows: the socket at which clients connect, and the
 /// link to that process.
@@ -85,7 +85,7 @@
 }
 
 fn receive(link: &std::os::unix::net::UnixStream, listen: SocketAddr) -> io::Result<std::net::TcpListener> {
-    link.set_read_timeout(Some(PATIENCE))?;
+    link.set_read_timeout(Some(TIMEOUT))?;
     let (mut space, mut byte) = ([MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))], [0]);
     let mut handed = RecvAncillaryBuffer::new(&mut space);
     // Guards against a signal that comes meanwhile: a wait with a limit is not taken up again by itself.
@@ -213,26 +213,26 @@
 
     /// Tell the other process which ids are in use, and hear the same, until its end.
     async fn live_beside(&self, link: UnixStream, follows: bool) {
-        let mut link = Framed::new(link, LinesCodec::new_with_max_length(LONGEST_WORD));
+        let mut link = Framed::new(link, LinesCodec::new_with_max_length(MAX_LINE_BYTES));
         // Those that it comes with are larger than what passes.
         (*link.read_buffer_mut(), *link.write_buffer_mut()) = (BytesMut::new(), BytesMut::new());
         let ids = self.frontend.ids();
-        let mut words = Ids::share(ids);
-        let (mut says, mut leaves, mut heard) = (follows, follows, 0);
-        let ending = loop {
+        let mut messages = Ids::share(ids);
+        let (mut outgoing_messages, mut leaves, mut received) = (follows, follows, 0);
+        let close_reason = loop {
             let sent = tokio::select! {
-                word = link.next() => match word {
-                    Some(Ok(word)) => {
-                        heard += 1;
-                        self.hear(ids, &word);
+                message = link.next() => match message {
+                    Some(Ok(message)) => {
+                        received += 1;
+                        self.receive(ids, &message);
                         Ok(())
                     }
                     Some(Err(e)) => Err(e),
-                    None => break Ending::PeerClosed,
+                    None => break CloseReason::PeerClosed,
                 },
-                Some(word) = words.recv() => link.send(word).await,
-                () = self.frontend.serving(), if says => {
-                    says = false;
+                Some(message) = messages.recv() => link.send(message).await,
+                () = self.frontend.serving(), if outgoing_messages => {
+                    outgoing_messages = false;
                     link.send("serving".to_string()).await
                 }
                 () = self.frontend.leaving(), if leaves => {
@@ -242,24 +242,24 @@
             };
             if let Err(e) = sent {
                 warn!("the other process can't be heard: {e}");
-                break Ending::PeerBroke;
+                break CloseReason::PeerBroke;
             }
         };
         Ids::part(ids);
         let place = self.place.as_deref().unwrap_or(Path::new("-"));
-        ending.log(Side::Handover, place.display(), heard);
+        close_reason.log(Side::Handover, place.display(), received);
     }
 
-    fn hear(&self, ids: &std::cell::RefCell<Ids>, word: &str) {
-        match word.split_once(' ') {
-            Some(("take", id)) => ids.borrow_mut().heard(id, true),
-            Some(("free", id)) => ids.borrow_mut().heard(id, false),
-            None if word == "serving" => {
+    fn receive(&self, ids: &std::cell::RefCell<Ids>, message: &str) {
+        match message.split_once(' ') {
+            Some(("take", id)) => ids.borrow_mut().received(id, true),
+            Some(("free", id)) => ids.borrow_mut().received(id, false),
+            None if message == "serving" => {
                 info!("the next process takes clients: this one serves what it has");
                 self.frontend.hand_over(true);
             }
             // Guards against a node without a process that accepts, for as long as the next one takes to stop.
-            None if word == "leaving" => {
+            None if message == "leaving" => {
                 info!("the next process is told to stop: this one takes clients");
                 self.frontend.hand_over(false);
             }
--- a/src/net/homing.rs
+++ b/src/net/key_leases.rs
@@ -2,13 +2,13 @@
 //! What is claimed, held and proved is decided in `shorepath-sites`; here it is carried, by one clock: that of the budgets.
 
 use super::exchange::DispatchId;
-use shorepath_budgets::file::{Bounds, Plan as Budgets};
-use shorepath_budgets::seat::Seat;
-use shorepath_budgets::{Micros, NodeId, Skew};
 use shorepath_placements::history::History;
-use shorepath_sites::file::Plan;
-use shorepath_sites::homes::{Fence, Gone, Homes, Kept, Proof, Refused};
-use shorepath_sites::proof::{Proving, Word};
+use shorepath_quota::client::QuotaClient;
+use shorepath_quota::config::{Bounds, Plan as Budgets};
+use shorepath_quota::{ClockSkew, Micros, NodeId};
+use shorepath_sites::catch_up::{Message, Proving};
+use shorepath_sites::config::Plan;
+use shorepath_sites::key_ownership::{Fence, Gone, Kept, KeyOwnership, Proof, Refused};
 use shorepath_sites::Seen;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -22,11 +22,11 @@
 
 /// This node's leases of ranges of keys.
 #[derive(Debug)]
-pub struct Homing {
+pub struct KeyLeases {
     me: u32,
     origin: Instant,
-    skew: Skew,
-    homes: RefCell<Homes>,
+    skew: ClockSkew,
+    ownership: RefCell<KeyOwnership>,
     proving: RefCell<Proving>,
     /// Budgets of which one unit is wanted.
     wanted: RefCell<BTreeSet<String>>,
@@ -35,22 +35,22 @@
     /// Attempts that were placed under a lease and have not ended.
     out: RefCell<HashMap<DispatchId, (String, Fence)>>,
     /// What was told of ranges that are held.
-    told: RefCell<BTreeMap<String, bool>>,
+    notified: RefCell<BTreeMap<String, bool>>,
 }
 
-impl Homing {
+impl KeyLeases {
     /// One by the clock of the budgets, with what the disk kept.
-    pub fn new(me: u32, plan: &Plan, kept: &Kept, (origin, skew): (Instant, Skew)) -> Homing {
-        Homing {
+    pub fn new(me: u32, plan: &Plan, kept: &Kept, (origin, skew): (Instant, ClockSkew)) -> KeyLeases {
+        KeyLeases {
             me,
             origin,
             skew,
-            homes: RefCell::new(Homes::new(me, plan, kept)),
+            ownership: RefCell::new(KeyOwnership::new(me, plan, kept)),
             proving: RefCell::default(),
             wanted: RefCell::default(),
             gone: RefCell::default(),
             out: RefCell::default(),
-            told: RefCell::default(),
+            notified: RefCell::default(),
         }
     }
 
@@ -60,17 +60,17 @@
 
     /// Another file of sites holds.
     pub fn replan(&self, plan: &Plan) {
-        self.homes.borrow_mut().replan(plan);
+        self.ownership.borrow_mut().replan(plan);
     }
 
     /// All nodes go by the file of sites.
     pub fn settled(&self) {
-        self.homes.borrow_mut().settled();
+        self.ownership.borrow_mut().settled();
     }
 
     /// The disk is not the one of the last life, or an older one: nothing is known of what was held.
     pub fn forget(&self, plan: &Plan) {
-        self.homes.replace(Homes::new(self.me, plan, &Kept::default()));
+        self.ownership.replace(KeyOwnership::new(self.me, plan, &Kept::default()));
     }
 
     /// Whether one unit of a budget is wanted here; `None` for one that is no home.
@@ -81,27 +81,27 @@
 
     /// What the seat goes by may have changed. Told after each word that it hears and before anything is said of that: what is given up
     /// is free for others from then on.
-    pub fn leased(&self, seat: &Seat) {
+    pub fn leased(&self, quota_client: &QuotaClient) {
         let now = self.now();
-        let (mut homes, wanted) = (self.homes.borrow_mut(), self.wanted.borrow());
-        for budget in seat.plan().budgets.iter().filter(|b| self.wants(&b.name).is_some()) {
-            match seat.lease(&budget.name, now).filter(|_| wanted.contains(&budget.name)) {
+        let (mut ownership, wanted) = (self.ownership.borrow_mut(), self.wanted.borrow());
+        for budget in quota_client.plan().budgets.iter().filter(|b| self.wants(&b.name).is_some()) {
+            match quota_client.lease(&budget.name, now).filter(|_| wanted.contains(&budget.name)) {
                 Some((grant, asked)) => {
-                    let term = seat.plan().term_of(budget);
-                    homes.granted(&budget.name, &grant, asked, term, now);
+                    let term = quota_client.plan().term_of(budget);
+                    ownership.granted(&budget.name, &grant, asked, term, now);
                 }
-                None => homes.ended(&budget.name),
+                None => ownership.ended(&budget.name),
             }
         }
         // What the file names no more was given back.
-        let named = |name: &String| seat.plan().budgets.iter().any(|b| b.name == *name);
-        wanted.iter().filter(|name| !named(name)).for_each(|name| homes.ended(name));
+        let named = |name: &String| quota_client.plan().budgets.iter().any(|b| b.name == *name);
+        wanted.iter().filter(|name| !named(name)).for_each(|name| ownership.ended(name));
     }
 
     /// This node leaves: it has given back all that it held.
     pub fn leaves(&self) {
         let wanted = std::mem::take(&mut *self.wanted.borrow_mut());
-        wanted.iter().for_each(|name| self.homes.borrow_mut().ended(name));
+        wanted.iter().for_each(|name| self.ownership.borrow_mut().ended(name));
     }
 
     /// The fleet's members take a node for gone, or hear it.
@@ -117,30 +117,32 @@
     pub fn claim(&self, plan: &Plan, sites: BTreeMap<String, (Seen, Micros)>, now: Micros) {
         let ago = |at: &Instant| at.elapsed().as_micros() as Micros;
         let nodes = self.gone.borrow().iter().map(|(n, at)| (*n, now - ago(at))).collect();
-        let mut homes = self.homes.borrow_mut();
-        let claims: BTreeSet<String> = homes.claims(plan, &Gone { sites, nodes }, now).into_iter().collect();
+        let mut ownership = self.ownership.borrow_mut();
+        let claims: BTreeSet<String> =
+            ownership.claims(plan, &Gone { sites, nodes }, now).into_iter().collect();
         let mut wanted = self.wanted.borrow_mut();
         if claims != *wanted {
             info!("homes: this node asks for {}", claims.iter().cloned().collect::<Vec<_>>().join(", "));
             // One that others should hold is not used any more from now on, whatever was granted.
-            wanted.difference(&claims).for_each(|budget| homes.ended(budget));
+            wanted.difference(&claims).for_each(|budget| ownership.ended(budget));
             *wanted = claims;
         }
     }
 
     /// Go on proving what others may have placed: what is to be said to whom. `own` is the number of this node's log and its last entry's.
-    pub fn prove(&self, plan: &Plan, own: (u64, u64), history: &History) -> Vec<(u32, Word)> {
+    pub fn prove(&self, plan: &Plan, own: (u64, u64), history: &History) -> Vec<(u32, Message)> {
         let now = self.now();
-        let mut homes = self.homes.borrow_mut();
-        let unproven = homes.unproven(now);
-        let (says, proved) = self.proving.borrow_mut().pass(plan, (self.me, own), &unproven, history, now);
-        proved.iter().for_each(|(home, fence)| homes.proved(home, *fence));
-        says
+        let mut ownership = self.ownership.borrow_mut();
+        let unproven = ownership.unproven(now);
+        let (outgoing_messages, proved) =
+            self.proving.borrow_mut().pass(plan, (self.me, own), &unproven, history, now);
+        proved.iter().for_each(|(home, fence)| ownership.proved(home, *fence));
+        outgoing_messages
     }
 
     /// A node has said how far its log goes.
-    pub fn told(&self, from: u32, home: &str, fence: Fence, log: u64, last: u64) {
-        self.proving.borrow_mut().told(from, home, fence, log, last);
+    pub fn notified(&self, from: u32, home: &str, fence: Fence, log: u64, last: u64) {
+        self.proving.borrow_mut().notified(from, home, fence, log, last);
     }
 
     /// Whether a key may be placed here now.
@@ -150,7 +152,7 @@
     pub fn may_place(&self, key: &str) -> Result<Fence, (Refused, bool)> {
         let now = self.now();
         // The history was asked before; a range is proved as a whole.
-        let refused = match self.homes.borrow().may_place(key, now, |_| Proof::Unknown) {
+        let refused = match self.ownership.borrow().may_place(key, now, |_| Proof::Unknown) {
             Ok(fence) => return Ok(fence),
             Err(refused) => refused,
         };
@@ -169,7 +171,7 @@
     /// Whether an attempt may still be sent; of one that no lease is needed for, always.
     pub fn may_send(&self, id: DispatchId) -> bool {
         let out = self.out.borrow();
-        out.get(&id).is_none_or(|(key, fence)| self.homes.borrow().still(key, *fence, self.now()))
+        out.get(&id).is_none_or(|(key, fence)| self.ownership.borrow().still(key, *fence, self.now()))
     }
 
     /// An attempt has ended.
@@ -179,40 +181,41 @@
 
     /// Whether a range is held.
     pub fn holds(&self) -> bool {
-        !self.homes.borrow().held(self.now()).is_empty()
+        !self.ownership.borrow().held(self.now()).is_empty()
     }
 
     /// What belongs on the disk.
     pub fn kept(&self) -> Kept {
-        self.homes.borrow().kept()
+        self.ownership.borrow().kept()
     }
 
     /// Tell of each range that is held now and was not, or is held no more, or was proved.
-    pub fn tell(&self) {
-        let homes = self.homes.borrow();
-        let held = homes.held(self.now());
+    pub fn report(&self) {
+        let ownership = self.ownership.borrow();
+        let held = ownership.held(self.now());
         let now: BTreeMap<String, bool> = held.iter().map(|h| (h.0.to_string(), !h.3)).collect();
-        let mut told = self.told.borrow_mut();
+        let mut notified = self.notified.borrow_mut();
         for (home, fence, _, adopted) in &held {
-            if told.get(*home) != Some(&!adopted) {
+            if notified.get(*home) != Some(&!adopted) {
                 let clean =
                     if *adopted { "what others placed is asked for" } else { "all that was placed is known" };
                 info!("home {home} is held epoch={} number={}: {clean}", fence.epoch, fence.number);
             }
         }
-        told.keys()
+        notified
+            .keys()
             .filter(|home| !now.contains_key(*home))
             .for_each(|home| info!("home {home} is not held any more"));
-        *told = now;
+        *notified = now;
     }
 
     /// For operators: a line for each range that is held.
     pub fn state(&self) -> String {
-        let (homes, now) = (self.homes.borrow(), self.now());
+        let (ownership, now) = (self.ownership.borrow(), self.now());
         let line = |(home, fence, until, adopted): (&str, Fence, Micros, bool)| {
             let (Fence { epoch, number }, left) = (fence, (until - now) / 1_000);
             format!("home {home} epoch={epoch} number={number} left_ms={left} proved={}\n", !adopted)
         };
-        homes.held(now).into_iter().map(line).collect()
+        ownership.held(now).into_iter().map(line).collect()
     }
 }
--- a/src/net/lending.rs
+++ b/src/net/load_shifting.rs
@@ -1,15 +1,15 @@
 //! Clients of other sites, and the own site's way back, in the node: what `shorepath-sites` says of them goes to the module as parts, and to
 //! clients as fields of answers.
 
-use super::exchange::{Exchange, Verdict};
-use super::sites::Barred;
+use super::exchange::{Exchange, ResponseOutcome};
+use super::sites::Rejection;
 use super::Job;
 use oorandom::Rand64;
-use shorepath_budgets::Micros;
+use shorepath_quota::Micros;
 use shorepath_scheduler::ClassId;
 use shorepath_scheduler::{QuotaKind, QuotaShare};
-use shorepath_sites::lending::{guest_of, Class, Lending};
-use shorepath_sites::seeing::{Seeing, Word};
+use shorepath_sites::health::{Message, SiteHealth};
+use shorepath_sites::load_shifting::{guest_of, Class, LoadShifting};
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 use tracing::info;
@@ -21,56 +21,56 @@
 
 /// What the node lends, and takes back.
 #[derive(Debug)]
-pub struct Lent {
-    lending: RefCell<Lending>,
+pub struct Spillover {
+    load_shifting: RefCell<LoadShifting>,
     luck: RefCell<Rand64>,
     /// When it looks next.
     next: Cell<Micros>,
 }
 
-impl Lent {
+impl Spillover {
     /// One of a node that begins now.
-    pub fn new(exchange: &Exchange<Job>, chance: u64, now: Micros) -> Lent {
-        let lending = Lending::new(exchange.pace(), now);
+    pub fn new(exchange: &Exchange<Job>, chance: u64, now: Micros) -> Spillover {
+        let load_shifting = LoadShifting::new(exchange.pace(), now);
         let luck = RefCell::new(Rand64::new(u128::from(chance)));
-        Lent { lending: RefCell::new(lending), luck, next: Cell::new(now) }
+        Spillover { load_shifting: RefCell::new(load_shifting), luck, next: Cell::new(now) }
     }
 
     /// The site of a request's client, if that is another one; else the request counts as the own site's load.
-    pub fn guest(&self, seeing: &Seeing, class: ClassId, job: &Job) -> Option<String> {
-        let guest = guest_of(seeing.plan(), seeing.site(), job.home_site.as_deref());
+    pub fn guest(&self, site_health: &SiteHealth, class: ClassId, job: &Job) -> Option<String> {
+        let guest = guest_of(site_health.plan(), site_health.site(), job.home_site.as_deref());
         if guest.is_none() {
-            self.lending.borrow_mut().asked(class.0);
+            self.load_shifting.borrow_mut().asked(class.0);
         }
         guest.map(str::to_string)
     }
 
     /// Another node has said something that was taken.
-    pub fn heard(&self, seeing: &Seeing, from: u32, word: &Word, now: Micros) {
-        if self.lending.borrow_mut().heard(seeing, from, word, now) {
+    pub fn received(&self, site_health: &SiteHealth, from: u32, message: &Message, now: Micros) {
+        if self.load_shifting.borrow_mut().received(site_health, from, message, now) {
             self.next.set(now);
-            let part = self.lending.borrow().part(now);
-            info!("homecoming {} begins part={part} why=the others took it for lost", seeing.site());
+            let part = self.load_shifting.borrow().part(now);
+            info!("homecoming {} begins part={part} why=the others took it for lost", site_health.site());
         }
     }
 
     /// All servers are cold: the own site's load is taken back in steps, as by one that was lost.
-    pub fn cold(&self, seeing: &Seeing, now: Micros) {
-        if self.lending.borrow_mut().cold(now) {
+    pub fn cold(&self, site_health: &SiteHealth, now: Micros) {
+        if self.load_shifting.borrow_mut().cold(now) {
             self.next.set(now);
-            let part = self.lending.borrow().part(now);
-            info!("homecoming {} begins part={part} why=all have lost power", seeing.site());
+            let part = self.load_shifting.borrow().part(now);
+            info!("homecoming {} begins part={part} why=all have lost power", site_health.site());
         }
     }
 
     /// When a client that is not taken may come back, by chance.
     pub fn after(&self, now: Micros) -> Duration {
         let luck = self.luck.borrow_mut().rand_float();
-        Duration::from_micros(self.lending.borrow().come_back(luck, now).max(0) as u64)
+        Duration::from_micros(self.load_shifting.borrow().come_back(luck, now).max(0) as u64)
     }
 
     /// Time has passed.
-    pub fn pass(&self, seeing: &mut Seeing, exchange: &Exchange<Job>, now: Micros) {
+    pub fn pass(&self, site_health: &mut SiteHealth, exchange: &Exchange<Job>, now: Micros) {
         if now < self.next.get() {
             return;
         }
@@ -78,17 +78,17 @@
         let classes: Vec<Class> =
             exchange.classes().into_iter().map(|(name, worth)| Class { name, worth }).collect();
         let outcomes = exchange.outcomes();
-        let mut lending = self.lending.borrow_mut();
-        for moved in lending.pass(seeing, &classes, outcomes, exchange.has_servers(), now) {
+        let mut load_shifting = self.load_shifting.borrow_mut();
+        for moved in load_shifting.pass(site_health, &classes, outcomes, exchange.has_servers(), now) {
             let (to, from, why) = (moved.to, moved.from, moved.why);
-            info!("homecoming {} part={to} before={from} why={why}", seeing.site());
+            info!("homecoming {} part={to} before={from} why={why}", site_health.site());
         }
     }
 
     /// What the module is told.
     pub fn parts(&self) -> Vec<QuotaShare> {
-        let lending = self.lending.borrow();
-        let limits = lending.limits();
+        let load_shifting = self.load_shifting.borrow();
+        let limits = load_shifting.limits();
         let part = |of, units, span| QuotaShare { kind: of, units, total: units, window: span };
         let guests = limits.guests.iter().flatten().enumerate();
         let guests =
@@ -97,32 +97,32 @@
     }
 
     /// Why a request was not taken, where that is a part of a site.
-    pub fn barred(&self, verdict: &Verdict) -> Option<Barred> {
-        let why = match verdict {
-            Verdict::Barred { of: Some(QuotaKind::RemoteClass(_)) } => "guest part used",
-            Verdict::Barred { of: Some(QuotaKind::LocalSite) } => "site returning",
+    pub fn rejection(&self, outcome: &ResponseOutcome) -> Option<Rejection> {
+        let why = match outcome {
+            ResponseOutcome::Rejected { of: Some(QuotaKind::RemoteClass(_)) } => "guest part used",
+            ResponseOutcome::Rejected { of: Some(QuotaKind::LocalSite) } => "site returning",
             _ => return None,
         };
         // When to come back is told by chance, by `Lent::tells`.
-        Some(Barred { status: 503, why: why.to_string(), retry: false })
+        Some(Rejection { status: 503, why: why.to_string(), retry: false })
     }
 
     /// A field that an answer has, with its time: when a client that was not taken may come back, and that a guest's own site takes it
     /// again. Spread, so that clients do not come together.
-    pub fn tells(
+    pub fn extra_field(
         &self,
-        seeing: &Seeing,
+        site_health: &SiteHealth,
         guest: Option<&str>,
-        verdict: &Verdict,
+        outcome: &ResponseOutcome,
         now: Micros,
     ) -> Option<(&'static str, Duration)> {
         let luck = || self.luck.borrow_mut().rand_float();
-        match (verdict, guest) {
-            (Verdict::Barred { of: Some(QuotaKind::RemoteClass(_) | QuotaKind::LocalSite) }, _) => {
+        match (outcome, guest) {
+            (ResponseOutcome::Rejected { of: Some(QuotaKind::RemoteClass(_) | QuotaKind::LocalSite) }, _) => {
                 Some(("Retry-After", self.after(now)))
             }
-            (Verdict::Served(_), Some(site)) => {
-                let chance = self.lending.borrow().may_go_home(seeing, site);
+            (ResponseOutcome::Served(_), Some(site)) => {
+                let chance = self.load_shifting.borrow().may_go_home(site_health, site);
                 (luck() < chance).then(|| ("Come-Back", self.after(now)))
             }
             _ => None,
@@ -131,12 +131,12 @@
 
     /// For operators, a line each.
     pub fn state(&self, exchange: &Exchange<Job>, now: Micros) -> String {
-        let (lending, mut text) = (self.lending.borrow(), String::new());
-        if let Some(part) = lending.returns(now) {
+        let (load_shifting, mut text) = (self.load_shifting.borrow(), String::new());
+        if let Some(part) = load_shifting.returns(now) {
             text += &format!("homecoming part={part}\n");
         }
-        let lent = lending.limits().guests.iter().flatten();
-        for ((class, _), rate) in exchange.classes().into_iter().zip(lent) {
+        let spillover = load_shifting.limits().guests.iter().flatten();
+        for ((class, _), rate) in exchange.classes().into_iter().zip(spillover) {
             text += &format!("lends {class} per_s={rate}\n");
         }
         text
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,21 +1,21 @@
 //! The node on sockets: a frontend for clients and a backend for backend servers, which meet in an
 //! [`exchange::Exchange`], and a server table that follows discovery.
 
+pub mod admin;
 pub mod answers;
 pub mod auditing;
 pub mod backend;
 pub mod backoff;
+pub mod close_reason;
 pub mod codec;
 pub mod config;
 pub mod deadlines;
-pub mod door;
-pub mod ending;
 pub mod exchange;
 pub mod fleet;
 pub mod frontend;
 pub mod handover;
-pub mod homing;
-pub mod lending;
+pub mod key_leases;
+pub mod load_shifting;
 pub mod objects;
 pub mod placing;
 pub mod pool;
@@ -24,11 +24,11 @@
 pub mod sites;
 pub mod stopping;
 
+use admin::AdminServer;
 use backend::{Backend, Bounds};
 use backoff::Backoff;
 use config::{Config, ConfigError};
 use deadlines::Deadlines;
-use door::Door;
 use exchange::Exchange;
 use fleet::{Fleet, ListCalls, Sharing, SharingError};
 use frontend::{Claim, Frontend};
@@ -36,7 +36,7 @@
 use handover::{Found, Handover};
 use pool::{Buffer, Pool};
 use server_table::ServerTable;
-use shorepath_audit::record::Why;
+use shorepath_audit::audit_log::Why;
 use shorepath_audit::version::Item;
 use sites::{Sites, Siting, SitingError};
 use std::io::ErrorKind;
@@ -165,15 +165,15 @@
 
 impl<A: Fn() -> Result<Config, ConfigError>> Reload<A> {
     /// Take over what the files say now, all of it in one turn: no request comes between.
-    fn reread(&mut self) {
+    fn reload(&mut self) {
         if let Some(sites) = &self.sites {
-            match sites.reread() {
+            match sites.reload() {
                 Ok(version) => info!("files of sites and accounts read again: version {version}"),
                 Err(e) => warn!("the old files of sites and accounts stay: {e}"),
             }
         }
         if let Some(fleet) = &self.fleet {
-            match fleet.reread() {
+            match fleet.reload() {
                 Ok(version) => {
                     info!("file of budgets read again: version {version}");
                     if let Some(auditing) = self.sites.as_ref().and_then(|s| s.auditing()) {
@@ -196,9 +196,9 @@
         if !renewed.waits.is_empty() {
             warn!("a restart is needed for what has changed in: {}", renewed.waits.join(", "));
         }
-        if renewed.retuned {
+        if renewed.is_reconfigured {
             info!("new settings hold");
-            self.exchange.retune(self.config.setup.clone());
+            self.exchange.reconfigure(self.config.setup.clone());
             if let Some(auditing) = self.sites.as_ref().and_then(|s| s.auditing()) {
                 auditing.took(Item::Settings, self.config.settings, None, Why::Operator);
             }
@@ -217,7 +217,7 @@
 /// Listen where a process has just ended. Guards against no process at all: its sockets close one after another, so the one by which
 /// it is found may be gone before the address is free.
 async fn listen_after(address: SocketAddr) -> Result<TcpListener, ServeError> {
-    let end = Instant::now() + handover::PATIENCE;
+    let end = Instant::now() + handover::TIMEOUT;
     loop {
         match listen(address).await {
             Err(ServeError::Listen { source, .. })
@@ -263,14 +263,14 @@
     let pool = Rc::new(Pool::new(config.limits.messages()));
     let (exchange, orders) = Exchange::new(&config.setup, config.seed, deadlines.clone());
     let backend = Backend::new(exchange.clone(), deadlines.clone(), pool.clone(), Bounds::of(&config, 1));
-    let (discovery, told) = watch::channel(config.discovery);
+    let (discovery, notified) = watch::channel(config.discovery);
     let backoff = Backoff::new(config.seed, config.setup.polling_nodes(), Instant::now());
     let lists = Rc::new(ListCalls::default());
     let limits = config.limits;
     // Its own: what clients hold of the node's buffers must not keep a list out.
     let of_lists = Rc::new(Pool::new(limits.messages()));
     let mut table =
-        ServerTable::new(exchange.clone(), deadlines.clone(), of_lists, told, backoff, lists.clone());
+        ServerTable::new(exchange.clone(), deadlines.clone(), of_lists, notified, backoff, lists.clone());
     let frontend = Frontend::new(exchange.clone(), deadlines.clone(), pool.clone(), limits.connections(1));
     let handover =
         Handover::new(frontend.clone(), deadlines.clone(), (address, handing), Rc::downgrade(&listener), {
@@ -343,11 +343,12 @@
         }
     });
     let handover = spawn_local(handover.follow(before));
-    let door = spawn_local({
-        let door = Door::new(frontend.clone(), deadlines.clone(), sites.as_ref().map(|s| s.0.clone()));
+    let admin = spawn_local({
+        let admin =
+            AdminServer::new(frontend.clone(), deadlines.clone(), sites.as_ref().map(|s| s.0.clone()));
         async move {
             match calls {
-                Some(calls) => door.attend(calls).await,
+                Some(calls) => admin.attend(calls).await,
                 None => std::future::pending().await,
             }
         }
@@ -388,7 +389,7 @@
             _ = wake => "exchange",
             _ = orders => "backend",
             _ = table => "server table",
-            _ = door => "door",
+            _ = admin => "door",
             _ = handover => "handover",
             () = takes_part => "fleet",
             () = among_sites => "sites",
@@ -400,7 +401,7 @@
             biased;
             // Guards the times of stopping against settings that were replaced before: both signals may be found
             // in one turn, as where the process stood still.
-            Some(()) = hangup.recv() => reload.reread(),
+            Some(()) = hangup.recv() => reload.reload(),
             _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
             part = &mut parts => return Err(ServeError::Part(part)),
@@ -434,7 +435,7 @@
         tokio::select! {
             biased;
             Some(()) = hangup.recv() => {
-                reload.reread();
+                reload.reload();
                 frontend.hasten(exchange.longest_deadline());
             }
             () = &mut drained => break,
--- a/src/net/objects.rs
+++ b/src/net/objects.rs
@@ -179,8 +179,8 @@
             let mut objects = objects(1000);
             all(&mut objects, good.as_bytes());
             objects.add(bad.as_bytes()).unwrap();
-            let told = objects.whole::<Value>().unwrap_err();
-            assert!(matches!(told, ObjectError::Broken { byte, .. } if byte == at), "{bad}: {told}");
+            let notified = objects.whole::<Value>().unwrap_err();
+            assert!(matches!(notified, ObjectError::Broken { byte, .. } if byte == at), "{bad}: {notified}");
         }
         let mut objects = objects(1000);
         all(&mut objects, b"{}\n[");
--- a/src/net/placing.rs
+++ b/src/net/placing.rs
@@ -3,16 +3,16 @@
 
 use super::exchange::{DispatchId, Ran};
 use super::sites::Written;
-use shorepath_budgets::Micros;
-use shorepath_placements::beginning::{Beginning, Slot, Verdict};
-use shorepath_placements::exchange::{Exchange, Settings, Word};
+use shorepath_placements::anti_entropy::{Exchange, Message, Settings};
+use shorepath_placements::compaction;
 use shorepath_placements::history::History;
-use shorepath_placements::keys::{Keys, Known};
+use shorepath_placements::idempotency_index::{Keys, Known};
 use shorepath_placements::log::{Copies, Log, LogError};
+use shorepath_placements::log_recovery::{LogFate, LogRecovery, Slot};
 use shorepath_placements::reconcile::{self, Decision, Reconciler};
-use shorepath_placements::seal;
 use shorepath_placements::{End, Entry, Timed, Writer};
-use shorepath_store::keeper::Keeper;
+use shorepath_quota::Micros;
+use shorepath_store::group_commit::GroupCommit;
 use shorepath_store::{Op, Store};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -39,9 +39,9 @@
     reconciler: RefCell<Reconciler>,
     life: u64,
     /// What is held until it is known whether the log goes on.
-    beginning: RefCell<Beginning>,
+    log_recovery: RefCell<LogRecovery>,
     /// The disk was an older one.
-    anew: Cell<bool>,
+    refounded: Cell<bool>,
     /// Something may have come since the last slice of reconciling.
     fresh: Cell<bool>,
     /// When there may be more to reconcile.
@@ -85,14 +85,14 @@
     /// The log is another node's, is damaged, or its disk fails.
     pub fn open(
         store: Arc<Store>,
-        keeper: Arc<Keeper>,
+        group_commit: Arc<GroupCommit>,
         (site, node): (&str, &str),
         (drawn, now, group): (u64, Micros, Micros),
         writes: mpsc::UnboundedSender<Written>,
     ) -> Result<Placing, LogError> {
-        let log = Log::open(store.clone(), keeper.clone(), site, node, drawn)?;
+        let log = Log::open(store.clone(), group_commit.clone(), site, node, drawn)?;
         let mut history = History::new();
-        let copies = Copies::restore(&store, keeper, &mut history)?;
+        let copies = Copies::restore(&store, group_commit, &mut history)?;
         log.pour(&mut history)?;
         copies.rest(&mut history)?;
         let open = log.open_placements();
@@ -110,8 +110,8 @@
             exchanges: RefCell::default(),
             reconciler: RefCell::new(Reconciler::new(reconcile::Settings::default())),
             life: drawn,
-            beginning: RefCell::new(Beginning::new(now, ASKING, open.into_keys())),
-            anew: Cell::new(false),
+            log_recovery: RefCell::new(LogRecovery::new(now, ASKING, open.into_keys())),
+            refounded: Cell::new(false),
             fresh: Cell::new(true),
             more: Cell::new(Some(now)),
             out: RefCell::default(),
@@ -138,34 +138,35 @@
 
     /// Exchange with these from now on; each gets from another what the nodes beside it write, by site and name. What is to be written and
     /// shown waits for what comes in so long.
-    pub fn meet(&self, partners: Vec<(u32, BTreeSet<(String, String)>)>, group: Micros, now: Micros) {
+    pub fn meet(&self, peers: Vec<(u32, BTreeSet<(String, String)>)>, group: Micros, now: Micros) {
         self.group.set(group);
         let mut exchanges = self.exchanges.borrow_mut();
-        exchanges.retain(|node, _| partners.iter().any(|(partner, _)| partner == node));
-        for (node, spare) in partners {
+        exchanges.retain(|node, _| peers.iter().any(|(peer, _)| peer == node));
+        for (node, spare) in peers {
             let new = || Exchange::new(Settings::default(), self.life, now);
             exchanges.entry(node).or_insert_with(new).spare(spare);
         }
     }
 
     /// A partner says something: one word after the other.
-    pub fn hear(&self, from: u32, mut words: &[u8], now: Micros) {
-        while let Some((length, rest)) = words.split_first_chunk::<2>() {
-            let Some((word, rest)) = rest.split_at_checked(usize::from(u16::from_be_bytes(*length))) else {
+    pub fn receive(&self, from: u32, mut messages: &[u8], now: Micros) {
+        while let Some((length, rest)) = messages.split_first_chunk::<2>() {
+            let Some((message, rest)) = rest.split_at_checked(usize::from(u16::from_be_bytes(*length)))
+            else {
                 return debug!("placements: from {from}: a datagram was cut");
             };
-            self.word(from, word, now);
-            words = rest;
+            self.message(from, message, now);
+            messages = rest;
         }
     }
 
-    fn word(&self, from: u32, word: &[u8], now: Micros) {
+    fn message(&self, from: u32, message: &[u8], now: Micros) {
         let mut exchanges = self.exchanges.borrow_mut();
         let Some(exchange) = exchanges.get_mut(&from) else { return };
-        let heard =
-            Word::decode(word).and_then(|word| exchange.hear(&mut *self.history.borrow_mut(), word, now));
-        let heard = match heard {
-            Ok(heard) => heard,
+        let received = Message::decode(message)
+            .and_then(|message| exchange.receive(&mut *self.history.borrow_mut(), message, now));
+        let received = match received {
+            Ok(received) => received,
             Err(e) => return debug!("placements: from {from}: {e}"),
         };
         let kept = |done: Result<(), LogError>| {
@@ -173,24 +174,27 @@
                 warn!("placements: a copy is not on the disk: {e}");
             }
         };
-        for piece in &heard.pieces {
+        for piece in &received.pieces {
             self.copies.later(piece);
             self.waits.set(true);
-            exchanges.iter_mut().filter(|(node, _)| **node != from).for_each(|(_, e)| e.news(&piece.writer));
+            exchanges
+                .iter_mut()
+                .filter(|(node, _)| **node != from)
+                .for_each(|(_, e)| e.note_update(&piece.writer));
         }
-        if let Some((writer, base)) = &heard.sealed {
+        if let Some((writer, base)) = &received.sealed {
             self.copies.base(writer, base, kept);
         }
         let (history, mut keys) = (self.history.borrow(), self.keys.borrow_mut());
-        let pieces = heard.pieces.iter().map(|piece| &piece.writer);
-        pieces.chain(heard.sealed.iter().map(|(w, _)| w)).for_each(|w| feed(&history, &mut keys, w));
-        if heard.new > 0 {
-            self.news(now);
+        let pieces = received.pieces.iter().map(|piece| &piece.writer);
+        pieces.chain(received.sealed.iter().map(|(w, _)| w)).for_each(|w| feed(&history, &mut keys, w));
+        if received.new > 0 {
+            self.note_update(now);
         }
     }
 
     /// There is more to reconcile.
-    fn news(&self, now: Micros) {
+    fn note_update(&self, now: Micros) {
         self.fresh.set(true);
         if self.more.get().is_none() {
             self.more.set(Some(now + self.group.get()));
@@ -211,36 +215,39 @@
         let shows = self.shows.take();
         let due = self.exchanges.borrow().values().any(|e| e.due() <= now);
         // Until partners were asked, nothing is written that would have to be shown.
-        let asks = !self.beginning.borrow().asked();
+        let asks = !self.log_recovery.borrow().asked();
         if !shows && !due && !asks {
             return Vec::new();
         }
         let writer = self.log.writer();
         if shows && unshown {
             match self.log.pour(&mut self.history.borrow_mut()) {
-                Ok(_) => self.news(now),
+                Ok(_) => self.note_update(now),
                 Err(e) => warn!("placements: {e}"),
             }
             self.shown.set(self.log.durable().0);
         }
         self.ask(&writer, now);
         let history = self.history.borrow();
-        let mut says: Vec<(u32, Vec<u8>)> = Vec::new();
+        let mut outgoing_messages: Vec<(u32, Vec<u8>)> = Vec::new();
         for (node, exchange) in self.exchanges.borrow_mut().iter_mut() {
             if !shows && exchange.due() > now {
                 continue;
             }
             exchange.pass(&*history, now, chance.rotate_left(*node % 64));
-            for word in exchange.says() {
-                let word = word.encode();
-                let length = (word.len() as u16).to_be_bytes();
-                match says.last_mut().filter(|(to, said)| to == node && said.len() + word.len() <= TOGETHER) {
-                    Some((_, said)) => said.extend(length.iter().chain(&word)),
-                    None => says.push((*node, [&length, word.as_slice()].concat())),
+            for message in exchange.take_outgoing() {
+                let message = message.encode();
+                let length = (message.len() as u16).to_be_bytes();
+                match outgoing_messages
+                    .last_mut()
+                    .filter(|(to, sent)| to == node && sent.len() + message.len() <= TOGETHER)
+                {
+                    Some((_, sent)) => sent.extend(length.iter().chain(&message)),
+                    None => outgoing_messages.push((*node, [&length, message.as_slice()].concat())),
                 }
             }
         }
-        says
+        outgoing_messages
     }
 
     /// What was to be flushed is on the disk, or never will be.
@@ -260,8 +267,8 @@
     }
 
     /// Whether another log was founded in this life, since the disk was an older one.
-    pub fn is_anew(&self) -> bool {
-        self.anew.get()
+    pub fn was_refounded(&self) -> bool {
+        self.refounded.get()
     }
 
     /// Drop what is old enough and all sites have, by their own word: `sites` has the partners of each site but the own one. Rare, since
@@ -281,7 +288,9 @@
             };
             let confirmed =
                 sites.iter().filter_map(|(site, nodes)| Some((site.clone(), least(nodes)?))).collect();
-            let Some(upto) = seal::upto(&history, &writer, &confirmed, &names, age, unix) else { continue };
+            let Some(upto) = compaction::upto(&history, &writer, &confirmed, &names, age, unix) else {
+                continue;
+            };
             if let Err(e) = history.seal(&writer, upto) {
                 warn!("placements: {e}");
                 continue;
@@ -306,31 +315,31 @@
     /// See what partners say of this node's own log before anything is written to it: where they know more of it than the disk does,
     /// an older disk was put back.
     fn ask(&self, writer: &Writer, now: Micros) {
-        let mut beginning = self.beginning.borrow_mut();
+        let mut log_recovery = self.log_recovery.borrow_mut();
         let own = self.log.durable();
         let exchanges = self.exchanges.borrow();
-        let Some(verdict) = beginning.ask(exchanges.values(), &self.history.borrow(), writer, own, now)
+        let Some(outcome) = log_recovery.ask(exchanges.values(), &self.history.borrow(), writer, own, now)
         else {
             return;
         };
-        match verdict {
-            Verdict::Anew(known) => {
+        match outcome {
+            LogFate::Refounded(known) => {
                 warn!("placements: others know entry {known} of this log, the disk does not: an older disk was put back; another log is founded");
-                if let Err(e) = self.log.found_anew(self.life) {
+                if let Err(e) = self.log.refound(self.life) {
                     warn!("placements: {e}");
                 }
                 self.out.borrow_mut().retain(|_, slot| matches!(slot, Slot::Held(_)));
                 // Numbers count from 1 again.
                 self.shown.set(0);
                 self.unwritten.borrow_mut().clear();
-                self.anew.set(true);
+                self.refounded.set(true);
             }
-            Verdict::GoesOn(true) => {}
-            Verdict::GoesOn(false) => {
+            LogFate::GoesOn(true) => {}
+            LogFate::GoesOn(false) => {
                 info!("placements: no partner was heard, what need not be guarded is recorded")
             }
         }
-        let numbers = beginning.write(verdict, |timed| self.later(timed));
+        let numbers = log_recovery.write(outcome, |timed| self.later(timed));
         self.out.borrow_mut().retain(|_, slot| {
             if let Slot::Held(ticket) = slot {
                 let Some(number) = numbers.get(ticket) else { return false };
@@ -338,14 +347,14 @@
             }
             true
         });
-        if beginning.asked() {
+        if log_recovery.asked() {
             info!("placements: partners were asked, guarded work is taken");
         }
     }
 
     /// Whether partners were asked already.
     pub fn asked(&self) -> bool {
-        self.beginning.borrow().asked()
+        self.log_recovery.borrow().asked()
     }
 
     /// Whether every partner has said all that it knows.
@@ -382,10 +391,10 @@
     }
 
     /// Tell of accounts' standing and credit what placements are judged by.
-    pub fn judge_by(&self, tell: impl FnOnce(&mut Reconciler) -> Vec<Decision>) -> Vec<Decision> {
+    pub fn judge_by(&self, report: impl FnOnce(&mut Reconciler) -> Vec<Decision>) -> Vec<Decision> {
         // What it judges anew waits for the next slice.
         self.more.set(Some(self.more.get().map_or(self.next.get(), |at| at.min(self.next.get()))));
-        tell(&mut self.reconciler.borrow_mut())
+        report(&mut self.reconciler.borrow_mut())
     }
 
     /// What was placed since then, in Unix time: tenants and keys, with the time at which each was taken.
@@ -442,7 +451,7 @@
         let guarded = matches!(&timed.entry, Entry::Placed(p) if p.guarded);
         if !guarded {
             let held = {
-                Some(self.beginning.borrow_mut()).filter(|b| b.holds()).map(|mut b| b.place(timed.clone()))
+                Some(self.log_recovery.borrow_mut()).filter(|b| b.holds()).map(|mut b| b.place(timed.clone()))
             };
             if let Some(slot) = held.unwrap_or_else(|| self.later(timed).map(Slot::Written)) {
                 self.out.borrow_mut().insert(id, slot);
@@ -477,7 +486,7 @@
             Ran::Perhaps => End::Unknown,
         };
         match slot {
-            Slot::Held(ticket) => self.beginning.borrow_mut().end(ticket, at, how),
+            Slot::Held(ticket) => self.log_recovery.borrow_mut().end(ticket, at, how),
             Slot::Written(of) => {
                 if self.later(Timed { at, entry: Entry::Ended { of, how } }).is_none() {
                     self.keys.borrow_mut().ends(&self.log.writer(), of, how);
@@ -534,9 +543,9 @@
         let ends = self.unwritten.take();
         let open = open.into_keys().filter(|of| !known.contains(&Slot::Written(*of)));
         let open = open.map(|of| (of, ends.get(&of).copied().unwrap_or(End::Unknown)));
-        ops.extend(self.copies.anew(&self.history.borrow()));
+        ops.extend(self.copies.rewrite_all(&self.history.borrow()));
         // Whether the disk is an older one is asked again: another log could not be founded.
-        self.beginning.borrow_mut().again(now, open);
+        self.log_recovery.borrow_mut().again(now, open);
         self.fresh.set(true);
         self.more.set(Some(now));
         self.shows.set(true);
@@ -553,7 +562,7 @@
         let violations = self.reconciler.borrow().violations().len();
         format!(
             "placements own={last} all={all} sealed={sealed} digest={digest:08x} keys={keys} violations={violations} unrecorded={}",
-            self.log.unrecorded() + self.beginning.borrow().lost()
+            self.log.unrecorded() + self.log_recovery.borrow().lost()
         )
     }
 }
--- a/src/net/recovering.rs
+++ b/src/net/recovering.rs
@@ -3,12 +3,12 @@
 
 use super::server_table::{LastList, Listing};
 use serde::{Deserialize, Serialize};
-use shorepath_budgets::Micros;
-use shorepath_recovery::peers::{Life, Peer, Peers, Tell, Word};
-use shorepath_recovery::steps::{Admits, Moved, News, Return, Step};
-use shorepath_recovery::trust::{belief, judge, outage, Belief, Disk, Identity, Item};
-use shorepath_sites::recover::Recover;
-use shorepath_store::keeper::Keeper;
+use shorepath_quota::Micros;
+use shorepath_recovery::disk_trust::{belief, judge, outage, Belief, Disk, Identity, Item};
+use shorepath_recovery::incarnations::{DiskIncarnation, Message, Peer, Peers, Reply};
+use shorepath_recovery::phases::{Admits, Moved, Observation, Return, Step};
+use shorepath_sites::recovery_config::Recover;
+use shorepath_store::group_commit::GroupCommit;
 use shorepath_store::{Op, Store, StoreError};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
 /// Partners are asked this often until all of them count.
 const ASKS: Micros = 250_000;
 /// Afterwards they hear this often that this life goes on.
-const TELLS: Micros = 2_000_000;
+const NOTIFY_INTERVAL: Micros = 2_000_000;
 /// A life that was heard within this goes on.
 const LIVES: Micros = 5_000_000;
 /// The disk is told this often that the node has power.
@@ -53,7 +53,7 @@
     /// Every partner has.
     pub complete: bool,
     /// They know entries of it that the disk does not.
-    pub anew: bool,
+    pub refounded: bool,
     /// Something guarded may be placed under a lease of this life, or there are no leases.
     pub epoch: bool,
 }
@@ -62,7 +62,7 @@
 #[derive(Debug)]
 pub struct Claimed {
     node: u32,
-    life: Life,
+    life: DiskIncarnation,
     done: Result<(), Arc<StoreError>>,
 }
 
@@ -70,7 +70,7 @@
 #[derive(Debug)]
 pub struct Recovering {
     name: String,
-    me: Life,
+    me: DiskIncarnation,
     back: RefCell<Return>,
     since: Cell<Micros>,
     disk: Cell<Disk>,
@@ -85,13 +85,13 @@
     outage: Option<Micros>,
     peers: RefCell<Peers>,
     /// The last life of each other node, and when it was heard.
-    lives: RefCell<BTreeMap<u32, (Life, Option<Micros>)>>,
-    says: RefCell<Vec<(u32, Word)>>,
+    lives: RefCell<BTreeMap<u32, (DiskIncarnation, Option<Micros>)>>,
+    outgoing_messages: RefCell<Vec<(u32, Message)>>,
     asks_at: Cell<Micros>,
     marks_at: Cell<Micros>,
     /// All lost power; unknown until peers have answered.
     all_lost: Cell<Option<bool>>,
-    keeper: Arc<Keeper>,
+    group_commit: Arc<GroupCommit>,
     claims: mpsc::UnboundedSender<Claimed>,
     /// Discovery's list as it stands, and how old the one is that the disk had and this life began with.
     list: Rc<LastList>,
@@ -113,7 +113,7 @@
     pub fn open(
         name: &str,
         clause: &Recover,
-        (store, keeper): (&Store, Arc<Keeper>),
+        (store, group_commit): (&Store, Arc<GroupCommit>),
         (drawn, now, unix): (u64, Micros, Micros),
         claims: mpsc::UnboundedSender<Claimed>,
     ) -> Result<Recovering, StoreError> {
@@ -135,9 +135,9 @@
         if let Err(e) = &counted {
             warn!("recovery: this start can't be written down, guarded work waits for another one: {e}");
         }
-        let me = Life { disk: own.disk, boots: own.boots, life: drawn };
+        let me = DiskIncarnation { disk: own.disk, boots: own.boots, life: drawn };
         let mut back = Return::new(clause.limits(), now);
-        let moved = back.learn(News::Read(disk), now);
+        let moved = back.learn(Observation::Read(disk), now);
         let recovering = Recovering {
             name: name.to_string(),
             me,
@@ -151,11 +151,11 @@
             outage: written.and_then(|at| outage(at, unix)),
             peers: RefCell::new(Peers::new(me, !own.whole)),
             lives: RefCell::default(),
-            says: RefCell::default(),
+            outgoing_messages: RefCell::default(),
             asks_at: Cell::new(now),
             marks_at: Cell::new(now + MARKS),
             all_lost: Cell::new(None),
-            keeper,
+            group_commit,
             claims,
             list: Rc::default(),
             begins_with: Cell::new(None),
@@ -167,7 +167,7 @@
             (_, Some(gone)) => format!("{} ms", gone / 1_000),
         };
         info!("recovery disk={disk:?} boots={} outage={gone}", me.boots);
-        recovering.tell(moved, now);
+        recovering.report(moved, now);
         Ok(recovering)
     }
 
@@ -177,7 +177,7 @@
     /// The disk can't be read.
     pub fn recall(&self, store: &Store, nodes: impl IntoIterator<Item = u32>) -> Result<(), StoreError> {
         for node in nodes {
-            if let Some(life) = store.fact::<Life>(&format!("{PEER}{node}"))? {
+            if let Some(life) = store.fact::<DiskIncarnation>(&format!("{PEER}{node}"))? {
                 self.lives.borrow_mut().insert(node, (life, None));
             }
         }
@@ -186,9 +186,9 @@
 
     /// The list that the disk has, to begin with until discovery's has come; none that is too old, or of which nobody knows how old it is.
     pub fn last_list(&self, store: &Store, unix: Micros) -> Option<Listing> {
-        let told = store.fact::<Micros>(LIST_AT).ok()??;
-        let age = outage(told, unix)?;
-        if belief(Item::List, self.disk.get(), Some(age)) != Belief::AsBeginning {
+        let notified = store.fact::<Micros>(LIST_AT).ok()??;
+        let age = outage(notified, unix)?;
+        if belief(Item::List, self.disk.get(), Some(age)) != Belief::AsInitial {
             return None;
         }
         let list = store.fact::<Listing>(LIST).unwrap_or_else(|e| {
@@ -206,26 +206,26 @@
     }
 
     /// These are asked from now on.
-    pub fn meet(&self, partners: &[u32]) {
-        self.peers.borrow_mut().meet(partners);
+    pub fn meet(&self, peers: &[u32]) {
+        self.peers.borrow_mut().meet(peers);
     }
 
-    fn tell(&self, moved: Vec<Moved>, now: Micros) {
+    fn report(&self, moved: Vec<Moved>, now: Micros) {
         for Moved { from, to, why, by_hand } in moved {
             self.since.set(now);
             info!("recovery step=\"{to}\" before=\"{from}\" why=\"{why}\" by_hand={by_hand}");
         }
     }
 
-    fn learn(&self, news: News, now: Micros) {
-        let moved = self.back.borrow_mut().learn(news, now);
-        self.tell(moved, now);
+    fn learn(&self, updates: Observation, now: Micros) {
+        let moved = self.back.borrow_mut().learn(updates, now);
+        self.report(moved, now);
     }
 
     /// Have on the disk whether it can be acted by: one that was not stays so over a restart.
     fn keep_own(&self, whole: bool) {
         let own = Own { node: self.name.clone(), disk: self.me.disk, boots: self.me.boots, whole };
-        self.keeper.commit(vec![remember(IDENTITY, &own)], |done| {
+        self.group_commit.commit(vec![remember(IDENTITY, &own)], |done| {
             if let Err(e) = done {
                 warn!("recovery: whether the disk is whole is not on it: {e}");
             }
@@ -238,7 +238,7 @@
         }
         let Some(mut disk) = self.peers.borrow().judge() else { return };
         // Guards against a copy that was taken while its own process lived: boots don't tell it, what partners have of its log does.
-        if facts.anew && disk.is_whole() {
+        if facts.refounded && disk.is_whole() {
             disk = Disk::Old;
         }
         if disk != self.disk.replace(disk) {
@@ -246,7 +246,7 @@
             if !disk.is_whole() {
                 self.keep_own(false);
             }
-            self.learn(News::Read(disk), now);
+            self.learn(Observation::Read(disk), now);
         }
         let whole = disk.is_whole() && facts.asked;
         if whole && !self.whole.replace(whole) {
@@ -260,29 +260,29 @@
     pub fn pass(&self, facts: Facts, now: Micros, unix: Micros) -> bool {
         self.judge(facts, now);
         if facts.complete && self.peers.borrow().count() {
-            self.learn(News::Peers, now);
+            self.learn(Observation::Peers, now);
         }
         if facts.asked {
-            self.learn(News::CaughtUp, now);
+            self.learn(Observation::CaughtUp, now);
         }
-        self.learn(News::Listed(usize::from(facts.servers)), now);
+        self.learn(Observation::Listed(usize::from(facts.servers)), now);
         // One whose disk another process has taken over acts under nothing any more.
-        self.learn(News::Epoch(facts.epoch && self.whole.get()), now);
+        self.learn(Observation::Epoch(facts.epoch && self.whole.get()), now);
         if now >= self.asks_at.get() {
             let peers = self.peers.borrow();
-            self.asks_at.set(now + if peers.count() { TELLS } else { ASKS });
-            let ask = Word::Ask { me: self.me, claims: self.whole.get() };
-            self.says.borrow_mut().extend(peers.states().map(|(node, _)| (node, ask.clone())));
+            self.asks_at.set(now + if peers.count() { NOTIFY_INTERVAL } else { ASKS });
+            let ask = Message::Ask { me: self.me, claims: self.whole.get() };
+            self.outgoing_messages.borrow_mut().extend(peers.states().map(|(node, _)| (node, ask.clone())));
         }
         if now >= self.marks_at.get() {
             self.marks_at.set(now + MARKS);
             let mut ops = vec![remember(WRITTEN, &unix)];
-            if let Some(list) = self.list.news() {
+            if let Some(list) = self.list.take_updates() {
                 ops.push(remember(LIST_AT, &unix));
                 ops.extend(list.map(|list| remember(LIST, &list)));
             }
             let (marked, has_list) = (self.marked.clone(), ops.len() > 1);
-            self.keeper.commit(ops, move |done| match done {
+            self.group_commit.commit(ops, move |done| match done {
                 Ok(()) => drop(marked.fetch_or(has_list, Ordering::Relaxed)),
                 Err(e) => warn!("recovery: that the node has power is not on the disk: {e}"),
             });
@@ -293,7 +293,7 @@
     fn lost(&self) -> bool {
         let step = self.back.borrow().step();
         let peers = self.peers.borrow();
-        if self.all_lost.get().is_some() || !(peers.all_told() || step > Step::Asking) {
+        if self.all_lost.get().is_some() || !(peers.all_replied() || step > Step::Asking) {
             return false;
         }
         let all = !peers.lived();
@@ -306,10 +306,10 @@
     }
 
     /// Another node says something.
-    pub fn hear(&self, from: u32, word: Word, now: Micros) {
-        let (life, claims) = match word {
-            Word::Tell(tell) => return self.peers.borrow_mut().heard(from, tell),
-            Word::Ask { me, claims } => (me, claims),
+    pub fn receive(&self, from: u32, message: Message, now: Micros) {
+        let (life, claims) = match message {
+            Message::Reply(reply) => return self.peers.borrow_mut().received(from, reply),
+            Message::Ask { me, claims } => (me, claims),
         };
         let known = self.lives.borrow().get(&from).copied();
         match known {
@@ -318,7 +318,7 @@
             }
             _ if claims => {
                 let claims = self.claims.clone();
-                self.keeper.commit(vec![remember(&format!("{PEER}{from}"), &life)], move |done| {
+                self.group_commit.commit(vec![remember(&format!("{PEER}{from}"), &life)], move |done| {
                     // Nobody hears it where the node ends.
                     let _ = claims.send(Claimed { node: from, life, done });
                 });
@@ -339,23 +339,23 @@
         self.answer(node, life, now);
     }
 
-    fn answer(&self, to: u32, life: Life, now: Micros) {
+    fn answer(&self, to: u32, life: DiskIncarnation, now: Micros) {
         let known = self.lives.borrow().get(&to).copied();
-        let heard = known.and_then(|(_, heard)| heard);
+        let received = known.and_then(|(_, received)| received);
         let lives =
-            known.is_some_and(|(l, _)| l.life != life.life) && heard.is_some_and(|at| now - at < LIVES);
+            known.is_some_and(|(l, _)| l.life != life.life) && received.is_some_and(|at| now - at < LIVES);
         let outlived = match &known {
-            Some((known, heard)) => known.life != life.life && heard.is_some(),
+            Some((known, received)) => known.life != life.life && received.is_some(),
             None => self.back.borrow().step() == Step::Serving,
         };
         let known = known.map(|(life, _)| life);
-        let tell = Tell { to: life.life, known, lives, whole: self.whole.get(), outlived };
-        self.says.borrow_mut().push((to, Word::Tell(tell)));
+        let reply = Reply { to: life.life, known, lives, whole: self.whole.get(), outlived };
+        self.outgoing_messages.borrow_mut().push((to, Message::Reply(reply)));
     }
 
     /// What is to be said, to whom.
-    pub fn says(&self) -> Vec<(u32, Word)> {
-        std::mem::take(&mut self.says.borrow_mut())
+    pub fn take_outgoing(&self) -> Vec<(u32, Message)> {
+        std::mem::take(&mut self.outgoing_messages.borrow_mut())
     }
 
     /// What may be served.
@@ -370,7 +370,7 @@
             Step::Guarded if !self.counted => {
                 Some("a start that can be written down: make room on its disk first")
             }
-            Step::Asking | Step::Guarded | Step::Serving if self.list.is_told_empty() => {
+            Step::Asking | Step::Guarded | Step::Serving if self.list.is_notified_empty() => {
                 Some("servers: discovery's list is empty")
             }
             _ => back.waits_for(now),
@@ -395,7 +395,7 @@
             self.keep_own(true);
             self.asks_at.set(now);
         }
-        self.learn(News::Release(step), now);
+        self.learn(Observation::Release(step), now);
         Ok(format!("released; it waits for {}", self.waits_for(now).unwrap_or("nothing")))
     }
 
@@ -405,7 +405,7 @@
         let mut text =
             format!("step \"{step}\" for_ms={} admits={admits:?}\n", (now - self.since.get()) / 1_000);
         text += &format!("waits_for \"{}\"\n", self.waits_for(now).unwrap_or("nothing"));
-        let (Life { disk, boots, .. }, excused) = (self.me, self.excused.get());
+        let (DiskIncarnation { disk, boots, .. }, excused) = (self.me, self.excused.get());
         text += &format!("disk {:?} number={disk:016x} boots={boots} excused={excused}\n", self.disk.get());
         text += &match (self.written, self.outage) {
             (None, _) => "outage unknown why=\"the disk is new\"\n".to_string(),
@@ -418,7 +418,7 @@
             Some(false) => "loss \"of this node: others had power\"\n",
         };
         for item in [Item::Intents, Item::Answers, Item::Epoch, Item::Leases, Item::List, Item::Health] {
-            text += &format!("trust {item:?} {:?}\n", belief(item, self.disk.get(), self.outage));
+            text += &format!("trust {item:?} {}\n", belief(item, self.disk.get(), self.outage));
         }
         if let Some(age) = self.begins_with.get() {
             text += &format!("list \"as a beginning\" age_ms={}\n", age / 1_000);
--- a/src/net/server_table.rs
+++ b/src/net/server_table.rs
@@ -1,9 +1,9 @@
 //! The server table: discovery's list of backend servers, followed over a watch that is kept open.
 
-use super::backoff::{Backoff, Watched, SILENCE, TOLD};
+use super::backoff::{Backoff, Watched, NOTIFIED_AFTER, SILENCE};
+use super::close_reason::{CloseReason, Side};
 use super::codec::{ClientCodec, Outgoing, Piece, ReadError};
 use super::deadlines::Deadlines;
-use super::ending::{Ending, Side};
 use super::exchange::{Exchange, Server};
 use super::fleet::ListCalls;
 use super::objects::Objects;
@@ -118,18 +118,18 @@
     changed: Cell<bool>,
     holds: Cell<bool>,
     /// Discovery has told something in this life.
-    told: Cell<bool>,
+    notified: Cell<bool>,
 }
 
 impl LastList {
     fn hold(&self) {
         self.holds.set(true);
-        self.told.set(true);
+        self.notified.set(true);
     }
 
     /// Whether discovery has told in this life, and what it told names nobody.
-    pub fn is_told_empty(&self) -> bool {
-        self.told.get() && self.entries.borrow().is_empty()
+    pub fn is_notified_empty(&self) -> bool {
+        self.notified.get() && self.entries.borrow().is_empty()
     }
 
     fn take(&self, listing: &Listing) {
@@ -148,7 +148,7 @@
 
     /// Whether discovery has told it, or that nothing of it has changed, since that was last asked; and all of it, where it has changed.
     /// It has no revision: discovery may count from anew after a loss of power.
-    pub fn news(&self) -> Option<Option<Listing>> {
+    pub fn take_updates(&self) -> Option<Option<Listing>> {
         let members = || self.entries.borrow().values().cloned().collect();
         let listing = || Listing { revision: 0, complete: true, members: members() };
         self.holds.take().then(|| self.changed.take().then(listing))
@@ -181,7 +181,7 @@
     /// When the call began, with its connection, if one was made.
     begun: Option<Instant>,
     /// When it told something for the last time, over this connection: a list, or that nothing has changed.
-    heard: Option<Instant>,
+    received: Option<Instant>,
     /// What came last, which only something whole puts off: silence counts from then.
     since: Instant,
 }
@@ -216,15 +216,15 @@
     /// Start from the list as last held and keep a watch open for as long as the node runs.
     pub async fn follow(mut self, known: Listing) {
         let since = Instant::now();
-        let mut held = Held { revision: Some(known.revision), lines: 0, begun: None, heard: None, since };
+        let mut held = Held { revision: Some(known.revision), lines: 0, begun: None, received: None, since };
         // Guards against building on revisions of a discovery that has lost power, too: only its whole list will do.
         if self.begins {
             held.revision = None;
         } else if let Err(e) = self.apply(Listing { complete: true, ..known }, &mut held) {
             warn!("the list as last held: {e}");
         }
-        let mut told = self.discovery.clone();
-        let (nodes, grace) = self.exchange.told();
+        let mut notified = self.discovery.clone();
+        let (nodes, grace) = self.exchange.notified();
         self.backoff.keep_to(nodes, grace);
         let mut pause = self.backoff.pause(Watched::Never, None, since);
         // By then what was missed counted as told, as the log has it.
@@ -235,7 +235,7 @@
             if !moves {
                 tokio::select! {
                     biased;
-                    () = moved(&mut told) => moves = true,
+                    () = moved(&mut notified) => moves = true,
                     () = self.deadlines.after(pause) => {}
                 }
             }
@@ -245,51 +245,51 @@
                 // Until its list has come, the one we hold stays.
                 held.revision = None;
             }
-            (held.lines, held.begun, held.heard) = (0, None, None);
-            let discovery = *told.borrow_and_update();
-            let ending = tokio::select! {
+            (held.lines, held.begun, held.received) = (0, None, None);
+            let discovery = *notified.borrow_and_update();
+            let close_reason = tokio::select! {
                 biased;
-                () = moved(&mut told) => Ending::Moved,
-                ending = self.watch(discovery, &mut held) => ending,
+                () = moved(&mut notified) => CloseReason::Moved,
+                close_reason = self.watch(discovery, &mut held) => close_reason,
             };
-            ending.log(Side::ServerTable, discovery, held.lines);
+            close_reason.log(Side::ServerTable, discovery, held.lines);
             let now = Instant::now();
-            held.heard.into_iter().for_each(|at| self.backoff.heard(at));
-            let watched = match ending {
-                Ending::Busy => Watched::Busy,
-                _ if held.heard.is_some() => Watched::Told,
+            held.received.into_iter().for_each(|at| self.backoff.received(at));
+            let watched = match close_reason {
+                CloseReason::Busy => Watched::Busy,
+                _ if held.received.is_some() => Watched::Notified,
                 _ => Watched::Nothing,
             };
-            moves = ending == Ending::Moved;
+            moves = close_reason == CloseReason::Moved;
             if !moves {
-                let (nodes, grace) = self.exchange.told();
+                let (nodes, grace) = self.exchange.notified();
                 self.backoff.keep_to(nodes, grace);
                 pause = self.backoff.pause(watched, held.begun, now);
                 let due = self.backoff.due();
                 if due <= now && overdue.replace(due) != Some(due) {
-                    warn!("discovery has confirmed nothing for {TOLD:?}: the list held stays in force");
+                    warn!("discovery has confirmed nothing for {NOTIFIED_AFTER:?}: the list held stays in force");
                 }
             }
             // The same changes would come again: ask for the whole list.
-            if ending == Ending::Malformed {
+            if close_reason == CloseReason::Malformed {
                 held.revision = None;
             }
         }
     }
 
-    async fn watch(&self, discovery: SocketAddr, held: &mut Held) -> Ending {
+    async fn watch(&self, discovery: SocketAddr, held: &mut Held) -> CloseReason {
         self.calls.take(&self.deadlines).await;
         held.begun = Some(Instant::now());
         let stream = tokio::select! {
             biased;
             stream = TcpStream::connect(discovery) => stream,
-            () = self.deadlines.after(self.backoff.connect()) => return Ending::ConnectTimeout,
+            () = self.deadlines.after(self.backoff.connect()) => return CloseReason::ConnectTimeout,
         };
-        let Ok(stream) = stream else { return Ending::Refused };
+        let Ok(stream) = stream else { return CloseReason::Refused };
         let mut connection = self.pool.framed::<Outgoing, _>(stream, ClientCodec::in_parts(&self.pool));
-        let Err(ending) = self.listen(&mut connection, discovery, held).await;
+        let Err(close_reason) = self.listen(&mut connection, discovery, held).await;
         self.pool.release(connection);
-        ending
+        close_reason
     }
 
     /// Take in what comes over a connection until it ends.
@@ -298,7 +298,7 @@
         connection: &mut Connection,
         discovery: SocketAddr,
         held: &mut Held,
-    ) -> Result<Infallible, Ending> {
+    ) -> Result<Infallible, CloseReason> {
         if held.revision.is_none() {
             self.ask(connection, discovery, "/catalog/members", held).await?;
             let mut list = Objects::new(&self.pool, LONGEST);
@@ -309,9 +309,9 @@
                     Piece::Head { .. } | Piece::Line(_) => {}
                     Piece::End { .. } if !list.is_between() || held.lines == before => {
                         warn!("discovery's list ends before it is whole");
-                        return Err(Ending::Malformed);
+                        return Err(CloseReason::Malformed);
                     }
-                    Piece::End { reusable: false } => return Err(Ending::LastMessage),
+                    Piece::End { reusable: false } => return Err(CloseReason::LastMessage),
                     Piece::End { reusable: true } => break,
                 }
             }
@@ -327,11 +327,11 @@
                     // Space tells that nothing has changed. Guards against an answer to a call for the whole list that never
                     // ends: after that it tells nothing, and no watch would be opened.
                     if changes.is_between() {
-                        self.heard(held);
+                        self.received(held);
                     }
                 }
                 Piece::Head { .. } | Piece::Line(_) => {}
-                Piece::End { .. } => return Err(Ending::PeerClosed),
+                Piece::End { .. } => return Err(CloseReason::PeerClosed),
             }
         }
     }
@@ -342,16 +342,16 @@
         discovery: SocketAddr,
         target: &str,
         held: &mut Held,
-    ) -> Result<(), Ending> {
+    ) -> Result<(), CloseReason> {
         held.since = Instant::now();
         let fields = format!("Host: {discovery}\r\n");
         let request = Outgoing { method: "GET", target, fields, body: None };
-        self.pool.send(connection, request).await.map_err(|_| Ending::PeerBroke)
+        self.pool.send(connection, request).await.map_err(|_| CloseReason::PeerBroke)
     }
 
     /// The next piece of an answer, or why nothing more comes. An object of which parts come and come puts
     /// nothing off.
-    async fn next(&self, connection: &mut Connection, held: &mut Held) -> Result<Piece, Ending> {
+    async fn next(&self, connection: &mut Connection, held: &mut Held) -> Result<Piece, CloseReason> {
         let piece = tokio::select! {
             biased;
             piece = self.pool.next(connection) => piece,
@@ -361,16 +361,16 @@
                 turn().await;
                 match self.pool.next(connection).now_or_never() {
                     Some(piece) => piece,
-                    None => return Err(Ending::Silent),
+                    None => return Err(CloseReason::Silent),
                 }
             }
         };
         match piece {
             // Not ours to blame: the list held stays what the next watch builds on.
-            Some(Ok(Piece::Head { status: 429 | 503, .. })) => Err(Ending::Busy),
+            Some(Ok(Piece::Head { status: 429 | 503, .. })) => Err(CloseReason::Busy),
             Some(Ok(Piece::Head { status, .. })) if status != 200 => {
                 warn!("discovery answered with {status}");
-                Err(Ending::Malformed)
+                Err(CloseReason::Malformed)
             }
             Some(Ok(piece)) => {
                 if matches!(piece, Piece::Head { .. }) {
@@ -378,17 +378,17 @@
                 }
                 Ok(piece)
             }
-            None => Err(Ending::PeerClosed),
-            Some(Err(ReadError::Io(_))) => Err(Ending::PeerBroke),
+            None => Err(CloseReason::PeerClosed),
+            Some(Err(ReadError::Io(_))) => Err(CloseReason::PeerBroke),
             Some(Err(ReadError::Bad { reason, .. })) => {
                 warn!("discovery makes no sense: {reason}");
-                Err(Ending::Malformed)
+                Err(CloseReason::Malformed)
             }
         }
     }
 
     /// Take in the lists, or changes, that are whole with this part.
-    fn take(&self, part: &[u8], objects: &mut Objects, held: &mut Held) -> Result<(), Ending> {
+    fn take(&self, part: &[u8], objects: &mut Objects, held: &mut Held) -> Result<(), CloseReason> {
         let mut whole = objects.add(part).map_err(|e| e.to_string());
         loop {
             let next = whole.and_then(|()| objects.whole::<Listing>().map_err(|e| e.to_string()));
@@ -397,15 +397,15 @@
             // Guards against a list that can't be used: it confirms nothing.
             if whole.is_ok() {
                 held.lines += 1;
-                self.heard(held);
+                self.received(held);
             }
         }
     }
 
     /// Discovery has told something that is in force, or that nothing has changed.
-    fn heard(&self, held: &mut Held) {
+    fn received(&self, held: &mut Held) {
         held.since = Instant::now();
-        held.heard = Some(held.since);
+        held.received = Some(held.since);
         self.last.iter().for_each(|last| last.hold());
     }
 
@@ -423,14 +423,14 @@
 }
 
 /// What came can't be used: only the whole list will do.
-fn wrong(reason: String) -> Ending {
+fn wrong(reason: String) -> CloseReason {
     warn!("discovery's answer can't be used: {reason}");
-    Ending::Malformed
+    CloseReason::Malformed
 }
 
 /// Ready once another discovery is to be followed.
-async fn moved(told: &mut watch::Receiver<SocketAddr>) {
-    if told.changed().await.is_err() {
+async fn moved(notified: &mut watch::Receiver<SocketAddr>) {
+    if notified.changed().await.is_err() {
         std::future::pending::<()>().await;
     }
 }
--- a/src/net/sites.rs
+++ b/src/net/sites.rs
@@ -5,42 +5,42 @@
 use super::answers::{Answers, Keeping};
 use super::auditing::Auditing;
 use super::deadlines::Deadlines;
-use super::exchange::{Attempt, DispatchId, Exchange, Ran, Recorder, Source, Verdict};
+use super::exchange::{Attempt, DispatchId, Exchange, Ran, Recorder, ResponseOutcome, Source};
 use super::fleet::Fleet;
-use super::homing::Homing;
-use super::lending::Lent;
+use super::key_leases::KeyLeases;
+use super::load_shifting::Spillover;
 use super::placing::Placing;
 use super::recovering::{Claimed, Facts, Recovering};
 use super::server_table::{LastList, Listing};
 use super::Job;
 use serde::{Deserialize, Serialize};
-use shorepath_accounts::book::{Book, News};
-use shorepath_accounts::confirmation::Confirmation;
-use shorepath_accounts::credit::{Note, Part as CreditPart, Purse};
-use shorepath_accounts::file::Decree;
-use shorepath_accounts::ruling::{bars, why, Now, Purses, Refusal};
-use shorepath_accounts::running::{Key, Taken};
-use shorepath_accounts::{file as accounts, spread, Change};
-use shorepath_audit::record::Why;
+use shorepath_accounts::admission::{restrictions, why, CreditBalances, Now, Refusal};
+use shorepath_accounts::config::AccountsFile;
+use shorepath_accounts::credit::{CreditBalance, Note, Part as CreditPart};
+use shorepath_accounts::freshness::Confirmation;
+use shorepath_accounts::in_flight::{Key, Taken};
+use shorepath_accounts::registry::{Book, RegistryUpdate};
+use shorepath_accounts::{config as accounts, gossip, Change};
+use shorepath_audit::audit_log::Why;
 use shorepath_audit::version::{Content, Item};
-use shorepath_budgets::{Micros, NodeId, Skew};
-use shorepath_envelope::keys::{FileCodeError, Keys, KeysError};
-use shorepath_envelope::line::{Dropped, Heard, Line};
-use shorepath_placements::keys::Known;
+use shorepath_message_auth::channel::{Channel, Dropped, Received};
+use shorepath_message_auth::keyring::{FileCodeError, Keys, KeysError};
+use shorepath_placements::idempotency_index::Known;
 use shorepath_placements::log::LogError;
 use shorepath_placements::reconcile::{self, Decision, Kind, Reconciler};
 use shorepath_placements::{self as placements, Placement, Timed, Writer};
-use shorepath_recovery::peers;
-use shorepath_recovery::steps::Admits;
+use shorepath_quota::{ClockSkew, Micros, NodeId};
+use shorepath_recovery::incarnations;
+use shorepath_recovery::phases::Admits;
 use shorepath_scheduler::{ClassId, WorkState};
 use shorepath_scheduler::{QuotaKind, QuotaShare};
-use shorepath_sites::file::Plan;
-use shorepath_sites::homes::Kept;
-use shorepath_sites::partners::{partners, routes};
-use shorepath_sites::seeing::{self, Differs, NoSiteError, Seeing};
-use shorepath_sites::used::{OldFileError, Used};
-use shorepath_sites::{proof, Seen};
-use shorepath_store::keeper::Keeper;
+use shorepath_sites::config::Plan;
+use shorepath_sites::config_history::{OldFileError, Used};
+use shorepath_sites::health::{self, Differs, NoSiteError, SiteHealth};
+use shorepath_sites::key_ownership::Kept;
+use shorepath_sites::peer_selection::{routes, selected_peers};
+use shorepath_sites::{catch_up, Seen};
+use shorepath_store::group_commit::GroupCommit;
 use shorepath_store::{Op, Store, StoreError};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -77,10 +77,10 @@
 const CHUNK: u64 = 16;
 /// The fact that the book of accounts is kept as, and what the purses' begin with.
 const BOOK: &str = "accounts/book";
-const PURSE: &str = "accounts/purse/";
+const CREDIT_BALANCE: &str = "accounts/purse/";
 
 /// The fact that leases of homes are kept as.
-const HOMES: &str = "sites/homes";
+const KEY_OWNERSHIP: &str = "sites/homes";
 /// The fact that tells of files of sites that were in force.
 const USED: &str = "sites/used";
 
@@ -100,9 +100,9 @@
     /// What stands for the text of the file.
     content: Content,
     keys: Keys,
-    decree: Option<Decree>,
+    accounts_file: Option<AccountsFile>,
     /// How the clock is wrong; only tests have it so.
-    skew: Skew,
+    skew: ClockSkew,
 }
 
 /// Why a node can't take part.
@@ -118,12 +118,12 @@
     },
     /// The file of sites can't be used.
     #[error("{0}")]
-    Wrong(#[from] shorepath_sexp::Complaints),
+    Wrong(#[from] shorepath_sexp::ParseErrors),
     /// The file of accounts can't be used.
     #[error("{0}")]
     Accounts(#[from] accounts::FileError),
     /// The keys can't be used.
-    #[error("{}: {source}: {}", path.display(), shorepath_envelope::advice(source))]
+    #[error("{}: {source}: {}", path.display(), shorepath_message_auth::advice(source))]
     Keys {
         /// The file.
         path: PathBuf,
@@ -131,7 +131,7 @@
         source: KeysError,
     },
     /// A file's code is not believed.
-    #[error("{}: {source}: {}", path.display(), shorepath_envelope::advice(source))]
+    #[error("{}: {source}: {}", path.display(), shorepath_message_auth::advice(source))]
     Code {
         /// The file whose code it is.
         path: PathBuf,
@@ -158,7 +158,7 @@
         source: StoreError,
     },
     /// The log of placements can't be used.
-    #[error("{}: {source}: {}", path.display(), shorepath_envelope::advice(source))]
+    #[error("{}: {source}: {}", path.display(), shorepath_message_auth::advice(source))]
     Log {
         /// The folder.
         path: PathBuf,
@@ -172,7 +172,7 @@
     #[error("{0}")]
     NoSite(#[from] NoSiteError),
     /// The file of sites is older than one that was in force, or another one of its version.
-    #[error("{}: {source}: {}", path.display(), shorepath_envelope::advice(source))]
+    #[error("{}: {source}: {}", path.display(), shorepath_message_auth::advice(source))]
     Old {
         /// The file.
         path: PathBuf,
@@ -204,10 +204,10 @@
 
 impl Siting {
     /// Read the file of sites, in which a node of that name has to be listed, with the keys and the accounts that it names.
-    pub fn read(path: PathBuf, state: PathBuf, name: &str, skew: Skew) -> Result<Siting, SitingError> {
+    pub fn read(path: PathBuf, state: PathBuf, name: &str, skew: ClockSkew) -> Result<Siting, SitingError> {
         let folder = path.parent().unwrap_or(Path::new("")).to_path_buf();
         let text_of_file = text(&path)?;
-        let plan = shorepath_sites::file::read(&path.display().to_string(), &text_of_file)?;
+        let plan = shorepath_sites::config::read(&path.display().to_string(), &text_of_file)?;
         if plan.node_named(name).is_none() {
             return Err(SitingError::Unlisted { path, name: name.to_string() });
         }
@@ -221,12 +221,12 @@
         if !plan.lost.is_empty() {
             signed(&path, &keys)?;
         }
-        let decree = match plan.accounts_path(&folder) {
+        let accounts_file = match plan.accounts_path(&folder) {
             Some(file) => Some(accounts::read(&file.display().to_string(), &signed(&file, &keys)?)?),
             None => None,
         };
         let content = Content::of(text_of_file.as_bytes());
-        Ok(Siting { path, state, plan, content, keys, decree, skew })
+        Ok(Siting { path, state, plan, content, keys, accounts_file, skew })
     }
 
     /// Unix time by the node's clock.
@@ -246,22 +246,24 @@
 
     /// Where the accounts stand that the authority's file names.
     pub fn accounts(&self) -> impl Iterator<Item = (&str, &Change)> {
-        self.decree.iter().flat_map(|d| &d.changes).map(|(name, change)| (name.as_str(), change))
+        self.accounts_file.iter().flat_map(|d| &d.changes).map(|(name, change)| (name.as_str(), change))
     }
 }
 
 /// One word between nodes of sites.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum Said {
+enum Sent {
     /// About accounts.
-    Accounts(spread::Word),
+    Accounts(gossip::Message),
     /// About sites.
-    Seeing(seeing::Word),
+    #[serde(rename = "seeing")]
+    SiteHealth(health::Message),
     /// About what was placed in a range of keys.
-    Homes(proof::Word),
+    #[serde(rename = "homes")]
+    KeyOwnership(catch_up::Message),
     /// About lives of nodes.
-    Recovery(peers::Word),
+    Recovery(incarnations::Message),
 }
 
 /// A request as far as its account goes.
@@ -275,7 +277,7 @@
     /// One of the account's credit was spent for it: the number of the file that was known, and the Unix time.
     spent: Option<(u64, Micros)>,
     /// It is not taken for another reason than its account.
-    barred: Option<Barred>,
+    rejection: Option<Rejection>,
     /// The site of its client, if that is another one.
     guest: Option<String>,
     /// It is not taken because the node is on its way back.
@@ -286,7 +288,7 @@
 
 /// Why a request was not taken, for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Barred {
+pub struct Rejection {
     /// The status of the answer.
     pub status: u16,
     /// In few words.
@@ -307,7 +309,7 @@
     /// What waited of placements is there, or never will be.
     Flushed,
     /// What is kept of homes.
-    Homes(Kept, Result<(), Arc<StoreError>>),
+    KeyOwnership(Kept, Result<(), Arc<StoreError>>),
     /// The store was opened again after it took nothing any more, or not.
     Reopened(Result<(), Arc<StoreError>>),
     /// It takes what is written again, or not.
@@ -322,41 +324,41 @@
     exchange: Rc<Exchange<Job>>,
     deadlines: Rc<Deadlines>,
     origin: Instant,
-    spread: RefCell<spread::Spread>,
-    seeing: RefCell<Seeing>,
+    spread: RefCell<gossip::Spread>,
+    site_health: RefCell<SiteHealth>,
     /// Files of sites that were in force, as the disk has it.
     used: RefCell<Used>,
     store: Arc<Store>,
     /// The store takes nothing: when to open it again; none while that is on its way.
     reopens: Cell<Option<Micros>>,
     /// That was told.
-    reopens_told: Cell<bool>,
-    line: RefCell<Line>,
+    reopens_notified: Cell<bool>,
+    line: RefCell<Channel>,
     taken: RefCell<Taken>,
-    purses: RefCell<Purses>,
+    balances: RefCell<CreditBalances>,
     confirmation: Cell<Confirmation>,
     placing: Placing,
     /// What is written down of versions and decisions, where the file says so.
     auditing: Option<Rc<Auditing>>,
     /// Who is home to keys, where the fleet's budgets say.
-    homing: Option<Rc<Homing>>,
+    key_leases: Option<Rc<KeyLeases>>,
     /// What the disk has of homes, what is on its way there, and what is to be said of them.
-    homes_kept: RefCell<(Kept, bool)>,
-    homes_says: RefCell<Vec<(u32, proof::Word)>>,
-    homes_anew: Cell<bool>,
+    ownership_kept: RefCell<(Kept, bool)>,
+    ownership_outgoing: RefCell<Vec<(u32, catch_up::Message)>>,
+    ownership_reset: Cell<bool>,
     /// When it last looked what may be sealed.
     sealed_at: Cell<Micros>,
     chance: RefCell<oorandom::Rand64>,
-    keeper: Arc<Keeper>,
+    group_commit: Arc<GroupCommit>,
     writes: mpsc::UnboundedSender<Written>,
     /// Purses of which a note is on its way to the disk.
     writing: RefCell<Vec<String>>,
     /// What the disk had of the book when it was last written.
     kept: Cell<u64>,
-    told: RefCell<Vec<QuotaShare>>,
+    notified: RefCell<Vec<QuotaShare>>,
     /// Up to where each log was looked at for what other nodes took of accounts that bar new work.
     looked: RefCell<BTreeMap<Writer, u64>>,
-    lent: Lent,
+    spillover: Spillover,
     /// There is something new to say.
     woken: Notify,
     /// The way back from a loss of power, and what the disk has done of it.
@@ -406,62 +408,64 @@
         siting.may_hold(&used)?;
         uses(&store, &mut used, &siting.plan);
         let peers = siting.plan.nodes().map(|(_, n)| n.number).collect();
-        let mut spread = spread::Spread::new(me, peers, chance, now);
+        let mut spread = gossip::Spread::new(me, peers, chance, now);
         if let Some(book) = store.fact::<Book>(BOOK).map_err(unusable)? {
             spread.restore(&book);
         }
         let kept = spread.book().hash();
-        if let Some(decree) = &siting.decree {
-            spread.learn(decree, now);
+        if let Some(accounts_file) = &siting.accounts_file {
+            spread.learn(accounts_file, now);
         }
-        let mut purses = Purses::new();
+        let mut balances = CreditBalances::new();
         for credit in siting.plan.credits.iter().filter_map(|c| siting.plan.credit_part(&c.tenant, me)) {
-            let note = store.fact::<Note>(&format!("{PURSE}{}", credit.tenant)).map_err(unusable)?;
+            let note = store.fact::<Note>(&format!("{CREDIT_BALANCE}{}", credit.tenant)).map_err(unusable)?;
             let part = CreditPart { whole: credit.jobs, reserve: credit.reserve };
-            purses.insert(credit.tenant, Purse::restore(part, credit.shrink, CHUNK, note));
+            balances.insert(credit.tenant, CreditBalance::restore(part, credit.shrink, CHUNK, note));
         }
-        let homes_kept = store.fact::<Kept>(HOMES).map_err(unusable)?.unwrap_or_default();
-        let homing = fleet.filter(|f| f.names_homes()).map(|fleet| {
-            let homing = Rc::new(Homing::new(me, &siting.plan, &homes_kept, fleet.clock()));
-            fleet.home(homing.clone());
-            homing
+        let ownership_kept = store.fact::<Kept>(KEY_OWNERSHIP).map_err(unusable)?.unwrap_or_default();
+        let key_leases = fleet.filter(|f| f.has_ownership_quotas()).map(|fleet| {
+            let key_leases = Rc::new(KeyLeases::new(me, &siting.plan, &ownership_kept, fleet.clock()));
+            fleet.home(key_leases.clone());
+            key_leases
         });
-        let seeing = Seeing::new(me, &siting.plan, chance, now)?;
-        let line = Line::new(me, unix() as u64, &siting.plan.fleet, Some(&siting.keys));
-        let keeper = Arc::new(Keeper::new(store.clone()).map_err(|e| SitingError::System(e.to_string()))?);
+        let site_health = SiteHealth::new(me, &siting.plan, chance, now)?;
+        let line = Channel::new(me, unix() as u64, &siting.plan.fleet, Some(&siting.keys));
+        let group_commit =
+            Arc::new(GroupCommit::new(store.clone()).map_err(|e| SitingError::System(e.to_string()))?);
         let (writes, written) = mpsc::unbounded_channel();
         let (claims, claimed) = mpsc::unbounded_channel();
         let recovering = match &siting.plan.recover {
             Some(clause) => {
                 let unix = siting.wall();
-                let disk = (&*store, keeper.clone());
+                let disk = (&*store, group_commit.clone());
                 let recovering =
                     Recovering::open(name, clause, disk, (chance, now, unix), claims).map_err(unusable)?;
                 let others = siting.plan.nodes().map(|(_, n)| n.number).filter(|n| *n != me);
                 recovering.recall(&store, others).map_err(unusable)?;
-                recovering.meet(&partners(&siting.plan, me));
+                recovering.meet(&selected_peers(&siting.plan, me));
                 Some(recovering)
             }
             None => None,
         };
         let last_list = recovering.as_ref().and_then(|r| r.last_list(&store, siting.wall()));
-        let answers = siting.plan.recover.as_ref().map(|r| Answers::new(store.clone(), keeper.clone(), r));
+        let answers =
+            siting.plan.recover.as_ref().map(|r| Answers::new(store.clone(), group_commit.clone(), r));
         let auditing = match siting.plan.audit {
             Some(audit) => {
                 let mut key = [0; 16];
                 key.copy_from_slice(&siting.keys.code(b"audit")[..16]);
-                let disk = (store.clone(), keeper.clone());
+                let disk = (store.clone(), group_commit.clone());
                 let auditing = Auditing::open(disk, audit, (name, me, chance), key).map_err(unusable)?;
                 auditing.meet(&siting.plan.nodes().map(|(_, n)| n.number).collect::<Vec<_>>());
                 Some(auditing)
             }
             None => None,
         };
-        let site = seeing.site().to_string();
+        let site = site_health.site().to_string();
         let log = |source| SitingError::Log { path: siting.state.clone(), source };
         let placing = Placing::open(
             store.clone(),
-            keeper.clone(),
+            group_commit.clone(),
             (&site, name),
             (chance, now, siting.plan.group),
             writes.clone(),
@@ -473,38 +477,38 @@
             let keys = [Key::Idempotency(key.to_string()), Key::Request(key.to_string())];
             taken.restore(keys.iter().map(|k| (tenant, k, unix() - at)), now);
         });
-        let lent = Lent::new(&exchange, chance, now);
+        let spillover = Spillover::new(&exchange, chance, now);
         let sites = Rc::new(Sites {
             name: name.to_string(),
             exchange,
             deadlines,
             origin: Instant::now(),
             spread: RefCell::new(spread),
-            seeing: RefCell::new(seeing),
+            site_health: RefCell::new(site_health),
             used: RefCell::new(used),
             store: store.clone(),
             reopens: Cell::new(Some(now)),
-            reopens_told: Cell::new(false),
+            reopens_notified: Cell::new(false),
             line: RefCell::new(line),
             taken: RefCell::new(taken),
-            purses: RefCell::new(purses),
+            balances: RefCell::new(balances),
             // Until it has heard the others nothing is confirmed.
             confirmation: Cell::new(Confirmation::new(now)),
             placing,
             auditing,
-            homing,
-            homes_kept: RefCell::new((homes_kept, false)),
-            homes_says: RefCell::default(),
-            homes_anew: Cell::new(false),
+            key_leases,
+            ownership_kept: RefCell::new((ownership_kept, false)),
+            ownership_outgoing: RefCell::default(),
+            ownership_reset: Cell::new(false),
             sealed_at: Cell::new(now),
             chance: RefCell::new(oorandom::Rand64::new(u128::from(chance))),
-            keeper,
+            group_commit,
             writes,
             writing: RefCell::default(),
             kept: Cell::new(kept),
-            told: RefCell::default(),
+            notified: RefCell::default(),
             looked: RefCell::default(),
-            lent,
+            spillover,
             woken: Notify::new(),
             recovering,
             claimed: RefCell::new(Some(claimed)),
@@ -515,7 +519,7 @@
         sites.lend();
         sites.meet(now);
         sites.credit();
-        sites.homes();
+        sites.update_ownership();
         // Before the first client: nothing is begun that is barred.
         sites.hold();
         sites.audit(Why::Start);
@@ -556,7 +560,7 @@
     }
 
     /// Read the files again. Ones that can't be used change nothing.
-    pub fn reread(&self) -> Result<u64, SitingError> {
+    pub fn reload(&self) -> Result<u64, SitingError> {
         let (path, state, skew) = {
             let siting = self.siting.borrow();
             (siting.path.clone(), siting.state.clone(), siting.skew)
@@ -565,32 +569,32 @@
         newer.may_hold(&self.used.borrow())?;
         let now = self.now();
         let me = NodeId::of(&self.name).0;
-        self.seeing.borrow_mut().replan(&newer.plan, now)?;
+        self.site_health.borrow_mut().replan(&newer.plan, now)?;
         uses(&self.store, &mut self.used.borrow_mut(), &newer.plan);
         {
             let mut spread = self.spread.borrow_mut();
             spread.set_peers(newer.plan.nodes().map(|(_, n)| n.number).collect());
-            if let Some(decree) = &newer.decree {
-                spread.learn(decree, now);
+            if let Some(accounts_file) = &newer.accounts_file {
+                spread.learn(accounts_file, now);
             }
         }
         if newer.plan.recover != self.siting.borrow().plan.recover {
             warn!("sites: a restart is needed for what has changed in (recover)");
         }
         if let Some(recovering) = &self.recovering {
-            recovering.meet(&partners(&newer.plan, me));
+            recovering.meet(&selected_peers(&newer.plan, me));
         }
-        let mut purses = self.purses.borrow_mut();
-        purses.retain(|tenant, _| newer.plan.credits.iter().any(|c| c.tenant == *tenant));
+        let mut balances = self.balances.borrow_mut();
+        balances.retain(|tenant, _| newer.plan.credits.iter().any(|c| c.tenant == *tenant));
         for credit in newer.plan.credits.iter().filter_map(|c| newer.plan.credit_part(&c.tenant, me)) {
             let part = CreditPart { whole: credit.jobs, reserve: credit.reserve };
             // What a tenant that had none begins with is not known: nothing, until its standing is confirmed.
-            let new = || Purse::restore(part, credit.shrink, CHUNK, None);
-            purses.entry(credit.tenant).or_insert_with(new).resize(part, credit.shrink);
+            let new = || CreditBalance::restore(part, credit.shrink, CHUNK, None);
+            balances.entry(credit.tenant).or_insert_with(new).resize(part, credit.shrink);
         }
-        drop(purses);
-        if let Some(homing) = &self.homing {
-            homing.replan(&newer.plan);
+        drop(balances);
+        if let Some(key_leases) = &self.key_leases {
+            key_leases.replan(&newer.plan);
         }
         self.line.borrow_mut().set(unix() as u64, &newer.plan.fleet, Some(&newer.keys));
         let version = newer.plan.version;
@@ -618,14 +622,14 @@
         let tenant = job.tenant.clone().unwrap_or_default();
         let key = Key::of(job.repeat_key.as_deref(), Some(id));
         let begun = self.taken.borrow().holds(&tenant, key.as_ref(), now);
-        let guest = self.lent.guest(&self.seeing.borrow(), class, job);
-        let mut barred = self.bars(class, job.repeat_key.as_deref().unwrap_or(id));
-        // Those that are sent away on the way back are told by chance when to come, see [`Mark::tells`].
+        let guest = self.spillover.guest(&self.site_health.borrow(), class, job);
+        let mut rejection = self.rejection_for(class, job.repeat_key.as_deref().unwrap_or(id));
+        // Those that are sent away on the way back are told by chance when to come, see [`Mark::extra_field`].
         let waits = self.recovering.as_ref().is_some_and(|r| r.admits() != Admits::All);
-        let again = barred.as_mut().filter(|b| waits && b.retry);
+        let again = rejection.as_mut().filter(|b| waits && b.retry);
         let recovers = again.is_some();
         again.into_iter().for_each(|b| b.retry = false);
-        let entry = match (&barred, begun) {
+        let entry = match (&rejection, begun) {
             (Some(_), _) => WorkState::Misdirected,
             (None, true) => WorkState::InProgress,
             (None, false) => WorkState::New,
@@ -641,7 +645,7 @@
                 key,
                 new: !begun,
                 spent: None,
-                barred,
+                rejection,
                 guest,
                 recovers,
                 guards,
@@ -667,92 +671,102 @@
     }
 
     /// Why a request is not to be taken, if it is not: the node is on its way back, or it must not run twice and may.
-    fn bars(&self, class: ClassId, key: &str) -> Option<Barred> {
+    fn rejection_for(&self, class: ClassId, key: &str) -> Option<Rejection> {
         let returns =
             self.recovering.as_ref().map(|r| (r.admits(), r.waits_for(self.now()).unwrap_or_default()));
         if let Some((Admits::Nothing, waits)) = returns {
-            return Some(Barred { status: 503, why: format!("recovering: waits for {waits}"), retry: true });
+            return Some(Rejection {
+                status: 503,
+                why: format!("recovering: waits for {waits}"),
+                retry: true,
+            });
         }
         let name = self.exchange.class_name(class);
         if !self.is_guarded(class) {
             return None;
         }
-        let barred = |status, why: &str| Some(Barred { status, why: why.to_string(), retry: status == 503 });
+        let rejection =
+            |status, why: &str| Some(Rejection { status, why: why.to_string(), retry: status == 503 });
         let known = self.placing.known(&name, key);
-        if let (Known::Free, Some(homing)) = (known, &self.homing) {
-            match homing.may_place(key) {
+        if let (Known::Free, Some(key_leases)) = (known, &self.key_leases) {
+            match key_leases.may_place(key) {
                 Ok(_) => {}
-                Err((_, true)) => return barred(503, "catching up"),
+                Err((_, true)) => return rejection(503, "catching up"),
                 Err((refused, false)) => {
                     let (status, why, retry) = refused.answer(self.lives(refused.home()));
-                    return Some(Barred { status, why, retry });
+                    return Some(Rejection { status, why, retry });
                 }
             }
         }
         match known {
-            Known::Free if !self.placing.asked() => barred(503, "catching up"),
+            Known::Free if !self.placing.asked() => rejection(503, "catching up"),
             Known::Free if returns.is_some_and(|(admits, _)| admits != Admits::All) => {
                 let waits = returns.map_or("", |(_, waits)| waits);
-                barred(503, &format!("recovering: waits for {waits}"))
+                rejection(503, &format!("recovering: waits for {waits}"))
             }
-            Known::Free if self.placing.failed().is_some() => barred(503, "placements can't be recorded"),
+            Known::Free if self.placing.failed().is_some() => rejection(503, "placements can't be recorded"),
             Known::Free => None,
-            Known::Served => barred(409, "served before"),
-            Known::MayHaveRun => barred(502, "may have run"),
+            Known::Served => rejection(409, "served before"),
+            Known::MayHaveRun => rejection(502, "may have run"),
         }
     }
 
     /// Whether clients may reach the node that is a home, as far as its site tells.
     fn lives(&self, home: &str) -> bool {
         let site = home.split_once('/').map_or("", |(site, _)| site);
-        self.seeing.borrow().state(site) != Some(Seen::Lost)
+        self.site_health.borrow().state(site) != Some(Seen::Lost)
     }
 
     /// Claim ranges, prove what was placed in them, and keep what is known of them.
-    fn homes(&self) {
-        let Some(homing) = &self.homing else { return };
-        let (now, seeing, siting) = (self.now(), self.seeing.borrow(), self.siting.borrow());
-        if self.placing.is_anew() && !self.homes_anew.replace(true) {
-            homing.forget(&siting.plan);
+    fn update_ownership(&self) {
+        let Some(key_leases) = &self.key_leases else { return };
+        let (now, site_health, siting) = (self.now(), self.site_health.borrow(), self.siting.borrow());
+        if self.placing.was_refounded() && !self.ownership_reset.replace(true) {
+            key_leases.forget(&siting.plan);
         }
-        if seeing.all_go_by() {
-            homing.settled();
+        if site_health.all_go_by() {
+            key_leases.settled();
         }
-        let sites = seeing.states().into_iter().map(|(site, seen, since)| (site, (seen, since)));
-        homing.claim(&siting.plan, sites.collect(), now);
+        let sites = site_health.states().into_iter().map(|(site, seen, since)| (site, (seen, since)));
+        key_leases.claim(&siting.plan, sites.collect(), now);
         // Until then not all is known that this node itself has placed.
         if self.placing.asked() {
-            let says = homing.prove(&siting.plan, self.placing.own(), &self.placing.history());
-            self.homes_says.borrow_mut().extend(says);
+            let outgoing_messages =
+                key_leases.prove(&siting.plan, self.placing.own(), &self.placing.history());
+            self.ownership_outgoing.borrow_mut().extend(outgoing_messages);
         }
-        homing.tell();
-        let kept = homing.kept();
-        let mut on_disk = self.homes_kept.borrow_mut();
+        key_leases.report();
+        let kept = key_leases.kept();
+        let mut on_disk = self.ownership_kept.borrow_mut();
         if kept != on_disk.0 && !on_disk.1 && self.store.takes() {
             on_disk.1 = true;
             let bytes = serde_json::to_vec(&kept).unwrap_or_default();
             let writes = self.writes.clone();
-            self.keeper.commit(vec![Op::Remember(HOMES.to_string(), bytes)], move |done| {
+            self.group_commit.commit(vec![Op::Remember(KEY_OWNERSHIP.to_string(), bytes)], move |done| {
                 // Nobody hears it where the node ends.
-                let _ = writes.send(Written::Homes(kept, done));
+                let _ = writes.send(Written::KeyOwnership(kept, done));
             });
         }
     }
 
     /// A node asks what was placed, or answers.
-    fn hear_homes(&self, from: u32, word: proof::Word) {
-        let Some(homing) = &self.homing else { return };
-        match word {
-            proof::Word::Ask { home, fence } => {
+    fn receive_proof(&self, from: u32, message: catch_up::Message) {
+        let Some(key_leases) = &self.key_leases else { return };
+        match message {
+            catch_up::Message::Ask { home, fence } => {
                 let (log, last) = self.placing.own();
                 let history = self.placing.history();
                 // One that has lost a disk can't say what it has placed.
-                let whole = proof::known(&history, self.seeing.borrow().site(), &self.name, (log, 0));
+                let whole = catch_up::known(&history, self.site_health.borrow().site(), &self.name, (log, 0));
                 if self.placing.asked() && whole {
-                    self.homes_says.borrow_mut().push((from, proof::Word::Tell { home, fence, log, last }));
+                    self.ownership_outgoing
+                        .borrow_mut()
+                        .push((from, catch_up::Message::Reply { home, fence, log, last }));
                 }
             }
-            proof::Word::Tell { home, fence, log, last } => homing.told(from, &home, fence, log, last),
+            catch_up::Message::Reply { home, fence, log, last } => {
+                key_leases.notified(from, &home, fence, log, last)
+            }
         }
     }
 
@@ -771,8 +785,8 @@
             self.settle();
             self.deadlines.after(BIND).await;
         };
-        info!("sites: this is {} of {}", self.name, self.seeing.borrow().site());
-        match &self.homing {
+        info!("sites: this is {} of {}", self.name, self.site_health.borrow().site());
+        match &self.key_leases {
             Some(_) => info!("homes: a guarded key is placed by the node that holds its range"),
             None => info!("homes: none; only the history keeps guarded keys from running twice, and two nodes that are asked for one at once may both place it"),
         }
@@ -814,9 +828,9 @@
                     }
                     Written::Reopened(done) => self.reopened(done),
                     Written::Resumed(done) => self.resumed(done),
-                    Written::Homes(kept, done) => {
+                    Written::KeyOwnership(kept, done) => {
                         looks = true;
-                        let mut on_disk = self.homes_kept.borrow_mut();
+                        let mut on_disk = self.ownership_kept.borrow_mut();
                         on_disk.1 = false;
                         match done {
                             Ok(()) => on_disk.0 = kept,
@@ -833,12 +847,12 @@
                 came = socket.recv_from(&mut buffer) => {
                     // An error is somebody's closed port, told late.
                     if let Ok((n, from)) = came {
-                        looks |= self.hear(&buffer[..n], from);
+                        looks |= self.receive(&buffer[..n], from);
                     }
                     // What waits already goes with it.
                     for _ in 0..AT_ONCE {
                         let Ok((n, from)) = socket.try_recv_from(&mut buffer) else { break };
-                        looks |= self.hear(&buffer[..n], from);
+                        looks |= self.receive(&buffer[..n], from);
                     }
                 }
                 () = self.woken.notified() => looks = true,
@@ -849,13 +863,13 @@
 
     /// When all but what is written and heard of placements is looked at again.
     fn due(&self, looked: Micros, now: Micros) -> Micros {
-        let due = (now + self.spread.borrow().due(now)).min(self.seeing.borrow().due(now));
+        let due = (now + self.spread.borrow().due(now)).min(self.site_health.borrow().due(now));
         let due = self.placing.more().into_iter().fold(due, Micros::min);
         due.min(looked + LOOK.as_micros() as Micros)
     }
 
     fn lend(&self) {
-        self.lent.pass(&mut self.seeing.borrow_mut(), &self.exchange, self.now());
+        self.spillover.pass(&mut self.site_health.borrow_mut(), &self.exchange, self.now());
     }
 
     /// Drop placements that are old enough and known at all sites.
@@ -867,9 +881,9 @@
         }
         self.sealed_at.set(now);
         let mut sites: BTreeMap<String, Vec<u32>> = BTreeMap::new();
-        for partner in partners(plan, me) {
-            if let Some(site) = plan.site_of_node(partner) {
-                sites.entry(site.name.clone()).or_default().push(partner);
+        for peer in selected_peers(plan, me) {
+            if let Some(site) = plan.site_of_node(peer) {
+                sites.entry(site.name.clone()).or_default().push(peer);
             }
         }
         self.placing.seal(&sites, plan.seal, unix());
@@ -880,13 +894,13 @@
         if self.store.takes() || self.reopens.get().is_none_or(|at| now < at) {
             return;
         }
-        if !self.reopens_told.replace(true) {
+        if !self.reopens_notified.replace(true) {
             warn!("sites: the disk takes nothing: guarded work is refused and the rest goes unrecorded. Make room; it is tried again every {} s", REOPEN / 1_000_000);
         }
         self.reopens.set(None);
         let writes = self.writes.clone();
         // Nobody hears it where the node ends.
-        self.keeper.reopen(move |done| drop(writes.send(Written::Reopened(done))));
+        self.group_commit.reopen(move |done| drop(writes.send(Written::Reopened(done))));
     }
 
     /// The store was opened again, and takes nothing yet: go on from what the disk has, and write first what has to be there.
@@ -906,7 +920,7 @@
         let mut ops = match self.placing.recover(now) {
             Ok(ops) => ops,
             Err(e) => {
-                return warn!("placements: the disk is not used: {e}: {}", shorepath_envelope::advice(&e))
+                return warn!("placements: the disk is not used: {e}: {}", shorepath_message_auth::advice(&e))
             }
         };
         used.holds(&self.siting.borrow().plan);
@@ -914,18 +928,18 @@
         let book = serde_json::to_vec(self.spread.borrow().book()).unwrap_or_default();
         ops.push(Op::Remember(BOOK.to_string(), book));
         // They are written anew with the next pass.
-        self.homes_kept.borrow_mut().0 = Kept::default();
+        self.ownership_kept.borrow_mut().0 = Kept::default();
         self.reopens.set(None);
         let writes = self.writes.clone();
         // Nobody hears it where the node ends.
-        self.keeper.resume(ops, move |done| drop(writes.send(Written::Resumed(done))));
+        self.group_commit.resume(ops, move |done| drop(writes.send(Written::Resumed(done))));
     }
 
     fn resumed(&self, done: Result<(), Arc<StoreError>>) {
         self.reopens.set(Some(self.now() + REOPEN));
         match done {
             Ok(()) => {
-                self.reopens_told.set(false);
+                self.reopens_notified.set(false);
                 info!("sites: the disk takes what is written again");
             }
             Err(e) => debug!("sites: the disk takes nothing again: {e}"),
@@ -938,7 +952,8 @@
         let (now, unix) = (self.now(), unix());
         let spread = self.spread.borrow();
         let book = spread.book();
-        let barring: BTreeSet<&str> = book.named().filter(|a| book.standing(a, unix).bars()).collect();
+        let barring: BTreeSet<&str> =
+            book.named().filter(|a| book.standing(a, unix).rejects_new_work()).collect();
         if barring.is_empty() {
             return;
         }
@@ -958,21 +973,21 @@
         let now = self.now();
         self.reopen(now);
         self.spread.borrow_mut().pass(now);
-        self.seeing.borrow_mut().pass(now);
+        self.site_health.borrow_mut().pass(now);
         self.seal(now);
         self.lend();
-        for changed in self.seeing.borrow_mut().changes() {
+        for changed in self.site_health.borrow_mut().changes() {
             info!("site {} {:?} before={:?} why={:?}", changed.site, changed.to, changed.from, changed.why);
         }
-        for Differs { node, version, own } in self.seeing.borrow_mut().differs() {
+        for Differs { node, version, own } in self.site_health.borrow_mut().differs() {
             match version == own {
                 true => warn!("sites: {node} goes by another file of version {own} than this node: give the one that is to hold a greater (version ...) and hand it to all nodes"),
                 false => info!("sites: {node} goes by version {version} of the file, this node by {own}: hand the newest to all nodes"),
             }
         }
         let mut confirmation = self.confirmation.get();
-        let heard = self.seeing.borrow().heard(now);
-        if let Some(alone) = confirmation.pass(heard, now) {
+        let received = self.site_health.borrow().received(now);
+        if let Some(alone) = confirmation.pass(received, now) {
             match alone {
                 // What is begun from now on without confirmation counts against the credit, wherever that is.
                 true => {
@@ -984,7 +999,7 @@
         }
         self.confirmation.set(confirmation);
         self.reconcile(self.placing.reconcile(unix(), now));
-        self.homes();
+        self.update_ownership();
         self.recover(now);
         self.settle();
         self.running();
@@ -1001,12 +1016,12 @@
             servers: self.exchange.has_servers(),
             asked: self.placing.asked(),
             complete: self.placing.complete(),
-            anew: self.placing.is_anew(),
-            epoch: self.homing.as_ref().map_or(self.placing.asked(), |h| h.holds()),
+            refounded: self.placing.was_refounded(),
+            epoch: self.key_leases.as_ref().map_or(self.placing.asked(), |h| h.holds()),
         };
         let wall = self.siting.borrow().wall();
         if recovering.pass(facts, now, wall) {
-            self.lent.cold(&self.seeing.borrow(), now);
+            self.spillover.cold(&self.site_health.borrow(), now);
         }
     }
 
@@ -1039,21 +1054,21 @@
     /// Bring what is kept and what the module is told up to date with what is known.
     fn settle(&self) {
         let now = self.times();
-        for news in self.spread.borrow_mut().news() {
-            match news {
-                News::Changed { account, change } => {
+        for updates in self.spread.borrow_mut().take_updates() {
+            match updates {
+                RegistryUpdate::Changed { account, change } => {
                     info!(
                         "account {account} {:?} number={} from={} reason={:?}",
                         change.standing, change.number, change.from, change.reason
                     );
-                    let takes_new = !change.standing.bars();
+                    let takes_new = !change.standing.rejects_new_work();
                     // What was passed over of it is looked at now.
                     self.looked.borrow_mut().clear();
                     let change = reconcile::Change { number: change.number, from: change.from, takes_new };
                     self.reconcile(self.placing.judge_by(|r| r.standing(&account, change)));
                 }
-                News::Newer { number } => info!("accounts: file {number} holds"),
-                News::TwoFiles { number } => warn!("accounts: two files of number {number} say different things; the stricter holds for each account until one of a greater number is handed out"),
+                RegistryUpdate::Newer { number } => info!("accounts: file {number} holds"),
+                RegistryUpdate::TwoFiles { number } => warn!("accounts: two files of number {number} say different things; the stricter holds for each account until one of a greater number is handed out"),
                 other => warn!("accounts: {other:?}"),
             }
         }
@@ -1063,32 +1078,35 @@
             if book.hash() != self.kept.get() {
                 self.kept.set(book.hash());
                 let bytes = serde_json::to_vec(book).unwrap_or_default();
-                self.keeper.commit(vec![Op::Remember(BOOK.to_string(), bytes)], |done| {
+                self.group_commit.commit(vec![Op::Remember(BOOK.to_string(), bytes)], |done| {
                     if let Err(e) = done {
                         warn!("accounts: what is known is not on the disk: {e}");
                     }
                 });
             }
-            let mut purses = self.purses.borrow_mut();
-            for (tenant, purse) in purses.iter_mut() {
+            let mut balances = self.balances.borrow_mut();
+            for (tenant, balance) in balances.iter_mut() {
                 let change = book.change(tenant, now.unix);
-                if now.alone_since.is_none() && purse.note_now() != Note::default() {
-                    let owed = purse.confirmed(&change);
+                if now.alone_since.is_none() && balance.note_now() != Note::default() {
+                    let owed = balance.confirmed(&change);
                     if owed > 0 {
                         warn!("account {tenant}: {owed} jobs were begun after it was closed, and are owed");
                     }
                 }
                 let mut writing = self.writing.borrow_mut();
                 if !self.store.takes() {
-                    purse.failed();
-                } else if let Some(note) = purse.durable_to().filter(|_| !writing.contains(tenant)) {
+                    balance.failed();
+                } else if let Some(note) = balance.durable_to().filter(|_| !writing.contains(tenant)) {
                     writing.push(tenant.clone());
                     let (writes, tenant) = (self.writes.clone(), tenant.clone());
                     let bytes = serde_json::to_vec(&note).unwrap_or_default();
-                    self.keeper.commit(vec![Op::Remember(format!("{PURSE}{tenant}"), bytes)], move |done| {
-                        // Nobody hears it where the node ends.
-                        let _ = writes.send(Written::Credit(tenant, note, done));
-                    });
+                    self.group_commit.commit(
+                        vec![Op::Remember(format!("{CREDIT_BALANCE}{tenant}"), bytes)],
+                        move |done| {
+                            // Nobody hears it where the node ends.
+                            let _ = writes.send(Written::Credit(tenant, note, done));
+                        },
+                    );
                 }
             }
         }
@@ -1097,11 +1115,11 @@
 
     fn wrote(&self, tenant: &str, note: Note, done: Result<(), Arc<StoreError>>) {
         self.writing.borrow_mut().retain(|t| t != tenant);
-        if let Some(purse) = self.purses.borrow_mut().get_mut(tenant) {
+        if let Some(balance) = self.balances.borrow_mut().get_mut(tenant) {
             match done {
-                Ok(()) => purse.wrote(note),
+                Ok(()) => balance.wrote(note),
                 Err(e) => {
-                    purse.failed();
+                    balance.failed();
                     warn!("account {tenant}: its credit can't be noted: {e}");
                 }
             }
@@ -1111,49 +1129,58 @@
     /// Bring the module's parts in line with what may be begun now.
     fn hold(&self) {
         let now = self.times();
-        let all = bars(self.spread.borrow().book(), &mut self.purses.borrow_mut(), now);
+        let all = restrictions(self.spread.borrow().book(), &mut self.balances.borrow_mut(), now);
         let mut parts = Vec::new();
-        for (tenant, bar) in all {
+        for (tenant, restriction) in all {
             let Some(of) = self.exchange.tenant(&tenant) else { continue };
-            if let Some(units) = bar.begin {
+            if let Some(units) = restriction.begin {
                 let units = units.saturating_add(self.exchange.begun(of));
                 parts.push(QuotaShare { kind: QuotaKind::NewWork(of), units, total: units, window: 0 });
             }
-            if !bar.send {
+            if !restriction.send {
                 parts.push(QuotaShare { kind: QuotaKind::TenantEnabled(of), units: 0, total: 0, window: 0 });
             }
         }
-        parts.extend(self.lent.parts());
-        if parts != *self.told.borrow() {
+        parts.extend(self.spillover.parts());
+        if parts != *self.notified.borrow() {
             debug!("sites: {parts:?}");
-            self.told.replace(parts.clone());
+            self.notified.replace(parts.clone());
             self.exchange.parts_hold(Source::Sites, parts);
         }
     }
 
     async fn speak(&self, socket: &UdpSocket) {
-        let accounts =
-            self.spread.borrow_mut().says().into_iter().map(|(to, word)| (to, Said::Accounts(word)));
-        let seeing = self.seeing.borrow_mut().says().into_iter().map(|(to, word)| (to, Said::Seeing(word)));
-        let homes = std::mem::take(&mut *self.homes_says.borrow_mut());
-        let homes = homes.into_iter().map(|(to, word)| (to, Said::Homes(word)));
-        let recovery = self.recovering.iter().flat_map(Recovering::says);
-        let recovery = recovery.map(|(to, word)| (to, Said::Recovery(word)));
+        let accounts = self
+            .spread
+            .borrow_mut()
+            .take_outgoing()
+            .into_iter()
+            .map(|(to, message)| (to, Sent::Accounts(message)));
+        let site_health = self
+            .site_health
+            .borrow_mut()
+            .take_outgoing()
+            .into_iter()
+            .map(|(to, message)| (to, Sent::SiteHealth(message)));
+        let ownership = std::mem::take(&mut *self.ownership_outgoing.borrow_mut());
+        let ownership = ownership.into_iter().map(|(to, message)| (to, Sent::KeyOwnership(message)));
+        let recovery = self.recovering.iter().flat_map(Recovering::take_outgoing);
+        let recovery = recovery.map(|(to, message)| (to, Sent::Recovery(message)));
         let text = accounts
-            .chain(seeing)
-            .chain(homes)
+            .chain(site_health)
+            .chain(ownership)
             .chain(recovery)
-            .map(|(to, said)| (to, serde_json::to_vec(&said).unwrap_or_default()));
+            .map(|(to, sent)| (to, serde_json::to_vec(&sent).unwrap_or_default()));
         let chance = self.chance.borrow_mut().rand_u64();
         let placements = self.placing.pass(self.now(), chance).into_iter();
-        let placements = placements.map(|(to, word)| (to, [&[PLACEMENTS], word.as_slice()].concat()));
-        let audit = self.auditing.iter().flat_map(|a| a.says());
-        let audit = audit.map(|(to, word)| (to, [&[AUDIT], word.as_slice()].concat()));
-        for (to, word) in text.chain(placements).chain(audit).collect::<Vec<_>>() {
+        let placements = placements.map(|(to, message)| (to, [&[PLACEMENTS], message.as_slice()].concat()));
+        let audit = self.auditing.iter().flat_map(|a| a.take_outgoing());
+        let audit = audit.map(|(to, message)| (to, [&[AUDIT], message.as_slice()].concat()));
+        for (to, message) in text.chain(placements).chain(audit).collect::<Vec<_>>() {
             let Some(address) = self.siting.borrow().plan.node(to).map(|n| n.address) else { continue };
-            let word = self.line.borrow_mut().seal(word);
+            let message = self.line.borrow_mut().seal(message);
             // Lost is lost: it is said again.
-            let _ = socket.send_to(&word, address).await;
+            let _ = socket.send_to(&message, address).await;
         }
     }
 
@@ -1161,8 +1188,8 @@
     fn credit(&self) {
         let credits = self.siting.borrow().plan.credits.clone();
         for credit in credits {
-            let tell = |r: &mut Reconciler| r.credit(&credit.tenant, credit.jobs, unix());
-            self.reconcile(self.placing.judge_by(tell));
+            let reply = |r: &mut Reconciler| r.credit(&credit.tenant, credit.jobs, unix());
+            self.reconcile(self.placing.judge_by(reply));
         }
     }
 
@@ -1174,12 +1201,12 @@
                 Decision::Debt { tenant, kind: Kind::Credit, jobs } => {
                     warn!("account {tenant}: {jobs} jobs were begun above its credit, over all sites");
                     let share = self.credit_share(tenant, *jobs);
-                    if let Some(purse) = self.purses.borrow_mut().get_mut(tenant) {
-                        purse.owe(share);
+                    if let Some(balance) = self.balances.borrow_mut().get_mut(tenant) {
+                        balance.owe(share);
                     }
                 }
-                Decision::Standing { tenant, number, faith, writer, entry } => warn!(
-                    "account {tenant}: work was begun after file {number} closed it: {faith:?} at {}/{} entry={entry}",
+                Decision::Standing { tenant, number, trust, writer, entry } => warn!(
+                    "account {tenant}: work was begun after file {number} closed it: {trust:?} at {}/{} entry={entry}",
                     writer.site, writer.node
                 ),
                 other => info!("placements: {other:?}"),
@@ -1196,52 +1223,52 @@
     }
 
     /// Whether something else than placements was told.
-    fn hear(&self, bytes: &[u8], from: SocketAddr) -> bool {
+    fn receive(&self, bytes: &[u8], from: SocketAddr) -> bool {
         let seems = {
             let siting = self.siting.borrow();
             let known = siting.plan.nodes().find(|(_, n)| n.address == from).map(|(_, n)| n.number);
             known.unwrap_or(0)
         };
         let mut line = self.line.borrow_mut();
-        let (sender, word) = match line.open(bytes, seems) {
-            Ok(Heard { sender: Some(sender), said }) => (sender, said),
+        let (sender, message) = match line.open(bytes, seems) {
+            Ok(Received { sender: Some(sender), sent }) => (sender, sent),
             Ok(_) => return false,
             Err(Dropped { refused, first }) => {
                 if first {
                     warn!(
                         "sites: a word from {from} is dropped: {refused}: {}",
-                        shorepath_envelope::advice(&refused)
+                        shorepath_message_auth::advice(&refused)
                     );
                 }
                 return false;
             }
         };
         let now = self.now();
-        if let Some((&PLACEMENTS, word)) = word.split_first() {
-            self.placing.hear(sender, word, now);
+        if let Some((&PLACEMENTS, message)) = message.split_first() {
+            self.placing.receive(sender, message, now);
             return false;
         }
-        if let Some((&AUDIT, word)) = word.split_first() {
+        if let Some((&AUDIT, message)) = message.split_first() {
             if let Some(auditing) = &self.auditing {
-                auditing.hear(word);
+                auditing.receive(message);
             }
             return false;
         }
-        match serde_json::from_slice(word) {
-            Ok(Said::Accounts(word)) => self.spread.borrow_mut().hear(sender, &word, now),
-            Ok(Said::Seeing(word)) => {
-                let heard = self.seeing.borrow_mut().hear(sender, &word, now);
-                match heard {
-                    Ok(()) => self.lent.heard(&self.seeing.borrow(), sender, &word, now),
+        match serde_json::from_slice(message) {
+            Ok(Sent::Accounts(message)) => self.spread.borrow_mut().receive(sender, &message, now),
+            Ok(Sent::SiteHealth(message)) => {
+                let received = self.site_health.borrow_mut().receive(sender, &message, now);
+                match received {
+                    Ok(()) => self.spillover.received(&self.site_health.borrow(), sender, &message, now),
                     Err(e) => debug!("sites: from {from}: {e}"),
                 }
             }
-            Ok(Said::Homes(word)) => {
-                self.hear_homes(sender, word);
+            Ok(Sent::KeyOwnership(message)) => {
+                self.receive_proof(sender, message);
             }
-            Ok(Said::Recovery(word)) => {
+            Ok(Sent::Recovery(message)) => {
                 if let Some(recovering) = &self.recovering {
-                    recovering.hear(sender, word, now);
+                    recovering.receive(sender, message, now);
                 }
             }
             Err(e) => debug!("sites: from {from}: {e}"),
@@ -1251,12 +1278,12 @@
 
     /// Where sites stand as this node sees them, for operators: a line each.
     pub fn state(&self) -> String {
-        let mut text = format!("own {}\n", self.seeing.borrow().site());
-        for (site, seen, since) in self.seeing.borrow().states() {
+        let mut text = format!("own {}\n", self.site_health.borrow().site());
+        for (site, seen, since) in self.site_health.borrow().states() {
             let ms = (self.now() - since) / 1_000;
             text += &format!("site {site} {seen:?} for_ms={ms}\n");
         }
-        text += &self.lent.state(&self.exchange, self.now());
+        text += &self.spillover.state(&self.exchange, self.now());
         let now = self.times();
         let standing = if now.alone_since.is_some() { "not confirmed" } else { "confirmed" };
         let spread = self.spread.borrow();
@@ -1270,12 +1297,12 @@
         }
         text += &self.placing.state();
         text += "\n";
-        if let Some(homing) = &self.homing {
-            text += &homing.state();
+        if let Some(key_leases) = &self.key_leases {
+            text += &key_leases.state();
         }
-        for (tenant, purse) in self.purses.borrow().iter() {
-            let Note { spent, debt, .. } = purse.note_now();
-            text += &format!("credit {tenant} left={} spent={spent} debt={debt}\n", purse.left());
+        for (tenant, balance) in self.balances.borrow().iter() {
+            let Note { spent, debt, .. } = balance.note_now();
+            text += &format!("credit {tenant} left={} spent={spent} debt={debt}\n", balance.left());
         }
         text
     }
@@ -1304,11 +1331,11 @@
                 .send(Written::Refused(id, "the node is back among those that recover".to_string()));
             return false;
         }
-        let fence = match &self.homing {
-            Some(homing) if guarded => match homing.may_place(&key) {
+        let fence = match &self.key_leases {
+            Some(key_leases) if guarded => match key_leases.may_place(&key) {
                 Ok(fence) => {
-                    homing.places(id, &key, fence);
-                    fence.word()
+                    key_leases.places(id, &key, fence);
+                    fence.message()
                 }
                 Err((refused, _)) => {
                     // Nobody hears it where the node ends.
@@ -1334,12 +1361,12 @@
     }
 
     fn may_send(&self, id: DispatchId) -> bool {
-        self.homing.as_ref().is_none_or(|h| h.may_send(id))
+        self.key_leases.as_ref().is_none_or(|h| h.may_send(id))
     }
 
     fn ended(&self, id: DispatchId, ran: Ran) {
-        if let Some(homing) = &self.homing {
-            homing.over(id);
+        if let Some(key_leases) = &self.key_leases {
+            key_leases.over(id);
         }
         self.placing.ended(id, ran, unix());
     }
@@ -1352,19 +1379,19 @@
     }
 
     /// A field that its answer has besides, with its time.
-    pub fn tells(&self, verdict: &Verdict) -> Option<(&'static str, Duration)> {
-        let Sites { lent, seeing, .. } = &*self.sites;
+    pub fn extra_field(&self, outcome: &ResponseOutcome) -> Option<(&'static str, Duration)> {
+        let Sites { spillover, site_health, .. } = &*self.sites;
         if self.recovers {
-            return Some(("Retry-After", lent.after(self.sites.now())));
+            return Some(("Retry-After", spillover.after(self.sites.now())));
         }
-        lent.tells(&seeing.borrow(), self.guest.as_deref(), verdict, self.sites.now())
+        spillover.extra_field(&site_health.borrow(), self.guest.as_deref(), outcome, self.sites.now())
     }
 
     /// Its final answer is on its way to the disk, where it has to be before the client has it: of what was sent to a server, and must
     /// not run twice.
     pub fn keeps(&self, status: u16, body: &[u8]) -> Option<Keeping> {
         let ((class, key), answers) = (self.guards.as_ref()?, self.sites.answers.as_ref()?);
-        if self.barred.is_some() || self.sites.placing.known(class, key) == Known::Free {
+        if self.rejection.is_some() || self.sites.placing.known(class, key) == Known::Free {
             return None;
         }
         let tenant = Some(self.tenant.as_str()).filter(|t| !t.is_empty());
@@ -1372,44 +1399,44 @@
     }
 
     /// The request was handed to the module; `barred` where it was turned away at once.
-    pub fn asked(&mut self, barred: bool) {
-        if barred {
+    pub fn asked(&mut self, rejection: bool) {
+        if rejection {
             return;
         }
         let now = self.sites.times();
         if self.new && now.alone_since.is_some() {
             let number = self.sites.spread.borrow().book().change(&self.tenant, now.unix).number;
-            if let Some(purse) = self.sites.purses.borrow_mut().get_mut(&self.tenant) {
-                self.spent = purse.spend(number, now.unix).then_some((number, now.unix));
+            if let Some(balance) = self.sites.balances.borrow_mut().get_mut(&self.tenant) {
+                self.spent = balance.spend(number, now.unix).then_some((number, now.unix));
             }
         }
         self.sites.taken.borrow_mut().take(&self.tenant, self.key.as_ref(), now.steady);
     }
 
     /// It has its final answer; why, where that is a bar.
-    pub fn over(self, verdict: &Verdict) -> Option<Barred> {
+    pub fn over(self, outcome: &ResponseOutcome) -> Option<Rejection> {
         let now = self.sites.times();
-        if matches!(verdict, Verdict::Denied { .. }) && self.new {
+        if matches!(outcome, ResponseOutcome::Shed { .. }) && self.new {
             // Nothing was begun: a repeat of it is new work, too.
             self.sites.taken.borrow_mut().forget(&self.tenant, self.key.as_ref());
-            if let (Some((number, at)), Some(purse)) =
-                (self.spent, self.sites.purses.borrow_mut().get_mut(&self.tenant))
+            if let (Some((number, at)), Some(balance)) =
+                (self.spent, self.sites.balances.borrow_mut().get_mut(&self.tenant))
             {
-                purse.unspend(number, at);
+                balance.unspend(number, at);
             }
         }
-        if !matches!(verdict, Verdict::Barred { .. }) {
+        if !matches!(outcome, ResponseOutcome::Rejected { .. }) {
             return None;
         }
-        if self.barred.is_some() {
-            return self.barred;
+        if self.rejection.is_some() {
+            return self.rejection;
         }
-        if let Some(barred) = self.sites.lent.barred(verdict) {
-            return Some(barred);
+        if let Some(rejection) = self.sites.spillover.rejection(outcome) {
+            return Some(rejection);
         }
         let spread = self.sites.spread.borrow();
-        let purses = self.sites.purses.borrow();
-        let Refusal { why, retry } = why(spread.book(), purses.get(&self.tenant), &self.tenant, now);
-        Some(Barred { status: if retry { 503 } else { 403 }, why: why.to_string(), retry })
+        let balances = self.sites.balances.borrow();
+        let Refusal { why, retry } = why(spread.book(), balances.get(&self.tenant), &self.tenant, now);
+        Some(Rejection { status: if retry { 503 } else { 403 }, why: why.to_string(), retry })
     }
 }
--- a/src/net/stopping.rs
+++ b/src/net/stopping.rs
@@ -15,15 +15,15 @@
 /// When a node that was told to stop does what.
 #[derive(Clone, Copy, Debug)]
 pub struct Stopping {
-    told: Instant,
+    notified: Instant,
     /// The longest deadline, as it is counted.
     longest: Duration,
 }
 
 impl Stopping {
     /// Told then, by settings with that longest deadline.
-    pub fn new(told: Instant, longest: Duration) -> Self {
-        Stopping { told, longest: longest.min(COUNTED) }
+    pub fn new(notified: Instant, longest: Duration) -> Self {
+        Stopping { notified, longest: longest.min(COUNTED) }
     }
 
     /// The same by settings that are read now: its times can only come sooner, or the node could be killed by
@@ -34,7 +34,7 @@
 
     /// Until then the node takes connections as before.
     pub fn refuses(&self) -> Instant {
-        self.told + COMING + SLACK
+        self.notified + COMING + SLACK
     }
 
     /// Until then it serves the connections that clients have. Guards clients against having no node at all
@@ -52,12 +52,12 @@
     /// What comes after the time for new connections has its answer by then: the longest deadline after that
     /// time the node may be killed.
     fn last_answer(&self) -> Instant {
-        self.told + COMING + self.longest - ARRIVAL.min(self.longest / 4)
+        self.notified + COMING + self.longest - ARRIVAL.min(self.longest / 4)
     }
 
     /// How long what came then can be waited for, where the time to be killed bounds that.
-    pub fn patience(&self, arrived: Instant) -> Option<Duration> {
-        let bound = arrived >= self.told + COMING - SLACK;
+    pub fn timeout(&self, arrived: Instant) -> Option<Duration> {
+        let bound = arrived >= self.notified + COMING - SLACK;
         bound.then(|| self.last_answer().saturating_duration_since(arrived))
     }
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -77,7 +77,7 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     active: Option<bool>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    words: Option<&'a str>,
+    messages: Option<&'a str>,
 }
 
 struct Instance {
@@ -252,17 +252,21 @@
                 let Some(event) = i.event(line).map_err(at)? else { continue };
                 let step = std::panic::AssertUnwindSafe(|| i.balancer.handle(now, event, &mut actions));
                 if let Err(cause) = std::panic::catch_unwind(step) {
-                    let words = cause
+                    let messages = cause
                         .downcast_ref::<String>()
                         .map(String::as_str)
                         .or(cause.downcast_ref::<&str>().copied())
                         .unwrap_or("the decision module panicked");
-                    let fatal =
-                        Reply { t: "FATAL", scheduler: Some(&name), words: Some(words), ..Reply::default() };
+                    let fatal = Reply {
+                        t: "FATAL",
+                        scheduler: Some(&name),
+                        messages: Some(messages),
+                        ..Reply::default()
+                    };
                     write_line(&mut output, &fatal)?;
                     write_line(&mut output, &Reply { t: "END", ..Reply::default() })?;
                     output.flush().map_err(|e| e.to_string())?;
-                    return Err(at(format!("the decision module failed: {words}")));
+                    return Err(at(format!("the decision module failed: {messages}")));
                 }
                 for action in actions.drain(..) {
                     write_line(&mut output, &reply(&action, &name, &i.names.endpoints))?;
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -3,8 +3,8 @@
 use rstest::rstest;
 use shorepath::net::answers::Answers;
 use shorepath::net::deadlines::Deadlines;
-use shorepath_sites::recover::Recover;
-use shorepath_store::keeper::Keeper;
+use shorepath_sites::recovery_config::Recover;
+use shorepath_store::group_commit::GroupCommit;
 use shorepath_store::Store;
 use std::rc::Rc;
 use std::sync::mpsc::channel;
@@ -32,12 +32,12 @@
     ));
     std::fs::create_dir_all(&folder).unwrap();
     let store = Arc::new(Store::open(&folder, 1 << 20).unwrap());
-    let keeper = Arc::new(Keeper::new(store.clone()).unwrap());
+    let group_commit = Arc::new(GroupCommit::new(store.clone()).unwrap());
     let clause = Recover { remember: 1 << 20, answer: 1_000, outlive: 0, peers: 0, catch_up: 0 };
-    let answers = Answers::new(store, keeper.clone(), &clause);
+    let answers = Answers::new(store, group_commit.clone(), &clause);
     let (gate, shut) = channel::<()>();
     let (began, begins) = channel();
-    keeper.commit(Vec::new(), move |_| {
+    group_commit.commit(Vec::new(), move |_| {
         began.send(()).unwrap();
         let _ = shut.recv();
     });
@@ -54,7 +54,7 @@
     });
     drop(gate);
     assert!(sent.contains(&waited), "{waited:?}");
-    drop((answers, keeper));
+    drop((answers, group_commit));
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
@@ -65,9 +65,9 @@
         std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("answers-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let store = Arc::new(Store::open(&folder, 1 << 20).unwrap());
-    let keeper = Arc::new(Keeper::new(store.clone()).unwrap());
+    let group_commit = Arc::new(GroupCommit::new(store.clone()).unwrap());
     let clause = Recover { remember: 1 << 20, answer: 1_000, outlive: 0, peers: 0, catch_up: 0 };
-    let answers = Answers::new(store, keeper, &clause);
+    let answers = Answers::new(store, group_commit, &clause);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().unwrap();
     runtime.block_on(async {
         let keeping = answers.keep(("actuator-cmd", None, "k"), (200, b"1"), 0).unwrap();
--- a/tests/backoff.rs
+++ b/tests/backoff.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 /// A change counts as told this long after discovery had it and could be reached.
-const TOLD: Duration = ms(6_000);
+const NOTIFIED_AFTER: Duration = ms(6_000);
 /// An empty line comes this often while nothing changes.
 const HEARTBEAT: Duration = ms(2_000);
 /// A watch that says nothing for this long is silent.
@@ -67,9 +67,9 @@
 
     fn after(seed: u64, nodes: u32, from: Instant, end: End) -> Node {
         let mut backoff = Backoff::new(seed, nodes, from);
-        backoff.heard(from);
+        backoff.received(from);
         let noticed = from + if let End::Reset(after) = end { after } else { SILENCE };
-        let at = noticed + backoff.pause(Watched::Told, None, noticed);
+        let at = noticed + backoff.pause(Watched::Notified, None, noticed);
         Node { backoff, from, at }
     }
 
@@ -106,8 +106,8 @@
             let mut node = Node::new(seed, nodes, Instant::now());
             let came = node.call(failure).or_else(|| node.call(Call::Answered)).unwrap() + TAKEN_IN;
             let limit = match failure {
-                Call::Answered | Call::Deaf => TOLD - WAIT,
-                _ => TOLD,
+                Call::Answered | Call::Deaf => NOTIFIED_AFTER - WAIT,
+                _ => NOTIFIED_AFTER,
             };
             assert!(came <= limit, "{nodes} nodes, seed {seed}, {failure:?}: {came:?} of {limit:?}");
         }
@@ -117,7 +117,10 @@
             while node.at - node.from < until {
                 node.call(Call::Busy(ms(0)));
             }
-            assert!(node.at - node.from <= TOLD - TAKEN_IN, "{nodes} nodes, seed {seed}, {until:?}");
+            assert!(
+                node.at - node.from <= NOTIFIED_AFTER - TAKEN_IN,
+                "{nodes} nodes, seed {seed}, {until:?}"
+            );
         }
     }
 }
@@ -130,7 +133,7 @@
         for reset in [ms(0), ms(500), HEARTBEAT, ms(2_499)] {
             let mut node = Node::after(seed, nodes, Instant::now(), End::Reset(reset));
             let came = node.call(Call::Answered).unwrap() + WAIT + TAKEN_IN;
-            assert!(came <= TOLD, "{nodes} nodes, seed {seed}, reset after {reset:?}: {came:?}");
+            assert!(came <= NOTIFIED_AFTER, "{nodes} nodes, seed {seed}, reset after {reset:?}: {came:?}");
         }
     }
 }
@@ -153,7 +156,7 @@
                 node.call(kind);
                 let came = node.at - back + WAIT + TAKEN_IN;
                 let case = format!("{nodes} nodes, seed {seed}, {kind:?} after {end:?}, call {n}");
-                assert!(came <= TOLD, "{case}: {came:?}");
+                assert!(came <= NOTIFIED_AFTER, "{case}: {came:?}");
                 let over = match kind {
                     Call::Mute => SILENCE,
                     Call::Busy(waited) => waited,
@@ -173,14 +176,17 @@
                 node.call(kinds[n % kinds.len()]);
             }
             let came = node.at - back + WAIT + TAKEN_IN;
-            assert!(came <= TOLD, "{nodes} nodes, seed {seed}, from {first} after {end:?}: {came:?}");
+            assert!(
+                came <= NOTIFIED_AFTER,
+                "{nodes} nodes, seed {seed}, from {first} after {end:?}: {came:?}"
+            );
         }
         // One call is swallowed by a discovery that is there all the time: in time where the next does not have to wait.
         for end in ends {
             let mut node = Node::after(seed, nodes, zero, end);
             node.call(Call::Mute);
             let came = node.call(Call::Answered).unwrap() + TAKEN_IN;
-            assert!(came <= TOLD, "{nodes} nodes, seed {seed}, mute once after {end:?}: {came:?}");
+            assert!(came <= NOTIFIED_AFTER, "{nodes} nodes, seed {seed}, mute once after {end:?}: {came:?}");
         }
     }
 }
@@ -262,7 +268,7 @@
         assert!(nodes < 300 || late >= fewest, "{nodes}: {late} of {fewest}");
     }
     let (times, _) = fleet(7, 300, Discovery::InTurn(150), true, Duration::ZERO);
-    assert!(times.len() == 300 && times.iter().all(|t| *t <= TOLD), "{times:?}");
+    assert!(times.len() == 300 && times.iter().all(|t| *t <= NOTIFIED_AFTER), "{times:?}");
 }
 
 /// All nodes are told within 6 s of the return of a discovery that answers calls in turn, if it can answer all of them within
@@ -274,14 +280,14 @@
         for (nodes, down) in [20, 100, 300].into_iter().flat_map(|n| [ms(8_000), ms(23_000)].map(|d| (n, d)))
         {
             let (times, _) = fleet(seed, nodes, Discovery::InTurn(nodes / 4), true, down);
-            let late = times.iter().filter(|t| **t + TAKEN_IN > down + TOLD).count();
+            let late = times.iter().filter(|t| **t + TAKEN_IN > down + NOTIFIED_AFTER).count();
             assert!(
                 times.len() == nodes as usize && late == 0,
                 "{nodes}, {down:?}, seed {seed}: {late} late"
             );
         }
         let (times, _) = fleet(seed, 300, Discovery::InTurn(115), true, Duration::ZERO);
-        let late = times.iter().filter(|t| **t + TAKEN_IN > TOLD).count();
+        let late = times.iter().filter(|t| **t + TAKEN_IN > NOTIFIED_AFTER).count();
         assert!(times.len() == 300 && late == 0, "seed {seed}: {late} late");
     }
 }
@@ -300,7 +306,7 @@
         let (mut times, mut most, mut total, mut late) = (Vec::new(), 0, 0, 0);
         for seed in 0..200 {
             let (came, calls) = fleet(seed, nodes, discovery, in_step, down);
-            late += came.iter().filter(|t| **t > TOLD + down).count() + nodes as usize - came.len();
+            late += came.iter().filter(|t| **t > NOTIFIED_AFTER + down).count() + nodes as usize - came.len();
             times.extend(came);
             most = most.max(calls.iter().copied().max().unwrap_or(0));
             total += calls.iter().sum::<u32>();
@@ -355,7 +361,7 @@
 #[test]
 fn an_agent_that_does_not_answer_is_tried_again_soon() {
     let now = Instant::now();
-    let late = now + 2 * TOLD;
+    let late = now + 2 * NOTIFIED_AFTER;
     let (first, longest) = (ms(50), ms(400));
     let mut backoff = Backoff::new(7, 1, now);
     let all: Vec<_> = (0..60).map(|_| backoff.pause(Watched::Nothing, Some(late), late)).collect();
@@ -364,7 +370,7 @@
     // What came before counts no more.
     assert!((0..20).all(|_| (first..ms(150)).contains(&backoff.pause(Watched::Busy, None, late))));
     assert!(backoff.pause(Watched::Nothing, None, late) <= first);
-    assert!((0..20).all(|_| backoff.pause(Watched::Told, None, late) <= ms(30)));
+    assert!((0..20).all(|_| backoff.pause(Watched::Notified, None, late) <= ms(30)));
 }
 
 /// What an agent has counts from the first moment of a process: it is called at once. Where lists are asked for, the
--- a/tests/golden/command_line.rs
+++ b/tests/golden/command_line.rs
@@ -5,15 +5,15 @@
 use crate::support::{command, config, PROGRAM};
 use rstest::rstest;
 use serde_json::{json, Value};
-use shorepath_budgets::words::{BudgetStatus, PartStatus, Status};
+use shorepath_quota::messages::{BudgetStatus, PartStatus, Status};
 use std::io::{Read, Write};
 use std::net::TcpListener;
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
 
 /// What a command prints on both outputs, and its code; the folder of its files is masked.
-fn printed(words: &[&str], config: &str, folder: &Path) -> String {
-    let out = command(words, config).output().unwrap();
+fn printed(messages: &[&str], config: &str, folder: &Path) -> String {
+    let out = command(messages, config).output().unwrap();
     let text = String::from_utf8_lossy(&out.stdout) + String::from_utf8_lossy(&out.stderr);
     let text = text.replace(folder.to_str().unwrap(), "DIR");
     // The configuration's name is another one each time.
@@ -76,8 +76,8 @@
         ("good", format!("(budgets {own} (budget probes (whole 9) (reserve 1)))")),
     ] {
         std::fs::write(&file, text).unwrap();
-        let words = [PROGRAM, "check", "--budgets", file.to_str().unwrap()];
-        found += &format!("# {name}\n{}", printed(&words, &config(&[]).to_string(), &files.of(0)));
+        let messages = [PROGRAM, "check", "--budgets", file.to_str().unwrap()];
+        found += &format!("# {name}\n{}", printed(&messages, &config(&[]).to_string(), &files.of(0)));
     }
     matches("complaints-budgets.txt", &found);
 }
@@ -87,8 +87,8 @@
     let files = Files::new("golden-sites");
     let (folder, file) = (files.of(0), files.of(0).join("sites.sexp"));
     let check = |name: &str| {
-        let words = [PROGRAM, "check", "--sites", file.to_str().unwrap()];
-        format!("# {name}\n{}", printed(&words, &config(&[]).to_string(), &folder))
+        let messages = [PROGRAM, "check", "--sites", file.to_str().unwrap()];
+        format!("# {name}\n{}", printed(&messages, &config(&[]).to_string(), &folder))
     };
     let mut found = check("good");
     for (name, more) in [
@@ -137,23 +137,23 @@
 }
 
 fn status() -> Status {
-    let part = |node: &str, amount, demand, doubted: bool| PartStatus {
+    let part = |node: &str, amount, demand, is_suspected: bool| PartStatus {
         node: node.into(),
         incarnation: 255,
         amount,
         demand,
         used: 1,
         number: 4,
-        heard: (!doubted).then_some(1_500_000),
-        doubted,
+        received: (!is_suspected).then_some(1_500_000),
+        is_suspected,
     };
-    let budget = |name: &str, free, debt, in_doubt| BudgetStatus {
+    let budget = |name: &str, free, debt, withheld| BudgetStatus {
         name: name.into(),
         whole: 9,
         reserved: 2,
         granted: 2,
-        lent: 1,
-        in_doubt,
+        surplus: 1,
+        withheld,
         free,
         debt,
         used: 2,
@@ -161,7 +161,7 @@
         parts: vec![part("n0", 2, 5, false), part("n1", 5, 0, true), part("n2", 5, 3, false)],
     };
     Status {
-        divider: "d0".into(),
+        allocator: "d0".into(),
         leader: Some("d0".into()),
         plan: 3,
         epoch: Some(77),
@@ -200,7 +200,7 @@
         }
     });
     let mut found = String::new();
-    for words in [
+    for messages in [
         vec!["status"],
         vec!["status", "--json"],
         vec!["explain", "probes"],
@@ -210,9 +210,9 @@
         vec!["status"],
         vec!["explain", "connections", "n0"],
     ] {
-        let (first, rest) = words.split_first().unwrap();
+        let (first, rest) = messages.split_first().unwrap();
         let all = [&[PROGRAM, "budgets", first, "--budgets", file.to_str().unwrap()], rest].concat();
-        found += &format!("# {}\n{}", words.join(" "), printed(&all, "{}", &files.of(0)));
+        found += &format!("# {}\n{}", messages.join(" "), printed(&all, "{}", &files.of(0)));
     }
     serving.join().unwrap();
     matches("figures-budgets.txt", &found);
--- a/tests/golden/files.rs
+++ b/tests/golden/files.rs
@@ -42,9 +42,9 @@
 
 /// The text with each number that stands after one of these names masked: times and what is drawn by chance.
 pub fn masked(text: &str, names: &[&str]) -> String {
-    let mask = |word: &str| {
-        let name = names.iter().find(|name| word.starts_with(**name));
-        name.map_or_else(|| word.to_string(), |name| format!("{name}*"))
+    let mask = |message: &str| {
+        let name = names.iter().find(|name| message.starts_with(**name));
+        name.map_or_else(|| message.to_string(), |name| format!("{name}*"))
     };
     let line = |line: &str| line.split(' ').map(mask).collect::<Vec<_>>().join(" ");
     text.lines().map(line).collect::<Vec<_>>().join("\n")
--- a/tests/golden/hot_restart.rs
+++ b/tests/golden/hot_restart.rs
@@ -82,11 +82,11 @@
     // An id that the next process has in use is not taken here, and is again once it is free there.
     std::thread::spawn(move || serves(backend));
     server.attended(serves);
-    for (said, status) in [("take theirs\n", 409), ("free theirs\n", 200)] {
-        (&link).write_all(said.as_bytes()).unwrap();
+    for (sent, status) in [("take theirs\n", 409), ("free theirs\n", 200)] {
+        (&link).write_all(sent.as_bytes()).unwrap();
         let begin = Instant::now();
         while node.ask("theirs", "/zone-plan").message().status() != status {
-            assert!(begin.elapsed() < LONG, "{said}");
+            assert!(begin.elapsed() < LONG, "{sent}");
         }
     }
     (&link).write_all(b"serving\n").unwrap();
