--- a/crates/accounts/src/lib.rs
+++ b/crates/accounts/src/lib.rs
@@ -17,8 +17,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A point in time or a length of time, in microseconds. Which clock counts is said where it is used.
-pub type Micros = i64;
+pub use shorepath_types::Micros;
 
 /// Where an account stands, from the mildest to the strictest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -14,5 +14,4 @@
 pub mod version;
 pub mod version_lag;
 
-/// A point in time, or a length of time, in microseconds; Unix time where it says so.
-pub type Micros = i64;
+pub use shorepath_types::Micros;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -19,8 +19,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A point in time on the caller's steady clock, or a length of time, in microseconds.
-pub type Micros = i64;
+pub use shorepath_types::Micros;
 
 /// One of those listed that were never heard of is greeted this often, in turn. Guards against groups that each know only
 /// themselves.
--- a/crates/placements/src/lib.rs
+++ b/crates/placements/src/lib.rs
@@ -14,8 +14,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A point in Unix time by the writer's clock, or a length of time, in microseconds.
-pub type Micros = i64;
+pub use shorepath_types::Micros;
 
 /// Who writes a log: a node of a site, by its number, with the number drawn when its log was founded.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -25,44 +25,11 @@
 pub mod rate_limiter;
 
 use serde::{Deserialize, Serialize};
-use siphasher::sip::SipHasher13;
-use std::hash::Hasher;
 
-/// A point in time on one's own clock, or a length of time, in microseconds.
-pub type Micros = i64;
-
-/// How a steady clock is wrong on purpose, in tests: its beginning and its rate.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ClockSkew {
-    /// It begins there, in microseconds.
-    pub offset: Micros,
-    /// It gains so many millionths.
-    pub drift_ppm: i64,
-}
-
-impl ClockSkew {
-    /// What it shows when that much time has passed.
-    pub fn at(&self, gone: Micros) -> Micros {
-        let (whole, rest) = (gone / 1_000_000, gone % 1_000_000);
-        self.offset + gone + whole * self.drift_ppm + rest * self.drift_ppm / 1_000_000
-    }
-}
+pub use shorepath_types::{ClockSkew, Micros, NodeId};
 
 const MILLION: u32 = 1_000_000;
 
-/// A node, by its name: lists of different versions may name nodes in another order.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct NodeId(pub u32);
-
-impl NodeId {
-    /// The number that stands for a name everywhere; the operator's file must not hold two names with one number.
-    pub fn of(name: &str) -> NodeId {
-        let mut hasher = SipHasher13::new();
-        hasher.write(name.as_bytes());
-        NodeId(hasher.finish() as u32)
-    }
-}
-
 /// One life of a node: a process from its start to its end. Two processes under one name have different ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeIncarnation {
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -12,5 +12,4 @@
 pub mod phases;
 pub mod slow_start;
 
-/// A point in time, or a length of time, in microseconds.
-pub type Micros = i64;
+pub use shorepath_types::Micros;
--- a/crates/scheduler/src/endpoint_order.rs
+++ b/crates/scheduler/src/endpoint_order.rs
@@ -34,7 +34,7 @@
         self.positions.get(endpoint.0 as usize).filter(|p| **p != NONE).map(|p| *p as usize)
     }
 
-    /// Replace the order; `is_waiting` says which endpoints wait for a start.
+    /// Replace the order; `is_waiting` is for endpoints that wait for a start.
     pub fn set(&mut self, ids: Vec<EndpointId>, is_waiting: impl Fn(EndpointId) -> bool) {
         self.positions.clear();
         self.waiting = vec![0; ids.len().div_ceil(BLOCK)];
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -16,6 +16,15 @@
 //! Requests are ordered by Redemptive Fair Queuing (Gulati and Varman, sections 3 and 4); comments that begin with `Departure:`
 //! mark where this differs from the paper, and why.
 
+#![warn(
+    clippy::cognitive_complexity,
+    clippy::fn_params_excessive_bools,
+    clippy::match_bool,
+    clippy::too_many_lines,
+    clippy::type_complexity,
+    clippy::wildcard_imports
+)]
+
 mod abandonment;
 mod action;
 mod concurrency_limit;
--- a/crates/scheduler/src/stale_connections.rs
+++ b/crates/scheduler/src/stale_connections.rs
@@ -5,7 +5,7 @@
 
 /// Weight of the newest sample.
 const SAMPLE_WEIGHT: f64 = 0.15;
-/// Idle times are told apart by doublings of a millisecond, up to this many.
+/// Idle times are distinguished by doublings of a millisecond, up to this many.
 const BUCKETS: usize = 16;
 /// The width of the first bucket.
 const FIRST_BUCKET: Micros = 1_000;
--- a/crates/sites/src/lib.rs
+++ b/crates/sites/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A site is a named group of nodes, dividers and backend servers with a disk that lasts.
 //!
-//! - [`mod@file`]: what the operators want;
+//! - [`config`]: what the operators want;
 //! - [`health`]: sites as one node sees them;
 //! - [`load_allocation`]: where the load of a site goes that can't take it, and what is refused first;
 //! - [`recovery_ramp`]: the return of a site's load, in steps;
@@ -22,8 +22,7 @@
 pub mod recovery_config;
 pub mod recovery_ramp;
 
-/// A point in time on one's own steady clock, or a length of time, in microseconds.
-pub type Micros = i64;
+pub use shorepath_types::Micros;
 
 /// Where a site stands, as another one sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
