--- a/src/main.rs
+++ b/src/main.rs
@@ -89,99 +89,122 @@
     }
 }
 
-fn run(command: Command) -> Result<(), Box<dyn std::error::Error>> {
+/// What `serve` is started with.
+struct ServeOptions {
+    verbose: bool,
+    no_handover: bool,
+    budgets: Option<PathBuf>,
+    sites: Option<PathBuf>,
+    state: Option<PathBuf>,
+    skew: ClockSkew,
+    config: Option<PathBuf>,
+}
+
+type Failure = Box<dyn std::error::Error>;
+
+fn run(command: Command) -> Result<(), Failure> {
     match command {
         Command::Serve { verbose, no_handover, budgets, sites, state, offset, drift, config } => {
-            // Before anything is read: whatever a signal is about is newer.
-            let startup = Startup::new()?;
-            let path = config.ok_or(ConfigError::Unnamed)?;
-            let config = read(Some(&path))?;
             let skew = ClockSkew { offset: offset.saturating_mul(1_000_000), drift_ppm: drift };
-            let sharing = budgets.map(|file| Sharing::read(file, &config.name, skew)).transpose()?;
-            let siting = match (sites, state) {
-                (Some(file), Some(state)) => Some(Siting::read(file, state, &config.name, skew)?),
-                (Some(_), None) => return Err(SitingError::Stateless.into()),
-                (None, _) => None,
-            };
-            let level = if verbose { Level::DEBUG } else { Level::INFO };
-            // Guards against a log that nobody reads any more, or too slowly: lines that can't be
-            // written are dropped. Written here, a full pipe would stop the node; and a broken one is
-            // complained about on the same standard error by default, which panics.
-            let (writer, _flushed_at_the_end) = NonBlockingBuilder::default()
-                .buffered_lines_limit(LOG_LINES)
-                .lossy(true)
-                .finish(std::io::stderr());
-            tracing_subscriber::fmt()
-                .with_max_level(level)
-                .log_internal_errors(false)
-                .with_writer(writer)
-                .with_target(false)
-                .init();
-            let handing = if no_handover { Handing::Off } else { Handing::On };
-            shorepath::net::serve(startup, config, handing, sharing, siting, move || {
-                Config::read_again(&path, variable)
-            })?;
+            serve(ServeOptions { verbose, no_handover, budgets, sites, state, skew, config })
         }
-        Command::Budgets { question } => ask::answer(&question)?,
-        Command::Check { budgets, sites, config } => {
-            if let Some(file) = &budgets {
-                let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-                let plan = budgets::read(&file.display().to_string(), &text)?;
-                for b in &plan.budgets {
-                    let (per, left) = (per(&b.per), plan.left(b)?);
-                    let (floors, reserves) =
-                        (b.floor * u64::from(plan.nodes), b.reserve * u64::from(plan.nodes));
-                    println!(
-                        "{}: {} {per}: {floors} floors, {reserves} reserves, {left} by demand",
-                        b.name, b.whole
-                    );
-                }
-            }
-            if budgets.is_none() || sites.is_some() || config.is_some() {
-                let config = read(config.as_deref())?;
-                let read = |file| Siting::read(file, PathBuf::new(), &config.name, ClockSkew::default());
-                let siting = sites.map(read).transpose()?;
-                if let Some(siting) = &siting {
-                    let strange = config.strange_in_sites(siting);
-                    if !strange.is_empty() {
-                        return Err(format!("the settings know nothing of {}", strange.join(", ")).into());
-                    }
-                    let plan = siting.plan();
-                    for site in &plan.sites {
-                        println!("{}: {} nodes, bears {} a second", site.name, site.nodes.len(), site.bears);
-                    }
-                    for (account, change) in siting.accounts() {
-                        println!("{account}: {:?} by file {}", change.standing, change.number);
-                    }
-                }
-                if let Some(file) = budgets {
-                    let sharing = Sharing::read(file, &config.name, ClockSkew::default())?;
-                    let strange = config.strangers(&sharing.plan);
-                    if !strange.is_empty() {
-                        return Err(format!("nothing here is bounded by {}", strange.join(", ")).into());
-                    }
-                    if let Some(siting) = &siting {
-                        let names = sharing.plan.budgets.iter().map(|b| b.name.as_str());
-                        let (missing, strange) =
-                            shorepath_sites::key_ownership::unmatched(siting.plan(), names);
-                        if !missing.is_empty() {
-                            let text = format!(
-                                "no budget for {}: nobody would place their keys",
-                                missing.join(", ")
-                            );
-                            return Err(text.into());
-                        }
-                        if !strange.is_empty() {
-                            return Err(
-                                format!("no node of the file of sites is {}", strange.join(", ")).into()
-                            );
-                        }
-                    }
-                }
-                println!("{}: would serve on {}", config.name, config.listen);
-            }
+        Command::Budgets { question } => ask::answer(&question),
+        Command::Check { budgets, sites, config } => check(budgets, sites, config.as_deref()),
+        Command::Version => {
+            println!("shorepath {}", env!("CARGO_PKG_VERSION"));
+            Ok(())
         }
-        Command::Version => println!("shorepath {}", env!("CARGO_PKG_VERSION")),
+    }
+}
+
+fn serve(options: ServeOptions) -> Result<(), Failure> {
+    // Before anything is read: whatever a signal is about is newer.
+    let startup = Startup::new()?;
+    let path = options.config.ok_or(ConfigError::Unnamed)?;
+    let config = read(Some(&path))?;
+    let skew = options.skew;
+    let sharing = options.budgets.map(|file| Sharing::read(file, &config.name, skew)).transpose()?;
+    let siting = match (options.sites, options.state) {
+        (Some(file), Some(state)) => Some(Siting::read(file, state, &config.name, skew)?),
+        (Some(_), None) => return Err(SitingError::Stateless.into()),
+        (None, _) => None,
+    };
+    let level = if options.verbose { Level::DEBUG } else { Level::INFO };
+    // Guards against a log that nobody reads any more, or too slowly: lines that can't be
+    // written are dropped. Written here, a full pipe would stop the node; and a broken one is
+    // complained about on the same standard error by default, which panics.
+    let (writer, _flushed_at_the_end) =
+        NonBlockingBuilder::default().buffered_lines_limit(LOG_LINES).lossy(true).finish(std::io::stderr());
+    tracing_subscriber::fmt()
+        .with_max_level(level)
+        .log_internal_errors(false)
+        .with_writer(writer)
+        .with_target(false)
+        .init();
+    let handing = if options.no_handover { Handing::Off } else { Handing::On };
+    let again = move || Config::read_again(&path, variable);
+    shorepath::net::serve(startup, config, handing, sharing, siting, again)?;
+    Ok(())
+}
+
+/// Check the files that are named. Without a configuration only a file of budgets can be checked.
+fn check(budgets: Option<PathBuf>, sites: Option<PathBuf>, config: Option<&Path>) -> Result<(), Failure> {
+    if let Some(file) = &budgets {
+        check_budgets(file)?;
+        if sites.is_none() && config.is_none() {
+            return Ok(());
+        }
+    }
+    let config = read(config)?;
+    let siting = sites.map(|file| check_sites(file, &config)).transpose()?;
+    if let Some(file) = budgets {
+        check_quotas(file, &config, siting.as_ref())?;
+    }
+    println!("{}: would serve on {}", config.name, config.listen);
+    Ok(())
+}
+
+fn check_budgets(file: &Path) -> Result<(), Failure> {
+    let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
+    let plan = budgets::read(&file.display().to_string(), &text)?;
+    for b in &plan.budgets {
+        let (per, left) = (per(&b.per), plan.left(b)?);
+        let (floors, reserves) = (b.floor * u64::from(plan.nodes), b.reserve * u64::from(plan.nodes));
+        println!("{}: {} {per}: {floors} floors, {reserves} reserves, {left} by demand", b.name, b.whole);
+    }
+    Ok(())
+}
+
+fn check_sites(file: PathBuf, config: &Config) -> Result<Siting, Failure> {
+    let siting = Siting::read(file, PathBuf::new(), &config.name, ClockSkew::default())?;
+    let strange = config.strange_in_sites(&siting);
+    if !strange.is_empty() {
+        return Err(format!("the settings know nothing of {}", strange.join(", ")).into());
+    }
+    for site in &siting.plan().sites {
+        println!("{}: {} nodes, bears {} a second", site.name, site.nodes.len(), site.bears);
+    }
+    for (account, change) in siting.accounts() {
+        println!("{account}: {:?} by file {}", change.standing, change.number);
+    }
+    Ok(siting)
+}
+
+/// Whether the quotas of a file of budgets fit the settings and the sites.
+fn check_quotas(file: PathBuf, config: &Config, siting: Option<&Siting>) -> Result<(), Failure> {
+    let sharing = Sharing::read(file, &config.name, ClockSkew::default())?;
+    let strange = config.strangers(&sharing.plan);
+    if !strange.is_empty() {
+        return Err(format!("nothing here is bounded by {}", strange.join(", ")).into());
+    }
+    let Some(siting) = siting else { return Ok(()) };
+    let names = sharing.plan.budgets.iter().map(|b| b.name.as_str());
+    let (missing, strange) = shorepath_sites::key_ownership::unmatched(siting.plan(), names);
+    if !missing.is_empty() {
+        return Err(format!("no budget for {}: nobody would place their keys", missing.join(", ")).into());
+    }
+    if !strange.is_empty() {
+        return Err(format!("no node of the file of sites is {}", strange.join(", ")).into());
     }
     Ok(())
 }
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -145,6 +145,26 @@
         self.sites.as_ref().and_then(|s| s.returns())
     }
 
+    /// Whether the node takes clients.
+    fn readiness(&self) -> Answer {
+        match self.frontend.ready() {
+            Ok(()) => match self.returns() {
+                None | Some((Admits::All, _)) => Answer::text(200, "ready", true),
+                Some((Admits::Repeatable, waits)) => {
+                    let text = format!(
+                        "ready for what may be repeated; the rest waits for {}",
+                        waits.unwrap_or("nothing")
+                    );
+                    Answer::text(200, &text, true)
+                }
+                Some((Admits::Nothing, waits)) => {
+                    Answer::text(503, &format!("recovering: waits for {}", waits.unwrap_or("nothing")), true)
+                }
+            },
+            Err(why) => Answer::text(503, why, true),
+        }
+    }
+
     fn answer(&self, request: &Request) -> Answer {
         let path = request.target.split('?').next().unwrap_or("");
         let method = match path {
@@ -160,24 +180,7 @@
             return Answer::not_allowed(method, true);
         }
         match path {
-            "/ops/readiness" => match self.frontend.ready() {
-                Ok(()) => match self.returns() {
-                    None | Some((Admits::All, _)) => Answer::text(200, "ready", true),
-                    Some((Admits::Repeatable, waits)) => {
-                        let text = format!(
-                            "ready for what may be repeated; the rest waits for {}",
-                            waits.unwrap_or("nothing")
-                        );
-                        Answer::text(200, &text, true)
-                    }
-                    Some((Admits::Nothing, waits)) => Answer::text(
-                        503,
-                        &format!("recovering: waits for {}", waits.unwrap_or("nothing")),
-                        true,
-                    ),
-                },
-                Err(why) => Answer::text(503, why, true),
-            },
+            "/ops/readiness" => self.readiness(),
             "/ops/sites" => {
                 let state = self.sites.as_ref().map(|s| s.state()).unwrap_or_default();
                 Answer::text(200, &state, true)
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -2,30 +2,29 @@
 //! follow from them for the module. What is said, when, and what may be used is decided in `shorepath-quota` and
 //! `shorepath-membership`; off where the operator names no file of budgets.
 
+mod config;
+mod list_calls;
+
 use super::deadlines::Deadlines;
 use super::exchange::{Exchange, Source};
 use super::frontend::Frontend;
 use super::key_leases::KeyLeases;
 use super::Job;
+pub use config::{Sharing, SharingError};
+pub use list_calls::ListCalls;
 use shorepath_audit::version::Content;
 use shorepath_membership::{Effect, MemberState, Membership, Peer};
 use shorepath_message_auth::advice;
 use shorepath_message_auth::channel::{Channel, Dropped};
-use shorepath_message_auth::keyring::{Keys, KeysError};
 use shorepath_quota::client::{QuotaClient, Use};
-use shorepath_quota::config::{Bounds, Budget, Per, Place, Plan};
+use shorepath_quota::config::{Bounds, Budget, Per, Place};
 use shorepath_quota::messages::Message;
-use shorepath_quota::rate_limiter::Meter;
 use shorepath_quota::{ClockSkew, Micros, NodeId, NodeIncarnation};
 use shorepath_scheduler::QuotaShare;
 use std::cell::{Cell, RefCell};
-use std::io::Read;
 use std::net::{IpAddr, SocketAddr};
-use std::os::unix::fs::MetadataExt;
-use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use thiserror::Error;
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 use tracing::{debug, info, warn};
@@ -38,169 +37,15 @@
 const IDLE: Duration = Duration::from_millis(250);
 /// How often it tries for its address while another process of this node has it.
 const BIND: Duration = Duration::from_millis(200);
-/// A call to discovery that has no unit looks again after this.
-const LISTS: Duration = Duration::from_millis(100);
 /// The largest datagram, in bytes.
 const LARGEST: usize = 64 * 1024;
 
-/// What the node is told of the fleet.
-#[derive(Clone, Debug)]
-pub struct Sharing {
-    /// The operator's file.
-    pub path: PathBuf,
-    /// As it was read.
-    pub plan: Plan,
-    /// What stands for its text.
-    pub content: Content,
-    /// The keys that it names, under which datagrams go.
-    pub keys: Option<Keys>,
-    /// How the clock is wrong; only tests have it so.
-    pub skew: ClockSkew,
-}
-
-/// Why a node can't take part.
-#[derive(Debug, Error)]
-pub enum SharingError {
-    /// The file can't be read.
-    #[error("{}: {source}", path.display())]
-    Unreadable {
-        /// The file.
-        path: PathBuf,
-        /// Why.
-        source: std::io::Error,
-    },
-    /// The file of keys can't be used.
-    #[error("{}: {}", path.display(), advice(source))]
-    Keys {
-        /// The file.
-        path: PathBuf,
-        /// Why.
-        source: KeysError,
-    },
-    /// The file can't be used.
-    #[error("{0}")]
-    Wrong(#[from] shorepath_sexp::ParseErrors),
-    /// The file does not list this node.
-    #[error("{}: {name} is no (node ...) of the file", path.display())]
-    Unlisted {
-        /// The file.
-        path: PathBuf,
-        /// The node.
-        name: String,
-    },
-    /// The drift that clocks are held to can't be changed while grants are out.
-    #[error("{}: (drift-ppm) can't change while the node runs", path.display())]
-    Drift {
-        /// The file.
-        path: PathBuf,
-    },
-    /// The system gave no number by chance.
-    #[error("no number by chance: {0}")]
-    Chance(getrandom::Error),
-}
-
-/// The keys in a file that is its owner's alone.
-fn keys(path: &Path) -> Result<Keys, SharingError> {
-    let unreadable = |source| SharingError::Unreadable { path: path.to_path_buf(), source };
-    let wrong = |source| SharingError::Keys { path: path.to_path_buf(), source };
-    let mut file = std::fs::File::open(path).map_err(unreadable)?;
-    Keys::mode(file.metadata().map_err(unreadable)?.mode()).map_err(wrong)?;
-    let mut text = String::new();
-    file.read_to_string(&mut text).map_err(unreadable)?;
-    Keys::read(&text).map_err(wrong)
-}
-
 /// Which life of its name a process is, for its envelopes and the membership: Unix microseconds at its start. It grows over restarts as long as the
 /// clock is not set back over one.
 fn unix() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
 }
 
-impl Sharing {
-    /// Read the file, in which a node of that name has to be listed.
-    pub fn read(path: PathBuf, name: &str, skew: ClockSkew) -> Result<Sharing, SharingError> {
-        let text = match std::fs::read_to_string(&path) {
-            Ok(text) => text,
-            Err(source) => return Err(SharingError::Unreadable { path, source }),
-        };
-        let plan = shorepath_quota::config::read(&path.display().to_string(), &text)?;
-        if plan.members.iter().all(|m| m.name != name) {
-            return Err(SharingError::Unlisted { path, name: name.to_string() });
-        }
-        let keys = plan.key.as_deref().map(keys).transpose()?;
-        Ok(Sharing { path, plan, content: Content::of(text.as_bytes()), keys, skew })
-    }
-}
-
-/// The part of the fleet's calls to discovery that this node may make; none where that is not bounded.
-#[derive(Debug, Default)]
-pub struct ListCalls {
-    part: RefCell<Option<(Meter, u64)>>,
-    origin: Cell<Option<Instant>>,
-    wanted: Cell<u64>,
-    used: Cell<u64>,
-    /// Calls that wait for a unit.
-    waiting: Cell<u64>,
-}
-
-/// A call that waits, for as long as this is kept.
-struct Waiting<'a>(&'a Cell<u64>);
-
-impl<'a> Waiting<'a> {
-    fn one(count: &'a Cell<u64>) -> Self {
-        count.set(count.get() + 1);
-        Waiting(count)
-    }
-}
-
-impl Drop for Waiting<'_> {
-    fn drop(&mut self) {
-        self.0.set(self.0.get() - 1);
-    }
-}
-
-impl ListCalls {
-    fn now(&self) -> Micros {
-        let origin = self.origin.get().unwrap_or_else(Instant::now);
-        self.origin.set(Some(origin));
-        origin.elapsed().as_micros() as Micros
-    }
-
-    fn hold(&self, rate: u64, burst: Micros) {
-        let now = self.now();
-        let mut part = self.part.borrow_mut();
-        let (meter, before) = part.get_or_insert((Meter::new(burst, now), 0));
-        meter.pass(now, *before);
-        *before = rate;
-    }
-
-    fn free(&self) {
-        self.part.replace(None);
-    }
-
-    /// Ready once a call may be made.
-    pub async fn take(&self, deadlines: &Rc<Deadlines>) {
-        self.wanted.set(self.wanted.get() + 1);
-        let _waits = Waiting::one(&self.waiting);
-        loop {
-            let now = self.now();
-            let there = self.part.borrow_mut().as_mut().is_none_or(|(meter, rate)| {
-                meter.pass(now, *rate);
-                meter.take()
-            });
-            if there {
-                return self.used.set(self.used.get() + 1);
-            }
-            deadlines.after(LISTS).await;
-        }
-    }
-
-    fn done(&self) -> Use {
-        // Guards against a call whose first asking was lost, or answered with nothing: what still waits is wanted on.
-        Use { wanted: self.wanted.take().max(self.waiting.get()), used: self.used.take() }
-    }
-}
-
 /// This node among the others.
 #[derive(Debug)]
 pub struct Fleet {
--- a/src/net/placing.rs
+++ b/src/net/placing.rs
@@ -1,31 +1,31 @@
 //! What this node has placed: written to its log, and asked of it when a request comes again. What is known of a key, and what that means,
 //! is decided in `shorepath-placements`.
 
+mod exchange;
+mod startup;
+
 use super::exchange::{DispatchId, Ran};
 use super::sites::Written;
-use shorepath_placements::anti_entropy::{Exchange, Message, Settings};
-use shorepath_placements::compaction;
+use shorepath_placements::anti_entropy::Exchange;
 use shorepath_placements::history::History;
 use shorepath_placements::idempotency_index::{Keys, Known};
 use shorepath_placements::log::{Copies, Log, LogError};
-use shorepath_placements::log_recovery::{LogFate, LogRecovery, Slot};
-use shorepath_placements::reconcile::{self, Decision, Reconciler};
-use shorepath_placements::{End, Entry, Timed, Writer};
+use shorepath_placements::log_recovery::{LogRecovery, Slot};
+use shorepath_placements::reconcile::{Decision, Reconciler};
+use shorepath_placements::{compaction, reconcile, End, Entry, Timed, Writer};
 use shorepath_quota::Micros;
 use shorepath_store::group_commit::GroupCommit;
-use shorepath_store::{Op, Store};
+use shorepath_store::Store;
 use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 use tokio::sync::mpsc;
-use tracing::{debug, info, warn};
+use tracing::{info, warn};
 
 /// Guarded work waits until all partners have said what they know of this node's log and of keys, or this long, where one at least has.
 const ASKING: Micros = 3_000_000;
 /// Reconciling goes on after this while there is more: a slice of it takes about a millisecond at most, so clients keep nine tenths.
 const GOES_ON: Micros = 10_000;
-/// Words of that many bytes together go in one datagram, each after its length.
-const TOGETHER: usize = 1_200;
 
 /// The log of this node, what is known of others', and of keys.
 #[derive(Debug)]
@@ -136,120 +136,6 @@
         }
     }
 
-    /// Exchange with these from now on; each gets from another what the nodes beside it write, by site and name. What is to be written and
-    /// shown waits for what comes in so long.
-    pub fn meet(&self, peers: Vec<(u32, BTreeSet<(String, String)>)>, group: Micros, now: Micros) {
-        self.group.set(group);
-        let mut exchanges = self.exchanges.borrow_mut();
-        exchanges.retain(|node, _| peers.iter().any(|(peer, _)| peer == node));
-        for (node, spare) in peers {
-            let new = || Exchange::new(Settings::default(), self.life, now);
-            exchanges.entry(node).or_insert_with(new).spare(spare);
-        }
-    }
-
-    /// A partner says something: one word after the other.
-    pub fn receive(&self, from: u32, mut messages: &[u8], now: Micros) {
-        while let Some((length, rest)) = messages.split_first_chunk::<2>() {
-            let Some((message, rest)) = rest.split_at_checked(usize::from(u16::from_be_bytes(*length)))
-            else {
-                return debug!("placements: from {from}: a datagram was cut");
-            };
-            self.message(from, message, now);
-            messages = rest;
-        }
-    }
-
-    fn message(&self, from: u32, message: &[u8], now: Micros) {
-        let mut exchanges = self.exchanges.borrow_mut();
-        let Some(exchange) = exchanges.get_mut(&from) else { return };
-        let received = Message::decode(message)
-            .and_then(|message| exchange.receive(&mut *self.history.borrow_mut(), message, now));
-        let received = match received {
-            Ok(received) => received,
-            Err(e) => return debug!("placements: from {from}: {e}"),
-        };
-        let kept = |done: Result<(), LogError>| {
-            if let Err(e) = done {
-                warn!("placements: a copy is not on the disk: {e}");
-            }
-        };
-        for piece in &received.pieces {
-            self.copies.later(piece);
-            self.waits.set(true);
-            exchanges
-                .iter_mut()
-                .filter(|(node, _)| **node != from)
-                .for_each(|(_, e)| e.note_update(&piece.writer));
-        }
-        if let Some((writer, base)) = &received.sealed {
-            self.copies.base(writer, base, kept);
-        }
-        let (history, mut keys) = (self.history.borrow(), self.keys.borrow_mut());
-        let pieces = received.pieces.iter().map(|piece| &piece.writer);
-        pieces.chain(received.sealed.iter().map(|(w, _)| w)).for_each(|w| feed(&history, &mut keys, w));
-        if received.new > 0 {
-            self.note_update(now);
-        }
-    }
-
-    /// There is more to reconcile.
-    fn note_update(&self, now: Micros) {
-        self.fresh.set(true);
-        if self.more.get().is_none() {
-            self.more.set(Some(now + self.group.get()));
-        }
-    }
-
-    /// Time has passed. What is to be said, and to whom.
-    pub fn pass(&self, now: Micros, chance: u64) -> Vec<(u32, Vec<u8>)> {
-        let unshown = self.log.durable().0 > self.shown.get();
-        if now >= self.next.get() && (unshown || self.waits.get()) && !self.flushes.get() {
-            self.next.set(now + self.group.get());
-            if self.waits.take() {
-                self.flush();
-            } else {
-                self.shows.set(true);
-            }
-        }
-        let shows = self.shows.take();
-        let due = self.exchanges.borrow().values().any(|e| e.due() <= now);
-        // Until partners were asked, nothing is written that would have to be shown.
-        let asks = !self.log_recovery.borrow().asked();
-        if !shows && !due && !asks {
-            return Vec::new();
-        }
-        let writer = self.log.writer();
-        if shows && unshown {
-            match self.log.pour(&mut self.history.borrow_mut()) {
-                Ok(_) => self.note_update(now),
-                Err(e) => warn!("placements: {e}"),
-            }
-            self.shown.set(self.log.durable().0);
-        }
-        self.ask(&writer, now);
-        let history = self.history.borrow();
-        let mut outgoing_messages: Vec<(u32, Vec<u8>)> = Vec::new();
-        for (node, exchange) in self.exchanges.borrow_mut().iter_mut() {
-            if !shows && exchange.due() > now {
-                continue;
-            }
-            exchange.pass(&*history, now, chance.rotate_left(*node % 64));
-            for message in exchange.take_outgoing() {
-                let message = message.encode();
-                let length = (message.len() as u16).to_be_bytes();
-                match outgoing_messages
-                    .last_mut()
-                    .filter(|(to, sent)| to == node && sent.len() + message.len() <= TOGETHER)
-                {
-                    Some((_, sent)) => sent.extend(length.iter().chain(&message)),
-                    None => outgoing_messages.push((*node, [&length, message.as_slice()].concat())),
-                }
-            }
-        }
-        outgoing_messages
-    }
-
     /// What was to be flushed is on the disk, or never will be.
     pub fn flushed(&self) {
         self.flushes.set(false);
@@ -312,57 +198,6 @@
         }
     }
 
-    /// See what partners say of this node's own log before anything is written to it: where they know more of it than the disk does,
-    /// an older disk was put back.
-    fn ask(&self, writer: &Writer, now: Micros) {
-        let mut log_recovery = self.log_recovery.borrow_mut();
-        let own = self.log.durable();
-        let exchanges = self.exchanges.borrow();
-        let Some(outcome) = log_recovery.ask(exchanges.values(), &self.history.borrow(), writer, own, now)
-        else {
-            return;
-        };
-        match outcome {
-            LogFate::Refounded(known) => {
-                warn!("placements: others know entry {known} of this log, the disk does not: an older disk was put back; another log is founded");
-                if let Err(e) = self.log.refound(self.life) {
-                    warn!("placements: {e}");
-                }
-                self.out.borrow_mut().retain(|_, slot| matches!(slot, Slot::Held(_)));
-                // Numbers count from 1 again.
-                self.shown.set(0);
-                self.unwritten.borrow_mut().clear();
-                self.refounded.set(true);
-            }
-            LogFate::GoesOn(true) => {}
-            LogFate::GoesOn(false) => {
-                info!("placements: no partner was heard, what need not be guarded is recorded")
-            }
-        }
-        let numbers = log_recovery.write(outcome, |timed| self.later(timed));
-        self.out.borrow_mut().retain(|_, slot| {
-            if let Slot::Held(ticket) = slot {
-                let Some(number) = numbers.get(ticket) else { return false };
-                *slot = Slot::Written(*number);
-            }
-            true
-        });
-        if log_recovery.asked() {
-            info!("placements: partners were asked, guarded work is taken");
-        }
-    }
-
-    /// Whether partners were asked already.
-    pub fn asked(&self) -> bool {
-        self.log_recovery.borrow().asked()
-    }
-
-    /// Whether every partner has said all that it knows.
-    pub fn complete(&self) -> bool {
-        let exchanges = self.exchanges.borrow();
-        !exchanges.is_empty() && exchanges.values().all(Exchange::complete)
-    }
-
     /// When [`Placing::pass`] is wanted at the latest.
     pub fn due(&self, now: Micros) -> Option<Micros> {
         let waits = self.waits.get() || self.log.durable().0 > self.shown.get();
@@ -522,36 +357,6 @@
         });
     }
 
-    /// The store was opened again: go on from what the disk has. What has to be committed before anything else.
-    ///
-    /// # Errors
-    /// What is there can't be used.
-    pub fn recover(&self, now: Micros) -> Result<Vec<Op>, LogError> {
-        let mut ops = self.log.recover()?;
-        // Numbers of entries that never reached the disk are given anew: nothing may be known by them.
-        self.keys.take();
-        self.log.pour(&mut self.history.borrow_mut())?;
-        self.feed();
-        let open = self.log.open_placements();
-        let mut out = self.out.borrow_mut();
-        out.retain(|_, slot| match slot {
-            Slot::Written(number) => open.contains_key(number),
-            Slot::Held(_) => true,
-        });
-        let known: Vec<Slot> = out.values().copied().collect();
-        drop(out);
-        let ends = self.unwritten.take();
-        let open = open.into_keys().filter(|of| !known.contains(&Slot::Written(*of)));
-        let open = open.map(|of| (of, ends.get(&of).copied().unwrap_or(End::Unknown)));
-        ops.extend(self.copies.rewrite_all(&self.history.borrow()));
-        // Whether the disk is an older one is asked again: another log could not be founded.
-        self.log_recovery.borrow_mut().again(now, open);
-        self.fresh.set(true);
-        self.more.set(Some(now));
-        self.shows.set(true);
-        Ok(ops)
-    }
-
     /// For operators: the log's last entry, how many keys are remembered, what went unrecorded, and what stands for all that is known.
     pub fn state(&self) -> String {
         let (last, keys) = (self.log.durable().0, self.keys.borrow().len());
--- /dev/null
+++ b/src/net/sites/accounts.rs
@@ -0,0 +1,113 @@
+//! Accounts and credit: what follows from files of accounts and from what all sites have placed.
+
+use super::persistence::Written;
+use super::{unix, Sites, BOOK, CREDIT_BALANCE};
+use shorepath_accounts::credit::Note;
+use shorepath_accounts::registry::RegistryUpdate;
+use shorepath_placements::reconcile;
+use shorepath_placements::reconcile::{Decision, Kind, Reconciler};
+use shorepath_quota::NodeId;
+use shorepath_store::Op;
+use tracing::{info, warn};
+
+impl Sites {
+    /// Bring what is kept and what the module is told up to date with what is known.
+    pub(super) fn settle(&self) {
+        let now = self.times();
+        for updates in self.spread.borrow_mut().take_updates() {
+            match updates {
+                RegistryUpdate::Changed { account, change } => {
+                    info!(
+                        "account {account} {:?} number={} from={} reason={:?}",
+                        change.standing, change.number, change.from, change.reason
+                    );
+                    let takes_new = !change.standing.rejects_new_work();
+                    // What was passed over of it is looked at now.
+                    self.looked.borrow_mut().clear();
+                    let change = reconcile::Change { number: change.number, from: change.from, takes_new };
+                    self.reconcile(self.placing.judge_by(|r| r.standing(&account, change)));
+                }
+                RegistryUpdate::Newer { number } => info!("accounts: file {number} holds"),
+                RegistryUpdate::TwoFiles { number } => warn!("accounts: two files of number {number} say different things; the stricter holds for each account until one of a greater number is handed out"),
+                other => warn!("accounts: {other:?}"),
+            }
+        }
+        {
+            let spread = self.spread.borrow();
+            let book = spread.book();
+            if book.hash() != self.kept.get() {
+                self.kept.set(book.hash());
+                let bytes = serde_json::to_vec(book).unwrap_or_default();
+                self.group_commit.commit(vec![Op::Remember(BOOK.to_string(), bytes)], |done| {
+                    if let Err(e) = done {
+                        warn!("accounts: what is known is not on the disk: {e}");
+                    }
+                });
+            }
+            let mut balances = self.balances.borrow_mut();
+            for (tenant, balance) in balances.iter_mut() {
+                let change = book.change(tenant, now.unix);
+                if now.alone_since.is_none() && balance.note_now() != Note::default() {
+                    let owed = balance.confirmed(&change);
+                    if owed > 0 {
+                        warn!("account {tenant}: {owed} jobs were begun after it was closed, and are owed");
+                    }
+                }
+                let mut writing = self.writing.borrow_mut();
+                if !self.store.takes() {
+                    balance.failed();
+                } else if let Some(note) = balance.durable_to().filter(|_| !writing.contains(tenant)) {
+                    writing.push(tenant.clone());
+                    let (writes, tenant) = (self.writes.clone(), tenant.clone());
+                    let bytes = serde_json::to_vec(&note).unwrap_or_default();
+                    self.group_commit.commit(
+                        vec![Op::Remember(format!("{CREDIT_BALANCE}{tenant}"), bytes)],
+                        move |done| {
+                            // Nobody hears it where the node ends.
+                            let _ = writes.send(Written::Credit(tenant, note, done));
+                        },
+                    );
+                }
+            }
+        }
+        self.hold();
+    }
+
+    /// Credits count from now on, over all sites.
+    pub(super) fn credit(&self) {
+        let credits = self.siting.borrow().plan.credits.clone();
+        for credit in credits {
+            let reply = |r: &mut Reconciler| r.credit(&credit.tenant, credit.jobs, unix());
+            self.reconcile(self.placing.judge_by(reply));
+        }
+    }
+
+    /// What follows from histories.
+    pub(super) fn reconcile(&self, decisions: Vec<Decision>) {
+        for decision in decisions {
+            match &decision {
+                Decision::Violation(story) => warn!("placements: a job that must not run twice may have: {story:?}"),
+                Decision::Debt { tenant, kind: Kind::Credit, jobs } => {
+                    warn!("account {tenant}: {jobs} jobs were begun above its credit, over all sites");
+                    let share = self.credit_share(tenant, *jobs);
+                    if let Some(balance) = self.balances.borrow_mut().get_mut(tenant) {
+                        balance.owe(share);
+                    }
+                }
+                Decision::Standing { tenant, number, trust, writer, entry } => warn!(
+                    "account {tenant}: work was begun after file {number} closed it: {trust:?} at {}/{} entry={entry}",
+                    writer.site, writer.node
+                ),
+                other => info!("placements: {other:?}"),
+            }
+        }
+    }
+
+    /// This node's part of a debt, by its part of the credit; rounded up.
+    pub(super) fn credit_share(&self, tenant: &str, jobs: u64) -> u64 {
+        let plan = &self.siting.borrow().plan;
+        let whole = plan.credits.iter().find(|c| c.tenant == tenant).map_or(0, |c| c.jobs);
+        let part = plan.credit_part(tenant, NodeId::of(&self.name).0).map_or(0, |c| c.jobs);
+        (u128::from(jobs) * u128::from(part)).div_ceil(u128::from(whole.max(1))) as u64
+    }
+}
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,9 +1,11 @@
 //! JSON lines to events and actions to JSON lines. Nothing is decided here.
 
 use serde::{Deserialize, Serialize};
-use shorepath_scheduler::Scheduler;
-use shorepath_scheduler::*;
-use shorepath_scheduler::{micros_from_ms, name_hash, Catalog, NameTable, SettingsObject};
+use shorepath_scheduler::{
+    micros_from_ms, name_hash, Action, AttemptStatus, Catalog, ClassId, Endpoint, EndpointId, EndpointState,
+    Event, KeyId, KindId, Micros, NameTable, Request, RequestId, Scheduler, SettingsObject, TenantId,
+    WorkState, ZoneId,
+};
 use std::collections::HashMap;
 use std::io::{BufRead, Write};
 
@@ -130,6 +132,25 @@
         Ok(list)
     }
 
+    /// The request that a line brings.
+    fn request(&self, line: &Line) -> Result<Request, String> {
+        let service = need(line.service.as_deref(), "service")?;
+        let class = self.names.classes.get(service).ok_or_else(|| format!("unknown service '{service}'"));
+        let tenant = line.user_group.as_ref().and_then(|v| v.as_str());
+        Ok(Request {
+            id: need(line.xid, "xid").map(RequestId)?,
+            class: ClassId(class? as usize),
+            tenant: tenant.and_then(|n| self.names.tenants.get(n)).map(|n| TenantId(n as usize)),
+            key: line.key.as_deref().map(|k| KeyId(name_hash(k))),
+            time_remaining: micros_from_ms(need(line.time_left_ms, "time_left_ms")?),
+            work_hint: line.hint_ms.filter(|h| *h > 0.0).map(micros_from_ms),
+            slots: line.needs.unwrap_or(1.0).max(1.0) as u32,
+            is_retry: line.resent,
+            work_state: WorkState::New,
+            is_remote: false,
+        })
+    }
+
     /// The event that a line stands for; `None` for what the module has no use for.
     fn event(&mut self, line: Line) -> Result<Option<Event>, String> {
         let id = || need(line.xid, "xid").map(RequestId);
@@ -147,23 +168,7 @@
                     other => return Err(format!("unknown form '{other}'")),
                 }
             }
-            "REQUEST" => {
-                let service = need(line.service.as_deref(), "service")?;
-                let class = self.names.classes.get(service);
-                let tenant = line.user_group.as_ref().and_then(|v| v.as_str());
-                Event::RequestArrived(Request {
-                    id: id()?,
-                    class: ClassId(class.ok_or_else(|| format!("unknown service '{service}'"))? as usize),
-                    tenant: tenant.and_then(|n| self.names.tenants.get(n)).map(|n| TenantId(n as usize)),
-                    key: line.key.as_deref().map(|k| KeyId(name_hash(k))),
-                    time_remaining: micros_from_ms(need(line.time_left_ms, "time_left_ms")?),
-                    work_hint: line.hint_ms.filter(|h| *h > 0.0).map(micros_from_ms),
-                    slots: line.needs.unwrap_or(1.0).max(1.0) as u32,
-                    is_retry: line.resent,
-                    work_state: WorkState::New,
-                    is_remote: false,
-                })
-            }
+            "REQUEST" => Event::RequestArrived(self.request(&line)?),
             "ACCEPTED" => Event::StreamStarted { id: id()?, attempt: attempt()? },
             "NOTE" => match need(line.kind, "kind")? {
                 1 => Event::AttemptStarted { id: id()?, attempt: attempt()? },
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -605,6 +605,14 @@
         self.finish(id, result);
     }
 
+    /// The same in one piece: between a start and an end that come apart the node may send the next job on a connection of its own.
+    pub fn serve_at_once(&mut self, id: &str, result: &str) {
+        let line = |value: Value| format!("{:x}\r\n{value}\n\r\n", value.to_string().len() + 1);
+        let started = line(json!({"id": id, "from": "s", "state": "started"}));
+        let done = line(json!({"id": id, "from": "s", "state": "done", "result": result}));
+        self.send(&format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{started}{done}0\r\n\r\n"));
+    }
+
     pub fn finish(&mut self, id: &str, result: &str) {
         let text = json!({"id": id, "from": "s", "state": "done", "result": result}).to_string();
         // In one piece, so that the connection is free before the client can ask again.
