--- a/src/net/auditing.rs
+++ b/src/net/auditing.rs
@@ -334,9 +334,9 @@
             let versions = steers.map_or(String::new(), |v| {
                 v.iter().map(|(item, version)| format!(" {}={version}", item.name())).collect()
             });
-            let (for_ms, heard_ms) = ((self.now() - since) / 1_000, (self.now() - received) / 1_000);
+            let (for_ms, received_ms) = ((self.now() - since) / 1_000, (self.now() - received) / 1_000);
             text += &format!(
-                "node {} content={} last={} for_ms={for_ms} heard_ms={heard_ms}{versions}\n",
+                "node {} content={} last={} for_ms={for_ms} heard_ms={received_ms}{versions}\n",
                 name(story.node),
                 story.content,
                 story.head.number
--- a/src/net/exchange/types.rs
+++ b/src/net/exchange/types.rs
@@ -164,7 +164,7 @@
 
 /// Writes down what is given to which backend server.
 pub trait Recorder<P>: std::fmt::Debug {
-    /// An attempt is to be made. Whether it may go out at once; where not, [`Exchange::recorded`] has to be told later. The
+    /// An attempt is to be made. Whether it may go out at once; where not, [`super::Exchange::recorded`] has to be told later. The
     /// exchange must not be asked anything meanwhile.
     fn places(&self, id: DispatchId, attempt: Attempt<'_>, payload: &P) -> bool;
     /// Whether an attempt may still be sent, asked right before its first byte is.
