--- a/crates/placements/src/anti_entropy.rs
+++ b/crates/placements/src/anti_entropy.rs
@@ -158,7 +158,8 @@
 }
 
 fn check(writer: &Writer, point: &Point, from: u64, total: u64, remembered: &[Remembered]) -> Digest {
-    let bytes = postcard::to_stdvec(&(point, from, total, remembered)).unwrap_or_default();
+    let bytes = postcard::to_stdvec(&(point, from, total, remembered));
+    let bytes = bytes.expect("what is remembered has a length known before");
     hash_chain::follow(&hash_chain::origin(writer).1, &bytes)
 }
 
@@ -183,7 +184,7 @@
     /// As it is sent.
     pub fn encode(&self) -> Vec<u8> {
         // Nothing in a word fails to be written.
-        postcard::to_stdvec(self).unwrap_or_default()
+        postcard::to_stdvec(self).expect("a message has a length known before")
     }
 
     /// From what was received.
--- a/crates/quota/src/messages.rs
+++ b/crates/quota/src/messages.rs
@@ -125,7 +125,7 @@
     /// As it is said.
     pub fn bytes(&self) -> Vec<u8> {
         // It holds nothing that JSON can't say.
-        serde_json::to_vec(self).unwrap_or_default()
+        serde_json::to_vec(self).expect("JSON writes a message")
     }
 
     /// As it was said.
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -148,6 +148,17 @@
     Drop(String, u64),
 }
 
+impl Op {
+    /// Remember a value under a name, as JSON.
+    ///
+    /// # Panics
+    /// JSON can't write the value. It can write structs, strings, numbers and maps with keys that are one of these.
+    pub fn remember<T: Serialize>(name: impl Into<String>, value: &T) -> Op {
+        let json = serde_json::to_vec(value).expect("JSON writes structs, strings, numbers and maps");
+        Op::Remember(name.into(), json)
+    }
+}
+
 /// How much is kept.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
--- a/src/net/answers.rs
+++ b/src/net/answers.rs
@@ -42,7 +42,7 @@
 
 /// Answers are one tenant's, whoever else uses the same key.
 fn name(class: &str, tenant: Option<&str>, key: &str) -> String {
-    serde_json::to_string(&(class, tenant, key)).unwrap_or_default()
+    serde_json::to_string(&(class, tenant, key)).expect("JSON writes strings")
 }
 
 impl Answers {
--- a/src/net/auditing.rs
+++ b/src/net/auditing.rs
@@ -219,7 +219,11 @@
             peers.report(&self.vector.borrow(), self.life.get(), head, unix(), now);
         }
         let messages = peers.take_outgoing(now).into_iter();
-        messages.map(|(to, message)| (to, postcard::to_stdvec(&message).unwrap_or_default())).collect()
+        messages
+            .map(|(to, message)| {
+                (to, postcard::to_stdvec(&message).expect("a message has a length known before"))
+            })
+            .collect()
     }
 
     /// How long it has nothing to say, in microseconds.
@@ -294,7 +298,7 @@
             ops.push(Op::Drop(name, dropped.number + 1));
         }
         let kept = Kept { life: self.life.get(), base: self.record.borrow().base(), head: writing.head };
-        ops.push(Op::Remember(KEPT.to_string(), serde_json::to_vec(&kept).unwrap_or_default()));
+        ops.push(Op::remember(KEPT, &kept));
         let (failed, on_disk, head) = (self.failed.clone(), self.on_disk.clone(), writing.head);
         self.group_commit.commit(ops, move |done| match done {
             Ok(()) => *on_disk.lock().unwrap_or_else(PoisonError::into_inner) = Some(head),
--- a/src/net/sites/accounts.rs
+++ b/src/net/sites/accounts.rs
@@ -37,8 +37,7 @@
             let book = spread.book();
             if book.hash() != self.kept.get() {
                 self.kept.set(book.hash());
-                let bytes = serde_json::to_vec(book).unwrap_or_default();
-                self.group_commit.commit(vec![Op::Remember(BOOK.to_string(), bytes)], |done| {
+                self.group_commit.commit(vec![Op::remember(BOOK, book)], |done| {
                     if let Err(e) = done {
                         warn!("accounts: what is known is not on the disk: {e}");
                     }
@@ -59,9 +58,8 @@
                 } else if let Some(note) = balance.durable_to().filter(|_| !writing.contains(tenant)) {
                     writing.push(tenant.clone());
                     let (writes, tenant) = (self.writes.clone(), tenant.clone());
-                    let bytes = serde_json::to_vec(&note).unwrap_or_default();
                     self.group_commit.commit(
-                        vec![Op::Remember(format!("{CREDIT_BALANCE}{tenant}"), bytes)],
+                        vec![Op::remember(format!("{CREDIT_BALANCE}{tenant}"), &note)],
                         move |done| {
                             // Nobody hears it where the node ends.
                             let _ = writes.send(Written::Credit(tenant, note, done));
--- a/src/net/sites/persistence.rs
+++ b/src/net/sites/persistence.rs
@@ -43,8 +43,7 @@
     if *used == before {
         return;
     }
-    let bytes = serde_json::to_vec(used).unwrap_or_default();
-    if let Err(e) = store.commit(&[Op::Remember(USED.to_string(), bytes)]) {
+    if let Err(e) = store.commit(&[Op::remember(USED, used)]) {
         warn!("sites: that file {} holds is not on the disk, so an older one would be taken after a restart: {e}", plan.version);
     }
 }
@@ -116,9 +115,8 @@
         let mut on_disk = self.ownership_kept.borrow_mut();
         if kept != on_disk.0 && !on_disk.1 && self.store.takes() {
             on_disk.1 = true;
-            let bytes = serde_json::to_vec(&kept).unwrap_or_default();
             let writes = self.writes.clone();
-            self.group_commit.commit(vec![Op::Remember(KEY_OWNERSHIP.to_string(), bytes)], move |done| {
+            self.group_commit.commit(vec![Op::remember(KEY_OWNERSHIP, &kept)], move |done| {
                 // Nobody hears it where the node ends.
                 let _ = writes.send(Written::KeyOwnership(kept, done));
             });
@@ -177,9 +175,8 @@
             }
         };
         used.holds(&self.siting.borrow().plan);
-        ops.push(Op::Remember(USED.to_string(), serde_json::to_vec(&used).unwrap_or_default()));
-        let book = serde_json::to_vec(self.spread.borrow().book()).unwrap_or_default();
-        ops.push(Op::Remember(BOOK.to_string(), book));
+        ops.push(Op::remember(USED, &used));
+        ops.push(Op::remember(BOOK, self.spread.borrow().book()));
         // They are written anew with the next pass.
         self.ownership_kept.borrow_mut().0 = Kept::default();
         self.reopens.set(None);
--- a/src/net/sites/transport.rs
+++ b/src/net/sites/transport.rs
@@ -75,7 +75,7 @@
             .chain(site_health)
             .chain(ownership)
             .chain(recovery)
-            .map(|(to, sent)| (to, serde_json::to_vec(&sent).unwrap_or_default()));
+            .map(|(to, sent)| (to, serde_json::to_vec(&sent).expect("JSON writes a message")));
         let chance = self.chance.borrow_mut().rand_u64();
         let placements = self.placing.pass(self.now(), chance).into_iter();
         let placements = placements.map(|(to, message)| (to, [&[PLACEMENTS], message.as_slice()].concat()));
