--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,11 +1,23 @@
-//! Who is in the fleet, choices only: no sockets, no clock, no randomness of its own.
+//! Membership of the fleet, without I/O: which processes are alive, suspected, gone or have left.
+//!
+//! [`Membership`] is one member's view. Hand in the datagrams that it receives and the time, on a steady clock of the caller's, and
+//! send what [`Membership::effects`] returns.
 //!
 //! The protocol is SWIM ("SWIM: Scalable weakly-consistent infection-style process group membership protocol", Das, Gupta and
-//! Motivala), as the library `foca` has it. This module keeps its timers on the caller's clock, tells those that left from
-//! those that are gone, and gives a member that was declared dead a greater incarnation, so that it is seen again.
+//! Motivala), as the library `foca` has it. This module keeps the timers, distinguishes members that left from those that are gone,
+//! and gives a member that was declared dead a greater incarnation, so that it is recognized again.
 //!
-//! What is known here is a hint, never a permission: a member that is thought dead may only be cut off, and a grant that it
-//! holds ends by its own time alone.
+//! What is known here is a hint, never a permission: a member that seems dead may only be cut off, and a lease that it has ends by
+//! its own time alone.
+
+#![warn(
+    clippy::cognitive_complexity,
+    clippy::fn_params_excessive_bools,
+    clippy::match_bool,
+    clippy::too_many_lines,
+    clippy::type_complexity,
+    clippy::wildcard_imports
+)]
 
 use foca::{
     BroadcastHandler, Config, Foca, Identity, Invalidates, PeriodicParams, PostcardCodec, State, Timer,
@@ -21,21 +33,24 @@
 
 pub use shorepath_types::Micros;
 
-/// One of those listed that were never heard of is greeted this often, in turn. Guards against groups that each know only
+/// A listed member that is not known yet is announced to this often, one after another. Guards against groups that each know only
 /// themselves.
-const GREETING: Micros = 500_000;
+const ANNOUNCE_INTERVAL: Micros = 500_000;
+/// Members that are down are announced to this often: after a partition each side takes the other for gone, and one has to try
+/// again soon.
+const ANNOUNCE_TO_DOWN_INTERVAL: Duration = Duration::from_secs(5);
 /// What a member that was declared dead adds to its incarnation. Incarnations begin as the time of the start in microseconds, so
 /// this covers a clock that was set back by twelve days at once; one set back further is declared dead and adds it again.
-const JUMP: u64 = 1 << 40;
-/// Datagrams hold this much at most, in bytes.
+const INCARNATION_STEP: u64 = 1 << 40;
+/// The largest datagram, in bytes.
 pub const LARGEST: usize = 1_200;
 
-/// One life of a member, as it calls itself.
+/// One incarnation of a member, as it identifies itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Peer {
-    /// Its number, the same in all its lives.
+    /// Its number, the same in all its incarnations.
     pub node: u32,
-    /// Grows from one life to the next, and whenever it has to contradict its death.
+    /// Grows from one start to the next, and whenever the member has to refute that it is dead.
     pub incarnation: u64,
 }
 
@@ -43,7 +58,7 @@
     type Addr = u32;
 
     fn renew(&self) -> Option<Self> {
-        Some(Peer { incarnation: self.incarnation.saturating_add(JUMP), ..*self })
+        Some(Peer { incarnation: self.incarnation.saturating_add(INCARNATION_STEP), ..*self })
     }
 
     fn addr(&self) -> u32 {
@@ -55,51 +70,51 @@
     }
 }
 
-/// Where a member stands.
+/// The state of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberState {
     /// It answers.
     Alive,
-    /// It has not answered somebody, and has not contradicted that yet.
+    /// It has not answered another member, and has not refuted that yet.
     Suspect,
-    /// It has said that it leaves.
+    /// It has announced that it leaves.
     Left,
-    /// It has not contradicted the suspicion in time.
+    /// It has not refuted the suspicion in time.
     Gone,
 }
 
 /// What is known of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Which life of it.
+    /// Its incarnation.
     pub peer: Peer,
-    /// Where it stands.
+    /// Its state.
     pub standing: MemberState,
     /// Since when, on the caller's clock.
     pub since: Micros,
 }
 
-/// What is to be done.
+/// What the caller is to do or to know.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Say that to a member, in a datagram; it may be lost.
+    /// Send a datagram to a member; it may be lost.
     Outgoing {
         /// The member's number.
         to: u32,
-        /// What.
+        /// The datagram.
         bytes: Vec<u8>,
     },
-    /// A member stands otherwise than before.
+    /// The state of a member has changed.
     Changed(Member),
 }
 
-/// Why something heard was passed over.
+/// Why a datagram was ignored.
 #[derive(Debug, thiserror::Error)]
-#[error("no word of a member: {0}")]
+#[error("not a membership message: {0}")]
 pub struct ReceiveError(String);
 
-/// That a life has left of its own will, told along with what else is said.
+/// The announcement that an incarnation has left, gossiped along with other messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Leaving(Peer);
 
@@ -109,7 +124,7 @@
     }
 }
 
-/// Those who are known to have left, the newest life of each; read beside the library, which owns its handler.
+/// The newest incarnation of each member that has left. Shared with the library, which owns its broadcast handler.
 #[derive(Clone, Debug, Default)]
 struct Departures(Rc<RefCell<BTreeMap<u32, u64>>>);
 
@@ -119,47 +134,58 @@
 
     fn receive_item(&mut self, data: &[u8], _: Option<&Peer>) -> Result<Option<Leaving>, postcard::Error> {
         let leaving: Leaving = postcard::from_bytes(data)?;
-        let mut all = self.0.borrow_mut();
-        let known = all.entry(leaving.0.node).or_default();
-        let updates = leaving.0.incarnation > *known;
+        let mut departures = self.0.borrow_mut();
+        let known = departures.entry(leaving.0.node).or_default();
+        let is_new = leaving.0.incarnation > *known;
         *known = (*known).max(leaving.0.incarnation);
-        Ok(updates.then_some(leaving))
+        Ok(is_new.then_some(leaving))
     }
 }
 
 /// What foca asks for while it is called.
 #[derive(Default)]
-struct Wants {
-    outgoing: Vec<(u32, Vec<u8>)>,
-    wait: Vec<(Duration, Timer<Peer>)>,
+struct Requested {
+    datagrams: Vec<(u32, Vec<u8>)>,
+    timers: Vec<(Duration, Timer<Peer>)>,
 }
 
-impl foca::Runtime<Peer> for &mut Wants {
+impl foca::Runtime<Peer> for &mut Requested {
     fn notify(&mut self, _: foca::Notification<'_, Peer>) {}
 
     fn send_to(&mut self, to: Peer, data: &[u8]) {
-        self.outgoing.push((to.node, data.to_vec()));
+        self.datagrams.push((to.node, data.to_vec()));
     }
 
     fn submit_after(&mut self, timer: Timer<Peer>, after: Duration) {
-        self.wait.push((after, timer));
+        self.timers.push((after, timer));
     }
 }
 
 type Swim = Foca<Peer, PostcardCodec, SmallRng, Departures>;
 
+/// Announcements to listed members that are not known yet.
+#[derive(Clone, Copy, Debug)]
+struct Announcements {
+    /// Position in the list of the member to begin with.
+    position: usize,
+    /// When the next one is due.
+    due: Micros,
+}
+
 /// One member's view of the fleet.
 pub struct Membership {
     swim: Swim,
     departures: Departures,
+    /// Timers of foca, by time and in the order in which they were set.
     timers: BTreeMap<(Micros, u64), Timer<Peer>>,
-    count: u64,
+    /// Timers set so far.
+    timer_count: u64,
     known: BTreeMap<u32, Member>,
+    /// The numbers of all other members, as they are listed.
     others: Vec<u32>,
-    /// Who is greeted next of those that were never heard of, and when.
-    greets: (usize, Micros),
-    left: bool,
-    out: Vec<Effect>,
+    announcements: Announcements,
+    has_left: bool,
+    effects: Vec<Effect>,
 }
 
 impl std::fmt::Debug for Membership {
@@ -173,9 +199,8 @@
     let two = NonZeroUsize::MIN.saturating_add(1);
     Config {
         max_packet_size: NonZeroUsize::new(LARGEST).unwrap_or(two),
-        // After a partition each side holds the other for gone: somebody has to try again soon.
         periodic_announce_to_down_members: Some(PeriodicParams {
-            frequency: Duration::from_secs(5),
+            frequency: ANNOUNCE_TO_DOWN_INTERVAL,
             num_members: two,
         }),
         ..Config::new_lan(size)
@@ -183,144 +208,149 @@
 }
 
 impl Membership {
-    /// This member, among those others. `seed` is for whom it asks.
+    /// The view of the member `me` among those others. `seed` is for its random choices.
     pub fn new(me: Peer, others: Vec<u32>, seed: u64, now: Micros) -> Membership {
         let size = others.len() as u32 + 1;
         let rng = SmallRng::seed_from_u64(seed);
         let departures = Departures::default();
         let swim = Foca::with_custom_broadcast(me, config(size), rng, PostcardCodec, departures.clone());
-        let first = seed as usize % others.len().max(1);
+        let position = seed as usize % others.len().max(1);
         Membership {
             swim,
             departures,
             timers: BTreeMap::new(),
-            count: 0,
+            timer_count: 0,
             known: BTreeMap::new(),
             others,
-            greets: (first, now),
-            left: false,
-            out: Vec::new(),
+            announcements: Announcements { position, due: now },
+            has_left: false,
+            effects: Vec::new(),
         }
     }
 
-    /// This member as it calls itself now.
+    /// This member, with its present incarnation.
     pub fn me(&self) -> Peer {
         *self.swim.identity()
     }
 
-    /// Something was heard from another member.
+    /// A datagram of another member has come.
     ///
     /// # Errors
-    /// Where it makes no sense; nothing has changed then.
+    /// It can't be read; nothing has changed then.
     pub fn receive(&mut self, now: Micros, bytes: &[u8]) -> Result<(), ReceiveError> {
-        if self.left {
+        if self.has_left {
             return Ok(());
         }
-        let received = self.call(now, |swim, wants| swim.handle_data(bytes, wants));
+        let received = self.call(now, |swim, requested| swim.handle_data(bytes, requested));
         received.map_err(|e| ReceiveError(e.to_string()))
     }
 
-    /// Time has passed. One that stood still meanwhile catches up with what was due in its order.
+    /// Time has passed. After a stall the member catches up with its timers in their order.
     pub fn pass(&mut self, now: Micros) {
-        if self.left {
+        if self.has_left {
             return;
         }
         while let Some(entry) = self.timers.first_entry().filter(|e| e.key().0 <= now) {
             let timer = entry.remove();
-            // A timer that no longer means anything is told as an error, and is over.
-            let _ = self.call(now, |swim, wants| swim.handle_timer(timer, wants));
+            // foca reports a timer that is obsolete as an error; it is over then.
+            let _ = self.call(now, |swim, requested| swim.handle_timer(timer, requested));
         }
-        if now >= self.greets.1 {
-            let (from, n) = (self.greets.0, self.others.len());
-            let unknown = (0..n).map(|k| (from + k) % n).find(|k| !self.known.contains_key(&self.others[*k]));
-            self.greets = (unknown.map_or(from, |k| k + 1), now + GREETING);
-            if let Some(k) = unknown {
-                // Whatever life it has, it answers to its number.
-                let to = Peer { node: self.others[k], incarnation: 0 };
-                let _ = self.call(now, |swim, wants| swim.announce(to, wants));
-            }
+        if now >= self.announcements.due {
+            self.announce(now);
+        }
+    }
+
+    /// Announce this member to the next listed one that is not known yet.
+    fn announce(&mut self, now: Micros) {
+        let (from, count) = (self.announcements.position, self.others.len());
+        let mut positions = (0..count).map(|k| (from + k) % count);
+        let unknown = positions.find(|k| !self.known.contains_key(&self.others[*k]));
+        let position = unknown.map_or(from, |k| k + 1);
+        self.announcements = Announcements { position, due: now + ANNOUNCE_INTERVAL };
+        if let Some(k) = unknown {
+            // Whatever incarnation it has, it answers to its number.
+            let to = Peer { node: self.others[k], incarnation: 0 };
+            let _ = self.call(now, |swim, requested| swim.announce(to, requested));
         }
     }
 
     /// When [`Membership::pass`] has something to do next.
     pub fn due(&self) -> Option<Micros> {
         let timer = self.timers.first_key_value().map(|(key, _)| key.0);
-        let greets = (self.known.len() < self.others.len()).then_some(self.greets.1);
-        timer.into_iter().chain(greets).min().filter(|_| !self.left)
+        let announcement = (self.known.len() < self.others.len()).then_some(self.announcements.due);
+        timer.into_iter().chain(announcement).min().filter(|_| !self.has_left)
     }
 
-    /// Say that this member leaves; it says nothing more afterwards.
+    /// Announce that this member leaves; it sends nothing more afterwards.
     pub fn leave(&mut self, now: Micros) {
-        let me = Leaving(self.me());
-        let notified = postcard::to_allocvec(&me).ok();
-        // Nothing to tell where nobody is known.
-        let _ = self.call(now, |swim, wants| {
-            if let Some(notified) = &notified {
-                swim.add_broadcast(notified)?;
+        let leaving = postcard::to_allocvec(&Leaving(self.me())).ok();
+        // It fails where nobody is known, who need not know then.
+        let _ = self.call(now, |swim, requested| {
+            if let Some(leaving) = &leaving {
+                swim.add_broadcast(leaving)?;
             }
-            swim.leave_cluster(wants)
+            swim.leave_cluster(requested)
         });
-        self.left = true;
+        self.has_left = true;
         self.timers.clear();
     }
 
-    /// What is to be done, since this was last asked.
+    /// What the caller is to do, since this was last called.
     pub fn effects(&mut self) -> Vec<Effect> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 
-    /// All members that were ever heard of, in the order of their numbers; not this one.
+    /// All other members that were ever known, in the order of their numbers.
     pub fn members(&self) -> impl Iterator<Item = Member> + '_ {
         self.known.values().copied()
     }
 
-    /// Where a member stands, if it was ever heard of.
+    /// The state of a member, if it was ever known.
     pub fn standing(&self, node: u32) -> Option<MemberState> {
-        self.known.get(&node).map(|m| m.standing)
+        self.known.get(&node).map(|member| member.standing)
     }
 
     fn call(
         &mut self,
         now: Micros,
-        what: impl FnOnce(&mut Swim, &mut Wants) -> Result<(), foca::Error>,
+        call: impl FnOnce(&mut Swim, &mut Requested) -> Result<(), foca::Error>,
     ) -> Result<(), foca::Error> {
-        let mut wants = Wants::default();
-        let done = what(&mut self.swim, &mut wants);
-        for (after, timer) in wants.wait {
-            self.count += 1;
-            self.timers.insert((now + after.as_micros() as Micros, self.count), timer);
+        let mut requested = Requested::default();
+        let result = call(&mut self.swim, &mut requested);
+        for (after, timer) in requested.timers {
+            self.timer_count += 1;
+            self.timers.insert((now + after.as_micros() as Micros, self.timer_count), timer);
         }
-        self.out.extend(wants.outgoing.into_iter().map(|(to, bytes)| Effect::Outgoing { to, bytes }));
-        self.look(now);
-        done
+        let datagrams = requested.datagrams.into_iter();
+        self.effects.extend(datagrams.map(|(to, bytes)| Effect::Outgoing { to, bytes }));
+        self.update_known(now);
+        result
     }
 
-    /// Bring what is known up to date with what foca holds.
-    fn look(&mut self, now: Micros) {
+    /// Bring what is known up to date with foca.
+    fn update_known(&mut self, now: Micros) {
         let me = self.swim.identity().node;
-        let left = self.departures.0.borrow();
-        let mut updates = Vec::new();
-        for member in self.swim.iter_membership_state().filter(|m| m.id().node != me) {
-            let (peer, state) = (*member.id(), member.state());
-            let gone = if left.get(&peer.node).is_some_and(|l| *l >= peer.incarnation) {
-                MemberState::Left
-            } else {
-                MemberState::Gone
-            };
-            let standing = match state {
-                State::Alive => MemberState::Alive,
-                State::Suspect => MemberState::Suspect,
-                State::Down => gone,
-            };
+        let others = self.swim.iter_membership_state().filter(|member| member.id().node != me);
+        let states: Vec<(Peer, MemberState)> =
+            others.map(|member| (*member.id(), self.state_of(*member.id(), member.state()))).collect();
+        for (peer, standing) in states {
             let known = self.known.get(&peer.node);
-            if known.is_none_or(|k| k.peer != peer || k.standing != standing) {
-                updates.push(Member { peer, standing, since: now });
+            if known.is_none_or(|known| known.peer != peer || known.standing != standing) {
+                let member = Member { peer, standing, since: now };
+                self.known.insert(peer.node, member);
+                self.effects.push(Effect::Changed(member));
             }
         }
-        drop(left);
-        for member in updates {
-            self.known.insert(member.peer.node, member);
-            self.out.push(Effect::Changed(member));
+    }
+
+    fn state_of(&self, peer: Peer, state: State) -> MemberState {
+        let departures = self.departures.0.borrow();
+        let is_departed = departures.get(&peer.node).is_some_and(|left| *left >= peer.incarnation);
+        match state {
+            State::Alive => MemberState::Alive,
+            State::Suspect => MemberState::Suspect,
+            State::Down if is_departed => MemberState::Left,
+            State::Down => MemberState::Gone,
         }
     }
 }
