--- a/crates/lab/src/load/nodes.rs
+++ b/crates/lab/src/load/nodes.rs
@@ -34,7 +34,7 @@
     let phase = match m.state {
         EndpointState::Live => "active",
         EndpointState::Draining => "leaving",
-        EndpointState::Gone => "left",
+        EndpointState::Removed => "left",
     };
     // The models' clock began with the rig: a start is told by the wall's clock.
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
--- a/crates/lab/src/policy/book.rs
+++ b/crates/lab/src/policy/book.rs
@@ -72,7 +72,7 @@
 
     fn learn(&mut self, list: Vec<Endpoint>, whole: bool) {
         if whole {
-            self.known.values_mut().for_each(|k| k.member.state = EndpointState::Gone);
+            self.known.values_mut().for_each(|k| k.member.state = EndpointState::Removed);
         }
         for member in list {
             match self.known.get_mut(&member.id) {
--- a/crates/lab/src/sim/faults.rs
+++ b/crates/lab/src/sim/faults.rs
@@ -125,7 +125,7 @@
     let standing = match (s.down, s.draining) {
         (0, 0) => EndpointState::Live,
         (0, _) => EndpointState::Draining,
-        _ => EndpointState::Gone,
+        _ => EndpointState::Removed,
     };
     Endpoint {
         id: EndpointId(server),
--- a/crates/scheduler/src/scheduler/endpoint_list.rs
+++ b/crates/scheduler/src/scheduler/endpoint_list.rs
@@ -29,7 +29,7 @@
     pub(super) fn on_endpoint_update(&mut self, changed: Vec<Endpoint>) {
         self.subscribe_backoff = self.settings.tick.max(1);
         for endpoint in changed {
-            if endpoint.state == EndpointState::Gone {
+            if endpoint.state == EndpointState::Removed {
                 self.unlist(endpoint.id);
             } else {
                 self.update_endpoint(endpoint);
@@ -65,7 +65,7 @@
         let (now, shortest) = (self.now, self.settings.longest_objective() as Micros);
         let Some(tracked) = self.endpoints.get_mut(endpoint) else { return };
         if !self.settings.only_draining_excludes || tracked.endpoint.state != EndpointState::Live {
-            tracked.endpoint.state = EndpointState::Gone;
+            tracked.endpoint.state = EndpointState::Removed;
         } else if tracked.unlisted_at.is_none() {
             tracked.unlisted_at = Some(now);
             let subject = Subject::Endpoint(endpoint);
@@ -81,7 +81,7 @@
         let (now, window) = (self.now, self.settings.recent_window() as Micros);
         let is_silent =
             |e: &TrackedEndpoint| e.unlisted_at.is_some_and(|at| now >= at.max(e.last_success_at) + window);
-        let is_kept = |e: &TrackedEndpoint| e.endpoint.state != EndpointState::Gone && !is_silent(e);
+        let is_kept = |e: &TrackedEndpoint| e.endpoint.state != EndpointState::Removed && !is_silent(e);
         self.endpoints.retain(|e| is_kept(e) || e.in_flight > 0);
         let live = self.endpoints.iter().filter(|e| e.endpoint.state == EndpointState::Live);
         self.total_capacity = live.map(|e| e.max_capacity).sum();
--- a/crates/scheduler/tests/further.rs
+++ b/crates/scheduler/tests/further.rs
@@ -96,7 +96,7 @@
         let mut set = settings();
         set.only_draining_excludes = !binds;
         let mut rig = Rig::new(set, 2);
-        let gone = |n: u32| Endpoint { state: EndpointState::Gone, ..member(n) };
+        let gone = |n: u32| Endpoint { state: EndpointState::Removed, ..member(n) };
         // One drains, then both leave the list, one named and one left out.
         rig.event(Event::EndpointUpdate(vec![Endpoint { state: EndpointState::Draining, ..member(0) }]));
         rig.event(Event::EndpointUpdate(vec![gone(0)]));
--- a/crates/scheduler/tests/random.rs
+++ b/crates/scheduler/tests/random.rs
@@ -62,7 +62,7 @@
         }
         if rng.rand_float() < 0.002 {
             let n = rng.rand_range(0..6) as usize;
-            let standing = [EndpointState::Live, EndpointState::Draining, EndpointState::Gone]
+            let standing = [EndpointState::Live, EndpointState::Draining, EndpointState::Removed]
                 [rng.rand_range(0..3) as usize];
             if standing == EndpointState::Live {
                 workers[n].started_at = now;
--- a/src/net/server_table.rs
+++ b/src/net/server_table.rs
@@ -103,7 +103,7 @@
             standing: match self.phase {
                 Phase::Active => EndpointState::Live,
                 Phase::Leaving => EndpointState::Draining,
-                Phase::Left => EndpointState::Gone,
+                Phase::Left => EndpointState::Removed,
             },
             started: micros_from_ms(self.up_since_ms),
         })
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -123,7 +123,7 @@
                 state: match i.condition.as_str() {
                     "live" => EndpointState::Live,
                     "quiescing" => EndpointState::Draining,
-                    "dead" => EndpointState::Gone,
+                    "dead" => EndpointState::Removed,
                     other => return Err(format!("unknown condition '{other}'")),
                 },
                 started_at: micros_from_ms(i.born_ms),
