--- a/crates/scheduler/src/action.rs
+++ b/crates/scheduler/src/action.rs
@@ -1,58 +1,60 @@
-//! Actions: what the scheduler asks the caller to do.
+//! Actions: what the caller has to do for the scheduler.
 
 use crate::ids::{EndpointId, RequestId};
 use crate::quota::QuotaKind;
 use shorepath_types::Micros;
 
-/// Something that the caller is to do. Attempts of a request count from 0 in the order in which they are started.
+/// An action for the caller to carry out. Attempts of a request are numbered from 0 in the order in which
+/// they start.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt, to run until the client gives up.
+    /// Start the next attempt of a request, which may run until its client gives up.
     StartAttempt {
-        /// The request.
+        /// The request concerned.
         id: RequestId,
-        /// The endpoint to send it to.
+        /// The endpoint to send the attempt to.
         endpoint: EndpointId,
     },
-    /// Final answer: load is shed; trying again is harmless.
+    /// Final answer: the request is shed, and the client may safely retry.
     Shed {
-        /// The request.
+        /// The request concerned.
         id: RequestId,
-        /// How long the client should wait before it tries again, if advised.
+        /// How long the client should wait before a retry, or `None` to give no advice.
         retry_after: Option<Micros>,
     },
-    /// Final answer: not accepted here, because a quota that it needs from the start is used up, or because it belongs elsewhere.
+    /// Final answer: the request is not accepted here, because a quota on arrivals is used up or because the
+    /// request belongs to another node.
     Reject {
-        /// The request.
+        /// The request concerned.
         id: RequestId,
-        /// The quota that is used up; `None` for a request that belongs elsewhere.
+        /// The quota that is used up, or `None` for a request that belongs to another node.
         quota: Option<QuotaKind>,
     },
-    /// Final answer: failed; it may have run.
+    /// Final answer: the request failed and may have run.
     Fail {
-        /// The request.
+        /// The request concerned.
         id: RequestId,
     },
-    /// Cancel an attempt.
+    /// Cancel an attempt that is in flight.
     CancelAttempt {
-        /// The request.
+        /// The request concerned.
         id: RequestId,
-        /// The attempt's number.
+        /// The number of the attempt to cancel.
         attempt: u32,
     },
-    /// Hand in [`crate::Event::Wake`] after this time.
+    /// Send [`crate::Event::Wake`] after a delay.
     WakeAfter {
-        /// From now.
+        /// The delay, counted from now.
         delay: Micros,
     },
-    /// Ask an endpoint for its load; [`crate::Event::ProbeEnded`] brings its answer.
+    /// Probe an endpoint for its load; [`crate::Event::ProbeEnded`] returns the result.
     Probe {
-        /// The endpoint.
+        /// The endpoint to probe.
         endpoint: EndpointId,
     },
-    /// Close the idle connections to an endpoint.
+    /// Close all idle connections to an endpoint.
     CloseIdleConnections {
-        /// The endpoint.
+        /// The endpoint at the other end.
         endpoint: EndpointId,
     },
     /// Subscribe to the endpoint list.
--- a/crates/scheduler/src/concurrency_limit.rs
+++ b/crates/scheduler/src/concurrency_limit.rs
@@ -1,22 +1,22 @@
-//! The limit on attempts in flight, learned from what the scheduler itself sees.
+//! An adaptive limit on attempts in flight, based on the starts and rejections that this scheduler observes.
 
 use crate::decaying_sum::{as_sample, move_mean};
 
 /// Weight of the newest sample in running means.
 pub(crate) const SAMPLE_WEIGHT: f64 = 0.1;
-/// The limit is never below this.
+/// Lower bound of the limit, in attempts.
 const MIN_LIMIT: f64 = 2.0;
 
-/// What an attempt shows of the capacity of endpoints.
+/// What the outcome of an attempt shows about the capacity of endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CapacitySample {
-    /// It was rejected for lack of capacity.
+    /// The attempt was rejected for lack of capacity.
     Overloaded,
-    /// It has started (or, where starts are not reported, was answered).
+    /// The job has started, or was answered where endpoints don't report starts.
     Started {
-        /// It started soon enough.
+        /// The job started early enough to show spare capacity.
         is_timely: bool,
-        /// It started too late for its answer to be in time.
+        /// The job started too late for its answer to be in time.
         is_late: bool,
     },
 }
@@ -25,36 +25,37 @@
 #[derive(Debug, Default)]
 pub(crate) struct ConcurrencyLimit {
     limit: f64,
-    /// Running share of samples that were not timely; while it is small the limit doubles.
+    /// Running share of samples that were not timely. While it is small, each timely start at the limit
+    /// raises the limit by one.
     congestion: f64,
     /// Running share of attempts that were rejected for lack of capacity.
     pub overloaded_share: f64,
-    /// Running share of starts too late to be in time.
+    /// Running share of starts that came too late for an answer in time.
     pub late_share: f64,
     pub in_flight: u32,
-    /// Running mean of what is in flight as an attempt is started.
+    /// Running mean of `in_flight` as an attempt starts.
     pub mean_in_flight: f64,
 }
 
 impl ConcurrencyLimit {
-    /// The limit, in attempts.
+    /// Returns the limit, in attempts.
     pub fn limit(&self) -> f64 {
         self.limit
     }
 
-    /// Whether one more attempt may be in flight.
+    /// Returns whether one more attempt may be in flight.
     pub fn has_capacity(&self) -> bool {
         f64::from(self.in_flight) < self.limit
     }
 
-    /// An attempt is started.
+    /// Counts a new attempt.
     pub fn start(&mut self) {
         move_mean(&mut self.mean_in_flight, f64::from(self.in_flight), SAMPLE_WEIGHT);
         self.in_flight += 1;
     }
 
-    /// The limit widens when it left capacity for a job to be in time, and narrows when it did not, for an overload rejection half
-    /// as much.
+    /// Raises the limit after a timely start that reached it, and lowers it after a late start, or by half
+    /// as much after an overload rejection.
     pub fn record(&mut self, sample: CapacitySample) {
         let (is_overloaded, is_timely) = match sample {
             CapacitySample::Overloaded => (true, false),
@@ -72,13 +73,14 @@
         }
     }
 
-    /// Raise the limit to the least one, which is also the first: each endpoint can do one job at a time, and so many schedulers
-    /// share them; two in any case. With more schedulers than endpoints it grows with their number: what one of them sees is the
-    /// load of the others, which its own limit can't relieve, and with all limits narrowed together jobs would be held while
-    /// endpoints are idle.
+    /// Raises the limit to its lower bound, which is also its first value: this scheduler's part of one job
+    /// per endpoint, and at least `MIN_LIMIT`. With more schedulers than endpoints, the bound grows with
+    /// their ratio. Each scheduler then mostly observes the load of the others, which its own limit can't
+    /// reduce, and limits lowered by all schedulers at once would hold requests back while endpoints are
+    /// idle.
     pub fn raise_to_minimum(&mut self, live_endpoints: usize, schedulers: u32) {
         let (endpoints, schedulers) = (live_endpoints.max(1) as f64, f64::from(schedulers.max(1)));
-        let least = MIN_LIMIT * (schedulers / endpoints).max(1.0);
-        self.limit = self.limit.max(endpoints / schedulers).max(least);
+        let lower_bound = MIN_LIMIT * (schedulers / endpoints).max(1.0);
+        self.limit = self.limit.max(endpoints / schedulers).max(lower_bound);
     }
 }
--- a/crates/scheduler/src/decaying_sum.rs
+++ b/crates/scheduler/src/decaying_sum.rs
@@ -1,8 +1,8 @@
-//! Sums that decay exponentially in time.
+//! Sums that decay exponentially with time, and running means.
 
 use shorepath_types::Micros;
 
-/// A sum that decays exponentially; the caller passes the time constant, in microseconds.
+/// A sum that decays exponentially. The caller passes the time constant, in microseconds.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DecayingSum {
     sum: f64,
@@ -10,13 +10,13 @@
 }
 
 impl DecayingSum {
-    /// Add to the sum.
+    /// Adds an amount to the sum.
     pub fn add(&mut self, now: Micros, time_constant: f64, amount: f64) {
         self.sum = self.decayed(now, time_constant) + amount;
         self.updated_at = now;
     }
 
-    /// The rate that the sum amounts to, by the microsecond.
+    /// Returns the average rate that the sum represents, per microsecond.
     pub fn rate(&self, now: Micros, time_constant: f64) -> f64 {
         self.decayed(now, time_constant) / time_constant
     }
@@ -26,12 +26,12 @@
     }
 }
 
-/// Move a running mean towards a sample; the newest sample counts with that weight.
+/// Moves a running mean towards a sample of the given weight, from 0 to 1.
 pub(crate) fn move_mean(mean: &mut f64, sample: f64, weight: f64) {
     *mean += weight * (sample - *mean);
 }
 
-/// 1 for true, 0 for false: samples of a share.
+/// Returns 1 for true and 0 for false, as a sample of a running share.
 pub(crate) fn as_sample(happened: bool) -> f64 {
     f64::from(u8::from(happened))
 }
--- a/crates/scheduler/src/endpoint_order.rs
+++ b/crates/scheduler/src/endpoint_order.rs
@@ -1,62 +1,62 @@
-//! An order of endpoints, with a bit for each that waits for a start, so that a pick costs about the same among ten and ten
-//! thousand.
+//! An ordered list of endpoints with a bit set of those that await a start, so that a selection costs about
+//! the same for ten endpoints and for ten thousand.
 
 use crate::ids::EndpointId;
 
-/// No position.
-const NONE: u32 = u32::MAX;
-/// Bits in a block of the bit set.
-const BLOCK: usize = 64;
+/// Marks an endpoint that is not in the order.
+const NO_POSITION: u32 = u32::MAX;
+/// Bits in a block of the bit set `waiting`.
+const BLOCK_BITS: usize = 64;
 
-/// Endpoints in an order of this scheduler's own, and which of them wait for a job of ours to start.
+/// Endpoints in an order private to this scheduler, and which of them have a job that must start before they
+/// get another.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointOrder {
     ids: Vec<EndpointId>,
-    /// The position of each endpoint, by its id.
+    /// The position of each endpoint, indexed by its id.
     positions: Vec<u32>,
-    /// A bit for each position: set where the endpoint waits for a start.
+    /// A bit for each position, set while the endpoint awaits a start.
     waiting: Vec<u64>,
 }
 
 impl EndpointOrder {
-    /// How many.
     pub fn len(&self) -> usize {
         self.ids.len()
     }
 
-    /// All of them, in order.
     pub fn ids(&self) -> &[EndpointId] {
         &self.ids
     }
 
-    /// The position of an endpoint.
+    /// Returns the position of an endpoint, or `None` if it is not in the order.
     pub fn position(&self, endpoint: EndpointId) -> Option<usize> {
-        self.positions.get(endpoint.0 as usize).filter(|p| **p != NONE).map(|p| *p as usize)
+        self.positions.get(endpoint.0 as usize).filter(|p| **p != NO_POSITION).map(|p| *p as usize)
     }
 
-    /// Replace the order; `is_waiting` is for endpoints that wait for a start.
+    /// Replaces the order. `is_waiting` returns whether an endpoint awaits a start.
     pub fn set(&mut self, ids: Vec<EndpointId>, is_waiting: impl Fn(EndpointId) -> bool) {
         self.positions.clear();
-        self.waiting = vec![0; ids.len().div_ceil(BLOCK)];
-        self.positions.resize(ids.iter().map(|e| e.0 as usize + 1).max().unwrap_or(0), NONE);
+        self.waiting = vec![0; ids.len().div_ceil(BLOCK_BITS)];
+        self.positions.resize(ids.iter().map(|e| e.0 as usize + 1).max().unwrap_or(0), NO_POSITION);
         for (position, endpoint) in ids.iter().enumerate() {
             self.positions[endpoint.0 as usize] = position as u32;
-            self.waiting[position / BLOCK] |= u64::from(is_waiting(*endpoint)) << (position % BLOCK);
+            self.waiting[position / BLOCK_BITS] |=
+                u64::from(is_waiting(*endpoint)) << (position % BLOCK_BITS);
         }
         self.ids = ids;
     }
 
-    /// An endpoint waits for a start from now on, or no longer.
+    /// Sets whether an endpoint awaits a start.
     pub fn set_waiting(&mut self, endpoint: EndpointId, is_waiting: bool) {
         if let Some(position) = self.position(endpoint) {
-            let (block, bit) = (position / BLOCK, position % BLOCK);
+            let (block, bit) = (position / BLOCK_BITS, position % BLOCK_BITS);
             self.waiting[block] = self.waiting[block] & !(1 << bit) | u64::from(is_waiting) << bit;
         }
     }
 
-    /// Exchange the positions of two endpoints.
+    /// Exchanges the endpoints at two positions.
     pub fn swap(&mut self, a: usize, b: usize) {
-        let waiting = [a, b].map(|p| self.waiting[p / BLOCK] >> (p % BLOCK) & 1 == 1);
+        let waiting = [a, b].map(|p| self.waiting[p / BLOCK_BITS] >> (p % BLOCK_BITS) & 1 == 1);
         let ids = [a, b].map(|p| self.ids[p]);
         self.ids.swap(a, b);
         (self.positions[ids[0].0 as usize], self.positions[ids[1].0 as usize]) = (b as u32, a as u32);
@@ -64,13 +64,13 @@
         self.set_waiting(ids[1], waiting[1]);
     }
 
-    /// Candidates without those that wait for a start.
+    /// Returns candidates that skip endpoints awaiting a start.
     pub fn available(&self) -> Candidates<'_> {
         Candidates { ids: &self.ids, waiting: &self.waiting }
     }
 }
 
-/// Endpoints to choose among.
+/// Endpoints to select from.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidates<'a> {
     ids: &'a [EndpointId],
@@ -78,32 +78,32 @@
 }
 
 impl<'a> Candidates<'a> {
-    /// All of these, whether they wait for a start or not.
+    /// Creates candidates that include endpoints awaiting a start.
     pub fn all(ids: &'a [EndpointId]) -> Self {
         Candidates { ids, waiting: &[] }
     }
 
-    /// How many, those that wait included.
+    /// Returns the number of endpoints, including those that are skipped.
     pub fn len(&self) -> usize {
         self.ids.len()
     }
 
-    /// The first position from `from` to `to` that does not wait.
+    /// Returns the first position in `from..to` whose endpoint is not skipped.
     fn next_available(&self, mut from: usize, to: usize) -> Option<usize> {
         while from < to {
-            let waiting = self.waiting.get(from / BLOCK).copied().unwrap_or(0) >> (from % BLOCK);
+            let waiting = self.waiting.get(from / BLOCK_BITS).copied().unwrap_or(0) >> (from % BLOCK_BITS);
             let skipped = (!waiting).trailing_zeros() as usize;
-            // Beyond the end of the block the bits that were shifted in look available.
-            if skipped < BLOCK - from % BLOCK {
+            // The bits shifted in beyond the end of the block look available.
+            if skipped < BLOCK_BITS - from % BLOCK_BITS {
                 return Some(from + skipped).filter(|p| *p < to);
             }
-            from = (from / BLOCK + 1) * BLOCK;
+            from = (from / BLOCK_BITS + 1) * BLOCK_BITS;
         }
         None
     }
 
-    /// From a position among the first `preferred` ones on, round these, and then the others. Each comes with whether it is one of
-    /// the others.
+    /// Iterates over the first `preferred` endpoints, starting at position `from` and wrapping around, and
+    /// then over the others. Each endpoint comes with whether it is one of the others.
     pub fn rotated(self, from: usize, preferred: usize) -> impl Iterator<Item = (bool, EndpointId)> + 'a {
         let ranges = [(from, preferred, false), (0, from, false), (preferred, self.ids.len(), true)];
         ranges.into_iter().flat_map(move |(start, end, is_other)| {
--- a/crates/scheduler/src/event.rs
+++ b/crates/scheduler/src/event.rs
@@ -1,4 +1,4 @@
-//! Events: what the caller reports to the scheduler.
+//! Events: the caller's reports to the scheduler.
 
 use crate::endpoint::{Endpoint, LoadReport};
 use crate::ids::{ClassId, EndpointId, KeyId, RequestId, TenantId};
@@ -6,142 +6,143 @@
 use crate::settings::Reconfiguration;
 use shorepath_types::Micros;
 
-/// How a request relates to work that its tenant has begun.
+/// Whether a request starts new work of its tenant or repeats work that was accepted before.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WorkState {
-    /// New work.
+    /// Work that was not accepted before.
     #[default]
     New,
-    /// A repeat of what was accepted before.
+    /// A repeat of work that was accepted before.
     InProgress,
-    /// It belongs to another node and must not be accepted here.
+    /// Work that belongs to another node and must not be accepted here.
     Misdirected,
 }
 
-/// A request that has arrived.
+/// A newly arrived request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id; never used twice.
+    /// The id, which is never reused.
     pub id: RequestId,
-    /// Its class.
+    /// The class, whose settings decide objective, deadline and idempotency.
     pub class: ClassId,
-    /// Its tenant, where there are tenants.
+    /// The tenant, or `None` where the deployment has no tenants.
     pub tenant: Option<TenantId>,
-    /// Its key, where requests have one.
+    /// The key, or `None` for a request without one.
     pub key: Option<KeyId>,
-    /// Time until the client abandons this try.
+    /// Time until the client gives up on this try.
     pub time_remaining: Micros,
-    /// Expected work on a standard core, where the client gives it.
+    /// Expected work on a standard core, or `None` where the client gives no estimate.
     pub work_hint: Option<Micros>,
-    /// Slots that it takes.
+    /// Number of slots that the request occupies at an endpoint.
     pub slots: u32,
-    /// A client's retry, where clients mark it.
+    /// The client marked the request as a retry.
     pub is_retry: bool,
-    /// How it relates to its tenant's work.
+    /// Whether the request is new work or a repeat.
     pub work_state: WorkState,
-    /// Its client belongs to another site.
+    /// The client belongs to another site.
     pub is_remote: bool,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt or a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStatus {
-    /// Served.
+    /// The request was served.
     Ok,
-    /// The endpoint answered with an error; it may have run.
+    /// The endpoint answered with an error; the request may have run.
     Error,
-    /// The endpoint answered that it can't use the request, whose fault that may be; it may have run.
+    /// The endpoint answered that the request is unusable, through a fault of either; it may have run.
     BadRequest,
-    /// The endpoint rejected it for lack of capacity; whether it may have run, see
-    /// [`crate::Settings::overloaded_may_have_run`].
+    /// The endpoint rejected the request for lack of capacity. [`crate::Settings::overloaded_may_have_run`]
+    /// states whether it may have run.
     Overloaded,
-    /// No answer in time; it may run still.
+    /// No answer came in time; the request may still run.
     Timeout,
-    /// No connection could be made; it never ran.
+    /// No connection could be made; the request never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled; the request may have run.
     Cancelled,
-    /// Never sent.
+    /// The request was never sent.
     NotSent,
 }
 
 impl AttemptStatus {
-    /// The endpoint has answered, so its connection can be used again.
+    /// Returns whether the endpoint answered, which leaves its connection reusable.
     pub fn has_response(self) -> bool {
         use AttemptStatus::{BadRequest, Error, Ok, Overloaded};
         matches!(self, Ok | Overloaded | Error | BadRequest)
     }
 }
 
-/// Something that the scheduler learns.
+/// An event that the scheduler is to handle.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The full endpoint list, current or (at the start) as last known.
+    /// The full endpoint list, either current or, at startup, the last known one.
     EndpointList(Vec<Endpoint>),
-    /// Changed entries of the endpoint list.
+    /// The changed entries of the endpoint list.
     EndpointUpdate(Vec<Endpoint>),
-    /// The endpoint list could not be fetched, or the subscription broke.
+    /// The endpoint list could not be fetched, or the subscription to it broke.
     EndpointListFailed,
     /// A request has arrived.
     RequestArrived(Request),
-    /// An attempt's job has started.
+    /// The endpoint has started to run an attempt.
     AttemptStarted {
-        /// The request.
+        /// The request of the attempt.
         id: RequestId,
-        /// The attempt's number.
+        /// The attempt's number, counted from 0 for each request.
         attempt: u32,
     },
-    /// An attempt's job has got this far.
+    /// The endpoint reports the progress of an attempt.
     AttemptProgress {
-        /// The request.
+        /// The request of the attempt.
         id: RequestId,
-        /// The attempt's number.
+        /// The attempt's number, counted from 0 for each request.
         attempt: u32,
-        /// Share done, 0 to 1.
+        /// Fraction of the job that is done, from 0 to 1.
         done: f64,
     },
-    /// A streamed answer has begun; its deadline no longer runs.
+    /// A streamed answer has started; its deadline no longer applies.
     StreamStarted {
-        /// The request.
+        /// The request of the attempt.
         id: RequestId,
-        /// The attempt's number.
+        /// The attempt's number, counted from 0 for each request.
         attempt: u32,
     },
     /// An attempt has ended.
     AttemptEnded {
-        /// The request.
+        /// The request of the attempt.
         id: RequestId,
-        /// The attempt's number.
+        /// The attempt's number, counted from 0 for each request.
         attempt: u32,
-        /// How it ended.
+        /// The outcome of the attempt.
         status: AttemptStatus,
-        /// The request has its final answer.
+        /// The client has received a final answer, so the request is over.
         is_final: bool,
     },
-    /// The client has left; the request is over.
+    /// The client has disconnected, so the request is over.
     ClientLeft(RequestId),
-    /// An idle connection to an endpoint has ended by itself.
+    /// An idle connection to an endpoint has closed without [`crate::Action::CloseIdleConnections`].
     IdleConnectionClosed {
-        /// The endpoint.
+        /// The endpoint at the other end.
         endpoint: EndpointId,
-        /// Its position among the idle ones, the one idle for longest first.
+        /// Its index among the idle connections to that endpoint, sorted from the longest idle.
         position: usize,
     },
-    /// A probe has ended: [`AttemptStatus::Ok`] where the endpoint has served it, [`AttemptStatus::Overloaded`] where it rejected
-    /// it.
+    /// A probe has ended, with [`AttemptStatus::Ok`] if the endpoint served it and
+    /// [`AttemptStatus::Overloaded`] if the endpoint rejected it.
     ProbeEnded {
-        /// The endpoint.
+        /// The probed endpoint.
         endpoint: EndpointId,
-        /// How it ended.
+        /// The outcome of the probe.
         status: AttemptStatus,
-        /// The load of the endpoint, where it reports it.
+        /// The load that the endpoint reported.
         report: LoadReport,
     },
-    /// These shares of quotas that all schedulers divide may be used from now on; what is not listed is not limited.
+    /// This scheduler's shares of the quotas that all schedulers divide. A quota without an entry does not
+    /// limit anything.
     QuotaShares(Vec<QuotaShare>),
-    /// Other settings apply from now on.
+    /// Replaces the settings.
     Reconfigure(Box<Reconfiguration>),
     /// The delay of [`crate::Action::WakeAfter`] is over.
     Wake,
--- a/crates/scheduler/src/fair_queue.rs
+++ b/crates/scheduler/src/fair_queue.rs
@@ -1,5 +1,5 @@
-//! One server of Redemptive Fair Queuing: the queue of requests for one kind of endpoint, with its own tags, buckets and
-//! concurrency limit ("Redemptive Fair Queuing", Gulati and Varman, sections 3 and 4).
+//! One server of Redemptive Fair Queuing (Gulati and Varman, sections 3 and 4): the queue of requests for
+//! one kind of endpoint, with its own tags, token buckets and concurrency limit.
 
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::decaying_sum::DecayingSum;
@@ -12,43 +12,45 @@
 use shorepath_types::Micros;
 use std::collections::BTreeSet;
 
-/// A deficit token bucket. Tokens are slots, times the work hint in microseconds where there is one.
+/// A deficit token bucket. Its unit is one slot, or one microsecond of a slot's work for requests with a
+/// work hint.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TokenBucket {
     pub tokens: f64,
     pub updated_at: Micros,
-    /// The greatest start tag that was given.
-    pub max_start: Micros,
-    /// Requests in the queue.
+    /// The greatest start tag given to a request of the tenant.
+    pub max_start_tag: Micros,
+    /// Number of queued requests of the tenant.
     pub queued: u32,
-    /// Clients of the tenant give up early, so the time that remains shows nothing of a retry's age.
+    /// Clients of the tenant give first tries less than the full deadline, so a retry's age can't be
+    /// computed from the time that remains.
     pub gives_up_early: bool,
 }
 
-/// How a token bucket grows, and what a request takes of it.
+/// The parameters of a token bucket, and the cost of one request.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct BucketTerms {
-    /// Tokens by the microsecond (rho).
+pub(crate) struct BucketParameters {
+    /// Tokens gained per microsecond (rho in the paper).
     pub rate: f64,
-    /// Tokens that are saved at most (sigma).
+    /// The most tokens that are saved (sigma in the paper).
     pub depth: f64,
     /// Tokens that the request takes.
     pub cost: f64,
-    /// The bucket is refilled where the queue is idle.
+    /// The bucket is refilled if the queue is idle.
     pub refills_when_idle: bool,
 }
 
-/// Running means of the time from an attempt to its start, in microseconds.
+/// Running means of the time from sending an attempt to its start, in microseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct StartWait {
-    /// In the scheduler's own zone.
+    /// The mean for endpoints in the scheduler's own zone.
     pub local: f64,
-    /// In other zones.
+    /// The mean for endpoints in other zones.
     pub remote: f64,
 }
 
 impl StartWait {
-    /// The mean for endpoints of other zones, or of the own one.
+    /// Returns the mean for endpoints in other zones or in the scheduler's own zone.
     pub fn get(&self, is_remote: bool) -> f64 {
         if is_remote {
             self.remote
@@ -57,7 +59,7 @@
         }
     }
 
-    /// See [`StartWait::get`].
+    /// Returns a mutable reference to the mean that [`StartWait::get`] returns.
     pub fn get_mut(&mut self, is_remote: bool) -> &mut f64 {
         if is_remote {
             &mut self.remote
@@ -66,40 +68,41 @@
         }
     }
 
-    /// Lower both by that part.
+    /// Lowers both means by a fraction.
     pub fn lower_by(&mut self, part: f64) {
         self.local *= 1.0 - part;
         self.remote *= 1.0 - part;
     }
 }
 
-/// The queue of requests for one kind of endpoint, or for all of them.
+/// The queue of requests for one kind of endpoint, or for all kinds.
 #[derive(Debug, Default)]
 pub(crate) struct DispatchQueue {
     pub kind: Option<KindId>,
-    /// Tags are on a virtual clock, real time plus this; a synchronization point only moves the offset.
+    /// Tags are on a virtual clock: real time plus this offset, in microseconds. A synchronization point
+    /// changes only the offset.
     pub clock_offset: Micros,
-    /// One for each tenant, and the last for requests without one.
+    /// One bucket for each tenant, and a last one for requests without a tenant.
     pub buckets: Vec<TokenBucket>,
-    /// Requests by start tag while that lies ahead.
+    /// Requests whose start tag lies ahead, by start tag.
     waiting: BTreeSet<(Micros, RequestId)>,
-    /// Requests by finish tag once they are eligible.
+    /// Eligible requests, by finish tag.
     eligible: BTreeSet<(Micros, RequestId)>,
     pub concurrency: ConcurrencyLimit,
     pub start_wait: StartWait,
-    /// Size of the requests that were served.
+    /// Total size of the requests that were served.
     pub completed: DecayingSum,
-    /// How many live endpoints run its jobs.
+    /// Number of live endpoints that run the queue's jobs.
     pub live_endpoints: usize,
-    /// The live endpoints of the scheduler's own zone, in an order of its own.
+    /// The live endpoints of the scheduler's own zone, in an order private to the scheduler.
     pub local: EndpointOrder,
-    /// The live endpoints of other zones, in an order of its own.
+    /// The live endpoints of other zones, in an order private to the scheduler.
     pub remote: EndpointOrder,
 }
 
 impl DispatchQueue {
-    /// Add the queues and buckets that the settings need and that are missing. One more tenant takes the place of "none", so that
-    /// what is counted under an index stays there.
+    /// Adds the queues and buckets that the settings need and that don't exist yet. A new tenant takes over
+    /// the bucket of requests without a tenant, so that all indices keep their counts.
     pub fn add_missing(queues: &mut Vec<DispatchQueue>, settings: &Settings) {
         for class in &settings.classes {
             if !queues.iter().any(|queue| queue.kind == class.kind) {
@@ -111,12 +114,12 @@
         }
     }
 
-    /// Take what a request costs from its tenant's bucket; the request's start tag.
-    pub fn assign_start_tag(&mut self, now: Micros, tenant: usize, terms: BucketTerms) -> Micros {
+    /// Takes the cost of a request from its tenant's bucket, and returns the request's start tag.
+    pub fn assign_start_tag(&mut self, now: Micros, tenant: usize, parameters: BucketParameters) -> Micros {
         let clock = now + self.clock_offset;
         let is_idle = self.concurrency.in_flight == 0 && self.waiting.is_empty() && self.eligible.is_empty();
         let bucket = &mut self.buckets[tenant];
-        let BucketTerms { rate, depth, cost, refills_when_idle } = terms;
+        let BucketParameters { rate, depth, cost, refills_when_idle } = parameters;
         let grown = if refills_when_idle && is_idle {
             f64::MAX
         } else {
@@ -129,27 +132,27 @@
         } else if bucket.tokens > 0.0 {
             clock + ((cost - bucket.tokens) / rate) as Micros
         } else {
-            bucket.max_start.max(clock) + (cost / rate) as Micros
+            bucket.max_start_tag.max(clock) + (cost / rate) as Micros
         };
-        bucket.max_start = start;
+        bucket.max_start_tag = start;
         bucket.tokens -= cost;
         start
     }
 
-    /// Queue a request by its start tag.
+    /// Queues a request by its start tag.
     pub fn push(&mut self, id: RequestId, tenant: usize, start_tag: Micros) {
         self.buckets[tenant].queued += 1;
         self.waiting.insert((start_tag, id));
     }
 
-    /// Remove a request from the queue.
+    /// Removes a request from the queue.
     pub fn remove(&mut self, id: RequestId, tenant: usize, start_tag: Micros, finish_tag: Micros) {
         self.buckets[tenant].queued -= 1;
         self.waiting.remove(&(start_tag, id));
         self.eligible.remove(&(finish_tag, id));
     }
 
-    /// Requests whose start tag has come are eligible from now on.
+    /// Makes requests eligible whose start tag has been reached.
     pub fn admit_eligible(&mut self, now: Micros, finish_tag: impl Fn(RequestId) -> Micros) {
         let clock = now + self.clock_offset;
         while let Some(&(_, id)) = self.waiting.first().filter(|(start, _)| *start <= clock) {
@@ -158,39 +161,41 @@
         }
     }
 
-    /// The eligible request with the least finish tag.
+    /// Returns the eligible request with the least finish tag.
     pub fn first_eligible(&self) -> Option<RequestId> {
         self.eligible.first().map(|(_, id)| *id)
     }
 
-    /// The request with the least start tag ahead, and that tag.
+    /// Returns the least start tag that lies ahead, and its request.
     pub fn first_waiting(&self) -> Option<(Micros, RequestId)> {
         self.waiting.first().copied()
     }
 
-    /// A synchronization point: move the clock to that start tag and refill the buckets of tenants that have nothing queued.
+    /// Carries out a synchronization point: moves the virtual clock to a start tag, and refills the buckets
+    /// of tenants without queued requests.
     pub fn synchronize(&mut self, now: Micros, start_tag: Micros) {
         self.clock_offset = start_tag - now;
         for bucket in self.buckets.iter_mut().filter(|bucket| bucket.queued == 0) {
-            // Capped at the depth of the bucket when it is next used.
+            // Limited to the bucket's depth at its next use.
             bucket.tokens = f64::MAX;
         }
     }
 
-    /// Take over the live endpoints that run its jobs: those that left are dropped, those that came get a random position.
+    /// Updates the orders of live endpoints that run the queue's jobs. Removed endpoints are dropped, and
+    /// new ones get a random position.
     pub fn refresh_endpoints(&mut self, endpoints: &EndpointTable, zone: ZoneId, rng: &mut Rand64) {
         let kind = self.kind;
-        let runs_jobs =
+        let is_usable =
             |e: &Endpoint| e.state == EndpointState::Live && kind.is_none_or(|kind| kind == e.kind);
-        let live: Vec<&Endpoint> = endpoints.iter().map(|e| &e.endpoint).filter(|e| runs_jobs(e)).collect();
+        let live: Vec<&Endpoint> = endpoints.iter().map(|e| &e.endpoint).filter(|e| is_usable(e)).collect();
         self.live_endpoints = live.len();
         for (order, is_local) in [(&mut self.local, true), (&mut self.remote, false)] {
             let listed = live.iter().filter(|e| is_local == (e.zone == zone)).map(|e| e.id);
             let listed: BTreeSet<EndpointId> = listed.collect();
             let mut ids: Vec<EndpointId> =
                 order.ids().iter().copied().filter(|id| listed.contains(id)).collect();
-            let known: BTreeSet<EndpointId> = ids.iter().copied().collect();
-            for id in listed.difference(&known) {
+            let kept: BTreeSet<EndpointId> = ids.iter().copied().collect();
+            for id in listed.difference(&kept) {
                 ids.push(*id);
                 let len = ids.len();
                 ids.swap(len - 1, rng.rand_range(0..len as u64) as usize);
@@ -199,14 +204,15 @@
         }
     }
 
-    /// Whether an endpoint awaits a start may have changed.
+    /// Updates whether an endpoint awaits a start.
     pub fn update_waiting(&mut self, endpoint: EndpointId, tracked: Option<&TrackedEndpoint>) {
         let is_waiting = tracked.is_some_and(TrackedEndpoint::awaits_start);
         self.local.set_waiting(endpoint, is_waiting);
         self.remote.set_waiting(endpoint, is_waiting);
     }
 
-    /// How long starts take now where they take least, in the own zone or outside it, in microseconds.
+    /// Returns the smaller mean start wait of the zones that have endpoints, in microseconds. The own zone
+    /// always counts.
     pub fn least_start_wait(&self) -> f64 {
         if self.remote.len() == 0 {
             self.start_wait.local
@@ -215,7 +221,7 @@
         }
     }
 
-    /// An endpoint gives up its position among the first `preferred` ones to one of the others.
+    /// Swaps an endpoint among the first `preferred` of its order with a random one of the others.
     pub fn demote(&mut self, endpoint: EndpointId, preferred: usize, rng: &mut Rand64) {
         for order in [&mut self.local, &mut self.remote] {
             let len = order.len();
--- a/crates/scheduler/src/ids.rs
+++ b/crates/scheduler/src/ids.rs
@@ -1,13 +1,13 @@
-//! Identifiers of what the scheduler deals with. The caller chooses them; only sameness and, for keys, the hash matter.
+//! Identifiers of requests, endpoints, classes, tenants, keys, zones and kinds. The caller assigns them.
 
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// A request. Never used twice.
+/// Identifies a request. An id is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A backend endpoint. Ids start at 0 and leave few gaps; the id of an endpoint never changes its meaning.
+/// Identifies a backend endpoint. Ids start at 0 and are dense; an id always refers to the same endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u32);
 
@@ -19,13 +19,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TenantId(pub usize);
 
-/// The subject of a request. Requests with one key have the same id at every scheduler.
+/// The key of a request, which names the data that it works on. A key has the same id at every scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyId(pub u64);
 
 impl KeyId {
-    /// The rank that this key gives an endpoint, by the hash of the endpoint's name (rendezvous hashing). It is the same at every
-    /// scheduler, and another one for each key.
+    /// Returns the rendezvous-hashing rank of an endpoint for this key, given the hash of the endpoint's
+    /// name. All schedulers compute the same rank.
     pub fn rank(self, name_hash: u64) -> u64 {
         let mut hasher = SipHasher13::new_with_keys(self.0, 0);
         hasher.write_u64(name_hash);
@@ -33,10 +33,10 @@
     }
 }
 
-/// A zone.
+/// Identifies an availability zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZoneId(pub u32);
 
-/// A kind of endpoint; a class may require one.
+/// Identifies a kind of endpoint. A class may require one kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KindId(pub u32);
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of shorepath, without I/O: events in, actions out.
+//! The scheduling decisions of shorepath, without I/O: events in, actions out.
 //!
-//! [`Scheduler`] decides which request starts when, at which endpoint, what is retried and what is shed. It knows nothing of
-//! sockets, of a clock or of a wire format: whoever drives it (the node, the simulator's adapter, the test simulator) passes in the
-//! time and a seed for its random numbers, and carries out the actions.
+//! [`Scheduler`] decides when each request starts, at which endpoint, what is retried and what is shed. It
+//! uses no sockets, clock or wire format. Its caller (the node, the simulator's adapter or the test
+//! simulator) passes in the time and a seed for its random numbers, and carries out the actions.
 //!
 //! ```
 //! use shorepath_scheduler::{Action, Event, Scheduler, Settings};
@@ -13,8 +13,8 @@
 //! assert!(actions.is_empty());
 //! ```
 //!
-//! Requests are ordered by Redemptive Fair Queuing (Gulati and Varman, sections 3 and 4); comments that begin with `Departure:`
-//! mark where this differs from the paper, and why.
+//! Requests are ordered by Redemptive Fair Queuing (Gulati and Varman, sections 3 and 4). A comment that
+//! begins with `Departure:` explains where the code differs from the paper, and why.
 
 #![warn(
     clippy::cognitive_complexity,
--- a/crates/scheduler/src/names.rs
+++ b/crates/scheduler/src/names.rs
@@ -1,17 +1,17 @@
-//! Numbers for the names that the settings, endpoint lists and requests use.
+//! Dense numbers for the names in settings, endpoint lists and requests.
 
 use siphasher::sip::SipHasher13;
 use std::collections::HashMap;
 use std::hash::Hasher;
 
-/// The same number for the same name in every process.
+/// Returns a hash of the name that is the same in every process and on every node.
 pub fn name_hash(name: &str) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write(name.as_bytes());
     hasher.finish()
 }
 
-/// Names and their numbers, in the order in which they were first seen.
+/// A two-way map between names and numbers, which are given out from 0 in the order of first use.
 #[derive(Debug, Default)]
 pub struct NameTable {
     pub(crate) names: Vec<String>,
@@ -19,7 +19,7 @@
 }
 
 impl NameTable {
-    /// Those names, numbered in their order.
+    /// Builds a table of the names, numbered in iteration order.
     pub(crate) fn from_names<'a>(names: impl Iterator<Item = &'a String>) -> Self {
         let mut table = NameTable::default();
         names.for_each(|name| {
@@ -28,17 +28,17 @@
         table
     }
 
-    /// The name of a number.
+    /// Returns the name with this number, or `None` if the number was never given out.
     pub fn name(&self, number: u32) -> Option<&str> {
         self.names.get(number as usize).map(String::as_str)
     }
 
-    /// The number of a name, if it has one.
+    /// Returns the number of a name, or `None` if the name is not in the table.
     pub fn get(&self, name: &str) -> Option<u32> {
         self.numbers.get(name).copied()
     }
 
-    /// The number of a name, which is given the next one when it is first seen.
+    /// Returns the number of a name, and adds the name with the next free number if it is new.
     pub fn intern(&mut self, name: &str) -> u32 {
         if let Some(&number) = self.numbers.get(name) {
             return number;
@@ -50,17 +50,17 @@
     }
 }
 
-/// The names behind the numbers that the scheduler uses.
+/// The names of the entities that the scheduler knows by number.
 #[derive(Debug, Default)]
 pub struct Catalog {
-    /// Endpoints, numbered as [`crate::EndpointId`].
+    /// Endpoint names, numbered as [`crate::EndpointId`].
     pub endpoints: NameTable,
-    /// Zones, numbered as [`crate::ZoneId`].
+    /// Zone names, numbered as [`crate::ZoneId`].
     pub zones: NameTable,
-    /// Kinds of endpoints, numbered as [`crate::KindId`].
+    /// Names of endpoint kinds, numbered as [`crate::KindId`].
     pub kinds: NameTable,
-    /// Classes, numbered as [`crate::ClassId`].
+    /// Class names, numbered as [`crate::ClassId`].
     pub classes: NameTable,
-    /// Tenants, numbered as [`crate::TenantId`].
+    /// Tenant names, numbered as [`crate::TenantId`].
     pub tenants: NameTable,
 }
--- a/crates/scheduler/src/outlier.rs
+++ b/crates/scheduler/src/outlier.rs
@@ -1,4 +1,4 @@
-//! Suspicion of endpoints, zones, kinds, keys, classes and tenants: the records of outlier detection.
+//! Outlier detection's records of suspected endpoints, zones, kinds, keys, classes and tenants.
 
 use crate::endpoint::Endpoint;
 use crate::ids::{ClassId, EndpointId, KeyId};
@@ -6,30 +6,29 @@
 use shorepath_types::Micros;
 use std::collections::BTreeMap;
 
-/// What a suspicion is about.
+/// The subject of a suspicion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Subject {
-    /// An endpoint.
     Endpoint(EndpointId),
-    /// One class at an endpoint, by its index.
+    /// A class at one endpoint, by class index.
     ClassAt(EndpointId, usize),
-    /// One tenant at an endpoint, by its index.
+    /// A tenant at one endpoint, by tenant index.
     TenantAt(EndpointId, usize),
-    /// All endpoints of a zone.
+    /// All endpoints of a zone, by zone number.
     Zone(u32),
-    /// All endpoints of a kind.
+    /// All endpoints of a kind, by kind number.
     Kind(u32),
-    /// Requests of a key, wherever they run.
+    /// Requests of a key, at any endpoint.
     Key(KeyId),
-    /// Requests of a class, wherever they run.
+    /// Requests of a class, by class index, at any endpoint.
     Class(usize),
-    /// Requests of a tenant, wherever they run.
+    /// Requests of a tenant, by tenant index, at any endpoint.
     Tenant(usize),
 }
 
 impl Subject {
-    /// What the health of an endpoint depends on for a job, narrowest first: its class there, its tenant there, the endpoint, the
-    /// zone, the kind.
+    /// Returns the subjects whose suspicion affects a job at an endpoint, narrowest first: class there,
+    /// tenant there, endpoint, zone and kind.
     pub fn of_endpoint(endpoint: &Endpoint, job: &Job) -> [Subject; 5] {
         [
             Subject::ClassAt(endpoint.id, job.class.0),
@@ -40,14 +39,15 @@
         ]
     }
 
-    /// What a job has in common with others, wherever they run: its key (its class where it has none), class and tenant.
+    /// Returns the subjects that a job shares with others at any endpoint: key (or class if it has none),
+    /// class and tenant.
     pub fn of_job(job: &Job) -> [Subject; 3] {
         let class = Subject::Class(job.class.0);
         [job.key.map_or(class, Subject::Key), class, Subject::Tenant(job.tenant)]
     }
 
-    /// The same about another class, where it is about this one.
-    fn about_other_class(self, class: ClassId, other: ClassId) -> Option<Subject> {
+    /// Returns this subject with class `class` replaced by `other`, or `None` if it is not about `class`.
+    fn with_class(self, class: ClassId, other: ClassId) -> Option<Subject> {
         match self {
             Subject::ClassAt(endpoint, c) if c == class.0 => Some(Subject::ClassAt(endpoint, other.0)),
             Subject::Class(c) if c == class.0 => Some(Subject::Class(other.0)),
@@ -56,41 +56,40 @@
     }
 }
 
-/// Who was involved in the last failure.
+/// Class, tenant and key of the last failed job.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct FailureCause {
-    /// Index of the class.
     pub class: usize,
-    /// Index of the tenant.
     pub tenant: usize,
     pub key: Option<KeyId>,
 }
 
-/// Suspicion of one subject.
+/// The suspicion of one subject.
 #[derive(Clone, Debug)]
 pub(crate) struct Suspicion {
-    /// The subject is left alone until then; then it is tried with one idempotent job at a time, with others after as long again.
+    /// The subject is avoided until this time. After that, idempotent jobs are sent again, and other jobs
+    /// once `pause` has passed a second time.
     pub until: Micros,
-    /// For how long it was left alone the last time; 0 while it never was.
+    /// How long the subject was last avoided; 0 if it never was.
     pub pause: Micros,
-    /// Of the last failure.
+    /// The job of the last failure.
     pub cause: FailureCause,
     /// The endpoint of the last failure.
     pub endpoint: EndpointId,
-    /// Failures in a row, at different endpoints.
+    /// Consecutive failures, at different endpoints where the subject spans several.
     pub streak: u32,
-    /// When the first of them came.
+    /// When the first failure of `streak` occurred.
     pub since: Micros,
-    /// Jobs served anywhere before the first of them.
+    /// Number of jobs served at any endpoint before the first failure of `streak`.
     pub served_before: u64,
-    /// The failure was an answer, so a start is no sign of health.
+    /// The last failure was an error answer, so a started job does not prove health.
     pub is_error: bool,
-    /// A success has come since.
+    /// A job has succeeded since the last failure.
     pub is_cleared: bool,
 }
 
 impl Suspicion {
-    /// One without ground yet.
+    /// Creates a suspicion that is not in force.
     pub fn new(now: Micros, endpoint: EndpointId) -> Self {
         Suspicion {
             until: now,
@@ -105,14 +104,14 @@
         }
     }
 
-    /// Leave the subject alone from now on, for twice as long as the last time within these bounds.
+    /// Starts to avoid the subject, for twice as long as last time within `min` and `max`.
     pub fn pause(&mut self, now: Micros, min: Micros, max: Micros) {
         self.is_cleared = false;
         self.pause = (self.pause * 2).clamp(min, max);
         self.until = now + self.pause;
     }
 
-    /// Whether it has ground and no success has come since.
+    /// Returns whether the subject has been avoided and has not succeeded since.
     pub fn is_open(&self) -> bool {
         self.pause > 0 && !self.is_cleared
     }
@@ -121,11 +120,12 @@
 /// The suspicions of all subjects.
 pub(crate) type Suspicions = BTreeMap<Subject, Suspicion>;
 
-/// A class id has other rules from now on; suspicions of the class whose figures it inherits are about it, too.
+/// Drops the suspicions of a class id that now has other rules, and copies those of the class whose learned
+/// values it inherits.
 pub(crate) fn reassign_class(suspicions: &mut Suspicions, class: ClassId, inherits_from: Option<ClassId>) {
-    suspicions.retain(|subject, _| subject.about_other_class(class, class).is_none());
+    suspicions.retain(|subject, _| subject.with_class(class, class).is_none());
     let moved = |(subject, suspicion): (&Subject, &Suspicion)| {
-        Some((subject.about_other_class(inherits_from?, class)?, suspicion.clone()))
+        Some((subject.with_class(inherits_from?, class)?, suspicion.clone()))
     };
     let inherited: Vec<_> = suspicions.iter().filter_map(moved).collect();
     suspicions.extend(inherited);
--- a/crates/scheduler/src/quota.rs
+++ b/crates/scheduler/src/quota.rs
@@ -1,4 +1,5 @@
-//! Shares of quotas that all schedulers divide, and what is used of them. How the shares come about is not this package's concern.
+//! Enforces this scheduler's shares of quotas that all schedulers divide, and records their usage. Another
+//! package computes the shares.
 
 use crate::event::{Request, WorkState};
 use crate::ids::{ClassId, RequestId, TenantId};
@@ -8,57 +9,59 @@
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
-/// One that waits for an attempt to end looks again after this.
+/// Delay before a request that waits for an attempt of its class to end is checked again, in microseconds.
 const RECHECK_DELAY: Micros = 20_000;
-/// Longer than anyone waits.
+/// A wait longer than any client's deadline, in microseconds.
 const NEVER: Micros = 3_600_000_000;
-/// The least rate of a tenant, requests by the microsecond.
+/// Lower bound of a tenant's rate, in requests per microsecond.
 const MIN_RATE: f64 = 1e-9;
 
-/// What a quota limits.
+/// The quantity that a quota limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum QuotaKind {
-    /// Requests of a tenant a second, counted by their first attempts.
+    /// Requests of a tenant per second, counted by their first attempts.
     TenantRate(TenantId),
-    /// Attempts of a class in flight; one whose end is not known counts for as long as it may run.
+    /// Attempts of a class in flight. One whose outcome is uncertain counts for as long as it may run.
     ClassConcurrency(ClassId),
-    /// Retries a second.
+    /// Retries per second.
     Retries,
-    /// Probes a second.
+    /// Probes per second.
     Probes,
     /// Attempts in flight at any one endpoint.
     Connections,
-    /// What any endpoint in slow start gets from all schedulers.
+    /// Load that all schedulers together put on any one endpoint in slow start.
     SlowStart,
-    /// New requests of a tenant in all, counted since the start; none of those that were begun before.
+    /// New requests of a tenant, counted since the start of the scheduler. Repeats of accepted requests
+    /// don't count.
     NewWork(TenantId),
-    /// Whether anything of a tenant may be sent: 0 units for no.
+    /// Whether attempts for a tenant may be sent at all; 0 units forbid them.
     TenantEnabled(TenantId),
-    /// Requests of a class by clients of other sites, a second.
+    /// Requests of a class per second by clients of other sites.
     RemoteClass(ClassId),
-    /// Requests by clients of the own site, a second: while it takes its load back.
+    /// Requests per second by clients of this site, limited while the site takes its load back.
     LocalSite,
 }
 
 /// The share of a quota that this scheduler may use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuotaShare {
-    /// What the quota limits.
+    /// The quota that is divided.
     pub kind: QuotaKind,
-    /// Units that may be used here, a second or at once.
+    /// Units for this scheduler, per second or in use at once, depending on the kind.
     pub units: u64,
-    /// Units of all schedulers together.
+    /// Units for all schedulers together.
     pub total: u64,
-    /// Of units by the second: for how long unused ones are kept. Of those in use at once: how long one may be in use.
+    /// In microseconds. For a rate, how long unused units are kept; for a limit on units in use, how long
+    /// one of them may be in use.
     pub window: Micros,
 }
 
-/// What was done with a share since that was last asked for.
+/// The usage of a share since the usage was last taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QuotaUsage {
-    /// Units that were asked for, or the most in use at once that were.
+    /// Units demanded, or for a limit on units in use the most that were demanded at once.
     pub demand: u64,
-    /// Units that were used, or that are in use.
+    /// Units used, or units in use now.
     pub used: u64,
 }
 
@@ -68,7 +71,7 @@
     meter: Meter,
     demand: u64,
     used: u64,
-    /// Something had to wait for it.
+    /// A request or probe had to wait for a unit.
     is_short: Cell<bool>,
 }
 
@@ -78,26 +81,26 @@
         TrackedShare { share, meter, demand: 0, used: 0, is_short: Cell::new(false) }
     }
 
-    /// Note that something has to wait where nothing is available.
+    /// Records a shortage if no unit is available.
     fn note_availability(&self, is_available: bool) {
         self.is_short.set(self.is_short.get() || !is_available);
     }
 }
 
-/// All shares; none where nothing is divided.
+/// The shares of this scheduler. A quota without a share is not limited.
 #[derive(Debug, Default)]
 pub(crate) struct Quotas {
     shares: BTreeMap<QuotaKind, TrackedShare>,
-    /// Attempts of limited classes, by the class's index: until when each is counted.
+    /// Attempts of classes with a limit, by class index, with the time until which each counts as in flight.
     in_flight: BTreeMap<(usize, RequestId, u32), Micros>,
-    /// Requests that were counted as new and have not been sent, with their tenants.
+    /// Requests that were counted as new and have not been sent yet.
     unsent_new: BTreeMap<RequestId, TenantId>,
-    /// Requests of a tenant that were accepted as new.
+    /// Number of requests of each tenant that were accepted as new.
     new_work: BTreeMap<TenantId, u64>,
 }
 
 impl Quotas {
-    /// These shares apply from now on; what was saved and what is in flight of a share stays with it.
+    /// Replaces the shares. A share keeps its unused units and its usage if its window is unchanged.
     pub fn set(&mut self, now: Micros, shares: Vec<QuotaShare>) {
         for tracked in self.shares.values_mut() {
             tracked.meter.pass(now, tracked.share.units);
@@ -113,18 +116,18 @@
         }
     }
 
-    /// Whether a request is accepted: it belongs here, its tenant may begin something new or it was begun, and its site has a unit
-    /// left for it. The quota of a site limits load, so it applies to what was begun before as well: a repeat is no less work than
-    /// the first try was.
+    /// Accepts a request that belongs to this node, whose tenant may start new work unless it repeats
+    /// accepted work, and for which the quota of its client's site has a unit left. The quota of the site
+    /// limits load, so it counts repeats as well.
     ///
     /// # Errors
-    /// The quota that is used up, or `None` for a request that belongs elsewhere.
+    /// The quota that is used up, or `None` for a request that belongs to another node.
     pub fn accept(&mut self, now: Micros, request: &Request) -> Result<(), Option<QuotaKind>> {
         if request.work_state == WorkState::Misdirected {
             return Err(None);
         }
-        let new_of = request.tenant.filter(|_| request.work_state == WorkState::New);
-        let limited = new_of.filter(|tenant| self.shares.contains_key(&QuotaKind::NewWork(*tenant)));
+        let new_work_tenant = request.tenant.filter(|_| request.work_state == WorkState::New);
+        let limited = new_work_tenant.filter(|tenant| self.shares.contains_key(&QuotaKind::NewWork(*tenant)));
         if let Some(tenant) = limited.filter(|tenant| self.is_new_work_used_up(*tenant)) {
             return Err(Some(QuotaKind::NewWork(tenant)));
         }
@@ -145,12 +148,13 @@
         units.is_some_and(|units| self.new_work_count(tenant) >= units)
     }
 
-    /// Requests of a tenant that were accepted as new while that was limited.
+    /// Returns how many requests of a tenant were accepted as new while a quota limited them.
     pub fn new_work_count(&self, tenant: TenantId) -> u64 {
         self.new_work.get(&tenant).copied().unwrap_or(0)
     }
 
-    /// How long until a unit is available, if none is now.
+    /// Returns the time until a unit is available, or `None` if one is available now or nothing limits the
+    /// kind.
     fn time_until_available(&mut self, now: Micros, kind: QuotaKind) -> Option<Micros> {
         let tracked = self.shares.get_mut(&kind)?;
         tracked.meter.pass(now, tracked.share.units);
@@ -167,7 +171,7 @@
         }
     }
 
-    /// Use a unit, unless there is none.
+    /// Takes a unit, and returns whether one was available.
     pub fn take(&mut self, now: Micros, kind: QuotaKind) -> bool {
         let is_available = self.time_until_available(now, kind).is_none();
         if is_available {
@@ -176,7 +180,7 @@
         is_available
     }
 
-    /// Whether a unit is available, or nothing limits that.
+    /// Returns whether a unit is available, without taking it.
     pub fn is_available(&self, now: Micros, kind: QuotaKind) -> bool {
         let Some(tracked) = self.shares.get(&kind) else { return true };
         let mut meter = tracked.meter;
@@ -185,10 +189,10 @@
         meter.has()
     }
 
-    /// Use what the next attempt of a request needs of all quotas; else how long it has to wait for that at least.
+    /// Takes the units that the next attempt of a request needs from all quotas.
     ///
     /// # Errors
-    /// The time to wait, in microseconds.
+    /// The least time to wait until they are available, in microseconds.
     pub fn take_attempt(
         &mut self,
         now: Micros,
@@ -229,18 +233,19 @@
         Ok(())
     }
 
-    /// Attempts of a class that have to be assumed in flight.
+    /// Counts the attempts of a class that may still be in flight.
     fn count_in_flight(&mut self, now: Micros, class: ClassId) -> u64 {
         let of_class = (class.0, RequestId(0), 0)..(class.0 + 1, RequestId(0), 0);
         let attempts = self.in_flight.range(of_class.clone());
-        let over: Vec<_> = attempts.filter(|(_, until)| **until <= now).map(|(id, _)| *id).collect();
-        for id in over {
+        let ended: Vec<_> = attempts.filter(|(_, until)| **until <= now).map(|(id, _)| *id).collect();
+        for id in ended {
             self.in_flight.remove(&id);
         }
         self.in_flight.range(of_class).count() as u64
     }
 
-    /// An attempt has ended; where its end is not `certain` it may run for as long as any may.
+    /// Releases an attempt. If it is not certain that the attempt is over, it counts until the longest time
+    /// that one may run has passed.
     pub fn end_attempt(&mut self, class: ClassId, attempt: AttemptId, sent_at: Micros, is_certain: bool) {
         let kind = QuotaKind::ClassConcurrency(class);
         let longest = self.shares.get(&kind).map_or(0, |tracked| tracked.share.window);
@@ -249,42 +254,45 @@
         }
     }
 
-    /// A request is over after so many attempts: what was reserved for another one is free.
+    /// Releases what was reserved for the next attempt of a request that is over after `attempts` attempts.
     pub fn end_request(&mut self, class: ClassId, id: RequestId, attempts: u32) {
         self.in_flight.remove(&(class.0, id, attempts));
-        // Of one that was never sent nothing was begun.
+        // A request that was never sent does not count as new work.
         if let Some(tenant) = self.unsent_new.remove(&id).filter(|_| attempts == 0) {
             self.new_work.entry(tenant).and_modify(|count| *count = count.saturating_sub(1));
         }
     }
 
-    /// A request of that tenant has come.
+    /// Counts a request of a tenant as demand.
     pub fn record_demand(&mut self, tenant: usize) {
         if let Some(tracked) = self.shares.get_mut(&QuotaKind::TenantRate(TenantId(tenant))) {
             tracked.demand += 1;
         }
     }
 
-    /// A job was served: what is sent to endpoints in slow start follows from it.
+    /// Counts a served job: the demand of all schedulers decides how they divide slow start.
     pub fn record_served(&mut self) {
         if let Some(tracked) = self.shares.get_mut(&QuotaKind::SlowStart) {
             tracked.demand += 1;
         }
     }
 
-    /// What a tenant may use here, requests by the microsecond, where that is limited.
+    /// Returns a tenant's rate at this scheduler in requests per microsecond, or `None` if it is not
+    /// limited.
     pub fn tenant_rate(&self, tenant: usize) -> Option<f64> {
         let tracked = self.shares.get(&QuotaKind::TenantRate(TenantId(tenant)))?;
         Some((tracked.share.units as f64 / 1e6).max(MIN_RATE))
     }
 
-    /// The part of what an endpoint in slow start gets that may come from here, where that is known.
+    /// Returns the fraction of slow-start work that may come from this scheduler, or `None` if it is
+    /// unknown.
     pub fn slow_start_part(&self) -> Option<f64> {
         let tracked = self.shares.get(&QuotaKind::SlowStart)?;
         Some(tracked.share.units as f64 / tracked.share.total.max(1) as f64)
     }
 
-    /// Whether one more attempt may be in flight at an endpoint that has so many of ours.
+    /// Returns whether one more attempt may be sent to an endpoint that has `in_flight` attempts of this
+    /// scheduler.
     pub fn allows_connection(&self, in_flight: u32) -> bool {
         let Some(tracked) = self.shares.get(&QuotaKind::Connections) else { return true };
         let is_allowed = u64::from(in_flight) < tracked.share.units;
@@ -292,24 +300,25 @@
         is_allowed
     }
 
-    /// What was done with each share since that was last asked for; `most_in_flight` is the most at any one endpoint.
+    /// Returns the usage of each share since the last call, and resets it. `most_in_flight` is the greatest
+    /// number of attempts in flight at any one endpoint.
     pub fn take_usage(&mut self, now: Micros, most_in_flight: u64) -> Vec<(QuotaKind, QuotaUsage)> {
         self.count_all_in_flight(now);
-        let mut all = Vec::new();
+        let mut usages = Vec::new();
         for (kind, tracked) in &mut self.shares {
             if let QuotaKind::NewWork(tenant) = kind {
                 tracked.used = self.new_work.get(tenant).copied().unwrap_or(0);
             }
             let used = if *kind == QuotaKind::Connections { most_in_flight } else { tracked.used };
             let demand = tracked.demand.max(used);
-            // How much more was asked for is not known: half as much again.
+            // The unmet demand is unknown; half of the known demand is assumed.
             let was_short = tracked.is_short.take();
             let is_counted = matches!(kind, QuotaKind::TenantRate(_));
-            let more = if was_short && !is_counted { demand / 2 + 1 } else { 0 };
-            all.push((*kind, QuotaUsage { demand: demand + more, used }));
+            let unmet = if was_short && !is_counted { demand / 2 + 1 } else { 0 };
+            usages.push((*kind, QuotaUsage { demand: demand + unmet, used }));
             (tracked.demand, tracked.used) = (0, 0);
         }
-        all
+        usages
     }
 
     fn count_all_in_flight(&mut self, now: Micros) {
--- a/crates/scheduler/src/request.rs
+++ b/crates/scheduler/src/request.rs
@@ -1,32 +1,32 @@
-//! Requests that are not yet answered, and their attempts.
+//! Requests that have not been answered yet, and their attempts.
 
 use crate::ids::{ClassId, EndpointId, KeyId, RequestId};
 use shorepath_types::Micros;
 
-/// What stays the same over a request's life.
+/// The properties of a request that stay the same until it is answered.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
     pub class: ClassId,
-    /// Index of its dispatch queue.
+    /// Index of the dispatch queue.
     pub queue: usize,
-    /// Index of its tenant; the number of tenants for a request without one.
+    /// Index of the tenant, or the number of tenants for a request without one.
     pub tenant: usize,
     pub key: Option<KeyId>,
-    /// It was beyond its tenant's share as it arrived.
+    /// The request was beyond its tenant's share on arrival.
     pub is_over_share: bool,
     /// Expected work of one slot, in microseconds on a standard core.
     pub work: f64,
-    /// The work in all its slots together.
+    /// Expected work of all slots together.
     pub total_work: f64,
-    /// Its size for fair queuing: slots, times the work hint where there is one.
+    /// Size for fair queuing: number of slots, multiplied by the work hint if there is one.
     pub size: f64,
     pub has_work_hint: bool,
-    /// Endpoints may reject it after they had begun it, by the rules under which it arrived.
+    /// By the settings at arrival, endpoints may reject the job after they have started it.
     pub overloaded_may_have_run: bool,
     pub arrived_at: Micros,
-    /// When the answer stops being in time.
+    /// When an answer is no longer in time.
     pub due_at: Micros,
-    /// When the client leaves.
+    /// When the client stops waiting for an answer.
     pub deadline: Micros,
 }
 
@@ -37,34 +37,35 @@
     pub sent_at: Micros,
 }
 
-/// A request not yet answered.
+/// A request that has not been answered yet.
 #[derive(Debug)]
 pub(crate) struct PendingRequest {
     pub job: Job,
     pub start_tag: Micros,
     pub finish_tag: Micros,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: u32,
-    /// How many it may have, by the rules under which it arrived.
+    /// Limit of attempts, by the settings at arrival.
     pub max_attempts: u32,
-    /// An attempt is out.
+    /// An attempt is in flight.
     pub is_in_flight: bool,
     pub is_queued: bool,
-    /// A quota that all schedulers divide has nothing for it now.
+    /// A quota that all schedulers divide has no unit for the next attempt.
     pub awaits_quota: bool,
     pub first_run: Option<FirstRun>,
-    /// The endpoint that last answered that it can't use the request.
+    /// The endpoint that last answered that the request is unusable.
     pub bad_request_from: Option<EndpointId>,
-    /// The round of probes for its next attempt, from 1; 0 while none is probed. It counts as in flight meanwhile.
+    /// The round of probes for the next attempt, from 1; 0 if there is none. A request with probes counts as
+    /// in flight.
     pub probe_round: u32,
-    /// Endpoints that were probed in these rounds.
+    /// Endpoints that were probed for the next attempt.
     pub probed: Vec<EndpointId>,
-    /// How many of them have not answered.
+    /// Number of probes without a result yet.
     pub pending_probes: u32,
 }
 
 impl PendingRequest {
-    /// One that has just arrived, with its tags.
+    /// Creates a request that has just arrived.
     pub fn new(job: Job, start_tag: Micros, finish_tag: Micros, max_attempts: u32) -> Self {
         PendingRequest {
             job,
@@ -83,25 +84,25 @@
         }
     }
 
-    /// No endpoint is probed for it any longer.
+    /// Ends probing for the request.
     pub fn clear_probes(&mut self) {
         (self.probe_round, self.pending_probes) = (0, 0);
         self.probed.clear();
     }
 }
 
-/// An attempt that is out, by its request and number.
+/// Identifies an attempt in flight by its request and number.
 pub(crate) type AttemptId = (RequestId, u32);
 
-/// An attempt that is out.
+/// An attempt in flight.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     pub endpoint: EndpointId,
     pub job: Job,
     pub sent_at: Micros,
     pub started_at: Option<Micros>,
-    /// It does not count against the concurrency limit: it should have started, or ended, long since.
+    /// The attempt should have started or ended by now, and no longer counts against the concurrency limit.
     pub is_overdue: bool,
-    /// For how long its connection had been idle; 0 for a new one.
+    /// How long the attempt's connection had been idle; 0 for a new connection.
     pub connection_idle: Micros,
 }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,5 +1,4 @@
-//! The scheduler: events in, actions out. This file has its state and how events reach the part that decides on them; each part is
-//! a module of its own below.
+//! The scheduler's state, and the dispatch of events and timers to the submodules that handle them.
 
 mod admission;
 mod answers;
@@ -30,15 +29,15 @@
 use shorepath_types::Micros;
 use std::collections::{BTreeMap, HashMap};
 
-/// The longest pause before the endpoint list is subscribed to again.
+/// Upper bound of the delay before the endpoint list is subscribed to again, in microseconds.
 const MAX_SUBSCRIBE_BACKOFF: Micros = 1_000_000;
 
-/// First tries of each tenant here, since the first endpoint list.
+/// The arrival of first tries at this scheduler, since its first endpoint list.
 #[derive(Debug, Default)]
 struct TenantDemand {
-    /// By the index of the tenant, and the last for requests without one.
+    /// Arrivals by tenant index, and last for requests without a tenant.
     arrivals: Vec<DecayingSum>,
-    /// When the first endpoint list came.
+    /// When the first endpoint list arrived.
     since: Option<Micros>,
 }
 
@@ -48,28 +47,29 @@
     }
 }
 
-/// The decisions of one scheduler. Hand in every event in order; it appends the actions that follow.
+/// Makes the decisions of one scheduler. The caller passes every event in order to [`Scheduler::handle`],
+/// which appends the resulting actions.
 #[derive(Debug)]
 pub struct Scheduler {
     settings: Settings,
     rng: Rand64,
     now: Micros,
-    /// When the scheduler last found that it had been stalled.
+    /// When the scheduler last detected that it had been stalled.
     stalled_at: Micros,
     queues: Vec<DispatchQueue>,
     /// Running mean of the running time of each class, in microseconds.
     class_work: Vec<f64>,
-    /// Running mean of the size of a request.
+    /// Running mean of the size of a request, see [`crate::request::Job::size`].
     mean_size: f64,
     endpoints: EndpointTable,
     quotas: Quotas,
-    /// Jobs served so far.
+    /// Number of jobs served so far.
     served: u64,
-    /// Capacity of all live endpoints.
+    /// Sum of the greatest listed capacities of all live endpoints.
     total_capacity: f64,
-    /// The work of our served jobs on a unit of that.
+    /// Work of this scheduler's served jobs per unit of total capacity.
     served_work: DecayingSum,
-    /// Running mean of the speed of each kind of endpoint.
+    /// Running mean of the speed of endpoints, by kind.
     kind_speeds: BTreeMap<u32, f64>,
     suspicions: Suspicions,
     stale_connections: StaleConnections,
@@ -84,8 +84,7 @@
 }
 
 impl Scheduler {
-    /// A scheduler that knows nothing but its settings. `seed` is for its random choices: the same seed and events lead to the same
-    /// actions.
+    /// Creates a scheduler. `seed` is for its random choices: equal seeds and events lead to equal actions.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut queues = Vec::new();
         DispatchQueue::add_missing(&mut queues, &settings);
@@ -118,7 +117,8 @@
         }
     }
 
-    /// Take one event at time `now`, in microseconds on the caller's clock, and append the actions that follow.
+    /// Handles one event at time `now`, in microseconds on the caller's clock, and appends the resulting
+    /// actions.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         self.detect_stall();
@@ -132,11 +132,11 @@
         }
     }
 
-    /// A wake-up that comes late shows that this scheduler was stalled: how long what comes with it took is not known, and no
-    /// attempt counts as overdue before it is taken in.
+    /// Detects a stall of this process by a late timer. The duration of events that arrive with it is then
+    /// unknown, and attempts count as overdue only after these events are handled.
     fn detect_stall(&mut self) {
-        let late = self.now - 2 * self.settings.tick.max(1);
-        if self.timers.first_due().is_some_and(|at| at < late) {
+        let stall_limit = self.now - 2 * self.settings.tick.max(1);
+        if self.timers.first_due().is_some_and(|at| at < stall_limit) {
             self.stalled_at = self.now;
         }
     }
@@ -181,7 +181,8 @@
 
     fn on_timer(&mut self, timer: Timer, actions: &mut Vec<Action>) {
         match timer {
-            // Still queued, it can no longer be in time, or its client leaves: it is shed while that is harmless.
+            // A request that is still queued can no longer be answered in time, or its client is about to
+            // give up: it is shed if a retry is harmless, and otherwise fails.
             Timer::AnswerDue(id) if self.requests.get(&id).is_some_and(|r| !r.is_in_flight) => {
                 self.answer_unserved(id, actions);
             }
@@ -196,16 +197,16 @@
         }
     }
 
-    /// Other settings apply. Open requests keep the rules under which they arrived; a class with other rules inherits what the class
-    /// that it follows has learned.
+    /// Applies new settings. Open requests keep the rules under which they arrived. A class with other rules
+    /// inherits the learned values of the class that it follows.
     fn reconfigure(&mut self, reconfiguration: Reconfiguration) {
         let settings = reconfiguration.settings;
-        let learned = self.class_work.clone();
+        let previous_work = self.class_work.clone();
         self.class_work.resize(settings.classes.len(), 0.0);
         let moved = |r: &&crate::ReassignedClass| r.inherits_from != Some(r.class);
         for reassigned in reconfiguration.reassigned.iter().filter(moved) {
             let class = reassigned.class;
-            let inherited = reassigned.inherits_from.and_then(|from| learned.get(from.0)).copied();
+            let inherited = reassigned.inherits_from.and_then(|from| previous_work.get(from.0)).copied();
             self.class_work[class.0] = inherited.unwrap_or_else(|| settings.classes[class.0].assumed_work());
             reassign_class(&mut self.suspicions, class, reassigned.inherits_from);
         }
@@ -215,45 +216,47 @@
         self.refresh_endpoints();
     }
 
-    /// The settings in force.
+    /// Returns the current settings.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Whether this end of an attempt that is out proves that it never ran.
+    /// Returns whether the final `status` of an attempt in flight proves that it never ran; `false` for an
+    /// unknown attempt.
     pub fn proves_not_run(&self, id: RequestId, attempt: u32, status: AttemptStatus) -> bool {
         self.attempts.get(&(id, attempt)).is_some_and(|a| self.never_ran(&a.job, status))
     }
 
-    /// When the attempt of a request that is started now has to have been written whole, if that is limited: it may have to wait
-    /// for its connection.
+    /// Returns the time by which an attempt that starts now must have been written completely, because it
+    /// may have to wait for its connection. `None` if there is no limit.
     pub fn write_deadline(&self, id: RequestId) -> Option<Micros> {
         self.requests.get(&id).and_then(|request| self.repeatable_until(request))
     }
 
-    /// Whether a request or an attempt uses the id of that class.
+    /// Returns whether a request or an attempt in flight uses a class id.
     pub fn uses_class(&self, class: ClassId) -> bool {
         self.requests.values().any(|r| r.job.class == class)
             || self.attempts.values().any(|a| a.job.class == class)
     }
 
-    /// Requests of a tenant that were accepted as new while that was limited, since the start.
+    /// Returns how many requests of a tenant were accepted as new while a quota limited them.
     pub fn new_work_count(&self, tenant: TenantId) -> u64 {
         self.quotas.new_work_count(tenant)
     }
 
-    /// What was done with each quota share since that was last asked for.
+    /// Returns the usage of each quota share since the last call, and resets it.
     pub fn take_quota_usage(&mut self, now: Micros) -> Vec<(QuotaKind, QuotaUsage)> {
-        let most = self.endpoints.iter().map(|e| u64::from(e.in_flight)).max().unwrap_or(0);
-        self.quotas.take_usage(now, most)
+        let most_in_flight = self.endpoints.iter().map(|e| u64::from(e.in_flight)).max().unwrap_or(0);
+        self.quotas.take_usage(now, most_in_flight)
     }
 
-    /// The mean work of a request over all classes, in microseconds.
+    /// Returns the mean work of a request over all classes, in microseconds.
     fn mean_work(&self) -> f64 {
         self.class_work.iter().sum::<f64>() / self.class_work.len().max(1) as f64
     }
 
-    /// The mean latency objective over all classes, with the work of each included, in microseconds.
+    /// Returns the mean latency objective over all classes, including each class's own work, in
+    /// microseconds.
     fn mean_objective(&self) -> f64 {
         let classes = self.settings.classes.iter().zip(&self.class_work);
         let sum: f64 =
@@ -261,7 +264,7 @@
         (sum / self.class_work.len().max(1) as f64).max(1.0)
     }
 
-    /// The time constant with which records of idle connections decay, in microseconds.
+    /// Returns the time constant with which records of idle connections decay, in microseconds.
     fn connection_time_constant(&self) -> f64 {
         2.0 * self.settings.recent_window()
     }
--- a/crates/scheduler/src/scheduler/admission.rs
+++ b/crates/scheduler/src/scheduler/admission.rs
@@ -1,28 +1,29 @@
-//! Admission: what becomes of a request as it arrives, and the rates and tags that fair queuing gives it.
+//! Admission: rejects, sheds or queues arriving requests, and computes the rates and tags of fair queuing.
 
 use super::Scheduler;
 use crate::action::Action;
 use crate::decaying_sum::as_sample;
 use crate::event::Request;
-use crate::fair_queue::BucketTerms;
+use crate::fair_queue::BucketParameters;
 use crate::ids::{ClassId, RequestId};
 use crate::request::{Job, PendingRequest};
 use crate::timer::Timer;
 use shorepath_types::Micros;
 
-/// An answer leaves at least this long before the client gives up.
+/// Least time between the last moment for an answer and the client's deadline, in microseconds.
 const MIN_ANSWER_MARGIN: Micros = 1_000;
-/// The least part of the completion rate that a tenant's bucket gets.
-const MIN_SHARE: f64 = 0.001;
-/// A bucket saves at least this many mean requests.
+/// Lower bound of a tenant's fraction of the completion rate.
+const MIN_RATE_SHARE: f64 = 0.001;
+/// Lower bound of a bucket's depth, in requests of mean size.
 const MIN_BUCKET_REQUESTS: f64 = 5.0;
-/// A class of little weight waits no longer than the root of this many times the objective.
+/// Upper bound of the ratio between the best class's weight and a class's own, whose square root scales the
+/// delay to its finish tags.
 const MAX_WEIGHT_RATIO: f64 = 100.0;
-/// Where more clients than this share leave early, requests wait no longer than those stay.
-const MANY_LEAVE: f64 = 0.5;
+/// Share of clients that disconnect early above which requests are queued no longer than these clients wait.
+const MAX_EARLY_DISCONNECT_SHARE: f64 = 0.5;
 
 impl Scheduler {
-    /// A request has arrived: it is rejected, shed, or queued.
+    /// Handles the arrival of a request, which is rejected, shed or queued.
     pub(super) fn on_request(&mut self, request: &Request, actions: &mut Vec<Action>) {
         let id = request.id;
         if let Err(quota) = self.quotas.accept(self.now, request) {
@@ -40,7 +41,7 @@
         self.quotas.record_demand(tenant);
         let window = self.settings.recent_window();
         self.demand.arrivals[tenant].add(self.now, window, as_sample(!request.is_retry));
-        let max_start_before = self.queues[queue].buckets[tenant].max_start;
+        let max_start_tag_before = self.queues[queue].buckets[tenant].max_start_tag;
         if let Some(wait) = self.suspicion_wait(&job) {
             self.quotas.end_request(job.class, id, 0);
             return actions.push(Action::Shed { id, retry_after: self.retry_after(wait) });
@@ -58,7 +59,7 @@
         if self.is_too_far_over_share(id, start_tag) {
             let bucket = &mut self.queues[queue].buckets[tenant];
             bucket.tokens += cost;
-            bucket.max_start = max_start_before;
+            bucket.max_start_tag = max_start_tag_before;
             self.answer_unserved(id, actions);
         }
     }
@@ -91,8 +92,9 @@
         }
     }
 
-    /// How long ago the first try of a request was made. A marked retry began when its first try did; its objective has run since.
-    /// Its age shows in the time that remains only where the tenant's clients give first tries the whole deadline.
+    /// Returns the time since a request's first try, from which its objective counts. A retry's age is the
+    /// deadline less the time that remains. That holds only if the tenant's clients give first tries the
+    /// full deadline; otherwise this returns 0, as it does for a first try.
     fn retry_age(&mut self, request: &Request, queue: usize, tenant: usize) -> Micros {
         let class = &self.settings.classes[request.class.0];
         let elapsed = (class.deadline - request.time_remaining).max(0);
@@ -107,28 +109,33 @@
         }
     }
 
-    /// The latency objective of a job, its own work included.
+    /// Returns the latency objective of a job, including its own work.
     fn objective(&self, job: &Job) -> Micros {
         let class = &self.settings.classes[job.class.0];
         class.latency_objective + (class.work_factor * job.work) as Micros
     }
 
-    /// When a request that is still queued has to be answered: before its client gives up, and when it can no longer be in time.
-    /// Departure: where most clients leave early it is queued no longer than they stay. A few leave anywhere; the others must not
-    /// be shed for them on arrival.
+    /// Sets the timers by which a queued request is answered: before its client gives up, and when it can no
+    /// longer be in time.
+    ///
+    /// Departure: while most clients disconnect early, a request is queued no longer than they wait. If only
+    /// a few do, other requests must not be shed on arrival because of them.
     fn set_answer_timers(&mut self, id: RequestId, job: &Job) {
         let margin = self.settings.tick.max(MIN_ANSWER_MARGIN);
         self.timers.set(job.deadline - margin, Timer::AnswerDue(id));
-        let leaves_early = self.abandonment.share > MANY_LEAVE;
-        let part = if leaves_early { self.abandonment.stay } else { 1.0 };
-        let until = self.now + ((job.due_at - self.now) as f64 * part) as Micros;
+        let many_disconnect_early = self.abandonment.share > MAX_EARLY_DISCONNECT_SHARE;
+        let queue_fraction = if many_disconnect_early { self.abandonment.wait_fraction } else { 1.0 };
+        let until = self.now + ((job.due_at - self.now) as f64 * queue_fraction) as Micros;
         let start_wait =
             if self.uses_probes(job.queue) { 0 } else { self.queues[job.queue].least_start_wait() as Micros };
         self.timers.set(until - job.work as Micros - start_wait, Timer::AnswerDue(id));
     }
 
-    /// Departure: beyond its tenant's share a request waits only that part of the mean objective (of all classes, or a flood would
-    /// select heavy ones) which its weight amounts to; a later start is shed for free.
+    /// Returns whether a request beyond its tenant's share has to be shed on arrival.
+    ///
+    /// Departure: such a request may wait only for a fraction of the mean objective, the fraction that its
+    /// weight has of its class's. The mean is over all classes, or a flood would leave only the classes with
+    /// long objectives. A request with a later start tag is shed before it costs anything.
     fn is_too_far_over_share(&self, id: RequestId, start_tag: Micros) -> bool {
         let Some(request) = self.requests.get(&id).filter(|request| request.is_queued) else { return false };
         let longest_wait = self.mean_objective() * self.settings.over_share_fraction.clamp(0.0, 1.0);
@@ -136,25 +143,29 @@
         request.job.tenant < self.settings.tenants.len() && start > self.now + longest_wait as Micros
     }
 
-    /// The rate of a tenant's bucket (rho): its share of the own completion rate, or of that of a full limit.
+    /// Returns the rate of a tenant's bucket (rho), in tokens per microsecond: a fraction of the tenant's
+    /// quota or, without a quota, its share of this scheduler's completion rate (or of the rate at the
+    /// concurrency limit, if greater).
     fn bucket_rate(&self, queue: usize, tenant: usize) -> f64 {
         let Some(quota) = self.settings.quota(tenant) else { return self.share_rate(queue, tenant) };
-        // Departure: where all schedulers have agreed on a rate, that one.
+        // Departure: a rate that all schedulers have agreed on takes precedence.
         if let Some(rate) = self.quotas.tenant_rate(tenant) {
             return rate;
         }
-        self.typical_quota_part() * quota / 1e6
+        self.quota_fraction() * quota / 1e6
     }
 
-    /// Departure: rho is an even part of the tenant's quota, or what the median tenant uses here of its own, if that is more. A busy
-    /// scheduler is busy with most, a flood comes from one.
-    fn typical_quota_part(&self) -> f64 {
+    /// Returns the fraction of a tenant's quota that this scheduler's bucket allows.
+    ///
+    /// Departure: it is an equal part for each scheduler or, if greater, the fraction that the median tenant
+    /// uses here. A busy scheduler is busy with most tenants, while a flood comes from one.
+    fn quota_fraction(&self) -> f64 {
         let tenants = 0..self.settings.tenants.len();
         let quotas = tenants.filter_map(|tenant| Some((tenant, self.settings.quota(tenant)?)));
-        let mut parts: Vec<f64> =
+        let mut fractions: Vec<f64> =
             quotas.map(|(tenant, quota)| self.arrival_rate(tenant) * 1e6 / quota).collect();
-        parts.sort_unstable_by(f64::total_cmp);
-        parts[parts.len() / 2].clamp(1.0 / f64::from(self.settings.schedulers.max(1)), 1.0)
+        fractions.sort_unstable_by(f64::total_cmp);
+        fractions[fractions.len() / 2].clamp(1.0 / f64::from(self.settings.schedulers.max(1)), 1.0)
     }
 
     fn share_rate(&self, queue: usize, tenant: usize) -> f64 {
@@ -164,51 +175,62 @@
             Some(tenant) if total > 0.0 => tenant.share.max(0.0) / total,
             _ => 1.0 / queue.buckets.len() as f64,
         };
-        let full = queue.concurrency.limit() * self.mean_size / self.mean_objective();
+        let rate_at_limit = queue.concurrency.limit() * self.mean_size / self.mean_objective();
         let completed = queue.completed.rate(self.now, self.settings.recent_window());
-        share.max(MIN_SHARE) * completed.max(full)
+        share.max(MIN_RATE_SHARE) * completed.max(rate_at_limit)
     }
 
-    /// First tries of a tenant here, by the microsecond, since the start or over the recent window.
+    /// Returns the rate of a tenant's first tries here per microsecond, over the recent window or the time
+    /// since the start.
     fn arrival_rate(&self, tenant: usize) -> f64 {
         let window = self.settings.recent_window();
         let age = (self.now - self.demand.since.unwrap_or(self.now)) as f64;
-        let seen = (1.0 - (-age / window).exp()).max(self.settings.recent_eighth() as f64 / window);
-        self.demand.arrivals[tenant].rate(self.now, window) / seen
+        let observed_fraction =
+            (1.0 - (-age / window).exp()).max(self.settings.recent_eighth() as f64 / window);
+        self.demand.arrivals[tenant].rate(self.now, window) / observed_fraction
     }
 
-    /// What a request takes of its bucket. Departure: one token where the quota counts requests, or a few long ones would look like
-    /// a flood.
+    /// Returns the tokens that a request costs.
+    ///
+    /// Departure: it is one token if the quota counts requests, or a few long requests would look like a
+    /// flood.
     fn token_cost(&self, tenant: usize, size: f64) -> f64 {
         self.settings.quota(tenant).map_or(size, |_| 1.0)
     }
 
-    /// Bring the tenant's bucket up to date and take what the request costs; its start tag.
+    /// Updates the tenant's bucket, takes the cost of a request from it, and returns the request's start
+    /// tag.
     fn assign_start_tag(&mut self, queue: usize, tenant: usize, cost: f64) -> Micros {
         let rate = self.bucket_rate(queue, tenant);
-        let least = MIN_BUCKET_REQUESTS * self.token_cost(tenant, self.mean_size);
-        let depth = (rate * self.mean_objective()).max(least);
-        let refills_when_idle = self.forgives_debt(queue, tenant);
-        let terms = BucketTerms { rate, depth, cost, refills_when_idle };
-        self.queues[queue].assign_start_tag(self.now, tenant, terms)
+        let min_depth = MIN_BUCKET_REQUESTS * self.token_cost(tenant, self.mean_size);
+        let depth = (rate * self.mean_objective()).max(min_depth);
+        let refills_when_idle = self.may_reset_deficit(queue, tenant);
+        let parameters = BucketParameters { rate, depth, cost, refills_when_idle };
+        self.queues[queue].assign_start_tag(self.now, tenant, parameters)
     }
 
-    /// Departure: the delay from start to finish tag (delta) is the objective, longer by the root of how much less than the best
-    /// class a class weighs for its work: of an overload's delay the classes whose work weighs more bear less.
+    /// Returns the delay from a request's start tag to its finish tag (delta).
+    ///
+    /// Departure: it is the objective times the square root of the best class's weight over the own class's,
+    /// each per unit of work. In an overload, classes with more weight for their work are delayed less.
     fn finish_tag_delay(&self, class: ClassId, objective: Micros) -> Micros {
-        let per = |work: &f64| if self.settings.weight_by_work { 1.0 } else { work.max(1.0) };
+        let work_unit = |work: &f64| if self.settings.weight_by_work { 1.0 } else { work.max(1.0) };
         let classes = self.settings.classes.iter().zip(&self.class_work);
-        let weights: Vec<f64> =
-            classes.map(|(class, work)| (class.priority_weight / per(work)).max(f64::MIN_POSITIVE)).collect();
-        let best = weights.iter().copied().fold(0.0, f64::max);
-        (objective as f64 * (best / weights[class.0]).min(MAX_WEIGHT_RATIO).sqrt()) as Micros
+        let weights: Vec<f64> = classes
+            .map(|(class, work)| (class.priority_weight / work_unit(work)).max(f64::MIN_POSITIVE))
+            .collect();
+        let best_weight = weights.iter().copied().fold(0.0, f64::max);
+        (objective as f64 * (best_weight / weights[class.0]).min(MAX_WEIGHT_RATIO).sqrt()) as Micros
     }
 
-    /// Departure: one that carries little finds its limit open although endpoints are full. Where tenants have quotas it refills
-    /// buckets, at a synchronization point or as a busy period begins, only while what a request beyond its share displaces, by the
-    /// share lost, weighs less. Harm: see `docs/`.
-    pub(super) fn forgives_debt(&self, queue: usize, tenant: usize) -> bool {
-        // One bad sample is no evidence: two in a row are.
+    /// Returns whether a tenant's deficit may be reset, by a refill of its bucket at a synchronization point
+    /// or when a busy period starts.
+    ///
+    /// Departure: a scheduler with little traffic stays below its limit even while endpoints are full. With
+    /// quotas, buckets are refilled only while the share of lost requests is below the weight of a request
+    /// beyond its tenant's share. Harm: see `docs/`.
+    pub(super) fn may_reset_deficit(&self, queue: usize, tenant: usize) -> bool {
+        // A single bad sample is no evidence; two in a row are.
         let two_samples = 2.0 * crate::concurrency_limit::SAMPLE_WEIGHT;
         self.settings.quota(tenant).is_none()
             || self.lost_share(queue) <= self.settings.over_share_fraction.max(two_samples)
--- a/crates/scheduler/src/scheduler/answers.rs
+++ b/crates/scheduler/src/scheduler/answers.rs
@@ -1,4 +1,4 @@
-//! Answers and retries: whether a request may be tried again, and how it is answered where it is not served.
+//! Answers and retries: whether a request may be retried, and the answer of a request that is not served.
 
 use super::attempts::RARE_SAMPLE_WEIGHT;
 use super::Scheduler;
@@ -11,27 +11,28 @@
 use shorepath_types::Micros;
 
 impl Scheduler {
-    /// Whether a request may be tried again.
+    /// Returns whether a request may be retried.
     pub(super) fn may_retry(&self, request: &PendingRequest) -> bool {
-        // The retry budget is not spent on what is beyond a tenant's share.
-        let deserves_retry = self.settings.retry_budget.is_none() || !request.job.is_over_share;
-        let is_harmless = self.repeatable_until(request).is_none_or(|end| self.now < end);
+        // The retry budget is reserved for requests within their tenant's share.
+        let may_use_budget = self.settings.retry_budget.is_none() || !request.job.is_over_share;
+        let is_safe_to_repeat = self.repeatable_until(request).is_none_or(|end| self.now < end);
         let has_time = request.job.deadline > self.now + self.settings.tick;
-        deserves_retry
-            && is_harmless
+        may_use_budget
+            && is_safe_to_repeat
             && !self.is_job_at_fault(&request.job)
             && has_time
             && request.attempts < request.max_attempts
     }
 
-    /// Until when one more attempt of a request does no harm, where one may have run.
+    /// Returns the time until which one more attempt of a request is harmless, or `None` if no attempt may
+    /// have run yet.
     pub(super) fn repeatable_until(&self, request: &PendingRequest) -> Option<Micros> {
         let window = self.settings.classes[request.job.class.0].idempotency.repeat_window();
         request.first_run.map(|run| run.sent_at.saturating_add(window))
     }
 
-    /// Whether one more retry keeps to the budget: of those in the window, its first moment included, there may be so many for the
-    /// requests that came strictly inside it.
+    /// Returns whether the retry budget allows one more retry. Requests count if they arrived strictly
+    /// inside the window; retries also count if they started at its first moment.
     pub(super) fn retry_budget_allows(&self) -> bool {
         let Some(budget) = self.settings.retry_budget else { return true };
         let from = self.now - budget.window;
@@ -45,7 +46,8 @@
         Some(self.settings.max_attempts).filter(|max| *max > 0).unwrap_or(u32::MAX)
     }
 
-    /// Whether this end proves that a job never ran, by the settings in force and those under which it arrived.
+    /// Returns whether `status` proves that a job never ran. Both the current settings and those at the
+    /// job's arrival must rule it out.
     pub(super) fn never_ran(&self, job: &Job, status: AttemptStatus) -> bool {
         match status {
             AttemptStatus::Overloaded => {
@@ -56,7 +58,8 @@
         }
     }
 
-    /// Whether one more attempt of the request may be made at this endpoint at all.
+    /// Returns whether one more attempt at the endpoint is harmless, given where and when an earlier one may
+    /// have run.
     pub(super) fn is_in_dedup_scope(&self, request: &PendingRequest, tracked: &TrackedEndpoint) -> bool {
         let Some(run) = request.first_run else { return true };
         let idempotency = self.settings.classes[request.job.class.0].idempotency;
@@ -73,22 +76,23 @@
         is_same && self.now - run.sent_at < idempotency.repeat_window()
     }
 
-    /// Whether an answer that waits that long could earn nothing any more.
+    /// Returns whether a request that waits for `wait` before it starts can no longer get an answer with any
+    /// value.
     pub(super) fn is_too_late(&self, request: &PendingRequest, wait: Micros) -> bool {
         let class = &self.settings.classes[request.job.class.0];
         let end = if class.late_fraction > 0.0 { request.job.deadline } else { request.job.due_at };
         self.now + wait + request.job.work as Micros > end
     }
 
-    /// Answer a request that is not served: it is shed where trying again is harmless, else it fails.
+    /// Answers a request that is not served: it is shed if a retry is harmless, and otherwise fails.
     pub(super) fn answer_unserved(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let idempotency = self.settings.classes[request.job.class.0].idempotency;
-        let drops_repeats = matches!(
+        let is_retry_safe = matches!(
             idempotency,
             Idempotency::Idempotent | Idempotency::Keyed { scope: DedupScope::All, .. }
         );
-        if drops_repeats || request.first_run.is_none() {
+        if is_retry_safe || request.first_run.is_none() {
             let retry_after = self.retry_after(self.wait_for_tokens(request));
             actions.push(Action::Shed { id, retry_after });
         } else {
@@ -97,20 +101,21 @@
         self.forget(id);
     }
 
-    /// When the tenant of a request has tokens again, or the budget a retry; after the longest objective at least.
+    /// Returns the time until the tenant has tokens and the budget allows retries again, and at least the
+    /// longest objective.
     fn wait_for_tokens(&self, request: &PendingRequest) -> Micros {
         let tokens = request.start_tag - self.queues[request.job.queue].clock_offset - self.now;
         let exhausted = self.settings.retry_budget.filter(|_| !self.retry_budget_allows());
-        let retry = exhausted.map_or(0, |budget| budget.window);
-        tokens.max(retry).max(self.settings.longest_objective() as Micros)
+        let budget_wait = exhausted.map_or(0, |budget| budget.window);
+        tokens.max(budget_wait).max(self.settings.longest_objective() as Micros)
     }
 
-    /// How long a client is asked to wait, where clients heed that.
+    /// Returns the retry-after for an answer, or `None` if clients don't honor it.
     pub(super) fn retry_after(&self, wait: Micros) -> Option<Micros> {
         self.settings.sends_retry_after.then_some(wait.min(self.settings.max_retry_after))
     }
 
-    /// A request has its answer, or its client has left.
+    /// Ends a request that was answered, or whose client disconnected.
     pub(super) fn end_request(&mut self, id: RequestId, has_left: bool) {
         if let Some(job) = self.requests.get(&id).map(|request| &request.job) {
             self.abandonment.record(self.now, job, has_left, RARE_SAMPLE_WEIGHT);
@@ -118,7 +123,7 @@
         self.forget(id);
     }
 
-    /// Drop a request.
+    /// Removes a request and all that is reserved for it.
     pub(super) fn forget(&mut self, id: RequestId) {
         self.dequeue(id);
         self.stop_probing(id);
--- a/crates/scheduler/src/scheduler/attempts.rs
+++ b/crates/scheduler/src/scheduler/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: starting them, and what their starts and ends show.
+//! Attempts: sends them, and updates the estimates from their starts and outcomes.
 
 use super::Scheduler;
 use crate::action::Action;
@@ -13,20 +13,21 @@
 
 /// Weight of the newest sample in running means of rare events.
 pub(super) const RARE_SAMPLE_WEIGHT: f64 = SAMPLE_WEIGHT / 4.0;
-/// An attempt is overdue after so many times the usual wait for a start.
-const OVERDUE_WAITS: f64 = 4.0;
-/// Idle connections are closed where more than this share of such is lost.
+/// An attempt is overdue after this multiple of the mean wait for a start.
+const OVERDUE_MULTIPLE: f64 = 4.0;
+/// Share of attempts lost on idle connections above which these connections are closed.
 const MAX_STALE_SHARE: f64 = 2.0 * SAMPLE_WEIGHT;
-/// A speed is counted within these bounds.
+/// Lower bound of a speed sample.
 const MIN_SPEED: f64 = 0.05;
+/// Upper bound of a speed sample.
 const MAX_SPEED: f64 = 4.0;
-/// The least capacity that served work is divided by.
+/// Lower bound of the total capacity that served work is divided by.
 const MIN_TOTAL_CAPACITY: f64 = 0.001;
-/// The pause after an overload rejection doubles at most so often.
+/// Upper bound of the doublings of the pause after overload rejections.
 const MAX_OVERLOAD_DOUBLINGS: u32 = 5;
 
 impl Scheduler {
-    /// Start the next attempt of a request at an endpoint.
+    /// Sends the next attempt of a request to an endpoint.
     pub(super) fn start_attempt(&mut self, id: RequestId, endpoint: EndpointId, actions: &mut Vec<Action>) {
         self.advance_rng();
         let is_remote = self.endpoints.is_remote(endpoint, self.settings.zone);
@@ -40,9 +41,10 @@
         if number > 0 && self.settings.retry_budget.is_some() {
             self.retry_history.record_retry(self.now);
         }
-        // Four times what starts take now, if that is more: where all wait it is no endpoint's fault.
-        let usual = (OVERDUE_WAITS * self.queues[job.queue].start_wait.get(is_remote)) as Micros;
-        let overdue = self.settings.classes[job.class.0].latency_objective.max(usual);
+        // A multiple of the current mean wait applies if it exceeds the objective: where all jobs start
+        // late, no single endpoint is at fault.
+        let usual_wait = (OVERDUE_MULTIPLE * self.queues[job.queue].start_wait.get(is_remote)) as Micros;
+        let overdue = self.settings.classes[job.class.0].latency_objective.max(usual_wait);
         self.queues[job.queue].concurrency.start();
         let connection_idle = self.take_connection(endpoint, actions);
         self.update_waiting(endpoint);
@@ -63,8 +65,9 @@
         actions.push(Action::StartAttempt { id, endpoint });
     }
 
-    /// Count an attempt at an endpoint; for how long the connection that it uses had been idle, 0 for a new one. Guards against idle
-    /// connections that are dropped unseen, or reset at the next request.
+    /// Counts an attempt at an endpoint and takes an idle connection for it. Returns how long that
+    /// connection had been idle, or 0 for a new one. Guards against idle connections that were dropped
+    /// silently, or that are reset at the next request.
     fn take_connection(&mut self, endpoint: EndpointId, actions: &mut Vec<Action>) -> Micros {
         let (now, time_constant) = (self.now, self.connection_time_constant());
         let Some(tracked) = self.endpoints.get_mut(endpoint) else { return 0 };
@@ -79,7 +82,7 @@
         idle
     }
 
-    /// Whether an endpoint awaits a start may have changed.
+    /// Updates in all queues whether an endpoint awaits a start.
     fn update_waiting(&mut self, endpoint: EndpointId) {
         let tracked = self.endpoints.get(endpoint);
         for queue in &mut self.queues {
@@ -87,7 +90,7 @@
         }
     }
 
-    /// An attempt's job has started.
+    /// Handles the start of an attempt's job.
     pub(super) fn on_attempt_started(&mut self, attempt_id: AttemptId) {
         let attempt = self.attempts.get_mut(&attempt_id).filter(|a| a.started_at.is_none());
         let Some(attempt) = attempt else { return };
@@ -109,16 +112,16 @@
             return;
         }
         self.record_start_wait(endpoint, job.queue, wait);
-        // Not timely is what waited longer than an eighth of the objective, or than half of the time that it was queued here: where
-        // the limit queues jobs, that is what is too narrow.
+        // A start is timely within an eighth of the objective or, if longer, half of the time that the
+        // request was queued here. After a long time in the queue, the limit was too low.
         let objective = self.settings.classes[job.class.0].latency_objective;
-        let longest = (objective / 8).max(queued_for / 2).max(2 * self.settings.tick);
+        let timely_limit = (objective / 8).max(queued_for / 2).max(2 * self.settings.tick);
         let is_late = self.now + job.work as Micros > job.due_at;
-        let sample = CapacitySample::Started { is_timely: wait <= longest, is_late };
+        let sample = CapacitySample::Started { is_timely: wait <= timely_limit, is_late };
         self.record_capacity(job.queue, sample);
     }
 
-    /// A start came after that long, or has not come yet.
+    /// Records how long an attempt has waited for its start, whether or not it has started.
     fn record_start_wait(&mut self, endpoint: EndpointId, queue: usize, wait: Micros) {
         let is_remote = self.endpoints.is_remote(endpoint, self.settings.zone);
         let mean = self.queues[queue].start_wait.get_mut(is_remote);
@@ -138,9 +141,12 @@
         queue.concurrency.raise_to_minimum(queue.live_endpoints, schedulers);
     }
 
-    /// An attempt has not started within its class's objective (or four usual waits), or is out past the objective at an endpoint
-    /// without another success: the endpoint is suspected, whatever the cause, and an idempotent job that has not started is tried
-    /// elsewhere, not soon. Departure: it leaves the concurrency limit, which silent endpoints would fill.
+    /// Handles an attempt that has not started within its class's objective (or four mean waits), or that is
+    /// in flight past the objective at an endpoint without another success. The endpoint is suspected,
+    /// whatever the cause. Later, an idempotent job that has not started is cancelled and retried elsewhere.
+    ///
+    /// Departure: the attempt no longer counts against the concurrency limit, which unresponsive endpoints
+    /// would otherwise exhaust.
     pub(super) fn on_attempt_overdue(&mut self, attempt_id: AttemptId, actions: &mut Vec<Action>) {
         let Some(attempt) = self.attempts.get_mut(&attempt_id) else { return };
         let class = &self.settings.classes[attempt.job.class.0];
@@ -152,15 +158,15 @@
             self.queues[attempt.job.queue].concurrency.in_flight -= 1;
         }
         let awaits_start = self.settings.reports_starts && attempt.started_at.is_none();
-        // Guards against doing work twice: what is cancelled still runs at an endpoint that was only busy, and a quarter of the
-        // deadline leaves time for a late answer from elsewhere.
+        // Guards against running a job twice, since an endpoint that is only busy still runs a cancelled
+        // job. A quarter of the deadline leaves time for a late answer from another endpoint.
         let cancel_at = attempt.sent_at + class.deadline / 4;
         if awaits_start && self.now < cancel_at {
             self.timers.set(cancel_at, Timer::AttemptOverdue(attempt_id.0, attempt_id.1));
         }
         let is_idempotent = class.idempotency == Idempotency::Idempotent;
         let may_cancel = awaits_start && self.now >= cancel_at && self.settings.can_cancel && is_idempotent;
-        let last_seen = attempt.started_at.unwrap_or(attempt.sent_at);
+        let last_seen_at = attempt.started_at.unwrap_or(attempt.sent_at);
         let (endpoint, job) = (attempt.endpoint, attempt.job.clone());
         let (idle, wait) = (attempt.connection_idle, self.now - attempt.sent_at);
         if awaits_start {
@@ -168,7 +174,7 @@
             self.stale_connections.record(self.now, idle, true, self.connection_time_constant());
         }
         let tracked = self.endpoints.get(endpoint);
-        if awaits_start || tracked.is_some_and(|e| e.last_success_at <= last_seen) {
+        if awaits_start || tracked.is_some_and(|e| e.last_success_at <= last_seen_at) {
             self.record_failure(endpoint, &job, false);
         }
         let may_retry = || self.requests.get(&attempt_id.0).is_some_and(|request| self.may_retry(request));
@@ -177,7 +183,7 @@
         }
     }
 
-    /// An attempt has ended: its request is answered, queued again, or waits for what else is out.
+    /// Handles the end of an attempt: its request is answered or queued again.
     pub(super) fn on_attempt_ended(
         &mut self,
         attempt_id: AttemptId,
@@ -187,7 +193,7 @@
     ) {
         let id = attempt_id.0;
         let attempt = self.attempts.remove(&attempt_id);
-        let is_unusable = attempt.is_some_and(|attempt| self.settle_attempt(attempt_id, &attempt, status));
+        let is_unusable = attempt.is_some_and(|attempt| self.record_outcome(attempt_id, &attempt, status));
         if is_final {
             return self.end_request(id, false);
         }
@@ -195,8 +201,8 @@
             actions.push(Action::Fail { id });
             return self.forget(id);
         }
-        let open = self.requests.get(&id).filter(|request| !request.is_in_flight && !request.is_queued);
-        let Some(request) = open else { return };
+        let unassigned = self.requests.get(&id).filter(|request| !request.is_in_flight && !request.is_queued);
+        let Some(request) = unassigned else { return };
         if self.may_retry(request) && !self.is_too_late(request, 0) {
             self.enqueue(id);
         } else {
@@ -204,13 +210,13 @@
         }
     }
 
-    /// Take in how an attempt ended; whether its request was found unusable twice.
+    /// Records the outcome of an attempt, and returns whether its request has been unusable twice.
     ///
-    /// Departure: a request that an endpoint can't use is tried once more and fails if another one can't use it either. Guards
-    /// against requests that no endpoint can use: as errors they would make their class or endpoints suspected. Whoever can't use
-    /// what another one then serves is at fault, though.
-    fn settle_attempt(&mut self, attempt_id: AttemptId, attempt: &Attempt, status: AttemptStatus) -> bool {
-        self.learn_from_end(attempt, status);
+    /// Departure: a request that an endpoint can't use is retried once, and fails if another endpoint can't
+    /// use it either. Counted as errors, such requests would make their class or the endpoints suspected. An
+    /// endpoint that can't use what another one then serves is at fault, and counts as failed.
+    fn record_outcome(&mut self, attempt_id: AttemptId, attempt: &Attempt, status: AttemptStatus) -> bool {
+        self.update_estimates(attempt, status);
         self.update_waiting(attempt.endpoint);
         let never_ran = self.never_ran(&attempt.job, status);
         let is_certain = status.has_response() || never_ran;
@@ -233,8 +239,8 @@
         }
     }
 
-    /// What the end of an attempt shows of the endpoint and the class.
-    fn learn_from_end(&mut self, attempt: &Attempt, status: AttemptStatus) {
+    /// Updates the estimates for the endpoint and the class from the outcome of an attempt.
+    fn update_estimates(&mut self, attempt: &Attempt, status: AttemptStatus) {
         let now = self.now;
         if !attempt.is_overdue {
             self.queues[attempt.job.queue].concurrency.in_flight -= 1;
@@ -251,16 +257,16 @@
         }
         let is_stale = attempt.connection_idle > 0 && attempt.started_at.is_none();
         match status {
-            AttemptStatus::Ok => self.learn_from_served(attempt),
-            AttemptStatus::Overloaded => self.learn_from_overload(attempt),
-            // A reset before the start on a connection that had been idle is the connection's fault.
+            AttemptStatus::Ok => self.record_served_job(attempt),
+            AttemptStatus::Overloaded => self.record_overload(attempt),
+            // A reset before the start, on a connection that had been idle, is a fault of the connection.
             AttemptStatus::Reset if is_stale => {
                 let time_constant = self.connection_time_constant();
                 self.stale_connections.record(now, attempt.connection_idle, true, time_constant);
             }
             AttemptStatus::Error | AttemptStatus::Reset if self.attribute_failure(attempt) => {}
-            // An error, too: guards against endpoints that fail fast and so look idle; a start is no sign of health after one. A
-            // rare stray error costs one short pause.
+            // Errors count as well: guards against endpoints that fail fast and therefore look idle. After
+            // an error, a start no longer proves health. A rare stray error costs one short pause.
             AttemptStatus::Error
             | AttemptStatus::ConnectFailed
             | AttemptStatus::Reset
@@ -271,7 +277,7 @@
         }
     }
 
-    fn learn_from_served(&mut self, attempt: &Attempt) {
+    fn record_served_job(&mut self, attempt: &Attempt) {
         let (now, job, window) = (self.now, &attempt.job, self.settings.recent_window());
         let running_time = (now - attempt.started_at.unwrap_or(attempt.sent_at)).max(1) as f64;
         if let Some(tracked) = self.endpoints.get_mut(attempt.endpoint) {
@@ -289,18 +295,18 @@
         self.served_work.add(now, window, job.total_work / self.total_capacity.max(MIN_TOTAL_CAPACITY));
         self.mean_size += SAMPLE_WEIGHT * (job.size - self.mean_size);
         if !self.settings.reports_starts {
-            // What it was queued here is no sign of the capacity of endpoints.
+            // Time in this scheduler's queue does not show the capacity of endpoints.
             let is_late = now - attempt.sent_at > job.due_at - job.arrived_at;
             self.record_capacity(job.queue, CapacitySample::Started { is_timely: !is_late, is_late });
         }
     }
 
-    fn learn_from_overload(&mut self, attempt: &Attempt) {
+    fn record_overload(&mut self, attempt: &Attempt) {
         let pause = (self.mean_work() as Micros / 4).max(self.settings.tick);
         let window = self.settings.recent_window();
         let Some(tracked) = self.endpoints.get_mut(attempt.endpoint) else { return };
         tracked.overloads += 1;
-        // Where such a rejection may cost the job, several in a row double the pause.
+        // If such a rejection may cost the job, consecutive rejections double the pause.
         let doublings = if self.settings.overloaded_may_have_run {
             (tracked.overloads - 1).min(MAX_OVERLOAD_DOUBLINGS)
         } else {
--- a/crates/scheduler/src/scheduler/endpoint_list.rs
+++ b/crates/scheduler/src/scheduler/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: which endpoints there are.
+//! The endpoint list: keeps the endpoint table and the queues up to date with it.
 
 use super::{Scheduler, MAX_SUBSCRIBE_BACKOFF};
 use crate::action::Action;
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 
 impl Scheduler {
-    /// The full endpoint list.
+    /// Handles a full endpoint list.
     pub(super) fn on_endpoint_list(&mut self, list: Vec<Endpoint>, actions: &mut Vec<Action>) {
         let listed: BTreeSet<EndpointId> = list.iter().map(|e| e.id).collect();
         let known: BTreeSet<EndpointId> = self.endpoints.iter().map(|e| e.endpoint.id).collect();
@@ -25,7 +25,7 @@
         self.on_endpoint_update(list);
     }
 
-    /// Changed entries of the endpoint list.
+    /// Handles changed entries of the endpoint list.
     pub(super) fn on_endpoint_update(&mut self, changed: Vec<Endpoint>) {
         self.subscribe_backoff = self.settings.tick.max(1);
         for endpoint in changed {
@@ -38,11 +38,11 @@
         self.refresh_endpoints();
     }
 
-    /// The endpoint list could not be fetched, or the subscription broke.
+    /// Subscribes again after a delay, which doubles with each consecutive failure.
     pub(super) fn on_endpoint_list_failed(&mut self) {
         self.timers.set(self.now + self.subscribe_backoff, Timer::Resubscribe);
-        let longest = MAX_SUBSCRIBE_BACKOFF.max(self.settings.tick);
-        self.subscribe_backoff = (self.subscribe_backoff * 2).min(longest);
+        let max_backoff = MAX_SUBSCRIBE_BACKOFF.max(self.settings.tick);
+        self.subscribe_backoff = (self.subscribe_backoff * 2).min(max_backoff);
     }
 
     fn update_endpoint(&mut self, endpoint: Endpoint) {
@@ -58,11 +58,13 @@
         tracked.update(endpoint);
     }
 
-    /// An endpoint is gone or missing from the list. Departure: where only draining excludes and it was not seen draining, the list
-    /// proves nothing: it stays, suspected, and serves again or is dropped when that has lasted for the longest deadline. Being
-    /// listed as live lifts a drain.
+    /// Handles an endpoint that was removed or is missing from the list.
+    ///
+    /// Departure: if only draining excludes endpoints and this one was not draining, it stays and is
+    /// suspected. It is dropped when it has been missing and without success for the longest deadline. An
+    /// endpoint that is listed as live again is no longer draining.
     fn unlist(&mut self, endpoint: EndpointId) {
-        let (now, shortest) = (self.now, self.settings.longest_objective() as Micros);
+        let (now, min_pause) = (self.now, self.settings.longest_objective() as Micros);
         let Some(tracked) = self.endpoints.get_mut(endpoint) else { return };
         if !self.settings.only_draining_excludes || tracked.endpoint.state != EndpointState::Live {
             tracked.endpoint.state = EndpointState::Removed;
@@ -70,18 +72,18 @@
             tracked.unlisted_at = Some(now);
             let subject = Subject::Endpoint(endpoint);
             let suspicion = self.suspicions.entry(subject).or_insert(Suspicion::new(now, endpoint));
-            suspicion.pause = suspicion.pause.max(shortest);
+            suspicion.pause = suspicion.pause.max(min_pause);
             suspicion.is_cleared = false;
             suspicion.until = suspicion.until.max(now + suspicion.pause);
         }
     }
 
-    /// Bring the orders of all queues up to date with the endpoint table.
+    /// Updates the orders and limits of all queues from the endpoint table.
     pub(super) fn refresh_endpoints(&mut self) {
         let (now, window) = (self.now, self.settings.recent_window() as Micros);
-        let is_silent =
+        let is_expired =
             |e: &TrackedEndpoint| e.unlisted_at.is_some_and(|at| now >= at.max(e.last_success_at) + window);
-        let is_kept = |e: &TrackedEndpoint| e.endpoint.state != EndpointState::Removed && !is_silent(e);
+        let is_kept = |e: &TrackedEndpoint| e.endpoint.state != EndpointState::Removed && !is_expired(e);
         self.endpoints.retain(|e| is_kept(e) || e.in_flight > 0);
         let live = self.endpoints.iter().filter(|e| e.endpoint.state == EndpointState::Live);
         self.total_capacity = live.map(|e| e.max_capacity).sum();
--- a/crates/scheduler/src/scheduler/outlier_detection.rs
+++ b/crates/scheduler/src/scheduler/outlier_detection.rs
@@ -1,4 +1,5 @@
-//! Outlier detection: which endpoints, zones, kinds, keys, classes and tenants are suspected, and left alone for how long.
+//! Outlier detection: which endpoints, zones, kinds, keys, classes and tenants are suspected, and how long
+//! they are avoided.
 
 use super::Scheduler;
 use crate::endpoint_table::TrackedEndpoint;
@@ -8,29 +9,31 @@
 use crate::settings::Idempotency;
 use shorepath_types::Micros;
 
-/// Suspicions at a time, at most, by failures of keys, classes and tenants.
+/// Upper bound of the number of suspicions, above which none is added for a key, class or tenant.
 const MAX_SUSPICIONS: usize = 4096;
-/// Failures in a row in a zone or kind that make it suspected.
+/// Consecutive failures in a zone or of a kind, at different endpoints, that make it suspected.
 const GROUP_FAILURES: u32 = 3;
-/// Failures of a key at endpoints in turn that make it suspected.
+/// Consecutive failures of a key at different endpoints that make it suspected.
 const KEY_FAILURES: u32 = 3;
-/// Failures of a class or tenant that make it suspected, and jobs served meanwhile.
+/// Consecutive failures of a class or tenant that make it suspected, provided that as many jobs were served
+/// meanwhile.
 const CLASS_FAILURES: u32 = 6;
 
-/// How a failure is counted.
+/// The subject that a failure counts against.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Failure {
-    /// The endpoint, zone and kind may be out of reach or faulty.
+    /// The endpoint, zone and kind, which may be unreachable or faulty.
     Fault {
-        /// It was an answer.
+        /// The endpoint answered with an error.
         is_error: bool,
     },
-    /// The endpoint rejected the job for lack of capacity: that is about this subject alone.
+    /// Only this subject, because the endpoint rejected the job for lack of capacity.
     Rejection(Subject),
 }
 
 impl Scheduler {
-    /// Whether an endpoint is left alone for a job. What is not idempotent waits for twice as long.
+    /// Returns whether an endpoint is avoided for a job. A job that is not idempotent avoids it twice as
+    /// long.
     pub(super) fn is_suspected(&self, tracked: &TrackedEndpoint, job: &Job) -> bool {
         if self.suspicions.is_empty() {
             return false;
@@ -43,13 +46,14 @@
         Subject::of_endpoint(&tracked.endpoint, job).iter().any(is_open)
     }
 
-    /// A failure. The endpoint, or a class or tenant failing alone there, is left alone for the longest objective, doubling up to
-    /// the longest deadline. Three in a row in a zone or kind: that is out of reach.
+    /// Records a failure. The endpoint, or a class or tenant that fails alone there, is avoided for the
+    /// longest objective, and longer after each further failure, up to the longest deadline. Three
+    /// consecutive failures in a zone or of a kind make all of it suspected.
     pub(super) fn record_failure(&mut self, endpoint: EndpointId, job: &Job, is_error: bool) {
         self.record(endpoint, job, Failure::Fault { is_error });
     }
 
-    /// A job was rejected for lack of capacity, which is counted against that subject.
+    /// Records an overload rejection against one subject.
     pub(super) fn record_rejection(&mut self, endpoint: EndpointId, job: &Job, subject: Subject) {
         self.record(endpoint, job, Failure::Rejection(subject));
     }
@@ -68,8 +72,8 @@
                 self.suspect(subject, endpoint, job, false, 0);
             }
             Failure::Fault { is_error } => {
-                let had_pause = |s: &Subject| self.suspicions.get(s).is_some_and(|s| s.pause > 0);
-                let narrower = subjects[..2].iter().copied().find(had_pause);
+                let was_paused = |s: &Subject| self.suspicions.get(s).is_some_and(|s| s.pause > 0);
+                let narrower = subjects[..2].iter().copied().find(was_paused);
                 let subject = narrower.unwrap_or(subjects[2]);
                 self.count_failure(subject, endpoint, false);
                 self.suspect(subject, endpoint, job, is_error, 0);
@@ -82,7 +86,8 @@
         }
     }
 
-    /// Count a failure of a subject. Those of a group count once for each endpoint in a row.
+    /// Counts a failure of a subject. For a group of endpoints, consecutive failures of one endpoint count
+    /// once.
     fn count_failure(&mut self, subject: Subject, endpoint: EndpointId, is_group: bool) -> &Suspicion {
         let now = self.now;
         let suspicion = self.suspicions.entry(subject).or_insert(Suspicion::new(now, endpoint));
@@ -95,7 +100,8 @@
         suspicion
     }
 
-    /// Leave a subject alone after a failure that was counted, once there are so many in a row.
+    /// Records the cause of a counted failure, and avoids the subject once it has had `min_failures` in a
+    /// row.
     fn suspect(
         &mut self,
         subject: Subject,
@@ -116,26 +122,31 @@
         }
     }
 
-    /// Departure: after failures at three endpoints in turn, with none of its key served in between (six of a tenant or class, with
-    /// others served as often), the key is at fault, not the endpoints. Guards against requests that may fail anywhere. Harm: a key
-    /// that met three faulty endpoints waits for the longest objective. Whether the failure was attributed so.
+    /// Counts a failure against the job's key, class and tenant, and returns whether one of them is at fault
+    /// rather than the endpoint. Guards against requests that fail at any endpoint.
+    ///
+    /// Departure: a key is at fault after failures at three endpoints in a row with none of its jobs served
+    /// in between. A class or tenant is at fault after six, if as many other jobs were served meanwhile.
+    /// Harm: a key whose jobs met three faulty endpoints is shed for the longest objective.
     pub(super) fn attribute_failure(&mut self, attempt: &Attempt) -> bool {
-        let mut is_found = false;
+        let mut is_attributed = false;
         for subject in Subject::of_job(&attempt.job) {
             if self.suspicions.len() >= MAX_SUSPICIONS && !self.suspicions.contains_key(&subject) {
                 continue;
             }
-            is_found |= self.count_job_failure(subject, attempt);
+            is_attributed |= self.count_job_failure(subject, attempt);
         }
-        if is_found {
+        if is_attributed {
             let key = attempt.job.key;
-            let is_innocent = |s: &Suspicion| s.cause.key == key && s.is_error;
-            self.suspicions.retain(|subject, s| !matches!(subject, Subject::Endpoint(_)) || !is_innocent(s));
+            let has_same_cause = |s: &Suspicion| s.cause.key == key && s.is_error;
+            self.suspicions
+                .retain(|subject, s| !matches!(subject, Subject::Endpoint(_)) || !has_same_cause(s));
         }
-        is_found
+        is_attributed
     }
 
-    /// Count a failure of what a job has in common with others; whether that is at fault.
+    /// Counts a failure of a subject that a job shares with others, and returns whether that subject is at
+    /// fault.
     fn count_job_failure(&mut self, subject: Subject, attempt: &Attempt) -> bool {
         let (now, served) = (self.now, self.served);
         let shortest = self.settings.longest_objective() as Micros;
@@ -156,15 +167,17 @@
         if suspicion.streak < failures || served < suspicion.served_before + others_served {
             return false;
         }
-        // Again for twice as long only where this one was let through to find out.
-        let was_let_through = attempt.sent_at >= suspicion.until - suspicion.pause;
-        if !suspicion.is_open() || was_let_through {
+        // The pause doubles only after a failure of a job that was admitted to test whether the subject has
+        // recovered.
+        let was_test = attempt.sent_at >= suspicion.until - suspicion.pause;
+        if !suspicion.is_open() || was_test {
             suspicion.pause(now, shortest, longest);
         }
         true
     }
 
-    /// For how long requests like this job are still at fault; the first after that is let through, others wait.
+    /// Returns how long jobs like this one are still shed, or `None` if the job is admitted. After a pause,
+    /// one job is admitted as a test, and others are shed for as long again.
     pub(super) fn suspicion_wait(&mut self, job: &Job) -> Option<Micros> {
         for subject in Subject::of_job(job) {
             let open = self.suspicions.get_mut(&subject).filter(|suspicion| suspicion.is_open());
@@ -177,14 +190,15 @@
         None
     }
 
-    /// Whether what a job has in common with others is at fault: what fails wherever it runs is not tried again elsewhere.
+    /// Returns whether the job's key, class or tenant is at fault. Such a job is not retried, because it
+    /// would fail at any endpoint.
     pub(super) fn is_job_at_fault(&self, job: &Job) -> bool {
         let is_open = |subject: &Subject| self.suspicions.get(subject).is_some_and(Suspicion::is_open);
         !self.suspicions.is_empty() && Subject::of_job(job).iter().any(is_open)
     }
 
-    /// A job has started, or was served: suspicions about it are cleared, and the subject is left alone half as long next time.
-    /// Where another class or tenant had failed, that stays suspected there.
+    /// Records that a job has started or was served. Suspicions about it are cleared, and their next pause
+    /// is half as long. If another class or tenant had failed at the endpoint, it stays suspected there.
     pub(super) fn record_success(&mut self, endpoint: EndpointId, job: &Job, is_served: bool) {
         let Some(tracked) = self.endpoints.get_mut(endpoint) else { return };
         (tracked.last_success_at, tracked.overloads) = (self.now, 0);
@@ -216,7 +230,8 @@
 }
 
 impl Suspicion {
-    /// Whether a rejection proves nothing yet: it came once, or no other tenant's job has started there meanwhile.
+    /// Returns whether rejections prove nothing yet: there was only one, or no other job has started at the
+    /// endpoint since the first.
     fn needs_other_success(&self, last_success_at: Micros) -> bool {
         self.streak < 2 || last_success_at <= self.since
     }
--- a/crates/scheduler/src/scheduler/probing.rs
+++ b/crates/scheduler/src/scheduler/probing.rs
@@ -1,4 +1,4 @@
-//! Probing: asking a few endpoints for their load before an attempt.
+//! Probing: asks a few endpoints for their load before an attempt.
 
 use super::Scheduler;
 use crate::action::Action;
@@ -11,29 +11,32 @@
 use crate::timer::Timer;
 use shorepath_types::Micros;
 
-/// Endpoints probed at a time before an attempt.
+/// Number of endpoints probed in a round.
 pub(super) const PROBES_PER_ROUND: usize = 2;
-/// How long a round of probes lasts.
-const PROBE_ROUND: Micros = 15_000;
-/// Rounds of probes for an attempt, at most.
+/// Duration of a round of probes, in microseconds.
+const PROBE_ROUND_DURATION: Micros = 15_000;
+/// Upper bound of the rounds of probes before an attempt.
 const MAX_PROBE_ROUNDS: u32 = 2;
-/// Slots that an endpoint is assumed to have.
+/// Number of slots that an endpoint is assumed to have.
 const ASSUMED_SLOTS: f64 = 2.0;
-/// An endpoint with more free slots than this has one for a job.
-const FREE_SLOT: f64 = 0.5;
+/// An endpoint that reports more free slots than this can start a job at once. Reports are noisy.
+const MIN_FREE_SLOTS: f64 = 0.5;
 
-/// An endpoint that was probed, with the jobs that wait there for its speed.
+/// The number of jobs that wait at a probed endpoint, divided by its speed.
 struct ProbedLoad {
     endpoint: EndpointId,
     load: f64,
 }
 
 impl Scheduler {
-    /// Departure: with more schedulers than endpoints the own jobs show nothing of a queue. Before an attempt a few endpoints are
-    /// probed, while that costs less than is lost; the first with a free slot gets the job.
+    /// Returns whether endpoints of a queue are probed before an attempt.
+    ///
+    /// Departure: with more schedulers than endpoints, a scheduler's own jobs show little of an endpoint's
+    /// queue. Probes are used while they cost less than the share of lost requests; the first endpoint with
+    /// a free slot gets the job.
     pub(super) fn uses_probes(&self, queue: usize) -> bool {
-        let is_few = self.settings.schedulers as usize > self.queues[queue].live_endpoints;
-        if !self.settings.probing || !is_few {
+        let has_few_endpoints = self.settings.schedulers as usize > self.queues[queue].live_endpoints;
+        if !self.settings.probing || !has_few_endpoints {
             return false;
         }
         let cost = PROBES_PER_ROUND as f64 * self.settings.probe_cost;
@@ -41,12 +44,13 @@
             && self.quotas.is_available(self.now, QuotaKind::Probes)
     }
 
-    /// The next round of probes for a request; after the last, the least busy of those probed gets it.
+    /// Starts the next round of probes for a request. After the last round, the least busy of the probed
+    /// endpoints gets the request.
     pub(super) fn probe_next(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.probe_round += 1;
         let round = request.probe_round;
-        self.timers.set(self.now + PROBE_ROUND, Timer::ProbeRoundOver(id, round));
+        self.timers.set(self.now + PROBE_ROUND_DURATION, Timer::ProbeRoundOver(id, round));
         if round <= MAX_PROBE_ROUNDS {
             self.probe_round(id, actions);
         } else {
@@ -74,28 +78,29 @@
     fn start_after_probes(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let request = &self.requests[&id];
         let loads = request.probed.iter().filter_map(|endpoint| self.probed_load(*endpoint, request));
-        let least = loads.min_by(|a, b| a.load.total_cmp(&b.load));
-        let wait = least.as_ref().map_or(0.0, |probed| probed.load * self.mean_work() / ASSUMED_SLOTS);
+        let least_loaded = loads.min_by(|a, b| a.load.total_cmp(&b.load));
+        let wait = least_loaded.as_ref().map_or(0.0, |probed| probed.load * self.mean_work() / ASSUMED_SLOTS);
         let expected_end = self.now + (wait + request.job.work) as Micros;
-        if least.is_some() && expected_end > request.job.due_at {
+        if least_loaded.is_some() && expected_end > request.job.due_at {
             self.answer_unserved(id, actions);
             return;
         }
-        let selected = least.map(|probed| probed.endpoint);
+        let selected = least_loaded.map(|probed| probed.endpoint);
         if let Some(endpoint) = selected.or_else(|| self.select_endpoint(request, request.job.queue)) {
             self.start_attempt(id, endpoint, actions);
         }
     }
 
-    /// The load of an endpoint that was probed, if it may get the request.
+    /// Returns the load of a probed endpoint, or `None` if it is unknown or the endpoint may not get the
+    /// request.
     fn probed_load(&self, id: EndpointId, request: &PendingRequest) -> Option<ProbedLoad> {
         let tracked: &TrackedEndpoint = self.endpoints.get(id).filter(|e| self.accepts(e, request, false))?;
         let waiting = (tracked.load.in_flight? - 1.0).max(0.0);
-        let part = self.slow_start_part(tracked, self.now);
-        Some(ProbedLoad { endpoint: id, load: waiting / (self.speed(tracked) * part) })
+        let capacity_share = self.slow_start_part(tracked, self.now);
+        Some(ProbedLoad { endpoint: id, load: waiting / (self.speed(tracked) * capacity_share) })
     }
 
-    /// A probe has ended. With a free slot the endpoint gets the job that it was probed for.
+    /// Handles the end of a probe. An endpoint with a free slot gets the request that it was probed for.
     pub(super) fn on_probe_ended(
         &mut self,
         endpoint: EndpointId,
@@ -117,7 +122,8 @@
         }
         let Some(request) = self.requests.get_mut(&id).filter(|r| r.probe_round > 0) else { return };
         request.pending_probes = request.pending_probes.saturating_sub(1);
-        let is_free = status == AttemptStatus::Ok && report.free_slots.is_some_and(|free| free > FREE_SLOT);
+        let is_free =
+            status == AttemptStatus::Ok && report.free_slots.is_some_and(|free| free > MIN_FREE_SLOTS);
         if is_free && self.accepts(&self.endpoints[endpoint], &self.requests[&id], false) {
             self.start_attempt(id, endpoint, actions);
         } else if self.requests[&id].pending_probes == 0 {
@@ -125,7 +131,7 @@
         }
     }
 
-    /// No endpoint is probed for the request any longer.
+    /// Ends probing for a request.
     pub(super) fn stop_probing(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if request.probe_round > 0 {
--- a/crates/scheduler/src/scheduler/selection.rs
+++ b/crates/scheduler/src/scheduler/selection.rs
@@ -1,4 +1,4 @@
-//! Endpoint selection: which endpoint gets an attempt.
+//! Endpoint selection: chooses the endpoint for an attempt.
 
 use super::Scheduler;
 use crate::endpoint::EndpointState;
@@ -9,52 +9,53 @@
 use crate::request::{Job, PendingRequest};
 use oorandom::Rand64;
 
-/// Random endpoints compared for each attempt, in the own zone and again outside it.
-pub(super) const COMPARED: usize = 3;
-/// Endpoints that may be compared are looked for until so many times [`COMPARED`] are found.
-const LOOKED_FOR: usize = 4;
-/// The share lost that the cost of another zone is weighed against, if less is lost.
+/// Number of random endpoints compared for each attempt, in the own zone and again in the other zones.
+pub(super) const ENDPOINTS_COMPARED: usize = 3;
+/// The search for candidates stops at this multiple of the number needed.
+const SEARCH_MULTIPLE: usize = 4;
+/// Lower bound of the share of lost requests that the cost of another zone is weighed against.
 pub(super) const MIN_LOST_SHARE: f64 = 0.05;
-/// Attempts at an endpoint beyond its part of those in flight, where starts are not reported.
+/// Multiple of an equal share of the attempts in flight that one endpoint may have, if starts are not
+/// reported.
 const UNREPORTED_SLACK: f64 = 4.0;
-/// The weight of an endpoint where the job would end too late, relative to others.
+/// Factor for the weight of an endpoint where the job would end too late.
 const TOO_SLOW_FACTOR: f64 = 1e-9;
-/// The least capacity that an endpoint is weighed by.
+/// Lower bound of the capacity in an endpoint's weight.
 const MIN_CAPACITY: f64 = 0.001;
-/// An overload rejection at so many attempts is the most that is counted with.
+/// Upper bound of the attempts of a request that are assumed to be rejected independently.
 const MAX_COUNTED_ATTEMPTS: u32 = 8;
-/// The least share of overload rejections that retries are divided by.
+/// Lower bound of the share of overload rejections in a division.
 const MIN_OVERLOADED_SHARE: f64 = 1e-3;
 
-/// An endpoint that may get the attempt, with its weight: its capacity for the job.
+/// An endpoint that may get the attempt. Its weight is its capacity for the job.
 struct Candidate<'a> {
     weight: f64,
     tracked: &'a TrackedEndpoint,
 }
 
-/// The least loaded endpoint of a zone, or of the other zones.
+/// The least loaded candidate of an order.
 struct Best {
-    /// The load per weight, with half of the job's own.
+    /// Number of jobs per weight, including half of the new job.
     score: f64,
     endpoint: EndpointId,
 }
 
-/// What the selection of an endpoint for one request goes by.
+/// The inputs of one endpoint selection.
 struct Selection<'a> {
     scheduler: &'a Scheduler,
     request: &'a PendingRequest,
     queue: &'a DispatchQueue,
-    /// Endpoints that the own traffic keeps busy, of each order.
+    /// Number of endpoints at the front of each order that this scheduler's traffic keeps busy.
     preferred: usize,
-    /// So many candidates are enough.
-    enough: usize,
-    /// Attempts that may be at an endpoint whose starts are not reported.
+    /// Number of candidates after which only preferred endpoints are still considered.
+    min_candidates: usize,
+    /// Upper bound of the attempts in flight at an endpoint, if starts are not reported.
     max_in_flight: f64,
-    /// What the cost of another zone is weighed against.
-    lost: f64,
-    /// What is lost on the way within the own zone.
+    /// The share of lost requests that the cost of another zone is weighed against.
+    reference_loss: f64,
+    /// The losses within the scheduler's own zone.
     local_loss: f64,
-    /// Suspected endpoints are candidates, too.
+    /// Whether suspected endpoints are candidates, too.
     includes_suspected: bool,
 }
 
@@ -74,20 +75,21 @@
             request,
             queue,
             preferred: scheduler.preferred_count(queue_index),
-            // For a key all are ranked: the greatest rank of any has to be found.
-            enough: request.job.key.map_or(COMPARED, |_| usize::MAX / LOOKED_FOR),
+            // With a key, all endpoints are candidates, because the one with the greatest rank must be
+            // found.
+            min_candidates: request.job.key.map_or(ENDPOINTS_COMPARED, |_| usize::MAX / SEARCH_MULTIPLE),
             max_in_flight: if settings.reports_starts {
                 f64::MAX
             } else {
                 1.0 + UNREPORTED_SLACK * (in_flight + 1.0) / endpoints
             },
-            lost: scheduler.lost_share(queue_index).max(MIN_LOST_SHARE),
+            reference_loss: scheduler.lost_share(queue_index).max(MIN_LOST_SHARE),
             local_loss: scheduler.zone_losses.loss(settings.zone),
             includes_suspected,
         }
     }
 
-    /// The least loaded endpoint in the own zone and outside it.
+    /// Returns the less loaded of the best endpoints in the own zone and in the other zones.
     fn best(&self) -> Option<EndpointId> {
         let mut rng = self.scheduler.rng;
         let mut best: Option<Best> = None;
@@ -100,38 +102,40 @@
         best.map(|best| best.endpoint)
     }
 
-    /// The least loaded of a few random endpoints of an order.
+    /// Returns the least loaded of a few random endpoints of an order.
     fn best_of(&self, order: &EndpointOrder, rng: &mut Rand64) -> Option<Best> {
         let mut candidates = self.candidates(order, rng);
-        // Departure: an endpoint fetches what a key names with its first job of it, and caches a few. All schedulers rank endpoints
-        // alike for a key, and the first that is a candidate gets the job.
+        // Departure: an endpoint loads the data of a key with its first job and caches the data of a few
+        // keys. All schedulers rank endpoints equally for a key, and the candidate with the greatest rank
+        // gets the job.
         let rank = |key: KeyId, k: usize| key.rank(candidates[k].tracked.endpoint.name_hash);
-        let first = |key: KeyId| (0..candidates.len()).max_by_key(|k| rank(key, *k));
-        if let Some(first) = self.request.job.key.and_then(first) {
-            candidates = vec![candidates.swap_remove(first)];
+        let top_ranked = |key: KeyId| (0..candidates.len()).max_by_key(|k| rank(key, *k));
+        if let Some(top_ranked) = self.request.job.key.and_then(top_ranked) {
+            candidates = vec![candidates.swap_remove(top_ranked)];
         }
         let total: f64 = candidates.iter().map(|candidate| candidate.weight).sum();
-        let draws = (0..COMPARED.min(candidates.len())).filter_map(|_| draw(&candidates, total, rng));
+        let draws =
+            (0..ENDPOINTS_COMPARED.min(candidates.len())).filter_map(|_| draw(&candidates, total, rng));
         let loads = draws.map(|drawn| {
             let busy = f64::from(drawn.tracked.in_flight) + self.scheduler.waiting_jobs(drawn.tracked);
             (busy / drawn.weight, drawn)
         });
-        let (load, least) = loads.min_by(|a, b| a.0.total_cmp(&b.0))?;
-        // The job's own share counts half: it delays only what comes later.
-        Some(Best { score: load + 0.5 / least.weight, endpoint: least.tracked.endpoint.id })
+        let (load, least_loaded) = loads.min_by(|a, b| a.0.total_cmp(&b.0))?;
+        // The new job counts half, because it delays only later jobs.
+        Some(Best { score: load + 0.5 / least_loaded.weight, endpoint: least_loaded.tracked.endpoint.id })
     }
 
-    /// Endpoints of an order that may get the attempt, from a random position on: what a selection costs must not grow with the
-    /// number of endpoints.
+    /// Returns candidates of an order, starting at a random position. Their number is limited, so that the
+    /// cost of a selection does not grow with the number of endpoints.
     fn candidates(&self, order: &EndpointOrder, rng: &mut Rand64) -> Vec<Candidate<'a>> {
         let skips_waiting = self.scheduler.settings.reports_starts && !self.includes_suspected;
         let all = if skips_waiting { order.available() } else { Candidates::all(order.ids()) };
         let preferred = self.preferred.min(all.len());
         let from = rng.rand_range(0..preferred.max(1) as u64) as usize;
-        let mut candidates = Vec::with_capacity(LOOKED_FOR * COMPARED);
+        let mut candidates = Vec::with_capacity(SEARCH_MULTIPLE * ENDPOINTS_COMPARED);
         for (is_other, id) in all.rotated(from, preferred) {
             let found = candidates.len();
-            if (is_other && found >= self.enough) || found >= LOOKED_FOR * self.enough {
+            if (is_other && found >= self.min_candidates) || found >= SEARCH_MULTIPLE * self.min_candidates {
                 break;
             }
             let tracked = &self.scheduler.endpoints[id];
@@ -150,7 +154,7 @@
             || f64::from(tracked.in_flight) >= self.max_in_flight
     }
 
-    /// The capacity of an endpoint for the job.
+    /// Returns the capacity of an endpoint for the job, in comparison with other endpoints.
     fn weight(&self, tracked: &TrackedEndpoint) -> f64 {
         let (scheduler, endpoint) = (self.scheduler, &tracked.endpoint);
         let is_remote = endpoint.zone != scheduler.settings.zone;
@@ -162,14 +166,17 @@
         endpoint.capacity.max(MIN_CAPACITY) * speed / included_speed / zone_factor * time_factor
     }
 
-    /// Departure: the cost of another zone, and what is lost on that way more than in the own zone, against the share lost.
+    /// Returns the factor by which another zone lowers a weight.
+    ///
+    /// Departure: it compares the cost of crossing zones and the additional losses of that zone with the
+    /// share of lost requests.
     fn zone_factor(&self, zone: ZoneId) -> f64 {
         let more_loss = (self.scheduler.zone_losses.loss(zone) - self.local_loss).max(0.0);
-        1.0 + (self.scheduler.settings.cross_zone_cost + more_loss) / self.lost
+        1.0 + (self.scheduler.settings.cross_zone_cost + more_loss) / self.reference_loss
     }
 
-    /// Whether a job with a work hint would end too late there, or with one more make an endpoint in slow start fail. Such an
-    /// endpoint is taken if all that are drawn are so.
+    /// Returns whether a job with a work hint would end too late at an endpoint, or overload one in slow
+    /// start. The endpoint may still be selected if all compared ones are too slow.
     fn is_too_slow(&self, tracked: &TrackedEndpoint, speed: f64, is_remote: bool) -> bool {
         let (scheduler, job) = (self.scheduler, &self.request.job);
         if !job.has_work_hint {
@@ -184,7 +191,8 @@
     }
 }
 
-/// A candidate, drawn by weight: of many without a job of ours the least loaded would always be the largest.
+/// Draws a candidate at random in proportion to its weight. Among many endpoints without jobs, selecting by
+/// load alone would always yield the largest.
 fn draw<'c, 'a>(candidates: &'c [Candidate<'a>], total: f64, rng: &mut Rand64) -> Option<&'c Candidate<'a>> {
     let mut left = rng.rand_float() * total;
     let drawn = candidates.iter().find(|candidate| {
@@ -195,14 +203,16 @@
 }
 
 impl Scheduler {
-    /// The endpoint with the fewest of our jobs for its capacity, among a few random ones of the right kind. The random numbers are
-    /// drawn from a copy: [`Scheduler::advance_rng`] has to follow where the endpoint is used.
+    /// Selects the endpoint with the fewest jobs for its capacity among a few random ones of the right kind.
+    /// The random numbers come from a copy of the generator; call [`Scheduler::advance_rng`] if the endpoint
+    /// is used.
     ///
-    /// Departure: drawn from a few endpoints of an order of our own, as many as our traffic keeps busy, and from the rest only while
-    /// too few of those will do. So a scheduler with little traffic keeps its connections, and a selection costs no more with more
+    /// Departure: candidates come from the front of an order private to this scheduler, as many as its
+    /// traffic keeps busy, and from the rest only if too few of those are available. A scheduler with little
+    /// traffic thus reuses its connections, and the cost of a selection does not grow with the number of
     /// endpoints.
     pub(super) fn select_endpoint(&self, request: &PendingRequest, queue: usize) -> Option<EndpointId> {
-        // With all endpoints suspected the suspicion is in question, not the endpoints: any is taken.
+        // If all endpoints are suspected, the suspicion is unreliable, and any endpoint may be selected.
         for includes_suspected in [false, true] {
             let best = Selection::new(self, request, queue, includes_suspected).best();
             if best.is_some() || self.has_unsuspected(&request.job) {
@@ -212,7 +222,7 @@
         None
     }
 
-    /// Move the random numbers on, after a selection that drew from a copy.
+    /// Advances the random number generator after a selection that used a copy of it.
     pub(super) fn advance_rng(&mut self) {
         self.rng.rand_u64();
     }
@@ -223,7 +233,7 @@
         all.any(|id| !self.is_suspected(&self.endpoints[*id], job))
     }
 
-    /// Whether a request may be sent to that endpoint now.
+    /// Returns whether a request may be sent to an endpoint now.
     pub(super) fn accepts(
         &self,
         tracked: &TrackedEndpoint,
@@ -238,7 +248,8 @@
             && self.slow_start_remainder(tracked, request).is_some()
     }
 
-    /// The jobs of other schedulers that wait there, as far as the last start shows: as much work as that waited for.
+    /// Estimates the number of other schedulers' jobs that wait at an endpoint, from how long the last start
+    /// there took.
     fn waiting_jobs(&self, tracked: &TrackedEndpoint) -> f64 {
         let since_success = self.now - tracked.last_success_at;
         (tracked.start_wait - since_success).max(0) as f64 / self.mean_work()
@@ -252,18 +263,18 @@
         self.kind_speeds.get(&tracked.endpoint.kind.0).copied().unwrap_or(1.0)
     }
 
-    /// How many endpoints of each order a queue's own traffic keeps busy.
+    /// Returns the number of endpoints of each order that a queue's own traffic keeps busy.
     fn preferred_count(&self, queue: usize) -> usize {
-        self.queues[queue].concurrency.mean_in_flight.ceil().max(COMPARED as f64) as usize
+        self.queues[queue].concurrency.mean_in_flight.ceil().max(ENDPOINTS_COMPARED as f64) as usize
     }
 
-    /// An endpoint that failed gives up its position among the preferred ones.
+    /// Moves a failed endpoint out of the preferred ones.
     pub(super) fn demote(&mut self, endpoint: EndpointId, queue: usize) {
         let preferred = self.preferred_count(queue);
         self.queues[queue].demote(endpoint, preferred, &mut self.rng);
     }
 
-    /// The share of requests that start too late or are rejected at every attempt, of late.
+    /// Returns the recent share of requests that start too late or are rejected at every attempt.
     pub(super) fn lost_share(&self, queue: usize) -> f64 {
         let concurrency = &self.queues[queue].concurrency;
         let attempts = if self.settings.overloaded_may_have_run {
@@ -272,7 +283,7 @@
             self.max_attempts().min(MAX_COUNTED_ATTEMPTS) as i32
         };
         let overloaded = concurrency.overloaded_share;
-        // With a retry budget only so many of those rejected get a retry.
+        // A retry budget limits the share of rejected requests that are retried.
         let budget = self.settings.retry_budget;
         let retried = budget.map_or(1.0, |b| (b.ratio / overloaded.max(MIN_OVERLOADED_SHARE)).min(1.0));
         concurrency.late_share + retried * overloaded.powi(attempts) + (1.0 - retried) * overloaded
--- a/crates/scheduler/src/scheduler/slow_start.rs
+++ b/crates/scheduler/src/scheduler/slow_start.rs
@@ -1,7 +1,7 @@
-//! Slow start: what an endpoint that has just started is sent, by all schedulers together.
+//! Slow start: limits the work that all schedulers together send to an endpoint that has just started.
 
 use super::probing::PROBES_PER_ROUND;
-use super::selection::COMPARED;
+use super::selection::ENDPOINTS_COMPARED;
 use super::Scheduler;
 use crate::endpoint::Endpoint;
 use crate::endpoint_table::TrackedEndpoint;
@@ -9,58 +9,67 @@
 use crate::request::{Job, PendingRequest};
 use shorepath_types::Micros;
 
-/// What a probe is assumed to cost an endpoint, its connection included, in microseconds of work.
+/// Assumed work of a probe at an endpoint, including its connection, in microseconds.
 const PROBE_WORK: f64 = 4_000.0;
-/// The least share of its capacity that an endpoint is assumed to have.
-const MIN_SHARE: f64 = 0.01;
-/// Of what the rules allow, so much is used: work is known by means.
-const BUDGET_USED: f64 = 0.9;
+/// Lower bound of the fraction of its capacity that an endpoint is assumed to have.
+const MIN_CAPACITY_SHARE: f64 = 0.01;
+/// The fraction of the allowed work that is used. Work is only known on average.
+const BUDGET_FRACTION: f64 = 0.9;
 
 impl Scheduler {
-    /// The part of its full load that an endpoint may get at that time: what the rules promise by its age (evenly from the least
-    /// share), times half the multiple that makes it fail, up to all of it.
+    /// Returns the fraction of its full load that an endpoint may get at a time. It is the fraction of
+    /// capacity for the endpoint's age, which rises evenly from the fraction at its start, times half the
+    /// multiple at which the endpoint fails, and at most 1.
     pub(super) fn slow_start_part(&self, tracked: &TrackedEndpoint, at: Micros) -> f64 {
         let started_at = tracked.endpoint.started_at;
         let age = (at - started_at) as f64 / self.settings.slow_start_duration.max(1) as f64;
-        let from =
-            if started_at <= 0 { 1.0 } else { self.settings.slow_start_min_share.clamp(MIN_SHARE, 1.0) };
-        let grown = from + (1.0 - from) * age.clamp(0.0, 1.0);
-        (grown * (0.5 * self.settings.overload_multiple).max(1.0)).min(1.0)
+        let initial_share = if started_at <= 0 {
+            1.0
+        } else {
+            self.settings.slow_start_min_share.clamp(MIN_CAPACITY_SHARE, 1.0)
+        };
+        let capacity_share = initial_share + (1.0 - initial_share) * age.clamp(0.0, 1.0);
+        (capacity_share * (0.5 * self.settings.overload_multiple).max(1.0)).min(1.0)
     }
 
-    /// Whether one more such job would make an endpoint in slow start fail.
+    /// Returns whether the job would make an endpoint in slow start fail.
     pub(super) fn would_overload(&self, tracked: &TrackedEndpoint, job: &Job) -> bool {
         let part = self.slow_start_part(tracked, self.now);
         let capacity = tracked.endpoint.capacity.max(1.0);
         part < 1.0 && job.total_work > part * capacity * self.settings.overload_window as f64
     }
 
-    /// Work by the microsecond that may be sent from here to an endpoint in slow start: what our served jobs put on a full one of
-    /// its capacity, or half our part of the limit (one core's where none is known) if that is more, times its mean part since our
-    /// last attempt, less a tenth. So all schedulers stay under the limit.
+    /// Returns the work per microsecond that this scheduler may send to an endpoint in slow start. The limit
+    /// for all schedulers is half the multiple at which the endpoint fails, and at most its capacity. If the
+    /// part of this scheduler is agreed on, it may use that part of the limit. Otherwise it may send what
+    /// its served jobs amount to on an endpoint of that capacity or, if greater, this process's equal part
+    /// of the limit. The rate is multiplied by the mean fraction of load since the last attempt and reduced
+    /// by a tenth, which keeps all schedulers together below the limit.
     fn slow_start_rate(&self, tracked: &TrackedEndpoint) -> f64 {
         let settings = &self.settings;
         let capacity = tracked.endpoint.capacity;
-        let own = self.served_work.rate(self.now, settings.recent_window()) * capacity;
-        let sharers = (settings.schedulers.max(1) * settings.processes.max(1)) as f64;
+        let served_rate = self.served_work.rate(self.now, settings.recent_window()) * capacity;
+        let sending_processes = (settings.schedulers.max(1) * settings.processes.max(1)) as f64;
         let limit = (0.5 * settings.overload_multiple).min(1.0) * capacity.max(1.0);
         let part = self.slow_start_part(tracked, (tracked.slow_start_updated_at + self.now) / 2);
         let rate = match self.quotas.slow_start_part() {
-            Some(ours) => limit * ours,
-            None => own.max(limit / sharers),
+            Some(agreed_part) => limit * agreed_part,
+            None => served_rate.max(limit / sending_processes),
         };
-        BUDGET_USED * part * rate
+        BUDGET_FRACTION * part * rate
     }
 
-    /// How far each scheduler is with its first job for an endpoint that starts, from 0 to 1: they take turns by their numbers.
+    /// Returns the fraction of the budget of a first job that this scheduler has when an endpoint starts,
+    /// from 0 to 1. It differs between schedulers, so that their first jobs arrive one after another.
     pub(super) fn slow_start_phase(&mut self, endpoint: &Endpoint) -> f64 {
         let schedulers = f64::from(self.settings.schedulers.max(1));
-        let drawn = self.rng.rand_float();
-        let Some(rank) = self.settings.rank else { return drawn };
+        let random_phase = self.rng.rand_float();
+        let Some(rank) = self.settings.rank else { return random_phase };
         (f64::from(rank) / schedulers + endpoint.name_hash as f64 / 2f64.powi(64)).fract()
     }
 
-    /// The work that an endpoint in slow start may be sent by now; `None` for one that has all of its capacity.
+    /// Returns the work in microseconds that may be sent to an endpoint in slow start by now, or `None` for
+    /// an endpoint that has all of its capacity.
     fn slow_start_budget(&self, tracked: &TrackedEndpoint) -> Option<f64> {
         let started_at = tracked.endpoint.started_at;
         if started_at <= 0 || self.now - started_at >= self.settings.slow_start_duration {
@@ -70,9 +79,14 @@
         Some(tracked.slow_start_tokens + self.slow_start_rate(tracked) * elapsed)
     }
 
-    /// What a job leaves of that budget, if it may be sent: whenever the budget has grown by a job of its class, for as long as all
-    /// schedulers look once at an endpoint with all of its capacity, or all together stay within 3/4 N + root of N as one fails; the
-    /// rest is chance. Guards against bursts in which all send what each has saved. The probe for it is paid already.
+    /// Returns the budget that remains if the request is sent to the endpoint now, or `None` if it may not
+    /// be sent now.
+    ///
+    /// A job may be sent each time the budget has grown by the work of a job of its class, within a limited
+    /// time after that. The time is how long all schedulers take to consider an endpoint of full capacity
+    /// once each or, if longer, the time in which all of them together send no more than `3/4 N + sqrt(N)`
+    /// jobs, if `N` jobs make the endpoint fail. Guards against bursts in which all schedulers send the work
+    /// that they have saved. A probe for the request has been paid for before.
     pub(super) fn slow_start_remainder(
         &self,
         tracked: &TrackedEndpoint,
@@ -80,23 +94,25 @@
     ) -> Option<f64> {
         let Some(budget) = self.slow_start_budget(tracked) else { return Some(0.0) };
         let is_probed = request.probed.contains(&tracked.endpoint.id);
-        let paid = if is_probed { PROBE_WORK } else { 0.0 };
+        let prepaid_probe_work = if is_probed { PROBE_WORK } else { 0.0 };
         let (job, capacity) = (&request.job, tracked.endpoint.capacity.max(1.0));
         let window = self.settings.overload_window as f64;
         let mean = self.mean_work() / capacity;
-        let bearable = 2.0 * self.slow_start_part(tracked, self.now) * window;
-        // A hint below its class's mean may be a bad guess, but is believed where an endpoint bears less than that.
+        let tolerated_work = 2.0 * self.slow_start_part(tracked, self.now) * window;
+        // A hint below its class's mean may be too low, so the mean is used unless the endpoint tolerates
+        // less than that.
         let class_work = job.total_work * self.class_work[job.class.0] / job.work;
-        let step = class_work.min(job.total_work.max(bearable * capacity));
-        let (work, budget) = (job.total_work.max(step), budget + paid);
-        let looks = mean / (COMPARED + PROBES_PER_ROUND) as f64 * f64::from(self.settings.schedulers);
-        let open = looks.max(window * (0.5 + 2.0 * (mean / bearable).sqrt()));
+        let step = class_work.min(job.total_work.max(tolerated_work * capacity));
+        let (work, budget) = (job.total_work.max(step), budget + prepaid_probe_work);
+        let visit_interval =
+            mean / (ENDPOINTS_COMPARED + PROBES_PER_ROUND) as f64 * f64::from(self.settings.schedulers);
+        let send_window = visit_interval.max(window * (0.5 + 2.0 * (mean / tolerated_work).sqrt()));
         let is_our_turn =
-            budget >= step && budget % step <= self.slow_start_rate(tracked) * open * step / work;
-        is_our_turn.then(|| budget % step + step - work - paid)
+            budget >= step && budget % step <= self.slow_start_rate(tracked) * send_window * step / work;
+        is_our_turn.then(|| budget % step + step - work - prepaid_probe_work)
     }
 
-    /// An attempt of a request is sent to an endpoint.
+    /// Charges the budget of an endpoint for an attempt.
     pub(super) fn spend_slow_start(&mut self, endpoint: EndpointId, id: RequestId) {
         let tracked = self.endpoints.get(endpoint);
         let Some((tracked, request)) = tracked.zip(self.requests.get(&id)) else { return };
@@ -105,7 +121,7 @@
         self.set_slow_start_tokens(endpoint, left);
     }
 
-    /// A probe is sent to an endpoint.
+    /// Charges the budget of an endpoint for a probe.
     pub(super) fn spend_slow_start_on_probe(&mut self, endpoint: EndpointId) {
         let Some(tracked) = self.endpoints.get(endpoint) else { return };
         let left = self.budget_after_probe(tracked);
--- a/crates/scheduler/src/settings.rs
+++ b/crates/scheduler/src/settings.rs
@@ -1,40 +1,41 @@
-//! What a scheduler knows when it starts, and how that is replaced while it runs.
+//! The settings of a scheduler, and how they are replaced while it runs.
 
 use crate::ids::{ClassId, KindId, ZoneId};
 use shorepath_types::Micros;
 
-/// The shortest window over which "recently" is counted.
+/// Lower bound of the window for recent events, in microseconds.
 const MIN_RECENT_WINDOW: Micros = 1_000_000;
 
-/// The endpoints that together drop repeats of a request with an idempotency key.
+/// The set of endpoints that together drop repeats of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// Every endpoint knows what any of them has run.
+    /// All endpoints share their record of requests that have run.
     All,
-    /// The endpoints of one zone.
+    /// The endpoints of a zone share their record.
     Zone,
-    /// The endpoints of one cell.
+    /// The endpoints of a cell share their record.
     Cell,
 }
 
-/// What running a request twice would do.
+/// Whether a request of a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Safe to repeat.
+    /// A request may run again without harm.
     Idempotent,
-    /// Repeats with the request's idempotency key are dropped inside a scope, for a time after the first attempt that may have run.
+    /// Endpoints of one scope drop repeats with the same idempotency key, for a time after the first attempt
+    /// that may have run.
     Keyed {
-        /// Which endpoints drop repeats.
+        /// The endpoints that drop repeats.
         scope: DedupScope,
-        /// For how long.
+        /// The time for which endpoints drop repeats.
         window: Micros,
     },
-    /// Must never run twice.
+    /// A request must never run twice.
     NonIdempotent,
 }
 
 impl Idempotency {
-    /// For how long after the first attempt that may have run another one does no harm.
+    /// Returns how long further attempts are harmless, counted from the first attempt that may have run.
     pub fn repeat_window(self) -> Micros {
         match self {
             Idempotency::Idempotent => Micros::MAX,
@@ -44,22 +45,23 @@
     }
 }
 
-/// One class of requests.
+/// Settings of a class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
     /// An answer is in time within this, plus `work_factor` times the request's own work.
     pub latency_objective: Micros,
-    /// See `latency_objective`.
+    /// The multiple of a request's own work that is added to `latency_objective`.
     pub work_factor: f64,
-    /// How long a client waits in all, over all its tries.
+    /// How long a client waits in total, over all its tries.
     pub deadline: Micros,
-    /// The fraction of its weight that a late answer still has.
+    /// The fraction of its weight that a late answer is still valued at, from 0 to 1.
     pub late_fraction: f64,
-    /// The priority weight of a request answered in time, or of a unit of its work (see [`Settings::weight_by_work`]).
+    /// The priority weight of a request that is answered in time, or of each unit of its work with
+    /// [`Settings::weight_by_work`].
     pub priority_weight: f64,
-    /// What a repeat would do.
+    /// Whether a request may run more than once.
     pub idempotency: Idempotency,
-    /// The only kind of endpoint that runs it, if there is just one.
+    /// The only kind of endpoint that runs the class, or `None` if all kinds do.
     pub kind: Option<KindId>,
 }
 
@@ -78,131 +80,136 @@
 }
 
 impl ClassSettings {
-    /// The work of a request, in microseconds, until one has ended: half the objective, up to all of it where the objective grows
-    /// with the work.
+    /// Returns the work assumed for a request until one has been served, in microseconds: half the objective
+    /// if `work_factor` is 0, and more the greater it is, up to all of the objective.
     pub(crate) fn assumed_work(&self) -> f64 {
         self.latency_objective.max(1) as f64 * (1.0 + self.work_factor) / (2.0 + self.work_factor)
     }
 }
 
-/// One tenant.
+/// The share and quota of a tenant.
 #[derive(Clone, Debug)]
 pub struct TenantSettings {
-    /// Its share of the service.
+    /// The tenant's share of the service, relative to the shares of other tenants.
     pub share: f64,
-    /// Requests a second inside its share, over all schedulers; 0 where unknown.
+    /// Requests per second within the share, over all schedulers; 0 if unknown.
     pub quota_per_second: f64,
 }
 
-/// A budget of retries (attempts beyond each request's first), counted over a sliding window.
+/// A retry budget over a sliding window. Every attempt beyond a request's first is a retry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
     /// The window over which requests and retries are counted.
     pub window: Micros,
-    /// Retries allowed however few requests came.
+    /// Retries allowed in a window regardless of the number of requests.
     pub min_retries: f64,
-    /// Retries allowed for each request that came.
+    /// Retries allowed for each request in the window.
     pub ratio: f64,
 }
 
-/// All that a scheduler knows when it starts. The default allows and assumes as little as it can.
+/// The settings of a scheduler. The default permits as little as possible.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// Schedulers of this tier, this one included.
+    /// Number of schedulers in this tier, including this one.
     pub schedulers: u32,
-    /// The number of this one among them, from 0, where it is known.
+    /// Index of this scheduler among them, from 0, or `None` if it is unknown.
     pub rank: Option<u32>,
-    /// Processes that are this scheduler at present and share its budgets; 0 counts as 1.
+    /// Number of processes that share this scheduler's budgets, as during a hot restart; 0 counts as 1.
     pub processes: u32,
-    /// The zone of this scheduler.
+    /// The zone that this scheduler runs in.
     pub zone: ZoneId,
-    /// Events are handed over at most this often.
+    /// The least time between two deliveries of events.
     pub tick: Micros,
     /// Classes, indexed by [`ClassId`].
     pub classes: Vec<ClassSettings>,
-    /// Tenants, indexed by [`crate::TenantId`]; empty where there are none.
+    /// Tenants, indexed by [`crate::TenantId`]; empty in a deployment without tenants.
     pub tenants: Vec<TenantSettings>,
-    /// Priority weight is counted for each unit of work instead of each request.
+    /// Priority weight counts per unit of work rather than per request.
     pub weight_by_work: bool,
     /// The weight of a request beyond its tenant's share, as a fraction of its class's weight.
     pub over_share_fraction: f64,
-    /// The endpoint list must be subscribed to.
+    /// The scheduler has to subscribe to the endpoint list to receive it.
     pub must_subscribe: bool,
     /// Endpoints report when a job starts.
     pub reports_starts: bool,
     /// Attempts can be cancelled.
     pub can_cancel: bool,
-    /// [`crate::Endpoint::capacity`] includes the endpoint's speed; otherwise it is only its size, roughly.
+    /// [`crate::Endpoint::capacity`] includes the endpoint's speed; otherwise it is a rough measure of its
+    /// size alone.
     pub capacity_includes_speed: bool,
-    /// Clients heed a retry-after.
+    /// Clients wait for the retry-after that an answer advises.
     pub sends_retry_after: bool,
-    /// The longest retry-after that a client heeds.
+    /// The longest retry-after that clients honor.
     pub max_retry_after: Micros,
-    /// Most attempts for one request; 0 for no limit.
+    /// Limit of attempts for one request; 0 for no limit.
     pub max_attempts: u32,
-    /// Nothing new goes to a draining endpoint later than this after the drain was announced.
+    /// Time after a drain is announced by which an endpoint must no longer get new jobs.
     pub drain_grace: Micros,
-    /// The share of its capacity that a just started endpoint has at least.
+    /// The fraction of its capacity that an endpoint has as it starts, from 0 to 1.
     pub slow_start_min_share: f64,
-    /// A started endpoint has all of its capacity after this at most.
+    /// Time after a start by which an endpoint has all of its capacity.
     pub slow_start_duration: Micros,
-    /// An endpoint in slow start that is sent more than this many times what it can do fails.
+    /// An endpoint in slow start fails if it is sent more than this multiple of what it can do within
+    /// `overload_window`.
     pub overload_multiple: f64,
-    /// The window over which that is counted.
+    /// The window of `overload_multiple`.
     pub overload_window: Micros,
-    /// Endpoints may reject work that they had begun, so [`crate::AttemptStatus::Overloaded`] proves nothing.
+    /// Endpoints may reject jobs that they have already started, so [`crate::AttemptStatus::Overloaded`]
+    /// does not prove that a request never ran.
     pub overloaded_may_have_run: bool,
-    /// Cost of an attempt that crosses zones, as a fraction of a request's weight.
+    /// Cost of an attempt in another zone, as a fraction of a request's weight.
     pub cross_zone_cost: f64,
     /// Endpoints may be probed for their load.
     pub probing: bool,
     /// Cost of a probe, as a fraction of a request's weight.
     pub probe_cost: f64,
-    /// The budget of retries, if there is one.
+    /// The retry budget, or `None` for unlimited retries.
     pub retry_budget: Option<RetryBudget>,
-    /// Only an endpoint listed as draining is closed to new work; one that is gone or missing from the list without having drained
-    /// may be sent to.
+    /// Only endpoints listed as draining are excluded from new jobs. One that is removed or missing from the
+    /// list without a drain may still get jobs.
     pub only_draining_excludes: bool,
 }
 
 impl Settings {
-    /// A tenant's quota, requests a second over all schedulers, by its index; `None` where there is none.
+    /// Returns a tenant's quota in requests per second over all schedulers, by tenant index, or `None` if it
+    /// has none.
     pub fn quota(&self, tenant: usize) -> Option<f64> {
         self.tenants.get(tenant).map(|t| t.quota_per_second).filter(|quota| *quota > 0.0)
     }
 
-    /// The window over which "recently" is counted, in microseconds: the longest time that a client waits.
+    /// Returns the window for recent events, in microseconds: the longest deadline of any class.
     pub(crate) fn recent_window(&self) -> f64 {
         let longest = self.classes.iter().map(|c| c.deadline).max().unwrap_or(1);
         longest.max(MIN_RECENT_WINDOW) as f64
     }
 
-    /// An eighth of [`Settings::recent_window`].
+    /// Returns an eighth of [`Settings::recent_window`], in microseconds.
     pub(crate) fn recent_eighth(&self) -> Micros {
         self.recent_window() as Micros / 8
     }
 
-    /// The longest latency objective of any class.
+    /// Returns the longest latency objective of any class, in microseconds.
     pub(crate) fn longest_objective(&self) -> f64 {
         self.classes.iter().map(|c| c.latency_objective).max().unwrap_or(1).max(1) as f64
     }
 }
 
-/// Settings that replace others. A class keeps its id while its rules stay; the id of one that no request or attempt uses (see
-/// [`crate::Scheduler::uses_class`]) may be reassigned to another class. Tenants keep theirs.
+/// New settings for a running scheduler. A class keeps its id while its rules are unchanged. An id that no
+/// request or attempt uses (see [`crate::Scheduler::uses_class`]) may be reassigned to another class.
+/// Tenants keep their ids.
 #[derive(Clone, Debug)]
 pub struct Reconfiguration {
-    /// The settings. Rules of classes that are no longer requested stay in their places.
+    /// The new settings. Classes that are no longer requested keep their entries.
     pub settings: Settings,
-    /// The ids that have other rules than before.
+    /// The class ids whose rules differ from before.
     pub reassigned: Vec<ReassignedClass>,
 }
 
-/// A class id that has other rules than before.
+/// A class id that now has other rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReassignedClass {
-    /// The id.
+    /// The id with other rules.
     pub class: ClassId,
-    /// The class whose learned figures it takes over, if there is one.
+    /// The class whose learned values it inherits, if any.
     pub inherits_from: Option<ClassId>,
 }
--- a/crates/scheduler/src/settings_object.rs
+++ b/crates/scheduler/src/settings_object.rs
@@ -1,4 +1,4 @@
-//! The settings object of a deployment, as the simulator's wire and the node's configuration have it.
+//! The settings object of a deployment, as the simulator's wire and the node's configuration encode it.
 
 use crate::endpoint::LoadReport;
 use crate::ids::{ClassId, KindId, ZoneId};
@@ -11,14 +11,14 @@
 use shorepath_types::Micros;
 use std::collections::HashMap;
 
-/// The drain grace where the settings have none.
+/// Drain grace if the settings object has none, in microseconds.
 const DEFAULT_DRAIN_GRACE: Micros = 500_000;
-/// The connect timeout where the settings have none.
+/// Connect timeout if the settings object has none, in microseconds.
 const DEFAULT_CONNECT_TIMEOUT: Micros = 1_000_000;
-/// The idle timeout of connections where the settings have none.
+/// Idle timeout of connections if the settings object has none, in microseconds.
 const DEFAULT_IDLE_TIMEOUT: Micros = 1_000_000;
 
-/// The settings object as it is written; what is missing counts as nothing allowed or known.
+/// The settings object as it is written. Missing fields count as zero, unknown or not allowed.
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
 #[serde(default)]
 pub struct SettingsObject {
@@ -83,7 +83,7 @@
     report_x0: String,
 }
 
-/// Load reports.
+/// The content of load reports and how they are obtained.
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
 #[serde(default)]
 struct Reports {
@@ -114,36 +114,37 @@
     soft_removal: bool,
 }
 
-/// Why a node can't serve by a settings object.
+/// Why a settings object can't be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// There is nothing that could be requested.
+    /// The object defines no classes.
     #[error("names no classes")]
     NoClasses,
-    /// A class can't be used.
+    /// A class has no name, or its deadline is not a finite number above 0.
     #[error("has a class without a name or a deadline over 0")]
     UnusableClass,
-    /// Two classes have one name.
+    /// Two classes have the same name.
     #[error("names a class twice")]
     DuplicateClass,
-    /// No attempt may be made.
+    /// The limit of attempts is 0.
     #[error("allows no attempts")]
     NoAttempts,
 }
 
-/// Milliseconds in the scheduler's time.
+/// Converts milliseconds to the scheduler's unit of time, rounded to the nearest microsecond.
 pub fn micros_from_ms(ms: f64) -> Micros {
     (ms * 1000.0).round() as Micros
 }
 
 impl SettingsObject {
-    /// How many nodes there are, this one included; 1 where the settings have no number.
+    /// Returns the number of nodes, including this one; 1 if the settings object has no number.
     pub fn schedulers(&self) -> u32 {
         self.replicas_of_me.max(1)
     }
 
-    /// How many nodes load discovery with their calls, this one included: 1 where it pushes its lists to an agent beside each
-    /// node, which answers at no cost and has to be polled at once.
+    /// Returns how many nodes send their polls to the same discovery service, including this one. Where
+    /// discovery pushes its lists to an agent beside each node, polling that agent costs nothing, so this is
+    /// 1.
     pub fn polling_nodes(&self) -> u32 {
         if self.discovery == "on_request" {
             self.schedulers()
@@ -152,19 +153,19 @@
         }
     }
 
-    /// A load report, from its values by their names.
+    /// Builds a load report from a lookup of the reported values by name.
     pub fn load_report(&self, value: impl Fn(&str) -> Option<f64>) -> LoadReport {
         let free_slots = (self.family_info.report_x0 == "free slots").then(|| value("x0")).flatten();
         LoadReport { free_slots, in_flight: value("concurrent") }
     }
 
-    /// A load report, from a row of the values that the settings name.
+    /// Builds a load report from a row of values in the order of the settings object's report fields.
     pub fn load_report_from_row(&self, row: &[f64]) -> LoadReport {
         let position = |name: &str| self.report.fields.iter().position(|field| field == name);
         self.load_report(|name| row.get(position(name)?).copied())
     }
 
-    /// The settings that a scheduler is started with, and the names behind its numbers.
+    /// Returns the settings for a new scheduler, and the names of the ids in them.
     pub fn to_settings(&self) -> (Settings, Catalog) {
         let mut catalog = Catalog {
             kinds: NameTable::from_names(self.kinds.iter()),
@@ -175,9 +176,9 @@
         (self.settings(&mut catalog), catalog)
     }
 
-    /// What replaces the settings in force, with the names behind its numbers. Numbers go on meaning what they meant: a class with
-    /// other rules gets one that nothing uses any more, or a new one. Classes and tenants that are left out are no longer found by
-    /// their names.
+    /// Returns the replacement for the settings `old`, and updates the catalog. Ids keep their meaning: a
+    /// class whose rules changed gets an id that is no longer used, or a new one. The catalog no longer
+    /// finds classes and tenants that the object leaves out by their names.
     pub fn reconfigure(
         &self,
         catalog: &mut Catalog,
@@ -197,7 +198,8 @@
             let before = catalog.classes.get(name).map(|n| n as usize);
             let is_inherited =
                 |k: &usize| self.classes.iter().any(|c| catalog.classes.get(&c.name) == Some(*k as u32));
-            // Its own number first, and none whose learned figures another class is still to inherit.
+            // Prefers the class's own id, and skips ids whose learned values another class may still
+            // inherit.
             let number = before
                 .filter(is_free)
                 .or_else(|| (0..settings.classes.len()).find(|k| is_free(k) && !is_inherited(k)))
@@ -213,7 +215,7 @@
         Reconfiguration { settings, reassigned }
     }
 
-    /// Tenants keep their numbers; those that are left out have no share.
+    /// Returns the tenants under their existing ids; those that the object leaves out get a share of 0.
     fn keep_tenants(
         &self,
         catalog: &mut Catalog,
@@ -231,10 +233,10 @@
         kept
     }
 
-    /// Whether a node can serve by these settings.
+    /// Checks whether a node can run with this settings object.
     ///
     /// # Errors
-    /// What is wrong with them.
+    /// The first problem found.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let has_deadline = |c: &Class| c.deadline_ms > 0.0 && c.deadline_ms.is_finite();
         let is_usable = |c: &Class| has_deadline(c) && !c.name.is_empty();
@@ -254,23 +256,24 @@
         Ok(())
     }
 
-    /// The longest deadline of any class.
+    /// Returns the longest deadline of any class.
     pub fn longest_deadline(&self) -> Micros {
         self.classes.iter().map(|c| micros_from_ms(c.deadline_ms)).max().unwrap_or(0)
     }
 
-    /// Within this nothing new may be sent to an endpoint any more whose drain was announced; half a second where the settings have
-    /// none.
+    /// Returns the time after a drain is announced by which an endpoint must no longer get new jobs; half a
+    /// second if the settings object has none.
     pub fn drain_grace(&self) -> Micros {
         positive_or(micros_from_ms(self.rules.drain_grace_ms), DEFAULT_DRAIN_GRACE)
     }
 
-    /// How long a connection may take to come up; a second where the settings have none.
+    /// Returns the time limit for opening a connection; one second if the settings object has none.
     pub fn connect_timeout(&self) -> Micros {
         positive_or(micros_from_ms(self.allowed.connect_timeout_ms), DEFAULT_CONNECT_TIMEOUT)
     }
 
-    /// Endpoints close a connection that has been idle for this long; a second where the settings have none.
+    /// Returns how long an endpoint keeps an idle connection open; one second if the settings object has
+    /// none.
     pub fn idle_timeout(&self) -> Micros {
         positive_or(micros_from_ms(self.allowed.conn_idle_ms), DEFAULT_IDLE_TIMEOUT)
     }
@@ -350,7 +353,8 @@
 }
 
 impl Rules {
-    /// With a window and either figure there is a budget; what is missing or negative counts as 0.
+    /// Returns a retry budget if a window and at least one of the limits are set. A missing or negative
+    /// limit counts as 0.
     fn retry_budget(&self) -> Option<RetryBudget> {
         let is_given = self.min_extra.is_some() || self.extra_share.is_some();
         (is_given && self.ratio_span_ms > 0.0).then(|| RetryBudget {
@@ -361,7 +365,7 @@
     }
 }
 
-/// The numbers of classes whose rules stay as they were, by their names.
+/// Returns the ids of classes whose rules are unchanged, by name.
 fn unchanged_classes(
     named: &[(&str, ClassSettings)],
     names: &NameTable,
@@ -374,7 +378,7 @@
     unchanged.collect()
 }
 
-/// Classes are found by these numbers from now on. A number that is used again has another name.
+/// Replaces the catalog's ids of classes. A reused id gets the name of its new class.
 fn rename_classes(names: &mut NameTable, numbers: HashMap<String, u32>) {
     let len = numbers.values().max().map_or(0, |n| *n as usize + 1);
     names.names.resize(names.names.len().max(len), String::new());
--- a/crates/scheduler/src/stale_connections.rs
+++ b/crates/scheduler/src/stale_connections.rs
@@ -1,14 +1,14 @@
-//! Idle connections that turn out to be dead when they are used again.
+//! Tracks how often idle connections turn out to be dead when they are reused.
 
 use crate::decaying_sum::as_sample;
 use shorepath_types::Micros;
 
-/// Weight of the newest sample.
+/// Weight of the newest sample in the running shares.
 const SAMPLE_WEIGHT: f64 = 0.15;
-/// Idle times are distinguished by doublings of a millisecond, up to this many.
+/// Number of buckets of idle times.
 const BUCKETS: usize = 16;
-/// The width of the first bucket.
-const FIRST_BUCKET: Micros = 1_000;
+/// Unit of the idle times of the buckets, in microseconds. Bucket `n` above 0 starts at `2^n` units.
+const IDLE_TIME_UNIT: Micros = 1_000;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct LossShare {
@@ -22,13 +22,13 @@
     }
 }
 
-/// The share of attempts that were lost on a connection that had been idle before, by the length of that.
+/// Share of attempts lost on reused connections, in buckets of how long the connection had been idle.
 #[derive(Debug, Default)]
 pub(crate) struct StaleConnections([LossShare; BUCKETS]);
 
 impl StaleConnections {
-    /// An attempt on a connection that had been idle for so long was lost, or has started. A loss confirms what has decayed
-    /// meanwhile, a start does not.
+    /// Records whether an attempt was lost on a connection that had been idle for `idle`. The previous share
+    /// decays with time only before a success; a loss confirms it without decay.
     pub fn record(&mut self, now: Micros, idle: Micros, is_lost: bool, time_constant: f64) {
         if idle <= 0 {
             return;
@@ -39,7 +39,8 @@
         entry.updated_at = now;
     }
 
-    /// The share lost of those that had been idle for so long, or less; it decays while none is tried.
+    /// Returns the greatest decayed share of lost attempts in the bucket of `idle` and those of shorter
+    /// times.
     pub fn loss(&self, now: Micros, idle: Micros, time_constant: f64) -> f64 {
         let decayed = self.0[..=bucket(idle)].iter().map(|e| e.share * e.decay(now, time_constant));
         decayed.fold(0.0, f64::max)
@@ -47,5 +48,5 @@
 }
 
 fn bucket(idle: Micros) -> usize {
-    ((idle / FIRST_BUCKET).max(1).ilog2() as usize).min(BUCKETS - 1)
+    ((idle / IDLE_TIME_UNIT).max(1).ilog2() as usize).min(BUCKETS - 1)
 }
--- a/crates/scheduler/src/zone_loss.rs
+++ b/crates/scheduler/src/zone_loss.rs
@@ -1,4 +1,4 @@
-//! What is lost on the way to each zone.
+//! Tracks lost answers and slow starts for each zone.
 
 use crate::decaying_sum::{as_sample, move_mean};
 use crate::ids::ZoneId;
@@ -8,26 +8,28 @@
 struct ZoneFigures {
     /// Running share of attempts without an answer.
     unanswered: f64,
-    /// Running mean of the part of the latency objective that starts take.
+    /// Running mean of the wait for a start, as a fraction of the latency objective.
     start_wait: f64,
 }
 
-/// What is lost on the way to each zone.
+/// The losses of each zone, by zone number.
 #[derive(Debug, Default)]
 pub(crate) struct ZoneLosses(BTreeMap<u32, ZoneFigures>);
 
 impl ZoneLosses {
-    /// An attempt to the zone brought an answer, or none; the newest counts with that weight.
+    /// Records whether an attempt to the zone remained unanswered, as a sample of the given weight.
     pub fn record_attempt(&mut self, zone: ZoneId, is_unanswered: bool, weight: f64) {
         move_mean(&mut self.figures(zone).unanswered, as_sample(is_unanswered), weight);
     }
 
-    /// A start in the zone took that part of the latency objective.
-    pub fn record_start_wait(&mut self, zone: ZoneId, part: f64, weight: f64) {
-        move_mean(&mut self.figures(zone).start_wait, part, weight);
+    /// Records the wait for a start in the zone, as a fraction of the latency objective and a sample of the
+    /// given weight.
+    pub fn record_start_wait(&mut self, zone: ZoneId, fraction: f64, weight: f64) {
+        move_mean(&mut self.figures(zone).start_wait, fraction, weight);
     }
 
-    /// Both together.
+    /// Returns the share of unanswered attempts plus the mean wait for a start; 0 for a zone without
+    /// attempts.
     pub fn loss(&self, zone: ZoneId) -> f64 {
         self.0.get(&zone.0).map_or(0.0, |f| f.unanswered + f.start_wait)
     }
