--- a/crates/mutants/src/systems/homes.rs
+++ b/crates/mutants/src/systems/homes.rs
@@ -10,9 +10,9 @@
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use shorepath_placements::anti_entropy::{Exchange, Message as Pieces, Settings};
-use shorepath_placements::hash_chain::{encode, follow, origin, Piece, Point};
+use shorepath_placements::hash_chain::{encode, next_digest, origin, Piece, Point};
 use shorepath_placements::history::History;
-use shorepath_placements::idempotency_index::{Keys, Known};
+use shorepath_placements::idempotency_index::{IdempotencyIndex, KeyState};
 use shorepath_placements::{End, Entry, Placement, Timed, Writer};
 use shorepath_quota::allocator::Allocator;
 use shorepath_quota::client::{QuotaClient, Use};
@@ -39,8 +39,13 @@
 const KEYS: u64 = 64;
 const FIRST_ASKED: Micros = 140 * MS;
 const CLASS: &str = "valve";
-const SETTINGS: Settings =
-    Settings { rate: 200_000, window: 16 << 10, again: 500 * MS, every: 800 * MS, soon: 100 * MS };
+const SETTINGS: Settings = Settings {
+    bytes_per_second: 200_000,
+    window_bytes: 16 << 10,
+    resend_after: 500 * MS,
+    full_summary_interval: 800 * MS,
+    summary_delay: 100 * MS,
+};
 /// The cut, and when all others know that the killed node is gone, and back.
 const CUT: [Micros; 2] = [5 * S, 7_600 * MS];
 
@@ -142,7 +147,7 @@
     wanted: BTreeSet<String>,
     gone: BTreeMap<u32, Micros>,
     history: History,
-    keys: Keys,
+    keys: IdempotencyIndex,
     exchanges: Vec<(Actor, Exchange)>,
     writer: Writer,
     head: Point,
@@ -271,12 +276,12 @@
     fn write(&mut self, now: Micros, entry: Entry) -> u64 {
         let Ok(bytes) = encode(&Timed { at: now, entry: entry.clone() }) else { return 0 };
         let ((after, before), writer) = (self.head, self.writer.clone());
-        self.head = (after + 1, follow(&before, &bytes));
+        self.head = (after + 1, next_digest(&before, &bytes));
         let piece = Piece { writer, after, before, entries: vec![bytes], head: self.head.1 };
-        if let Err(e) = self.history.take(&piece) {
+        if let Err(e) = self.history.insert(&piece) {
             self.breaks("one's own log goes on", e.to_string());
         }
-        self.keys.entry(&self.writer, self.head.0, &entry);
+        self.keys.apply_entry(&self.writer, self.head.0, &entry);
         self.exchanges.iter_mut().for_each(|(_, e)| e.note_update(&self.writer));
         self.head.0
     }
@@ -306,7 +311,7 @@
     /// A client asks for a key.
     fn ask(&mut self, key: u64, now: Micros) {
         let name = format!("k{key}");
-        if self.keys.known(CLASS, &name) != Known::Free {
+        if self.keys.state(CLASS, &name) != KeyState::Free {
             return;
         }
         // A range is proved as a whole.
@@ -362,7 +367,7 @@
         for piece in &heard.pieces {
             for (number, bytes) in (piece.after + 1..).zip(&piece.entries) {
                 if let Ok(timed) = shorepath_placements::hash_chain::decode(number, bytes) {
-                    self.keys.entry(&piece.writer, number, &timed.entry);
+                    self.keys.apply_entry(&piece.writer, number, &timed.entry);
                 }
             }
             let others = self.exchanges.iter_mut().filter(|(o, _)| *o != from);
@@ -457,7 +462,7 @@
             Player::Node(node) => {
                 let at = node.at(now);
                 for (o, exchange) in &mut node.exchanges {
-                    exchange.pass(&node.history, at, mixed(now as u64, *o as u64));
+                    exchange.poll(&node.history, at, mixed(now as u64, *o as u64));
                 }
                 if now >= node.next {
                     (node.next, node.ticks) = (now + TICK, node.ticks + 1);
@@ -576,7 +581,7 @@
             wanted: BTreeSet::new(),
             gone: BTreeMap::new(),
             history: History::new(),
-            keys: Keys::default(),
+            keys: IdempotencyIndex::default(),
             exchanges: Vec::new(),
             head: origin(&writer),
             writer,
--- a/crates/mutants/src/systems/placements.rs
+++ b/crates/mutants/src/systems/placements.rs
@@ -7,11 +7,11 @@
 use crate::core::{Actor, Broken};
 use crate::troupe::{Deed, Part, Script};
 use crate::Micros;
-use shorepath_placements::anti_entropy::{Dropped, Exchange, Message, Settings};
-use shorepath_placements::hash_chain::{encode, follow, origin, Piece, Point};
+use shorepath_placements::anti_entropy::{Exchange, Message, MessageError, Settings};
+use shorepath_placements::hash_chain::{encode, next_digest, origin, Piece, Point};
 use shorepath_placements::history::{History, HistoryError};
-use shorepath_placements::idempotency_index::{Keys, Known};
-use shorepath_placements::log_recovery::{LogFate, LogRecovery, Slot};
+use shorepath_placements::idempotency_index::{IdempotencyIndex, KeyState};
+use shorepath_placements::log_recovery::{LogOutcome, LogRecovery, PlacementRef};
 use shorepath_placements::{End, Entry, Placement, Timed, Writer};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -24,8 +24,13 @@
 /// Partners are waited for so long before something is written.
 const ASKING: Micros = 1_500 * MS;
 const CLASS: &str = "valve";
-const SETTINGS: Settings =
-    Settings { rate: 200_000, window: 16 << 10, again: 500 * MS, every: 800 * MS, soon: 100 * MS };
+const SETTINGS: Settings = Settings {
+    bytes_per_second: 200_000,
+    window_bytes: 16 << 10,
+    resend_after: 500 * MS,
+    full_summary_interval: 800 * MS,
+    summary_delay: 100 * MS,
+};
 
 type Place = (Writer, u64);
 
@@ -40,7 +45,7 @@
     me: usize,
     life: u64,
     history: History,
-    keys: Keys,
+    keys: IdempotencyIndex,
     exchanges: Vec<(Actor, Exchange)>,
     writer: Writer,
     head: Point,
@@ -48,7 +53,7 @@
     beginning: LogRecovery,
     placed: u64,
     /// Placements of its own that have no end yet.
-    open: VecDeque<(Slot, Micros)>,
+    open: VecDeque<(PlacementRef, Micros)>,
     next: Micros,
     /// Entries that it has counted.
     counted: u64,
@@ -70,13 +75,13 @@
     fn wake(&mut self, me: usize, life: u64, now: Micros) {
         (self.me, self.life, self.next) = (me, life, now);
         let written = std::mem::take(&mut self.open).into_iter().filter_map(|(slot, _)| match slot {
-            Slot::Written(number) => Some(number),
-            Slot::Held(_) => None,
+            PlacementRef::Written(number) => Some(number),
+            PlacementRef::Buffered(_) => None,
         });
         self.beginning = LogRecovery::new(now, ASKING, written);
         if FAULT == HASTY {
-            let (mut beginning, verdict) = (self.beginning.clone(), LogFate::GoesOn(false));
-            beginning.write(verdict, |timed| self.write(now, timed.entry));
+            let (mut beginning, verdict) = (self.beginning.clone(), LogOutcome::Continues(false));
+            beginning.write_buffered(verdict, |timed| self.write(now, timed.entry));
             self.beginning = LogRecovery::new(now, ASKING, []);
         }
         let others = (0..NODES).filter(|o| *o != me);
@@ -87,14 +92,14 @@
     fn write(&mut self, now: Micros, entry: Entry) -> Option<u64> {
         let bytes = encode(&Timed { at: now, entry: entry.clone() }).ok()?;
         let ((after, before), writer) = (self.head, self.writer.clone());
-        self.head = (after + 1, follow(&before, &bytes));
+        self.head = (after + 1, next_digest(&before, &bytes));
         let piece = Piece { writer, after, before, entries: vec![bytes.clone()], head: self.head.1 };
         self.written.insert((self.writer.clone(), self.head.0), bytes);
-        match self.history.take(&piece) {
+        match self.history.insert(&piece) {
             Ok(new) => self.counted += new,
             Err(e) => self.breaks("one's own log goes on", e.to_string()),
         }
-        self.keys.entry(&self.writer, self.head.0, &entry);
+        self.keys.apply_entry(&self.writer, self.head.0, &entry);
         self.exchanges.iter_mut().for_each(|(_, e)| e.note_update(&self.writer));
         self.look();
         Some(self.head.0)
@@ -103,23 +108,23 @@
     /// Whether partners were asked; another log is founded where they know more of this one.
     fn ask(&mut self, now: Micros) {
         let exchanges = self.exchanges.iter().map(|(_, e)| e);
-        let verdict = self.beginning.ask(exchanges, &self.history, &self.writer, self.head, now);
+        let verdict = self.beginning.decide(exchanges, &self.history, &self.writer, self.head, now);
         let Some(verdict) = verdict else { return };
-        if let LogFate::Refounded(_) = verdict {
+        if let LogOutcome::Replaced(_) = verdict {
             self.writer.log = self.life << 32 | self.me as u64;
             self.head = origin(&self.writer);
-            self.open.retain(|(slot, _)| matches!(slot, Slot::Held(_)));
+            self.open.retain(|(slot, _)| matches!(slot, PlacementRef::Buffered(_)));
         }
         let mut beginning = self.beginning.clone();
-        let numbers = beginning.write(verdict, |timed| self.write(now, timed.entry));
+        let numbers = beginning.write_buffered(verdict, |timed| self.write(now, timed.entry));
         self.beginning = beginning;
         for (slot, at) in std::mem::take(&mut self.open) {
             match slot {
-                Slot::Held(ticket) => match numbers.get(&ticket) {
-                    Some(number) => self.open.push_back((Slot::Written(*number), at)),
+                PlacementRef::Buffered(ticket) => match numbers.get(&ticket) {
+                    Some(number) => self.open.push_back((PlacementRef::Written(*number), at)),
                     None => self.breaks("what was held is written", format!("ticket {ticket}")),
                 },
-                Slot::Written(_) => self.open.push_back((slot, at)),
+                PlacementRef::Written(_) => self.open.push_back((slot, at)),
             }
         }
     }
@@ -129,14 +134,15 @@
             self.open.pop_front();
             let how = |n: u64| [End::Served, End::NeverRan, End::Unknown][(n % 3) as usize];
             match slot {
-                Slot::Held(ticket) => self.beginning.end(ticket, now, how(ticket)),
-                Slot::Written(of) => drop(self.write(now, Entry::Ended { of, how: how(of) })),
+                PlacementRef::Buffered(ticket) => self.beginning.buffer_end(ticket, now, how(ticket)),
+                PlacementRef::Written(of) => drop(self.write(now, Entry::Ended { of, how: how(of) })),
             }
         }
         self.placed += 1;
         let key = format!("k{}", self.placed / 2 % 6 + self.me as u64 * 3);
         let guarded = self.placed.is_multiple_of(2);
-        let barred = guarded && (!self.beginning.asked() || self.keys.known(CLASS, &key) != Known::Free);
+        let barred =
+            guarded && (!self.beginning.peers_answered() || self.keys.state(CLASS, &key) != KeyState::Free);
         if now >= STOP || barred {
             return;
         }
@@ -146,9 +152,9 @@
         let placement =
             Placement { key, class, guarded, tenant, server, standing, taken, on_credit, list, fence };
         let entry = Entry::Placed(placement);
-        let slot = match self.beginning.holds() && FAULT != HASTY {
-            true => self.beginning.place(Timed { at: now, entry }),
-            false => self.write(now, entry).map(Slot::Written),
+        let slot = match self.beginning.is_buffering() && FAULT != HASTY {
+            true => self.beginning.buffer_placement(Timed { at: now, entry }),
+            false => self.write(now, entry).map(PlacementRef::Written),
         };
         self.open.extend(slot.map(|slot| (slot, now)));
     }
@@ -174,7 +180,7 @@
             }
             self.knew.extend(heads.into_iter().map(|p| (writer.clone(), p)));
         }
-        let free = |key: &&String| self.keys.known(CLASS, key) == Known::Free;
+        let free = |key: &&String| self.keys.state(CLASS, key) == KeyState::Free;
         if let Some(key) = open.values().flatten().find(free) {
             let story = format!("{} takes {key} for free", self.me);
             return self.breaks("a placed key is not free", story);
@@ -192,12 +198,14 @@
 
 impl<const FAULT: u8> Part for Node<FAULT> {
     fn hear(&mut self, now: Micros, from: Actor, bytes: &[u8]) -> Result<(), String> {
-        let why = |e: &Dropped| match e {
-            Dropped::Unreadable => "no word",
-            Dropped::Changed | Dropped::History(HistoryError::Changed { .. }) => "not what its digest says",
-            Dropped::History(HistoryError::Astray { .. }) => "astray",
-            Dropped::History(HistoryError::Entry { .. }) => "no entry",
-            Dropped::History(_) => "not to be taken",
+        let why = |e: &MessageError| match e {
+            MessageError::Unreadable => "no word",
+            MessageError::Changed | MessageError::History(HistoryError::Changed { .. }) => {
+                "not what its digest says"
+            }
+            MessageError::History(HistoryError::Diverged { .. }) => "astray",
+            MessageError::History(HistoryError::Entry { .. }) => "no entry",
+            MessageError::History(_) => "not to be taken",
         };
         let word = Message::decode(bytes).map_err(|e| why(&e).to_string())?;
         if let (true, Message::Piece { piece }) = (FAULT == TWICE, &word) {
@@ -214,7 +222,7 @@
         for piece in &heard.pieces {
             for (number, bytes) in (piece.after + 1..).zip(&piece.entries) {
                 if let Ok(timed) = shorepath_placements::hash_chain::decode(number, bytes) {
-                    self.keys.entry(&piece.writer, number, &timed.entry);
+                    self.keys.apply_entry(&piece.writer, number, &timed.entry);
                 }
             }
             let others = self.exchanges.iter_mut().filter(|(o, _)| *o != from);
@@ -233,7 +241,7 @@
             self.place(now);
         }
         for (o, exchange) in &mut self.exchanges {
-            exchange.pass(&self.history, now, (now as u64 ^ (*o as u64) << 20).wrapping_mul(0x9e37_79b9));
+            exchange.poll(&self.history, now, (now as u64 ^ (*o as u64) << 20).wrapping_mul(0x9e37_79b9));
         }
     }
 
@@ -275,7 +283,7 @@
             me,
             life,
             history: History::new(),
-            keys: Keys::default(),
+            keys: IdempotencyIndex::default(),
             exchanges: Vec::new(),
             head: origin(&writer),
             writer,
@@ -323,21 +331,21 @@
         let nodes: Vec<&Self::Part> = parts.iter().flatten().collect();
         let written: BTreeMap<&Place, &Vec<u8>> = nodes.iter().flat_map(|n| &n.written).collect();
         for node in &nodes {
-            let bytes = node.history.bytes();
-            if nodes.len() < NODES || nodes.iter().any(|n| n.history.bytes() != bytes) {
-                let held: Vec<_> = nodes.iter().map(|n| n.history.held()).collect();
+            let bytes = node.history.canonical_bytes();
+            if nodes.len() < NODES || nodes.iter().any(|n| n.history.canonical_bytes() != bytes) {
+                let held: Vec<_> = nodes.iter().map(|n| n.history.entries_and_bytes()).collect();
                 return Err(Broken::new("all histories are equal", format!("{held:?}")));
             }
             // One that has founded its log after all was placed has written nothing to it.
             let heads = node.history.heads(&node.writer);
-            let asked = node.beginning.asked();
+            let asked = node.beginning.peers_answered();
             if !asked || (heads != [node.head] && node.head.0 > 0) {
                 return Err(Broken::new(
                     "what was written is known",
                     format!("{} asked {asked}, {heads:?}, {:?}", node.me, node.head),
                 ));
             }
-            for (writer, last) in node.history.have() {
+            for (writer, last) in node.history.latest_points() {
                 for number in 1..=last.0 {
                     let bytes = node.history.entry(&writer, number).and_then(|t| encode(&t).ok());
                     if bytes.as_ref() != written.get(&(writer.clone(), number)).copied() {
--- a/crates/placements/examples/reconcile.rs
+++ b/crates/placements/examples/reconcile.rs
@@ -52,11 +52,11 @@
         }
         number += 2;
         if entries.len() >= 1_000 || k + 1 == count {
-            let head = entries.iter().fold(at.1, |d, e| hash_chain::follow(&d, e));
+            let head = entries.iter().fold(at.1, |d, e| hash_chain::next_digest(&d, e));
             let some = std::mem::take(&mut entries);
             let piece = Piece { writer: writer.clone(), after: at.0, before: at.1, entries: some, head };
             at = piece.last();
-            history.take(&piece)?;
+            history.insert(&piece)?;
         }
     }
     Ok(history)
@@ -108,8 +108,8 @@
         for from in [0, 1] {
             let side = &mut sides[from];
             if side.due() <= now {
-                side.pass(if from == 0 { &*a } else { &*b }, now, 0);
-                held = held.max(side.held());
+                side.poll(if from == 0 { &*a } else { &*b }, now, 0);
+                held = held.max(side.buffered_bytes());
                 for message in side.take_outgoing() {
                     let message = message.encode();
                     bytes += message.len();
@@ -117,7 +117,7 @@
                 }
             }
         }
-        if sides[0].level(a) && sides[1].level(b) {
+        if sides[0].in_sync(a) && sides[1].in_sync(b) {
             return Ok((bytes, now as f64 / 1e6, held));
         }
         let next = sides.iter().map(Exchange::due).chain(wire.front().map(|w| w.0)).min();
@@ -128,17 +128,20 @@
 fn sizes(counts: &[u64]) -> Result<(), Failed> {
     for &count in counts {
         let (mut a, mut b) = (history("north", count / 2, 0)?, history("south", count / 2, 1 << 40)?);
-        let (entries, held) = (a.held().0 + b.held().0, a.held().1 + b.held().1);
+        let (entries, held) = (
+            a.entries_and_bytes().0 + b.entries_and_bytes().0,
+            a.entries_and_bytes().1 + b.entries_and_bytes().1,
+        );
         println!("{count} placements: {entries} entries, {:.1} MB", held as f64 / 1e6);
         let before = peak();
         let begin = Instant::now();
         let mut joined = a.clone();
         joined.merge(&b);
         println!("  merged in memory in {:.2} s", begin.elapsed().as_secs_f64());
-        let bytes = joined.bytes();
+        let bytes = joined.canonical_bytes();
         drop(joined);
         let (begin, used) = (Instant::now(), processor());
-        let fast = Settings { rate: 1 << 40, window: 1 << 20, ..Settings::default() };
+        let fast = Settings { bytes_per_second: 1 << 40, window_bytes: 1 << 20, ..Settings::default() };
         let (sent, _, queued) = exchange(&mut a, &mut b, fast)?;
         let exchanged = begin.elapsed().as_secs_f64();
         let (begin, used_by_exchange) = (Instant::now(), processor() - used);
@@ -146,7 +149,7 @@
         let mut reconciler = Reconciler::new(reconcile::Settings::default());
         let mut found = Vec::new();
         for tenant in 0..50 {
-            found.extend(reconciler.credit(&format!("tenant-{tenant}"), count / 500, 0));
+            found.extend(reconciler.set_credit(&format!("tenant-{tenant}"), count / 500, 0));
         }
         let (mut more, mut slices) = (true, Vec::new());
         let held = resident();
@@ -184,15 +187,15 @@
         println!("  the reconciler and what it found hold {held:.1} MB");
         println!("  {violations} violations, {debts} debts, {} repeated", reconciler.counts().repeated);
         println!("  memory: {before:.0} MB with both halves, {after:.0} MB at most with all of it twice");
-        if a.bytes() != b.bytes() || a.bytes() != bytes {
+        if a.canonical_bytes() != b.canonical_bytes() || a.canonical_bytes() != bytes {
             return Err("the histories differ".into());
         }
         drop((a, b, reconciler, found));
-        let fast = Settings { rate: 8_000_000, window: 1 << 19, ..Settings::default() };
+        let fast = Settings { bytes_per_second: 8_000_000, window_bytes: 1 << 19, ..Settings::default() };
         for paced in [Settings::default(), fast] {
             let (mut a, mut b) = (history("north", count / 2, 0)?, history("south", count / 2, 1 << 40)?);
             let (_, took, queued) = exchange(&mut a, &mut b, paced)?;
-            let (rate, queued) = (paced.rate as f64 / 1e6, queued / 1_000);
+            let (rate, queued) = (paced.bytes_per_second as f64 / 1e6, queued / 1_000);
             println!(
                 "  at {rate} MB/s each way and 10 ms there and back: {took:.1} s, {queued} kB queued at most"
             );
@@ -225,7 +228,7 @@
             k += 1;
             // A client's placement, and the end of an earlier one, which goes with it.
             if ends.len() > 200 {
-                log.later(&ended(k, ends.pop_front().unwrap_or(0)))?;
+                log.append_deferred(&ended(k, ends.pop_front().unwrap_or(0)))?;
             }
             ends.push_back(log.append(&placed(k, true), move |done| {
                 let _ = reply.send((done.is_ok(), at.elapsed().as_secs_f64() * 1e3));
@@ -256,8 +259,8 @@
     let (mut took, begin) = (Vec::new(), Instant::now());
     for k in 0..count {
         let at = Instant::now();
-        let number = log.later(&placed(k, false))?;
-        log.later(&ended(k, number))?;
+        let number = log.append_deferred(&placed(k, false))?;
+        log.append_deferred(&ended(k, number))?;
         took.push(at.elapsed().as_secs_f64() * 1e6);
     }
     let asked = begin.elapsed().as_secs_f64();
@@ -277,7 +280,7 @@
     let log = open()?;
     println!("{last} entries opened and verified in {:.2} s", begin.elapsed().as_secs_f64());
     let begin = Instant::now();
-    log.pour(&mut History::new())?;
+    log.load_into(&mut History::new())?;
     println!("read into a history in {:.2} s", begin.elapsed().as_secs_f64());
     std::fs::remove_dir_all(&dir)?;
     Ok(())
--- a/crates/placements/src/anti_entropy.rs
+++ b/crates/placements/src/anti_entropy.rs
@@ -13,18 +13,18 @@
 //! One exchange is one node's side towards one other node. Entries are read and taken through [`Holdings`], which the shell may keep as it likes.
 
 use crate::hash_chain::{self, Digest, Piece, Point};
-use crate::history::{Base, History, HistoryError, Judged, Remembered};
+use crate::history::{Base, History, HistoryError, OwnLogState, RetainedKey};
 use crate::{Micros, Writer};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// A word has this many bytes at most, encoded, where the names of a site and a node hold 60 together.
-pub const MAX_MESSAGE: usize = 1_150;
+pub const MAX_MESSAGE_BYTES: usize = 1_150;
 /// A claim that was not backed is waited for so many times [`Settings::again`] at most, before the other is sent something once more.
-const MOST_WAIT: Micros = 16;
+const MAX_WAIT_FACTOR: Micros = 16;
 
 /// What a node holds of all logs; [`History`] is one. Reading may fail: then there is nothing to send for now.
-pub trait Holdings {
+pub trait LogReplicas {
     /// All writers that are known, in order.
     fn writers(&self) -> Vec<Writer>;
     /// See [`History::heads`].
@@ -36,13 +36,13 @@
     /// See [`History::sealed`].
     fn sealed(&self, writer: &Writer) -> Point;
     /// See [`History::remembered`].
-    fn remembered(&self, writer: &Writer, from: u64, most: usize) -> (u64, Vec<Remembered>);
+    fn retained_keys(&self, writer: &Writer, from: u64, most: usize) -> (u64, Vec<RetainedKey>);
     /// See [`History::lacking`].
-    fn lacking(&self, writer: &Writer, points: &[Point], most: usize) -> Option<Piece>;
+    fn missing(&self, writer: &Writer, points: &[Point], most: usize) -> Option<Piece>;
     /// See [`History::prune`].
     fn prune(&self, writer: &Writer, points: &mut Vec<Point>);
     /// See [`History::walk`].
-    fn walk(
+    fn visit_missing(
         &self,
         writer: &Writer,
         points: &[Point],
@@ -50,17 +50,17 @@
         reply: &mut dyn FnMut(Point, &[u8]) -> bool,
     ) -> Option<(Point, Point)>;
     /// See [`History::on_line`].
-    fn on_line(&self, writer: &Writer, point: &Point, number: u64) -> Option<Digest>;
+    fn digest_on_branch(&self, writer: &Writer, point: &Point, number: u64) -> Option<Digest>;
     /// See [`History::take`].
     ///
     /// # Errors
     /// See there.
-    fn take(&mut self, piece: &Piece) -> Result<u64, HistoryError>;
+    fn insert(&mut self, piece: &Piece) -> Result<u64, HistoryError>;
     /// See [`History::adopt`].
     fn adopt(&mut self, writer: &Writer, base: &Base);
 }
 
-impl Holdings for History {
+impl LogReplicas for History {
     fn writers(&self) -> Vec<Writer> {
         History::writers(self).cloned().collect()
     }
@@ -76,29 +76,29 @@
     fn sealed(&self, writer: &Writer) -> Point {
         History::sealed(self, writer)
     }
-    fn remembered(&self, writer: &Writer, from: u64, most: usize) -> (u64, Vec<Remembered>) {
-        History::remembered(self, writer, from, most)
+    fn retained_keys(&self, writer: &Writer, from: u64, most: usize) -> (u64, Vec<RetainedKey>) {
+        History::retained_keys(self, writer, from, most)
     }
-    fn lacking(&self, writer: &Writer, points: &[Point], most: usize) -> Option<Piece> {
-        History::lacking(self, writer, points, most)
+    fn missing(&self, writer: &Writer, points: &[Point], most: usize) -> Option<Piece> {
+        History::missing(self, writer, points, most)
     }
     fn prune(&self, writer: &Writer, points: &mut Vec<Point>) {
         History::prune(self, writer, points);
     }
-    fn walk(
+    fn visit_missing(
         &self,
         writer: &Writer,
         points: &[Point],
         most: usize,
         reply: &mut dyn FnMut(Point, &[u8]) -> bool,
     ) -> Option<(Point, Point)> {
-        History::walk(self, writer, points, most, reply)
+        History::visit_missing(self, writer, points, most, reply)
     }
-    fn on_line(&self, writer: &Writer, point: &Point, number: u64) -> Option<Digest> {
-        History::on_line(self, writer, point, number)
+    fn digest_on_branch(&self, writer: &Writer, point: &Point, number: u64) -> Option<Digest> {
+        History::digest_on_branch(self, writer, point, number)
     }
-    fn take(&mut self, piece: &Piece) -> Result<u64, HistoryError> {
-        History::take(self, piece)
+    fn insert(&mut self, piece: &Piece) -> Result<u64, HistoryError> {
+        History::insert(self, piece)
     }
     fn adopt(&mut self, writer: &Writer, base: &Base) {
         History::adopt(self, writer, base);
@@ -107,7 +107,7 @@
 
 /// What a node has of one log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known {
+pub struct LogSummary {
     /// Whose log.
     pub writer: Writer,
     /// The last entry that it has sealed.
@@ -133,7 +133,7 @@
         /// How many there are; 0 for something said in between, which is no part of a whole.
         parts: u32,
         /// Of some logs.
-        of: Vec<Known>,
+        of: Vec<LogSummary>,
     },
     /// What you lack.
     Piece {
@@ -151,21 +151,28 @@
         /// How many there are.
         total: u64,
         /// Guarded keys that were placed up to there.
-        remembered: Vec<Remembered>,
+        #[serde(rename = "remembered")]
+        retained_keys: Vec<RetainedKey>,
         /// Stands for all of that: by it entries are dropped.
         check: Digest,
     },
 }
 
-fn check(writer: &Writer, point: &Point, from: u64, total: u64, remembered: &[Remembered]) -> Digest {
-    let bytes = postcard::to_stdvec(&(point, from, total, remembered));
-    let bytes = bytes.expect("what is remembered has a length known before");
-    hash_chain::follow(&hash_chain::origin(writer).1, &bytes)
+fn sealed_checksum(
+    writer: &Writer,
+    point: &Point,
+    from: u64,
+    total: u64,
+    retained_keys: &[RetainedKey],
+) -> Digest {
+    let bytes = postcard::to_stdvec(&(point, from, total, retained_keys));
+    let bytes = bytes.expect("retained keys have a length known before serialization");
+    hash_chain::next_digest(&hash_chain::origin(writer).1, &bytes)
 }
 
 /// Why a word was dropped.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
-pub enum Dropped {
+pub enum MessageError {
     /// It is no word.
     #[error("a word about placements can't be read")]
     #[diagnostic(help("the other node runs another version of this program: let both run one"))]
@@ -191,10 +198,10 @@
     ///
     /// # Errors
     /// It is no word.
-    pub fn decode(bytes: &[u8]) -> Result<Message, Dropped> {
+    pub fn decode(bytes: &[u8]) -> Result<Message, MessageError> {
         match postcard::take_from_bytes(bytes) {
             Ok((message, [])) => Ok(message),
-            _ => Err(Dropped::Unreadable),
+            _ => Err(MessageError::Unreadable),
         }
     }
 }
@@ -203,21 +210,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Bytes a second that it sends at most, over a second.
-    pub rate: u64,
+    pub bytes_per_second: u64,
     /// Bytes that it sends ahead of what is confirmed.
-    pub window: usize,
+    pub window_bytes: usize,
     /// What is not confirmed for so long is sent again.
-    pub again: Micros,
+    pub resend_after: Micros,
     /// It says all that it has so often.
-    pub every: Micros,
+    pub full_summary_interval: Micros,
     /// What came is said to be here so long after the last such saying, at the soonest; a tenth of it where a quarter of the window has come
     /// since, or where it shows that one of both lacks something.
-    pub soon: Micros,
+    pub summary_delay: Micros,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
-        Settings { rate: 2_000_000, window: 128 << 10, again: 500_000, every: 1_000_000, soon: 200_000 }
+        Settings {
+            bytes_per_second: 2_000_000,
+            window_bytes: 128 << 10,
+            resend_after: 500_000,
+            full_summary_interval: 1_000_000,
+            summary_delay: 200_000,
+        }
     }
 }
 
@@ -287,19 +300,19 @@
 /// How far others know a log beyond its writer's disk, whose last entry is `own`, or otherwise: then an older disk was put back, or a copied one,
 /// and the log is founded anew before the next entry. Asked once exchanges are complete. What only the exchanges say is not all of it: an entry that
 /// one partner has given back meanwhile is no longer ahead.
-pub fn beyond<'a>(
+pub fn newest_entry_at_peers<'a>(
     exchanges: impl IntoIterator<Item = &'a Exchange>,
     history: &History,
     writer: &Writer,
     own: Point,
 ) -> Option<u64> {
     let outgoing_messages =
-        |e: &Exchange| e.ahead(writer).map(|point| point.0).max(e.parted(writer).then_some(own.0));
+        |e: &Exchange| e.ahead(writer).map(|point| point.0).max(e.diverged(writer).then_some(own.0));
     let ahead = exchanges.into_iter().filter_map(outgoing_messages).max();
-    let back = match history.judge(writer, own) {
-        Judged::Sound => None,
-        Judged::WentBack { known, .. } => Some(known),
-        Judged::Forked { own } => Some(own),
+    let back = match history.own_log_state(writer, own) {
+        OwnLogState::Intact => None,
+        OwnLogState::RolledBack { known, .. } => Some(known),
+        OwnLogState::Forked { own } => Some(own),
     };
     ahead.max(back)
 }
@@ -324,7 +337,7 @@
     early: BTreeMap<(Writer, u64), (Piece, Micros)>,
     early_bytes: usize,
     /// Keys of what the other has sealed, as far as they came.
-    taking: BTreeMap<Writer, (Point, Vec<Remembered>)>,
+    taking: BTreeMap<Writer, (Point, Vec<RetainedKey>)>,
     soon: BTreeSet<Writer>,
     /// Bytes that came since it was last said what is had.
     unsaid: usize,
@@ -375,7 +388,7 @@
             next_look: now,
             part_ways: BTreeSet::new(),
             next_whole: now,
-            sent: now.saturating_sub(settings.soon),
+            sent: now.saturating_sub(settings.summary_delay),
             may: 0,
             filled: now,
             more: false,
@@ -387,7 +400,7 @@
 
     /// The other gets what these nodes write, by site and name, from somebody else: it is sent from here only once the other lacks something
     /// of such a log and has not come on in it for three times [`Settings::soon`].
-    pub fn spare(&mut self, nodes: BTreeSet<(String, String)>) {
+    pub fn set_covered_nodes(&mut self, nodes: BTreeSet<(String, String)>) {
         self.spare = nodes;
         self.spares.clear();
     }
@@ -409,21 +422,21 @@
     }
 
     /// The other has another entry of that log than this node for one number at least: of one's own log that it forked.
-    pub fn parted(&self, writer: &Writer) -> bool {
+    pub fn diverged(&self, writer: &Writer) -> bool {
         self.theirs.get(writer).is_some_and(|theirs| theirs.apart)
     }
 
     /// The furthest entry of a log that the other has by its own word and this node knows, too.
-    pub fn has(&self, holdings: &impl Holdings, writer: &Writer) -> Option<Point> {
+    pub fn confirmed_point(&self, holdings: &impl LogReplicas, writer: &Writer) -> Option<Point> {
         let points = self.theirs.get(writer)?.points.iter().filter(|p| holdings.knows(writer, p));
         points.max_by_key(|p| p.0).copied()
     }
 
     /// Each has what the other has, as far as is known.
-    pub fn level(&self, holdings: &impl Holdings) -> bool {
+    pub fn in_sync(&self, holdings: &impl LogReplicas) -> bool {
         let same = |writer: &Writer| {
             let theirs = self.theirs.get(writer);
-            theirs.is_some_and(|t| !t.points.is_empty() && holdings.lacking(writer, &t.points, 1).is_none())
+            theirs.is_some_and(|t| !t.points.is_empty() && holdings.missing(writer, &t.points, 1).is_none())
         };
         self.complete
             && self.theirs.values().all(|t| t.ahead.is_none())
@@ -431,8 +444,8 @@
     }
 
     /// What is held here for the other's sake, in bytes: what flies, and what came early.
-    pub fn held(&self) -> usize {
-        self.early_bytes + self.out.len() * MAX_MESSAGE
+    pub fn buffered_bytes(&self) -> usize {
+        self.early_bytes + self.out.len() * MAX_MESSAGE_BYTES
     }
 
     /// A word came. What it brought is taken at once.
@@ -441,10 +454,10 @@
     /// It was dropped.
     pub fn receive(
         &mut self,
-        holdings: &mut impl Holdings,
+        holdings: &mut impl LogReplicas,
         message: Message,
         now: Micros,
-    ) -> Result<Received, Dropped> {
+    ) -> Result<Received, MessageError> {
         match message {
             Message::Have { life, number, part, parts, of } => {
                 if self.other.replace(life) != Some(life) {
@@ -456,7 +469,7 @@
                     self.complete = false;
                 }
                 for known in of {
-                    self.known(holdings, known, parts > 0, now);
+                    self.receive_summary(holdings, known, parts > 0, now);
                 }
                 if part < parts {
                     if number != self.whole.0 {
@@ -473,18 +486,18 @@
                 }
                 Ok(Received::default())
             }
-            Message::Piece { piece } => self.piece(holdings, piece, now),
-            Message::Sealed { writer, point, from, total, remembered, check: sent } => {
-                if sent != check(&writer, &point, from, total, &remembered) {
-                    return Err(Dropped::Changed);
+            Message::Piece { piece } => self.receive_piece(holdings, piece, now),
+            Message::Sealed { writer, point, from, total, retained_keys, check: sent } => {
+                if sent != sealed_checksum(&writer, &point, from, total, &retained_keys) {
+                    return Err(MessageError::Changed);
                 }
-                Ok(self.sealed(holdings, writer, point, (from, total), remembered))
+                Ok(self.receive_sealed(holdings, writer, point, (from, total), retained_keys))
             }
         }
     }
 
-    fn known(&mut self, holdings: &impl Holdings, known: Known, whole: bool, now: Micros) {
-        let Known { writer, sealed, points, taking } = known;
+    fn receive_summary(&mut self, holdings: &impl LogReplicas, known: LogSummary, whole: bool, now: Micros) {
+        let LogSummary { writer, sealed, points, taking } = known;
         let heads = holdings.heads(&writer);
         let own_last = heads.iter().map(|p| p.0).max().unwrap_or(0);
         let own_sealed = holdings.sealed(&writer);
@@ -522,7 +535,7 @@
         if let Some(taking) = taking.filter(|(point, _)| *point == own_sealed) {
             theirs.taking = Some(taking);
         }
-        let fresh = Claim { point: sealed, since: now, wait: self.settings.again, given_up: false };
+        let fresh = Claim { point: sealed, since: now, wait: self.settings.resend_after, given_up: false };
         let claim = theirs.ahead.unwrap_or(fresh);
         theirs.ahead = ahead.filter(|p| !holdings.knows(&writer, p)).map(|point| Claim { point, ..claim });
         if before == (theirs.points.clone(), theirs.taking) {
@@ -565,12 +578,12 @@
         });
     }
 
-    fn piece(
+    fn receive_piece(
         &mut self,
-        holdings: &mut impl Holdings,
+        holdings: &mut impl LogReplicas,
         piece: Piece,
         now: Micros,
-    ) -> Result<Received, Dropped> {
+    ) -> Result<Received, MessageError> {
         let writer = piece.writer.clone();
         self.soon.insert(writer.clone());
         self.unsaid += piece.size();
@@ -578,7 +591,7 @@
         let last = (!piece.entries.is_empty()).then(|| piece.last());
         let mut next = Some(piece);
         while let Some(piece) = next.take() {
-            match holdings.take(&piece) {
+            match holdings.insert(&piece) {
                 Ok(new) => {
                     received.new += new;
                     let last = piece.last().0;
@@ -593,14 +606,14 @@
                     }
                 }
                 Err(HistoryError::Gap { .. }) => {
-                    if self.early_bytes + piece.size() <= self.settings.window * 2 {
+                    if self.early_bytes + piece.size() <= self.settings.window_bytes * 2 {
                         let (key, size) = ((writer.clone(), piece.after), piece.size());
                         let old = self.early.insert(key, (piece, now)).map_or(0, |(old, _)| old.size());
                         self.early_bytes = self.early_bytes + size - old;
                     }
                 }
                 Err(e) => {
-                    if matches!(e, HistoryError::Astray { .. }) {
+                    if matches!(e, HistoryError::Diverged { .. }) {
                         self.part_ways.insert(writer.clone());
                     }
                     // What was taken before it stays, and is to be kept.
@@ -618,18 +631,18 @@
         holdings.prune(&writer, &mut theirs.points);
         theirs.points.sort_unstable();
         if let (Some(claim), true) = (&mut theirs.ahead, received.new > 0) {
-            *claim = Claim { since: now, wait: self.settings.again, given_up: false, ..*claim };
+            *claim = Claim { since: now, wait: self.settings.resend_after, given_up: false, ..*claim };
         }
         Ok(received)
     }
 
-    fn sealed(
+    fn receive_sealed(
         &mut self,
-        holdings: &mut impl Holdings,
+        holdings: &mut impl LogReplicas,
         writer: Writer,
         point: Point,
         (from, total): (u64, u64),
-        remembered: Vec<Remembered>,
+        retained_keys: Vec<RetainedKey>,
     ) -> Received {
         self.soon.insert(writer.clone());
         self.waited = true;
@@ -643,21 +656,21 @@
             *taking = (point, Vec::new());
         }
         if from == taking.1.len() as u64 {
-            taking.1.extend(remembered);
+            taking.1.extend(retained_keys);
         }
         if taking.1.len() as u64 != total {
             return Received::default();
         }
-        let Some((point, remembered)) = self.taking.remove(&writer) else { return Received::default() };
-        let base = Base { point, remembered };
+        let Some((point, retained_keys)) = self.taking.remove(&writer) else { return Received::default() };
+        let base = Base { point, retained_keys };
         holdings.adopt(&writer, &base);
         Received { sealed: Some((writer, base)), ..Received::default() }
     }
 
     /// Time has passed: what is to be said is made ([`Exchange::take_outgoing`]). `chance` spreads the sayings of many.
-    pub fn pass(&mut self, holdings: &impl Holdings, now: Micros, chance: u64) {
-        let rate = i64::try_from(self.settings.rate).unwrap_or(i64::MAX).max(1);
-        let burst = (rate / 50).max(MAX_MESSAGE as i64);
+    pub fn poll(&mut self, holdings: &impl LogReplicas, now: Micros, chance: u64) {
+        let rate = i64::try_from(self.settings.bytes_per_second).unwrap_or(i64::MAX).max(1);
+        let burst = (rate / 50).max(MAX_MESSAGE_BYTES as i64);
         let gone = (now - self.filled).clamp(0, 1_000_000);
         let add = rate.saturating_mul(gone) / 1_000_000;
         if add > 0 {
@@ -667,17 +680,17 @@
         if now >= self.next_whole {
             let all = holdings.writers();
             self.number += 1;
-            self.have(holdings, &all, true);
-            let spread = (self.settings.every / 8).max(1);
-            self.next_whole = now + self.settings.every + (chance % spread as u64) as Micros;
+            self.send_summary(holdings, &all, true);
+            let spread = (self.settings.full_summary_interval / 8).max(1);
+            self.next_whole = now + self.settings.full_summary_interval + (chance % spread as u64) as Micros;
             self.sent = now;
             self.soon.retain(|writer| !all.contains(writer));
         } else if !self.soon.is_empty() && now >= self.next_soon() {
             let some: Vec<Writer> = std::mem::take(&mut self.soon).into_iter().collect();
-            self.have(holdings, &some, false);
+            self.send_summary(holdings, &some, false);
             self.sent = now;
         }
-        let again = self.settings.again;
+        let again = self.settings.resend_after;
         let mut late: Vec<Writer> =
             self.flying.iter().filter(|f| now - f.since >= again).map(|f| f.writer.clone()).collect();
         late.dedup();
@@ -686,7 +699,7 @@
             self.notified.remove(&writer);
             // What it was sent though it says that it is ahead did not get there either: less of that.
             if let Some(claim) = self.theirs.get_mut(&writer).and_then(|t| t.ahead.as_mut()) {
-                let wait = (claim.wait * 2).min(again.saturating_mul(MOST_WAIT));
+                let wait = (claim.wait * 2).min(again.saturating_mul(MAX_WAIT_FACTOR));
                 *claim = Claim { since: now, wait, given_up: false, ..*claim };
             }
         }
@@ -709,18 +722,18 @@
         let writers = if self.other.is_some() { holdings.writers() } else { Vec::new() };
         let looks = now >= self.next_look;
         if looks {
-            self.next_look = now + self.settings.soon;
+            self.next_look = now + self.settings.summary_delay;
         }
         let mut idle = 0;
         let mut flying: usize = self.flying.iter().map(|f| f.bytes).sum();
         while idle < writers.len() {
-            if self.may <= 0 || flying >= self.settings.window {
+            if self.may <= 0 || flying >= self.settings.window_bytes {
                 (self.more, self.full) = (self.may <= 0, self.may > 0);
                 break;
             }
             let Some(writer) = writers.get(self.turn % writers.len()) else { break };
-            let held = self.is_spare(writer) && self.holds(holdings, writer, looks, now);
-            match if held { None } else { self.next(holdings, writer) } {
+            let held = self.is_spare(writer) && self.is_deferred(holdings, writer, looks, now);
+            match if held { None } else { self.next_message(holdings, writer) } {
                 Some((message, point, keys)) => {
                     let writer = writer.clone();
                     let bytes = self.send(message);
@@ -737,7 +750,13 @@
     }
 
     /// Whether what the other lacks of a log is left to somebody else for now. It is looked at once in `soon`.
-    fn holds(&mut self, holdings: &impl Holdings, writer: &Writer, looks: bool, now: Micros) -> bool {
+    fn is_deferred(
+        &mut self,
+        holdings: &impl LogReplicas,
+        writer: &Writer,
+        looks: bool,
+        now: Micros,
+    ) -> bool {
         match self.spares.get(writer) {
             Some(Spare::Sent) => return false,
             _ if !looks => return true,
@@ -747,13 +766,13 @@
         let had = theirs.map_or(&[][..], |t| t.points.as_slice());
         let sealed = had.is_empty() && holdings.sealed(writer).0 > 0;
         let waits = theirs.map_or(!self.complete, |t| t.ahead.is_some_and(|claim| !claim.given_up));
-        if waits || !(sealed || holdings.lacking(writer, had, 1).is_some()) {
+        if waits || !(sealed || holdings.missing(writer, had, 1).is_some()) {
             self.spares.remove(writer);
             return true;
         }
         let spare = self.spares.entry(writer.clone()).or_insert(Spare::Stalled(now));
         match *spare {
-            Spare::Stalled(since) if now - since < 3 * self.settings.soon => true,
+            Spare::Stalled(since) if now - since < 3 * self.settings.summary_delay => true,
             _ => {
                 *spare = Spare::Sent;
                 false
@@ -763,8 +782,8 @@
 
     /// When it says what it has of logs of which something came.
     fn next_soon(&self) -> Micros {
-        let hurry = self.waited || self.unsaid >= self.settings.window / 4;
-        self.sent + if hurry { self.settings.soon / 10 } else { self.settings.soon }
+        let hurry = self.waited || self.unsaid >= self.settings.window_bytes / 4;
+        self.sent + if hurry { self.settings.summary_delay / 10 } else { self.settings.summary_delay }
     }
 
     /// Have that said; how many bytes it has.
@@ -776,7 +795,11 @@
     }
 
     /// The next word that the other lacks of that log.
-    fn next(&mut self, holdings: &impl Holdings, writer: &Writer) -> Option<(Message, Point, u64)> {
+    fn next_message(
+        &mut self,
+        holdings: &impl LogReplicas,
+        writer: &Writer,
+    ) -> Option<(Message, Point, u64)> {
         let theirs = self.theirs.get(writer);
         if theirs.is_none() && !self.complete {
             return None;
@@ -793,22 +816,26 @@
             let upto = |keys: Option<(Point, u64)>| keys.filter(|(p, _)| *p == sealed).map_or(0, |(_, n)| n);
             let notified_keys = upto(notified.keys);
             let from = notified_keys.max(upto(theirs.and_then(|t| t.taking)));
-            let (total, remembered) =
-                holdings.remembered(writer, from, (MAX_MESSAGE - 180).saturating_sub(names));
+            let (total, retained_keys) =
+                holdings.retained_keys(writer, from, (MAX_MESSAGE_BYTES - 180).saturating_sub(names));
             // After the last one, one word more, so that the other surely knows that it was.
             if notified_keys > total {
                 return None;
             }
             let from = from.min(total);
-            let keys = if remembered.is_empty() { total + 1 } else { from + remembered.len() as u64 };
+            let keys = if retained_keys.is_empty() { total + 1 } else { from + retained_keys.len() as u64 };
             notified.keys = Some((sealed, keys));
             let (writer, point) = (writer.clone(), sealed);
-            let check = check(&writer, &point, from, total, &remembered);
-            return Some((Message::Sealed { writer, point, from, total, remembered, check }, sealed, keys));
+            let check = sealed_checksum(&writer, &point, from, total, &retained_keys);
+            return Some((
+                Message::Sealed { writer, point, from, total, retained_keys, check },
+                sealed,
+                keys,
+            ));
         }
         let notified = &mut notified.points;
         let points: Vec<Point> = had.iter().chain(notified.iter()).copied().collect();
-        let piece = holdings.lacking(writer, &points, (MAX_MESSAGE - 120).saturating_sub(names))?;
+        let piece = holdings.missing(writer, &points, (MAX_MESSAGE_BYTES - 120).saturating_sub(names))?;
         notified.retain(|p| *p != (piece.after, piece.before));
         notified.push(piece.last());
         let last = piece.last();
@@ -816,10 +843,10 @@
     }
 
     /// Say what is had of those logs.
-    fn have(&mut self, holdings: &impl Holdings, writers: &[Writer], whole: bool) {
+    fn send_summary(&mut self, holdings: &impl LogReplicas, writers: &[Writer], whole: bool) {
         let point_size = 36;
-        let mut groups: Vec<Vec<Known>> = vec![Vec::new()];
-        let mut capacity = MAX_MESSAGE - 40;
+        let mut groups: Vec<Vec<LogSummary>> = vec![Vec::new()];
+        let mut capacity = MAX_MESSAGE_BYTES - 40;
         for writer in writers {
             let sealed = holdings.sealed(writer);
             let lines = if self.part_ways.remove(writer) {
@@ -829,7 +856,7 @@
             };
             let taking = self.taking.get(writer).map(|(point, keys)| (*point, keys.len() as u64));
             let base = writer.site.len() + writer.node.len() + 20 + point_size + 45;
-            let most = ((MAX_MESSAGE - 40).saturating_sub(base) / point_size).max(1);
+            let most = ((MAX_MESSAGE_BYTES - 40).saturating_sub(base) / point_size).max(1);
             // A log of which nothing is held is said, too: so the other knows.
             let mut chunks: Vec<&[Point]> = lines.chunks(most).collect();
             if chunks.is_empty() {
@@ -839,10 +866,10 @@
                 let size = base + points.len() * point_size;
                 if size > capacity && groups.last().is_some_and(|g| !g.is_empty()) {
                     groups.push(Vec::new());
-                    capacity = MAX_MESSAGE - 40;
+                    capacity = MAX_MESSAGE_BYTES - 40;
                 }
                 capacity = capacity.saturating_sub(size);
-                let known = Known { writer: writer.clone(), sealed, points: points.to_vec(), taking };
+                let known = LogSummary { writer: writer.clone(), sealed, points: points.to_vec(), taking };
                 if let Some(group) = groups.last_mut() {
                     group.push(known);
                 }
@@ -873,7 +900,7 @@
             due = due.min(self.next_soon());
         }
         if let Some(since) = self.flying.iter().map(|f| f.since).min() {
-            due = due.min(since + self.settings.again);
+            due = due.min(since + self.settings.resend_after);
         }
         if !self.spares.is_empty() {
             due = due.min(self.next_look);
@@ -881,7 +908,7 @@
         let claims = self.theirs.values().filter_map(|t| t.ahead).filter(|claim| !claim.given_up);
         due = claims.map(|claim| claim.since.saturating_add(claim.wait)).fold(due, Micros::min);
         if self.more {
-            let rate = i64::try_from(self.settings.rate).unwrap_or(i64::MAX).max(1);
+            let rate = i64::try_from(self.settings.bytes_per_second).unwrap_or(i64::MAX).max(1);
             due = due.min(self.filled + (1 - self.may).max(1).saturating_mul(1_000_000) / rate + 1);
         }
         due
--- a/crates/placements/src/compaction.rs
+++ b/crates/placements/src/compaction.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Logs are dropped by so many entries.
-pub const SEGMENT: u64 = 1_024;
+pub const SEGMENT_ENTRIES: u64 = 1_024;
 /// So many segments are looked at once, so that a call is bounded.
 const MOST: u64 = 64;
 
@@ -20,7 +20,7 @@
 ///
 /// `confirmed` is what each site has of it, by its own word ([`crate::anti_entropy::Message::Have`]); all sites of the operator's file have to be in
 /// it, a lost one, too, until the operator takes it out. `now` is Unix time; clocks that go ahead are what `age` has to bear.
-pub fn upto(
+pub fn sealable_up_to(
     history: &History,
     writer: &Writer,
     confirmed: &BTreeMap<String, Point>,
@@ -30,7 +30,7 @@
 ) -> Option<u64> {
     let from = history.sealed(writer).0;
     let heads = history.heads(writer);
-    let mut most = from.saturating_add(MOST * SEGMENT);
+    let mut most = from.saturating_add(MOST * SEGMENT_ENTRIES);
     for site in sites {
         let point = confirmed.get(site).filter(|point| history.knows(writer, point))?;
         most = most.min(point.0);
@@ -47,7 +47,7 @@
             Entry::Placed(_) => drop(open.insert(number)),
             Entry::Ended { of, .. } => drop(open.remove(&of)),
         }
-        if number.is_multiple_of(SEGMENT) && open.is_empty() {
+        if number.is_multiple_of(SEGMENT_ENTRIES) && open.is_empty() {
             sealable = Some(number);
         }
     }
--- a/crates/placements/src/hash_chain.rs
+++ b/crates/placements/src/hash_chain.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 
 /// An entry is this many bytes at most, so that one always fits a word.
-pub const MOST_ENTRY: usize = 900;
+pub const MAX_ENTRY_BYTES: usize = 900;
 
 /// Stands for an entry and all before it in its log (SHA-256).
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -31,9 +31,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
 pub enum EntryError {
     /// It is longer than a word carries.
-    #[error("an entry of {0} bytes is over {MOST_ENTRY}")]
-    #[diagnostic(help("keys, classes, tenants and servers of a placement hold {MOST_ENTRY} bytes together; the client has to use a shorter key"))]
-    Long(usize),
+    #[error("an entry of {0} bytes is over {MAX_ENTRY_BYTES}")]
+    #[diagnostic(help("keys, classes, tenants and servers of a placement hold {MAX_ENTRY_BYTES} bytes together; the client has to use a shorter key"))]
+    TooLong(usize),
     /// It can't be read.
     #[error("an entry can't be read")]
     #[diagnostic(help("the other site runs another version of this program, or the entry was changed; compare their versions"))]
@@ -41,7 +41,7 @@
     /// It ends a placement that is not before it.
     #[error("entry {number} ends entry {of}, which is not before it")]
     #[diagnostic(help("whoever wrote it is faulty; report it with the log of that node"))]
-    EndsNothing {
+    InvalidEnd {
         /// Its number.
         number: u64,
         /// What it ends.
@@ -62,7 +62,7 @@
 }
 
 /// What stands for an entry after what stands for the one before it.
-pub fn follow(before: &Digest, entry: &[u8]) -> Digest {
+pub fn next_digest(before: &Digest, entry: &[u8]) -> Digest {
     let mut hash = Sha256::new();
     hash.update(before.0);
     hash.update(entry);
@@ -75,8 +75,8 @@
 /// It is too long.
 pub fn encode(timed: &Timed) -> Result<Vec<u8>, EntryError> {
     let bytes = postcard::to_stdvec(timed).map_err(|_| EntryError::Unreadable)?;
-    if bytes.len() > MOST_ENTRY {
-        return Err(EntryError::Long(bytes.len()));
+    if bytes.len() > MAX_ENTRY_BYTES {
+        return Err(EntryError::TooLong(bytes.len()));
     }
     Ok(bytes)
 }
@@ -86,15 +86,15 @@
 /// # Errors
 /// It is none.
 pub fn decode(number: u64, bytes: &[u8]) -> Result<Timed, EntryError> {
-    if bytes.len() > MOST_ENTRY {
-        return Err(EntryError::Long(bytes.len()));
+    if bytes.len() > MAX_ENTRY_BYTES {
+        return Err(EntryError::TooLong(bytes.len()));
     }
     let (timed, rest) = postcard::take_from_bytes::<Timed>(bytes).map_err(|_| EntryError::Unreadable)?;
     if !rest.is_empty() {
         return Err(EntryError::Unreadable);
     }
     match timed.entry {
-        Entry::Ended { of, .. } if of == 0 || of >= number => Err(EntryError::EndsNothing { number, of }),
+        Entry::Ended { of, .. } if of == 0 || of >= number => Err(EntryError::InvalidEnd { number, of }),
         _ => Ok(timed),
     }
 }
@@ -141,8 +141,8 @@
     }
 
     /// Whether the entries are what the digests say.
-    pub fn holds(&self) -> bool {
+    pub fn digests_match(&self) -> bool {
         self.after.checked_add(self.entries.len() as u64).is_some()
-            && self.entries.iter().fold(self.before, |before, entry| follow(&before, entry)) == self.head
+            && self.entries.iter().fold(self.before, |before, entry| next_digest(&before, entry)) == self.head
     }
 }
--- a/crates/placements/src/history.rs
+++ b/crates/placements/src/history.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 
 /// So many entries share one digest that is kept; the ones between are made again when they are asked for.
-const EVERY: u64 = 16;
+const ENTRIES_PER_CHUNK: u64 = 16;
 
 /// Why something can't be taken into a history.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
@@ -33,7 +33,7 @@
     #[diagnostic(help(
         "the log was written from two disks; the fork is named once the point where they part is known"
     ))]
-    Astray {
+    Diverged {
         /// Whose log.
         writer: Writer,
         /// The number of the entry that is another.
@@ -85,7 +85,7 @@
 
 /// What stays of a placement that must not run twice, once its entries are dropped.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Remembered {
+pub struct RetainedKey {
     /// Its class.
     pub class: String,
     /// Its key.
@@ -115,11 +115,11 @@
 
 /// What a writer's own log is to what others know of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Judged {
+pub enum OwnLogState {
     /// Others know a part of it, or all.
-    Sound,
+    Intact,
     /// Others know more of it: an older disk was put back. The log must be founded anew before the next entry.
-    WentBack {
+    RolledBack {
         /// The last entry that the disk holds.
         own: u64,
         /// The last entry that others know.
@@ -167,8 +167,8 @@
     }
 
     fn slot(&self, number: u64) -> (usize, usize) {
-        let (chunk, start) = ((number - 1) / EVERY, (self.first - 1) / EVERY);
-        let begin = (chunk * EVERY + 1).max(self.first);
+        let (chunk, start) = ((number - 1) / ENTRIES_PER_CHUNK, (self.first - 1) / ENTRIES_PER_CHUNK);
+        let begin = (chunk * ENTRIES_PER_CHUNK + 1).max(self.first);
         ((chunk - start) as usize, (number - begin) as usize)
     }
 
@@ -195,22 +195,22 @@
         let chunk = self.chunks.get(chunk)?;
         let mut digest = chunk.before;
         for i in 0..=k {
-            digest = hash_chain::follow(&digest, chunk.entry(i)?);
+            digest = hash_chain::next_digest(&digest, chunk.entry(i)?);
         }
         Some(digest)
     }
 
     fn push(&mut self, entry: &[u8]) {
-        if self.chunks.is_empty() || self.last.is_multiple_of(EVERY) {
+        if self.chunks.is_empty() || self.last.is_multiple_of(ENTRIES_PER_CHUNK) {
             self.chunks.push(Chunk { before: self.head, bytes: Vec::new(), ends: Vec::new() });
         }
         if let Some(chunk) = self.chunks.last_mut() {
             chunk.bytes.extend_from_slice(entry);
             chunk.ends.push(chunk.bytes.len() as u32);
         }
-        self.head = hash_chain::follow(&self.head, entry);
+        self.head = hash_chain::next_digest(&self.head, entry);
         self.last += 1;
-        if self.last.is_multiple_of(EVERY) {
+        if self.last.is_multiple_of(ENTRIES_PER_CHUNK) {
             if let Some(chunk) = self.chunks.last_mut() {
                 chunk.bytes.shrink_to_fit();
                 chunk.ends.shrink_to_fit();
@@ -244,9 +244,9 @@
 
     /// Drop what is up to that number.
     fn drop_front(&mut self, number: u64) {
-        if number.is_multiple_of(EVERY) && number >= self.first {
+        if number.is_multiple_of(ENTRIES_PER_CHUNK) && number >= self.first {
             self.before = self.digest(number).unwrap_or(self.head);
-            let gone = (number / EVERY - (self.first - 1) / EVERY) as usize;
+            let gone = (number / ENTRIES_PER_CHUNK - (self.first - 1) / ENTRIES_PER_CHUNK) as usize;
             self.chunks.drain(..gone.min(self.chunks.len()));
             self.first = number + 1;
         } else if number >= self.first {
@@ -269,7 +269,7 @@
     }
 
     /// Take entries after that number, which this run holds; how many were new.
-    fn graft(&mut self, mut at: u64, entries: &[Vec<u8>]) -> u64 {
+    fn insert(&mut self, mut at: u64, entries: &[Vec<u8>]) -> u64 {
         for (k, entry) in entries.iter().enumerate() {
             if at < self.last {
                 if self.entry(at + 1) == Some(entry.as_slice()) {
@@ -286,7 +286,7 @@
             let first = |run: &Run| run.entry(run.first).map(<[u8]>::to_vec).unwrap_or_default();
             let rest = entries.get(k..).unwrap_or_default();
             return match self.next.binary_search_by_key(entry, first) {
-                Ok(same) => self.next.get_mut(same).map_or(0, |run| run.graft(at, rest)),
+                Ok(same) => self.next.get_mut(same).map_or(0, |run| run.insert(at, rest)),
                 Err(place) => {
                     let mut run = Run::after((self.last, self.head));
                     rest.iter().for_each(|entry| run.push(entry));
@@ -299,8 +299,8 @@
     }
 
     /// Whether one of these points is in it or after it, and the first place after which nothing is covered by them.
-    fn lacking(&self, points: &[Point]) -> (bool, Option<(&Run, u64)>) {
-        let after: Vec<_> = self.next.iter().map(|run| run.lacking(points)).collect();
+    fn missing(&self, points: &[Point]) -> (bool, Option<(&Run, u64)>) {
+        let after: Vec<_> = self.next.iter().map(|run| run.missing(points)).collect();
         let from = if after.iter().any(|(touched, _)| *touched) {
             self.last
         } else {
@@ -358,25 +358,26 @@
     /// The last entry that was dropped; number 0 where none was.
     pub point: Point,
     /// Guarded keys that were placed up to there and may have run, by class and key; of several placements the last.
-    pub remembered: Vec<Remembered>,
+    #[serde(rename = "remembered")]
+    pub retained_keys: Vec<RetainedKey>,
 }
 
-fn by_key(remembered: &[Remembered]) -> BTreeMap<(String, String), Remembered> {
-    remembered.iter().map(|r| ((r.class.clone(), r.key.clone()), r.clone())).collect()
+fn by_key(retained_keys: &[RetainedKey]) -> BTreeMap<(String, String), RetainedKey> {
+    retained_keys.iter().map(|r| ((r.class.clone(), r.key.clone()), r.clone())).collect()
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Log {
     point: Point,
     /// In the order of class and key.
-    remembered: Vec<Remembered>,
+    retained_keys: Vec<RetainedKey>,
     root: Run,
 }
 
 impl Log {
     fn new(writer: &Writer) -> Log {
         let point = hash_chain::origin(writer);
-        Log { point, remembered: Vec::new(), root: Run::after(point) }
+        Log { point, retained_keys: Vec::new(), root: Run::after(point) }
     }
 }
 
@@ -398,7 +399,7 @@
     }
 
     /// Of each log its last entry; of one that forked the longest line's, of several the one with the least digest.
-    pub fn have(&self) -> BTreeMap<Writer, Point> {
+    pub fn latest_points(&self) -> BTreeMap<Writer, Point> {
         let best =
             |writer: &Writer| self.heads(writer).into_iter().max_by_key(|p| (p.0, std::cmp::Reverse(p.1)));
         self.logs.keys().filter_map(|w| Some((w.clone(), best(w)?))).collect()
@@ -442,7 +443,7 @@
     }
 
     /// What stands for the entry of that number on the line that holds that point.
-    pub fn on_line(&self, writer: &Writer, point: &Point, number: u64) -> Option<Digest> {
+    pub fn digest_on_branch(&self, writer: &Writer, point: &Point, number: u64) -> Option<Digest> {
         fn of(run: &Run, point: &Point, number: u64) -> Option<Option<Digest>> {
             let own = |run: &Run| if run.first <= number { run.digest(number) } else { None };
             if run.digest(point.0) == Some(point.1) {
@@ -457,7 +458,7 @@
     /// What was sealed of a log.
     pub fn base(&self, writer: &Writer) -> Option<Base> {
         let log = self.logs.get(writer)?;
-        Some(Base { point: log.point, remembered: log.remembered.clone() })
+        Some(Base { point: log.point, retained_keys: log.retained_keys.clone() })
     }
 
     /// The last entry that was sealed of a log, the beginning where none was.
@@ -466,15 +467,15 @@
     }
 
     /// How many guarded keys of what was sealed there are, and those from that place on, of `most` bytes at most, but one at least.
-    pub fn remembered(&self, writer: &Writer, from: u64, most: usize) -> (u64, Vec<Remembered>) {
+    pub fn retained_keys(&self, writer: &Writer, from: u64, most: usize) -> (u64, Vec<RetainedKey>) {
         let Some(log) = self.logs.get(writer) else { return (0, Vec::new()) };
         let mut held = 0;
-        let size = |r: &Remembered| r.class.len() + r.key.len() + r.server.len() + 40;
-        let some = log.remembered.iter().skip(from as usize).enumerate().take_while(|(k, r)| {
+        let size = |r: &RetainedKey| r.class.len() + r.key.len() + r.server.len() + 40;
+        let some = log.retained_keys.iter().skip(from as usize).enumerate().take_while(|(k, r)| {
             held += size(r);
             *k == 0 || held <= most
         });
-        (log.remembered.len() as u64, some.map(|(_, r)| r.clone()).collect())
+        (log.retained_keys.len() as u64, some.map(|(_, r)| r.clone()).collect())
     }
 
     /// Drop points that follow from others: of each line the last one stays. A point that is not known here goes, too.
@@ -497,7 +498,7 @@
     }
 
     /// How many entries are held, and how many bytes they have.
-    pub fn held(&self) -> (u64, u64) {
+    pub fn entries_and_bytes(&self) -> (u64, u64) {
         self.logs.values().map(|log| log.root.count()).fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1))
     }
 
@@ -511,9 +512,9 @@
 
     /// The first entries that somebody lacks who has these points and all before them: `most` bytes at most, but one entry at least.
     /// Asked again with the last point of what it gave it goes on, through all lines, until nothing is lacking.
-    pub fn lacking(&self, writer: &Writer, points: &[Point], most: usize) -> Option<Piece> {
+    pub fn missing(&self, writer: &Writer, points: &[Point], most: usize) -> Option<Piece> {
         let mut entries = Vec::new();
-        let (before, last) = self.walk(writer, points, most, &mut |_, entry| {
+        let (before, last) = self.visit_missing(writer, points, most, &mut |_, entry| {
             entries.push(entry.to_vec());
             true
         })?;
@@ -521,14 +522,14 @@
     }
 
     /// As [`History::lacking`], but each entry is told with its point, until whoever is told says no; the points before the first and of the last one.
-    pub fn walk(
+    pub fn visit_missing(
         &self,
         writer: &Writer,
         points: &[Point],
         most: usize,
         report: &mut dyn FnMut(Point, &[u8]) -> bool,
     ) -> Option<(Point, Point)> {
-        let (run, after) = self.logs.get(writer)?.root.lacking(points).1?;
+        let (run, after) = self.logs.get(writer)?.root.missing(points).1?;
         let before = (after, run.digest(after)?);
         let (mut last, mut held) = (before, 0);
         for number in after + 1..=run.last {
@@ -537,7 +538,7 @@
             if held > most && last != before {
                 break;
             }
-            last = (number, hash_chain::follow(&last.1, entry));
+            last = (number, hash_chain::next_digest(&last.1, entry));
             if !report(last, entry) {
                 break;
             }
@@ -549,23 +550,23 @@
     ///
     /// # Errors
     /// They don't follow what is held, are not what their digests say, or are no entries. Nothing was taken then.
-    pub fn take(&mut self, piece: &Piece) -> Result<u64, HistoryError> {
+    pub fn insert(&mut self, piece: &Piece) -> Result<u64, HistoryError> {
         let writer = &piece.writer;
         if piece.entries.is_empty() {
             return Ok(0);
         }
-        if !piece.holds() {
+        if !piece.digests_match() {
             return Err(HistoryError::Changed { writer: writer.clone(), after: piece.after });
         }
         for (number, entry) in (piece.after + 1..).zip(&piece.entries) {
             let why = |why| HistoryError::Entry { writer: writer.clone(), number, why };
             hash_chain::decode(number, entry).map_err(why)?;
         }
-        self.graft(piece)
+        self.insert_verified(piece)
     }
 
     /// See [`History::take`], for what is known to be well.
-    pub(crate) fn graft(&mut self, piece: &Piece) -> Result<u64, HistoryError> {
+    pub(crate) fn insert_verified(&mut self, piece: &Piece) -> Result<u64, HistoryError> {
         let writer = &piece.writer;
         let mut fresh = None;
         let log = match self.logs.get_mut(writer) {
@@ -576,7 +577,7 @@
         while at.0 < log.point.0 {
             // What is sealed can't be compared any more but at its end.
             let Some((entry, rest)) = entries.split_first() else { return Ok(0) };
-            at = (at.0 + 1, hash_chain::follow(&at.1, entry));
+            at = (at.0 + 1, hash_chain::next_digest(&at.1, entry));
             entries = rest;
         }
         if at.0 == log.point.0 && at.1 != log.point.1 {
@@ -588,10 +589,10 @@
             return Err(if after > have {
                 HistoryError::Gap { writer, have, after }
             } else {
-                HistoryError::Astray { writer, after }
+                HistoryError::Diverged { writer, after }
             });
         };
-        let new = run.graft(at.0, entries);
+        let new = run.insert(at.0, entries);
         if let Some(log) = fresh {
             self.logs.insert(writer.clone(), log);
         }
@@ -604,12 +605,12 @@
     pub fn merge(&mut self, other: &History) -> u64 {
         let mut new = 0;
         for (writer, log) in &other.logs {
-            let base = Base { point: log.point, remembered: log.remembered.clone() };
+            let base = Base { point: log.point, retained_keys: log.retained_keys.clone() };
             self.adopt(writer, &base);
             let mut points = self.heads(writer);
-            while let Some(piece) = other.lacking(writer, &points, 1 << 16) {
+            while let Some(piece) = other.missing(writer, &points, 1 << 16) {
                 // What parts from the sealed is not taken: see above.
-                new += self.graft(&piece).unwrap_or(0);
+                new += self.insert_verified(&piece).unwrap_or(0);
                 points.retain(|p| *p != (piece.after, piece.before));
                 points.push(piece.last());
             }
@@ -639,7 +640,7 @@
             log.root = Run::after(base.point);
         }
         log.point = base.point;
-        log.remembered = by_key(&base.remembered).into_values().collect();
+        log.retained_keys = by_key(&base.retained_keys).into_values().collect();
     }
 
     /// Drop the entries of a log up to that number; what stands for them and its guarded keys stay.
@@ -653,7 +654,7 @@
             return Ok(());
         }
         let digest = log.root.digest(upto).filter(|_| upto >= log.root.first).ok_or_else(no)?;
-        let (mut open, mut remembered) = (BTreeMap::new(), by_key(&log.remembered));
+        let (mut open, mut retained_keys) = (BTreeMap::new(), by_key(&log.retained_keys));
         for number in log.root.first..=upto {
             let bytes = log.root.entry(number).ok_or_else(no)?;
             let timed = hash_chain::decode(number, bytes).map_err(|_| no())?;
@@ -663,8 +664,8 @@
                     let Some((at, p)) = open.remove(&of) else { continue };
                     let (true, Some(key)) = (p.guarded && how != End::NeverRan, p.key) else { continue };
                     let (class, server, fence) = (p.class, p.server, p.fence);
-                    let kept = Remembered { class, key, number: of, at, server, fence, how };
-                    let place = remembered.entry((kept.class.clone(), kept.key.clone()));
+                    let kept = RetainedKey { class, key, number: of, at, server, fence, how };
+                    let place = retained_keys.entry((kept.class.clone(), kept.key.clone()));
                     let old = place.or_insert_with(|| kept.clone());
                     if old.number < of {
                         *old = kept;
@@ -675,7 +676,7 @@
         if !open.is_empty() {
             return Err(no());
         }
-        (log.remembered, log.point) = (remembered.into_values().collect(), (upto, digest));
+        (log.retained_keys, log.point) = (retained_keys.into_values().collect(), (upto, digest));
         log.root.drop_front(upto);
         Ok(())
     }
@@ -688,20 +689,20 @@
     }
 
     /// What a writer's own disk is to what others know of its log: asked with the disk's last entry, once others were heard.
-    pub fn judge(&self, writer: &Writer, own: Point) -> Judged {
+    pub fn own_log_state(&self, writer: &Writer, own: Point) -> OwnLogState {
         let heads = self.heads(writer);
         let known = heads.iter().map(|p| p.0).max().unwrap_or(0);
         match self.knows(writer, &own) {
-            true if heads.len() > 1 => Judged::Forked { own: own.0 },
-            true if known > own.0 => Judged::WentBack { own: own.0, known },
-            true => Judged::Sound,
-            false if known < own.0 => Judged::Sound,
-            false => Judged::Forked { own: own.0 },
+            true if heads.len() > 1 => OwnLogState::Forked { own: own.0 },
+            true if known > own.0 => OwnLogState::RolledBack { own: own.0, known },
+            true => OwnLogState::Intact,
+            false if known < own.0 => OwnLogState::Intact,
+            false => OwnLogState::Forked { own: own.0 },
         }
     }
 
     /// All of it, the same at all who know the same, byte for byte.
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn canonical_bytes(&self) -> Vec<u8> {
         let mut out = Vec::new();
         let name = |out: &mut Vec<u8>, text: &str| {
             out.extend((text.len() as u32).to_be_bytes());
@@ -717,8 +718,8 @@
             out.extend(writer.log.to_be_bytes());
             out.extend(log.point.0.to_be_bytes());
             out.extend(log.point.1 .0);
-            out.extend((log.remembered.len() as u32).to_be_bytes());
-            for r in &log.remembered {
+            out.extend((log.retained_keys.len() as u32).to_be_bytes());
+            for r in &log.retained_keys {
                 [&r.class, &r.key, &r.server].into_iter().for_each(|text| name(&mut out, text));
                 [r.number, r.fence].into_iter().for_each(|n| out.extend(n.to_be_bytes()));
                 out.extend(r.at.to_be_bytes());
--- a/crates/placements/src/idempotency_index.rs
+++ b/crates/placements/src/idempotency_index.rs
@@ -2,7 +2,7 @@
 //!
 //! Fed from a node's own log and from copies of others': each log in its order, logs in any order; what was fed before counts once.
 
-use crate::history::Remembered;
+use crate::history::RetainedKey;
 use crate::{End, Entry, Writer};
 use std::collections::{BTreeMap, HashMap};
 
@@ -11,7 +11,7 @@
 
 /// What is known of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Known {
+pub enum KeyState {
     /// Nothing, or that it surely never ran: it may be placed.
     Free,
     /// It was served.
@@ -22,7 +22,7 @@
 
 /// All keys of guarded placements, by class.
 #[derive(Clone, Debug, Default)]
-pub struct Keys {
+pub struct IdempotencyIndex {
     /// Placements of a key that may have run, with their ends; those that surely never ran are left out.
     known: HashMap<(String, String), BTreeMap<Place, Option<End>>>,
     /// Guarded placements without an end.
@@ -31,9 +31,9 @@
     fed: HashMap<Writer, u64>,
 }
 
-impl Keys {
+impl IdempotencyIndex {
     /// The next entry of a log, with its number. One that was fed before changes nothing.
-    pub fn entry(&mut self, writer: &Writer, number: u64, entry: &Entry) {
+    pub fn apply_entry(&mut self, writer: &Writer, number: u64, entry: &Entry) {
         let fed = self.fed.entry(writer.clone()).or_default();
         if number <= *fed {
             return;
@@ -46,20 +46,20 @@
                 self.known.entry(key.clone()).or_default().insert(place.clone(), None);
                 self.open.insert(place, key);
             }
-            Entry::Ended { of, how } => self.ends(writer, *of, *how),
+            Entry::Ended { of, how } => self.apply_end(writer, *of, *how),
         }
     }
 
     /// How a placement ended, also where the log can't be told.
-    pub fn ends(&mut self, writer: &Writer, of: u64, how: End) {
+    pub fn apply_end(&mut self, writer: &Writer, of: u64, how: End) {
         let place = (writer.clone(), of);
         if let Some(key) = self.open.remove(&place) {
-            self.end(&key, &place, how);
+            self.set_outcome(&key, &place, how);
         }
     }
 
     /// What stays of the beginning of a log that was sealed up to that number: what may have run of its guarded placements.
-    pub fn sealed(&mut self, writer: &Writer, upto: u64, kept: &[Remembered]) {
+    pub fn apply_sealed(&mut self, writer: &Writer, upto: u64, kept: &[RetainedKey]) {
         let fed = self.fed.entry(writer.clone()).or_default();
         if upto <= *fed {
             return;
@@ -70,7 +70,7 @@
         for place in open {
             let Some(key) = self.open.remove(&place) else { continue };
             let how = kept.iter().find(|k| k.number == place.1).map_or(End::NeverRan, |k| k.how);
-            self.end(&key, &place, how);
+            self.set_outcome(&key, &place, how);
         }
         for kept in kept.iter().filter(|kept| kept.number > before) {
             let places = self.known.entry((kept.class.clone(), kept.key.clone())).or_default();
@@ -78,7 +78,7 @@
         }
     }
 
-    fn end(&mut self, key: &(String, String), place: &Place, how: End) {
+    fn set_outcome(&mut self, key: &(String, String), place: &Place, how: End) {
         let Some(places) = self.known.get_mut(key) else { return };
         match how {
             End::NeverRan => drop(places.remove(place)),
@@ -90,18 +90,18 @@
     }
 
     /// The last entry of a log that was fed; 0 for none.
-    pub fn fed(&self, writer: &Writer) -> u64 {
+    pub fn last_applied(&self, writer: &Writer) -> u64 {
         self.fed.get(writer).copied().unwrap_or(0)
     }
 
     /// What is known of a key of a class.
-    pub fn known(&self, class: &str, key: &str) -> Known {
+    pub fn state(&self, class: &str, key: &str) -> KeyState {
         // The pair is owned by the map; one allocation a guarded request is nothing beside its write to the disk.
         let places = self.known.get(&(class.to_string(), key.to_string()));
         let most = places.into_iter().flat_map(|p| p.values());
-        most.map(|end| if *end == Some(End::Served) { Known::Served } else { Known::MayHaveRun })
+        most.map(|end| if *end == Some(End::Served) { KeyState::Served } else { KeyState::MayHaveRun })
             .max()
-            .unwrap_or(Known::Free)
+            .unwrap_or(KeyState::Free)
     }
 
     /// Keys that are remembered.
--- a/crates/placements/src/log.rs
+++ b/crates/placements/src/log.rs
@@ -18,11 +18,11 @@
 /// The journal of others' logs.
 const COPIES: &str = "placements copies";
 /// So much is read at once, in bytes.
-const READ: usize = 1 << 20;
+const READ_BYTES: usize = 1 << 20;
 /// So many entries that need not be on the disk wait at most; then they go, asked for or not.
-pub const MOST_WAITING: usize = 256;
+pub const MAX_PENDING_ENTRIES: usize = 256;
 /// So many of the last entries are kept in memory at most until they are poured into a history.
-const MOST_FRESH: usize = 4_096;
+const MAX_RECENT_ENTRIES: usize = 4_096;
 
 /// Why a log can't be used or written.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
@@ -64,7 +64,7 @@
     #[diagnostic(help(
         "give each node a state folder of its own; to reuse a folder under a new name, empty it"
     ))]
-    Another {
+    WrongNode {
         /// Its site.
         site: String,
         /// Its node.
@@ -81,7 +81,7 @@
     /// A copy on the disk does not fit.
     #[error("a copy of another log on the disk does not fit: {0}")]
     #[diagnostic(help("remove the state folder of this node; other sites send what they hold"))]
-    Copy(HistoryError),
+    InvalidCopy(HistoryError),
 }
 
 impl From<&StoreError> for LogError {
@@ -162,7 +162,7 @@
 ) -> Result<Point, LogError> {
     let (name, log, mut at) = (journal(writer), writer.log, base);
     loop {
-        let records = store.journal(&name, at.0 + 1, READ)?;
+        let records = store.journal(&name, at.0 + 1, READ_BYTES)?;
         if records.is_empty() {
             break;
         }
@@ -172,7 +172,7 @@
             }
             let changed = LogError::Changed { log, number };
             let (digest, entry) = record.split_first_chunk::<32>().ok_or(changed.clone())?;
-            at = (number, hash_chain::follow(&at.1, entry));
+            at = (number, hash_chain::next_digest(&at.1, entry));
             if at.1 .0 != *digest {
                 return Err(changed);
             }
@@ -239,7 +239,7 @@
         };
         let Writer { site: has_site, node: has_node, .. } = &identity.writer;
         if has_site != site || has_node != node {
-            return Err(LogError::Another { site: has_site.clone(), node: has_node.clone() });
+            return Err(LogError::WrongNode { site: has_site.clone(), node: has_node.clone() });
         }
         let mut open = BTreeMap::new();
         let head = verified(&store, &identity.writer, identity.base, |number, timed| match timed.entry {
@@ -289,13 +289,13 @@
             Entry::Placed(placement) => drop(state.open.insert(number, placement.clone())),
             Entry::Ended { of, .. } => drop(state.open.remove(of).ok_or(LogError::NotOpen(*of))?),
         }
-        state.head = (number, hash_chain::follow(&state.head.1, &bytes));
+        state.head = (number, hash_chain::next_digest(&state.head.1, &bytes));
         let record = [&state.head.1 .0, bytes.as_slice()].concat();
         state.waiting.push(Op::Append(journal(&state.identity.writer), number, record));
         let digest = state.head.1;
         let (before, fresh) = &mut state.fresh;
         fresh.push_back((bytes, digest));
-        if fresh.len() > MOST_FRESH {
+        if fresh.len() > MAX_RECENT_ENTRIES {
             if let Some((_, digest)) = fresh.pop_front() {
                 *before = (before.0 + 1, digest);
             }
@@ -363,10 +363,10 @@
     ///
     /// # Errors
     /// It can't be recorded: whoever asked goes on without, and it is counted.
-    pub fn later(&self, timed: &Timed) -> Result<u64, LogError> {
+    pub fn append_deferred(&self, timed: &Timed) -> Result<u64, LogError> {
         let mut state = lock(&self.state);
         let number = Log::number(&mut state, timed).inspect_err(|_| state.unrecorded += 1)?;
-        if state.waiting.len() >= MOST_WAITING {
+        if state.waiting.len() >= MAX_PENDING_ENTRIES {
             self.hand(&mut state, Vec::new(), |_| ());
         }
         Ok(number)
@@ -398,15 +398,15 @@
     /// exchanged, and after [`Copies::restore`].
     ///
     /// # Errors
-    /// As [`Log::read`]; or the history holds another entry of one number ([`LogError::Copy`]; see [`History::judge`]).
-    pub fn pour(&self, history: &mut History) -> Result<u64, LogError> {
+    /// As [`Log::read`]; or the history holds another entry of one number ([`LogError::InvalidCopy`]; see [`History::judge`]).
+    pub fn load_into(&self, history: &mut History) -> Result<u64, LogError> {
         let (identity, durable) = {
             let state = lock(&self.state);
             (state.identity.clone(), state.durable)
         };
         // Most often what is new is still in memory, and was made here.
         if let Some(piece) = self.fresh(history) {
-            return history.graft(&piece).map_err(LogError::Copy);
+            return history.insert_verified(&piece).map_err(LogError::InvalidCopy);
         }
         let retired = identity.retired.iter().map(|(writer, base)| (writer, *base, u64::MAX));
         let mut new = 0;
@@ -418,19 +418,19 @@
                 at = base;
             }
             loop {
-                let piece = pieces(&self.store, writer, at, upto, READ)?;
+                let piece = pieces(&self.store, writer, at, upto, READ_BYTES)?;
                 if piece.entries.is_empty() {
                     break;
                 }
                 // Where the history's line is another one than the disk's, the digests don't follow: begin where the disk does.
-                if !piece.holds() {
+                if !piece.digests_match() {
                     if at == base {
                         return Err(LogError::Changed { log: writer.log, number: at.0 + 1 });
                     }
                     at = base;
                     continue;
                 }
-                new += history.take(&piece).map_err(LogError::Copy)?;
+                new += history.insert(&piece).map_err(LogError::InvalidCopy)?;
                 at = piece.last();
             }
         }
@@ -450,7 +450,7 @@
         };
         let (own, found) = (&state.identity.writer, &identity.writer);
         if (&own.site, &own.node) != (&found.site, &found.node) {
-            return Err(LogError::Another { site: found.site.clone(), node: found.node.clone() });
+            return Err(LogError::WrongNode { site: found.site.clone(), node: found.node.clone() });
         }
         let mut open = BTreeMap::new();
         let head =
@@ -514,7 +514,7 @@
     ///
     /// # Errors
     /// The disk fails.
-    pub fn refound(&self, drawn: u64) -> Result<BTreeMap<u64, Placement>, LogError> {
+    pub fn start_new_log(&self, drawn: u64) -> Result<BTreeMap<u64, Placement>, LogError> {
         let mut state = lock(&self.state);
         if let Some(why) = &state.failed {
             return Err(why.clone());
@@ -567,17 +567,17 @@
     ) -> Result<Copies, LogError> {
         let (mut next, mut early) = (0, Vec::new());
         loop {
-            let records = store.journal(COPIES, next, READ)?;
+            let records = store.journal(COPIES, next, READ_BYTES)?;
             let Some((last, _)) = records.last() else { break };
             next = last + 1;
             for (number, record) in &records {
                 let unreadable = LogError::Store(format!("copy {number} can't be read"));
                 match postcard::from_bytes(record).map_err(|_| unreadable)? {
-                    Kept::Piece(piece) => match history.take(&piece) {
+                    Kept::Piece(piece) => match history.insert(&piece) {
                         Ok(_) => {}
                         // What others knew of this node's own log beyond an older disk follows what is poured later.
-                        Err(HistoryError::Gap { .. } | HistoryError::Astray { .. }) => early.push(piece),
-                        Err(e) => return Err(LogError::Copy(e)),
+                        Err(HistoryError::Gap { .. } | HistoryError::Diverged { .. }) => early.push(piece),
+                        Err(e) => return Err(LogError::InvalidCopy(e)),
                     },
                     Kept::Base(writer, base) => history.adopt(&writer, &base),
                 }
@@ -590,9 +590,9 @@
     ///
     /// # Errors
     /// One does not fit even now.
-    pub fn rest(&self, history: &mut History) -> Result<(), LogError> {
+    pub fn insert_deferred(&self, history: &mut History) -> Result<(), LogError> {
         let early = std::mem::take(&mut *self.early.lock().unwrap_or_else(PoisonError::into_inner));
-        early.iter().try_for_each(|piece| history.take(piece).map(drop).map_err(LogError::Copy))
+        early.iter().try_for_each(|piece| history.insert(piece).map(drop).map_err(LogError::InvalidCopy))
     }
 
     /// Number them after what was gathered.
@@ -623,17 +623,17 @@
 
     /// Keep a piece that was taken into the history with the next [`Log::flush_with`], or with what is kept at once. What is lost
     /// with a process before that is asked for again: its next life says what it has anew.
-    pub fn later(&self, piece: &Piece) {
+    pub fn append_piece_deferred(&self, piece: &Piece) {
         drop(self.gather(&[Kept::Piece(piece.clone())]));
     }
 
     /// Keep a piece that was taken into the history; `done` is told once it is on the disk. Only then may others be told that it is here.
-    pub fn piece(&self, piece: &Piece, done: impl FnOnce(Result<(), LogError>) + Send + 'static) {
+    pub fn append_piece(&self, piece: &Piece, done: impl FnOnce(Result<(), LogError>) + Send + 'static) {
         self.commit(self.gather(&[Kept::Piece(piece.clone())]), done);
     }
 
     /// Keep that a history goes by what somebody sealed.
-    pub fn base(
+    pub fn append_base(
         &self,
         writer: &Writer,
         base: &Base,
@@ -649,7 +649,7 @@
     }
 
     /// What does that, to be committed before any further piece: after pieces that the disk did not take.
-    pub fn rewrite_all(&self, history: &History) -> Vec<Op> {
+    pub fn rewrite_ops(&self, history: &History) -> Vec<Op> {
         std::mem::take(&mut self.all(history).1)
     }
 
@@ -658,7 +658,7 @@
         for writer in history.writers() {
             all.extend(history.base(writer).filter(|b| b.point.0 > 0).map(|b| Kept::Base(writer.clone(), b)));
             let mut points = vec![history.sealed(writer)];
-            while let Some(piece) = history.lacking(writer, &points, 1 << 16) {
+            while let Some(piece) = history.missing(writer, &points, 1 << 16) {
                 points.retain(|p| *p != (piece.after, piece.before));
                 points.push(piece.last());
                 all.push(Kept::Piece(piece));
--- a/crates/placements/src/log_recovery.rs
+++ b/crates/placements/src/log_recovery.rs
@@ -7,29 +7,29 @@
 //!
 //! Where nobody is heard for a stated time the log goes on unproved: a node that is alone has to record what it does. Guarded work goes on waiting.
 
-use crate::anti_entropy::{beyond, Exchange};
+use crate::anti_entropy::{newest_entry_at_peers, Exchange};
 use crate::hash_chain::Point;
 use crate::history::History;
 use crate::{End, Entry, Micros, Timed, Writer};
 use std::collections::BTreeMap;
 
 /// So many placements are held at most, each with its end; some 250 bytes and its names each. Further ones go unrecorded and are counted.
-pub const MOST_HELD: usize = 8_192;
+pub const MAX_BUFFERED_PLACEMENTS: usize = 8_192;
 
 /// What becomes of the log that the last life left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LogFate {
+pub enum LogOutcome {
     /// It goes on; `true` where partners were asked, `false` where none was heard in time.
-    GoesOn(bool),
+    Continues(bool),
     /// Others know that entry of it, the disk does not: another log is founded before anything is written.
-    Refounded(u64),
+    Replaced(u64),
 }
 
 /// Where a placement is until it has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Slot {
+pub enum PlacementRef {
     /// It is held, under that ticket.
-    Held(u64),
+    Buffered(u64),
     /// It is in the log, under that number.
     Written(u64),
 }
@@ -78,52 +78,52 @@
 
     /// The disk could not be written for a time, and can be now: partners are asked once more, since another log could not be founded meanwhile.
     /// What is held stays; `open` is what has no end in the log though it is over.
-    pub fn again(&mut self, now: Micros, open: impl IntoIterator<Item = (u64, End)>) {
+    pub fn restart(&mut self, now: Micros, open: impl IntoIterator<Item = (u64, End)>) {
         (self.began, self.stage) = (now, Stage::Waits);
         self.open = open.into_iter().collect();
     }
 
     /// Nothing may be written yet.
-    pub fn holds(&self) -> bool {
+    pub fn is_buffering(&self) -> bool {
         self.stage == Stage::Waits
     }
 
     /// Partners were asked: guarded work may be taken.
-    pub fn asked(&self) -> bool {
+    pub fn peers_answered(&self) -> bool {
         self.stage == Stage::Asked
     }
 
     /// How many placements went unrecorded since too many were held.
-    pub fn lost(&self) -> u64 {
+    pub fn unrecorded(&self) -> u64 {
         self.lost
     }
 
     /// A placement, to be written later; `None` where too many are held.
-    pub fn place(&mut self, timed: Timed) -> Option<Slot> {
-        if self.placed >= MOST_HELD {
+    pub fn buffer_placement(&mut self, timed: Timed) -> Option<PlacementRef> {
+        if self.placed >= MAX_BUFFERED_PLACEMENTS {
             self.lost += 1;
             return None;
         }
         self.placed += 1;
         self.held.push(Held::Placed(timed));
-        Some(Slot::Held(self.held.len() as u64 - 1))
+        Some(PlacementRef::Buffered(self.held.len() as u64 - 1))
     }
 
     /// What is held under that ticket has ended.
-    pub fn end(&mut self, ticket: u64, at: Micros, how: End) {
+    pub fn buffer_end(&mut self, ticket: u64, at: Micros, how: End) {
         self.held.push(Held::Ended(ticket, at, how));
     }
 
     /// What becomes of the log, whose last entry on the disk is `own`, once that is known; told once, or twice where it went on unproved
     /// first. [`LogRecovery::write`] is to follow.
-    pub fn ask<'a>(
+    pub fn decide<'a>(
         &mut self,
         exchanges: impl Iterator<Item = &'a Exchange> + Clone,
         history: &History,
         writer: &Writer,
         own: Point,
         now: Micros,
-    ) -> Option<LogFate> {
+    ) -> Option<LogOutcome> {
         let over = now - self.began >= self.wait;
         let some = exchanges.clone().any(Exchange::complete);
         let asked = some && (over || exchanges.clone().all(Exchange::complete));
@@ -132,19 +132,19 @@
             Stage::Waits if over => Stage::Unproved,
             _ => return None,
         };
-        let known = beyond(exchanges, history, writer, own);
-        Some(known.map_or(LogFate::GoesOn(asked), LogFate::Refounded))
+        let known = newest_entry_at_peers(exchanges, history, writer, own);
+        Some(known.map_or(LogOutcome::Continues(asked), LogOutcome::Replaced))
     }
 
     /// Write what was held, in its order. `write` gives each its number, or none where it can't be recorded. What is held without an end, by ticket, with
     /// its number.
-    pub fn write(
+    pub fn write_buffered(
         &mut self,
-        outcome: LogFate,
+        outcome: LogOutcome,
         mut write: impl FnMut(Timed) -> Option<u64>,
     ) -> BTreeMap<u64, u64> {
         let open = std::mem::take(&mut self.open);
-        if matches!(outcome, LogFate::GoesOn(_)) {
+        if matches!(outcome, LogOutcome::Continues(_)) {
             for (of, how) in open {
                 write(Timed { at: 0, entry: Entry::Ended { of, how } });
             }
@@ -179,20 +179,20 @@
         );
         let mut log_recovery = LogRecovery::new(0, 3, [4]);
         let none: [&Exchange; 0] = [];
-        let ask = |b: &mut LogRecovery, now| b.ask(none.into_iter(), &history, &writer, own, now);
-        assert_eq!(ask(&mut log_recovery, 3), Some(LogFate::GoesOn(false)));
+        let ask = |b: &mut LogRecovery, now| b.decide(none.into_iter(), &history, &writer, own, now);
+        assert_eq!(ask(&mut log_recovery, 3), Some(LogOutcome::Continues(false)));
         let mut written = Vec::new();
         let mut write = |b: &mut LogRecovery| {
             let mut number = 10;
-            b.write(LogFate::GoesOn(false), |timed| {
+            b.write_buffered(LogOutcome::Continues(false), |timed| {
                 written.push(timed.entry);
                 number += 1;
                 Some(number)
             })
         };
         write(&mut log_recovery);
-        log_recovery.again(10, [(5, End::NeverRan), (6, End::Unknown)]);
-        assert!(log_recovery.holds() && !log_recovery.asked());
+        log_recovery.restart(10, [(5, End::NeverRan), (6, End::Unknown)]);
+        assert!(log_recovery.is_buffering() && !log_recovery.peers_answered());
         let placement = crate::Placement {
             key: None,
             class: "c".into(),
@@ -205,11 +205,11 @@
             list: 0,
             fence: 0,
         };
-        let held = log_recovery.place(Timed { at: 11, entry: Entry::Placed(placement.clone()) });
-        assert_eq!(held, Some(Slot::Held(0)));
+        let held = log_recovery.buffer_placement(Timed { at: 11, entry: Entry::Placed(placement.clone()) });
+        assert_eq!(held, Some(PlacementRef::Buffered(0)));
         assert_eq!(
             (ask(&mut log_recovery, 12), ask(&mut log_recovery, 13)),
-            (None, Some(LogFate::GoesOn(false)))
+            (None, Some(LogOutcome::Continues(false)))
         );
         assert_eq!(write(&mut log_recovery), BTreeMap::from([(0, 13)]));
         assert!(write(&mut log_recovery).is_empty());
--- a/crates/placements/src/reconcile.rs
+++ b/crates/placements/src/reconcile.rs
@@ -10,9 +10,9 @@
 //! placement; some 70 for each remembered key of a free class ([`Settings::keys`]); the rest is bounded by [`Settings`], and by the
 //! credit that was given.
 
-use crate::anti_entropy::Holdings;
+use crate::anti_entropy::LogReplicas;
 use crate::hash_chain::{self, Digest, Point};
-use crate::history::Remembered;
+use crate::history::RetainedKey;
 use crate::{End, Entry, Micros, Placement, Writer};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -22,35 +22,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// A placement without an end is given up so long after it was placed: the longest job, and what clocks may differ.
-    pub longest: Micros,
+    pub give_up_after: Micros,
     /// Quotas and the use of servers are counted by spans of this length.
     pub span: Micros,
     /// So many pairs of a span and a tenant, and of a span and a server, are remembered; the oldest give way.
-    pub spans: usize,
+    pub max_spans: usize,
     /// So many keys of free classes are remembered, twice at most; in 64 parts, each of which forgets its older half by itself.
-    pub keys: usize,
+    pub max_repeatable_keys: usize,
     /// So many of each account's latest placements are remembered, for changes of standing that are learned later.
-    pub look_back: usize,
+    pub placements_per_account: usize,
     /// So many steps are made at once, see [`Reconciler::slice`].
-    pub steps: usize,
+    pub steps_per_slice: usize,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            longest: 600_000_000,
+            give_up_after: 600_000_000,
             span: 10_000_000,
-            spans: 20_000,
-            keys: 500_000,
-            look_back: 4_096,
-            steps: 256,
+            max_spans: 20_000,
+            max_repeatable_keys: 500_000,
+            placements_per_account: 4_096,
+            steps_per_slice: 256,
         }
     }
 }
 
 /// A change of an account's standing, as far as it matters here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Change {
+pub struct StandingChange {
     /// Its number.
     pub number: u64,
     /// From when on it holds, in Unix time.
@@ -62,7 +62,7 @@
 /// What a debt is of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum DebtKind {
     /// Jobs that were begun on unconfirmed standing.
     Credit,
     /// Jobs above the quota.
@@ -72,16 +72,18 @@
 /// Whether whoever began something could know that it was not to begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Trust {
+pub enum Awareness {
     /// It was not told yet.
-    Good,
+    #[serde(rename = "good")]
+    Unaware,
     /// It had been told: the number that it wrote is the closing's or a later one.
-    AgainstKnowledge,
+    #[serde(rename = "against-knowledge")]
+    Aware,
 }
 
 /// One placement in the story of a key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Scene {
+pub struct PlacementRecord {
     /// Who placed it.
     pub writer: Writer,
     /// The number of the entry.
@@ -100,13 +102,14 @@
 
 /// All that is known of a key that must not run twice and may have.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Story {
+pub struct DuplicateRun {
     /// Its class.
     pub class: String,
     /// The key.
     pub key: String,
     /// Placements that are not known never to have run: two at least.
-    pub scenes: Vec<Scene>,
+    #[serde(rename = "scenes")]
+    pub placements: Vec<PlacementRecord>,
 }
 
 /// What follows from a history.
@@ -117,7 +120,7 @@
         /// The tenant.
         tenant: String,
         /// What it is of.
-        kind: Kind,
+        kind: DebtKind,
         /// Jobs.
         jobs: u64,
     },
@@ -129,7 +132,7 @@
         number: u64,
         /// Whether that was known there.
         #[serde(rename = "faith")]
-        trust: Trust,
+        awareness: Awareness,
         /// Who began it.
         writer: Writer,
         /// The number of the entry.
@@ -164,7 +167,7 @@
         to: Micros,
     },
     /// A key that must not run twice may have, with its whole story.
-    Violation(Story),
+    Violation(DuplicateRun),
 }
 
 /// What was counted.
@@ -177,7 +180,8 @@
     /// Ends.
     pub ends: u64,
     /// Ends of what is not open, as a log that forked has them.
-    pub strays: u64,
+    #[serde(rename = "strays")]
+    pub unmatched_ends: u64,
     /// Keys of free classes that were placed at another site, too.
     pub repeated: u64,
     /// Free placements that were given up without an end.
@@ -189,23 +193,23 @@
 /// What is owed for use above the whole; each later part pays off a stated share of itself at most, so that nobody stands still for it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Debts {
-    owed: BTreeMap<String, BTreeMap<Kind, u64>>,
+    owed: BTreeMap<String, BTreeMap<DebtKind, u64>>,
 }
 
 impl Debts {
     /// So much more is owed.
-    pub fn owe(&mut self, tenant: &str, kind: Kind, jobs: u64) {
+    pub fn add(&mut self, tenant: &str, kind: DebtKind, jobs: u64) {
         let owed = self.owed.entry(tenant.to_string()).or_default().entry(kind).or_default();
         *owed = owed.saturating_add(jobs);
     }
 
     /// What is owed, in jobs.
-    pub fn owed(&self, tenant: &str, kind: Kind) -> u64 {
+    pub fn owed(&self, tenant: &str, kind: DebtKind) -> u64 {
         self.owed.get(tenant).and_then(|kinds| kinds.get(&kind)).copied().unwrap_or(0)
     }
 
     /// What is left of a part once it has paid: `share` thousandths of it at most, one job at least where it has one.
-    pub fn pay(&mut self, tenant: &str, kind: Kind, part: u64, share: u32) -> u64 {
+    pub fn pay(&mut self, tenant: &str, kind: DebtKind, part: u64, share: u32) -> u64 {
         let Some(kinds) = self.owed.get_mut(tenant) else { return part };
         let Some(owed) = kinds.get_mut(&kind) else { return part };
         let most = (part / 1_000 * u64::from(share.min(1_000))
@@ -283,7 +287,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Account {
-    changes: BTreeMap<u64, Change>,
+    changes: BTreeMap<u64, StandingChange>,
     credit: Option<(u64, Micros)>,
     quota: Option<u64>,
     /// Jobs on credit, and when they were taken.
@@ -343,7 +347,7 @@
     /// Which sites used a server in a span, which of them were alone, and whether it was said.
     servers: BTreeMap<(Micros, u32), (u64, u64, bool)>,
     counts: Counts,
-    debts: BTreeMap<(String, Kind), u64>,
+    debts: BTreeMap<(String, DebtKind), u64>,
     out: Vec<Decision>,
 }
 
@@ -389,7 +393,7 @@
             // Few parts where there are few keys.
             free: vec![
                 Default::default();
-                if settings.keys < FREE_PARTS * FREE_PARTS { 1 } else { FREE_PARTS }
+                if settings.max_repeatable_keys < FREE_PARTS * FREE_PARTS { 1 } else { FREE_PARTS }
             ],
             accounts: BTreeMap::new(),
             quotas: BTreeMap::new(),
@@ -406,22 +410,22 @@
     }
 
     /// All keys that must not run twice and may have.
-    pub fn violations(&self) -> Vec<Story> {
-        self.keys.keys().filter_map(|place| self.story(place)).filter(|s| s.scenes.len() > 1).collect()
+    pub fn violations(&self) -> Vec<DuplicateRun> {
+        self.keys.keys().filter_map(|place| self.story(place)).filter(|s| s.placements.len() > 1).collect()
     }
 
     /// Placements that have no end yet.
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.open.len()
     }
 
     /// An account's standing has changed, or is learned of; placements that are remembered are judged again: some at once, the rest in
     /// slices.
-    pub fn standing(&mut self, tenant: &str, change: Change) -> Vec<Decision> {
+    pub fn change_standing(&mut self, tenant: &str, change: StandingChange) -> Vec<Decision> {
         let account = self.accounts.entry(tenant.to_string()).or_default();
         account.changes.insert(change.number, change);
         self.again.extend(account.recent.keys().map(|at| (tenant.to_string(), *at)));
-        self.judge_again(self.settings.steps);
+        self.judge_again(self.settings.steps_per_slice);
         self.decisions()
     }
 
@@ -437,7 +441,7 @@
     }
 
     /// So many jobs may be begun on unconfirmed standing, over all sites together, taken after `since`, when it was confirmed last.
-    pub fn credit(&mut self, tenant: &str, whole: u64, since: Micros) -> Vec<Decision> {
+    pub fn set_credit(&mut self, tenant: &str, whole: u64, since: Micros) -> Vec<Decision> {
         let account = self.accounts.entry(tenant.to_string()).or_default();
         if account.credit.is_none_or(|(_, before)| before != since) {
             account.on_credit.retain(|_, taken| *taken > since);
@@ -449,17 +453,22 @@
     }
 
     /// So many placements a span are a tenant's whole quota.
-    pub fn quota(&mut self, tenant: &str, a_span: u64) {
+    pub fn set_quota(&mut self, tenant: &str, a_span: u64) {
         self.accounts.entry(tenant.to_string()).or_default().quota = Some(a_span);
     }
 
     /// Go on for [`Settings::steps`] steps: give up what has no end for too long by `now`, in Unix time, judge again what is to be, and read what
     /// is new: `news` where something may have come since the last slice. What follows, and whether there is more to do.
-    pub fn slice(&mut self, holdings: &impl Holdings, now: Micros, updates: bool) -> (Vec<Decision>, bool) {
+    pub fn slice(
+        &mut self,
+        holdings: &impl LogReplicas,
+        now: Micros,
+        updates: bool,
+    ) -> (Vec<Decision>, bool) {
         if updates {
             (self.calm, self.level) = (0, false);
         }
-        let most = self.settings.steps.max(1);
+        let most = self.settings.steps_per_slice.max(1);
         let mut left = most - self.give_up(now, most);
         left -= self.judge_again(left);
         let more = match left {
@@ -470,7 +479,7 @@
     }
 
     /// Read all that is new at once; what follows.
-    pub fn pass(&mut self, holdings: &impl Holdings) -> Vec<Decision> {
+    pub fn read_all(&mut self, holdings: &impl LogReplicas) -> Vec<Decision> {
         self.calm = 0;
         while self.read(holdings, usize::MAX) {}
         self.judge_again(usize::MAX);
@@ -478,7 +487,7 @@
     }
 
     /// Whether there is more to read.
-    fn read(&mut self, holdings: &impl Holdings, most: usize) -> bool {
+    fn read(&mut self, holdings: &impl LogReplicas, most: usize) -> bool {
         let writers = holdings.writers();
         let first = self.turn.take().map_or(0, |turn| writers.partition_point(|w| *w < turn));
         let mut left = most;
@@ -504,7 +513,7 @@
     }
 
     /// Whether it was read to its end. There has to be a step left.
-    fn read_log(&mut self, holdings: &impl Holdings, writer: &Writer, left: &mut usize) -> bool {
+    fn read_log(&mut self, holdings: &impl LogReplicas, writer: &Writer, left: &mut usize) -> bool {
         let mut points = self.seen.remove(writer).unwrap_or_default();
         holdings.prune(writer, &mut points);
         if points.is_empty() {
@@ -514,10 +523,10 @@
             let mut from = at.map_or(0, |(.., from)| from);
             loop {
                 // One is said to have 40 bytes and its names.
-                let (total, remembered) = holdings.remembered(writer, from, left.saturating_mul(40));
-                from += remembered.len() as u64;
-                *left = left.saturating_sub(remembered.len());
-                remembered.into_iter().for_each(|kept| self.remember(writer, kept));
+                let (total, retained_keys) = holdings.retained_keys(writer, from, left.saturating_mul(40));
+                from += retained_keys.len() as u64;
+                *left = left.saturating_sub(retained_keys.len());
+                retained_keys.into_iter().for_each(|kept| self.apply_retained_key(writer, kept));
                 if from >= total {
                     break;
                 }
@@ -530,7 +539,7 @@
         }
         let mut all = false;
         while !all && *left > 0 {
-            let walked = holdings.walk(writer, &points, 1 << 16, &mut |point, entry| {
+            let walked = holdings.visit_missing(writer, &points, 1 << 16, &mut |point, entry| {
                 *left -= 1;
                 if let Ok(timed) = hash_chain::decode(point.0, entry) {
                     self.entry(holdings, writer, point, timed.at, timed.entry);
@@ -550,8 +559,8 @@
     }
 
     /// What has no end for too long by now, in Unix time, is given up: if it must not run twice it may have run. [`Settings::steps`] of it at most.
-    pub fn overdue(&mut self, now: Micros) -> Vec<Decision> {
-        self.give_up(now, self.settings.steps.max(1));
+    pub fn give_up_overdue(&mut self, now: Micros) -> Vec<Decision> {
+        self.give_up(now, self.settings.steps_per_slice.max(1));
         self.decisions()
     }
 
@@ -559,7 +568,7 @@
     fn give_up(&mut self, now: Micros, most: usize) -> usize {
         let mut count = 0;
         while let Some((at, place)) = self.due.first().copied().filter(|_| count < most) {
-            if at.saturating_add(self.settings.longest) > now {
+            if at.saturating_add(self.settings.give_up_after) > now {
                 break;
             }
             count += 1;
@@ -601,7 +610,7 @@
 
     fn entry(
         &mut self,
-        holdings: &impl Holdings,
+        holdings: &impl LogReplicas,
         writer: &Writer,
         (number, digest): Point,
         at: Micros,
@@ -617,7 +626,7 @@
                     (one, None) => one,
                     // The log forked: it ends what is on its own line.
                     (Some(_), Some(_)) => {
-                        let own = holdings.on_line(writer, &(number, digest), of);
+                        let own = holdings.digest_on_branch(writer, &(number, digest), of);
                         own.map(|d| (who, of, tag(&d))).filter(|place| self.open.contains_key(place))
                     }
                     (None, Some(_)) => None,
@@ -625,10 +634,11 @@
                 if let Some(place) = place {
                     return self.ended(place, site, at, how);
                 }
-                self.counts.strays += 1;
+                self.counts.unmatched_ends += 1;
                 // A log that forked after a placement may end it twice.
                 if holdings.heads(writer).len() > 1 {
-                    let own = holdings.on_line(writer, &(number, digest), of).map(|d| (who, of, tag(&d)));
+                    let own =
+                        holdings.digest_on_branch(writer, &(number, digest), of).map(|d| (who, of, tag(&d)));
                     let of_place =
                         |key: &Key| key.key_placements.iter().any(|(place, _)| Some(*place) == own);
                     let named =
@@ -728,9 +738,9 @@
         self.out.push(Decision::MayHaveRun { class, key, writer, entry: place.1 });
     }
 
-    fn story(&self, named: &(u32, String)) -> Option<Story> {
+    fn story(&self, named: &(u32, String)) -> Option<DuplicateRun> {
         let key = self.keys.get(named)?;
-        let scene = |(place, key_placement): &(Place, KeyPlacement)| Scene {
+        let record = |(place, key_placement): &(Place, KeyPlacement)| PlacementRecord {
             writer: self.by_number(place.0),
             number: place.1,
             at: key_placement.at,
@@ -741,9 +751,9 @@
         };
         let ran =
             key.key_placements.iter().filter(|(_, key_placement)| key_placement.how != Some(End::NeverRan));
-        let mut scenes: Vec<Scene> = ran.map(scene).collect();
-        scenes.sort();
-        Some(Story { class: self.names.name(named.0), key: named.1.clone(), scenes })
+        let mut placements: Vec<PlacementRecord> = ran.map(record).collect();
+        placements.sort();
+        Some(DuplicateRun { class: self.names.name(named.0), key: named.1.clone(), placements })
     }
 
     /// Say what is to be said of a key, where that is new.
@@ -762,7 +772,7 @@
         }
     }
 
-    fn remember(&mut self, writer: &Writer, kept: Remembered) {
+    fn apply_retained_key(&mut self, writer: &Writer, kept: RetainedKey) {
         let (who, _) = self.writer(writer);
         let (class, server) = (self.names.number(&kept.class), self.names.number(&kept.server));
         let named = (class, kept.key);
@@ -790,7 +800,7 @@
         let parts = self.free.len();
         // Neither the bits by which a table finds its places nor those by which it tells entries apart.
         let Some([now, before]) = self.free.get_mut((job >> 40) as usize % parts) else { return };
-        let most = (self.settings.keys / parts).max(1);
+        let most = (self.settings.max_repeatable_keys / parts).max(1);
         let known = now.get(&job).or_else(|| before.get(&job)).copied().unwrap_or(0);
         self.counts.repeated += u64::from(known != 0 && known & site == 0);
         now.insert(job, known | site);
@@ -808,7 +818,7 @@
             let (from, to) = (span.saturating_mul(length), (span + 1).saturating_mul(length));
             self.out.push(Decision::SharedServer { server: self.names.name(server), from, to });
         }
-        if self.servers.len() > self.settings.spans {
+        if self.servers.len() > self.settings.max_spans {
             self.servers.pop_first();
         }
     }
@@ -827,7 +837,7 @@
         }
         let Some(account) = self.accounts.get_mut(tenant) else { return };
         account.recent.insert((taken, place), (standing, 0));
-        if account.recent.len() > self.settings.look_back.max(1) {
+        if account.recent.len() > self.settings.placements_per_account.max(1) {
             account.recent.pop_first();
         }
         if let Some(quota) = account.quota {
@@ -836,9 +846,9 @@
             used.0 += 1;
             if used.0 - used.1 > quota {
                 used.1 += 1;
-                *self.debts.entry((tenant.to_string(), Kind::Quota)).or_default() += 1;
+                *self.debts.entry((tenant.to_string(), DebtKind::Quota)).or_default() += 1;
             }
-            if self.quotas.len() > self.settings.spans {
+            if self.quotas.len() > self.settings.max_spans {
                 self.quotas.pop_first();
             }
         }
@@ -862,10 +872,10 @@
             return;
         }
         *blamed = change.number;
-        let trust = if *standing >= change.number { Trust::AgainstKnowledge } else { Trust::Good };
+        let awareness = if *standing >= change.number { Awareness::Aware } else { Awareness::Unaware };
         let (tenant, number, entry) = (tenant.to_string(), change.number, at.1 .1);
         let writer = self.by_number(at.1 .0);
-        self.out.push(Decision::Standing { tenant, number, trust, writer, entry });
+        self.out.push(Decision::Standing { tenant, number, awareness, writer, entry });
     }
 
     fn charge(&mut self, tenant: &str) {
@@ -875,7 +885,7 @@
         if above > account.charged {
             let jobs = above - account.charged;
             account.charged = above;
-            *self.debts.entry((tenant.to_string(), Kind::Credit)).or_default() += jobs;
+            *self.debts.entry((tenant.to_string(), DebtKind::Credit)).or_default() += jobs;
         }
     }
 }
--- a/crates/placements/tests/common/mod.rs
+++ b/crates/placements/tests/common/mod.rs
@@ -44,7 +44,7 @@
 /// Those entries after that point, as one piece.
 pub fn piece(writer: &Writer, (after, before): Point, entries: &[Timed]) -> Piece {
     let entries: Vec<Vec<u8>> = entries.iter().map(|t| hash_chain::encode(t).unwrap()).collect();
-    let head = entries.iter().fold(before, |d, e| hash_chain::follow(&d, e));
+    let head = entries.iter().fold(before, |d, e| hash_chain::next_digest(&d, e));
     Piece { writer: writer.clone(), after, before, entries, head }
 }
 
--- a/crates/placements/tests/exchange.rs
+++ b/crates/placements/tests/exchange.rs
@@ -5,9 +5,11 @@
 
 use common::*;
 use proptest::prelude::*;
-use shorepath_placements::anti_entropy::{beyond, Exchange, Holdings, Known, Message, Settings, MAX_MESSAGE};
+use shorepath_placements::anti_entropy::{
+    newest_entry_at_peers, Exchange, LogReplicas, LogSummary, Message, Settings, MAX_MESSAGE_BYTES,
+};
 use shorepath_placements::hash_chain::{Digest, Piece, Point};
-use shorepath_placements::history::{Base, History, HistoryError, Remembered};
+use shorepath_placements::history::{Base, History, HistoryError, RetainedKey};
 use shorepath_placements::{Entry, Timed, Writer};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -27,9 +29,9 @@
     fault: Fault,
 }
 
-impl Holdings for Node {
+impl LogReplicas for Node {
     fn writers(&self) -> Vec<Writer> {
-        Holdings::writers(&self.history)
+        LogReplicas::writers(&self.history)
     }
     fn heads(&self, writer: &Writer) -> Vec<Point> {
         self.history.heads(writer)
@@ -43,36 +45,36 @@
     fn sealed(&self, writer: &Writer) -> Point {
         self.history.sealed(writer)
     }
-    fn remembered(&self, writer: &Writer, from: u64, most: usize) -> (u64, Vec<Remembered>) {
-        self.history.remembered(writer, from, most)
+    fn retained_keys(&self, writer: &Writer, from: u64, most: usize) -> (u64, Vec<RetainedKey>) {
+        self.history.retained_keys(writer, from, most)
     }
-    fn lacking(&self, writer: &Writer, points: &[Point], most: usize) -> Option<Piece> {
-        self.history.lacking(writer, points, most)
+    fn missing(&self, writer: &Writer, points: &[Point], most: usize) -> Option<Piece> {
+        self.history.missing(writer, points, most)
     }
     fn prune(&self, writer: &Writer, points: &mut Vec<Point>) {
         self.history.prune(writer, points);
     }
-    fn walk(
+    fn visit_missing(
         &self,
         writer: &Writer,
         points: &[Point],
         most: usize,
         reply: &mut dyn FnMut(Point, &[u8]) -> bool,
     ) -> Option<(Point, Point)> {
-        self.history.walk(writer, points, most, reply)
+        self.history.visit_missing(writer, points, most, reply)
     }
-    fn on_line(&self, writer: &Writer, point: &Point, number: u64) -> Option<Digest> {
-        self.history.on_line(writer, point, number)
+    fn digest_on_branch(&self, writer: &Writer, point: &Point, number: u64) -> Option<Digest> {
+        self.history.digest_on_branch(writer, point, number)
     }
     fn adopt(&mut self, writer: &Writer, base: &Base) {
         self.history.adopt(writer, base);
     }
-    fn take(&mut self, piece: &Piece) -> Result<u64, HistoryError> {
+    fn insert(&mut self, piece: &Piece) -> Result<u64, HistoryError> {
         if self.fault == Fault::None {
-            return self.history.take(piece);
+            return self.history.insert(piece);
         }
-        let found = self.history.clone().take(piece);
-        let head = self.history.have().get(&piece.writer).copied();
+        let found = self.history.clone().insert(piece);
+        let head = self.history.latest_points().get(&piece.writer).copied();
         let moved = |after: Point| {
             // What ends something would be refused at a lower number.
             let mut moved = piece.clone();
@@ -81,25 +83,27 @@
                 matches!(entry, Ok(Entry::Placed(_)))
             });
             (moved.after, moved.before) = after;
-            moved.head =
-                moved.entries.iter().fold(after.1, |d, e| shorepath_placements::hash_chain::follow(&d, e));
+            moved.head = moved
+                .entries
+                .iter()
+                .fold(after.1, |d, e| shorepath_placements::hash_chain::next_digest(&d, e));
             moved
         };
         match (self.fault, &found, head) {
             (Fault::GapAccepted, Err(HistoryError::Gap { .. }), Some(head)) => {
-                self.history.take(&moved(head))
+                self.history.insert(&moved(head))
             }
-            (Fault::DoubledCountsTwice, Ok(0), Some(head)) => self.history.take(&moved(head)),
+            (Fault::DoubledCountsTwice, Ok(0), Some(head)) => self.history.insert(&moved(head)),
             (Fault::FirstLineWins, Ok(_), _) => {
                 let mut next = self.history.clone();
-                let new = next.take(piece)?;
+                let new = next.insert(piece)?;
                 if next.forks() == self.history.forks() {
                     self.history = next;
                     return Ok(new);
                 }
                 Ok(0)
             }
-            _ => self.history.take(piece),
+            _ => self.history.insert(piece),
         }
     }
 }
@@ -140,7 +144,7 @@
         let mut side = Exchange::new(settings, 1 + a as u64, 0);
         if weather.spare {
             let others = (0..count).filter(|k| *k != a);
-            side.spare(others.map(|k| (format!("site{k}"), format!("site{k}-1"))).collect());
+            side.set_covered_nodes(others.map(|k| (format!("site{k}"), format!("site{k}-1"))).collect());
         }
         sides.insert((a, b), side);
     }
@@ -165,15 +169,15 @@
             if side.due() > now {
                 continue;
             }
-            side.pass(&nodes[*from], now, chance(&mut seed));
-            held = held.max(side.held());
+            side.poll(&nodes[*from], now, chance(&mut seed));
+            held = held.max(side.buffered_bytes());
             for message in side.take_outgoing() {
                 if let Message::Piece { piece } = &message {
                     sent_on +=
                         if piece.writer.site == format!("site{from}") { 0 } else { piece.entries.len() };
                 }
                 let bytes = message.encode();
-                assert!(bytes.len() <= MAX_MESSAGE, "{}", bytes.len());
+                assert!(bytes.len() <= MAX_MESSAGE_BYTES, "{}", bytes.len());
                 sent += bytes.len();
                 let cut = weather.cuts.iter().any(|(a, b)| (*a..*b).contains(&now))
                     || weather.dead.contains(&(*from, *to));
@@ -189,7 +193,7 @@
                 }
             }
         }
-        if sides.iter().all(|((from, _), side)| side.level(&nodes[*from])) {
+        if sides.iter().all(|((from, _), side)| side.in_sync(&nodes[*from])) {
             level_at = Some(now);
         }
         let next = sides.values().map(Exchange::due).chain(wire.keys().next().map(|k| k.0)).min();
@@ -208,7 +212,7 @@
             for (j, (writer, entries)) in all.iter().enumerate() {
                 let know = if j == k { entries.len() } else { entries.len() * ((j * 3 + k) % 3) / 4 };
                 pieces(writer, &entries[..know], 9).iter().for_each(|p| {
-                    history.take(p).unwrap();
+                    history.insert(p).unwrap();
                 });
             }
             Node { history, fault }
@@ -218,9 +222,11 @@
 
 /// What is wrong in the end, where something is.
 fn wrong(run: &Run, wanted: &History) -> Option<String> {
-    let bytes = wanted.bytes();
-    let bad = run.nodes.iter().position(|n| n.history.bytes() != bytes);
-    bad.map(|k| format!("node {k}: {:?}, wanted {:?}", run.nodes[k].history.have(), wanted.have()))
+    let bytes = wanted.canonical_bytes();
+    let bad = run.nodes.iter().position(|n| n.history.canonical_bytes() != bytes);
+    bad.map(|k| {
+        format!("node {k}: {:?}, wanted {:?}", run.nodes[k].history.latest_points(), wanted.latest_points())
+    })
 }
 
 fn wanted(nodes: &[Node]) -> History {
@@ -232,7 +238,13 @@
 }
 
 fn settings() -> Settings {
-    Settings { rate: 500_000, window: 16 << 10, again: 100_000, every: 300_000, soon: 10_000 }
+    Settings {
+        bytes_per_second: 500_000,
+        window_bytes: 16 << 10,
+        resend_after: 100_000,
+        full_summary_interval: 300_000,
+        summary_delay: 10_000,
+    }
 }
 
 proptest! {
@@ -260,7 +272,7 @@
         for (node, salt) in nodes.iter_mut().zip([0, 1, 0]) {
             let line: Vec<Timed> = entries(60, 0)[..part].iter().cloned()
                 .chain(entries(length + 40 * salt, salt)[part..].iter().cloned()).collect();
-            pieces(&w, &line, 9).iter().for_each(|p| { node.history.take(p).unwrap(); });
+            pieces(&w, &line, 9).iter().for_each(|p| { node.history.insert(p).unwrap(); });
         }
         let wanted = wanted(&nodes);
         prop_assert_eq!(wanted.forks().len(), 1);
@@ -278,14 +290,14 @@
         nodes[0].history.seal(&w, upto * 2).unwrap();
         let wanted = wanted(&nodes);
         let run = run(nodes, settings(), &Weather { loss, ..Weather::default() }, seed, 60_000_000);
-        let all: Vec<_> = run.nodes.iter().map(|n| n.history.have()).collect();
+        let all: Vec<_> = run.nodes.iter().map(|n| n.history.latest_points()).collect();
         prop_assert!(run.level_at.is_some(), "not level: {all:?}");
         // Whoever had more of it keeps it until the rule seals it there, too.
         let mut one = run.nodes[2].history.clone();
         one.merge(&wanted);
-        prop_assert_eq!(one.bytes(), wanted.bytes());
-        prop_assert_eq!(&all[0], &wanted.have());
-        prop_assert_eq!(&all[2], &wanted.have());
+        prop_assert_eq!(one.canonical_bytes(), wanted.canonical_bytes());
+        prop_assert_eq!(&all[0], &wanted.latest_points());
+        prop_assert_eq!(&all[2], &wanted.latest_points());
     }
 }
 
@@ -299,7 +311,7 @@
                 for (node, salt) in nodes.iter_mut().zip([7, 8, 9]) {
                     let w = writer("copied", 9);
                     pieces(&w, &entries(30, salt), 9).iter().for_each(|p| {
-                        node.history.take(p).unwrap();
+                        node.history.insert(p).unwrap();
                     });
                 }
             }
@@ -321,7 +333,7 @@
             let mut history = History::new();
             let w = writer(&format!("site{k}"), k);
             pieces(&w, &entries(300, k), 9).iter().for_each(|p| {
-                history.take(p).unwrap();
+                history.insert(p).unwrap();
             });
             Node { history, fault: Fault::None }
         };
@@ -344,18 +356,18 @@
     let w = writer("north", 1);
     let mut history = History::new();
     pieces(&w, &entries(20_000, 1), 500).iter().for_each(|p| {
-        history.take(p).unwrap();
+        history.insert(p).unwrap();
     });
-    let bytes = history.held().1 as usize;
+    let bytes = history.entries_and_bytes().1 as usize;
     let nodes = || {
         let empty = Node { history: History::new(), fault: Fault::None };
         vec![Node { history: history.clone(), fault: Fault::None }, empty]
     };
-    let rate = 200_000;
-    let settings = Settings { rate, ..settings() };
+    let bytes_per_second = 200_000;
+    let settings = Settings { bytes_per_second, ..settings() };
     let calm = run(nodes(), settings, &Weather::default(), 1, 60_000_000);
     let took = calm.level_at.unwrap();
-    let least = bytes as f64 / rate as f64 * 1e6;
+    let least = bytes as f64 / bytes_per_second as f64 * 1e6;
     assert!(took as f64 > least * 0.98 && (took as f64) < least * 1.3 + 5e5, "{took} us, at least {least}");
     let cuts = (1..4).map(|k| (k * took / 4, k * took / 4 + 400_000)).collect();
     let cut = run(nodes(), settings, &Weather { cuts, ..Weather::default() }, 1, 60_000_000);
@@ -372,13 +384,13 @@
     let w = writer("north", 1);
     let (mut new, mut old) = (History::new(), History::new());
     pieces(&w, &entries(400, 1), 40).iter().for_each(|p| {
-        new.take(p).unwrap();
+        new.insert(p).unwrap();
     });
     pieces(&w, &entries(40, 1), 40).iter().for_each(|p| {
-        old.take(p).unwrap();
+        old.insert(p).unwrap();
     });
     let (mut here, mut there) = (Exchange::new(settings(), 1, 0), Exchange::new(settings(), 2, 0));
-    there.pass(&new, 0, 0);
+    there.poll(&new, 0, 0);
     assert!(!here.complete());
     for message in there.take_outgoing() {
         here.receive(&mut old, message, 1_000).unwrap();
@@ -394,26 +406,26 @@
     let w = writer("north", 1);
     let (mut new, mut old) = (History::new(), History::new());
     pieces(&w, &entries(60, 1), 20).iter().for_each(|p| {
-        new.take(p).unwrap();
+        new.insert(p).unwrap();
     });
     pieces(&w, &entries(40, 1), 40).iter().for_each(|p| {
-        old.take(p).unwrap();
+        old.insert(p).unwrap();
     });
-    let own = old.have()[&w];
+    let own = old.latest_points()[&w];
     let begin = |life| Exchange::new(settings(), life, 0);
     let (mut here, mut one, mut other) = ([begin(1), begin(1)], begin(2), begin(3));
     for now in (0..200_000).step_by(10_000) {
-        here[0].pass(&old, now, 0);
+        here[0].poll(&old, now, 0);
         here[0].take_outgoing().into_iter().for_each(|message| drop(one.receive(&mut new, message, now)));
-        one.pass(&new, now, 0);
+        one.poll(&new, now, 0);
         one.take_outgoing().into_iter().for_each(|message| drop(here[0].receive(&mut old, message, now)));
     }
-    assert_eq!(old.have(), new.have());
-    other.pass(&new, 200_000, 0);
+    assert_eq!(old.latest_points(), new.latest_points());
+    other.poll(&new, 200_000, 0);
     other.take_outgoing().into_iter().for_each(|message| drop(here[1].receive(&mut old, message, 200_000)));
     assert!(here.iter().all(|e| e.complete() && e.ahead(&w).is_none()));
-    assert_eq!(beyond(&here, &old, &w, own), Some(60));
-    assert_eq!(beyond(&here, &old, &w, old.have()[&w]), None);
+    assert_eq!(newest_entry_at_peers(&here, &old, &w, own), Some(60));
+    assert_eq!(newest_entry_at_peers(&here, &old, &w, old.latest_points()[&w]), None);
 }
 
 /// The other comes back with an empty or an older disk, in another life, while late words of its earlier one still arrive.
@@ -421,16 +433,16 @@
 fn another_life_is_sent_all_again() {
     let w = writer("north", 1);
     let mut full = History::new();
-    assert!(pieces(&w, &entries(200, 1), 40).iter().all(|p| full.take(p).is_ok()));
+    assert!(pieces(&w, &entries(200, 1), 40).iter().all(|p| full.insert(p).is_ok()));
     let mut here = Exchange::new(settings(), 1, 0);
     let mut late = Vec::new();
     let mut older = History::new();
-    pieces(&w, &entries(90, 1), 40).iter().for_each(|p| assert!(older.take(p).is_ok()));
+    pieces(&w, &entries(90, 1), 40).iter().for_each(|p| assert!(older.insert(p).is_ok()));
     for (life, mut history) in [(2, full.clone()), (3, History::new()), (4, older), (5, History::new())] {
         let mut there = Exchange::new(settings(), life, 0);
         for step in 0..200 {
             let now = life as i64 * 10_000_000 + step * 10_000;
-            there.pass(&history, now, 0);
+            there.poll(&history, now, 0);
             let messages = there.take_outgoing();
             late.extend(messages.clone());
             // Now and then one of any life, again.
@@ -439,13 +451,13 @@
             for message in messages.into_iter().chain(again) {
                 here.receive(&mut full, message, now).unwrap();
             }
-            here.pass(&full, now, 0);
+            here.poll(&full, now, 0);
             here.take_outgoing()
                 .into_iter()
                 .for_each(|message| drop(there.receive(&mut history, message, now).unwrap()));
         }
-        assert_eq!(history.bytes(), full.bytes(), "life {life}");
-        assert!(here.level(&full) && there.level(&history), "life {life}");
+        assert_eq!(history.canonical_bytes(), full.canonical_bytes(), "life {life}");
+        assert!(here.in_sync(&full) && there.in_sync(&history), "life {life}");
     }
 }
 
@@ -459,7 +471,7 @@
         let now = step * 10_000;
         for from in [0, 1] {
             let (history, exchange) = &mut sides[from];
-            exchange.pass(history, now, 0);
+            exchange.poll(history, now, 0);
             for message in exchange.take_outgoing() {
                 let bytes = change(now, from, message.encode());
                 let Ok(message) = Message::decode(&bytes) else { continue };
@@ -475,8 +487,8 @@
 fn two(sealed: bool) -> ([(History, Exchange); 2], History) {
     let w = writer("north", 1);
     let (mut a, mut b) = (History::new(), History::new());
-    pieces(&w, &entries(120, 1), 40).iter().for_each(|p| assert!(a.take(p).is_ok()));
-    pieces(&writer("south", 2), &entries(30, 2), 7).iter().for_each(|p| assert!(b.take(p).is_ok()));
+    pieces(&w, &entries(120, 1), 40).iter().for_each(|p| assert!(a.insert(p).is_ok()));
+    pieces(&writer("south", 2), &entries(30, 2), 7).iter().for_each(|p| assert!(b.insert(p).is_ok()));
     if sealed {
         a.seal(&w, 60).unwrap();
     }
@@ -506,12 +518,12 @@
         });
         for (history, exchange) in &sides {
             prop_assert!(
-                history.bytes() == wanted.bytes(),
+                history.canonical_bytes() == wanted.canonical_bytes(),
                 "{:?}, wanted {:?}",
-                history.have(),
-                wanted.have()
+                history.latest_points(),
+                wanted.latest_points()
             );
-            prop_assert!(exchange.held() < 64 << 10, "{} held", exchange.held());
+            prop_assert!(exchange.buffered_bytes() < 64 << 10, "{} held", exchange.buffered_bytes());
         }
         Ok(())
     });
@@ -549,7 +561,7 @@
         _ => bytes,
     });
     assert!(changed);
-    assert_eq!(sides[0].0.have(), wanted.have());
+    assert_eq!(sides[0].0.latest_points(), wanted.latest_points());
 }
 
 /// A node says in each word that it is far ahead on each log, and has nothing to show for it: it still gets what it lacks, with few bytes more.
@@ -563,7 +575,7 @@
                 for known in &mut of {
                     known.points.push((1_000, Digest([9; 32])));
                 }
-                let south = Known {
+                let south = LogSummary {
                     writer: writer("south", 2),
                     points: vec![(500, Digest([8; 32]))],
                     ..of[0].clone()
@@ -576,7 +588,11 @@
                 bytes
             }
         });
-        assert_eq!([sides[0].0.have(), sides[1].0.have()], [wanted.have(), wanted.have()], "{lies}");
+        assert_eq!(
+            [sides[0].0.latest_points(), sides[1].0.latest_points()],
+            [wanted.latest_points(), wanted.latest_points()],
+            "{lies}"
+        );
         sent
     };
     let (honest, lied) = (claims(false), claims(true));
@@ -593,8 +609,8 @@
             exchange.receive(&mut history, Message::Piece { piece }, 1_000).unwrap();
         }
     }
-    assert!(exchange.held() > settings().window, "{}", exchange.held());
-    exchange.pass(&history, 1_000 + settings().again, 0);
+    assert!(exchange.buffered_bytes() > settings().window_bytes, "{}", exchange.buffered_bytes());
+    exchange.poll(&history, 1_000 + settings().resend_after, 0);
     exchange.take_outgoing();
-    assert_eq!(exchange.held(), 0);
+    assert_eq!(exchange.buffered_bytes(), 0);
 }
--- a/crates/placements/tests/history.rs
+++ b/crates/placements/tests/history.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use shorepath_placements::anti_entropy::Message;
 use shorepath_placements::hash_chain::{self, Piece};
-use shorepath_placements::history::{History, HistoryError, Judged};
+use shorepath_placements::history::{History, HistoryError, OwnLogState};
 use shorepath_placements::{End, Timed, Writer};
 
 /// A history that holds a part of each of three logs, each of which forked, by what it was given: line and length.
@@ -15,7 +15,7 @@
     for (log, line, length) in parts {
         let writer = writer("north", *log);
         for piece in pieces(&writer, &line_of(*line, *length), 5) {
-            history.take(&piece).unwrap();
+            history.insert(&piece).unwrap();
         }
     }
     history
@@ -44,12 +44,12 @@
     #[test]
     fn the_merge_commutes_associates_and_repeats_harmlessly(a in parts(), b in parts(), c in parts()) {
         let (a, b, c) = (history(&a), history(&b), history(&c));
-        prop_assert_eq!(joined(&a, &b).bytes(), joined(&b, &a).bytes());
-        prop_assert_eq!(joined(&joined(&a, &b), &c).bytes(), joined(&a, &joined(&b, &c)).bytes());
+        prop_assert_eq!(joined(&a, &b).canonical_bytes(), joined(&b, &a).canonical_bytes());
+        prop_assert_eq!(joined(&joined(&a, &b), &c).canonical_bytes(), joined(&a, &joined(&b, &c)).canonical_bytes());
         let ab = joined(&a, &b);
         let mut twice = ab.clone();
         prop_assert_eq!(twice.merge(&b) + twice.merge(&a) + twice.merge(&ab.clone()), 0);
-        prop_assert_eq!(twice.bytes(), ab.bytes());
+        prop_assert_eq!(twice.canonical_bytes(), ab.canonical_bytes());
         prop_assert_eq!(twice.forks(), joined(&b, &a).forks());
     }
 
@@ -62,8 +62,8 @@
             history
         }).collect();
         let (a, b, c) = (&all[0], &all[1], &all[2]);
-        prop_assert_eq!(joined(a, b).bytes(), joined(b, a).bytes());
-        prop_assert_eq!(joined(&joined(a, b), c).bytes(), joined(a, &joined(b, c)).bytes());
+        prop_assert_eq!(joined(a, b).canonical_bytes(), joined(b, a).canonical_bytes());
+        prop_assert_eq!(joined(&joined(a, b), c).canonical_bytes(), joined(a, &joined(b, c)).canonical_bytes());
     }
 
     /// Logs that are sealed and forked: what was sealed is of one line; others part from it before the seal, where they go, or after it.
@@ -77,17 +77,17 @@
             let _ = one.seal(&w, (seal * 2).min(length / 2 * 2));
             for (line, length) in lines {
                 // One that parts before the seal is refused.
-                pieces(&w, &line_of(line, length), 5).iter().for_each(|piece| drop(one.take(piece)));
+                pieces(&w, &line_of(line, length), 5).iter().for_each(|piece| drop(one.insert(piece)));
             }
             one
         }).collect();
         let (a, b, c) = (&all[0], &all[1], &all[2]);
-        prop_assert!(joined(a, b).bytes() == joined(b, a).bytes(), "it does not commute");
+        prop_assert!(joined(a, b).canonical_bytes() == joined(b, a).canonical_bytes(), "it does not commute");
         let abc = joined(&joined(a, b), c);
-        prop_assert!(abc.bytes() == joined(a, &joined(b, c)).bytes(), "it does not associate");
+        prop_assert!(abc.canonical_bytes() == joined(a, &joined(b, c)).canonical_bytes(), "it does not associate");
         let mut again = abc.clone();
         prop_assert_eq!(again.merge(a) + again.merge(b) + again.merge(c) + again.merge(&abc), 0);
-        prop_assert!(again.bytes() == abc.bytes(), "it does not repeat harmlessly");
+        prop_assert!(again.canonical_bytes() == abc.canonical_bytes(), "it does not repeat harmlessly");
         prop_assert_eq!(abc.forks(), joined(c, &joined(b, a)).forks());
     }
 
@@ -103,18 +103,18 @@
             prop_assert_eq!(newest.merge(copy), 0);
             let mut back = copy.clone();
             back.merge(&whole);
-            prop_assert!(back.bytes() == whole.bytes(), "it does not get back what it had");
-            let own = copy.have().get(&w).copied().unwrap_or(hash_chain::origin(&w));
+            prop_assert!(back.canonical_bytes() == whole.canonical_bytes(), "it does not get back what it had");
+            let own = copy.latest_points().get(&w).copied().unwrap_or(hash_chain::origin(&w));
             // What is sealed can't be told from another line any more; both found another log.
-            let judged = whole.judge(&w, own);
+            let judged = whole.own_log_state(&w, own);
             let sealed = whole.sealed(&w).0;
             prop_assert_eq!(judged, match own.0 {
-                k if k == length => Judged::Sound,
-                k if k < sealed && k > 0 => Judged::Forked { own: k },
-                k => Judged::WentBack { own: k, known: length },
+                k if k == length => OwnLogState::Intact,
+                k if k < sealed && k > 0 => OwnLogState::Forked { own: k },
+                k => OwnLogState::RolledBack { own: k, known: length },
             });
         }
-        prop_assert!(newest.bytes() == whole.bytes(), "an older one changed it");
+        prop_assert!(newest.canonical_bytes() == whole.canonical_bytes(), "an older one changed it");
     }
 
     /// A word that was cut is none; a piece that was cut is refused, or taken as far as it goes where it says so.
@@ -128,12 +128,12 @@
         let mut cut = whole.clone();
         cut.entries.truncate(keep);
         let mut found = History::new();
-        prop_assert_eq!(found.take(&cut).is_ok(), keep == 0);
-        prop_assert_eq!(found.held().0, 0);
+        prop_assert_eq!(found.insert(&cut).is_ok(), keep == 0);
+        prop_assert_eq!(found.entries_and_bytes().0, 0);
         let honest = piece(&w, hash_chain::origin(&w), &entries(keep as u64, 0));
-        prop_assert_eq!(found.take(&honest), Ok(keep as u64));
-        prop_assert_eq!(found.take(&whole), Ok((length - keep) as u64));
-        prop_assert!(found.bytes() == history(&[(1, 0, length as u64)]).bytes());
+        prop_assert_eq!(found.insert(&honest), Ok(keep as u64));
+        prop_assert_eq!(found.insert(&whole), Ok((length - keep) as u64));
+        prop_assert!(found.canonical_bytes() == history(&[(1, 0, length as u64)]).canonical_bytes());
     }
 
     /// Pieces of any size in any order, doubled, end in the same history; one that leaves a gap is refused.
@@ -144,15 +144,15 @@
         let mut found = History::new();
         for k in order {
             let piece = k.get(&all);
-            let have = found.have().get(&writer).map_or(0, |p| p.0);
-            match found.take(piece) {
+            let have = found.latest_points().get(&writer).map_or(0, |p| p.0);
+            match found.insert(piece) {
                 Ok(new) => prop_assert_eq!(new > 0, piece.last().0 > have),
                 Err(HistoryError::Gap { after, .. }) => prop_assert!(after > have),
                 Err(e) => panic!("{e}"),
             }
         }
-        all.iter().for_each(|piece| { found.take(piece).unwrap(); });
-        prop_assert_eq!(found.bytes(), history(&[(1, 0, 60)]).bytes());
+        all.iter().for_each(|piece| { found.insert(piece).unwrap(); });
+        prop_assert_eq!(found.canonical_bytes(), history(&[(1, 0, 60)]).canonical_bytes());
     }
 
     /// Whatever is changed on the way, nothing but what was written gets in, and nothing panics.
@@ -160,15 +160,15 @@
     fn a_changed_piece_is_refused(at in any::<prop::sample::Index>(), bit in 0u32..8) {
         let writer = writer("north", 1);
         let before = history(&[(1, 0, 20)]);
-        let piece = piece(&writer, before.have()[&writer], &entries(30, 0)[20..]);
+        let piece = piece(&writer, before.latest_points()[&writer], &entries(30, 0)[20..]);
         let mut bytes = postcard::to_stdvec(&piece).unwrap();
         let at = at.index(bytes.len());
         bytes[at] ^= 1 << bit;
         let Ok(changed) = postcard::from_bytes::<Piece>(&bytes) else { return Ok(()) };
         let mut after = before.clone();
-        if after.take(&changed).is_ok() {
+        if after.insert(&changed).is_ok() {
             prop_assert_eq!(after.forks(), vec![]);
-            prop_assert_eq!(after.have(), before.have());
+            prop_assert_eq!(after.latest_points(), before.latest_points());
         }
     }
 }
@@ -177,17 +177,17 @@
 fn a_fork_is_named_alike_whatever_came_first() {
     let w = writer("north", 1);
     let (a, b) = (history(&[(1, 0, 60), (1, 1, 30)]), history(&[(1, 1, 30), (1, 0, 60)]));
-    assert_eq!(a.bytes(), b.bytes());
-    assert_eq!(a.have(), b.have());
+    assert_eq!(a.canonical_bytes(), b.canonical_bytes());
+    assert_eq!(a.latest_points(), b.latest_points());
     let forks = a.forks();
     assert_eq!(forks.len(), 1);
     assert_eq!((&forks[0].writer, forks[0].number, forks[0].entries.len()), (&w, 9, 2));
-    assert_eq!(a.held().0, 60 + 22);
-    assert_eq!(a.judge(&w, a.have()[&w]), Judged::Forked { own: 60 });
+    assert_eq!(a.entries_and_bytes().0, 60 + 22);
+    assert_eq!(a.own_log_state(&w, a.latest_points()[&w]), OwnLogState::Forked { own: 60 });
     // Whoever has one line lacks exactly the other.
     let mut one = history(&[(1, 1, 30)]);
     assert_eq!(one.merge(&a), 52);
-    assert_eq!(one.bytes(), a.bytes());
+    assert_eq!(one.canonical_bytes(), a.canonical_bytes());
     assert!(a.clone().seal(&w, 10).is_err(), "it parts before there");
     a.clone().seal(&w, 8).unwrap();
 }
@@ -201,20 +201,20 @@
     sealed.seal(&w, 16).unwrap();
     let mut steps = whole.clone();
     [4, 10, 16].iter().for_each(|upto| steps.seal(&w, *upto).unwrap());
-    assert_eq!(steps.bytes(), sealed.bytes());
+    assert_eq!(steps.canonical_bytes(), sealed.canonical_bytes());
     sealed.seal(&w, 30).unwrap();
-    assert_eq!(sealed.held().0, 30);
-    let keys: Vec<u64> = sealed.base(&w).unwrap().remembered.iter().map(|r| r.number).collect();
+    assert_eq!(sealed.entries_and_bytes().0, 30);
+    let keys: Vec<u64> = sealed.base(&w).unwrap().retained_keys.iter().map(|r| r.number).collect();
     assert_eq!(keys.len(), 5, "3, 9, 15, 21 and 27 were guarded: {keys:?}");
-    assert_eq!(sealed.have(), whole.have());
+    assert_eq!(sealed.latest_points(), whole.latest_points());
     // An empty site goes by what was sealed, and an entry from before it changes nothing; another one is refused.
     let mut empty = History::new();
     empty.merge(&sealed);
-    assert_eq!(empty.bytes(), sealed.bytes());
+    assert_eq!(empty.canonical_bytes(), sealed.canonical_bytes());
     let from = |line, length| piece(&w, hash_chain::origin(&w), &line_of(line, length));
-    assert_eq!(empty.take(&from(0, 20)), Ok(0));
-    assert_eq!(empty.take(&from(0, 60)), Ok(0));
-    assert!(matches!(empty.take(&from(1, 40)), Err(HistoryError::Sealed { number: 30, .. })));
+    assert_eq!(empty.insert(&from(0, 20)), Ok(0));
+    assert_eq!(empty.insert(&from(0, 60)), Ok(0));
+    assert!(matches!(empty.insert(&from(1, 40)), Err(HistoryError::Sealed { number: 30, .. })));
 }
 
 #[test]
@@ -228,8 +228,8 @@
     let mut piece = piece(&all[0], hash_chain::origin(&all[0]), &entries(2, 1));
     piece.writer = all[1].clone();
     assert!(matches!(
-        History::new().take(&piece),
-        Err(HistoryError::Astray { .. } | HistoryError::Sealed { .. })
+        History::new().insert(&piece),
+        Err(HistoryError::Diverged { .. } | HistoryError::Sealed { .. })
     ));
 }
 
@@ -241,8 +241,8 @@
         .flat_map(|k| [placed(k as i64, placement(1, true)), ended(9, k * 2 + 1, ends[k as usize])])
         .collect();
     let mut whole = History::new();
-    whole.take(&piece(&w, hash_chain::origin(&w), &all)).unwrap();
+    whole.insert(&piece(&w, hash_chain::origin(&w), &all)).unwrap();
     whole.seal(&w, 6).unwrap();
-    let remembered = whole.base(&w).unwrap().remembered;
-    assert_eq!(remembered.iter().map(|r| (r.number, r.how)).collect::<Vec<_>>(), [(3, End::Unknown)]);
+    let retained_keys = whole.base(&w).unwrap().retained_keys;
+    assert_eq!(retained_keys.iter().map(|r| (r.number, r.how)).collect::<Vec<_>>(), [(3, End::Unknown)]);
 }
--- a/crates/placements/tests/keys.rs
+++ b/crates/placements/tests/keys.rs
@@ -1,7 +1,7 @@
 //! What is known of a key does not depend on the order in which logs are heard, nor on how often.
 
 use proptest::prelude::*;
-use shorepath_placements::idempotency_index::{Keys, Known};
+use shorepath_placements::idempotency_index::{IdempotencyIndex, KeyState};
 use shorepath_placements::{End, Entry, Placement, Writer};
 
 fn placed(key: u8, guarded: bool) -> Entry {
@@ -41,7 +41,7 @@
     /// Whichever log comes first, and whatever is fed again in between.
     #[test]
     fn any_order_of_logs_tells_the_same(first in proptest::collection::vec(any::<(bool, bool)>(), 48)) {
-        let (story, mut keys) = (story(), Keys::default());
+        let (story, mut keys) = (story(), IdempotencyIndex::default());
         let (one, two) = (&story[..7], &story[7..]);
         let (mut at, mut order) = ([0, 0], Vec::new());
         let picks = first.into_iter().chain([(true, false); 7]).chain([(false, false); 5]);
@@ -58,22 +58,22 @@
         }
         for (log, number, entry) in order {
             let writer = Writer { site: "west".into(), node: format!("n{log}"), log: *log };
-            keys.entry(&writer, *number, entry);
+            keys.apply_entry(&writer, *number, entry);
         }
-        let known: Vec<Known> = (1..=6).map(|k| keys.known("valve", &format!("k{k}"))).collect();
+        let known: Vec<KeyState> = (1..=6).map(|k| keys.state("valve", &format!("k{k}"))).collect();
         // Served once, never ran, open at one site though served at another, free class, unknown, never heard of.
-        use Known::*;
+        use KeyState::*;
         prop_assert_eq!(known, [Served, Free, MayHaveRun, Free, MayHaveRun, Free]);
-        prop_assert_eq!(keys.known("other", "k1"), Free);
+        prop_assert_eq!(keys.state("other", "k1"), Free);
     }
 }
 
 /// What is sealed before it was fed is known as if it had been: what may have run stays, what never ran is free, what was open has ended.
 #[test]
 fn a_sealed_beginning_is_known_as_its_entries_were() {
-    use shorepath_placements::history::Remembered;
+    use shorepath_placements::history::RetainedKey;
     let writer = Writer { site: "west".into(), node: "n1".into(), log: 1 };
-    let kept = |key: u8, number, how| Remembered {
+    let kept = |key: u8, number, how| RetainedKey {
         class: "valve".into(),
         key: format!("k{key}"),
         number,
@@ -82,17 +82,17 @@
         fence: 0,
         how,
     };
-    let mut keys = Keys::default();
+    let mut keys = IdempotencyIndex::default();
     [(1, placed(1, true)), (2, placed(2, true)), (3, placed(3, true))]
         .iter()
-        .for_each(|(number, entry)| keys.entry(&writer, *number, entry));
+        .for_each(|(number, entry)| keys.apply_entry(&writer, *number, entry));
     // Of these the first was served and the second never ran; the third is open still, as its end is later; a fourth came meanwhile.
     let sealed = [kept(1, 1, End::Served), kept(3, 3, End::Unknown), kept(4, 5, End::Served)];
-    keys.sealed(&writer, 6, &sealed);
-    keys.sealed(&writer, 6, &[]);
-    let known: Vec<Known> = (1..=5).map(|k| keys.known("valve", &format!("k{k}"))).collect();
-    use Known::*;
+    keys.apply_sealed(&writer, 6, &sealed);
+    keys.apply_sealed(&writer, 6, &[]);
+    let known: Vec<KeyState> = (1..=5).map(|k| keys.state("valve", &format!("k{k}"))).collect();
+    use KeyState::*;
     assert_eq!(known, [Served, Free, MayHaveRun, Served, Free]);
-    keys.entry(&writer, 6, &placed(5, true));
-    assert_eq!(keys.known("valve", "k5"), Free, "it was dropped with the rest");
+    keys.apply_entry(&writer, 6, &placed(5, true));
+    assert_eq!(keys.state("valve", "k5"), Free, "it was dropped with the rest");
 }
--- a/crates/placements/tests/log.rs
+++ b/crates/placements/tests/log.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use shorepath_placements::history::{History, Judged};
+use shorepath_placements::history::{History, OwnLogState};
 use shorepath_placements::log::{Copies, Log, LogError};
 use shorepath_placements::{End, Entry};
 use shorepath_store::fault_injection::FaultyDisk;
@@ -45,15 +45,15 @@
     let log = open(&on(disk).ok()?, 7).ok()?;
     let (mut sent, mut given) = (0, 0);
     for k in 0..rounds {
-        let Ok(free) = log.later(&placed(1, placement(k, false))) else { break };
+        let Ok(free) = log.append_deferred(&placed(1, placement(k, false))) else { break };
         given = free;
         let Ok(guarded) = sure(&log, &placed(2, placement(k, true))) else { break };
         (sent, given) = (guarded, guarded);
-        if log.later(&ended(3, free, End::Served)).is_err() {
+        if log.append_deferred(&ended(3, free, End::Served)).is_err() {
             break;
         }
         given += 1;
-        if k % 2 == 0 && log.later(&ended(4, guarded, End::Served)).is_ok() {
+        if k % 2 == 0 && log.append_deferred(&ended(4, guarded, End::Served)).is_ok() {
             given += 1;
         }
     }
@@ -77,7 +77,7 @@
             assert!(sent <= last && last <= given, "{name}: {sent} {last} {given}");
             assert_eq!(log.writer().log, 7, "{name}");
             let mut history = History::new();
-            assert_eq!(log.pour(&mut history).unwrap(), last, "{name}");
+            assert_eq!(log.load_into(&mut history).unwrap(), last, "{name}");
             for (number, open) in log.open_placements() {
                 let found = history.entry(&log.writer(), number).unwrap().entry;
                 assert_eq!(found, Entry::Placed(open), "{name}");
@@ -105,7 +105,7 @@
     assert_eq!(why, LogError::Full);
     assert_eq!(log.failed(), Some(LogError::Full));
     let before = log.unrecorded();
-    assert_eq!(log.later(&placed(1, placement(1, false))), Err(LogError::Full));
+    assert_eq!(log.append_deferred(&placed(1, placement(1, false))), Err(LogError::Full));
     assert_eq!(log.append(&placed(1, placement(1, true)), |_| panic!("told")), Err(LogError::Full));
     assert_eq!(log.unrecorded(), before + 1);
     assert_eq!(log.durable().0, sent);
@@ -147,29 +147,32 @@
     let old = disk.after_power_loss(1);
     sure(&log, &ended(2, 1, End::Served)).unwrap();
     let mut others = History::new();
-    log.pour(&mut others).unwrap();
-    assert_eq!(others.judge(&log.writer(), log.durable()), Judged::Sound);
+    log.load_into(&mut others).unwrap();
+    assert_eq!(others.own_log_state(&log.writer(), log.durable()), OwnLogState::Intact);
 
     let here = on(&old).unwrap();
     let log = open(&here, 9).unwrap();
-    assert_eq!(others.judge(&log.writer(), log.durable()), Judged::WentBack { own: 1, known: 2 });
+    assert_eq!(
+        others.own_log_state(&log.writer(), log.durable()),
+        OwnLogState::RolledBack { own: 1, known: 2 }
+    );
     // Written on before it was judged: a fork, which both lines survive.
     sure(&log, &ended(5, 1, End::Unknown)).unwrap();
-    assert_eq!(others.judge(&log.writer(), log.durable()), Judged::Forked { own: 2 });
-    assert_eq!(log.pour(&mut others), Ok(1));
+    assert_eq!(others.own_log_state(&log.writer(), log.durable()), OwnLogState::Forked { own: 2 });
+    assert_eq!(log.load_into(&mut others), Ok(1));
     assert_eq!(others.forks().len(), 1);
     let number = sure(&log, &placed(6, placement(2, true))).unwrap();
-    let open_ones = log.refound(9).unwrap();
+    let open_ones = log.start_new_log(9).unwrap();
     assert_eq!(open_ones.into_keys().collect::<Vec<_>>(), [number]);
     assert_eq!(sure(&log, &placed(7, placement(3, true))), Ok(1));
     drop(log);
     let log = open(&here, 11).unwrap();
     assert_eq!((log.writer().log, log.durable().0), (9, 1));
-    assert_eq!(log.pour(&mut others), Ok(2));
-    assert_eq!(others.judge(&log.writer(), log.durable()), Judged::Sound);
+    assert_eq!(log.load_into(&mut others), Ok(2));
+    assert_eq!(others.own_log_state(&log.writer(), log.durable()), OwnLogState::Intact);
     assert!(matches!(
         Log::open(here.store.clone(), here.group_commit.clone(), "south", "south-1", 1),
-        Err(LogError::Another { .. })
+        Err(LogError::WrongNode { .. })
     ));
 }
 
@@ -183,52 +186,52 @@
     sure(&log, &ended(2, 1, End::Served)).unwrap();
     sure(&log, &placed(3, placement(2, true))).unwrap();
     let mut others = History::new();
-    log.pour(&mut others).unwrap();
+    log.load_into(&mut others).unwrap();
 
     let here = on(&old).unwrap();
     let log = open(&here, 9).unwrap();
     let mut history = History::new();
     let copies = Copies::restore(&here.store, here.group_commit.clone(), &mut history).unwrap();
-    log.pour(&mut history).unwrap();
-    let piece = others.lacking(&log.writer(), &history.heads(&log.writer()), 1 << 16).unwrap();
-    assert_eq!((piece.after, history.take(&piece)), (1, Ok(2)));
+    log.load_into(&mut history).unwrap();
+    let piece = others.missing(&log.writer(), &history.heads(&log.writer()), 1 << 16).unwrap();
+    assert_eq!((piece.after, history.insert(&piece)), (1, Ok(2)));
     let (reply, notified) = channel();
-    copies.piece(&piece, move |done| reply.send(done).unwrap());
+    copies.append_piece(&piece, move |done| reply.send(done).unwrap());
     notified.recv().unwrap().unwrap();
-    log.refound(9).unwrap();
+    log.start_new_log(9).unwrap();
     drop((log, copies));
 
     let mut again = History::new();
     let copies = Copies::restore(&here.store, here.group_commit.clone(), &mut again).unwrap();
-    open(&here, 11).unwrap().pour(&mut again).unwrap();
-    copies.rest(&mut again).unwrap();
-    assert_eq!(again.bytes(), history.bytes());
+    open(&here, 11).unwrap().load_into(&mut again).unwrap();
+    copies.insert_deferred(&mut again).unwrap();
+    assert_eq!(again.canonical_bytes(), history.canonical_bytes());
 }
 
 #[test]
 fn copies_and_sealed_logs_are_found_again() {
     let here = on(&FaultyDisk::new()).unwrap();
     let log = open(&here, 7).unwrap();
-    assert!(entries(40, 1).iter().all(|timed| log.later(timed).is_ok()));
+    assert!(entries(40, 1).iter().all(|timed| log.append_deferred(timed).is_ok()));
     assert_eq!(log.durable().0, 0, "what waits is not shown");
     flushed(&log).unwrap();
     let mut history = History::new();
     let copies = Copies::restore(&here.store, here.group_commit.clone(), &mut history).unwrap();
     let (reply, notified) = channel();
     for piece in pieces(&writer("south", 3), &entries(100, 2), 7) {
-        history.take(&piece).unwrap();
+        history.insert(&piece).unwrap();
         let reply = reply.clone();
-        copies.piece(&piece, move |done| reply.send(done).unwrap());
+        copies.append_piece(&piece, move |done| reply.send(done).unwrap());
     }
     assert!(notified.iter().take(15).all(|done| done.is_ok()));
-    log.pour(&mut history).unwrap();
+    log.load_into(&mut history).unwrap();
     let restored = || {
         let mut history = History::new();
         let copies = Copies::restore(&here.store, here.group_commit.clone(), &mut history).unwrap();
-        open(&here, 1).unwrap().pour(&mut history).unwrap();
+        open(&here, 1).unwrap().load_into(&mut history).unwrap();
         (history, copies)
     };
-    assert_eq!(restored().0.bytes(), history.bytes());
+    assert_eq!(restored().0.canonical_bytes(), history.canonical_bytes());
 
     history.seal(&writer("south", 3), 64).unwrap();
     history.seal(&log.writer(), 32).unwrap();
@@ -237,8 +240,8 @@
     copies.rewrite(&history, move |done| reply.send(done).unwrap());
     notified.recv().unwrap().unwrap();
     let (again, _) = restored();
-    assert_eq!(again.bytes(), history.bytes());
-    assert_eq!(again.held().0, 36 + 8);
+    assert_eq!(again.canonical_bytes(), history.canonical_bytes());
+    assert_eq!(again.entries_and_bytes().0, 36 + 8);
     assert_eq!(sure(&open(&here, 1).unwrap(), &placed(1, placement(1, true))), Ok(41));
 }
 
@@ -256,7 +259,7 @@
     group_commit.reopen(move |done| again.send(done.is_ok()).unwrap());
     assert!(notified.recv().unwrap());
     assert!(sure(&log, &placed(2, placement(2, true))).is_err(), "the store takes nothing");
-    assert!(log.failed().is_some() && log.later(&placed(3, placement(3, false))).is_err());
+    assert!(log.failed().is_some() && log.append_deferred(&placed(3, placement(3, false))).is_err());
     let ops = log.recover().unwrap();
     assert!(ops.is_empty() && log.failed().is_none());
     assert_eq!(log.open_placements().into_keys().collect::<Vec<_>>(), [first]);
@@ -267,7 +270,7 @@
     assert_eq!(received.recv().unwrap(), Ok(first + 1));
     assert_eq!(sure(&log, &ended(5, first, End::Served)), Ok(first + 2));
     let mut history = History::new();
-    assert_eq!(log.pour(&mut history), Ok(3));
+    assert_eq!(log.load_into(&mut history), Ok(3));
     drop((log, group_commit, store));
     let store = Arc::new(Store::open(folder.path(), 1 << 20).unwrap());
     let group_commit = Arc::new(GroupCommit::new(store.clone()).unwrap());
@@ -284,39 +287,39 @@
     let (mut history, w) = (History::new(), writer("south", 3));
     let copies = Copies::restore(&here.store, here.group_commit.clone(), &mut history).unwrap();
     for piece in pieces(&w, &entries(30, 2), 7) {
-        history.take(&piece).unwrap();
-        copies.later(&piece);
+        history.insert(&piece).unwrap();
+        copies.append_piece_deferred(&piece);
     }
-    log.later(&placed(1, placement(1, false))).unwrap();
+    log.append_deferred(&placed(1, placement(1, false))).unwrap();
     let restored = |disk: &FaultyDisk| {
         let here = on(&disk.after_power_loss(1)).unwrap();
         let mut history = History::new();
         Copies::restore(&here.store, here.group_commit.clone(), &mut history).unwrap();
-        open(&here, 1).unwrap().pour(&mut history).unwrap();
+        open(&here, 1).unwrap().load_into(&mut history).unwrap();
         history
     };
-    assert_eq!(restored(&disk).held().0, 0);
+    assert_eq!(restored(&disk).entries_and_bytes().0, 0);
     let before = disk.calls();
     let (reply, notified) = channel();
     log.flush_with(&copies, move |done| reply.send(done).unwrap());
     notified.recv().unwrap().unwrap();
     let both = disk.calls() - before;
-    assert_eq!(log.pour(&mut history), Ok(1));
-    assert_eq!(restored(&disk).bytes(), history.bytes());
-    log.later(&placed(2, placement(2, false))).unwrap();
+    assert_eq!(log.load_into(&mut history), Ok(1));
+    assert_eq!(restored(&disk).canonical_bytes(), history.canonical_bytes());
+    log.append_deferred(&placed(2, placement(2, false))).unwrap();
     let before = disk.calls();
     flushed(&log).unwrap();
     assert!(both < 2 * (disk.calls() - before), "{both}");
     // Copies that are written anew hold what was gathered.
-    let more = piece(&w, history.have()[&w], &entries(40, 2)[30..]);
-    history.take(&more).unwrap();
-    copies.later(&more);
+    let more = piece(&w, history.latest_points()[&w], &entries(40, 2)[30..]);
+    history.insert(&more).unwrap();
+    copies.append_piece_deferred(&more);
     history.seal(&w, 16).unwrap();
     let (reply, notified) = channel();
     copies.rewrite(&history, move |done| reply.send(done).unwrap());
     notified.recv().unwrap().unwrap();
     log.flush_with(&copies, |_| ());
     flushed(&log).unwrap();
-    log.pour(&mut history).unwrap();
-    assert_eq!(restored(&disk).bytes(), history.bytes());
+    log.load_into(&mut history).unwrap();
+    assert_eq!(restored(&disk).canonical_bytes(), history.canonical_bytes());
 }
--- a/crates/placements/tests/reconcile.rs
+++ b/crates/placements/tests/reconcile.rs
@@ -5,27 +5,29 @@
 use common::*;
 use proptest::prelude::*;
 use rstest::rstest;
-use shorepath_placements::compaction::{self, SEGMENT};
+use shorepath_placements::compaction::{self, SEGMENT_ENTRIES};
 use shorepath_placements::hash_chain;
 use shorepath_placements::history::History;
-use shorepath_placements::reconcile::{Change, Debts, Decision, Kind, Reconciler, Settings, Story, Trust};
+use shorepath_placements::reconcile::{
+    Awareness, DebtKind, Debts, Decision, DuplicateRun, Reconciler, Settings, StandingChange,
+};
 use shorepath_placements::{End, Placement, Timed, Writer};
 use std::collections::{BTreeMap, BTreeSet};
 
 fn settings() -> Settings {
-    Settings { longest: 1_000, span: 100, ..Settings::default() }
+    Settings { give_up_after: 1_000, span: 100, ..Settings::default() }
 }
 
 fn history(logs: &[(Writer, Vec<Timed>)]) -> History {
     let mut history = History::new();
     for (writer, entries) in logs {
-        pieces(writer, entries, 3).iter().for_each(|p| assert!(history.take(p).is_ok()));
+        pieces(writer, entries, 3).iter().for_each(|p| assert!(history.insert(p).is_ok()));
     }
     history
 }
 
 fn all(reconciler: &mut Reconciler, history: &History) -> Vec<Decision> {
-    reconciler.pass(history)
+    reconciler.read_all(history)
 }
 
 #[test]
@@ -38,10 +40,12 @@
     ];
     let mut reconciler = Reconciler::new(settings());
     let found = all(&mut reconciler, &history(&logs));
-    let [Decision::Violation(Story { class, key, scenes })] = found.as_slice() else { panic!("{found:?}") };
+    let [Decision::Violation(DuplicateRun { class, key, placements })] = found.as_slice() else {
+        panic!("{found:?}")
+    };
     assert_eq!((class.as_str(), key.as_str()), ("valve", "k7"));
     let notified: Vec<_> =
-        scenes.iter().map(|s| (s.writer.clone(), s.number, s.at, s.fence, s.how)).collect();
+        placements.iter().map(|s| (s.writer.clone(), s.number, s.at, s.fence, s.how)).collect();
     assert_eq!(notified, [(a, 3, 30, 4, Some(End::Served)), (b, 1, 50, 5, None)]);
     assert!(all(&mut reconciler, &history(&logs)).is_empty(), "told once");
     // It turns out that the second one never ran.
@@ -71,11 +75,11 @@
         entry,
     };
     assert_eq!(all(&mut reconciler, &history(&logs)), [may("k2", 2)]);
-    assert!(reconciler.overdue(999).is_empty());
-    assert_eq!(reconciler.overdue(1_000), [may("k1", 1)]);
-    assert!(reconciler.overdue(1_400).is_empty());
+    assert!(reconciler.give_up_overdue(999).is_empty());
+    assert_eq!(reconciler.give_up_overdue(1_000), [may("k1", 1)]);
+    assert!(reconciler.give_up_overdue(1_400).is_empty());
     assert_eq!(reconciler.counts().lost, 0);
-    reconciler.overdue(1_500);
+    reconciler.give_up_overdue(1_500);
     assert_eq!(reconciler.counts().lost, 1);
     logs[0].1.push(ended(1_600, 1, End::Served));
     let cleared = Decision::Cleared { class: "valve".into(), key: "k1".into() };
@@ -83,16 +87,16 @@
 }
 
 #[rstest]
-#[case::not_told(100, 4, Some(Trust::Good))]
-#[case::notified(100, 5, Some(Trust::AgainstKnowledge))]
-#[case::told_later(100, 9, Some(Trust::AgainstKnowledge))]
+#[case::not_told(100, 4, Some(Awareness::Unaware))]
+#[case::notified(100, 5, Some(Awareness::Aware))]
+#[case::told_later(100, 9, Some(Awareness::Aware))]
 #[case::taken_before(99, 4, None)]
 #[case::taken_before_and_told(99, 5, None)]
 #[case::after_it_was_reopened(200, 4, None)]
 fn work_begun_under_a_closed_standing_is_told_from_running_work(
     #[case] taken: i64,
     #[case] standing: u64,
-    #[case] trust: Option<Trust>,
+    #[case] awareness: Option<Awareness>,
 ) {
     let a = writer("north", 1);
     let mut one = placed(300, Placement { standing, ..placement(1, false) });
@@ -100,20 +104,28 @@
         p.taken = taken;
     }
     let history = history(&[(a.clone(), vec![one])]);
-    let wanted: Vec<Decision> = trust
-        .map(|trust| Decision::Standing { tenant: "t1".into(), number: 5, trust, writer: a, entry: 1 })
+    let wanted: Vec<Decision> = awareness
+        .map(|awareness| Decision::Standing {
+            tenant: "t1".into(),
+            number: 5,
+            awareness,
+            writer: a,
+            entry: 1,
+        })
         .into_iter()
         .collect();
-    let changes =
-        [Change { number: 5, from: 100, takes_new: false }, Change { number: 6, from: 200, takes_new: true }];
+    let changes = [
+        StandingChange { number: 5, from: 100, takes_new: false },
+        StandingChange { number: 6, from: 200, takes_new: true },
+    ];
     // Learned before the placement, and after it.
     let mut before = Reconciler::new(settings());
-    changes.iter().for_each(|c| assert!(before.standing("t1", *c).is_empty()));
+    changes.iter().for_each(|c| assert!(before.change_standing("t1", *c).is_empty()));
     assert_eq!(all(&mut before, &history), wanted);
     let mut after = Reconciler::new(settings());
     assert!(all(&mut after, &history).is_empty());
     // The reopening first: an account that was closed in between must not be taken for closed for ever.
-    let found: Vec<Decision> = changes.iter().rev().flat_map(|c| after.standing("t1", *c)).collect();
+    let found: Vec<Decision> = changes.iter().rev().flat_map(|c| after.change_standing("t1", *c)).collect();
     assert_eq!(found, wanted);
 }
 
@@ -126,23 +138,27 @@
         (writer("south", 2), vec![on(20, 4), on(21, 5)]),
     ];
     let mut reconciler = Reconciler::new(settings());
-    reconciler.credit("t1", 3, 0);
-    reconciler.quota("t1", 5);
+    reconciler.set_credit("t1", 3, 0);
+    reconciler.set_quota("t1", 5);
     let found: Vec<Decision> = all(&mut reconciler, &history(&logs))
         .into_iter()
         .filter(|d| matches!(d, Decision::Debt { .. }))
         .collect();
     let debt = |kind, jobs| Decision::Debt { tenant: "t1".into(), kind, jobs };
-    assert_eq!(found, [debt(Kind::Credit, 2), debt(Kind::Quota, 1)]);
-    assert!(reconciler.credit("t1", 3, 0).is_empty(), "charged once");
-    assert_eq!(reconciler.credit("t1", 2, 0), [debt(Kind::Credit, 1)], "the whole turned out to be less");
+    assert_eq!(found, [debt(DebtKind::Credit, 2), debt(DebtKind::Quota, 1)]);
+    assert!(reconciler.set_credit("t1", 3, 0).is_empty(), "charged once");
+    assert_eq!(
+        reconciler.set_credit("t1", 2, 0),
+        [debt(DebtKind::Credit, 1)],
+        "the whole turned out to be less"
+    );
 
     let mut debts = Debts::default();
-    debts.owe("t1", Kind::Credit, 25);
-    let parts: Vec<u64> = (0..4).map(|_| debts.pay("t1", Kind::Credit, 100, 100)).collect();
+    debts.add("t1", DebtKind::Credit, 25);
+    let parts: Vec<u64> = (0..4).map(|_| debts.pay("t1", DebtKind::Credit, 100, 100)).collect();
     assert_eq!(parts, [90, 90, 95, 100]);
-    debts.owe("t1", Kind::Credit, 2);
-    assert_eq!([3, 0, 1, 1].map(|part| debts.pay("t1", Kind::Credit, part, 100)), [2, 0, 0, 1]);
+    debts.add("t1", DebtKind::Credit, 2);
+    assert_eq!([3, 0, 1, 1].map(|part| debts.pay("t1", DebtKind::Credit, part, 100)), [2, 0, 0, 1]);
     assert_eq!(debts, Debts::default());
 }
 
@@ -202,26 +218,26 @@
         let logs = logs(seed);
         let settle = |steps: &[(Writer, Vec<Timed>)], size| {
             let mut reconciler = Reconciler::new(settings());
-            reconciler.credit("t1", 3, 0);
-            reconciler.quota("t1", 2);
-            reconciler.standing("t1", Change { number: 2, from: 150, takes_new: false });
+            reconciler.set_credit("t1", 3, 0);
+            reconciler.set_quota("t1", 2);
+            reconciler.change_standing("t1", StandingChange { number: 2, from: 150, takes_new: false });
             let mut history = History::new();
             let (mut debts, mut standing) = (Debts::default(), BTreeSet::new());
             for (writer, entries) in steps {
                 for piece in pieces(writer, entries, size) {
-                    assert!(history.take(&piece).is_ok());
-                    for decision in reconciler.pass(&history) {
+                    assert!(history.insert(&piece).is_ok());
+                    for decision in reconciler.read_all(&history) {
                         match decision {
-                            Decision::Debt { tenant, kind, jobs } => debts.owe(&tenant, kind, jobs),
-                            Decision::Standing { writer, entry, trust, .. } => drop(standing.insert((writer, entry, trust))),
+                            Decision::Debt { tenant, kind, jobs } => debts.add(&tenant, kind, jobs),
+                            Decision::Standing { writer, entry, awareness, .. } => drop(standing.insert((writer, entry, awareness))),
                             _ => {}
                         }
                     }
                 }
             }
-            assert!(reconciler.pass(&history).is_empty());
-            assert_eq!(reconciler.counts().placements + reconciler.counts().ends, history.held().0);
-            (reconciler.violations(), reconciler.counts(), debts, standing, history.bytes())
+            assert!(reconciler.read_all(&history).is_empty());
+            assert_eq!(reconciler.counts().placements + reconciler.counts().ends, history.entries_and_bytes().0);
+            (reconciler.violations(), reconciler.counts(), debts, standing, history.canonical_bytes())
         };
         let shuffled: Vec<_> = order.iter().map(|k| logs[*k].clone()).collect();
         prop_assert_eq!(settle(&logs, 5), settle(&shuffled, size));
@@ -229,15 +245,15 @@
 
     /// In slices of any size, with entries that come in between, the same is found as at once; and no slice reads more than its steps.
     #[test]
-    fn slices_find_what_is_found_at_once(seed: u64, steps in 1usize..40, size in 1usize..15, seal in any::<bool>()) {
-        let sliced = Settings { steps, ..settings() };
-        let change = Change { number: 2, from: 150, takes_new: false };
+    fn slices_find_what_is_found_at_once(seed: u64, steps_per_slice in 1usize..40, size in 1usize..15, seal in any::<bool>()) {
+        let sliced = Settings { steps_per_slice, ..settings() };
+        let change = StandingChange { number: 2, from: 150, takes_new: false };
         let mut whole = History::new();
         let mut parts = Vec::new();
         for (writer, entries) in logs(seed) {
             parts.extend(pieces(&writer, &entries, size));
         }
-        parts.iter().for_each(|piece| assert!(whole.take(piece).is_ok()));
+        parts.iter().for_each(|piece| assert!(whole.insert(piece).is_ok()));
         let mut late = writer("west", 4);
         late.log += u64::from(seal);
         let mut sealed = history(&[(late.clone(), entries(120, 4))]);
@@ -247,26 +263,26 @@
         whole.merge(&sealed);
         let begin = |settings| {
             let mut reconciler = Reconciler::new(settings);
-            reconciler.credit("t1", 3, 0);
-            reconciler.quota("t1", 2);
+            reconciler.set_credit("t1", 3, 0);
+            reconciler.set_quota("t1", 2);
             reconciler
         };
         let known = |found: &[Decision]| {
             let (mut debts, mut notified) = (Debts::default(), BTreeSet::new());
             for decision in found {
                 match decision {
-                    Decision::Debt { tenant, kind, jobs } => debts.owe(tenant, *kind, *jobs),
-                    Decision::Standing { writer, entry, trust, .. } => drop(notified.insert((writer.clone(), *entry, *trust))),
+                    Decision::Debt { tenant, kind, jobs } => debts.add(tenant, *kind, *jobs),
+                    Decision::Standing { writer, entry, awareness, .. } => drop(notified.insert((writer.clone(), *entry, *awareness))),
                     _ => {}
                 }
             }
             (debts, notified)
         };
         let mut at_once = begin(settings());
-        let mut wanted = at_once.pass(&whole);
-        wanted.extend(at_once.standing("t1", change));
-        wanted.extend(at_once.pass(&whole));
-        wanted.extend(at_once.overdue(1_300));
+        let mut wanted = at_once.read_all(&whole);
+        wanted.extend(at_once.change_standing("t1", change));
+        wanted.extend(at_once.read_all(&whole));
+        wanted.extend(at_once.give_up_overdue(1_300));
 
         let mut reconciler = begin(sliced);
         let (mut history, mut found, mut turns) = (sealed, Vec::new(), 0);
@@ -274,7 +290,7 @@
         // Pieces come in between; then a change of standing, then all that has no end is overdue.
         for (now, stage) in [(0, 0), (0, 1), (1_300, 2)] {
             if stage == 1 {
-                found.extend(reconciler.standing("t1", change));
+                found.extend(reconciler.change_standing("t1", change));
             }
             let (mut more, mut updates) = (true, true);
             while more {
@@ -282,17 +298,17 @@
                 let before = read(&reconciler);
                 let (some, rest) = reconciler.slice(&history, now, updates);
                 let made = read(&reconciler) - before;
-                prop_assert!(made <= steps as u64, "{made} in {steps} steps");
+                prop_assert!(made <= steps_per_slice as u64, "{made} in {steps_per_slice} steps");
                 found.extend(some);
-                updates = come.next().map(|piece| history.take(piece).unwrap()).is_some();
+                updates = come.next().map(|piece| history.insert(piece).unwrap()).is_some();
                 more = rest || updates;
                 turns += 1;
                 prop_assert!(turns < 2_000, "it does not end");
             }
         }
-        prop_assert_eq!(history.bytes(), whole.bytes());
+        prop_assert_eq!(history.canonical_bytes(), whole.canonical_bytes());
         prop_assert_eq!(reconciler.violations(), at_once.violations());
-        prop_assert_eq!(reconciler.open(), at_once.open());
+        prop_assert_eq!(reconciler.open_count(), at_once.open_count());
         prop_assert_eq!(reconciler.counts().placements, at_once.counts().placements);
         prop_assert_eq!(reconciler.counts().ends, at_once.counts().ends);
         prop_assert_eq!(reconciler.counts().repeated, at_once.counts().repeated);
@@ -305,8 +321,8 @@
 fn a_log_is_sealed_only_where_all_have_it_and_all_has_ended() {
     let w = writer("north", 1);
     let sites = ["north".to_string(), "south".to_string()];
-    let last = (SEGMENT * 3) as i64;
-    let mut log = entries(SEGMENT * 3, 1);
+    let last = (SEGMENT_ENTRIES * 3) as i64;
+    let mut log = entries(SEGMENT_ENTRIES * 3, 1);
     let whole = history(&[(w.clone(), log.clone())]);
     let at = |n: u64| {
         let piece = piece(&w, hash_chain::origin(&w), &log[..n as usize]);
@@ -314,31 +330,39 @@
     };
     let all = |n: u64, m: u64| BTreeMap::from([("north".to_string(), at(n)), ("south".to_string(), at(m))]);
     let rule = |history: &History, confirmed: &BTreeMap<_, _>, now| {
-        compaction::upto(history, &w, confirmed, &sites, 50, now)
+        compaction::sealable_up_to(history, &w, confirmed, &sites, 50, now)
     };
     let now = last + 50;
-    assert_eq!(rule(&whole, &all(SEGMENT * 3, SEGMENT * 3), now), Some(SEGMENT * 3));
-    assert_eq!(rule(&whole, &all(SEGMENT * 3, SEGMENT * 2 + 9), now), Some(SEGMENT * 2), "not all have it");
-    assert_eq!(rule(&whole, &all(SEGMENT * 3, SEGMENT * 3), now - 1), Some(SEGMENT * 2), "too young");
-    let one = BTreeMap::from([("north".to_string(), at(SEGMENT * 3))]);
+    assert_eq!(rule(&whole, &all(SEGMENT_ENTRIES * 3, SEGMENT_ENTRIES * 3), now), Some(SEGMENT_ENTRIES * 3));
+    assert_eq!(
+        rule(&whole, &all(SEGMENT_ENTRIES * 3, SEGMENT_ENTRIES * 2 + 9), now),
+        Some(SEGMENT_ENTRIES * 2),
+        "not all have it"
+    );
+    assert_eq!(
+        rule(&whole, &all(SEGMENT_ENTRIES * 3, SEGMENT_ENTRIES * 3), now - 1),
+        Some(SEGMENT_ENTRIES * 2),
+        "too young"
+    );
+    let one = BTreeMap::from([("north".to_string(), at(SEGMENT_ENTRIES * 3))]);
     assert_eq!(rule(&whole, &one, now), None, "a site was not heard");
-    let mut other = all(SEGMENT * 3, SEGMENT * 3);
-    other.insert("south".into(), (SEGMENT * 3, hash_chain::Digest([7; 32])));
+    let mut other = all(SEGMENT_ENTRIES * 3, SEGMENT_ENTRIES * 3);
+    other.insert("south".into(), (SEGMENT_ENTRIES * 3, hash_chain::Digest([7; 32])));
     assert_eq!(rule(&whole, &other, now), None, "a site has another line");
     let mut sealed = whole.clone();
-    sealed.seal(&w, SEGMENT * 2).unwrap();
-    assert_eq!(rule(&sealed, &all(SEGMENT * 3, SEGMENT * 3), now), Some(SEGMENT * 3));
+    sealed.seal(&w, SEGMENT_ENTRIES * 2).unwrap();
+    assert_eq!(rule(&sealed, &all(SEGMENT_ENTRIES * 3, SEGMENT_ENTRIES * 3), now), Some(SEGMENT_ENTRIES * 3));
     // A site that reads it only now still knows the guarded keys.
     let mut reconciler = Reconciler::new(settings());
     let again = [(writer("south", 2), vec![placed(5, placement(1_000_003, true))])];
     let mut both = sealed.clone();
     both.merge(&history(&again));
-    let found = reconciler.pass(&both);
+    let found = reconciler.read_all(&both);
     let violated = |d: &Decision| matches!(d, Decision::Violation(s) if s.key == "k1000003");
     assert_eq!(found.iter().filter(|d| violated(d)).count(), 1);
     // One placement without an end holds up what comes after it.
-    log[SEGMENT as usize + 5] = placed(0, placement(1, true));
+    log[SEGMENT_ENTRIES as usize + 5] = placed(0, placement(1, true));
     let stuck = history(&[(w.clone(), log.clone())]);
-    let confirmed = sites.iter().map(|s| (s.clone(), stuck.have()[&w])).collect();
-    assert_eq!(rule(&stuck, &confirmed, now), Some(SEGMENT));
+    let confirmed = sites.iter().map(|s| (s.clone(), stuck.latest_points()[&w])).collect();
+    assert_eq!(rule(&stuck, &confirmed, now), Some(SEGMENT_ENTRIES));
 }
--- a/crates/rig/src/disks.rs
+++ b/crates/rig/src/disks.rs
@@ -48,8 +48,8 @@
     let keeper = Arc::new(GroupCommit::new(store.clone())?);
     let mut history = History::new();
     let copies = Copies::restore(&store, keeper.clone(), &mut history)?;
-    Log::open(store, keeper, site, node, 0)?.pour(&mut history)?;
-    copies.rest(&mut history)?;
+    Log::open(store, keeper, site, node, 0)?.load_into(&mut history)?;
+    copies.insert_deferred(&mut history)?;
     let (mut placed, mut ends) = (BTreeMap::new(), BTreeMap::new());
     for writer in history.writers() {
         let mut points = Vec::new();
@@ -59,7 +59,9 @@
                 entries.push((point, bytes.to_vec()));
                 true
             };
-            let Some((before, last)) = history.walk(writer, &points, usize::MAX, &mut tell) else { break };
+            let Some((before, last)) = history.visit_missing(writer, &points, usize::MAX, &mut tell) else {
+                break;
+            };
             if before == last {
                 break;
             }
@@ -94,5 +96,5 @@
 
 /// What stands for a history, as a node's door says it.
 pub fn digest(history: &History) -> String {
-    format!("{:08x}", crc32fast::hash(&history.bytes()))
+    format!("{:08x}", crc32fast::hash(&history.canonical_bytes()))
 }
--- a/crates/sites/src/catch_up.rs
+++ b/crates/sites/src/catch_up.rs
@@ -131,7 +131,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use shorepath_placements::hash_chain::{encode, follow, origin, Piece};
+    use shorepath_placements::hash_chain::{encode, next_digest, origin, Piece};
     use shorepath_placements::{Entry, Placement, Timed, Writer};
 
     const FENCE: Fence = Fence { epoch: 7, number: 3 };
@@ -153,8 +153,8 @@
         };
         let entry = encode(&Timed { at: 1, entry: Entry::Placed(placed) }).unwrap();
         let (after, before) = origin(&writer);
-        let head = follow(&before, &entry);
-        assert_eq!(history.take(&Piece { writer, after, before, entries: vec![entry], head }), Ok(1));
+        let head = next_digest(&before, &entry);
+        assert_eq!(history.insert(&Piece { writer, after, before, entries: vec![entry], head }), Ok(1));
     }
 
     /// Proved only by an answer to this holding, once the log is here that far, and with no other log of that node.
--- a/crates/sites/tests/joint.rs
+++ b/crates/sites/tests/joint.rs
@@ -16,9 +16,9 @@
 use shorepath_accounts::in_flight::{Key, Taken};
 use shorepath_accounts::registry::Book;
 use shorepath_accounts::{AccountStatus, Change};
-use shorepath_placements::hash_chain::{encode, follow, origin, Piece, Point};
+use shorepath_placements::hash_chain::{encode, next_digest, origin, Piece, Point};
 use shorepath_placements::history::History;
-use shorepath_placements::idempotency_index::{Keys, Known};
+use shorepath_placements::idempotency_index::{IdempotencyIndex, KeyState};
 use shorepath_placements::{End, Entry, Placement, Timed, Writer};
 use shorepath_quota::lease::Holder;
 use shorepath_quota::ledger::Ledger;
@@ -84,20 +84,20 @@
 struct SiteReport {
     history: Arc<History>,
     bytes: Arc<Vec<u8>>,
-    known: Known,
+    known: KeyState,
 }
 
 impl SiteReport {
     fn of(history: History) -> SiteReport {
-        let mut keys = Keys::default();
+        let mut keys = IdempotencyIndex::default();
         for writer in history.writers() {
             let last = history.heads(writer).iter().map(|p| p.0).max().unwrap_or(0);
             for number in 1..=last {
                 let entry = history.entry(writer, number).unwrap().entry;
-                keys.entry(writer, number, &entry);
+                keys.apply_entry(writer, number, &entry);
             }
         }
-        let (bytes, known) = (Arc::new(history.bytes()), keys.known(CLASS, "key"));
+        let (bytes, known) = (Arc::new(history.canonical_bytes()), keys.state(CLASS, "key"));
         SiteReport { history: Arc::new(history), bytes, known }
     }
 }
@@ -236,8 +236,8 @@
 /// Give another history the next piece that it lacks, of all logs or of one.
 fn give(of: &History, alone: Option<&Writer>, to: &mut History, most: usize) -> u64 {
     for writer in of.writers().filter(|w| alone.is_none_or(|own| own == *w)) {
-        if let Some(piece) = of.lacking(writer, &to.heads(writer), most) {
-            return to.take(&piece).unwrap();
+        if let Some(piece) = of.missing(writer, &to.heads(writer), most) {
+            return to.insert(&piece).unwrap();
         }
     }
     0
@@ -252,11 +252,11 @@
     fn write(&mut self, entry: Entry) {
         let bytes = encode(&Timed { at: 1, entry }).unwrap();
         let (after, before) = self.head;
-        self.head = (after + 1, follow(&before, &bytes));
+        self.head = (after + 1, next_digest(&before, &bytes));
         let writer = self.writer.clone();
         let piece = Piece { writer, after, before, entries: vec![bytes], head: self.head.1 };
         let mut history = (*self.notified.history).clone();
-        assert_eq!(history.take(&piece), Ok(1));
+        assert_eq!(history.insert(&piece), Ok(1));
         self.notified = SiteReport::of(history);
     }
 
@@ -385,7 +385,7 @@
             right.merge(&a.book);
         }
         let one_line = all[0].forks().is_empty() && all[1].forks().is_empty();
-        one_line && all[0].bytes() == all[1].bytes() && left.hash() == right.hash()
+        one_line && all[0].canonical_bytes() == all[1].canonical_bytes() && left.hash() == right.hash()
     }
 
     /// A site that starts again.
@@ -455,7 +455,7 @@
         let now = clock(s, n);
         let site = Arc::make_mut(&mut s.sites[n]);
         let may = site.ownership.may_place(&self.key, now, |_| Proof::Unknown);
-        let Some(fence) = may.ok().filter(|_| site.notified.known == Known::Free) else { return };
+        let Some(fence) = may.ok().filter(|_| site.notified.known == KeyState::Free) else { return };
         let rejection = rejection(site.number) && !site.taken.holds(ACME, Some(&name(GUARDED)), 1);
         if site.take(self.fault, GUARDED).is_none() {
             return;
--- a/src/net/placing.rs
+++ b/src/net/placing.rs
@@ -8,9 +8,9 @@
 use super::sites::Written;
 use shorepath_placements::anti_entropy::Exchange;
 use shorepath_placements::history::History;
-use shorepath_placements::idempotency_index::{Keys, Known};
+use shorepath_placements::idempotency_index::{IdempotencyIndex, KeyState};
 use shorepath_placements::log::{Copies, Log, LogError};
-use shorepath_placements::log_recovery::{LogRecovery, Slot};
+use shorepath_placements::log_recovery::{LogRecovery, PlacementRef};
 use shorepath_placements::reconcile::{Decision, Reconciler};
 use shorepath_placements::{compaction, reconcile, End, Entry, Timed, Writer};
 use shorepath_quota::Micros;
@@ -33,7 +33,7 @@
     log: Log,
     copies: Copies,
     history: RefCell<History>,
-    keys: RefCell<Keys>,
+    keys: RefCell<IdempotencyIndex>,
     /// One with each partner, by its number.
     exchanges: RefCell<BTreeMap<u32, Exchange>>,
     reconciler: RefCell<Reconciler>,
@@ -47,7 +47,7 @@
     /// When there may be more to reconcile.
     more: Cell<Option<Micros>>,
     /// Attempts that are out, and where their placements are.
-    out: RefCell<HashMap<DispatchId, Slot>>,
+    out: RefCell<HashMap<DispatchId, PlacementRef>>,
     /// How placements ended whose ends could not be written: those that were on their way as the disk failed.
     unwritten: RefCell<BTreeMap<u64, End>>,
     /// Something waits to be written, and goes with what else comes in that time.
@@ -64,15 +64,15 @@
 }
 
 /// What is new of a log is known of keys, too.
-fn feed(history: &History, keys: &mut Keys, writer: &Writer) {
+fn feed(history: &History, keys: &mut IdempotencyIndex, writer: &Writer) {
     let sealed = history.sealed(writer).0;
-    if sealed > keys.fed(writer) {
-        keys.sealed(writer, sealed, &history.remembered(writer, 0, usize::MAX).1);
+    if sealed > keys.last_applied(writer) {
+        keys.apply_sealed(writer, sealed, &history.retained_keys(writer, 0, usize::MAX).1);
     }
     let last = history.heads(writer).iter().map(|point| point.0).max().unwrap_or(0);
-    for number in keys.fed(writer) + 1..=last {
+    for number in keys.last_applied(writer) + 1..=last {
         if let Some(timed) = history.entry(writer, number) {
-            keys.entry(writer, number, &timed.entry);
+            keys.apply_entry(writer, number, &timed.entry);
         }
     }
 }
@@ -93,8 +93,8 @@
         let log = Log::open(store.clone(), group_commit.clone(), site, node, drawn)?;
         let mut history = History::new();
         let copies = Copies::restore(&store, group_commit, &mut history)?;
-        log.pour(&mut history)?;
-        copies.rest(&mut history)?;
+        log.load_into(&mut history)?;
+        copies.insert_deferred(&mut history)?;
         let open = log.open_placements();
         if !open.is_empty() {
             info!(
@@ -169,12 +169,13 @@
             let exchanges = self.exchanges.borrow();
             // Of each site the one that has least: any of its nodes may be the only one that is left.
             let least = |nodes: &Vec<u32>| {
-                let has = nodes.iter().map(|n| exchanges.get(n)?.has(&*history, &writer));
+                let has = nodes.iter().map(|n| exchanges.get(n)?.confirmed_point(&*history, &writer));
                 has.collect::<Option<Vec<_>>>()?.into_iter().min_by_key(|point| point.0)
             };
             let confirmed =
                 sites.iter().filter_map(|(site, nodes)| Some((site.clone(), least(nodes)?))).collect();
-            let Some(upto) = compaction::upto(&history, &writer, &confirmed, &names, age, unix) else {
+            let Some(upto) = compaction::sealable_up_to(&history, &writer, &confirmed, &names, age, unix)
+            else {
                 continue;
             };
             if let Err(e) = history.seal(&writer, upto) {
@@ -218,7 +219,7 @@
         // What is overdue comes without news; what came is read once that is due.
         let due = self.more.get().is_some_and(|at| at <= now);
         if !due {
-            return reconciler.overdue(unix);
+            return reconciler.give_up_overdue(unix);
         }
         let (decisions, more) = reconciler.slice(&*history, unix, self.fresh.take());
         self.more.set(more.then_some(now + GOES_ON));
@@ -235,7 +236,7 @@
     /// What was placed since then, in Unix time: tenants and keys, with the time at which each was taken.
     pub fn taken(&self, since: Micros, mut each: impl FnMut(&str, &str, Micros)) {
         let (history, writer) = (self.history.borrow(), self.log.writer());
-        let last = history.have().get(&writer).map_or(0, |point| point.0);
+        let last = history.latest_points().get(&writer).map_or(0, |point| point.0);
         for timed in (1..=last).filter_map(|n| history.entry(&writer, n)) {
             if let Entry::Placed(p) = &timed.entry {
                 if let (true, Some(tenant), Some(key)) = (timed.at >= since, &p.tenant, &p.key) {
@@ -272,8 +273,8 @@
     }
 
     /// What is known of a key of a class that must not run twice.
-    pub fn known(&self, class: &str, key: &str) -> Known {
-        self.keys.borrow().known(class, key)
+    pub fn known(&self, class: &str, key: &str) -> KeyState {
+        self.keys.borrow().state(class, key)
     }
 
     /// Why nothing can be written down any more, where it can't.
@@ -286,9 +287,11 @@
         let guarded = matches!(&timed.entry, Entry::Placed(p) if p.guarded);
         if !guarded {
             let held = {
-                Some(self.log_recovery.borrow_mut()).filter(|b| b.holds()).map(|mut b| b.place(timed.clone()))
+                Some(self.log_recovery.borrow_mut())
+                    .filter(|b| b.is_buffering())
+                    .map(|mut b| b.buffer_placement(timed.clone()))
             };
-            if let Some(slot) = held.unwrap_or_else(|| self.later(timed).map(Slot::Written)) {
+            if let Some(slot) = held.unwrap_or_else(|| self.later(timed).map(PlacementRef::Written)) {
                 self.out.borrow_mut().insert(id, slot);
             }
             return true;
@@ -304,8 +307,8 @@
         });
         match appended {
             Ok(number) => {
-                self.keys.borrow_mut().entry(&self.log.writer(), number, &timed.entry);
-                self.out.borrow_mut().insert(id, Slot::Written(number));
+                self.keys.borrow_mut().apply_entry(&self.log.writer(), number, &timed.entry);
+                self.out.borrow_mut().insert(id, PlacementRef::Written(number));
             }
             Err(e) => drop(self.writes.send(Written::Placed(id, Err(e)))),
         }
@@ -321,10 +324,10 @@
             Ran::Perhaps => End::Unknown,
         };
         match slot {
-            Slot::Held(ticket) => self.log_recovery.borrow_mut().end(ticket, at, how),
-            Slot::Written(of) => {
+            PlacementRef::Buffered(ticket) => self.log_recovery.borrow_mut().buffer_end(ticket, at, how),
+            PlacementRef::Written(of) => {
                 if self.later(Timed { at, entry: Entry::Ended { of, how } }).is_none() {
-                    self.keys.borrow_mut().ends(&self.log.writer(), of, how);
+                    self.keys.borrow_mut().apply_end(&self.log.writer(), of, how);
                     self.unwritten.borrow_mut().insert(of, how);
                 }
             }
@@ -332,11 +335,11 @@
     }
 
     fn later(&self, timed: Timed) -> Option<u64> {
-        let number = self.log.later(&timed);
+        let number = self.log.append_deferred(&timed);
         self.waits.set(true);
         match number {
             Ok(number) => {
-                self.keys.borrow_mut().entry(&self.log.writer(), number, &timed.entry);
+                self.keys.borrow_mut().apply_entry(&self.log.writer(), number, &timed.entry);
                 Some(number)
             }
             // Counted by the log, and told once by whoever is denied for it.
@@ -361,13 +364,13 @@
     pub fn state(&self) -> String {
         let (last, keys) = (self.log.durable().0, self.keys.borrow().len());
         let history = self.history.borrow();
-        let all: u64 = history.have().values().map(|point| point.0).sum();
-        let digest = crc32fast::hash(&history.bytes());
+        let all: u64 = history.latest_points().values().map(|point| point.0).sum();
+        let digest = crc32fast::hash(&history.canonical_bytes());
         let sealed: u64 = history.writers().map(|w| history.sealed(w).0).sum();
         let violations = self.reconciler.borrow().violations().len();
         format!(
             "placements own={last} all={all} sealed={sealed} digest={digest:08x} keys={keys} violations={violations} unrecorded={}",
-            self.log.unrecorded() + self.log_recovery.borrow().lost()
+            self.log.unrecorded() + self.log_recovery.borrow().unrecorded()
         )
     }
 }
