--- a/src/net/placing/exchange.rs
+++ b/src/net/placing/exchange.rs
@@ -19,7 +19,7 @@
         exchanges.retain(|node, _| peers.iter().any(|(peer, _)| peer == node));
         for (node, spare) in peers {
             let new = || Exchange::new(Settings::default(), self.life, now);
-            exchanges.entry(node).or_insert_with(new).spare(spare);
+            exchanges.entry(node).or_insert_with(new).set_covered_nodes(spare);
         }
     }
 
@@ -50,7 +50,7 @@
             }
         };
         for piece in &received.pieces {
-            self.copies.later(piece);
+            self.copies.append_piece_deferred(piece);
             self.waits.set(true);
             exchanges
                 .iter_mut()
@@ -58,7 +58,7 @@
                 .for_each(|(_, e)| e.note_update(&piece.writer));
         }
         if let Some((writer, base)) = &received.sealed {
-            self.copies.base(writer, base, kept);
+            self.copies.append_base(writer, base, kept);
         }
         let (history, mut keys) = (self.history.borrow(), self.keys.borrow_mut());
         let pieces = received.pieces.iter().map(|piece| &piece.writer);
@@ -90,13 +90,13 @@
         let shows = self.shows.take();
         let due = self.exchanges.borrow().values().any(|e| e.due() <= now);
         // Until partners were asked, nothing is written that would have to be shown.
-        let asks = !self.log_recovery.borrow().asked();
+        let asks = !self.log_recovery.borrow().peers_answered();
         if !shows && !due && !asks {
             return Vec::new();
         }
         let writer = self.log.writer();
         if shows && unshown {
-            match self.log.pour(&mut self.history.borrow_mut()) {
+            match self.log.load_into(&mut self.history.borrow_mut()) {
                 Ok(_) => self.note_update(now),
                 Err(e) => warn!("placements: {e}"),
             }
@@ -109,7 +109,7 @@
             if !shows && exchange.due() > now {
                 continue;
             }
-            exchange.pass(&*history, now, chance.rotate_left(*node % 64));
+            exchange.poll(&*history, now, chance.rotate_left(*node % 64));
             for message in exchange.take_outgoing() {
                 let message = message.encode();
                 let length = (message.len() as u16).to_be_bytes();
--- a/src/net/sites/accounts.rs
+++ b/src/net/sites/accounts.rs
@@ -5,7 +5,7 @@
 use shorepath_accounts::credit::Note;
 use shorepath_accounts::registry::RegistryUpdate;
 use shorepath_placements::reconcile;
-use shorepath_placements::reconcile::{Decision, Kind, Reconciler};
+use shorepath_placements::reconcile::{DebtKind, Decision, Reconciler};
 use shorepath_quota::NodeId;
 use shorepath_store::Op;
 use tracing::{info, warn};
@@ -24,8 +24,8 @@
                     let takes_new = !change.standing.rejects_new_work();
                     // What was passed over of it is looked at now.
                     self.looked.borrow_mut().clear();
-                    let change = reconcile::Change { number: change.number, from: change.from, takes_new };
-                    self.reconcile(self.placing.judge_by(|r| r.standing(&account, change)));
+                    let change = reconcile::StandingChange { number: change.number, from: change.from, takes_new };
+                    self.reconcile(self.placing.judge_by(|r| r.change_standing(&account, change)));
                 }
                 RegistryUpdate::Newer { number } => info!("accounts: file {number} holds"),
                 RegistryUpdate::TwoFiles { number } => warn!("accounts: two files of number {number} say different things; the stricter holds for each account until one of a greater number is handed out"),
@@ -75,7 +75,7 @@
     pub(super) fn credit(&self) {
         let credits = self.siting.borrow().plan.credits.clone();
         for credit in credits {
-            let reply = |r: &mut Reconciler| r.credit(&credit.tenant, credit.jobs, unix());
+            let reply = |r: &mut Reconciler| r.set_credit(&credit.tenant, credit.jobs, unix());
             self.reconcile(self.placing.judge_by(reply));
         }
     }
@@ -85,15 +85,15 @@
         for decision in decisions {
             match &decision {
                 Decision::Violation(story) => warn!("placements: a job that must not run twice may have: {story:?}"),
-                Decision::Debt { tenant, kind: Kind::Credit, jobs } => {
+                Decision::Debt { tenant, kind: DebtKind::Credit, jobs } => {
                     warn!("account {tenant}: {jobs} jobs were begun above its credit, over all sites");
                     let share = self.credit_share(tenant, *jobs);
                     if let Some(balance) = self.balances.borrow_mut().get_mut(tenant) {
                         balance.owe(share);
                     }
                 }
-                Decision::Standing { tenant, number, trust, writer, entry } => warn!(
-                    "account {tenant}: work was begun after file {number} closed it: {trust:?} at {}/{} entry={entry}",
+                Decision::Standing { tenant, number, awareness, writer, entry } => warn!(
+                    "account {tenant}: work was begun after file {number} closed it: {awareness:?} at {}/{} entry={entry}",
                     writer.site, writer.node
                 ),
                 other => info!("placements: {other:?}"),
--- a/src/net/sites/admission.rs
+++ b/src/net/sites/admission.rs
@@ -8,7 +8,7 @@
 use shorepath_accounts::admission::{restrictions, why, Refusal};
 use shorepath_accounts::in_flight::Key;
 use shorepath_placements as placements;
-use shorepath_placements::idempotency_index::Known;
+use shorepath_placements::idempotency_index::KeyState;
 use shorepath_placements::{Placement, Timed};
 use shorepath_quota::Micros;
 use shorepath_recovery::phases::Admits;
@@ -102,7 +102,7 @@
         let answers = self.answers.as_ref().filter(|_| self.is_guarded(class))?;
         let (name, key) = (self.exchange.class_name(class), job.repeat_key.as_deref().unwrap_or(&job.id));
         // Most have never been placed, and the disk need not be asked.
-        if self.placing.known(&name, key) == Known::Free {
+        if self.placing.known(&name, key) == KeyState::Free {
             return None;
         }
         answers.given(&name, job.tenant.as_deref(), key)
@@ -126,7 +126,7 @@
         let rejection =
             |status, why: &str| Some(Rejection { status, why: why.to_string(), retry: status == 503 });
         let known = self.placing.known(&name, key);
-        if let (Known::Free, Some(key_leases)) = (known, &self.key_leases) {
+        if let (KeyState::Free, Some(key_leases)) = (known, &self.key_leases) {
             match key_leases.may_place(key) {
                 Ok(_) => {}
                 Err((_, true)) => return rejection(503, "catching up"),
@@ -137,15 +137,17 @@
             }
         }
         match known {
-            Known::Free if !self.placing.asked() => rejection(503, "catching up"),
-            Known::Free if returns.is_some_and(|(admits, _)| admits != Admits::All) => {
+            KeyState::Free if !self.placing.asked() => rejection(503, "catching up"),
+            KeyState::Free if returns.is_some_and(|(admits, _)| admits != Admits::All) => {
                 let waits = returns.map_or("", |(_, waits)| waits);
                 rejection(503, &format!("recovering: waits for {waits}"))
             }
-            Known::Free if self.placing.failed().is_some() => rejection(503, "placements can't be recorded"),
-            Known::Free => None,
-            Known::Served => rejection(409, "served before"),
-            Known::MayHaveRun => rejection(502, "may have run"),
+            KeyState::Free if self.placing.failed().is_some() => {
+                rejection(503, "placements can't be recorded")
+            }
+            KeyState::Free => None,
+            KeyState::Served => rejection(409, "served before"),
+            KeyState::MayHaveRun => rejection(502, "may have run"),
         }
     }
 
@@ -213,7 +215,7 @@
         let key = job.repeat_key.clone().unwrap_or_else(|| job.id.to_string());
         // It may have waited for long since it was taken, and another request for its key with it. A further attempt is made only
         // where the one before surely never ran, or may run again.
-        if guarded && id.attempt == 0 && self.placing.known(class, &key) != Known::Free {
+        if guarded && id.attempt == 0 && self.placing.known(class, &key) != KeyState::Free {
             // Nobody hears it where the node ends.
             let _ = self.writes.send(Written::Refused(id, "its key was placed meanwhile".to_string()));
             return false;
@@ -285,7 +287,7 @@
     /// not run twice.
     pub fn keeps(&self, status: u16, body: &[u8]) -> Option<Keeping> {
         let ((class, key), answers) = (self.guards.as_ref()?, self.sites.answers.as_ref()?);
-        if self.rejection.is_some() || self.sites.placing.known(class, key) == Known::Free {
+        if self.rejection.is_some() || self.sites.placing.known(class, key) == KeyState::Free {
             return None;
         }
         let tenant = Some(self.tenant.as_str()).filter(|t| !t.is_empty());
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -17,9 +17,9 @@
 use shorepath_membership::{Effect, Membership, Peer};
 use shorepath_message_auth::channel::Channel;
 use shorepath_message_auth::keyring::Keys;
-use shorepath_placements::anti_entropy::{self, Known};
+use shorepath_placements::anti_entropy::{self, LogSummary};
 use shorepath_placements::hash_chain::{self, Digest, Piece};
-use shorepath_placements::history::{Base, History, Remembered};
+use shorepath_placements::history::{Base, History, RetainedKey};
 use shorepath_placements::{End, Placement, Timed, Writer};
 use shorepath_quota::allocator::{Allocator, Entry, Kept};
 use shorepath_quota::messages::{self as budgets, BudgetStatus, Claiming, Granting, PartStatus, Status};
@@ -390,8 +390,8 @@
     Timed { at: 1_700_000_000_000_200, entry: shorepath_placements::Entry::Ended { of: 1, how } }
 }
 
-fn remembered() -> Remembered {
-    Remembered {
+fn remembered() -> RetainedKey {
+    RetainedKey {
         class: "valve".into(),
         key: "valve-7".into(),
         number: 1,
@@ -406,13 +406,13 @@
     let (after, before) = hash_chain::origin(&writer());
     let entries =
         vec![hash_chain::encode(&placed()).unwrap(), hash_chain::encode(&ended(End::Served)).unwrap()];
-    let head = entries.iter().fold(before, |before, entry| hash_chain::follow(&before, entry));
+    let head = entries.iter().fold(before, |before, entry| hash_chain::next_digest(&before, entry));
     Piece { writer: writer(), after, before, entries, head }
 }
 
 fn placement_messages() -> Vec<anti_entropy::Message> {
     let point = (2, Digest([3; 32]));
-    let known = Known {
+    let known = LogSummary {
         writer: writer(),
         sealed: (1, Digest([1; 32])),
         points: vec![point],
@@ -426,7 +426,7 @@
             point,
             from: 0,
             total: 1,
-            remembered: vec![remembered()],
+            retained_keys: vec![remembered()],
             check: Digest([9; 32]),
         },
     ]
@@ -444,16 +444,16 @@
         samples.postcard("entry", ended(how));
     }
     assert_eq!(hash_chain::encode(&placed()).unwrap(), postcard::to_stdvec(&placed()).unwrap());
-    samples.json("base", Base { point: (2, Digest([3; 32])), remembered: vec![remembered()] });
+    samples.json("base", Base { point: (2, Digest([3; 32])), retained_keys: vec![remembered()] });
     samples.json("writer", writer());
     samples.json("piece", piece());
     samples.computed("origin", hex(&hash_chain::origin(&writer()).1 .0));
     samples.computed("head", hex(&piece().head.0));
     let mut history = History::new();
-    assert_eq!(history.take(&piece()), Ok(2));
-    samples.computed("history", hex(&history.bytes()));
+    assert_eq!(history.insert(&piece()), Ok(2));
+    samples.computed("history", hex(&history.canonical_bytes()));
     history.seal(&writer(), 2).unwrap();
-    samples.computed("sealed-history", hex(&history.bytes()));
+    samples.computed("sealed-history", hex(&history.canonical_bytes()));
     samples.check("placements.txt");
 }
 
