--- a/crates/lab/src/sites/node.rs
+++ b/crates/lab/src/sites/node.rs
@@ -11,8 +11,8 @@
 use shorepath_scheduler::Scheduler;
 use shorepath_scheduler::*;
 use shorepath_scheduler::{QuotaKind, QuotaShare};
-use shorepath_sites::config::Plan;
-use shorepath_sites::health::{self, Changed, SiteHealth};
+use shorepath_sites::config::SitesConfig;
+use shorepath_sites::health::{self, SiteHealth, StateChange};
 use shorepath_sites::load_shifting::{Class, LoadShifting};
 use shorepath_sites::recovery_ramp::Pace;
 
@@ -68,7 +68,7 @@
 pub struct Passed {
     pub words: Vec<(u32, Said)>,
     pub parts: Option<Vec<QuotaShare>>,
-    pub changed: Vec<Changed>,
+    pub changed: Vec<StateChange>,
     /// Numbers of files by which the account is barred from now on.
     pub barred: Vec<u64>,
     /// When it has something to do next.
@@ -103,7 +103,7 @@
 impl Siting {
     /// What a node knows that starts, by what its disk has.
     pub fn new(
-        plan: &Plan,
+        plan: &SitesConfig,
         of: &Scenario,
         number: u32,
         seed: u64,
@@ -139,7 +139,7 @@
             Said::Accounts(word) => self.spread.receive(from, word, now),
             Said::Seeing(word) => {
                 if self.seeing.receive(from, word, now).is_ok()
-                    && self.lending.received(&self.seeing, from, word, now)
+                    && self.lending.receive(&self.seeing, from, word, now)
                 {
                     self.lends_at = now;
                 }
@@ -171,14 +171,14 @@
     pub fn pass(&mut self, outcomes: &mut (u64, u64), begun: u64, now: Micros) -> Passed {
         let mut passed = Passed::default();
         self.spread.pass(now);
-        self.seeing.pass(now);
+        self.seeing.tick(now);
         if now >= self.lends_at {
             self.lends_at = now + LENDS;
             let classes = [Class { name: "job".to_string(), worth: 1_000 }];
-            self.lending.pass(&mut self.seeing, &classes, std::mem::take(outcomes), true, now);
+            self.lending.tick(&mut self.seeing, &classes, std::mem::take(outcomes), true, now);
         }
-        passed.changed = self.seeing.changes();
-        self.confirmation.pass(self.seeing.received(now), now);
+        passed.changed = self.seeing.take_changes();
+        self.confirmation.pass(self.seeing.majority_heard_at(now), now);
         let alone_since = self.confirmation.alone_since();
         for news in self.spread.take_updates() {
             if let RegistryUpdate::Changed { change, .. } = news {
@@ -235,7 +235,7 @@
     let limits = lending.limits();
     let part = |of, units, span| QuotaShare { kind: of, units, total: units, window: span };
     let guests = limits.guests.iter().flatten().enumerate();
-    let guests =
-        guests.map(|(class, units)| part(QuotaKind::RemoteClass(ClassId(class)), *units, limits.kept));
-    guests.chain(limits.home.map(|units| part(QuotaKind::LocalSite, units, 250 * MS))).collect()
+    let guests = guests
+        .map(|(class, units)| part(QuotaKind::RemoteClass(ClassId(class)), *units, limits.unused_lifetime));
+    guests.chain(limits.own_site.map(|units| part(QuotaKind::LocalSite, units, 250 * MS))).collect()
 }
--- a/crates/lab/src/sites/study.rs
+++ b/crates/lab/src/sites/study.rs
@@ -7,7 +7,7 @@
 use rayon::prelude::*;
 use serde::Serialize;
 use shorepath_sexp::ParseErrors;
-use shorepath_sites::Seen;
+use shorepath_sites::SiteState;
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -125,7 +125,7 @@
                 let known = f.changes.entry(format!("{seen:?}")).or_default();
                 *known = most.max(*known);
             }
-            let bad = matches!(seen, Seen::Doubtful | Seen::Alone | Seen::Lost);
+            let bad = matches!(seen, SiteState::Doubtful | SiteState::Alone | SiteState::Lost);
             if bad && !of.strikes(*to) && !of.strikes(*from) {
                 f.wrongly += nodes.values().sum::<u32>();
             }
--- a/crates/lab/src/sites/world.rs
+++ b/crates/lab/src/sites/world.rs
@@ -12,8 +12,8 @@
 use shorepath_scheduler::Scheduler;
 use shorepath_scheduler::*;
 use shorepath_sexp::ParseErrors;
-use shorepath_sites::config::{self, Plan};
-use shorepath_sites::Seen;
+use shorepath_sites::config::{self, SitesConfig};
+use shorepath_sites::SiteState;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
@@ -50,7 +50,7 @@
     /// Cold servers that got more than they bear.
     pub felled: u32,
     /// How often nodes of the first site saw the second one come to that, by the node's number.
-    pub changes: BTreeMap<(usize, usize, Seen), BTreeMap<u32, u32>>,
+    pub changes: BTreeMap<(usize, usize, SiteState), BTreeMap<u32, u32>>,
     /// By the number of each file that bars the account: when it was handed out and each node's time until it held there.
     pub closings: BTreeMap<u64, (Micros, Vec<Micros>)>,
     /// Words said, and bytes of them as JSON: about sites, and about accounts.
@@ -121,7 +121,7 @@
 
 struct World<'a> {
     of: &'a Scenario,
-    plan: Plan,
+    plan: SitesConfig,
     now: Micros,
     order: u64,
     heap: BinaryHeap<Reverse<Due>>,
@@ -141,7 +141,7 @@
     out: Outcome,
 }
 
-fn plan(of: &Scenario, members: &[Vec<usize>]) -> Result<Plan, ParseErrors> {
+fn plan(of: &Scenario, members: &[Vec<usize>]) -> Result<SitesConfig, ParseErrors> {
     let ms = |t: Micros| format!("{} ms", t / MS);
     let mut text = "(sites (fleet \"lab\") (key \"k\")".to_string();
     text += &format!("(confirm {}) (alone {}) (hold {})", ms(of.confirm), ms(of.alone), ms(of.hold));
@@ -228,7 +228,7 @@
             return self.over(job);
         }
         let luck = self.luck.random();
-        let after = self.nodes[node].siting.as_ref().map_or(S, |s| s.lending.come_back(luck, now));
+        let after = self.nodes[node].siting.as_ref().map_or(S, |s| s.lending.retry_after(luck, now));
         self.away[home][client] = now + after;
         self.elsewhere(job);
     }
@@ -300,7 +300,7 @@
         let n = &mut self.nodes[node];
         let mut guest = home != site && self.of.lent > 0;
         match &mut n.siting {
-            Some(siting) if !guest => siting.lending.asked(0),
+            Some(siting) if !guest => siting.lending.record_request(0),
             Some(_) => {}
             None => guest = false,
         }
@@ -338,9 +338,9 @@
             open.record.served_by = (open.record.took <= self.of.give_up).then_some(site as u16);
             self.out.jobs.push(open.record);
             if let Some(siting) = self.nodes[node].siting.as_ref().filter(|_| home != site) {
-                let chance = siting.lending.may_go_home(&siting.seeing, &format!("s{home}"));
+                let chance = siting.lending.return_probability(&siting.seeing, &format!("s{home}"));
                 if self.luck.random::<f64>() < chance {
-                    let at = now + siting.lending.come_back(self.luck.random(), now);
+                    let at = now + siting.lending.retry_after(self.luck.random(), now);
                     let away = &mut self.away[home][open.client];
                     *away = at.min(*away);
                 }
--- a/crates/mutants/src/systems/homes.rs
+++ b/crates/mutants/src/systems/homes.rs
@@ -19,12 +19,12 @@
 use shorepath_quota::config::{self as budgets, Plan as Budgets};
 use shorepath_quota::messages::Message as Grants;
 use shorepath_quota::{ClockSkew, NodeId, NodeIncarnation};
-use shorepath_sites::catch_up::{self, Proving};
-use shorepath_sites::config::{read, Plan};
+use shorepath_sites::catch_up::{self, CatchUp};
+use shorepath_sites::config::{read, SitesConfig};
 use shorepath_sites::health::{Message as Sees, SiteHealth};
-use shorepath_sites::key_ownership::{Fence, Gone, Kept, KeyOwnership, Proof};
+use shorepath_sites::key_ownership::{AbsentMembers, Fence, KeyOwnership, PersistedOwnership, Proof};
 use shorepath_sites::peer_selection::selected_peers;
-use shorepath_sites::Seen;
+use shorepath_sites::SiteState;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::OnceLock;
 
@@ -54,8 +54,8 @@
     pub const TOLD_TWICE: u8 = 2;
 }
 
-fn plan() -> &'static Plan {
-    static PLAN: OnceLock<Plan> = OnceLock::new();
+fn plan() -> &'static SitesConfig {
+    static PLAN: OnceLock<SitesConfig> = OnceLock::new();
     PLAN.get_or_init(|| {
         let mut text = String::from(
             "(sites (fleet \"f\") (key \"k\") (confirm 300 ms) (alone 600 ms) (hold 600 ms) (home valve)",
@@ -137,7 +137,7 @@
     skew: ClockSkew,
     seat: QuotaClient,
     homes: KeyOwnership,
-    proving: Proving,
+    proving: CatchUp,
     seeing: SiteHealth,
     wanted: BTreeSet<String>,
     gone: BTreeMap<u32, Micros>,
@@ -146,7 +146,7 @@
     exchanges: Vec<(Actor, Exchange)>,
     writer: Writer,
     head: Point,
-    kept: Kept,
+    kept: PersistedOwnership,
     next: Micros,
     ticks: u64,
     /// Placed on the disk in this tick: the key, its number and its fence.
@@ -177,7 +177,7 @@
         self.seat = QuotaClient::new(named, divided().clone(), 0, at);
         self.seat.own(true, at);
         self.homes = KeyOwnership::new(number(me), plan(), &self.kept);
-        self.proving = Proving::default();
+        self.proving = CatchUp::default();
         let seeing = SiteHealth::new(number(me), plan(), seed ^ (me as u64) << 16 ^ life << 32, at);
         // Where the file doesn't name it, nobody settles.
         self.seeing = seeing.unwrap_or_else(|e| unreachable!("{e}"));
@@ -210,8 +210,8 @@
                 }
             }
             match lease {
-                Some((grant, asked)) => drop(self.homes.granted(name, &grant, asked, term, now)),
-                None => self.homes.ended(name),
+                Some((grant, asked)) => drop(self.homes.apply_grant(name, &grant, asked, term, now)),
+                None => self.homes.lease_ended(name),
             }
         }
     }
@@ -247,25 +247,25 @@
 
     /// Claim ranges and prove what was placed in them, as the node's shell does it.
     fn claim(&mut self, now: Micros) {
-        if self.seeing.all_go_by() {
-            self.homes.settled();
+        if self.seeing.all_nodes_use_config() {
+            self.homes.mark_settled();
         }
         let sites = self.seeing.states().into_iter().map(|(site, seen, since)| (site, (seen, since)));
-        let gone = Gone { sites: sites.collect(), nodes: self.gone.clone() };
+        let gone = AbsentMembers { sites: sites.collect(), nodes: self.gone.clone() };
         let claims: BTreeSet<String> = self.homes.claims(plan(), &gone, now).into_iter().collect();
         let homes = &mut self.homes;
-        self.wanted.difference(&claims).for_each(|budget| homes.ended(budget));
+        self.wanted.difference(&claims).for_each(|budget| homes.lease_ended(budget));
         self.wanted = claims;
         let unproven = self.homes.unproven(now);
         let own = (number(self.me), (self.writer.log, self.head.0));
-        let (says, proved) = self.proving.pass(plan(), own, &unproven, &self.history, now);
-        proved.iter().for_each(|(home, fence)| self.homes.proved(home, *fence));
+        let (says, proved) = self.proving.tick(plan(), own, &unproven, &self.history, now);
+        proved.iter().for_each(|(home, fence)| self.homes.mark_proved(home, *fence));
         for (to, word) in says {
             if let Some(to) = place(to) {
                 self.say(to, &Wire::Home { word });
             }
         }
-        self.kept = self.homes.kept();
+        self.kept = self.homes.persisted();
     }
 
     fn write(&mut self, now: Micros, entry: Entry) -> u64 {
@@ -284,7 +284,7 @@
     /// What was placed is on the disk by now: send it, if that may be. What was sent ends some time later.
     fn send(&mut self, now: Micros) {
         for (key, of, fence) in std::mem::take(&mut self.placed) {
-            if !self.homes.still(&format!("k{key}"), fence, now) {
+            if !self.homes.is_still_held(&format!("k{key}"), fence, now) {
                 self.write(now, Entry::Ended { of, how: End::NeverRan });
                 continue;
             }
@@ -321,7 +321,7 @@
             taken: now,
             on_credit: false,
             list: 1,
-            fence: fence.message(),
+            fence: fence.as_u64(),
         };
         let of = self.write(now, Entry::Placed(placement));
         self.placed.push((key, of, fence));
@@ -332,21 +332,21 @@
             catch_up::Message::Ask { home, fence } => {
                 let (log, last) = (self.writer.log, self.head.0);
                 let (site, node) = (&self.writer.site, &self.writer.node);
-                if !catch_up::known(&self.history, site, node, (log, 0)) {
+                if !catch_up::has_complete_log(&self.history, site, node, (log, 0)) {
                     return Err("its disk is not whole".into());
                 }
                 self.say(from, &Wire::Home { word: catch_up::Message::Reply { home, fence, log, last } });
             }
             catch_up::Message::Reply { home, fence, log, last } => {
                 let twice = !self.came.insert((from, bytes.to_vec()));
-                self.proving.notified(number(from), &home, fence, log, last);
+                self.proving.record_reply(number(from), &home, fence, log, last);
                 if FAULT == fault::TOLD_TWICE && twice {
                     for (site, node) in plan().nodes().filter(|(_, n)| n.number != number(from)) {
                         let mine = |w: &&Writer| w.site == site.name && w.node == node.name;
                         let log = self.history.writers().find(mine).cloned();
                         let last = log.iter().flat_map(|w| self.history.heads(w)).map(|p| p.0).max();
                         let log = log.map_or(0, |w| w.log);
-                        self.proving.notified(node.number, &home, fence, log, last.unwrap_or(0));
+                        self.proving.record_reply(node.number, &home, fence, log, last.unwrap_or(0));
                     }
                 }
             }
@@ -461,13 +461,13 @@
                 }
                 if now >= node.next {
                     (node.next, node.ticks) = (now + TICK, node.ticks + 1);
-                    node.seeing.pass(at);
+                    node.seeing.tick(at);
                     for (site, seen, since) in node.seeing.states() {
-                        if seen == Seen::Returning && at - since >= 200 * MS {
-                            node.seeing.whole(&site, at);
+                        if seen == SiteState::Returning && at - since >= 200 * MS {
+                            node.seeing.mark_recovered(&site, at);
                         }
                     }
-                    node.seeing.changes();
+                    node.seeing.take_changes();
                     node.count();
                     node.seat.pass(at);
                     node.leased(at);
@@ -570,8 +570,8 @@
             me: actor,
             skew,
             seat: QuotaClient::new(me, divided().clone(), 0, 0),
-            homes: KeyOwnership::new(number(actor), plan(), &Kept::default()),
-            proving: Proving::default(),
+            homes: KeyOwnership::new(number(actor), plan(), &PersistedOwnership::default()),
+            proving: CatchUp::default(),
             seeing: SiteHealth::new(number(actor), plan(), 0, 0).unwrap_or_else(|e| unreachable!("{e}")),
             wanted: BTreeSet::new(),
             gone: BTreeMap::new(),
@@ -580,7 +580,7 @@
             exchanges: Vec::new(),
             head: origin(&writer),
             writer,
-            kept: Kept::default(),
+            kept: PersistedOwnership::default(),
             next: now,
             ticks: 0,
             placed: Vec::new(),
--- a/crates/mutants/src/systems/lending.rs
+++ b/crates/mutants/src/systems/lending.rs
@@ -8,11 +8,11 @@
 use crate::troupe::{word, Deed, Part, Script};
 use crate::Micros;
 use shorepath_recovery::slow_start::Pace;
-use shorepath_sites::config::{read, Plan};
+use shorepath_sites::config::{read, SitesConfig};
 use shorepath_sites::health::{Message, SiteHealth};
-use shorepath_sites::load_allocation::{plan as shared, SiteLoad};
+use shorepath_sites::load_allocation::{allocate as shared, SiteLoad};
 use shorepath_sites::load_shifting::{Class, LoadShifting};
-use shorepath_sites::Seen;
+use shorepath_sites::SiteState;
 use std::collections::BTreeSet;
 use std::sync::OnceLock;
 
@@ -32,8 +32,8 @@
 const TURNS: u32 = 4;
 const TURN: u64 = 4;
 
-fn plan() -> &'static Plan {
-    static PLAN: OnceLock<Plan> = OnceLock::new();
+fn plan() -> &'static SitesConfig {
+    static PLAN: OnceLock<SitesConfig> = OnceLock::new();
     PLAN.get_or_init(|| {
         let mut text =
             String::from("(sites (fleet \"f\") (key \"k\") (confirm 400 ms) (alone 1 s) (hold 1 s)");
@@ -70,8 +70,8 @@
             let rate = |(class, _, _, each): &(&str, u64, u64, u64)| {
                 (class.to_string(), each * 2 * (S / TICK) as u64)
             };
-            let seen = if name == "s2" { Seen::Lost } else { Seen::Linked };
-            SiteLoad { seen, bears: BEARS, demand: CLASSES.iter().map(rate).collect(), part: 100 }
+            let state = if name == "s2" { SiteState::Lost } else { SiteState::Linked };
+            SiteLoad { state, capacity: BEARS, demand: CLASSES.iter().map(rate).collect(), load_percent: 100 }
         };
         let now = plan().sites.iter().map(|s| (s.name.clone(), demand(&s.name))).collect();
         let worth = CLASSES.iter().map(|(name, worth, ..)| (name.to_string(), *worth)).collect();
@@ -139,18 +139,18 @@
         let from = number(from);
         let heard = self.seeing.receive(from, &word, now);
         heard.map_err(|e| e.to_string().chars().filter(|c| !c.is_ascii_digit()).collect::<String>())?;
-        self.lending.received(&self.seeing, from, &word, now);
+        self.lending.receive(&self.seeing, from, &word, now);
         Ok(())
     }
 
     fn pass(&mut self, now: Micros) {
         self.next = now + TICK;
         for (k, (.., each)) in CLASSES.iter().enumerate() {
-            (0..*each).for_each(|_| self.lending.asked(k));
+            (0..*each).for_each(|_| self.lending.record_request(k));
         }
-        self.seeing.pass(now);
-        self.lending.pass(&mut self.seeing, &classes(), (20, 0), true, now);
-        self.seeing.changes();
+        self.seeing.tick(now);
+        self.lending.tick(&mut self.seeing, &classes(), (20, 0), true, now);
+        self.seeing.take_changes();
         self.look(now);
     }
 
--- a/crates/mutants/src/systems/seeing.rs
+++ b/crates/mutants/src/systems/seeing.rs
@@ -7,9 +7,9 @@
 use crate::core::{Actor, Broken};
 use crate::troupe::{word, Deed, Part, Script};
 use crate::Micros;
-use shorepath_sites::config::{read, Plan};
+use shorepath_sites::config::{read, SitesConfig};
 use shorepath_sites::health::{Message, SiteHealth};
-use shorepath_sites::Seen;
+use shorepath_sites::SiteState;
 use std::collections::BTreeMap;
 use std::sync::OnceLock;
 
@@ -22,8 +22,8 @@
 /// After a site's return, or the end of a cut, it is as before.
 const CALM: Micros = 4 * S;
 
-fn plan() -> &'static Plan {
-    static PLAN: OnceLock<Plan> = OnceLock::new();
+fn plan() -> &'static SitesConfig {
+    static PLAN: OnceLock<SitesConfig> = OnceLock::new();
     PLAN.get_or_init(|| {
         let mut text =
             String::from("(sites (fleet \"f\") (key \"k\") (confirm 400 ms) (alone 1 s) (hold 1 s)");
@@ -79,7 +79,7 @@
 
     fn look(&mut self, now: Micros) {
         let (gone, cut) = times(self.seed);
-        for change in self.seeing.changes() {
+        for change in self.seeing.take_changes() {
             let count = self.changes.entry(change.site.clone()).or_default();
             *count += 1;
             let story = format!("{} at {now}: {change:?}, change {count}", self.me);
@@ -90,9 +90,9 @@
                 (site == 2 && during(gone)) || (site.min(mine), site.max(mine)) == (0, 1) && during(cut);
             let rule = match change.to {
                 _ if *count > CHANGES => "few changes",
-                Seen::Linked | Seen::Doubtful => continue,
-                Seen::Lost if site != 2 => "who answers is never lost",
-                Seen::Returning if site == 2 && now >= gone[0] && now < gone[1] => {
+                SiteState::Linked | SiteState::Doubtful => continue,
+                SiteState::Lost if site != 2 => "who answers is never lost",
+                SiteState::Returning if site == 2 && now >= gone[0] && now < gone[1] => {
                     "who is gone does not return"
                 }
                 _ if !hurt => "doubtful at most",
@@ -113,11 +113,11 @@
 
     fn pass(&mut self, now: Micros) {
         self.next = now + TICK;
-        self.seeing.pass(now);
+        self.seeing.tick(now);
         // The load of one that returns comes back in steps, which take a while.
         for (site, seen, since) in self.seeing.states() {
-            if seen == Seen::Returning && now - since >= 300 * MS {
-                self.seeing.whole(&site, now);
+            if seen == SiteState::Returning && now - since >= 300 * MS {
+                self.seeing.mark_recovered(&site, now);
             }
         }
         self.look(now);
@@ -192,7 +192,7 @@
 
     fn settled(parts: &[Option<Self::Part>], _: Micros) -> Result<(), Broken> {
         for node in parts.iter().flatten() {
-            let odd = node.seeing.states().into_iter().find(|(_, seen, _)| *seen != Seen::Linked);
+            let odd = node.seeing.states().into_iter().find(|(_, seen, _)| *seen != SiteState::Linked);
             if let Some(odd) = odd {
                 return Err(Broken::new("all are linked again", format!("{} sees {odd:?}", node.me)));
             }
--- a/crates/sites/src/catch_up.rs
+++ b/crates/sites/src/catch_up.rs
@@ -8,7 +8,7 @@
 //! not told nobody can name. It proves nothing, and says nothing where it knows so itself by what its partners kept of it. **What nobody can see** is a disk that was lost before anything on it was told: its
 //! node looks new. So a node whose disk is lost comes back under another name.
 
-use crate::config::Plan;
+use crate::config::SitesConfig;
 use crate::key_ownership::Fence;
 use crate::Micros;
 use serde::{Deserialize, Serialize};
@@ -60,12 +60,12 @@
 
 /// All ranges of one node that are to be proved.
 #[derive(Clone, Debug, Default)]
-pub struct Proving {
+pub struct CatchUp {
     pending: BTreeMap<String, Pending>,
 }
 
 /// Whether the history holds a node's log that far, and no other log of it. A log is its number and its last entry's.
-pub fn known(history: &History, site: &str, node: &str, notified: (u64, u64)) -> bool {
+pub fn has_complete_log(history: &History, site: &str, node: &str, notified: (u64, u64)) -> bool {
     let mut logs = history.writers().filter(|w| w.site == site && w.node == node);
     match (logs.next(), logs.next()) {
         (None, _) => notified.1 == 0,
@@ -77,12 +77,12 @@
     }
 }
 
-impl Proving {
+impl CatchUp {
     /// Time has passed: what is to be asked of whom, and which ranges are proved now. `unproven` is what
     /// [`crate::key_ownership::KeyOwnership::unproven`] gives; of this node its number and its log.
-    pub fn pass(
+    pub fn tick(
         &mut self,
-        plan: &Plan,
+        plan: &SitesConfig,
         (me, own): (u32, (u64, u64)),
         unproven: &[(String, Fence, Fence)],
         history: &History,
@@ -96,7 +96,7 @@
             let clear = |(site, node): (&crate::config::Site, &crate::config::Node)| {
                 let notified = pending.notified.get(&node.number).copied();
                 let notified = notified.or_else(|| (node.number == me).then_some(own));
-                notified.is_some_and(|notified| known(history, &site.name, &node.name, notified))
+                notified.is_some_and(|notified| has_complete_log(history, &site.name, &node.name, notified))
             };
             if plan.nodes().all(clear) {
                 proved.push((home.clone(), *held));
@@ -115,13 +115,13 @@
     }
 
     /// Whether a range may be proved soon: asking for it again helps then.
-    pub fn asks(&self, home: &str, now: Micros) -> bool {
+    pub fn awaits_replies(&self, home: &str, now: Micros) -> bool {
         let begun = self.pending.get(home).map(|p| p.begun);
         begun.is_none_or(|at| at.is_none_or(|at| now - at < ANSWERS))
     }
 
     /// A node has answered.
-    pub fn notified(&mut self, from: u32, home: &str, fence: Fence, log: u64, last: u64) {
+    pub fn record_reply(&mut self, from: u32, home: &str, fence: Fence, log: u64, last: u64) {
         if let Some(pending) = self.pending.get_mut(home).filter(|p| p.fence == fence) {
             pending.notified.insert(from, (log, last));
         }
@@ -163,20 +163,20 @@
         let text = "(sites (version 1) (fleet f) (key k) (site a (node n0 \"127.0.0.1:1\") (bears 1))
                      (site b (node n1 \"127.0.0.1:2\") (bears 1)))";
         let plan = crate::config::read("t", text).unwrap();
-        let (mut history, mut proving) = (History::new(), Proving::default());
+        let (mut history, mut proving) = (History::new(), CatchUp::default());
         let [me, other] = [0, 1].map(|k| plan.nodes().nth(k).unwrap().1.number);
         let unproven = [("a/n0".to_string(), FENCE, Fence { number: 4, ..FENCE })];
-        let pass = |p: &mut Proving, h: &History, now| p.pass(&plan, (me, (1, 0)), &unproven, h, now);
+        let pass = |p: &mut CatchUp, h: &History, now| p.tick(&plan, (me, (1, 0)), &unproven, h, now);
         let ask = Message::Ask { home: "a/n0".into(), fence: FENCE };
         assert_eq!(pass(&mut proving, &history, 0), (vec![(other, ask.clone())], vec![]));
         assert_eq!(pass(&mut proving, &history, 1), (vec![], vec![]), "asked again at once");
-        proving.notified(other, "a/n0", Fence { number: 2, ..FENCE }, 5, 0);
+        proving.record_reply(other, "a/n0", Fence { number: 2, ..FENCE }, 5, 0);
         assert_eq!(
             pass(&mut proving, &history, AGAIN),
             (vec![(other, ask)], vec![]),
             "told of another holding"
         );
-        proving.notified(other, "a/n0", FENCE, 5, 1);
+        proving.record_reply(other, "a/n0", FENCE, 5, 1);
         assert_eq!(pass(&mut proving, &history, 3 * AGAIN), (vec![], vec![]), "its log is not here yet");
         take(&mut history, 5);
         let proved = vec![("a/n0".to_string(), Fence { number: 4, ..FENCE })];
--- a/crates/sites/src/config.rs
+++ b/crates/sites/src/config.rs
@@ -22,8 +22,8 @@
 //! what the site has placed and could not tell may yet be asked for anew elsewhere, and is answered there as 'may have run'. The file
 //! travels under the fleet's code, so the line can't be forged.
 
-use crate::recovery_config::{self, Recover};
-use crate::{Micros, Seen};
+use crate::recovery_config::{self, RecoveryConfig};
+use crate::{Micros, SiteState};
 use serde::{Deserialize, Serialize};
 use shorepath_quota::NodeId;
 use shorepath_sexp::{Form, ParseErrors};
@@ -36,7 +36,7 @@
 
 const DAY: Micros = 86_400_000_000;
 /// Sites at most: a word between nodes names all of them and fits into a datagram.
-pub const SITES: usize = 20;
+pub const MAX_SITES: usize = 20;
 
 /// One node, and where datagrams reach it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -63,7 +63,8 @@
     /// Servers of those zones are its own.
     pub zones: Vec<String>,
     /// What its servers bear when they are warm, in units of work a second.
-    pub bears: u64,
+    #[serde(rename = "bears")]
+    pub capacity: u64,
 }
 
 /// What may be begun for a tenant whose standing can't be confirmed, over all sites together.
@@ -81,7 +82,7 @@
 
 /// An operator's word that a site is lost.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Declared {
+pub struct DeclaredLoss {
     /// The site's name.
     pub site: String,
     /// Which loss of it; grows with each that is declared.
@@ -103,7 +104,7 @@
 
 /// The whole file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Plan {
+pub struct SitesConfig {
     /// Which file this is; grows with each that is put into service, see [`crate::config_history`].
     pub version: u64,
     /// The fleet's name.
@@ -128,27 +129,30 @@
     /// Credits, each tenant once.
     pub credits: Vec<Credit>,
     /// What a site lends guests of a class, in hundredths of what it bears; by site, then class.
-    pub lends: BTreeMap<String, BTreeMap<String, u8>>,
+    #[serde(rename = "lends")]
+    pub guest_percent: BTreeMap<String, BTreeMap<String, u8>>,
     /// What a class gets at least of the guest part of its site, in hundredths.
-    pub least: BTreeMap<String, u8>,
+    #[serde(rename = "least")]
+    pub min_guest_percent: BTreeMap<String, u8>,
     /// Classes whose keys have one home.
-    pub home: BTreeSet<String>,
+    #[serde(rename = "home")]
+    pub guarded_classes: BTreeSet<String>,
     /// Sites that an operator declares lost.
-    pub lost: Vec<Declared>,
+    pub lost: Vec<DeclaredLoss>,
     /// How nodes come back from a loss of power, where that is switched on.
-    pub recover: Option<Recover>,
+    pub recover: Option<RecoveryConfig>,
     /// Which decision was taken under which version is written down.
     pub audit: Option<Audit>,
 }
 
-impl Plan {
+impl SitesConfig {
     /// The site of that name.
     pub fn site(&self, name: &str) -> Option<&Site> {
         self.sites.iter().find(|s| s.name == name)
     }
 
     /// The place of a site in the file's order, by its number in words.
-    pub fn place_of(&self, number: u32) -> Option<usize> {
+    pub fn site_index(&self, number: u32) -> Option<usize> {
         self.sites.iter().position(|s| s.number == number)
     }
 
@@ -173,7 +177,7 @@
     }
 
     /// The place of a node among all of them in the file's order, from 0.
-    pub fn index_of(&self, node: u32) -> Option<usize> {
+    pub fn node_index(&self, node: u32) -> Option<usize> {
         self.nodes().position(|(_, n)| n.number == node)
     }
 
@@ -191,7 +195,7 @@
 
     /// One node's part of a tenant's credit. The parts of all nodes add up to the whole exactly.
     pub fn credit_part(&self, tenant: &str, node: u32) -> Option<Credit> {
-        let (place, count) = (self.index_of(node)? as u64, self.nodes().count() as u64);
+        let (place, count) = (self.node_index(node)? as u64, self.nodes().count() as u64);
         let credit = self.credits.iter().find(|c| c.tenant == tenant)?;
         let part = |whole: u64| whole / count + u64::from(place < whole % count);
         Some(Credit { jobs: part(credit.jobs), reserve: part(credit.reserve), ..credit.clone() })
@@ -210,18 +214,29 @@
     /// What stands for all that nodes have to agree on; where its key and accounts lie, and by which address another is reached, may be each
     /// node's own. The same in all programs: what is added to files later counts only where it is given. Never 0.
     pub fn digest(&self) -> u32 {
-        let Plan { version, fleet, confirm, alone, hold, seal, home, least, lends, .. } = self;
+        let SitesConfig {
+            version,
+            fleet,
+            confirm,
+            alone,
+            hold,
+            seal,
+            guarded_classes,
+            min_guest_percent,
+            guest_percent,
+            ..
+        } = self;
         let mut text =
-            format!("{version} {fleet:?} {confirm} {alone} {hold} {seal} {home:?} {least:?} {lends:?}");
+            format!("{version} {fleet:?} {confirm} {alone} {hold} {seal} {guarded_classes:?} {min_guest_percent:?} {guest_percent:?}");
         for site in &self.sites {
             let names: Vec<&str> = site.nodes.iter().map(|n| n.name.as_str()).collect();
-            let Site { name, bears, prefixes, zones, .. } = site;
-            text += &format!(" {name:?} {names:?} {bears} {prefixes:?} {zones:?}");
+            let Site { name, capacity, prefixes, zones, .. } = site;
+            text += &format!(" {name:?} {names:?} {capacity} {prefixes:?} {zones:?}");
         }
         for Credit { tenant, jobs, reserve, shrink } in &self.credits {
             text += &format!(" {tenant:?} {jobs} {reserve} {shrink}");
         }
-        for Declared { site, number } in &self.lost {
+        for DeclaredLoss { site, number } in &self.lost {
             text += &format!(" {site:?} {number}");
         }
         let mut hasher = SipHasher13::new();
@@ -230,8 +245,8 @@
     }
 
     /// What the file alone says of a site.
-    pub fn sent(&self, site: &str) -> Option<Seen> {
-        self.declared_lost(site).map(|_| Seen::Lost)
+    pub fn declared_state(&self, site: &str) -> Option<SiteState> {
+        self.declared_lost(site).map(|_| SiteState::Lost)
     }
 }
 
@@ -239,7 +254,7 @@
 ///
 /// # Errors
 /// All faults of the text, with their places.
-pub fn read(file: &str, text: &str) -> Result<Plan, ParseErrors> {
+pub fn read(file: &str, text: &str) -> Result<SitesConfig, ParseErrors> {
     shorepath_sexp::read(file, text, "sites", plan)
 }
 
@@ -317,9 +332,9 @@
     }
     taken.prefixes.extend(prefixes.iter().map(|p| (p.clone(), name.clone())));
     let text = format!("the site {name} needs (bears UNITS): what its servers do in a second");
-    let bears = needed(form, "bears", 1..=1_000_000_000, text);
+    let capacity = needed(form, "bears", 1..=1_000_000_000, text);
     form.finish();
-    Site { number: NodeId::of(&name).0, name, nodes, prefixes, zones, bears }
+    Site { number: NodeId::of(&name).0, name, nodes, prefixes, zones, capacity }
 }
 
 /// Whether the file has a site of that name; else a complaint.
@@ -332,7 +347,7 @@
     there
 }
 
-fn lend(form: &Form, plan: &mut Plan) {
+fn lend(form: &Form, plan: &mut SitesConfig) {
     let name = form.word("a site's name");
     let mut parts = BTreeMap::new();
     for class in form.many("class") {
@@ -351,7 +366,7 @@
     if parts.is_empty() {
         form.complain("(lend SITE ...) needs a (class NAME (part HUNDREDTHS))");
     }
-    if known(form, &plan.sites, &name) && plan.lends.insert(name.clone(), parts).is_some() {
+    if known(form, &plan.sites, &name) && plan.guest_percent.insert(name.clone(), parts).is_some() {
         form.complain(format!("what {name} lends is given twice"));
     }
 }
@@ -375,7 +390,7 @@
         n if n < least => {
             f.complain("a file of sites needs two (site NAME ...) at least, or (recover ...) with one")
         }
-        n if n > SITES => f.complain(format!("{n} sites; {SITES} at most")),
+        n if n > MAX_SITES => f.complain(format!("{n} sites; {MAX_SITES} at most")),
         _ => {}
     }
     all
@@ -395,11 +410,11 @@
     credit
 }
 
-fn plan(f: &Form) -> Plan {
-    let recover = f.given("recover", |f| Some(recovery_config::clause(f)));
+fn plan(f: &Form) -> SitesConfig {
+    let recover = f.given("recover", |f| Some(recovery_config::parse(f)));
     let least = if recover.is_some() { 1 } else { 2 };
     let path = |name: &'static str| f.given(name, |f| Some(f.word("a path in quotes")));
-    let mut plan = Plan {
+    let mut plan = SitesConfig {
         version: f.count("version", 1, 1..=1_000_000_000),
         fleet: f.given("fleet", |f| Some(f.word("a name in quotes"))).unwrap_or_default(),
         key: path("key").unwrap_or_default(),
@@ -411,7 +426,7 @@
         group: f.time("group", 50_000, 1_000..=1_000_000),
         sites: sites(f, least),
         recover,
-        ..Plan::default()
+        ..SitesConfig::default()
     };
     if plan.fleet.is_empty() {
         f.complain("a file of sites needs a (fleet \"NAME\"): words of another fleet are dropped");
@@ -439,18 +454,19 @@
         let class = form.word("a class");
         let part = form.numbers(1, 1, 1.0..=100.0).first().map_or(0, |n| *n as u8);
         form.finish();
-        if !plan.lends.values().any(|l| l.contains_key(&class)) {
+        if !plan.guest_percent.values().any(|l| l.contains_key(&class)) {
             form.complain(format!("no site lends anything to the class {class}"));
         }
-        if plan.least.insert(class.clone(), part).is_some() {
+        if plan.min_guest_percent.insert(class.clone(), part).is_some() {
             form.complain(format!("the least part of {class} is given twice"));
         }
     }
-    let least: u32 = plan.least.values().map(|p| u32::from(*p)).sum();
+    let least: u32 = plan.min_guest_percent.values().map(|p| u32::from(*p)).sum();
     if least > 100 {
         f.complain(format!("the least parts of classes are {least} hundredths in all; 100 at most"));
     }
-    plan.home = f.given("home", |f| Some(f.words("a class"))).unwrap_or_default().into_iter().collect();
+    plan.guarded_classes =
+        f.given("home", |f| Some(f.words("a class"))).unwrap_or_default().into_iter().collect();
     plan.audit = f.given("audit", |f| {
         let audit = Audit {
             bytes: f.count("bytes", 16 << 20, 64 << 10..=1 << 30),
@@ -468,7 +484,7 @@
         if known(&form, &plan.sites, &site) && plan.declared_lost(&site).is_some() {
             form.complain(format!("{site} is declared lost twice"));
         }
-        plan.lost.push(Declared { site, number });
+        plan.lost.push(DeclaredLoss { site, number });
         let left = plan.sites.iter().filter(|s| plan.declared_lost(&s.name).is_none()).count();
         if left == 0 {
             form.complain("all sites are declared lost: one at least has to be left");
--- a/crates/sites/src/config_history.rs
+++ b/crates/sites/src/config_history.rs
@@ -1,7 +1,7 @@
 //! Which files of sites a node has gone by, as its disk remembers: one that is older than the newest of them never holds again, nor does an
 //! older word that a site is lost.
 
-use crate::config::Plan;
+use crate::config::SitesConfig;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 
 /// All that has to be known of earlier files to tell whether one may hold.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Used {
+pub struct ConfigHistory {
     version: u64,
     digest: u32,
     lost: BTreeMap<String, Loss>,
@@ -55,7 +55,7 @@
     },
 }
 
-impl Used {
+impl ConfigHistory {
     /// The version of the newest file; 0 for none.
     pub fn version(&self) -> u64 {
         self.version
@@ -65,8 +65,8 @@
     ///
     /// # Errors
     /// Why not.
-    pub fn judge(&self, plan: &Plan) -> Result<(), OldFileError> {
-        let Plan { version, .. } = *plan;
+    pub fn check(&self, plan: &SitesConfig) -> Result<(), OldFileError> {
+        let SitesConfig { version, .. } = *plan;
         if version < self.version {
             return Err(OldFileError::Older { version, used: self.version });
         }
@@ -84,7 +84,7 @@
     }
 
     /// That file, which may hold, does.
-    pub fn holds(&mut self, plan: &Plan) {
+    pub fn record(&mut self, plan: &SitesConfig) {
         (self.version, self.digest) = (plan.version, plan.digest());
         self.lost.values_mut().for_each(|loss| loss.holds = false);
         for declared in &plan.lost {
@@ -98,7 +98,7 @@
     use super::*;
     use rstest::rstest;
 
-    fn plan(version: u64, more: &str) -> Plan {
+    fn plan(version: u64, more: &str) -> SitesConfig {
         let text = format!(
             "(sites (version {version}) (fleet f) (key k) (site a (node n0 \"127.0.0.1:1\") (bears 1))
              (site b (node n1 \"127.0.0.1:2\") (bears 1)) {more})"
@@ -121,15 +121,15 @@
         #[case] more: &str,
         #[case] may: Result<(), OldFileError>,
     ) {
-        let mut used = Used::default();
+        let mut used = ConfigHistory::default();
         for (version, more) in [(3, "(lost b (number 6))"), (4, "(lost b (number 7))"), (5, "")] {
             let plan = plan(version, more);
-            assert_eq!(used.judge(&plan), Ok(()));
-            used.holds(&plan);
+            assert_eq!(used.check(&plan), Ok(()));
+            used.record(&plan);
             // The same file again, a loss that holds among it, is no older one.
-            assert_eq!(used.judge(&plan), Ok(()));
+            assert_eq!(used.check(&plan), Ok(()));
         }
-        assert_eq!(used.judge(&plan(version, more)), may);
+        assert_eq!(used.check(&plan(version, more)), may);
     }
 
     /// Where its key and its accounts lie is each node's own.
--- a/crates/sites/src/health.rs
+++ b/crates/sites/src/health.rs
@@ -11,8 +11,8 @@
 //!
 //! What is seen is a hint, never a permission: a lost site's keys are its own until their leases have ended.
 
-use crate::config::Plan;
-use crate::{Micros, Seen};
+use crate::config::SitesConfig;
+use crate::{Micros, SiteState};
 use oorandom::Rand32;
 use serde::{Deserialize, Serialize};
 use shorepath_quota::NodeId;
@@ -36,7 +36,7 @@
 const AHEAD: u64 = 1 << 32;
 const MOST: u64 = 1 << 53;
 /// Classes whose demand is told at most.
-pub const CLASSES: usize = 6;
+pub const MAX_CLASSES: usize = 6;
 /// Long ago.
 const NEVER: Micros = Micros::MIN / 4;
 
@@ -47,28 +47,28 @@
     /// The site, by the number of its name.
     pub site: u32,
     /// Its newest sign of life that the speaker knows of, by anybody; 0 for none.
-    pub sign: u64,
+    pub heartbeat: u64,
     /// How old that is.
-    pub sign_age: u32,
+    pub heartbeat_age: u32,
     /// The newest that the speaker's site heard from it directly; 0 for none.
     pub direct: u64,
     /// How old that is.
     pub direct_age: u32,
     /// How long ago that site had heard the speaker's directly, by its own word.
-    pub back_age: u32,
+    pub echo_age: u32,
 }
 
 impl From<(u32, u64, u32, u64, u32, u32)> for SiteReport {
     fn from(
-        (site, sign, sign_age, direct, direct_age, back_age): (u32, u64, u32, u64, u32, u32),
+        (site, heartbeat, heartbeat_age, direct, direct_age, echo_age): (u32, u64, u32, u64, u32, u32),
     ) -> SiteReport {
-        SiteReport { site, sign, sign_age, direct, direct_age, back_age }
+        SiteReport { site, heartbeat, heartbeat_age, direct, direct_age, echo_age }
     }
 }
 
 impl From<SiteReport> for (u32, u64, u32, u64, u32, u32) {
     fn from(t: SiteReport) -> Self {
-        (t.site, t.sign, t.sign_age, t.direct, t.direct_age, t.back_age)
+        (t.site, t.heartbeat, t.heartbeat_age, t.direct, t.direct_age, t.echo_age)
     }
 }
 
@@ -77,22 +77,22 @@
 #[serde(from = "(u8, u64, Vec<(u32, u64)>)", into = "(u8, u64, Vec<(u32, u64)>)")]
 pub struct Load {
     /// The part of its usual load that the site takes, in hundredths; less than all of it while it returns.
-    pub part: u8,
+    pub load_percent: u8,
     /// What the site's servers bear now, as the speaker sees it, in units a second.
-    pub bears: u64,
-    /// What clients ask the speaker for, in units a second, by the number of the class's name ([`class_number`]); [`CLASSES`] at most.
+    pub capacity: u64,
+    /// What clients ask the speaker for, in units a second, by the number of the class's name ([`class_number`]); [`MAX_CLASSES`] at most.
     pub demand: Vec<(u32, u64)>,
 }
 
 impl From<(u8, u64, Vec<(u32, u64)>)> for Load {
-    fn from((part, bears, demand): (u8, u64, Vec<(u32, u64)>)) -> Load {
-        Load { part: part.min(100), bears, demand }
+    fn from((part, capacity, demand): (u8, u64, Vec<(u32, u64)>)) -> Load {
+        Load { load_percent: part.min(100), capacity, demand }
     }
 }
 
 impl From<Load> for (u8, u64, Vec<(u32, u64)>) {
     fn from(l: Load) -> Self {
-        (l.part, l.bears, l.demand)
+        (l.load_percent, l.capacity, l.demand)
     }
 }
 
@@ -108,7 +108,7 @@
     /// The version of the speaker's file.
     #[serde(rename = "v")]
     pub version: u64,
-    /// What stands for that file, [`Plan::digest`]; 0 where the speaker does not say.
+    /// What stands for that file, [`SitesConfig::digest`]; 0 where the speaker does not say.
     #[serde(rename = "d", default)]
     pub digest: u32,
     /// All other sites.
@@ -125,15 +125,15 @@
     /// The speaker is not in the file.
     #[error("no node of the file has the number {0}")]
     #[diagnostic(help("put one file of sites into service at all nodes; compare their versions"))]
-    Stranger(u32),
+    UnknownNode(u32),
     /// The speaker takes itself for a node of another site.
-    #[error("node {node} says that it is of a site numbered {outgoing_messages}, the file has it elsewhere")]
+    #[error("node {node} says that it is of a site numbered {site}, the file has it elsewhere")]
     #[diagnostic(help("put one file of sites into service at all nodes; compare their versions"))]
-    Elsewhere {
+    WrongSite {
         /// The speaker.
         node: u32,
         /// The site that it names.
-        outgoing_messages: u32,
+        site: u32,
     },
     /// It was said before this process last stood still, or was on the way for far too long.
     #[error("said long ago: this process stood still, or the word lay somewhere")]
@@ -147,7 +147,7 @@
 
 /// Why a site is seen otherwise than before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Why {
+pub enum StateChangeReason {
     /// Nothing was heard from it directly for so long, in microseconds.
     Quiet(Micros),
     /// It does not hear this site, for so long, in microseconds.
@@ -168,39 +168,41 @@
     Calm,
 }
 
-impl fmt::Display for Why {
+impl fmt::Display for StateChangeReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let s = |t: &Micros| *t as f64 / 1e6;
         match self {
-            Why::Quiet(t) => write!(f, "nothing heard from it for {:.1} s", s(t)),
-            Why::OneWay(t) => write!(f, "heard, but it has not heard this site for {:.1} s", s(t)),
-            Why::Slow(t) => write!(f, "words take {:.1} s there and back", s(t)),
-            Why::Cut => write!(f, "others hear it, this site can't reach it"),
-            Why::Silent(t) => write!(f, "nobody has heard of it for {:.1} s", s(t)),
-            Why::Declared(n) => write!(f, "declared lost by line {n} of the operator's file"),
-            Why::Back(t) => write!(f, "words have gone both ways for {:.1} s", s(t)),
-            Why::Taken => write!(f, "it has taken all of its load"),
-            Why::Calm => write!(f, "all is as before"),
+            StateChangeReason::Quiet(t) => write!(f, "nothing heard from it for {:.1} s", s(t)),
+            StateChangeReason::OneWay(t) => {
+                write!(f, "heard, but it has not heard this site for {:.1} s", s(t))
+            }
+            StateChangeReason::Slow(t) => write!(f, "words take {:.1} s there and back", s(t)),
+            StateChangeReason::Cut => write!(f, "others hear it, this site can't reach it"),
+            StateChangeReason::Silent(t) => write!(f, "nobody has heard of it for {:.1} s", s(t)),
+            StateChangeReason::Declared(n) => write!(f, "declared lost by line {n} of the operator's file"),
+            StateChangeReason::Back(t) => write!(f, "words have gone both ways for {:.1} s", s(t)),
+            StateChangeReason::Taken => write!(f, "it has taken all of its load"),
+            StateChangeReason::Calm => write!(f, "all is as before"),
         }
     }
 }
 
 /// A site is seen otherwise than before; one line in the log each.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Changed {
+pub struct StateChange {
     /// The site's name.
     pub site: String,
     /// What it was.
-    pub from: Seen,
+    pub from: SiteState,
     /// What it is.
-    pub to: Seen,
+    pub to: SiteState,
     /// Why.
-    pub why: Why,
+    pub reason: StateChangeReason,
 }
 
 /// Another node goes by another file; told once for each file.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Differs {
+pub struct ConfigMismatch {
     /// The node's name.
     pub node: String,
     /// The version of its file: greater than here, or the same.
@@ -213,7 +215,7 @@
 #[derive(Clone, Debug)]
 struct View {
     number: u32,
-    seen: Seen,
+    seen: SiteState,
     since: Micros,
     /// The newest sign of life, and from when it is.
     sign: (u64, Micros),
@@ -251,7 +253,7 @@
 #[derive(Clone, Debug)]
 pub struct SiteHealth {
     me: u32,
-    plan: Plan,
+    plan: SitesConfig,
     /// The place of one's own site in the file.
     own: usize,
     views: Vec<View>,
@@ -276,9 +278,9 @@
     versions: BTreeMap<u32, (u64, u32)>,
     /// Other files that were told of already.
     differed: BTreeSet<(u64, u32)>,
-    differs: Vec<Differs>,
+    differs: Vec<ConfigMismatch>,
     out: Vec<(u32, Message)>,
-    changed: Vec<Changed>,
+    changed: Vec<StateChange>,
 }
 
 /// The node is in no site of the file.
@@ -309,10 +311,10 @@
     ///
     /// # Errors
     /// Where the file does not name the node.
-    pub fn new(me: u32, plan: &Plan, seed: u64, now: Micros) -> Result<SiteHealth, NoSiteError> {
+    pub fn new(me: u32, plan: &SitesConfig, seed: u64, now: Micros) -> Result<SiteHealth, NoSiteError> {
         let mut site_health = SiteHealth {
             me,
-            plan: Plan::default(),
+            plan: SitesConfig::default(),
             own: 0,
             views: Vec::new(),
             luck: Rand32::new(seed),
@@ -333,7 +335,7 @@
             out: Vec::new(),
             changed: Vec::new(),
         };
-        site_health.replan(plan, now)?;
+        site_health.update_config(plan, now)?;
         Ok(site_health)
     }
 
@@ -341,7 +343,7 @@
     ///
     /// # Errors
     /// Where it does not name this node; nothing has changed then.
-    pub fn replan(&mut self, plan: &Plan, now: Micros) -> Result<(), NoSiteError> {
+    pub fn update_config(&mut self, plan: &SitesConfig, now: Micros) -> Result<(), NoSiteError> {
         let own = plan.sites.iter().position(|s| s.nodes.iter().any(|n| n.number == self.me));
         let own = own.ok_or(NoSiteError(self.me))?;
         let mut before = std::mem::take(&mut self.views);
@@ -350,7 +352,7 @@
             let turn = self.luck.rand_range(0..site.nodes.len().max(1) as u32) as usize;
             self.views.push(kept.unwrap_or(View {
                 number: site.number,
-                seen: Seen::Linked,
+                seen: SiteState::Linked,
                 since: now,
                 sign: (0, NEVER),
                 direct: (0, NEVER),
@@ -410,11 +412,11 @@
     /// Where it was passed over; nothing has changed then.
     pub fn receive(&mut self, from: u32, message: &Message, now: Micros) -> Result<(), ReceiveError> {
         self.wake(now);
-        let site = self.plan.site_of_node(from).ok_or(ReceiveError::Stranger(from))?;
+        let site = self.plan.site_of_node(from).ok_or(ReceiveError::UnknownNode(from))?;
         if site.number != message.site {
-            return Err(ReceiveError::Elsewhere { node: from, outgoing_messages: message.site });
+            return Err(ReceiveError::WrongSite { node: from, site: message.site });
         }
-        let place = self.plan.place_of(message.site).ok_or(ReceiveError::Stranger(from))?;
+        let place = self.plan.site_index(message.site).ok_or(ReceiveError::UnknownNode(from))?;
         let me = self.views.get(self.own).map_or(0, |v| v.number);
         let mate = place == self.own;
         let about_us = message.others.iter().find(|t| t.site == me).copied();
@@ -423,7 +425,7 @@
         for t in &message.others {
             let view = self.views.iter().find(|v| v.number == t.site);
             let known = if t.site == me { Some(self.number) } else { view.map(|v| v.sign.0) };
-            let greatest = t.sign.max(t.direct);
+            let greatest = t.heartbeat.max(t.direct);
             if known.is_some_and(|known| reach(known, greatest)) || greatest > MOST {
                 return Err(ReceiveError::OutOfReach(greatest));
             }
@@ -459,16 +461,16 @@
             self.count(message.number, now);
         }
         if let Some(t) = about_us {
-            self.count(t.sign.max(t.direct), now);
+            self.count(t.heartbeat.max(t.direct), now);
         }
         for t in message.others.iter().filter(|t| t.site != me) {
             let Some(view) = self.views.iter_mut().find(|v| v.number == t.site) else { continue };
-            if t.sign > view.sign.0 {
-                view.sign = (t.sign, view.sign.1.max(from_age(t.sign_age, now)));
+            if t.heartbeat > view.sign.0 {
+                view.sign = (t.heartbeat, view.sign.1.max(from_age(t.heartbeat_age, now)));
             }
             if mate && t.direct > view.direct.0 {
                 view.direct = (t.direct, view.direct.1.max(from_age(t.direct_age, now)));
-                view.back = from_age(t.back_age, now);
+                view.back = from_age(t.echo_age, now);
             }
         }
         if let Some(view) = self.views.get_mut(place).filter(|_| !mate) {
@@ -497,16 +499,16 @@
             return;
         }
         let node = self.plan.node(from).map_or(String::new(), |n| n.name.clone());
-        self.differs.push(Differs { node, version, own });
+        self.differs.push(ConfigMismatch { node, version, own });
     }
 
     /// Who goes by another file than this node, since this was last asked.
-    pub fn differs(&mut self) -> Vec<Differs> {
+    pub fn take_config_mismatches(&mut self) -> Vec<ConfigMismatch> {
         std::mem::take(&mut self.differs)
     }
 
     /// Time has passed: look at all sites anew, and speak where it is time to. Call it when [`SiteHealth::due`] says so, at the latest.
-    pub fn pass(&mut self, now: Micros) {
+    pub fn tick(&mut self, now: Micros) {
         self.wake(now);
         self.look(now);
         let sites = self.plan.sites.len();
@@ -561,7 +563,7 @@
 
     /// Whether another site that was there lately is not heard as usual, or says that it doesn't hear this one.
     fn is_quiet(&self, place: usize, now: Micros) -> bool {
-        let there = |v: &&View| place != self.own && !matches!(v.seen, Seen::Alone | Seen::Lost);
+        let there = |v: &&View| place != self.own && !matches!(v.seen, SiteState::Alone | SiteState::Lost);
         let view = self.views.get(place).filter(there);
         view.is_some_and(|v| self.quiet(v.received().min(v.back), now) >= self.plan.alone / QUIET)
     }
@@ -578,11 +580,11 @@
         let own = self.views.get(self.own).map_or(0, |v| v.number);
         let others = self.views.iter().filter(|v| v.number != own).map(|v| SiteReport {
             site: v.number,
-            sign: v.sign.0,
-            sign_age: age(v.sign.1, now),
+            heartbeat: v.sign.0,
+            heartbeat_age: age(v.sign.1, now),
             direct: v.direct.0,
             direct_age: age(v.direct.1, now),
-            back_age: age(v.back, now),
+            echo_age: age(v.back, now),
         });
         let (others, load) = (others.collect(), self.loads.get(&self.me).map(|(l, _)| l.clone()));
         let (number, version, digest) = (self.number, self.plan.version, self.digest);
@@ -592,7 +594,7 @@
 
     /// What this node says of its site's load from now on.
     pub fn report(&mut self, mut load: Load) {
-        load.demand.truncate(CLASSES);
+        load.demand.truncate(MAX_CLASSES);
         self.loads.insert(self.me, (load, self.last));
     }
 
@@ -611,8 +613,14 @@
         let whole =
             |sum: u128| u64::try_from(sum * nodes.len() as u128 / u128::from(count)).unwrap_or(u64::MAX);
         Some(Load {
-            part: sent.iter().filter(|(_, at)| *at >= late).map(|(l, _)| l.part).min().unwrap_or(100),
-            bears: (sent.iter().map(|(l, _)| u128::from(l.bears)).sum::<u128>() / u128::from(count)) as u64,
+            load_percent: sent
+                .iter()
+                .filter(|(_, at)| *at >= late)
+                .map(|(l, _)| l.load_percent)
+                .min()
+                .unwrap_or(100),
+            capacity: (sent.iter().map(|(l, _)| u128::from(l.capacity)).sum::<u128>() / u128::from(count))
+                as u64,
             demand: demand.into_iter().map(|(class, sum)| (class, whole(sum))).collect(),
         })
     }
@@ -630,15 +638,15 @@
     fn look(&mut self, now: Micros) {
         for place in (0..self.views.len()).filter(|p| *p != self.own) {
             let declared = self.plan.sites.get(place).and_then(|s| self.plan.declared_lost(&s.name));
-            let (to, why) = match self.views.get(place).and_then(|v| self.next(v, declared, now)) {
+            let (to, reason) = match self.views.get(place).and_then(|v| self.next(v, declared, now)) {
                 Some(next) => next,
                 None => continue,
             };
             let name = self.plan.sites.get(place).map_or(String::new(), |s| s.name.clone());
             if let Some(view) = self.views.get_mut(place) {
-                self.changed.push(Changed { site: name, from: view.seen, to, why });
+                self.changed.push(StateChange { site: name, from: view.seen, to, reason });
                 (view.seen, view.since) = (to, now);
-                view.returned = if to == Seen::Returning { now } else { view.returned };
+                view.returned = if to == SiteState::Returning { now } else { view.returned };
             }
         }
         for place in 0..self.views.len() {
@@ -649,7 +657,7 @@
                 view.lives = if lives { view.lives.or(Some(now)) } else { None };
             }
         }
-        let reached = |s: Seen| !matches!(s, Seen::Alone | Seen::Lost);
+        let reached = |s: SiteState| !matches!(s, SiteState::Alone | SiteState::Lost);
         let mut others = self.views.iter().enumerate().filter(|(p, _)| *p != self.own).peekable();
         let alone = others.peek().is_some() && others.all(|(_, v)| !reached(v.seen));
         self.alone_since = if alone { self.alone_since.or(Some(now)) } else { None };
@@ -661,101 +669,107 @@
     }
 
     /// What is wrong with the link to a site, if anything is.
-    fn link(&self, v: &View, now: Micros) -> Option<Why> {
+    fn link(&self, v: &View, now: Micros) -> Option<StateChangeReason> {
         let (direct, back) = (self.quiet(v.received(), now), self.quiet(v.back, now));
         if v.trip.0 >= self.suspect() && now - v.trip.1 < self.suspect() {
-            return Some(Why::Slow(v.trip.0));
+            return Some(StateChangeReason::Slow(v.trip.0));
         }
         if direct >= self.suspect() {
-            return Some(Why::Quiet(direct));
+            return Some(StateChangeReason::Quiet(direct));
         }
         // What the other side hears comes by two words, each of which may be lost: it may be older.
-        (back >= self.plan.alone * 3 / 4).then_some(Why::OneWay(back))
+        (back >= self.plan.alone * 3 / 4).then_some(StateChangeReason::OneWay(back))
     }
 
-    fn next(&self, v: &View, declared: Option<u64>, now: Micros) -> Option<(Seen, Why)> {
+    fn next(&self, v: &View, declared: Option<u64>, now: Micros) -> Option<(SiteState, StateChangeReason)> {
         if let Some(number) = declared {
-            return (v.seen != Seen::Lost).then_some((Seen::Lost, Why::Declared(number)));
+            return (v.seen != SiteState::Lost)
+                .then_some((SiteState::Lost, StateChangeReason::Declared(number)));
         }
         let alone = self.plan.alone;
         let sign = self.quiet(v.signed(), now);
         let received = now - v.trip.1 < self.suspect();
         let wrong = self.link(v, now);
-        let slow = received && matches!(wrong, Some(Why::Slow(_)));
+        let slow = received && matches!(wrong, Some(StateChangeReason::Slow(_)));
         let good = v.good.map_or(0, |at| now - at);
-        let worse = |to: Seen, why: Why| (v.seen != to).then_some((to, why));
+        let worse = |to: SiteState, why: StateChangeReason| (v.seen != to).then_some((to, why));
         // Words that come late are words: such a site lives, and hears.
         if !slow && sign >= alone {
-            return worse(Seen::Lost, Why::Silent(sign));
+            return worse(SiteState::Lost, StateChangeReason::Silent(sign));
         }
         // What the other side hears comes by two words, each of which may be lost: it may be older.
         let cut = self.quiet(v.received(), now) >= alone || self.quiet(v.back, now) >= alone * 5 / 4;
         // Somebody must have heard of it lately; else it is about to be taken for lost, and one change is enough. So it is for one
         // that was lost and is about to be reached.
         let lives = v.lives.map_or(0, |at| now - at);
-        if !slow && cut && sign < self.suspect() && (v.seen != Seen::Lost || lives >= self.plan.confirm) {
-            return worse(Seen::Alone, Why::Cut);
+        if !slow && cut && sign < self.suspect() && (v.seen != SiteState::Lost || lives >= self.plan.confirm)
+        {
+            return worse(SiteState::Alone, StateChangeReason::Cut);
         }
         match (v.seen, wrong) {
-            (Seen::Linked, Some(why)) => Some((Seen::Doubtful, why)),
-            (Seen::Doubtful, None) if good >= self.plan.confirm => Some((Seen::Linked, Why::Back(good))),
-            (Seen::Alone | Seen::Lost, None) => {
+            (SiteState::Linked, Some(why)) => Some((SiteState::Doubtful, why)),
+            (SiteState::Doubtful, None) if good >= self.plan.confirm => {
+                Some((SiteState::Linked, StateChangeReason::Back(good)))
+            }
+            (SiteState::Alone | SiteState::Lost, None) => {
                 // One that was lost again on its way back has to stay for longer.
                 let again = now - v.returned < 10 * self.plan.hold;
                 let calm = if again { self.plan.hold } else { self.plan.confirm };
-                (good >= calm).then_some((Seen::Returning, Why::Back(good)))
+                (good >= calm).then_some((SiteState::Returning, StateChangeReason::Back(good)))
+            }
+            (SiteState::WholeAgain, None) if now - v.since >= self.plan.hold => {
+                Some((SiteState::Linked, StateChangeReason::Calm))
             }
-            (Seen::WholeAgain, None) if now - v.since >= self.plan.hold => Some((Seen::Linked, Why::Calm)),
             _ => None,
         }
     }
 
     /// A returning site has taken all of its load ([`SiteHealth::load`] says which part it takes), and histories are one.
-    pub fn whole(&mut self, site: &str, now: Micros) {
+    pub fn mark_recovered(&mut self, site: &str, now: Micros) {
         let place = self.plan.sites.iter().position(|s| s.name == site);
         let Some(view) = place.and_then(|p| self.views.get_mut(p)) else { return };
-        if view.seen == Seen::Returning {
-            let from = std::mem::replace(&mut view.seen, Seen::WholeAgain);
+        if view.seen == SiteState::Returning {
+            let from = std::mem::replace(&mut view.seen, SiteState::WholeAgain);
             view.since = now;
-            self.changed.push(Changed {
+            self.changed.push(StateChange {
                 site: site.to_string(),
                 from,
-                to: Seen::WholeAgain,
-                why: Why::Taken,
+                to: SiteState::WholeAgain,
+                reason: StateChangeReason::Taken,
             });
         }
     }
 
     /// How a site is seen; one's own is linked. `None` for one that the file doesn't name.
-    pub fn state(&self, site: &str) -> Option<Seen> {
+    pub fn state(&self, site: &str) -> Option<SiteState> {
         let place = self.plan.sites.iter().position(|s| s.name == site)?;
         self.views.get(place).map(|v| v.seen)
     }
 
     /// All sites with their states and since when they hold, in the file's order.
-    pub fn states(&self) -> Vec<(String, Seen, Micros)> {
+    pub fn states(&self) -> Vec<(String, SiteState, Micros)> {
         let all = self.plan.sites.iter().zip(&self.views);
         all.map(|(s, v)| (s.name.clone(), v.seen, v.since)).collect()
     }
 
     /// What has changed, since this was last asked.
-    pub fn changes(&mut self) -> Vec<Changed> {
+    pub fn take_changes(&mut self) -> Vec<StateChange> {
         std::mem::take(&mut self.changed)
     }
 
     /// Whether no other site can be reached.
-    pub fn am_alone(&self) -> bool {
+    pub fn is_isolated(&self) -> bool {
         self.alone_since.is_some()
     }
 
     /// Since when no other site can be reached.
-    pub fn alone_since(&self) -> Option<Micros> {
+    pub fn isolated_since(&self) -> Option<Micros> {
         self.alone_since
     }
 
     /// The last moment at which a majority of the sites, this one counted, had been heard; none where that is longer ago than the file's
     /// time to confirm. What lay in a buffer while this process stood still does not count.
-    pub fn received(&self, now: Micros) -> Option<Micros> {
+    pub fn majority_heard_at(&self, now: Micros) -> Option<Micros> {
         let confirm = self.plan.confirm;
         // Where there is one site there is nobody else to confirm anything.
         if self.plan.sites.len() == 1 {
@@ -770,13 +784,13 @@
     }
 
     /// Whether that is within the file's time to confirm.
-    pub fn confirmed(&self, now: Micros) -> bool {
-        self.received(now).is_some()
+    pub fn has_majority_contact(&self, now: Micros) -> bool {
+        self.majority_heard_at(now).is_some()
     }
 
     /// Whether every other node of the file has said that it goes by this one: a node with a newer one may take others for homes. Sites that
     /// an operator declares lost are not waited for. Each node is heard of in turn, so this takes a while in a fleet of many.
-    pub fn all_go_by(&self) -> bool {
+    pub fn all_nodes_use_config(&self) -> bool {
         let same = |notified: &(u64, u32)| {
             notified.0 == self.plan.version && (notified.1 == 0 || notified.1 == self.digest)
         };
@@ -786,7 +800,7 @@
     }
 
     /// The file that it goes by.
-    pub fn plan(&self) -> &Plan {
+    pub fn plan(&self) -> &SitesConfig {
         &self.plan
     }
 
--- a/crates/sites/src/key_ownership.rs
+++ b/crates/sites/src/key_ownership.rs
@@ -12,8 +12,8 @@
 //! A range that somebody else may have held in between is *adopted*, also by its own node: its keys may have been placed by
 //! others, and are placed here only where the history proves that they were not.
 
-use crate::config::Plan;
-use crate::{Micros, Seen};
+use crate::config::SitesConfig;
+use crate::{Micros, SiteState};
 use shorepath_quota::config::Bounds;
 use shorepath_quota::{Grant, LeasePeriod, NodeId};
 use siphasher::sip::SipHasher13;
@@ -47,19 +47,20 @@
 #[derive(
     Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
-pub struct Kept {
+pub struct PersistedOwnership {
     /// Up to which grants its own log tells all of a range, by the home `SITE/NODE`.
     pub fences: BTreeMap<String, Fence>,
     /// The numbers of all nodes of the last file that all nodes went by; none where that is not known.
-    pub nodes: BTreeSet<u32>,
+    #[serde(rename = "nodes")]
+    pub settled_nodes: BTreeSet<u32>,
     /// The numbers of all nodes of the file that this node goes by.
-    #[serde(default)]
-    pub by: BTreeSet<u32>,
+    #[serde(rename = "by", default)]
+    pub current_nodes: BTreeSet<u32>,
 }
 
 /// Why a key is not placed here now.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
-pub enum Refused {
+pub enum PlacementError {
     /// Another node is home to it, or its heir.
     #[error("its home is {home} now")]
     #[diagnostic(help("ask a node of {home}; the home of a key is the same for all its repeats"))]
@@ -98,40 +99,40 @@
 
 impl Fence {
     /// As it stands with a placement: the epoch above, the lower half of the number below.
-    pub fn message(self) -> u64 {
+    pub fn as_u64(self) -> u64 {
         u64::from(self.epoch) << 32 | self.number & u64::from(u32::MAX)
     }
 }
 
-impl Refused {
+impl PlacementError {
     /// The home that it names, `SITE/NODE`.
     pub fn home(&self) -> &str {
         match self {
-            Refused::Elsewhere { home }
-            | Refused::NoLease { home }
-            | Refused::Moving { home }
-            | Refused::MayHaveRun { home } => home,
+            PlacementError::Elsewhere { home }
+            | PlacementError::NoLease { home }
+            | PlacementError::Moving { home }
+            | PlacementError::MayHaveRun { home } => home,
         }
     }
 
     /// What a client is told: a status of HTTP, why in few words, and whether it may do to ask here again. `lives` says whether the node
     /// that is home can be reached by its clients.
-    pub fn answer(&self, lives: bool) -> (u16, String, bool) {
+    pub fn response(&self, lives: bool) -> (u16, String, bool) {
         match self {
-            Refused::Elsewhere { home } if lives => (421, format!("home {home}"), false),
-            Refused::Elsewhere { home } => (503, format!("home {home}"), true),
-            Refused::NoLease { home } => (503, format!("no lease of {home}"), true),
-            Refused::Moving { home } => (503, format!("home becomes {home}"), true),
-            Refused::MayHaveRun { .. } => (502, "may have run".to_string(), false),
+            PlacementError::Elsewhere { home } if lives => (421, format!("home {home}"), false),
+            PlacementError::Elsewhere { home } => (503, format!("home {home}"), true),
+            PlacementError::NoLease { home } => (503, format!("no lease of {home}"), true),
+            PlacementError::Moving { home } => (503, format!("home becomes {home}"), true),
+            PlacementError::MayHaveRun { .. } => (502, "may have run".to_string(), false),
         }
     }
 }
 
 /// A node that is not heard of, as its own site's or the fleet's members see it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Gone {
+pub struct AbsentMembers {
     /// Sites with how they are seen and since when, by the file's names.
-    pub sites: BTreeMap<String, (Seen, Micros)>,
+    pub sites: BTreeMap<String, (SiteState, Micros)>,
     /// Nodes that are gone or have left, by number, with since when.
     pub nodes: BTreeMap<u32, Micros>,
 }
@@ -176,15 +177,18 @@
 }
 
 /// The name of the budget of a range.
-pub fn budget(site: &str, node: &str) -> String {
+pub fn budget_name(site: &str, node: &str) -> String {
     format!("home:{site}/{node}")
 }
 
 /// Homes of the file without a budget, then budgets of homes that the file does not have; nothing where no budget is a home's.
-pub fn unmatched<'a>(plan: &Plan, budgets: impl Iterator<Item = &'a str>) -> (Vec<String>, Vec<String>) {
+pub fn mismatched_budgets<'a>(
+    plan: &SitesConfig,
+    budgets: impl Iterator<Item = &'a str>,
+) -> (Vec<String>, Vec<String>) {
     let named = |b: &&str| matches!(Bounds::of(b), Some(Bounds::Home(_)));
     let given: BTreeSet<String> = budgets.filter(named).map(str::to_string).collect();
-    let ownership: BTreeSet<String> = plan.nodes().map(|(s, n)| budget(&s.name, &n.name)).collect();
+    let ownership: BTreeSet<String> = plan.nodes().map(|(s, n)| budget_name(&s.name, &n.name)).collect();
     if given.is_empty() {
         return (Vec::new(), Vec::new());
     }
@@ -194,7 +198,7 @@
 
 /// The heirs of a node's range after itself: the next nodes of its site, then those of the next sites, by the file's order. Ranges of one
 /// site fall to different nodes of the next one.
-fn order(plan: &Plan, site: usize, node: usize) -> Vec<u32> {
+fn order(plan: &SitesConfig, site: usize, node: usize) -> Vec<u32> {
     let count = plan.sites.len();
     let mut all = Vec::new();
     for s in (0..count).map(|k| (site + k) % count.max(1)) {
@@ -205,7 +209,7 @@
 }
 
 /// All ranges of a file. What a range was last held by is on the disk, where it is known.
-fn ranges(plan: &Plan, fences: &BTreeMap<String, Fence>) -> Vec<Range> {
+fn ranges(plan: &SitesConfig, fences: &BTreeMap<String, Fence>) -> Vec<Range> {
     let mut all = Vec::new();
     for (s, site) in plan.sites.iter().enumerate() {
         for (n, node) in site.nodes.iter().enumerate() {
@@ -240,14 +244,18 @@
 impl KeyOwnership {
     /// A node's, by its number in the file. `kept` is what [`KeyOwnership::kept`] gave, from its disk; nothing for a disk that is empty, older than
     /// its last life, or another's.
-    pub fn new(me: u32, plan: &Plan, kept: &Kept) -> KeyOwnership {
+    pub fn new(me: u32, plan: &SitesConfig, kept: &PersistedOwnership) -> KeyOwnership {
         let ranges = ranges(plan, &kept.fences);
         let nodes: BTreeSet<u32> = ranges.iter().map(|r| r.number).collect();
-        let between = !kept.by.is_empty() && kept.by != nodes;
+        let between = !kept.current_nodes.is_empty() && kept.current_nodes != nodes;
         // As with a file that comes while a node runs, see [`KeyOwnership::replan`].
-        let before = if between && kept.nodes != kept.by { BTreeSet::new() } else { kept.nodes.clone() };
+        let before = if between && kept.settled_nodes != kept.current_nodes {
+            BTreeSet::new()
+        } else {
+            kept.settled_nodes.clone()
+        };
         let settled = before == nodes;
-        KeyOwnership { me, ranges, classes: plan.home.clone(), before, settled }
+        KeyOwnership { me, ranges, classes: plan.guarded_classes.clone(), before, settled }
     }
 
     fn nodes(&self) -> BTreeSet<u32> {
@@ -255,16 +263,16 @@
     }
 
     /// Another file holds. Ranges that it still names go on.
-    pub fn replan(&mut self, plan: &Plan) {
+    pub fn update_config(&mut self, plan: &SitesConfig) {
         let before = self.nodes();
-        let kept = self.kept().fences;
+        let kept = self.persisted().fences;
         for mut range in std::mem::replace(&mut self.ranges, ranges(plan, &kept)) {
             if let Some(new) = self.ranges.iter_mut().find(|r| r.home == range.home) {
                 std::mem::swap(&mut range.order, &mut new.order);
                 *new = range;
             }
         }
-        self.classes = plan.home.clone();
+        self.classes = plan.guarded_classes.clone();
         if self.nodes() != before {
             // Others may go by the one in between by now: what they place is not known here.
             self.before = if self.settled { before } else { BTreeSet::new() };
@@ -273,12 +281,12 @@
     }
 
     /// All nodes go by this file now, see [`crate::health::SiteHealth::all_go_by`].
-    pub fn settled(&mut self) {
+    pub fn mark_settled(&mut self) {
         (self.settled, self.before) = (true, self.nodes());
     }
 
     /// Whether keys of that class have one home.
-    pub fn guards(&self, class: &str) -> bool {
+    pub fn is_guarded(&self, class: &str) -> bool {
         self.classes.contains(class)
     }
 
@@ -302,14 +310,14 @@
 
     /// The ranges that this node should hold now, as names of budgets: its own, and those whose own node and nearer heirs are not there. It
     /// asks for one unit of each, and for nothing of all others, at once: an heir stops as soon as the home is seen again.
-    pub fn claims(&mut self, plan: &Plan, gone: &Gone, now: Micros) -> Vec<String> {
+    pub fn claims(&mut self, plan: &SitesConfig, gone: &AbsentMembers, now: Micros) -> Vec<String> {
         let absent = |node: u32| {
             let Some(site) = plan.site_of_node(node) else { return true };
             if plan.declared_lost(&site.name).is_some() {
                 return true;
             }
             let seen = gone.sites.get(&site.name);
-            let lost = seen.is_some_and(|(seen, since)| *seen == Seen::Lost && now - since >= plan.hold);
+            let lost = seen.is_some_and(|(seen, since)| *seen == SiteState::Lost && now - since >= plan.hold);
             lost || gone.nodes.get(&node).is_some_and(|since| now - since >= plan.hold)
         };
         // A site that an operator has declared lost holds nothing, even where it lives and reads the line.
@@ -322,7 +330,7 @@
 
     /// The unit of a range was granted to this life, by an asking at that time on its own clock: the lease counts from there. Whether it
     /// is gone by from now on.
-    pub fn granted(
+    pub fn apply_grant(
         &mut self,
         budget: &str,
         grant: &Grant,
@@ -361,7 +369,7 @@
     }
 
     /// This node goes by no grant of a range any more: it was given back, or taken for another.
-    pub fn ended(&mut self, budget: &str) {
+    pub fn lease_ended(&mut self, budget: &str) {
         let home = match Bounds::of(budget) {
             Some(Bounds::Home(home)) => home,
             _ => return,
@@ -370,14 +378,14 @@
     }
 
     /// The history proves all that others may have placed in a range: it is as if it had been held here all the time.
-    pub fn proved(&mut self, home: &str, fence: Fence) {
+    pub fn mark_proved(&mut self, home: &str, fence: Fence) {
         let held = |r: &&mut Range| r.home == home && r.held.is_some_and(|h| h.fence == fence);
         self.ranges.iter_mut().filter(held).for_each(|r| r.clean = true);
     }
 
     /// Whether what was placed under a fence may still be sent: the key's range was held without a gap since then. A process asks this as
     /// late as it can, for a write to the disk, a connection or its standing still may have taken longer than the lease.
-    pub fn still(&self, key: &str, fence: Fence, now: Micros) -> bool {
+    pub fn is_still_held(&self, key: &str, fence: Fence, now: Micros) -> bool {
         let held = self.range(key).and_then(|r| r.held).filter(|h| now < h.until && now >= h.asked);
         held.is_some_and(|h| h.fence.epoch == fence.epoch && h.first.number <= fence.number)
     }
@@ -399,26 +407,26 @@
         key: &str,
         now: Micros,
         history: impl FnOnce(&str) -> Proof,
-    ) -> Result<Fence, Refused> {
+    ) -> Result<Fence, PlacementError> {
         let Some(range) = self.range(key) else {
-            return Err(Refused::NoLease { home: String::new() });
+            return Err(PlacementError::NoLease { home: String::new() });
         };
         let home = range.home.clone();
         // Time since the asking can't be negative, where a clock was set back.
         let Some(held) = range.held.filter(|h| now < h.until && now >= h.asked) else {
             let heir = self.ranges.iter().find(|r| Some(r.number) == range.heir && r.number != self.me);
             return Err(match heir {
-                Some(heir) => Refused::Elsewhere { home: heir.home.clone() },
-                None => Refused::NoLease { home },
+                Some(heir) => PlacementError::Elsewhere { home: heir.home.clone() },
+                None => PlacementError::NoLease { home },
             });
         };
         if self.moves(key, range.number) {
-            return Err(Refused::Moving { home });
+            return Err(PlacementError::Moving { home });
         }
         match range.clean {
             true => Ok(held.fence),
             false if history(key) == Proof::Clean => Ok(held.fence),
-            false => Err(Refused::MayHaveRun { home }),
+            false => Err(PlacementError::MayHaveRun { home }),
         }
     }
 
@@ -433,9 +441,9 @@
 
     /// What belongs on the disk: up to which grants this node's own log tells all of each range, by its home. An older one is safe, it only
     /// makes the history be asked, as long as the log beside it is not older than the node's last placement.
-    pub fn kept(&self) -> Kept {
+    pub fn persisted(&self) -> PersistedOwnership {
         let clean = self.ranges.iter().filter(|r| r.clean);
         let fences = clean.filter_map(|r| Some((r.home.clone(), r.last?))).collect();
-        Kept { fences, nodes: self.before.clone(), by: self.nodes() }
+        PersistedOwnership { fences, settled_nodes: self.before.clone(), current_nodes: self.nodes() }
     }
 }
--- a/crates/sites/src/lib.rs
+++ b/crates/sites/src/lib.rs
@@ -27,7 +27,7 @@
 /// Where a site stands, as another one sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Seen {
+pub enum SiteState {
     /// Words go both ways.
     Linked,
     /// Too little was heard of it lately, or only one way.
--- a/crates/sites/src/load_allocation.rs
+++ b/crates/sites/src/load_allocation.rs
@@ -6,8 +6,8 @@
 //! `(least ...)` keeps a class there from being starved by one that is worth more. Own load and guests together are
 //! never more than the site bears.
 
-use crate::config::Plan;
-use crate::Seen;
+use crate::config::SitesConfig;
+use crate::SiteState;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -18,36 +18,42 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SiteLoad {
     /// How it is seen; one's own is linked.
-    pub seen: Seen,
+    #[serde(rename = "seen")]
+    pub state: SiteState,
     /// What its servers bear now, in units of work a second.
-    pub bears: u64,
+    #[serde(rename = "bears")]
+    pub capacity: u64,
     /// What its own clients ask for, in units a second, by class; of a lost site what was last known.
     pub demand: BTreeMap<String, u64>,
     /// The part of its load that it takes itself while it returns, in hundredths.
-    pub part: u8,
+    #[serde(rename = "part")]
+    pub load_percent: u8,
 }
 
 /// What a site lends guests of one class.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Guests {
+pub struct GuestAllocation {
     /// Units a second, at most.
     pub rate: u64,
     /// The same in hundredths of what the site bears, rounded down.
-    pub part: u8,
+    #[serde(rename = "part")]
+    pub percent: u8,
     /// To which sites' clients; adds up to the rate.
-    pub to: BTreeMap<String, u64>,
+    #[serde(rename = "to")]
+    pub by_site: BTreeMap<String, u64>,
 }
 
 /// What a site lends.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hosting {
+pub struct HostAllocation {
     /// By class; a class that is not here has nothing.
-    pub classes: BTreeMap<String, Guests>,
+    pub classes: BTreeMap<String, GuestAllocation>,
     /// Units a second that its own load may lose to guests, at most: all else that they have is spare.
-    pub taken: u64,
+    #[serde(rename = "taken")]
+    pub displaced: u64,
 }
 
-impl Hosting {
+impl HostAllocation {
     /// Units a second for guests of all classes.
     pub fn rate(&self) -> u64 {
         self.classes.values().map(|g| g.rate).sum()
@@ -56,14 +62,15 @@
 
 /// Where all load goes that its own site can't take.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Share {
+pub struct Allocation {
     /// What each site lends; one that lends nothing now is not here.
-    pub hosts: BTreeMap<String, Hosting>,
+    pub hosts: BTreeMap<String, HostAllocation>,
     /// Units a second that nobody bears, by class.
-    pub unborne: BTreeMap<String, u64>,
+    #[serde(rename = "unborne")]
+    pub unserved: BTreeMap<String, u64>,
 }
 
-impl Share {
+impl Allocation {
     /// What a site lends guests of a class, in units a second.
     pub fn rate(&self, site: &str, class: &str) -> u64 {
         let guests = self.hosts.get(site).and_then(|h| h.classes.get(class));
@@ -73,7 +80,7 @@
 
 /// Which of two jobs is refused first where not all can be taken; the lesser one. What was taken already is not among them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Refusal {
+pub enum RefusalRank {
     /// A guest's above its part.
     AboveShare,
     /// A new job, by its worth for its work, in thousandths.
@@ -96,19 +103,19 @@
     /// Its client repeats it.
     pub repeat: bool,
     /// It was tried at a server already.
-    pub further: bool,
+    pub further_attempt: bool,
     /// It must not run twice.
     pub guarded: bool,
 }
 
 /// Where a job stands in the order of refusal.
-pub fn refusal(job: Job) -> Refusal {
+pub fn refusal_rank(job: Job) -> RefusalRank {
     match job {
-        Job { above_share: true, .. } => Refusal::AboveShare,
-        Job { guarded: true, .. } => Refusal::Guarded,
-        Job { further: true, .. } => Refusal::FurtherAttempt,
-        Job { repeat: true, .. } => Refusal::Repeat,
-        Job { worth, .. } => Refusal::Worth(worth),
+        Job { above_share: true, .. } => RefusalRank::AboveShare,
+        Job { guarded: true, .. } => RefusalRank::Guarded,
+        Job { further_attempt: true, .. } => RefusalRank::FurtherAttempt,
+        Job { repeat: true, .. } => RefusalRank::Repeat,
+        Job { worth, .. } => RefusalRank::Worth(worth),
     }
 }
 
@@ -116,13 +123,13 @@
 fn spread(
     spare: u64,
     wanted: &BTreeMap<String, u64>,
-    plan: &Plan,
+    plan: &SitesConfig,
     worth: &BTreeMap<String, u64>,
 ) -> BTreeMap<String, u64> {
     let mut left = spare;
     let mut given = BTreeMap::new();
     for (class, want) in wanted {
-        let least = u64::from(plan.least.get(class).copied().unwrap_or(0));
+        let least = u64::from(plan.min_guest_percent.get(class).copied().unwrap_or(0));
         // The least parts are a hundred hundredths at most together.
         let part = hundredths(spare, least).min(*want).min(left);
         left -= part;
@@ -165,10 +172,14 @@
 
 /// The plan. `worth` is what a class is worth for its work, in thousandths, as the operators' configuration has it; a class that it
 /// does not name is worth nothing. Sites that `now` does not name take no part.
-pub fn plan(file: &Plan, now: &BTreeMap<String, SiteLoad>, worth: &BTreeMap<String, u64>) -> Share {
+pub fn allocate(
+    file: &SitesConfig,
+    now: &BTreeMap<String, SiteLoad>,
+    worth: &BTreeMap<String, u64>,
+) -> Allocation {
     // Sums of what is said stay whole, whatever is said.
     let bounded = |s: &SiteLoad| SiteLoad {
-        bears: s.bears.min(MOST),
+        capacity: s.capacity.min(MOST),
         demand: s.demand.iter().map(|(c, d)| (c.clone(), (*d).min(MOST))).collect(),
         ..s.clone()
     };
@@ -179,11 +190,11 @@
     // Lost sites come first: the clients of one that is only cut off have their own site as well.
     let mut needs: [Vec<(&str, BTreeMap<String, u64>)>; 2] = Default::default();
     for (name, s) in &hosts {
-        let (tier, missing) = match s.seen {
-            Seen::Lost => (0, 100),
-            Seen::Returning => (0, 100 - u64::from(s.part.min(100))),
-            Seen::Alone => (1, 100),
-            Seen::Linked | Seen::Doubtful | Seen::WholeAgain => continue,
+        let (tier, missing) = match s.state {
+            SiteState::Lost => (0, 100),
+            SiteState::Returning => (0, 100 - u64::from(s.load_percent.min(100))),
+            SiteState::Alone => (1, 100),
+            SiteState::Linked | SiteState::Doubtful | SiteState::WholeAgain => continue,
         };
         let need =
             s.demand.iter().map(|(class, units)| (class.clone(), hundredths(*units, missing))).collect();
@@ -199,16 +210,20 @@
     wanted.retain(|_, units| *units > 0);
     let hosts: Vec<(&str, &SiteLoad)> = hosts
         .into_iter()
-        .filter(|(_, s)| matches!(s.seen, Seen::Linked | Seen::Doubtful | Seen::WholeAgain) && s.bears > 0)
+        .filter(|(_, s)| {
+            matches!(s.state, SiteState::Linked | SiteState::Doubtful | SiteState::WholeAgain)
+                && s.capacity > 0
+        })
         .collect();
-    let lends =
-        |host: &str, class: &str| file.lends.get(host).and_then(|l| l.get(class)).copied().unwrap_or(0);
+    let lends = |host: &str, class: &str| {
+        file.guest_percent.get(host).and_then(|l| l.get(class)).copied().unwrap_or(0)
+    };
     // What is lent in any case.
     let mut rates: Vec<BTreeMap<String, u64>> = vec![BTreeMap::new(); hosts.len()];
     let mut open = wanted.clone();
     for (class, units) in open.iter_mut() {
         let capacities: Vec<u64> =
-            hosts.iter().map(|(name, s)| hundredths(s.bears, u64::from(lends(name, class)))).collect();
+            hosts.iter().map(|(name, s)| hundredths(s.capacity, u64::from(lends(name, class)))).collect();
         for (rate, part) in rates.iter_mut().zip(place(*units, &capacities)) {
             rate.insert(class.clone(), part);
             *units -= part;
@@ -220,7 +235,7 @@
         .zip(&rates)
         .map(|((_, s), rate)| {
             let own = s.demand.values().fold(0u64, |sum, d| sum.saturating_add(*d));
-            s.bears.saturating_sub(own).saturating_sub(rate.values().sum())
+            s.capacity.saturating_sub(own).saturating_sub(rate.values().sum())
         })
         .collect();
     for (k, (name, _)) in hosts.iter().enumerate() {
@@ -245,15 +260,15 @@
             }
         }
     }
-    let mut share = Share { unborne: open, ..Share::default() };
-    share.unborne.retain(|_, units| *units > 0);
+    let mut share = Allocation { unserved: open, ..Allocation::default() };
+    share.unserved.retain(|_, units| *units > 0);
     // To whom: lost sites first, each class over all sites that lend to it.
     let mut left = needs;
     for ((name, s), rate) in hosts.iter().zip(rates) {
-        let mut hosting = Hosting::default();
+        let mut hosting = HostAllocation::default();
         for (class, mut units) in rate.into_iter().filter(|(_, units)| *units > 0) {
-            let mut guests = Guests { rate: units, ..Guests::default() };
-            guests.part = (u128::from(units) * 100 / u128::from(s.bears.max(1))) as u8;
+            let mut guests = GuestAllocation { rate: units, ..GuestAllocation::default() };
+            guests.percent = (u128::from(units) * 100 / u128::from(s.capacity.max(1))) as u8;
             for tier in &mut left {
                 let capacities: Vec<u64> =
                     tier.iter().map(|(_, need)| need.get(&class).copied().unwrap_or(0)).collect();
@@ -261,14 +276,14 @@
                     if let Some(open) = need.get_mut(&class).filter(|_| part > 0) {
                         *open -= part;
                         units -= part;
-                        guests.to.insert(guest.to_string(), part);
+                        guests.by_site.insert(guest.to_string(), part);
                     }
                 }
             }
             hosting.classes.insert(class, guests);
         }
         let own = s.demand.values().fold(0u64, |sum, d| sum.saturating_add(*d));
-        hosting.taken = own.saturating_add(hosting.rate()).saturating_sub(s.bears).min(hosting.rate());
+        hosting.displaced = own.saturating_add(hosting.rate()).saturating_sub(s.capacity).min(hosting.rate());
         if !hosting.classes.is_empty() {
             share.hosts.insert(name.to_string(), hosting);
         }
--- a/crates/sites/src/load_shifting.rs
+++ b/crates/sites/src/load_shifting.rs
@@ -1,22 +1,22 @@
 //! What one node lends clients of other sites, and what it takes of its own site's load while that comes back.
 //!
 //! A unit of work is a request here: a site that bears 400 serves as many a second. What a site lends in any case its guests have also
-//! while no site is lost; what [`crate::load_allocation::plan`] adds of its spare capacity they have only where a lost site's load needs it. Both are
+//! while no site is lost; what [`crate::load_allocation::allocate`] adds of its spare capacity they have only where a lost site's load needs it. Both are
 //! divided evenly among the site's nodes, by the file: a node that is down leaves its part unused, and nodes that don't hear each other
 //! lend no more than the whole together.
 
-use crate::config::Plan;
+use crate::config::SitesConfig;
 use crate::health::{class_number, Load, Message, SiteHealth};
 use crate::load_allocation::{self, SiteLoad};
-use crate::recovery_ramp::{Moved, RecoveryRamp, Steps};
-use crate::{Micros, Seen};
+use crate::recovery_ramp::{RampSettings, RecoveryRamp, StepChange};
+use crate::{Micros, SiteState};
 use shorepath_recovery::slow_start::{self, Pace, Warming};
 use std::collections::{BTreeMap, VecDeque};
 
 /// What is asked for is counted over this long.
 const SPAN: Micros = 2_000_000;
 /// A guest beyond its part is told to come back after this at least, and at most.
-pub const COME_BACK: (Micros, Micros) = (500_000, 2_000_000);
+pub const RETRY_AFTER_RANGE: (Micros, Micros) = (500_000, 2_000_000);
 /// A little more than before is not worth a change.
 const LITTLE: u64 = 16;
 /// Where more is spare than is wanted, so much more than that is lent, as a part of it: guests don't come evenly.
@@ -45,9 +45,9 @@
     /// By guests, by the number of the class; no class is left out.
     pub guests: Option<Vec<u64>>,
     /// By the own site's clients, over all classes.
-    pub home: Option<u64>,
+    pub own_site: Option<u64>,
     /// For how long units that guests do not use are kept, in microseconds. It follows from the file alone, so that it stays.
-    pub kept: Micros,
+    pub unused_lifetime: Micros,
 }
 
 /// What a site was asked for of a class, in requests a second.
@@ -75,7 +75,7 @@
 
 /// The site that a request's client belongs to, if that is another one than the node's own. Where none is named, or one that the file
 /// does not know, it is home load: a client gains nothing by a name, since a guest never has more than home load has.
-pub fn guest_of<'a>(plan: &'a Plan, own: &str, named: Option<&str>) -> Option<&'a str> {
+pub fn guest_site<'a>(plan: &'a SitesConfig, own: &str, named: Option<&str>) -> Option<&'a str> {
     let site = plan.site(named?)?;
     (site.name != own).then_some(site.name.as_str())
 }
@@ -121,7 +121,7 @@
     }
 
     /// A client of the own site has asked for something of a class, by its number.
-    pub fn asked(&mut self, class: usize) {
+    pub fn record_request(&mut self, class: usize) {
         if self.asked.len() <= class {
             self.asked.resize(class + 1, 0);
         }
@@ -130,29 +130,29 @@
 
     /// Another node has said something that [`SiteHealth`] has taken. A node that has just begun learns by it that its site was lost: the
     /// newest sign of its life that others know is old, or a node of its own site is on the way back. Whether the way back begins now.
-    pub fn received(&mut self, site_health: &SiteHealth, from: u32, message: &Message, now: Micros) -> bool {
+    pub fn receive(&mut self, site_health: &SiteHealth, from: u32, message: &Message, now: Micros) -> bool {
         let plan = site_health.plan();
         if let Some(load) = &message.load {
-            self.parts.insert(from, (now, load.part));
+            self.parts.insert(from, (now, load.load_percent));
         }
         let Some(own) = plan.site(site_health.site()).map(|s| s.number) else { return false };
         if self.home.is_some() || now - self.begun > 4 * plan.alone {
             return false;
         }
-        let old = message.others.iter().find(|t| t.site == own && t.sign > 0);
-        let was_lost = old.is_some_and(|t| Micros::from(t.sign_age) * 1_000 >= plan.alone);
-        let mate_returns = message.site == own && message.load.as_ref().is_some_and(|l| l.part < 100);
+        let old = message.others.iter().find(|t| t.site == own && t.heartbeat > 0);
+        let was_lost = old.is_some_and(|t| Micros::from(t.heartbeat_age) * 1_000 >= plan.alone);
+        let mate_returns = message.site == own && message.load.as_ref().is_some_and(|l| l.load_percent < 100);
         if was_lost || mate_returns {
-            self.home = Some((RecoveryRamp::new(Steps::usual(self.pace), now), now));
+            self.home = Some((RecoveryRamp::new(RampSettings::with_pace(self.pace), now), now));
         }
         was_lost || mate_returns
     }
 
     /// All servers of the own site are cold, whatever others know: its way back begins now, unless it is on it.
-    pub fn cold(&mut self, now: Micros) -> bool {
-        let begins = self.home.as_ref().is_none_or(|(home, _)| home.is_whole());
+    pub fn start_recovery(&mut self, now: Micros) -> bool {
+        let begins = self.home.as_ref().is_none_or(|(home, _)| home.is_complete());
         if begins {
-            self.home = Some((RecoveryRamp::new(Steps::usual(self.pace), now), now));
+            self.home = Some((RecoveryRamp::new(RampSettings::with_pace(self.pace), now), now));
         }
         begins
     }
@@ -164,8 +164,8 @@
     }
 
     /// The part of the own site's load that is taken here, in hundredths.
-    pub fn part(&self, now: Micros) -> u8 {
-        self.home.as_ref().map_or(100, |(home, _)| home.part(self.warm(now)))
+    pub fn load_percent(&self, now: Micros) -> u8 {
+        self.home.as_ref().map_or(100, |(home, _)| home.load_percent(self.warm(now)))
     }
 
     /// What the own site's clients ask of this node, in requests a second by the number of the class.
@@ -197,33 +197,33 @@
 
     /// Time has passed, and so many jobs were served and so many failed. Tells the others, through `seeing`, what this node knows of its
     /// site's load; whoever took all of its load is whole again. What became of the own site's way back, if anything.
-    pub fn pass(
+    pub fn tick(
         &mut self,
         site_health: &mut SiteHealth,
         classes: &[Class],
         (served, failed): (u64, u64),
         has_servers: bool,
         now: Micros,
-    ) -> Vec<Moved> {
+    ) -> Vec<StepChange> {
         let mut moved = Vec::new();
-        let (warm, alone) = (self.warm(now), site_health.am_alone());
+        let (warm, alone) = (self.warm(now), site_health.is_isolated());
         if let Some((home, _)) = &mut self.home {
             home.outcomes(served, failed);
-            if alone && !self.was_alone && !home.is_whole() {
+            if alone && !self.was_alone && !home.is_complete() {
                 moved.extend(home.lost_again(now));
             }
-            moved.extend(home.pass(now, warm));
+            moved.extend(home.tick(now, warm));
         }
         self.was_alone = alone;
         let own = site_health.site().to_string();
-        let Some(bears) = site_health.plan().site(&own).map(|s| s.bears) else { return moved };
-        let bears = if has_servers { (bears as f64 * warm) as u64 } else { 0 };
+        let Some(capacity) = site_health.plan().site(&own).map(|s| s.capacity) else { return moved };
+        let capacity = if has_servers { (capacity as f64 * warm) as u64 } else { 0 };
         let demand = self.demand(now);
         let mut named: Vec<(u32, u64)> =
             classes.iter().zip(demand).map(|(c, rate)| (class_number(&c.name), rate)).collect();
         named.retain(|(_, rate)| *rate > 0);
         named.sort_by_key(|(_, rate)| std::cmp::Reverse(*rate));
-        site_health.report(Load { part: self.part(now), bears, demand: named });
+        site_health.report(Load { load_percent: self.load_percent(now), capacity, demand: named });
         self.take_note(site_health, now);
         self.limits = self.limit(site_health, classes, &own, now);
         moved
@@ -237,7 +237,7 @@
                 site_health.load(&site).map(|l| l.demand.into_iter().collect()).unwrap_or_default();
             let known = self.known.entry(site.clone()).or_default();
             match seen {
-                Seen::Linked | Seen::Doubtful | Seen::WholeAgain => {
+                SiteState::Linked | SiteState::Doubtful | SiteState::WholeAgain => {
                     for (class, rate) in &notified {
                         known
                             .entry(*class)
@@ -250,27 +250,27 @@
                     known.retain(|_, asked| asked.last > 0 || asked.mean > 10_000);
                 }
                 // Its clients are elsewhere, so little is asked of it.
-                Seen::Lost | Seen::Alone | Seen::Returning => {
+                SiteState::Lost | SiteState::Alone | SiteState::Returning => {
                     notified.into_iter().for_each(|(class, rate)| {
                         let before = known.entry(class).or_default();
                         before.last = rate.max(before.last);
                     })
                 }
             }
-            if seen != Seen::Returning || now - since < site_health.plan().confirm {
+            if seen != SiteState::Returning || now - since < site_health.plan().confirm {
                 continue;
             }
             let nodes = site_health.plan().site(&site).map(|s| s.nodes.as_slice()).unwrap_or_default();
             let mut notified = nodes.iter().filter_map(|n| self.parts.get(&n.number)).filter(|p| p.0 > since);
             let first = notified.next();
             if first.is_some_and(|p| p.1 == 100) && notified.all(|p| p.1 == 100) {
-                site_health.whole(&site, now);
+                site_health.mark_recovered(&site, now);
             }
         }
     }
 
     /// Of what the site may begin, the part of this node: the parts of all nodes add up to the whole.
-    fn share_of(plan: &Plan, own: &str, me: u32, whole: u64) -> u64 {
+    fn share_of(plan: &SitesConfig, own: &str, me: u32, whole: u64) -> u64 {
         let Some(site) = plan.site(own) else { return 0 };
         let count = site.nodes.len().max(1) as u64;
         let place = site.nodes.iter().position(|n| n.number == me).unwrap_or(0) as u64;
@@ -278,57 +278,57 @@
     }
 
     /// For how long a node keeps what guests do not use: long enough for a bunch where it has few requests a second.
-    fn kept(plan: &Plan, own: &str) -> Micros {
+    fn unused_lifetime(plan: &SitesConfig, own: &str) -> Micros {
         let Some(site) = plan.site(own) else { return KEPT.0 };
         let nodes = site.nodes.len().max(1) as u64;
-        let time = (3 * BUNCH * 1_000_000).saturating_mul(nodes) / site.bears.max(1);
+        let time = (3 * BUNCH * 1_000_000).saturating_mul(nodes) / site.capacity.max(1);
         Micros::try_from(time).unwrap_or(KEPT.1).clamp(KEPT.0, KEPT.1)
     }
 
     fn limit(&self, site_health: &SiteHealth, classes: &[Class], own: &str, now: Micros) -> Limits {
         let plan = site_health.plan();
-        let (part, me) = (self.part(now), site_health.me());
-        let returns = self.home.as_ref().is_some_and(|(home, _)| !home.is_whole());
-        let bears = plan.site(own).map_or(0, |s| s.bears);
-        let home = returns.then(|| Self::share_of(plan, own, me, bears * u64::from(part) / 100).max(1));
-        let kept = Self::kept(plan, own);
-        if plan.lends.is_empty() {
-            return Limits { guests: None, home, kept };
+        let (part, me) = (self.load_percent(now), site_health.me());
+        let returns = self.home.as_ref().is_some_and(|(home, _)| !home.is_complete());
+        let bears = plan.site(own).map_or(0, |s| s.capacity);
+        let own_site = returns.then(|| Self::share_of(plan, own, me, bears * u64::from(part) / 100).max(1));
+        let unused_lifetime = Self::unused_lifetime(plan, own);
+        if plan.guest_percent.is_empty() {
+            return Limits { guests: None, own_site, unused_lifetime };
         }
         let name_of = |number: u32| classes.iter().find(|c| class_number(&c.name) == number);
         let mut now_of = BTreeMap::new();
         for (site, seen, _) in site_health.states() {
             let load = site_health.load(&site);
-            let usual = plan.site(&site).map_or(0, |s| s.bears);
+            let usual = plan.site(&site).map_or(0, |s| s.capacity);
             let known = self.known.get(&site).into_iter().flatten();
             // Whoever takes its own load is asked for what it says; a lost one for what is usual.
-            let here = matches!(seen, Seen::Linked | Seen::Doubtful | Seen::WholeAgain);
+            let here = matches!(seen, SiteState::Linked | SiteState::Doubtful | SiteState::WholeAgain);
             let rate = |a: &Asked| if here { a.last } else { a.usual() };
             let demand = known.filter_map(|(class, a)| Some((name_of(*class)?.name.clone(), rate(a))));
             let standing = SiteLoad {
-                seen: if site != own {
+                state: if site != own {
                     seen
                 } else if returns {
-                    Seen::Returning
+                    SiteState::Returning
                 } else {
-                    Seen::Linked
+                    SiteState::Linked
                 },
-                bears: load.as_ref().map_or(usual, |l| l.bears.min(usual)),
+                capacity: load.as_ref().map_or(usual, |l| l.capacity.min(usual)),
                 demand: demand.collect(),
-                part: load.as_ref().map_or(100, |l| l.part),
+                load_percent: load.as_ref().map_or(100, |l| l.load_percent),
             };
             now_of.insert(site, standing);
         }
         let worth = classes.iter().map(|c| (c.name.clone(), c.worth)).collect();
-        let share = load_allocation::plan(plan, &now_of, &worth);
+        let share = load_allocation::allocate(plan, &now_of, &worth);
         let (bears, asked) = now_of
             .get(own)
-            .map_or((0, 0), |s| (s.bears, s.demand.values().fold(0u64, |a, b| a.saturating_add(*b))));
+            .map_or((0, 0), |s| (s.capacity, s.demand.values().fold(0u64, |a, b| a.saturating_add(*b))));
         let hosting = share.hosts.get(own);
         let planned = hosting.map_or(0, |h| h.rate());
         let spare = bears.saturating_sub(asked).saturating_sub(planned);
         let guests = classes.iter().enumerate().map(|(k, class)| {
-            let shifted = plan.lends.get(own).and_then(|l| l.get(&class.name)).copied().unwrap_or(0);
+            let shifted = plan.guest_percent.get(own).and_then(|l| l.get(&class.name)).copied().unwrap_or(0);
             let shifted = if returns { 0 } else { bears * u64::from(shifted) / 100 };
             let wanted = share.rate(own, &class.name);
             // Of what is spare beyond all that is wanted, by what the class has of that.
@@ -343,7 +343,7 @@
                 rate
             }
         });
-        Limits { guests: Some(guests.collect()), home, kept }
+        Limits { guests: Some(guests.collect()), own_site, unused_lifetime }
     }
 
     /// What may be begun here.
@@ -353,29 +353,33 @@
 
     /// When a client of the own site that is not taken because of its way back is told to come back, in microseconds; `luck` is drawn
     /// from 0 to 1 by the caller.
-    pub fn come_back(&self, luck: f64, now: Micros) -> Micros {
-        let (least, most) = COME_BACK;
+    pub fn retry_after(&self, luck: f64, now: Micros) -> Micros {
+        let (least, most) = RETRY_AFTER_RANGE;
         let usual = least + (luck.clamp(0.0, 1.0) * (most - least) as f64) as Micros;
-        self.home.as_ref().map_or(usual, |(home, _)| home.come_back(self.warm(now), least, most, luck))
+        self.home.as_ref().map_or(usual, |(home, _)| home.retry_after(self.warm(now), least, most, luck))
     }
 
     /// With what chance a guest that was served is told that its own site takes it again. It follows the room that there is, so
     /// that guests go home no faster than their site takes them, and none is sent to one that is full.
-    pub fn may_go_home(&self, site_health: &SiteHealth, site: &str) -> f64 {
-        let back = matches!(site_health.state(site), Some(Seen::Linked | Seen::Returning | Seen::WholeAgain));
+    pub fn return_probability(&self, site_health: &SiteHealth, site: &str) -> f64 {
+        let back = matches!(
+            site_health.state(site),
+            Some(SiteState::Linked | SiteState::Returning | SiteState::WholeAgain)
+        );
         let (Some(usual), Some(load), true) = (site_health.plan().site(site), site_health.load(site), back)
         else {
             return 0.0;
         };
         let has = load.demand.iter().fold(0u64, |sum, (_, rate)| sum.saturating_add(*rate));
-        let capacity = (usual.bears * u64::from(load.part) / 100).min(load.bears).saturating_sub(has);
+        let capacity =
+            (usual.capacity * u64::from(load.load_percent) / 100).min(load.capacity).saturating_sub(has);
         let known = self.known.get(site).into_iter().flatten().map(|(_, asked)| asked.usual());
         let wanted = known.fold(0u64, u64::saturating_add).saturating_mul(ROUNDS).max(ROUNDS);
         (capacity as f64 / wanted as f64).clamp(0.0, 1.0)
     }
 
     /// The own site's way back, for operators: the part that it takes, in hundredths; `None` where it is not on the way.
-    pub fn returns(&self, now: Micros) -> Option<u8> {
-        self.home.as_ref().filter(|(home, _)| !home.is_whole()).map(|_| self.part(now))
+    pub fn recovery_percent(&self, now: Micros) -> Option<u8> {
+        self.home.as_ref().filter(|(home, _)| !home.is_complete()).map(|_| self.load_percent(now))
     }
 }
--- a/crates/sites/src/peer_selection.rs
+++ b/crates/sites/src/peer_selection.rs
@@ -1,6 +1,6 @@
 //! With whom a node exchanges histories, so that words a node stay flat in the number of nodes and no loss of a few parts the fleet.
 
-use crate::config::Plan;
+use crate::config::SitesConfig;
 use std::collections::{BTreeSet, VecDeque};
 
 /// Nodes of another site with which each node exchanges.
@@ -9,17 +9,17 @@
 const BESIDE: usize = 2;
 
 /// The nodes with which that one exchanges histories, by their numbers; who is a partner of another has that one for a partner, too.
-pub fn selected_peers(plan: &Plan, me: u32) -> Vec<u32> {
+pub fn selected_peers(plan: &SitesConfig, me: u32) -> Vec<u32> {
     let places = places(plan);
-    let Some(own) = plan.index_of(me) else { return Vec::new() };
+    let Some(own) = plan.node_index(me) else { return Vec::new() };
     let nodes = plan.nodes().map(|(_, n)| n.number).enumerate();
     nodes.filter(|(other, _)| meet(&places, own, *other)).map(|(_, number)| number).collect()
 }
 
 /// The partners of a node, each with the nodes, by site and name, whose entries it gets from another one. What a node writes goes out
 /// along a tree of shortest ways that all draw alike, so over each link once; the other links are spare.
-pub fn routes(plan: &Plan, me: u32) -> Vec<(u32, BTreeSet<(String, String)>)> {
-    let (places, Some(me)) = (places(plan), plan.index_of(me)) else { return Vec::new() };
+pub fn routes(plan: &SitesConfig, me: u32) -> Vec<(u32, BTreeSet<(String, String)>)> {
+    let (places, Some(me)) = (places(plan), plan.node_index(me)) else { return Vec::new() };
     let count = places.len();
     let met: Vec<Vec<usize>> =
         (0..count).map(|a| (0..count).filter(|b| meet(&places, a, *b)).collect()).collect();
@@ -47,7 +47,7 @@
 }
 
 /// Of each node in the file's order its site's place, its own place there, and how many nodes its site has.
-fn places(plan: &Plan) -> Vec<(usize, usize, usize)> {
+fn places(plan: &SitesConfig) -> Vec<(usize, usize, usize)> {
     let sites = plan.sites.iter().enumerate();
     sites.flat_map(|(k, s)| (0..s.nodes.len()).map(move |at| (k, at, s.nodes.len()))).collect()
 }
@@ -69,7 +69,7 @@
     use super::*;
     use std::collections::BTreeMap;
 
-    fn fleet(sites: usize, nodes: usize) -> Plan {
+    fn fleet(sites: usize, nodes: usize) -> SitesConfig {
         let mut text = "(sites (version 1) (fleet f) (key k)".to_string();
         for s in 0..sites {
             text += &format!("(site s{s} (bears 1)");
--- a/crates/sites/src/recovery_config.rs
+++ b/crates/sites/src/recovery_config.rs
@@ -20,7 +20,7 @@
 
 /// What the operator sets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Recover {
+pub struct RecoveryConfig {
     /// Final answers hold this much of the disk at most, in bytes; the oldest give way.
     pub remember: u64,
     /// The body of an answer that is kept is no longer than this, in bytes.
@@ -33,7 +33,7 @@
     pub catch_up: Micros,
 }
 
-impl Recover {
+impl RecoveryConfig {
     /// How long each step may take.
     pub fn limits(&self) -> Limits {
         Limits { reading: 10_000_000, asking: self.peers, catching_up: self.catch_up, outlive: self.outlive }
@@ -65,8 +65,8 @@
 }
 
 /// Read the clause.
-pub fn clause(form: &Form) -> Recover {
-    let recover = Recover {
+pub fn parse(form: &Form) -> RecoveryConfig {
+    let recover = RecoveryConfig {
         remember: size(form, "remember", 64 * MIB, KIB..=(64 << 30)),
         answer: size(form, "answer", 64 * KIB, 1..=16 * MIB),
         outlive: form.time("outlive", 5_000_000, 0..=HOUR),
--- a/crates/sites/tests/file.rs
+++ b/crates/sites/tests/file.rs
@@ -1,7 +1,7 @@
 //! The operator's file: what is right is read, and each fault is told with its place.
 
 use rstest::rstest;
-use shorepath_sites::config::{read, Plan};
+use shorepath_sites::config::{read, SitesConfig};
 use std::path::{Path, PathBuf};
 
 const GOOD: &str = r#"(sites (version 3) (fleet "odense") (key "fleet.key") (accounts "accounts.sexp")
@@ -14,7 +14,7 @@
   (home actuator-cmd payout)
   (lost east (number 4)))"#;
 
-fn good() -> Plan {
+fn good() -> SitesConfig {
     read("sites.sexp", GOOD).unwrap()
 }
 
@@ -28,14 +28,14 @@
     );
     let n1 = plan.node_named("n1").unwrap().number;
     assert_eq!(plan.site_of_node(n1).unwrap().name, "west");
-    assert_eq!((plan.index_of(n1), plan.nodes().count()), (Some(1), 3));
+    assert_eq!((plan.node_index(n1), plan.nodes().count()), (Some(1), 3));
     assert_eq!(plan.site_of_server("w-17", None).unwrap().name, "west");
     assert_eq!(plan.site_of_server("x", Some("e2")).unwrap().name, "east");
     assert!(plan.site_of_server("x", Some("w")).is_none());
-    assert_eq!(plan.lends["west"]["sensor-check"], 20);
+    assert_eq!(plan.guest_percent["west"]["sensor-check"], 20);
     assert_eq!(plan.declared_lost("east"), Some(4));
     assert_eq!(plan.key_path(Path::new("/etc/f")), PathBuf::from("/etc/f/fleet.key"));
-    assert!(plan.home.contains("payout"));
+    assert!(plan.guarded_classes.contains("payout"));
 }
 
 #[test]
@@ -81,7 +81,7 @@
 }
 
 /// A file of one site, with two nodes, that says that.
-fn recovering(clause: &str) -> Result<Plan, String> {
+fn recovering(clause: &str) -> Result<SitesConfig, String> {
     let nodes = r#"(node n0 "1.1.1.1:1") (node n1 "1.1.1.1:2")"#;
     let text = format!("(sites (fleet f) (key k)\n (site a {nodes} (bears 1))\n {clause})");
     read("s", &text).map_err(|e| e.to_string())
--- a/crates/sites/tests/joint.rs
+++ b/crates/sites/tests/joint.rs
@@ -23,9 +23,9 @@
 use shorepath_quota::lease::Holder;
 use shorepath_quota::ledger::Ledger;
 use shorepath_quota::{Grant, LeasePeriod, Micros, NodeId, NodeIncarnation};
-use shorepath_sites::catch_up::{Message, Proving};
-use shorepath_sites::config::{read, Plan};
-use shorepath_sites::key_ownership::{Fence, Kept, KeyOwnership, Proof};
+use shorepath_sites::catch_up::{CatchUp, Message};
+use shorepath_sites::config::{read, SitesConfig};
+use shorepath_sites::key_ownership::{Fence, KeyOwnership, PersistedOwnership, Proof};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
@@ -124,7 +124,7 @@
     renamed: bool,
     holder: Holder,
     ownership: KeyOwnership,
-    kept: Kept,
+    kept: PersistedOwnership,
     asked: u8,
     /// A grant on its way to it.
     grant: Option<Grant>,
@@ -198,7 +198,7 @@
 struct World {
     fault: Fault,
     size: Size,
-    plan: Plan,
+    plan: SitesConfig,
     key: String,
     parts: Vec<Part>,
 }
@@ -206,7 +206,7 @@
 fn world(fault: Fault, size: Size) -> World {
     let text = r#"(sites (fleet "f") (key "k") (site a (node n "1.1.1.1:1") (bears 1)) (site b (node m "1.1.1.1:2") (bears 1)))"#;
     let plan = read("s", text).unwrap();
-    let ownership = KeyOwnership::new(0, &plan, &Kept::default());
+    let ownership = KeyOwnership::new(0, &plan, &PersistedOwnership::default());
     let key = (0..100).map(|k| format!("k{k}")).find(|k| ownership.home(k) == "a/n").unwrap();
     let share = || Share { site: String::new(), nodes: 1, weight: None };
     let parts = parts(&CREDIT, &[share(), share()]).unwrap().concat();
@@ -345,10 +345,10 @@
     }
 
     /// The fleet is new: what others may have placed is nothing. So says the disk that it was founded with.
-    fn founded(&self) -> Kept {
+    fn founded(&self) -> PersistedOwnership {
         let fences = BTreeMap::from([("a/n".to_string(), Fence { epoch: 0, number: 0 })]);
-        let nodes: BTreeSet<u32> = self.plan.nodes().map(|(_, n)| n.number).collect();
-        Kept { fences, by: nodes.clone(), nodes }
+        let settled_nodes: BTreeSet<u32> = self.plan.nodes().map(|(_, n)| n.number).collect();
+        PersistedOwnership { fences, current_nodes: settled_nodes.clone(), settled_nodes }
     }
 
     /// Whether words go between that site and the rest.
@@ -401,7 +401,7 @@
             if self.fault == Fault::LostIsWhole {
                 (site.note, site.kept) = (Some(Note::default()), self.founded());
             } else {
-                (site.renamed, site.kept) = (true, Kept::default());
+                (site.renamed, site.kept) = (true, PersistedOwnership::default());
                 site.writer = World::writer(n, 2);
             }
             site.head = origin(&site.writer);
@@ -414,7 +414,7 @@
         site.holder = Holder::new(life, 0, TERM);
         site.ownership = KeyOwnership::new(life.node.0, &self.plan, &site.kept);
         // There is one file, which all go by.
-        site.ownership.settled();
+        site.ownership.mark_settled();
     }
 
     fn ask(&self, s: &mut State, n: usize, wanted: u64) {
@@ -425,7 +425,7 @@
         (site.asked, site.grant) = (site.asked + 1, None);
         if wanted == 0 {
             // One that others should hold is not used any more from now on.
-            site.ownership.ended(BUDGET);
+            site.ownership.lease_ended(BUDGET);
         }
         let early = if self.fault == Fault::EarlyHeir && n == 1 { TERM.for_allocator() } else { 0 };
         s.allocator.expire(at + early);
@@ -442,13 +442,13 @@
         let site = Arc::make_mut(&mut s.sites[n]);
         let unproven = site.ownership.unproven(now);
         let me = (self.life(n, 1).node.0, (site.writer.log, site.head.0));
-        let mut proving = Proving::default();
-        for (to, message) in proving.pass(&self.plan, me, &unproven, &site.notified.history, 0).0 {
+        let mut proving = CatchUp::default();
+        for (to, message) in proving.tick(&self.plan, me, &unproven, &site.notified.history, 0).0 {
             let Message::Ask { home, fence } = message else { continue };
-            proving.notified(to, &home, fence, other.writer.log, other.head.0);
+            proving.record_reply(to, &home, fence, other.writer.log, other.head.0);
         }
-        let (_, proved) = proving.pass(&self.plan, me, &unproven, &site.notified.history, 0);
-        proved.iter().for_each(|(home, fence)| site.ownership.proved(home, *fence));
+        let (_, proved) = proving.tick(&self.plan, me, &unproven, &site.notified.history, 0);
+        proved.iter().for_each(|(home, fence)| site.ownership.mark_proved(home, *fence));
     }
 
     fn guard(&self, s: &mut State, n: usize) {
@@ -462,7 +462,7 @@
         }
         s.wrong |= rejection;
         site.pending = Some(fence);
-        site.kept = site.ownership.kept();
+        site.kept = site.ownership.persisted();
         if self.fault == Fault::SendsFirst {
             (s.runs, s.adopted) = (s.runs + 1, s.adopted || n == 1);
         }
@@ -472,11 +472,11 @@
         let now = clock(s, n);
         let site = Arc::make_mut(&mut s.sites[n]);
         let Some(fence) = site.pending.take() else { return };
-        site.placed(GUARDED, fence.message(), false);
+        site.placed(GUARDED, fence.as_u64(), false);
         if self.fault == Fault::SendsFirst {
             return;
         }
-        if self.fault == Fault::SendsLate || site.ownership.still(&self.key, fence, now) {
+        if self.fault == Fault::SendsLate || site.ownership.is_still_held(&self.key, fence, now) {
             (s.runs, s.adopted) = (s.runs + 1, s.adopted || n == 1);
         } else {
             // It surely never ran, and its client is told so.
@@ -613,7 +613,7 @@
                 let grant = site.grant.take()?;
                 if site.holder.granted(grant, at) {
                     let asked = site.holder.until()? - TERM.for_holder();
-                    site.ownership.granted(BUDGET, &grant, asked, TERM, at);
+                    site.ownership.apply_grant(BUDGET, &grant, asked, TERM, at);
                     s.allocator.taken(grant.life, grant.number);
                 }
             }
--- a/crates/sites/tests/lending.rs
+++ b/crates/sites/tests/lending.rs
@@ -1,17 +1,17 @@
 //! What nodes of a site lend together, and how one learns that its site was lost.
 
-use shorepath_sites::config::{read, Plan};
+use shorepath_sites::config::{read, SitesConfig};
 use shorepath_sites::health::SiteHealth;
-use shorepath_sites::load_shifting::{guest_of, Class, LoadShifting};
+use shorepath_sites::load_shifting::{guest_site, Class, LoadShifting};
 use shorepath_sites::recovery_ramp::Pace;
-use shorepath_sites::Seen;
+use shorepath_sites::SiteState;
 use std::collections::BTreeMap;
 
 const MS: i64 = 1_000;
 const S: i64 = 1_000_000;
 const PACE: Pace = Pace { share: 0.2, time: 4 * S };
 
-fn file(lends: &str) -> Plan {
+fn file(lends: &str) -> SitesConfig {
     let text = format!(
         "(sites (fleet \"f\") (key \"k\") (site a (bears 103) (node a0 \"10.0.0.0:1\") (node a1 \"10.0.0.1:1\"))
           (site b (bears 100) (node b0 \"10.0.1.0:1\")) (site c (bears 100) (node c0 \"10.0.2.0:1\")) {lends})"
@@ -21,7 +21,7 @@
 
 /// Nodes with their views, among which words go at once; those that are down hear nothing and say nothing.
 struct Fleet {
-    plan: Plan,
+    plan: SitesConfig,
     now: i64,
     nodes: BTreeMap<u32, (SiteHealth, LoadShifting)>,
     classes: Vec<Class>,
@@ -54,12 +54,12 @@
             for (node, rate) in demand {
                 let number = self.number(node);
                 let Some((_, load_shifting)) = self.nodes.get_mut(&number) else { continue };
-                (0..rate / 20).for_each(|_| load_shifting.asked(0));
+                (0..rate / 20).for_each(|_| load_shifting.record_request(0));
             }
             let mut messages = Vec::new();
             for (from, (site_health, load_shifting)) in &mut self.nodes {
-                site_health.pass(now);
-                load_shifting.pass(site_health, &self.classes, (1, 0), true, now);
+                site_health.tick(now);
+                load_shifting.tick(site_health, &self.classes, (1, 0), true, now);
                 messages.extend(
                     site_health.take_outgoing().into_iter().map(|(to, message)| (*from, to, message)),
                 );
@@ -67,7 +67,7 @@
             for (from, to, message) in messages {
                 let Some((site_health, load_shifting)) = self.nodes.get_mut(&to) else { continue };
                 if site_health.receive(from, &message, now).is_ok() {
-                    load_shifting.received(site_health, from, &message, now);
+                    load_shifting.receive(site_health, from, &message, now);
                 }
             }
         }
@@ -108,7 +108,7 @@
     fleet.plan = file("(version 2) (lend c (class job (part 33)))");
     let now = fleet.now;
     for (site_health, _) in fleet.nodes.values_mut() {
-        site_health.replan(&fleet.plan, now).unwrap();
+        site_health.update_config(&fleet.plan, now).unwrap();
     }
     fleet.pass(2 * S, &[]);
     assert_eq!(fleet.shifted(&["c0"], 0), 33);
@@ -122,26 +122,26 @@
     // A short restart is no loss.
     fleet.start("b0");
     fleet.pass(S, &[]);
-    assert_eq!(fleet.nodes[&b].1.returns(fleet.now), None);
+    assert_eq!(fleet.nodes[&b].1.recovery_percent(fleet.now), None);
     fleet.pass(3 * S, &[("b0", 100)]);
     fleet.nodes.remove(&b);
     fleet.pass(10 * S, &[]);
     let a0 = fleet.number("a0");
-    assert_eq!(fleet.nodes[&a0].0.state("b"), Some(Seen::Lost));
+    assert_eq!(fleet.nodes[&a0].0.state("b"), Some(SiteState::Lost));
     fleet.start("b0");
-    let (mut parts, mut seen) = (Vec::new(), vec![Seen::Lost]);
+    let (mut parts, mut seen) = (Vec::new(), vec![SiteState::Lost]);
     for _ in 0..400 {
         fleet.pass(50 * MS, &[("b0", 100)]);
-        let limit = fleet.nodes[&b].1.limits().home;
+        let limit = fleet.nodes[&b].1.limits().own_site;
         parts.push(limit.unwrap_or(100));
         let now = fleet.nodes[&a0].0.state("b").unwrap();
         if seen.last() != Some(&now) {
             seen.push(now);
         }
         let (site_health, load_shifting) = &fleet.nodes[&a0];
-        let chance = load_shifting.may_go_home(site_health, "b");
+        let chance = load_shifting.return_probability(site_health, "b");
         // It is asked for all that it can take by now.
-        assert!(now == Seen::Linked || chance < 0.3, "{now:?} {chance}");
+        assert!(now == SiteState::Linked || chance < 0.3, "{now:?} {chance}");
     }
     // Until the first word of another site it knows of no loss: that is a tenth of the time after which sites are alone, at most.
     let unknown = parts.iter().position(|p| *p < 100).unwrap();
@@ -154,13 +154,13 @@
             && parts.ends_with(&[100]),
         "{parts:?}"
     );
-    assert_eq!(seen, [Seen::Lost, Seen::Returning, Seen::WholeAgain, Seen::Linked]);
+    assert_eq!(seen, [SiteState::Lost, SiteState::Returning, SiteState::WholeAgain, SiteState::Linked]);
 }
 
 #[test]
 fn only_a_known_other_site_makes_a_guest() {
     let plan = file("");
-    let guest = |named| guest_of(&plan, "a", named);
+    let guest = |named| guest_site(&plan, "a", named);
     assert_eq!(
         [guest(None), guest(Some("a")), guest(Some("x")), guest(Some("b"))],
         [None, None, None, Some("b")]
@@ -185,8 +185,8 @@
         let mut site_health = SiteHealth::new(number, &plan, 1, S).unwrap();
         let mut load_shifting = LoadShifting::new(PACE, S);
         let classes = [Class { name: "job".to_string(), worth: 1_000 }];
-        load_shifting.pass(&mut site_health, &classes, (0, 0), true, S);
-        load_shifting.limits().kept
+        load_shifting.tick(&mut site_health, &classes, (0, 0), true, S);
+        load_shifting.limits().unused_lifetime
     };
     // Of its even part of what is borne a third for so long is eight, where that is no more than two seconds.
     assert_eq!(kept(10_000, 2), 250 * MS);
@@ -212,9 +212,9 @@
         // Six requests in ten seconds, at other times at each node.
         for step in 0..300_i64 {
             if (step * 3 + k * 7) % 50 < 3 {
-                load_shifting.asked(0);
+                load_shifting.record_request(0);
             }
-            load_shifting.pass(&mut site_health, &classes, (0, 0), true, S + step * 100 * MS);
+            load_shifting.tick(&mut site_health, &classes, (0, 0), true, S + step * 100 * MS);
             if step >= 100 {
                 notified +=
                     site_health.load("a").unwrap().demand.iter().map(|(_, rate)| *rate / 40).sum::<u64>();
--- a/crates/sites/tests/model.rs
+++ b/crates/sites/tests/model.rs
@@ -5,8 +5,8 @@
 use shorepath_quota::lease::Holder;
 use shorepath_quota::ledger::Ledger;
 use shorepath_quota::{Grant, LeasePeriod, Micros, NodeId, NodeIncarnation};
-use shorepath_sites::config::{read, Plan};
-use shorepath_sites::key_ownership::{Fence, Kept, KeyOwnership, Proof};
+use shorepath_sites::config::{read, SitesConfig};
+use shorepath_sites::key_ownership::{Fence, KeyOwnership, PersistedOwnership, Proof};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -49,7 +49,7 @@
     asked: u8,
     life: u64,
     /// What its disk says: by what it held ranges, whether it placed the key, and which disk it is.
-    kept: Kept,
+    kept: PersistedOwnership,
     placed: bool,
     disk: u8,
     /// It goes on with what it had, by a planted fault.
@@ -82,12 +82,12 @@
     BySight,
 }
 
-struct World(Fault, Plan, String);
+struct World(Fault, SitesConfig, String);
 
 fn world(fault: Fault) -> World {
     let text = r#"(sites (fleet "f") (key "k") (site a (node n "1.1.1.1:1") (bears 1)) (site b (node m "1.1.1.1:2") (bears 1)))"#;
     let plan = read("s", text).unwrap();
-    let ownership = KeyOwnership::new(0, &plan, &Kept::default());
+    let ownership = KeyOwnership::new(0, &plan, &PersistedOwnership::default());
     let key = (0..100).map(|k| format!("k{k}")).find(|k| ownership.home(k) == "a/n").unwrap();
     World(fault, plan, key)
 }
@@ -102,7 +102,11 @@
         let life = self.life(n, 1);
         // The fleet is new: what others may have placed is nothing. So says the disk that it was founded with.
         let fences = BTreeMap::from([("a/n".to_string(), Fence { epoch: 0, number: 0 })]);
-        let kept = Kept { fences, nodes: self.1.nodes().map(|(_, n)| n.number).collect(), ..Kept::default() };
+        let kept = PersistedOwnership {
+            fences,
+            settled_nodes: self.1.nodes().map(|(_, n)| n.number).collect(),
+            ..PersistedOwnership::default()
+        };
         let ownership = KeyOwnership::new(life.node.0, &self.1, &kept);
         let holder = Holder::new(life, 0, TERM);
         Site { rate, holder, ownership, asked: 0, life: 1, kept, placed: false, disk: 1, goes_on: false }
@@ -199,25 +203,26 @@
             Step::Place(n) => {
                 s.placements += 1;
                 s.sites[n].placed = true;
-                s.sites[n].kept = s.sites[n].ownership.kept();
+                s.sites[n].kept = s.sites[n].ownership.persisted();
             }
             Step::Crash(n, disk) => {
                 let site = &mut s.sites[n];
                 if !disk {
-                    (site.kept, site.placed, site.disk) = (Kept::default(), false, site.disk + 1);
+                    (site.kept, site.placed, site.disk) =
+                        (PersistedOwnership::default(), false, site.disk + 1);
                 }
                 (site.life, site.asked, site.goes_on) = (site.life + 1, 0, false);
                 let life = self.life(n, site.life);
                 site.holder = Holder::new(life, 0, TERM);
                 site.ownership = KeyOwnership::new(life.node.0, &self.1, &site.kept);
                 // There is one file, which all go by.
-                site.ownership.settled();
+                site.ownership.mark_settled();
             }
             Step::BySight => {
                 let (now, life) = (clock(&s, 1), self.life(1, s.sites[1].life));
                 let number = s.allocator.last() + 1;
                 let grant = Grant { life, epoch: 0, number, amount: 1, answers: 0, length: TERM.length };
-                s.sites[1].ownership.granted(BUDGET, &grant, now, TERM, now);
+                s.sites[1].ownership.apply_grant(BUDGET, &grant, now, TERM, now);
             }
             Step::Deliver(message) => {
                 let now = divider_clock(&s);
@@ -249,7 +254,7 @@
                             _ => return None,
                         };
                         let held = site.ownership.may_place(&self.2, at, |_| Proof::Clean).is_ok();
-                        site.ownership.granted(BUDGET, &grant, asked, TERM, at);
+                        site.ownership.apply_grant(BUDGET, &grant, asked, TERM, at);
                         site.goes_on = self.0 == Fault::GoesOn && held && grant.amount == 0;
                         s.messages.insert(Message::Taken { life: grant.life, number: grant.number });
                     }
--- a/crates/sites/tests/sight/figures.rs
+++ b/crates/sites/tests/sight/figures.rs
@@ -3,7 +3,7 @@
 //!     cargo test --release -p shorepath-sites --test sight -- --ignored --nocapture
 
 use crate::fleet::{Fleet, S};
-use shorepath_sites::{Micros, Seen};
+use shorepath_sites::{Micros, SiteState};
 
 /// For a fleet of that size and loss: seconds from a site's end to `Lost` at each node, the first and last; changes in half a minute
 /// before, by what they are to; words and bytes of postcard that a node says in a second.
@@ -11,13 +11,14 @@
     let mut f = Fleet::new(&vec![nodes; sites], seed);
     f.each_link(loss);
     f.run(30 * S);
-    let wrong = |to: Seen| f.log.iter().filter(|(_, _, c)| c.to == to).count();
-    let (is_suspected, alone, lost) = (wrong(Seen::Doubtful), wrong(Seen::Alone), wrong(Seen::Lost));
+    let wrong = |to: SiteState| f.log.iter().filter(|(_, _, c)| c.to == to).count();
+    let (is_suspected, alone, lost) =
+        (wrong(SiteState::Doubtful), wrong(SiteState::Alone), wrong(SiteState::Lost));
     let messages = f.sent as f64 / (sites * nodes) as f64 / 30.0;
     f.log.clear();
     f.kill(1, true);
     f.run(45 * S);
-    let gone = f.log.iter().filter(|(_, _, c)| c.site == "s1" && c.to == Seen::Lost);
+    let gone = f.log.iter().filter(|(_, _, c)| c.site == "s1" && c.to == SiteState::Lost);
     let mut times: Vec<Micros> = gone.map(|(at, _, _)| at - 30 * S).collect();
     times.sort();
     let at = |p: usize| times.get((times.len().max(1) - 1) * p / 100).map_or(f64::NAN, |t| *t as f64 / 1e6);
@@ -60,8 +61,9 @@
         let mut f = Fleet::new(&sizes, 14);
         f.each_link(loss);
         f.run(3_600 * S);
-        let wrong = |to: Seen| f.log.iter().filter(|(_, _, c)| c.to == to).count();
-        let (is_suspected, alone, lost) = (wrong(Seen::Doubtful), wrong(Seen::Alone), wrong(Seen::Lost));
+        let wrong = |to: SiteState| f.log.iter().filter(|(_, _, c)| c.to == to).count();
+        let (is_suspected, alone, lost) =
+            (wrong(SiteState::Doubtful), wrong(SiteState::Alone), wrong(SiteState::Lost));
         println!(
             "nodes {sizes:?}, loss {loss:.1}, 1 h: wrongly doubtful {is_suspected}, alone {alone}, lost {lost}"
         );
--- a/crates/sites/tests/sight/fleet.rs
+++ b/crates/sites/tests/sight/fleet.rs
@@ -1,15 +1,15 @@
 //! A fleet in virtual time: nodes that see sites, and a network that loses, delays and cuts.
 
 use oorandom::Rand32;
-use shorepath_sites::config::{read, Plan};
-use shorepath_sites::health::{Changed, Message, SiteHealth};
+use shorepath_sites::config::{read, SitesConfig};
+use shorepath_sites::health::{Message, SiteHealth, StateChange};
 use shorepath_sites::Micros;
 use std::collections::BTreeMap;
 
 pub const S: Micros = 1_000_000;
 
 /// A file of sites with so many nodes each.
-pub fn plan(sizes: &[usize]) -> Plan {
+pub fn plan(sizes: &[usize]) -> SitesConfig {
     let mut text = String::from("(sites (fleet \"f\") (key \"k\")");
     for (s, nodes) in sizes.iter().enumerate() {
         text += &format!("(site s{s} (bears 100) (server-prefix \"s{s}-\")");
@@ -23,7 +23,7 @@
 
 pub struct Fleet {
     pub now: Micros,
-    pub plan: Plan,
+    pub plan: SitesConfig,
     pub nodes: Vec<SiteHealth>,
     /// Each node's site.
     pub site: Vec<usize>,
@@ -41,7 +41,7 @@
     pub still: Vec<bool>,
     waiting: Vec<Vec<(usize, Message)>>,
     pub sent: u64,
-    pub log: Vec<(Micros, usize, Changed)>,
+    pub log: Vec<(Micros, usize, StateChange)>,
 }
 
 impl Fleet {
@@ -126,7 +126,7 @@
                 self.wakes.insert((next + 10_000, k), ());
                 continue;
             }
-            self.nodes[k].pass(next);
+            self.nodes[k].tick(next);
             let due = self.nodes[k].due(next).max(next + 1_000);
             self.wakes.insert((due, k), ());
             for (to, message) in self.nodes[k].take_outgoing() {
@@ -139,7 +139,7 @@
                 let at = next + if a == b { 300 } else { self.delay[a][b] };
                 self.way.insert((at, self.sent), (to, k, message));
             }
-            self.log.extend(self.nodes[k].changes().into_iter().map(|c| (next, k, c)));
+            self.log.extend(self.nodes[k].take_changes().into_iter().map(|c| (next, k, c)));
         }
         self.now = until;
     }
--- a/crates/sites/tests/sight/leases.rs
+++ b/crates/sites/tests/sight/leases.rs
@@ -4,7 +4,7 @@
 use shorepath_quota::allocator::Allocator;
 use shorepath_quota::client::{QuotaClient, Use};
 use shorepath_quota::{config, NodeId, NodeIncarnation};
-use shorepath_sites::key_ownership::{budget, Gone, Kept, KeyOwnership, Proof};
+use shorepath_sites::key_ownership::{budget_name, AbsentMembers, KeyOwnership, PersistedOwnership, Proof};
 use shorepath_sites::Micros;
 
 struct Leases {
@@ -26,15 +26,17 @@
         let mut text = String::from("(budgets (term 5 s) (divider d \"127.0.0.1:1\")");
         for (site, node) in f.plan.nodes() {
             text += &format!("(node {} \"{}\")", node.name, node.address);
-            text +=
-                &format!("(budget {} (per moment) (whole 1) (longest 1 s))", budget(&site.name, &node.name));
+            text += &format!(
+                "(budget {} (per moment) (whole 1) (longest 1 s))",
+                budget_name(&site.name, &node.name)
+            );
         }
         let file = config::read("b", &(text + ")")).unwrap();
         let mut allocator = Allocator::new("d", file.clone(), 7);
         allocator.lead(true);
         let numbers: Vec<u32> = f.plan.nodes().map(|(_, n)| n.number).collect();
         let ownership: Vec<KeyOwnership> =
-            numbers.iter().map(|n| KeyOwnership::new(*n, &f.plan, &Kept::default())).collect();
+            numbers.iter().map(|n| KeyOwnership::new(*n, &f.plan, &PersistedOwnership::default())).collect();
         let key = (0..).map(|k| format!("k{k}")).find(|k| ownership[0].home(k) == "s1/s1n0").unwrap();
         let mut all = Leases { f, seats: Vec::new(), ownership, allocator, file, cut: vec![false; 3], key };
         all.seats = numbers.iter().map(|n| all.quota_client(*n, 1)).collect();
@@ -63,9 +65,9 @@
         self.f.run(now);
         for k in (0..3).filter(|k| !self.f.dead[*k]).collect::<Vec<_>>() {
             let states = self.f.nodes[k].states().into_iter().map(|(s, seen, since)| (s, (seen, since)));
-            let gone = Gone { sites: states.collect(), ..Gone::default() };
-            if self.f.nodes[k].all_go_by() {
-                self.ownership[k].settled();
+            let gone = AbsentMembers { sites: states.collect(), ..AbsentMembers::default() };
+            if self.f.nodes[k].all_nodes_use_config() {
+                self.ownership[k].mark_settled();
             }
             let claims = self.ownership[k].claims(&self.f.plan, &gone, now);
             let quota_client = &mut self.seats[k];
@@ -91,9 +93,9 @@
             for b in &self.file.budgets {
                 match self.seats[k].lease(&b.name, now) {
                     Some((grant, asked)) => {
-                        self.ownership[k].granted(&b.name, &grant, asked, self.file.term_of(b), now);
+                        self.ownership[k].apply_grant(&b.name, &grant, asked, self.file.term_of(b), now);
                     }
-                    None => self.ownership[k].ended(&b.name),
+                    None => self.ownership[k].lease_ended(&b.name),
                 }
             }
         }
@@ -140,7 +142,7 @@
     for _ in 0..30 * S / STEP {
         l.step();
         let now = l.f.now;
-        l.f.nodes.iter_mut().for_each(|n| n.whole("s1", now));
+        l.f.nodes.iter_mut().for_each(|n| n.mark_recovered("s1", now));
         assert_eq!(l.holder(), Some(1));
     }
     // Lost whole, and started anew.
@@ -149,6 +151,6 @@
     l.f.kill(1, false);
     let number = l.f.plan.node_named("s1n0").unwrap().number;
     (l.seats[1], l.ownership[1]) =
-        (l.quota_client(number, 2), KeyOwnership::new(number, &l.f.plan, &Kept::default()));
+        (l.quota_client(number, 2), KeyOwnership::new(number, &l.f.plan, &PersistedOwnership::default()));
     println!("started anew: the range is home after {:.2} s", s(l.until(1)));
 }
--- a/crates/sites/tests/sight/main.rs
+++ b/crates/sites/tests/sight/main.rs
@@ -5,13 +5,13 @@
 mod leases;
 
 use fleet::{Fleet, S};
-use shorepath_sites::config::{Declared, Plan};
-use shorepath_sites::health::{Load, Message, ReceiveError, SiteHealth, SiteReport, Why};
-use shorepath_sites::Seen;
+use shorepath_sites::config::{DeclaredLoss, SitesConfig};
+use shorepath_sites::health::{Load, Message, ReceiveError, SiteHealth, SiteReport, StateChangeReason};
+use shorepath_sites::SiteState;
 
 /// What all living nodes of other sites see a site as; panics where they differ.
-fn all_see(f: &Fleet, site: usize) -> Seen {
-    let seen: Vec<Seen> = (0..f.nodes.len())
+fn all_see(f: &Fleet, site: usize) -> SiteState {
+    let seen: Vec<SiteState> = (0..f.nodes.len())
         .filter(|k| f.site[*k] != site && !f.dead[*k])
         .map(|k| f.nodes[k].state(&format!("s{site}")).unwrap())
         .collect();
@@ -19,7 +19,7 @@
     seen[0]
 }
 
-fn steps(f: &Fleet, node: usize, site: usize) -> Vec<Seen> {
+fn steps(f: &Fleet, node: usize, site: usize) -> Vec<SiteState> {
     let name = format!("s{site}");
     f.log.iter().filter(|(_, k, c)| *k == node && c.site == name).map(|(_, _, c)| c.to).collect()
 }
@@ -31,18 +31,24 @@
     assert!(f.log.is_empty(), "{:?}", f.log);
     f.kill(2, true);
     f.run(27 * S);
-    assert_eq!(all_see(&f, 2), Seen::Lost);
-    assert!(f.nodes[0].confirmed(f.now) && !f.nodes[0].am_alone());
-    assert!(f.nodes[0].all_go_by());
+    assert_eq!(all_see(&f, 2), SiteState::Lost);
+    assert!(f.nodes[0].has_majority_contact(f.now) && !f.nodes[0].is_isolated());
+    assert!(f.nodes[0].all_nodes_use_config());
     f.kill(2, false);
     f.run(32 * S);
-    assert_eq!(all_see(&f, 2), Seen::Returning);
+    assert_eq!(all_see(&f, 2), SiteState::Returning);
     for node in &mut f.nodes {
-        node.whole("s2", 32 * S);
+        node.mark_recovered("s2", 32 * S);
     }
     f.run(50 * S);
-    assert_eq!(all_see(&f, 2), Seen::Linked);
-    let way = [Seen::Doubtful, Seen::Lost, Seen::Returning, Seen::WholeAgain, Seen::Linked];
+    assert_eq!(all_see(&f, 2), SiteState::Linked);
+    let way = [
+        SiteState::Doubtful,
+        SiteState::Lost,
+        SiteState::Returning,
+        SiteState::WholeAgain,
+        SiteState::Linked,
+    ];
     (0..4).for_each(|k| assert_eq!(steps(&f, k, 2), way, "node {k}"));
 }
 
@@ -52,10 +58,10 @@
     f.run(10 * S);
     (f.loss[0][1], f.loss[1][0]) = (1.0, 1.0);
     f.run(25 * S);
-    assert_eq!(f.nodes[0].state("s1"), Some(Seen::Alone));
-    assert_eq!(f.nodes[2].state("s0"), Some(Seen::Alone));
-    assert_eq!(f.nodes[4].state("s0"), Some(Seen::Linked));
-    assert!(f.nodes[0].confirmed(f.now));
+    assert_eq!(f.nodes[0].state("s1"), Some(SiteState::Alone));
+    assert_eq!(f.nodes[2].state("s0"), Some(SiteState::Alone));
+    assert_eq!(f.nodes[4].state("s0"), Some(SiteState::Linked));
+    assert!(f.nodes[0].has_majority_contact(f.now));
 }
 
 #[test]
@@ -64,9 +70,12 @@
     f.run(10 * S);
     f.loss[0][1] = 1.0;
     f.run(29 * S / 2);
-    assert_eq!(f.nodes[0].state("s1"), Some(Seen::Doubtful));
+    assert_eq!(f.nodes[0].state("s1"), Some(SiteState::Doubtful));
     f.run(25 * S);
-    assert_eq!((f.nodes[0].state("s1"), f.nodes[2].state("s0")), (Some(Seen::Alone), Some(Seen::Alone)));
+    assert_eq!(
+        (f.nodes[0].state("s1"), f.nodes[2].state("s0")),
+        (Some(SiteState::Alone), Some(SiteState::Alone))
+    );
 }
 
 #[test]
@@ -75,13 +84,13 @@
     f.run(10 * S);
     f.cut(0, 1.0);
     f.run(14 * S);
-    assert!(!f.nodes[0].confirmed(f.now));
+    assert!(!f.nodes[0].has_majority_contact(f.now));
     f.run(20 * S);
-    assert!(f.nodes[0].am_alone() && !f.nodes[2].am_alone());
-    assert_eq!(f.nodes[2].state("s0"), Some(Seen::Lost));
+    assert!(f.nodes[0].is_isolated() && !f.nodes[2].is_isolated());
+    assert_eq!(f.nodes[2].state("s0"), Some(SiteState::Lost));
     f.cut(0, 0.0);
     f.run(25 * S);
-    assert!(!f.nodes[0].am_alone() && f.nodes[0].confirmed(f.now));
+    assert!(!f.nodes[0].is_isolated() && f.nodes[0].has_majority_contact(f.now));
 }
 
 #[test]
@@ -90,11 +99,11 @@
     f.run(10 * S);
     f.cut(0, 1.0);
     f.run(20 * S);
-    assert_eq!((all_see(&f, 0), all_see(&f, 1)), (Seen::Lost, Seen::Lost));
-    assert!(f.nodes.iter().all(|n| n.am_alone() && !n.confirmed(f.now)));
+    assert_eq!((all_see(&f, 0), all_see(&f, 1)), (SiteState::Lost, SiteState::Lost));
+    assert!(f.nodes.iter().all(|n| n.is_isolated() && !n.has_majority_contact(f.now)));
     f.cut(0, 0.0);
     f.run(25 * S);
-    assert_eq!((all_see(&f, 0), all_see(&f, 1)), (Seen::Returning, Seen::Returning));
+    assert_eq!((all_see(&f, 0), all_see(&f, 1)), (SiteState::Returning, SiteState::Returning));
 }
 
 #[test]
@@ -105,9 +114,9 @@
     f.run(60 * S);
     assert_eq!(
         (f.nodes[0].state("s1"), f.nodes[2].state("s0")),
-        (Some(Seen::Doubtful), Some(Seen::Doubtful))
+        (Some(SiteState::Doubtful), Some(SiteState::Doubtful))
     );
-    assert!(f.log.iter().all(|(_, _, c)| c.to == Seen::Doubtful), "{:?}", f.log);
+    assert!(f.log.iter().all(|(_, _, c)| c.to == SiteState::Doubtful), "{:?}", f.log);
 }
 
 #[test]
@@ -116,14 +125,18 @@
     f.run(10 * S);
     (0..2).for_each(|k| f.readiness(k, true));
     f.run(40 * S);
-    assert_eq!(f.nodes[2].state("s0"), Some(Seen::Lost));
+    assert_eq!(f.nodes[2].state("s0"), Some(SiteState::Lost));
     (0..2).for_each(|k| f.readiness(k, false));
     // What lay in its buffer confirms nothing.
-    assert!(!f.nodes[0].confirmed(f.now));
+    assert!(!f.nodes[0].has_majority_contact(f.now));
     f.run(60 * S);
-    assert!(f.nodes[0].confirmed(f.now));
+    assert!(f.nodes[0].has_majority_contact(f.now));
     (0..2).for_each(|k| {
-        assert!(steps(&f, k, 1).iter().all(|s| *s != Seen::Lost && *s != Seen::Alone), "{:?}", f.log)
+        assert!(
+            steps(&f, k, 1).iter().all(|s| *s != SiteState::Lost && *s != SiteState::Alone),
+            "{:?}",
+            f.log
+        )
     });
 }
 
@@ -134,15 +147,15 @@
     let mut at = SiteHealth::new(number(0), &plan, 1, 0).unwrap();
     let notified = |site| SiteReport {
         site,
-        sign: 999_999_999,
-        sign_age: 99_999,
+        heartbeat: 999_999_999,
+        heartbeat_age: 99_999,
         direct: 999_999_999,
         direct_age: 99_999,
-        back_age: 99_999,
+        echo_age: 99_999,
     };
     let others = plan.sites.iter().skip(1).map(|s| notified(s.number)).collect();
     let demand = (0..6).map(|k| (u32::MAX - 9 + k, 1_000_000)).collect();
-    let load = Some(Load { part: 100, bears: 1_000_000_000, demand });
+    let load = Some(Load { load_percent: 100, capacity: 1_000_000_000, demand });
     let message = Message {
         site: plan.sites[1].number,
         number: 999_999_999,
@@ -158,8 +171,8 @@
     assert_eq!(postcard::from_bytes::<Message>(&short).unwrap(), message);
     let newer = json.replacen('{', "{\"hue\":[1],", 1);
     assert_eq!(serde_json::from_str::<Message>(&newer).unwrap(), message);
-    assert_eq!(at.receive(7, &message, 1), Err(ReceiveError::Stranger(7)));
-    let elsewhere = ReceiveError::Elsewhere { node: number(2), outgoing_messages: message.site };
+    assert_eq!(at.receive(7, &message, 1), Err(ReceiveError::UnknownNode(7)));
+    let elsewhere = ReceiveError::WrongSite { node: number(2), site: message.site };
     assert_eq!(at.receive(number(2), &message, 1), Err(elsewhere));
     at.receive(number(1), &message, 1).unwrap();
     assert_eq!(at.load("s1"), message.load);
@@ -183,7 +196,7 @@
         assert!(f.log.is_empty(), "seed {seed}: {:?}", f.log);
         f.kill(1, true);
         f.run(129 * S);
-        assert_eq!(all_see(&f, 1), Seen::Lost, "seed {seed}");
+        assert_eq!(all_see(&f, 1), SiteState::Lost, "seed {seed}");
         assert!(f.log.iter().all(|(_, _, c)| c.site == "s1"), "seed {seed}: {:?}", f.log);
     }
 }
@@ -202,13 +215,13 @@
         for (from, v, site) in sent {
             let age = |k: usize| v[k] as u32;
             let site = plan.sites[site].number;
-            let notified = SiteReport { site, sign: v[0], sign_age: age(1), direct: v[2], direct_age: age(3), back_age: age(4) };
-            let load = Some(Load { part: 100, bears: v[5], demand: vec![(1, v[5]), (1, v[0])] });
+            let notified = SiteReport { site, heartbeat: v[0], heartbeat_age: age(1), direct: v[2], direct_age: age(3), echo_age: age(4) };
+            let load = Some(Load { load_percent: 100, capacity: v[5], demand: vec![(1, v[5]), (1, v[0])] });
             let own = plan.site_of_node(number(from + 1)).unwrap().number;
             let message = Message { site: own, number: v[5], version: v[1], digest: 0, others: vec![notified, notified], load };
             let _ = at.receive(number(from + 1), &message, now);
             now += S / 3;
-            at.pass(now);
+            at.tick(now);
             (0..3).for_each(|s| drop(at.load(&format!("s{s}"))));
             proptest::prop_assert!(at.take_outgoing().iter().all(|(_, w)| w.number <= (1 << 53) + 20));
         }
@@ -236,13 +249,13 @@
         f.run(f.now + 20 * S);
         for node in &mut f.nodes {
             let now = f.now;
-            (0..3).for_each(|s| node.whole(&format!("s{s}"), now));
+            (0..3).for_each(|s| node.mark_recovered(&format!("s{s}"), now));
         }
         f.run(f.now + 12 * S);
         for k in 0..6 {
-            proptest::prop_assert!(f.nodes[k].confirmed(f.now) && !f.nodes[k].am_alone());
+            proptest::prop_assert!(f.nodes[k].has_majority_contact(f.now) && !f.nodes[k].is_isolated());
             for s in 0..3 {
-                proptest::prop_assert_eq!(f.nodes[k].state(&format!("s{s}")), Some(Seen::Linked));
+                proptest::prop_assert_eq!(f.nodes[k].state(&format!("s{s}")), Some(SiteState::Linked));
                 // Each fault brings four changes at most: doubt, loss or cut, one the other, and back.
                 proptest::prop_assert!(steps(&f, k, s).len() <= 4 * faults.len() + 3, "{:?}", f.log);
             }
@@ -258,14 +271,14 @@
     assert!(f.log.is_empty(), "{:?}", f.log);
     f.kill(1, true);
     f.run(29 * S);
-    assert_eq!(all_see(&f, 1), Seen::Lost);
-    assert!(f.log.iter().all(|(_, _, c)| c.site == "s1" && c.to != Seen::Alone), "{:?}", f.log);
+    assert_eq!(all_see(&f, 1), SiteState::Lost);
+    assert!(f.log.iter().all(|(_, _, c)| c.site == "s1" && c.to != SiteState::Alone), "{:?}", f.log);
 }
 
 #[test]
 fn what_is_known_of_a_lost_sites_load_stays_and_its_returning_part_is_the_least() {
     let mut f = Fleet::new(&[2; 3], 22);
-    let load = |part: u8, units: u64| Load { part, bears: 50, demand: vec![(7, units)] };
+    let load = |load_percent: u8, units: u64| Load { load_percent, capacity: 50, demand: vec![(7, units)] };
     f.nodes[2].report(load(100, 10));
     f.run(5 * S);
     assert_eq!(f.nodes[0].load("s1"), Some(load(100, 20)), "as if the other node had as much");
@@ -285,18 +298,31 @@
     let mut f = Fleet::new(&[2; 3], 23);
     f.run(10 * S);
     let before = f.plan.clone();
-    let mut after = Plan { version: 2, ..before.clone() };
-    after.lost.push(Declared { site: "s1".into(), number: 4 });
+    let mut after = SitesConfig { version: 2, ..before.clone() };
+    after.lost.push(DeclaredLoss { site: "s1".into(), number: 4 });
     let now = f.now;
-    f.nodes.iter_mut().for_each(|n| n.replan(&after, now).unwrap());
+    f.nodes.iter_mut().for_each(|n| n.update_config(&after, now).unwrap());
     f.run(20 * S);
-    assert_eq!((f.nodes[0].state("s1"), f.nodes[2].state("s1")), (Some(Seen::Lost), Some(Seen::Linked)));
-    assert!(f.log.iter().all(|(_, _, c)| c.why == Why::Declared(4)) && f.nodes[0].all_go_by(), "{:?}", f.log);
-    f.nodes.iter_mut().for_each(|n| n.replan(&Plan { version: 3, ..before.clone() }, 20 * S).unwrap());
+    assert_eq!(
+        (f.nodes[0].state("s1"), f.nodes[2].state("s1")),
+        (Some(SiteState::Lost), Some(SiteState::Linked))
+    );
+    assert!(
+        f.log.iter().all(|(_, _, c)| c.reason == StateChangeReason::Declared(4))
+            && f.nodes[0].all_nodes_use_config(),
+        "{:?}",
+        f.log
+    );
+    f.nodes
+        .iter_mut()
+        .for_each(|n| n.update_config(&SitesConfig { version: 3, ..before.clone() }, 20 * S).unwrap());
     f.run(25 * S);
-    assert_eq!(f.nodes[0].state("s1"), Some(Seen::Returning));
+    assert_eq!(f.nodes[0].state("s1"), Some(SiteState::Returning));
     let strangers = fleet::plan(&[1, 1]);
-    assert!(f.nodes[5].replan(&strangers, 25 * S).is_err() && f.nodes[5].state("s0") == Some(Seen::Linked));
+    assert!(
+        f.nodes[5].update_config(&strangers, 25 * S).is_err()
+            && f.nodes[5].state("s0") == Some(SiteState::Linked)
+    );
 }
 
 /// One that goes by a newer file, or by another one of the same version, does not go by this one; both are told once.
@@ -307,19 +333,20 @@
     let mut f = Fleet::new(&[2; 3], 29);
     f.run(10 * S);
     let now = f.now;
-    let plan = Plan { version: 2, hold: 10 * S, ..f.plan.clone() };
-    let other = Plan { version, hold, ..f.plan.clone() };
-    f.nodes.iter_mut().take(5).for_each(|n| n.replan(&plan, now).unwrap());
-    f.nodes[5].replan(&other, now).unwrap();
+    let plan = SitesConfig { version: 2, hold: 10 * S, ..f.plan.clone() };
+    let other = SitesConfig { version, hold, ..f.plan.clone() };
+    f.nodes.iter_mut().take(5).for_each(|n| n.update_config(&plan, now).unwrap());
+    f.nodes[5].update_config(&other, now).unwrap();
     f.run(20 * S);
-    assert!((0..6).all(|k| !f.nodes[k].all_go_by()));
-    let notified: Vec<_> = f.nodes[0].differs().into_iter().map(|d| (d.node, d.version, d.own)).collect();
+    assert!((0..6).all(|k| !f.nodes[k].all_nodes_use_config()));
+    let notified: Vec<_> =
+        f.nodes[0].take_config_mismatches().into_iter().map(|d| (d.node, d.version, d.own)).collect();
     assert!(notified.last().is_some_and(|t| (t.1, t.2) == (version, 2)), "{notified:?}");
     f.run(25 * S);
-    assert!(f.nodes[0].differs().is_empty());
+    assert!(f.nodes[0].take_config_mismatches().is_empty());
     let now = f.now;
-    let last = Plan { version: 4, ..f.plan.clone() };
-    f.nodes.iter_mut().for_each(|n| n.replan(&last, now).unwrap());
+    let last = SitesConfig { version: 4, ..f.plan.clone() };
+    f.nodes.iter_mut().for_each(|n| n.update_config(&last, now).unwrap());
     f.run(30 * S);
-    assert!((0..6).all(|k| f.nodes[k].all_go_by()));
+    assert!((0..6).all(|k| f.nodes[k].all_nodes_use_config()));
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -182,7 +182,7 @@
         return Err(format!("the settings know nothing of {}", strange.join(", ")).into());
     }
     for site in &siting.plan().sites {
-        println!("{}: {} nodes, bears {} a second", site.name, site.nodes.len(), site.bears);
+        println!("{}: {} nodes, bears {} a second", site.name, site.nodes.len(), site.capacity);
     }
     for (account, change) in siting.accounts() {
         println!("{account}: {:?} by file {}", change.standing, change.number);
@@ -199,7 +199,7 @@
     }
     let Some(siting) = siting else { return Ok(()) };
     let names = sharing.plan.budgets.iter().map(|b| b.name.as_str());
-    let (missing, strange) = shorepath_sites::key_ownership::unmatched(siting.plan(), names);
+    let (missing, strange) = shorepath_sites::key_ownership::mismatched_budgets(siting.plan(), names);
     if !missing.is_empty() {
         return Err(format!("no budget for {}: nobody would place their keys", missing.join(", ")).into());
     }
--- a/src/net/answers.rs
+++ b/src/net/answers.rs
@@ -2,7 +2,7 @@
 
 use super::deadlines::Deadlines;
 use shorepath_quota::Micros;
-use shorepath_sites::recovery_config::Recover;
+use shorepath_sites::recovery_config::RecoveryConfig;
 use shorepath_store::group_commit::GroupCommit;
 use shorepath_store::{Answer, Op, Store};
 use std::rc::Rc;
@@ -47,7 +47,7 @@
 
 impl Answers {
     /// Those in that store.
-    pub fn new(store: Arc<Store>, group_commit: Arc<GroupCommit>, clause: &Recover) -> Answers {
+    pub fn new(store: Arc<Store>, group_commit: Arc<GroupCommit>, clause: &RecoveryConfig) -> Answers {
         Answers { store, group_commit, longest: clause.answer }
     }
 
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -203,8 +203,13 @@
     pub fn strange_in_sites(&self, siting: &Siting) -> Vec<String> {
         let (_, names) = self.setup.to_settings();
         let plan = siting.plan();
-        let spillover = plan.lends.values().flat_map(|l| l.keys());
-        let classes = plan.home.iter().chain(plan.least.keys()).chain(spillover).map(String::as_str);
+        let spillover = plan.guest_percent.values().flat_map(|l| l.keys());
+        let classes = plan
+            .guarded_classes
+            .iter()
+            .chain(plan.min_guest_percent.keys())
+            .chain(spillover)
+            .map(String::as_str);
         let tenants = plan.credits.iter().map(|c| c.tenant.as_str()).chain(siting.accounts().map(|a| a.0));
         let strange = classes.filter(|c| names.classes.get(c).is_none());
         let strange = strange.chain(tenants.filter(|t| names.tenants.get(t).is_none()));
--- a/src/net/key_leases.rs
+++ b/src/net/key_leases.rs
@@ -6,10 +6,12 @@
 use shorepath_quota::client::QuotaClient;
 use shorepath_quota::config::{Bounds, Plan as Budgets};
 use shorepath_quota::{ClockSkew, Micros, NodeId};
-use shorepath_sites::catch_up::{Message, Proving};
-use shorepath_sites::config::Plan;
-use shorepath_sites::key_ownership::{Fence, Gone, Kept, KeyOwnership, Proof, Refused};
-use shorepath_sites::Seen;
+use shorepath_sites::catch_up::{CatchUp, Message};
+use shorepath_sites::config::SitesConfig;
+use shorepath_sites::key_ownership::{
+    AbsentMembers, Fence, KeyOwnership, PersistedOwnership, PlacementError, Proof,
+};
+use shorepath_sites::SiteState;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Instant;
@@ -27,7 +29,7 @@
     origin: Instant,
     skew: ClockSkew,
     ownership: RefCell<KeyOwnership>,
-    proving: RefCell<Proving>,
+    proving: RefCell<CatchUp>,
     /// Budgets of which one unit is wanted.
     wanted: RefCell<BTreeSet<String>>,
     /// Nodes that the fleet's members take for gone, since when.
@@ -40,7 +42,12 @@
 
 impl KeyLeases {
     /// One by the clock of the budgets, with what the disk kept.
-    pub fn new(me: u32, plan: &Plan, kept: &Kept, (origin, skew): (Instant, ClockSkew)) -> KeyLeases {
+    pub fn new(
+        me: u32,
+        plan: &SitesConfig,
+        kept: &PersistedOwnership,
+        (origin, skew): (Instant, ClockSkew),
+    ) -> KeyLeases {
         KeyLeases {
             me,
             origin,
@@ -59,18 +66,18 @@
     }
 
     /// Another file of sites holds.
-    pub fn replan(&self, plan: &Plan) {
-        self.ownership.borrow_mut().replan(plan);
+    pub fn replan(&self, plan: &SitesConfig) {
+        self.ownership.borrow_mut().update_config(plan);
     }
 
     /// All nodes go by the file of sites.
     pub fn settled(&self) {
-        self.ownership.borrow_mut().settled();
+        self.ownership.borrow_mut().mark_settled();
     }
 
     /// The disk is not the one of the last life, or an older one: nothing is known of what was held.
-    pub fn forget(&self, plan: &Plan) {
-        self.ownership.replace(KeyOwnership::new(self.me, plan, &Kept::default()));
+    pub fn forget(&self, plan: &SitesConfig) {
+        self.ownership.replace(KeyOwnership::new(self.me, plan, &PersistedOwnership::default()));
     }
 
     /// Whether one unit of a budget is wanted here; `None` for one that is no home.
@@ -88,20 +95,20 @@
             match quota_client.lease(&budget.name, now).filter(|_| wanted.contains(&budget.name)) {
                 Some((grant, asked)) => {
                     let term = quota_client.plan().term_of(budget);
-                    ownership.granted(&budget.name, &grant, asked, term, now);
+                    ownership.apply_grant(&budget.name, &grant, asked, term, now);
                 }
-                None => ownership.ended(&budget.name),
+                None => ownership.lease_ended(&budget.name),
             }
         }
         // What the file names no more was given back.
         let named = |name: &String| quota_client.plan().budgets.iter().any(|b| b.name == *name);
-        wanted.iter().filter(|name| !named(name)).for_each(|name| ownership.ended(name));
+        wanted.iter().filter(|name| !named(name)).for_each(|name| ownership.lease_ended(name));
     }
 
     /// This node leaves: it has given back all that it held.
     pub fn leaves(&self) {
         let wanted = std::mem::take(&mut *self.wanted.borrow_mut());
-        wanted.iter().for_each(|name| self.ownership.borrow_mut().ended(name));
+        wanted.iter().for_each(|name| self.ownership.borrow_mut().lease_ended(name));
     }
 
     /// The fleet's members take a node for gone, or hear it.
@@ -114,42 +121,42 @@
     }
 
     /// Claim what this node should hold by how sites are seen, at a time on the sites' clock.
-    pub fn claim(&self, plan: &Plan, sites: BTreeMap<String, (Seen, Micros)>, now: Micros) {
+    pub fn claim(&self, plan: &SitesConfig, sites: BTreeMap<String, (SiteState, Micros)>, now: Micros) {
         let ago = |at: &Instant| at.elapsed().as_micros() as Micros;
         let nodes = self.gone.borrow().iter().map(|(n, at)| (*n, now - ago(at))).collect();
         let mut ownership = self.ownership.borrow_mut();
         let claims: BTreeSet<String> =
-            ownership.claims(plan, &Gone { sites, nodes }, now).into_iter().collect();
+            ownership.claims(plan, &AbsentMembers { sites, nodes }, now).into_iter().collect();
         let mut wanted = self.wanted.borrow_mut();
         if claims != *wanted {
             info!("homes: this node asks for {}", claims.iter().cloned().collect::<Vec<_>>().join(", "));
             // One that others should hold is not used any more from now on, whatever was granted.
-            wanted.difference(&claims).for_each(|budget| ownership.ended(budget));
+            wanted.difference(&claims).for_each(|budget| ownership.lease_ended(budget));
             *wanted = claims;
         }
     }
 
     /// Go on proving what others may have placed: what is to be said to whom. `own` is the number of this node's log and its last entry's.
-    pub fn prove(&self, plan: &Plan, own: (u64, u64), history: &History) -> Vec<(u32, Message)> {
+    pub fn prove(&self, plan: &SitesConfig, own: (u64, u64), history: &History) -> Vec<(u32, Message)> {
         let now = self.now();
         let mut ownership = self.ownership.borrow_mut();
         let unproven = ownership.unproven(now);
         let (outgoing_messages, proved) =
-            self.proving.borrow_mut().pass(plan, (self.me, own), &unproven, history, now);
-        proved.iter().for_each(|(home, fence)| ownership.proved(home, *fence));
+            self.proving.borrow_mut().tick(plan, (self.me, own), &unproven, history, now);
+        proved.iter().for_each(|(home, fence)| ownership.mark_proved(home, *fence));
         outgoing_messages
     }
 
     /// A node has said how far its log goes.
     pub fn notified(&self, from: u32, home: &str, fence: Fence, log: u64, last: u64) {
-        self.proving.borrow_mut().notified(from, home, fence, log, last);
+        self.proving.borrow_mut().record_reply(from, home, fence, log, last);
     }
 
     /// Whether a key may be placed here now.
     ///
     /// # Errors
     /// Why not, and whether what others placed is still being asked for.
-    pub fn may_place(&self, key: &str) -> Result<Fence, (Refused, bool)> {
+    pub fn may_place(&self, key: &str) -> Result<Fence, (PlacementError, bool)> {
         let now = self.now();
         // The history was asked before; a range is proved as a whole.
         let refused = match self.ownership.borrow().may_place(key, now, |_| Proof::Unknown) {
@@ -157,7 +164,7 @@
             Err(refused) => refused,
         };
         let asks = match &refused {
-            Refused::MayHaveRun { home } => self.proving.borrow().asks(home, now),
+            PlacementError::MayHaveRun { home } => self.proving.borrow().awaits_replies(home, now),
             _ => false,
         };
         Err((refused, asks))
@@ -171,7 +178,7 @@
     /// Whether an attempt may still be sent; of one that no lease is needed for, always.
     pub fn may_send(&self, id: DispatchId) -> bool {
         let out = self.out.borrow();
-        out.get(&id).is_none_or(|(key, fence)| self.ownership.borrow().still(key, *fence, self.now()))
+        out.get(&id).is_none_or(|(key, fence)| self.ownership.borrow().is_still_held(key, *fence, self.now()))
     }
 
     /// An attempt has ended.
@@ -185,8 +192,8 @@
     }
 
     /// What belongs on the disk.
-    pub fn kept(&self) -> Kept {
-        self.ownership.borrow().kept()
+    pub fn kept(&self) -> PersistedOwnership {
+        self.ownership.borrow().persisted()
     }
 
     /// Tell of each range that is held now and was not, or is held no more, or was proved.
--- a/src/net/load_shifting.rs
+++ b/src/net/load_shifting.rs
@@ -9,7 +9,7 @@
 use shorepath_scheduler::ClassId;
 use shorepath_scheduler::{QuotaKind, QuotaShare};
 use shorepath_sites::health::{Message, SiteHealth};
-use shorepath_sites::load_shifting::{guest_of, Class, LoadShifting};
+use shorepath_sites::load_shifting::{guest_site, Class, LoadShifting};
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 use tracing::info;
@@ -38,27 +38,27 @@
 
     /// The site of a request's client, if that is another one; else the request counts as the own site's load.
     pub fn guest(&self, site_health: &SiteHealth, class: ClassId, job: &Job) -> Option<String> {
-        let guest = guest_of(site_health.plan(), site_health.site(), job.home_site.as_deref());
+        let guest = guest_site(site_health.plan(), site_health.site(), job.home_site.as_deref());
         if guest.is_none() {
-            self.load_shifting.borrow_mut().asked(class.0);
+            self.load_shifting.borrow_mut().record_request(class.0);
         }
         guest.map(str::to_string)
     }
 
     /// Another node has said something that was taken.
     pub fn received(&self, site_health: &SiteHealth, from: u32, message: &Message, now: Micros) {
-        if self.load_shifting.borrow_mut().received(site_health, from, message, now) {
+        if self.load_shifting.borrow_mut().receive(site_health, from, message, now) {
             self.next.set(now);
-            let part = self.load_shifting.borrow().part(now);
+            let part = self.load_shifting.borrow().load_percent(now);
             info!("homecoming {} begins part={part} why=the others took it for lost", site_health.site());
         }
     }
 
     /// All servers are cold: the own site's load is taken back in steps, as by one that was lost.
     pub fn cold(&self, site_health: &SiteHealth, now: Micros) {
-        if self.load_shifting.borrow_mut().cold(now) {
+        if self.load_shifting.borrow_mut().start_recovery(now) {
             self.next.set(now);
-            let part = self.load_shifting.borrow().part(now);
+            let part = self.load_shifting.borrow().load_percent(now);
             info!("homecoming {} begins part={part} why=all have lost power", site_health.site());
         }
     }
@@ -66,7 +66,7 @@
     /// When a client that is not taken may come back, by chance.
     pub fn after(&self, now: Micros) -> Duration {
         let luck = self.luck.borrow_mut().rand_float();
-        Duration::from_micros(self.load_shifting.borrow().come_back(luck, now).max(0) as u64)
+        Duration::from_micros(self.load_shifting.borrow().retry_after(luck, now).max(0) as u64)
     }
 
     /// Time has passed.
@@ -79,8 +79,8 @@
             exchange.classes().into_iter().map(|(name, worth)| Class { name, worth }).collect();
         let outcomes = exchange.outcomes();
         let mut load_shifting = self.load_shifting.borrow_mut();
-        for moved in load_shifting.pass(site_health, &classes, outcomes, exchange.has_servers(), now) {
-            let (to, from, why) = (moved.to, moved.from, moved.why);
+        for moved in load_shifting.tick(site_health, &classes, outcomes, exchange.has_servers(), now) {
+            let (to, from, why) = (moved.to, moved.from, moved.reason);
             info!("homecoming {} part={to} before={from} why={why}", site_health.site());
         }
     }
@@ -91,9 +91,10 @@
         let limits = load_shifting.limits();
         let part = |of, units, span| QuotaShare { kind: of, units, total: units, window: span };
         let guests = limits.guests.iter().flatten().enumerate();
-        let guests =
-            guests.map(|(class, units)| part(QuotaKind::RemoteClass(ClassId(class)), *units, limits.kept));
-        guests.chain(limits.home.map(|units| part(QuotaKind::LocalSite, units, BURST))).collect()
+        let guests = guests.map(|(class, units)| {
+            part(QuotaKind::RemoteClass(ClassId(class)), *units, limits.unused_lifetime)
+        });
+        guests.chain(limits.own_site.map(|units| part(QuotaKind::LocalSite, units, BURST))).collect()
     }
 
     /// Why a request was not taken, where that is a part of a site.
@@ -122,7 +123,7 @@
                 Some(("Retry-After", self.after(now)))
             }
             (ResponseOutcome::Served(_), Some(site)) => {
-                let chance = self.load_shifting.borrow().may_go_home(site_health, site);
+                let chance = self.load_shifting.borrow().return_probability(site_health, site);
                 (luck() < chance).then(|| ("Come-Back", self.after(now)))
             }
             _ => None,
@@ -132,7 +133,7 @@
     /// For operators, a line each.
     pub fn state(&self, exchange: &Exchange<Job>, now: Micros) -> String {
         let (load_shifting, mut text) = (self.load_shifting.borrow(), String::new());
-        if let Some(part) = load_shifting.returns(now) {
+        if let Some(part) = load_shifting.recovery_percent(now) {
             text += &format!("homecoming part={part}\n");
         }
         let spillover = load_shifting.limits().guests.iter().flatten();
--- a/src/net/recovering.rs
+++ b/src/net/recovering.rs
@@ -7,7 +7,7 @@
 use shorepath_recovery::disk_trust::{belief, judge, outage, Belief, Disk, Identity, Item};
 use shorepath_recovery::incarnations::{DiskIncarnation, Message, Peer, Peers, Reply};
 use shorepath_recovery::phases::{Admits, Moved, Observation, Return, Step};
-use shorepath_sites::recovery_config::Recover;
+use shorepath_sites::recovery_config::RecoveryConfig;
 use shorepath_store::group_commit::GroupCommit;
 use shorepath_store::{Op, Store, StoreError};
 use std::cell::{Cell, RefCell};
@@ -108,7 +108,7 @@
     /// The disk can't be read.
     pub fn open(
         name: &str,
-        clause: &Recover,
+        clause: &RecoveryConfig,
         (store, group_commit): (&Store, Arc<GroupCommit>),
         (drawn, now, unix): (u64, Micros, Micros),
         claims: mpsc::UnboundedSender<Claimed>,
--- a/src/net/sites.rs
+++ b/src/net/sites.rs
@@ -38,9 +38,9 @@
 use shorepath_quota::{Micros, NodeId};
 use shorepath_scheduler::QuotaShare;
 use shorepath_sites::catch_up;
-use shorepath_sites::config_history::Used;
-use shorepath_sites::health::{Differs, SiteHealth};
-use shorepath_sites::key_ownership::Kept;
+use shorepath_sites::config_history::ConfigHistory;
+use shorepath_sites::health::{ConfigMismatch, SiteHealth};
+use shorepath_sites::key_ownership::PersistedOwnership;
 use shorepath_sites::peer_selection::{routes, selected_peers};
 use shorepath_store::group_commit::GroupCommit;
 use shorepath_store::Store;
@@ -90,7 +90,7 @@
     spread: RefCell<gossip::Spread>,
     site_health: RefCell<SiteHealth>,
     /// Files of sites that were in force, as the disk has it.
-    used: RefCell<Used>,
+    used: RefCell<ConfigHistory>,
     store: Arc<Store>,
     /// The store takes nothing: when to open it again; none while that is on its way.
     reopens: Cell<Option<Micros>>,
@@ -106,7 +106,7 @@
     /// Who is home to keys, where the fleet's budgets say.
     key_leases: Option<Rc<KeyLeases>>,
     /// What the disk has of homes, what is on its way there, and what is to be said of them.
-    ownership_kept: RefCell<(Kept, bool)>,
+    ownership_kept: RefCell<(PersistedOwnership, bool)>,
     ownership_outgoing: RefCell<Vec<(u32, catch_up::Message)>>,
     ownership_reset: Cell<bool>,
     /// When it last looked what may be sealed.
@@ -252,7 +252,7 @@
         newer.may_hold(&self.used.borrow())?;
         let now = self.now();
         let me = NodeId::of(&self.name).0;
-        self.site_health.borrow_mut().replan(&newer.plan, now)?;
+        self.site_health.borrow_mut().update_config(&newer.plan, now)?;
         uses(&self.store, &mut self.used.borrow_mut(), &newer.plan);
         {
             let mut spread = self.spread.borrow_mut();
@@ -374,20 +374,23 @@
         let now = self.now();
         self.reopen(now);
         self.spread.borrow_mut().pass(now);
-        self.site_health.borrow_mut().pass(now);
+        self.site_health.borrow_mut().tick(now);
         self.seal(now);
         self.lend();
-        for changed in self.site_health.borrow_mut().changes() {
-            info!("site {} {:?} before={:?} why={:?}", changed.site, changed.to, changed.from, changed.why);
+        for changed in self.site_health.borrow_mut().take_changes() {
+            info!(
+                "site {} {:?} before={:?} why={:?}",
+                changed.site, changed.to, changed.from, changed.reason
+            );
         }
-        for Differs { node, version, own } in self.site_health.borrow_mut().differs() {
+        for ConfigMismatch { node, version, own } in self.site_health.borrow_mut().take_config_mismatches() {
             match version == own {
                 true => warn!("sites: {node} goes by another file of version {own} than this node: give the one that is to hold a greater (version ...) and hand it to all nodes"),
                 false => info!("sites: {node} goes by version {version} of the file, this node by {own}: hand the newest to all nodes"),
             }
         }
         let mut confirmation = self.confirmation.get();
-        let received = self.site_health.borrow().received(now);
+        let received = self.site_health.borrow().majority_heard_at(now);
         if let Some(alone) = confirmation.pass(received, now) {
             match alone {
                 // What is begun from now on without confirmation counts against the credit, wherever that is.
--- a/src/net/sites/admission.rs
+++ b/src/net/sites/admission.rs
@@ -13,7 +13,7 @@
 use shorepath_quota::Micros;
 use shorepath_recovery::phases::Admits;
 use shorepath_scheduler::{ClassId, QuotaKind, QuotaShare, WorkState};
-use shorepath_sites::Seen;
+use shorepath_sites::SiteState;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
@@ -94,7 +94,7 @@
     /// Whether a class must not run twice.
     pub(super) fn is_guarded(&self, class: ClassId) -> bool {
         self.exchange.is_unsafe(class)
-            || self.siting.borrow().plan.home.contains(&self.exchange.class_name(class))
+            || self.siting.borrow().plan.guarded_classes.contains(&self.exchange.class_name(class))
     }
 
     /// The final answer that a job's key was given here, by its status and body, where that is kept: it stays the one.
@@ -131,7 +131,7 @@
                 Ok(_) => {}
                 Err((_, true)) => return rejection(503, "catching up"),
                 Err((refused, false)) => {
-                    let (status, why, retry) = refused.answer(self.lives(refused.home()));
+                    let (status, why, retry) = refused.response(self.lives(refused.home()));
                     return Some(Rejection { status, why, retry });
                 }
             }
@@ -152,7 +152,7 @@
     /// Whether clients may reach the node that is a home, as far as its site tells.
     pub(super) fn lives(&self, home: &str) -> bool {
         let site = home.split_once('/').map_or("", |(site, _)| site);
-        self.site_health.borrow().state(site) != Some(Seen::Lost)
+        self.site_health.borrow().state(site) != Some(SiteState::Lost)
     }
 
     /// What other nodes have taken of accounts that take nothing new any more is running work here, too: a client may repeat it anywhere.
@@ -206,7 +206,7 @@
     fn places(&self, id: DispatchId, attempt: Attempt<'_>, job: &Job) -> bool {
         let now = self.times();
         let Attempt { class, is_unsafe, server } = attempt;
-        let guarded = is_unsafe || self.siting.borrow().plan.home.contains(class);
+        let guarded = is_unsafe || self.siting.borrow().plan.guarded_classes.contains(class);
         let tenant = job.tenant.clone();
         let standing =
             tenant.as_deref().map_or(0, |t| self.spread.borrow().book().change(t, now.unix).number);
@@ -229,7 +229,7 @@
             Some(key_leases) if guarded => match key_leases.may_place(&key) {
                 Ok(fence) => {
                     key_leases.places(id, &key, fence);
-                    fence.message()
+                    fence.as_u64()
                 }
                 Err((refused, _)) => {
                     // Nobody hears it where the node ends.
--- a/src/net/sites/config.rs
+++ b/src/net/sites/config.rs
@@ -7,8 +7,8 @@
 use shorepath_message_auth::keyring::{FileCodeError, Keys, KeysError};
 use shorepath_placements::log::LogError;
 use shorepath_quota::{ClockSkew, Micros};
-use shorepath_sites::config::Plan;
-use shorepath_sites::config_history::{OldFileError, Used};
+use shorepath_sites::config::SitesConfig;
+use shorepath_sites::config_history::{ConfigHistory, OldFileError};
 use shorepath_sites::health::NoSiteError;
 use shorepath_store::StoreError;
 use std::os::unix::fs::PermissionsExt;
@@ -22,7 +22,7 @@
     pub(super) path: PathBuf,
     /// The folder on a disk that lasts.
     pub(super) state: PathBuf,
-    pub(super) plan: Plan,
+    pub(super) plan: SitesConfig,
     /// What stands for the text of the file.
     pub(super) content: Content,
     pub(super) keys: Keys,
@@ -161,13 +161,13 @@
     }
 
     /// The file of sites.
-    pub fn plan(&self) -> &Plan {
+    pub fn plan(&self) -> &SitesConfig {
         &self.plan
     }
 
     /// Whether it may hold after those that were in force here.
-    pub(super) fn may_hold(&self, used: &Used) -> Result<(), SitingError> {
-        used.judge(&self.plan).map_err(|source| SitingError::Old { path: self.path.clone(), source })
+    pub(super) fn may_hold(&self, used: &ConfigHistory) -> Result<(), SitingError> {
+        used.check(&self.plan).map_err(|source| SitingError::Old { path: self.path.clone(), source })
     }
 
     /// Where the accounts stand that the authority's file names.
--- a/src/net/sites/persistence.rs
+++ b/src/net/sites/persistence.rs
@@ -5,9 +5,9 @@
 use shorepath_accounts::credit::Note;
 use shorepath_placements::log::LogError;
 use shorepath_quota::{Micros, NodeId};
-use shorepath_sites::config::Plan;
-use shorepath_sites::config_history::Used;
-use shorepath_sites::key_ownership::Kept;
+use shorepath_sites::config::SitesConfig;
+use shorepath_sites::config_history::ConfigHistory;
+use shorepath_sites::key_ownership::PersistedOwnership;
 use shorepath_sites::peer_selection::selected_peers;
 use shorepath_store::{Op, Store, StoreError};
 use std::collections::BTreeMap;
@@ -29,7 +29,7 @@
     /// What waited of placements is there, or never will be.
     Flushed,
     /// What is kept of homes.
-    KeyOwnership(Kept, Result<(), Arc<StoreError>>),
+    KeyOwnership(PersistedOwnership, Result<(), Arc<StoreError>>),
     /// The store was opened again after it took nothing any more, or not.
     Reopened(Result<(), Arc<StoreError>>),
     /// It takes what is written again, or not.
@@ -37,9 +37,9 @@
 }
 
 /// A file of sites holds from now on. That is on the disk before anybody is told; it waits for it, which is rare.
-pub(super) fn uses(store: &Store, used: &mut Used, plan: &Plan) {
+pub(super) fn uses(store: &Store, used: &mut ConfigHistory, plan: &SitesConfig) {
     let before = used.clone();
-    used.holds(plan);
+    used.record(plan);
     if *used == before {
         return;
     }
@@ -83,7 +83,7 @@
         self.exchange.recorded(id, sent);
     }
 
-    fn on_ownership_written(&self, kept: Kept, done: Result<(), Arc<StoreError>>) {
+    fn on_ownership_written(&self, kept: PersistedOwnership, done: Result<(), Arc<StoreError>>) {
         let mut on_disk = self.ownership_kept.borrow_mut();
         on_disk.1 = false;
         match done {
@@ -99,7 +99,7 @@
         if self.placing.was_refounded() && !self.ownership_reset.replace(true) {
             key_leases.forget(&siting.plan);
         }
-        if site_health.all_go_by() {
+        if site_health.all_nodes_use_config() {
             key_leases.settled();
         }
         let sites = site_health.states().into_iter().map(|(site, seen, since)| (site, (seen, since)));
@@ -162,7 +162,7 @@
             return debug!("sites: the disk still takes nothing: {e}");
         }
         // One that another process wrote meanwhile may have gone by a newer file.
-        let used = self.store.fact::<Used>(USED).map(Option::unwrap_or_default);
+        let used = self.store.fact::<ConfigHistory>(USED).map(Option::unwrap_or_default);
         let mut used = match used.map(|used| (self.siting.borrow().may_hold(&used), used)) {
             Ok((Ok(()), used)) => used,
             Ok((Err(e), _)) => return warn!("sites: the disk is not used: {e}"),
@@ -174,11 +174,11 @@
                 return warn!("placements: the disk is not used: {e}: {}", shorepath_message_auth::advice(&e))
             }
         };
-        used.holds(&self.siting.borrow().plan);
+        used.record(&self.siting.borrow().plan);
         ops.push(Op::remember(USED, &used));
         ops.push(Op::remember(BOOK, self.spread.borrow().book()));
         // They are written anew with the next pass.
-        self.ownership_kept.borrow_mut().0 = Kept::default();
+        self.ownership_kept.borrow_mut().0 = PersistedOwnership::default();
         self.reopens.set(None);
         let writes = self.writes.clone();
         // Nobody hears it where the node ends.
--- a/src/net/sites/startup.rs
+++ b/src/net/sites/startup.rs
@@ -12,8 +12,8 @@
 use shorepath_accounts::in_flight::{Key, Taken};
 use shorepath_accounts::registry::Book;
 use shorepath_quota::{Micros, NodeId};
-use shorepath_sites::config_history::Used;
-use shorepath_sites::key_ownership::Kept;
+use shorepath_sites::config_history::ConfigHistory;
+use shorepath_sites::key_ownership::PersistedOwnership;
 use shorepath_sites::peer_selection::selected_peers;
 use shorepath_store::group_commit::GroupCommit;
 use shorepath_store::{Store, StoreError};
@@ -32,12 +32,12 @@
     pub(super) now: Micros,
     pub(super) store: Arc<Store>,
     pub(super) group_commit: Arc<GroupCommit>,
-    pub(super) used: Used,
+    pub(super) used: ConfigHistory,
     pub(super) spread: gossip::Spread,
     pub(super) balances: CreditBalances,
     /// The hash of the accounts that the disk has.
     pub(super) kept: u64,
-    pub(super) ownership_kept: Kept,
+    pub(super) ownership_kept: PersistedOwnership,
 }
 
 fn unusable(siting: &Siting) -> impl Fn(StoreError) -> SitingError + '_ {
@@ -52,7 +52,7 @@
     let now = siting.skew.at(0);
     let answers = siting.plan.recover.as_ref().map_or(ANSWERS, |r| r.remember);
     let store = Arc::new(Store::open(&siting.state, answers).map_err(&unusable)?);
-    let mut used = store.fact::<Used>(USED).map_err(&unusable)?.unwrap_or_default();
+    let mut used = store.fact::<ConfigHistory>(USED).map_err(&unusable)?.unwrap_or_default();
     siting.may_hold(&used)?;
     uses(&store, &mut used, &siting.plan);
     let peers = siting.plan.nodes().map(|(_, n)| n.number).collect();
@@ -65,7 +65,8 @@
         spread.learn(accounts_file, now);
     }
     let balances = balances(siting, &store, me).map_err(&unusable)?;
-    let ownership_kept = store.fact::<Kept>(KEY_OWNERSHIP).map_err(&unusable)?.unwrap_or_default();
+    let ownership_kept =
+        store.fact::<PersistedOwnership>(KEY_OWNERSHIP).map_err(&unusable)?.unwrap_or_default();
     let group_commit = GroupCommit::new(store.clone()).map_err(|e| SitingError::System(e.to_string()))?;
     let group_commit = Arc::new(group_commit);
     Ok(Opened { chance, now, store, group_commit, used, spread, balances, kept, ownership_kept })
--- a/src/net/sites/transport.rs
+++ b/src/net/sites/transport.rs
@@ -41,7 +41,12 @@
                 let (log, last) = self.placing.own();
                 let history = self.placing.history();
                 // One that has lost a disk can't say what it has placed.
-                let whole = catch_up::known(&history, self.site_health.borrow().site(), &self.name, (log, 0));
+                let whole = catch_up::has_complete_log(
+                    &history,
+                    self.site_health.borrow().site(),
+                    &self.name,
+                    (log, 0),
+                );
                 if self.placing.asked() && whole {
                     self.ownership_outgoing
                         .borrow_mut()
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -3,7 +3,7 @@
 use rstest::rstest;
 use shorepath::net::answers::Answers;
 use shorepath::net::deadlines::Deadlines;
-use shorepath_sites::recovery_config::Recover;
+use shorepath_sites::recovery_config::RecoveryConfig;
 use shorepath_store::group_commit::GroupCommit;
 use shorepath_store::Store;
 use std::rc::Rc;
@@ -33,7 +33,7 @@
     std::fs::create_dir_all(&folder).unwrap();
     let store = Arc::new(Store::open(&folder, 1 << 20).unwrap());
     let group_commit = Arc::new(GroupCommit::new(store.clone()).unwrap());
-    let clause = Recover { remember: 1 << 20, answer: 1_000, outlive: 0, peers: 0, catch_up: 0 };
+    let clause = RecoveryConfig { remember: 1 << 20, answer: 1_000, outlive: 0, peers: 0, catch_up: 0 };
     let answers = Answers::new(store, group_commit.clone(), &clause);
     let (gate, shut) = channel::<()>();
     let (began, begins) = channel();
@@ -66,7 +66,7 @@
     std::fs::create_dir_all(&folder).unwrap();
     let store = Arc::new(Store::open(&folder, 1 << 20).unwrap());
     let group_commit = Arc::new(GroupCommit::new(store.clone()).unwrap());
-    let clause = Recover { remember: 1 << 20, answer: 1_000, outlive: 0, peers: 0, catch_up: 0 };
+    let clause = RecoveryConfig { remember: 1 << 20, answer: 1_000, outlive: 0, peers: 0, catch_up: 0 };
     let answers = Answers::new(store, group_commit, &clause);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().unwrap();
     runtime.block_on(async {
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -28,7 +28,7 @@
 use shorepath_scheduler::KeyId;
 use shorepath_sites::catch_up;
 use shorepath_sites::health::{self, Load, SiteReport};
-use shorepath_sites::key_ownership::{Fence, Kept as KeptHomes, KeyOwnership};
+use shorepath_sites::key_ownership::{Fence, KeyOwnership, PersistedOwnership as KeptHomes};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
 
@@ -99,7 +99,7 @@
     shorepath_quota::config::read("b.sexp", BUDGETS).unwrap()
 }
 
-fn sites() -> shorepath_sites::config::Plan {
+fn sites() -> shorepath_sites::config::SitesConfig {
     shorepath_sites::config::read("s.sexp", SITES).unwrap()
 }
 
@@ -288,8 +288,8 @@
 
 fn site_message() -> health::Message {
     let notified =
-        SiteReport { site: 11, sign: 500, sign_age: 20, direct: 499, direct_age: 30, back_age: 40 };
-    let load = Load { part: 60, bears: 100, demand: vec![(health::class_number("valve"), 12)] };
+        SiteReport { site: 11, heartbeat: 500, heartbeat_age: 20, direct: 499, direct_age: 30, echo_age: 40 };
+    let load = Load { load_percent: 60, capacity: 100, demand: vec![(health::class_number("valve"), 12)] };
     health::Message {
         site: 10,
         number: 501,
@@ -321,16 +321,16 @@
         "homes",
         KeptHomes {
             fences: BTreeMap::from([("west/n0".to_string(), fence())]),
-            nodes: BTreeSet::from([1, 2]),
-            by: BTreeSet::from([1, 2, 3]),
+            settled_nodes: BTreeSet::from([1, 2]),
+            current_nodes: BTreeSet::from([1, 2, 3]),
         },
     );
-    let mut used = shorepath_sites::config_history::Used::default();
+    let mut used = shorepath_sites::config_history::ConfigHistory::default();
     let lost = SITES.replace("(home valve)", "(lost east (number 6))");
-    used.holds(&shorepath_sites::config::read("s.sexp", &lost).unwrap());
+    used.record(&shorepath_sites::config::read("s.sexp", &lost).unwrap());
     samples.json("used", used);
     samples.computed("digest", sites().digest());
-    samples.computed("fence", fence().message());
+    samples.computed("fence", fence().as_u64());
     let ownership =
         KeyOwnership::new(sites().node_named("n0").unwrap().number, &sites(), &KeptHomes::default());
     for key in ["key1", "key2", "key3", "valve-7", "x"] {
@@ -381,7 +381,7 @@
         taken: 1_700_000_000_000_000,
         on_credit: true,
         list: 41,
-        fence: fence().message(),
+        fence: fence().as_u64(),
     };
     Timed { at: 1_700_000_000_000_100, entry: shorepath_placements::Entry::Placed(placement) }
 }
@@ -397,7 +397,7 @@
         number: 1,
         at: 1_700_000_000_000_100,
         server: "s-1".into(),
-        fence: fence().message(),
+        fence: fence().as_u64(),
         how: End::Unknown,
     }
 }
--- a/tests/golden/state_folder.rs
+++ b/tests/golden/state_folder.rs
@@ -128,7 +128,7 @@
     let ownership = shorepath_sites::key_ownership::KeyOwnership::new(
         0,
         &plan,
-        &shorepath_sites::key_ownership::Kept::default(),
+        &shorepath_sites::key_ownership::PersistedOwnership::default(),
     );
     let of = |name: &'static str| {
         let all = (0..).map(move |k| format!("{name}{k}"));
--- a/tests/node/homes.rs
+++ b/tests/node/homes.rs
@@ -5,7 +5,7 @@
 use crate::support::*;
 use rstest::rstest;
 use shorepath_quota::allocator::Allocator;
-use shorepath_sites::key_ownership::{Kept, KeyOwnership};
+use shorepath_sites::key_ownership::{KeyOwnership, PersistedOwnership};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::path::PathBuf;
@@ -58,7 +58,7 @@
     fn keys(&self, node: usize) -> impl Iterator<Item = String> {
         let text = std::fs::read_to_string(self.files.of(0).join("sites.sexp")).unwrap();
         let plan = shorepath_sites::config::read("t", &text).unwrap();
-        let ownership = KeyOwnership::new(0, &plan, &Kept::default());
+        let ownership = KeyOwnership::new(0, &plan, &PersistedOwnership::default());
         let home = ["west/n0", "east/n1", "north/n2"][node];
         (0..).map(|k| format!("key{k}")).filter(move |key| ownership.home(key) == home)
     }
