--- a/crates/audit/src/gossip.rs
+++ b/crates/audit/src/gossip.rs
@@ -1,18 +1,18 @@
-//! What nodes tell each other of their versions and records, told on by all: who stands where since when, and whose story contradicts itself.
+//! What nodes tell each other of their versions and records, told on by all: who stands where since when, and whose report contradicts itself.
 //!
 //! A change is told at once to three others by each that learns it, within a pace; besides that each tells one other from time to time what has
 //! changed last and, in turn, what has not. So words a node and second don't grow with the fleet.
 
-use crate::audit_log::{Digest, Point};
-use crate::version::{Content, Vector};
+use crate::audit_log::{ChainPoint, Digest};
+use crate::version::{ContentHash, VersionVector};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Stories in a word at most, and vectors.
-pub const STORIES: usize = 10;
-/// See [`STORIES`].
-pub const VECTORS: usize = 2;
+pub const MAX_REPORTS: usize = 10;
+/// See [`MAX_REPORTS`].
+pub const MAX_VECTORS: usize = 2;
 /// Each that learns a change tells so many others.
 const FANOUT: u8 = 3;
 /// Points of a record that are remembered of one node.
@@ -20,106 +20,108 @@
 
 /// How often is told what.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pace {
+pub struct Intervals {
     /// Between two words about changes, in microseconds.
     pub hot: Micros,
     /// Between two words that are said in any case, in microseconds; a quarter of it for five of these after a change.
     pub idle: Micros,
 }
 
-impl Default for Pace {
+impl Default for Intervals {
     fn default() -> Self {
-        Pace { hot: 50_000, idle: 1_000_000 }
+        Intervals { hot: 50_000, idle: 1_000_000 }
     }
 }
 
 /// What a node says of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Story {
+pub struct NodeReport {
     /// Which node, by its number.
     pub node: u32,
-    /// Grows with each story of the node, over its lives: its Unix time in microseconds, or one more than it was heard to have told.
+    /// Grows with each report of the node, over its lives: its Unix time in microseconds, or one more than it was heard to have told.
     pub at: Micros,
-    /// The life of its record.
-    pub life: u64,
+    /// The log_id of its record.
+    #[serde(rename = "life")]
+    pub log_id: u64,
     /// Where its record ends.
-    pub head: Point,
-    /// What steers it, see [`Vector::notified`].
-    pub content: Content,
+    pub head: ChainPoint,
+    /// What steers it, see [`VersionVector::shared`].
+    pub content: ContentHash,
 }
 
 /// One word between two nodes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
     /// What nodes say of themselves.
-    pub stories: Vec<Story>,
+    #[serde(rename = "stories")]
+    pub reports: Vec<NodeReport>,
     /// What some of their contents are.
-    pub vectors: Vec<Vector>,
-    /// Of the hearer's own record, by its life: what it has told, and tells otherwise now.
-    pub disputed: Vec<(u64, Point)>,
+    pub vectors: Vec<VersionVector>,
+    /// Of the hearer's own record, by its log_id: what it has told, and tells otherwise now.
+    pub disputed: Vec<(u64, ChainPoint)>,
 }
 
 /// What has come to be known.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AuditUpdate {
     /// A node is steered by something else than before.
-    Changed {
+    VersionsChanged {
         /// Which node.
         node: u32,
         /// What steers it.
-        content: Content,
+        content: ContentHash,
     },
     /// A node has begun another record: its disk was lost, or the record was not what was written.
-    AnotherRecord {
+    LogReplaced {
         /// Which node.
         node: u32,
     },
     /// A node's record ends before where it has ended: an older disk was put back.
-    WentBack {
+    LogRolledBack {
         /// Which node.
         node: u32,
         /// Where it has ended.
-        was: u64,
+        previous: u64,
         /// Where it ends.
-        is: u64,
+        current: u64,
     },
     /// An entry of a node's record is another one than it has told.
-    Contradicts {
+    LogForked {
         /// Which node.
         node: u32,
         /// The entry's number.
         number: u64,
     },
-    /// Others know that point of this node's own record of that life: it has to be looked up there.
-    OfOwn {
-        /// The life of the record.
-        life: u64,
+    /// Others know that point of this node's own record of that log_id: it has to be looked up there.
+    OwnLogClaim {
+        /// The log_id of the record.
+        log_id: u64,
         /// What they know.
-        point: Point,
+        point: ChainPoint,
     },
 }
 
 #[derive(Clone, Debug)]
 struct Known {
-    story: Story,
+    report: NodeReport,
     /// Since when its content is known here, and when it was heard last.
     since: Micros,
     received: Micros,
     /// How many are still to be told.
     hot: u8,
     points: BTreeMap<u64, Digest>,
-    /// What it has told of that life of its record, and does not any more: it is told so until it begins another.
-    disputed: Option<(u64, Point)>,
+    /// What it has told of that log_id of its record, and does not any more: it is told so until it begins another.
+    disputed: Option<(u64, ChainPoint)>,
 }
 
 /// What one node knows of all, and what it says.
 #[derive(Clone, Debug)]
-pub struct Peers {
+pub struct Gossip {
     me: u32,
     others: Vec<u32>,
-    pace: Pace,
+    pace: Intervals,
     known: BTreeMap<u32, Known>,
-    vectors: BTreeMap<Content, Vector>,
+    vectors: BTreeMap<ContentHash, VersionVector>,
     chance: u64,
     /// In the order in which they changed, the newest last.
     changed: VecDeque<u32>,
@@ -130,10 +132,10 @@
     updates: Vec<AuditUpdate>,
 }
 
-impl Peers {
+impl Gossip {
     /// One node among others; `chance` is any number by chance.
-    pub fn new(me: u32, others: &[u32], pace: Pace, chance: u64, now: Micros) -> Peers {
-        Peers {
+    pub fn new(me: u32, others: &[u32], pace: Intervals, chance: u64, now: Micros) -> Gossip {
+        Gossip {
             me,
             others: others.iter().copied().filter(|n| *n != me).collect(),
             pace,
@@ -149,53 +151,68 @@
     }
 
     /// The fleet is that from now on.
-    pub fn set_others(&mut self, others: &[u32]) {
+    pub fn set_peers(&mut self, others: &[u32]) {
         self.others = others.iter().copied().filter(|n| *n != self.me).collect();
         let (me, others) = (self.me, &self.others);
         self.known.retain(|node, _| *node == me || others.contains(node));
         self.changed.retain(|node| *node == me || others.contains(node));
     }
 
-    /// This node's own story; `unix` is its clock, which may go back.
-    pub fn report(&mut self, vector: &Vector, life: u64, head: Point, unix: Micros, now: Micros) {
-        let notified = vector.notified();
-        let content = notified.content();
-        let before = self.known.get(&self.me).map(|k| k.story);
-        if before.is_some_and(|s| (s.content, s.life, s.head) == (content, life, head)) {
+    /// This node's own report; `unix` is its clock, which may go back.
+    pub fn report(
+        &mut self,
+        vector: &VersionVector,
+        log_id: u64,
+        head: ChainPoint,
+        unix: Micros,
+        now: Micros,
+    ) {
+        let notified = vector.shared();
+        let content = notified.content_hash();
+        let before = self.known.get(&self.me).map(|k| k.report);
+        if before.is_some_and(|s| (s.content, s.log_id, s.head) == (content, log_id, head)) {
             return;
         }
         self.vectors.insert(content, notified);
         let at = before.map_or(unix, |s| unix.max(s.at.saturating_add(1)));
-        self.learn(Story { node: self.me, at, life, head, content }, now);
+        self.learn(NodeReport { node: self.me, at, log_id, head, content }, now);
     }
 
-    fn learn(&mut self, story: Story, now: Micros) {
-        let node = story.node;
+    fn learn(&mut self, report: NodeReport, now: Micros) {
+        let node = report.node;
         let before = self.known.get(&node);
-        let steers = before.is_none_or(|k| k.story.content != story.content);
-        let is_new = steers || before.is_some_and(|k| k.story.life != story.life);
+        let steers = before.is_none_or(|k| k.report.content != report.content);
+        let is_new = steers || before.is_some_and(|k| k.report.log_id != report.log_id);
         let (mut points, mut since, mut hot) = before.map_or((BTreeMap::new(), now, 0), |k| {
-            (if k.story.life == story.life { k.points.clone() } else { BTreeMap::new() }, k.since, k.hot)
+            (
+                if k.report.log_id == report.log_id { k.points.clone() } else { BTreeMap::new() },
+                k.since,
+                k.hot,
+            )
         });
-        let mut disputed = before.and_then(|k| k.disputed).filter(|(life, _)| *life == story.life);
+        let mut disputed = before.and_then(|k| k.disputed).filter(|(log_id, _)| *log_id == report.log_id);
         if let Some(was) = before.filter(|_| node != self.me) {
-            let (was, is) = (&was.story, &story);
-            if was.life != is.life {
-                self.updates.push(AuditUpdate::AnotherRecord { node });
+            let (was, is) = (&was.report, &report);
+            if was.log_id != is.log_id {
+                self.updates.push(AuditUpdate::LogReplaced { node });
             } else if is.head.number < was.head.number {
-                disputed = Some((was.life, was.head));
-                self.updates.push(AuditUpdate::WentBack { node, was: was.head.number, is: is.head.number });
+                disputed = Some((was.log_id, was.head));
+                self.updates.push(AuditUpdate::LogRolledBack {
+                    node,
+                    previous: was.head.number,
+                    current: is.head.number,
+                });
             }
             let (number, digest) = (is.head.number, is.head.digest);
             if let Some(known) = points.get(&number).filter(|known| **known != digest) {
-                disputed = Some((is.life, Point { number, digest: *known }));
-                self.updates.push(AuditUpdate::Contradicts { node, number });
+                disputed = Some((is.log_id, ChainPoint { number, digest: *known }));
+                self.updates.push(AuditUpdate::LogForked { node, number });
             }
             if disputed.is_some() {
                 self.next_idle = now;
             }
         }
-        points.entry(story.head.number).or_insert(story.head.digest);
+        points.entry(report.head.number).or_insert(report.head.digest);
         if points.len() > POINTS {
             // Every other one of the older half goes, so that what is left reaches back in growing steps.
             let older: Vec<u64> = points.keys().copied().take(POINTS / 2).skip(1).step_by(2).collect();
@@ -206,56 +223,59 @@
             self.changed.retain(|n| *n != node);
             self.changed.push_back(node);
             if steers && node != self.me {
-                self.updates.push(AuditUpdate::Changed { node, content: story.content });
+                self.updates.push(AuditUpdate::VersionsChanged { node, content: report.content });
             }
         }
-        self.known.insert(node, Known { story, since, received: now, hot, points, disputed });
+        self.known.insert(node, Known { report, since, received: now, hot, points, disputed });
     }
 
     /// A word came. Stories of nobody that is known, and older ones than are known, change nothing.
     pub fn receive(&mut self, message: &Message, now: Micros) {
-        for vector in message.vectors.iter().take(VECTORS) {
-            let notified = vector.notified();
+        for vector in message.vectors.iter().take(MAX_VECTORS) {
+            let notified = vector.shared();
             // Kept only while somebody is steered by it; see `forget`.
-            self.vectors.entry(notified.content()).or_insert(notified);
+            self.vectors.entry(notified.content_hash()).or_insert(notified);
         }
-        let disputed = message.disputed.iter().take(STORIES);
-        self.updates.extend(disputed.map(|(life, point)| AuditUpdate::OfOwn { life: *life, point: *point }));
-        for story in message.stories.iter().take(STORIES) {
-            if story.node == self.me {
-                self.own(*story, now);
+        let disputed = message.disputed.iter().take(MAX_REPORTS);
+        self.updates.extend(
+            disputed.map(|(log_id, point)| AuditUpdate::OwnLogClaim { log_id: *log_id, point: *point }),
+        );
+        for report in message.reports.iter().take(MAX_REPORTS) {
+            if report.node == self.me {
+                self.own(*report, now);
                 continue;
             }
-            let is_newer = match self.known.get(&story.node) {
-                Some(known) => story.at > known.story.at,
-                None => self.others.contains(&story.node),
+            let is_newer = match self.known.get(&report.node) {
+                Some(known) => report.at > known.report.at,
+                None => self.others.contains(&report.node),
             };
             if is_newer {
-                self.learn(*story, now);
+                self.learn(*report, now);
             }
         }
         self.forget();
     }
 
-    /// Others know of an earlier life of this node, or of this one.
-    fn own(&mut self, story: Story, now: Micros) {
+    /// Others know of an earlier log_id of this node, or of this one.
+    fn own(&mut self, report: NodeReport, now: Micros) {
         let Some(known) = self.known.get_mut(&self.me) else { return };
-        if known.points.get(&story.head.number) != Some(&story.head.digest) || story.life != known.story.life
+        if known.points.get(&report.head.number) != Some(&report.head.digest)
+            || report.log_id != known.report.log_id
         {
-            self.updates.push(AuditUpdate::OfOwn { life: story.life, point: story.head });
+            self.updates.push(AuditUpdate::OwnLogClaim { log_id: report.log_id, point: report.head });
         }
-        if story.at > known.story.at || (story.at == known.story.at && story != known.story) {
+        if report.at > known.report.at || (report.at == known.report.at && report != known.report) {
             // Its clock has gone back: what it says has to be newer than what it has said.
-            known.story.at = story.at.saturating_add(1);
+            known.report.at = report.at.saturating_add(1);
             (known.hot, known.received) = (FANOUT, now);
         }
     }
 
     fn forget(&mut self) {
-        if self.vectors.len() <= self.known.len() + VECTORS {
+        if self.vectors.len() <= self.known.len() + MAX_VECTORS {
             return;
         }
-        let used: Vec<Content> = self.known.values().map(|k| k.story.content).collect();
+        let used: Vec<ContentHash> = self.known.values().map(|k| k.report.content).collect();
         self.vectors.retain(|content, _| used.contains(content));
     }
 
@@ -274,17 +294,18 @@
     }
 
     fn message(&self, nodes: &[u32]) -> Message {
-        let stories: Vec<Story> = nodes.iter().filter_map(|n| Some(self.known.get(n)?.story)).collect();
-        let mut contents: Vec<Content> = Vec::new();
+        let reports: Vec<NodeReport> = nodes.iter().filter_map(|n| Some(self.known.get(n)?.report)).collect();
+        let mut contents: Vec<ContentHash> = Vec::new();
         // The most told one first: after a release all are steered by one.
-        for story in &stories {
-            if !contents.contains(&story.content) {
-                contents.push(story.content);
+        for report in &reports {
+            if !contents.contains(&report.content) {
+                contents.push(report.content);
             }
         }
-        contents.sort_by_key(|c| std::cmp::Reverse(stories.iter().filter(|s| s.content == *c).count()));
-        let vectors = contents.iter().filter_map(|c| self.vectors.get(c)).take(VECTORS).cloned().collect();
-        Message { stories, vectors, disputed: Vec::new() }
+        contents.sort_by_key(|c| std::cmp::Reverse(reports.iter().filter(|s| s.content == *c).count()));
+        let vectors =
+            contents.iter().filter_map(|c| self.vectors.get(c)).take(MAX_VECTORS).cloned().collect();
+        Message { reports, vectors, disputed: Vec::new() }
     }
 
     /// What is to be said now, and to whom.
@@ -298,7 +319,7 @@
             if !hot.is_empty() {
                 let start = self.dice(hot.len());
                 let notified: Vec<u32> =
-                    hot.iter().cycle().skip(start).take(hot.len().min(STORIES)).copied().collect();
+                    hot.iter().cycle().skip(start).take(hot.len().min(MAX_REPORTS)).copied().collect();
                 for node in &notified {
                     self.known.entry(*node).and_modify(|k| k.hot -= 1);
                 }
@@ -308,11 +329,11 @@
             }
         }
         if now >= self.next_idle {
-            let newest = self.changed.iter().rev().take(STORIES / 2).copied();
+            let newest = self.changed.iter().rev().take(MAX_REPORTS / 2).copied();
             let mut nodes: Vec<u32> = [self.me].into_iter().chain(newest).collect();
             let after = self.known.range(self.turn.saturating_add(1)..).map(|(n, _)| *n);
             let from_start = self.known.keys().copied();
-            for node in after.chain(from_start).take(STORIES / 2 - 1) {
+            for node in after.chain(from_start).take(MAX_REPORTS / 2 - 1) {
                 self.turn = node;
                 nodes.push(node);
             }
@@ -326,7 +347,8 @@
             });
             let to = self.someone();
             events.push((to, self.message(&nodes)));
-            let disputed = self.known.iter().filter_map(|(node, k)| Some((*node, k.disputed?))).take(STORIES);
+            let disputed =
+                self.known.iter().filter_map(|(node, k)| Some((*node, k.disputed?))).take(MAX_REPORTS);
             events.extend(
                 disputed.map(|(node, of)| (node, Message { disputed: vec![of], ..Message::default() })),
             );
@@ -351,13 +373,13 @@
         std::mem::take(&mut self.updates)
     }
 
-    /// Where each node stands: its story, what steers it where that was told, since when that is known here and when it was heard last.
-    pub fn readiness(&self) -> impl Iterator<Item = (&Story, Option<&Vector>, Micros, Micros)> {
-        self.known.values().map(|k| (&k.story, self.vectors.get(&k.story.content), k.since, k.received))
+    /// Where each node stands: its report, what steers it where that was told, since when that is known here and when it was heard last.
+    pub fn nodes(&self) -> impl Iterator<Item = (&NodeReport, Option<&VersionVector>, Micros, Micros)> {
+        self.known.values().map(|k| (&k.report, self.vectors.get(&k.report.content), k.since, k.received))
     }
 
     /// Points of a node's record as they were told, to verify it by.
     pub fn points(&self, node: u32) -> Option<(u64, &BTreeMap<u64, Digest>)> {
-        self.known.get(&node).map(|k| (k.story.life, &k.points))
+        self.known.get(&node).map(|k| (k.report.log_id, &k.points))
     }
 }
--- a/crates/audit/src/version.rs
+++ b/crates/audit/src/version.rs
@@ -7,32 +7,32 @@
 
 /// Stands for a content: the first 16 bytes of its SHA-256.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Content(pub [u8; 16]);
+pub struct ContentHash(pub [u8; 16]);
 
-impl Content {
+impl ContentHash {
     /// What stands for those bytes.
-    pub fn of(bytes: &[u8]) -> Content {
+    pub fn of(bytes: &[u8]) -> ContentHash {
         let whole: [u8; 32] = Sha256::digest(bytes).into();
         let mut first = [0; 16];
         first.copy_from_slice(&whole[..16]);
-        Content(first)
+        ContentHash(first)
     }
 
     /// What stands for a number that says all there is to say, such as a list's revision.
-    pub fn of_number(number: u64) -> Content {
+    pub fn of_number(number: u64) -> ContentHash {
         let mut bytes = [0; 16];
         bytes[..8].copy_from_slice(&number.to_be_bytes());
-        Content(bytes)
+        ContentHash(bytes)
     }
 }
 
-impl fmt::Display for Content {
+impl fmt::Display for ContentHash {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.iter().take(6).try_for_each(|b| write!(f, "{b:02x}"))
     }
 }
 
-impl fmt::Debug for Content {
+impl fmt::Debug for ContentHash {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{self}")
     }
@@ -87,9 +87,9 @@
     /// Grows with each version of the item.
     pub number: u64,
     /// What it is.
-    pub content: Content,
+    pub content: ContentHash,
     /// What the one before it was, at this node; nothing (zeros) where it is the first.
-    pub parent: Content,
+    pub parent: ContentHash,
 }
 
 impl fmt::Display for Version {
@@ -102,7 +102,7 @@
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error, miette::Diagnostic,
 )]
-pub enum BackError {
+pub enum VersionError {
     /// An older number.
     #[error("version {offered} is older than {held}, which is in force")]
     #[diagnostic(help("a file was restored or handed out twice: to return to an old content, hand it out under a new, greater number"))]
@@ -115,7 +115,8 @@
     /// The number that is in force with another content.
     #[error("two contents of version {0}")]
     #[diagnostic(help("two people have handed out different files of one number: settle which is meant, and hand it out under a greater number"))]
-    Two(u64),
+    #[serde(rename = "Two")]
+    Conflict(u64),
 }
 
 /// How a version stands to the one that is required.
@@ -128,14 +129,16 @@
     /// It is older, by so many numbers, or missing.
     Behind(u64),
     /// It is another one, and its numbers, each node's own, can't say which is older.
-    Other,
+    #[serde(rename = "Other")]
+    Different,
     /// It is another content of the same number: one of both is to be called back.
-    Apart,
+    #[serde(rename = "Apart")]
+    Conflict,
 }
 
 /// What one change of a vector was.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Taken {
+pub struct VersionChange {
     /// Of which item.
     pub item: Item,
     /// The version before, if there was one.
@@ -146,9 +149,9 @@
 
 /// One version for each item that steers a node.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Vector(BTreeMap<Item, Version>);
+pub struct VersionVector(BTreeMap<Item, Version>);
 
-impl Vector {
+impl VersionVector {
     /// The version of an item, if it has one.
     pub fn get(&self, item: Item) -> Option<&Version> {
         self.0.get(&item)
@@ -163,56 +166,57 @@
     ///
     /// # Errors
     /// It is older, or another one of the same number; then nothing changes.
-    pub fn take(
+    pub fn apply(
         &mut self,
         item: Item,
-        content: Content,
+        content: ContentHash,
         number: Option<u64>,
-    ) -> Result<Option<Taken>, BackError> {
+    ) -> Result<Option<VersionChange>, VersionError> {
         let from = self.0.get(&item).copied();
         let to = match (from, number) {
             (Some(held), None) if held.content == content => return Ok(None),
             (held, None) => held.map_or(1, |v| v.number.saturating_add(1)),
             (Some(held), Some(offered)) if offered < held.number => {
-                return Err(BackError::Older { held: held.number, offered });
+                return Err(VersionError::Older { held: held.number, offered });
             }
             (Some(held), Some(offered)) if offered == held.number => {
                 return match held.content == content {
                     true => Ok(None),
-                    false => Err(BackError::Two(offered)),
+                    false => Err(VersionError::Conflict(offered)),
                 };
             }
             (_, Some(offered)) => offered,
         };
-        let to = Version { number: to, content, parent: from.map_or_else(Content::default, |v| v.content) };
+        let to =
+            Version { number: to, content, parent: from.map_or_else(ContentHash::default, |v| v.content) };
         self.0.insert(item, to);
-        Ok(Some(Taken { item, from, to }))
+        Ok(Some(VersionChange { item, from, to }))
     }
 
     /// This is in force, whatever was before: a process begins with an older file, and must say so. Nothing is returned where it is the same.
-    pub fn put(&mut self, item: Item, content: Content, number: Option<u64>) -> Option<Taken> {
+    pub fn set(&mut self, item: Item, content: ContentHash, number: Option<u64>) -> Option<VersionChange> {
         let from = self.0.get(&item).copied();
         if from.is_some_and(|held| held.content == content && number.is_none_or(|n| n == held.number)) {
             return None;
         }
         let number = number.unwrap_or_else(|| from.map_or(1, |held| held.number.saturating_add(1)));
-        let to = Version { number, content, parent: from.map_or_else(Content::default, |v| v.content) };
+        let to = Version { number, content, parent: from.map_or_else(ContentHash::default, |v| v.content) };
         self.0.insert(item, to);
-        Some(Taken { item, from, to })
+        Some(VersionChange { item, from, to })
     }
 
     /// What others need to know of it: not the list, which changes all the time, nor what each node counts for itself.
-    pub fn notified(&self) -> Vector {
+    pub fn shared(&self) -> VersionVector {
         let items = self.0.iter().filter(|(item, _)| **item != Item::List);
         let plain = |item: Item, v: &Version| {
             let number = if item.is_numbered() { v.number } else { 0 };
-            Version { number, content: v.content, parent: Content::default() }
+            Version { number, content: v.content, parent: ContentHash::default() }
         };
-        Vector(items.map(|(item, version)| (*item, plain(*item, version))).collect())
+        VersionVector(items.map(|(item, version)| (*item, plain(*item, version))).collect())
     }
 
     /// What stands for all of it, without the history behind: equal at nodes that are steered alike.
-    pub fn content(&self) -> Content {
+    pub fn content_hash(&self) -> ContentHash {
         let mut all = Vec::with_capacity(self.0.len() * 25);
         for (item, version) in &self.0 {
             all.push(*item as u8);
@@ -220,17 +224,17 @@
             all.extend_from_slice(&number.to_be_bytes());
             all.extend_from_slice(&version.content.0);
         }
-        Content::of(&all)
+        ContentHash::of(&all)
     }
 
     /// How each item that `required` names stands to it.
-    pub fn against(&self, required: &Vector) -> BTreeMap<Item, Lag> {
+    pub fn compare(&self, required: &VersionVector) -> BTreeMap<Item, Lag> {
         required.0.iter().map(|(item, wanted)| (*item, lag(*item, self.0.get(item), wanted))).collect()
     }
 
     /// Whether it acts on something older than `required` says, or on something else where nobody can say which is older.
-    pub fn is_behind(&self, required: &Vector) -> bool {
-        self.against(required).values().any(|lag| matches!(lag, Lag::Behind(_) | Lag::Other))
+    pub fn is_behind(&self, required: &VersionVector) -> bool {
+        self.compare(required).values().any(|lag| matches!(lag, Lag::Behind(_) | Lag::Different))
     }
 }
 
@@ -240,11 +244,11 @@
         return Lag::Same;
     }
     if !item.is_numbered() {
-        return Lag::Other;
+        return Lag::Different;
     }
     match held.number.cmp(&wanted.number) {
         std::cmp::Ordering::Less => Lag::Behind(wanted.number - held.number),
         std::cmp::Ordering::Greater => Lag::Ahead(held.number - wanted.number),
-        std::cmp::Ordering::Equal => Lag::Apart,
+        std::cmp::Ordering::Equal => Lag::Conflict,
     }
 }
--- a/crates/audit/tests/model.rs
+++ b/crates/audit/tests/model.rs
@@ -1,7 +1,7 @@
 //! A node that confines itself, and who answers it: all orders of asking, answering, losing, doubling, crashing and of a clock that
-//! is off. Once the time has passed that [`Own::outlives`] says, nothing guarded is done that was forbidden.
+//! is off. Once the time has passed that [`AdmissionLease::max_validity`] says, nothing guarded is done that was forbidden.
 
-use shorepath_audit::version_lag::{Admits, Own};
+use shorepath_audit::version_lag::{AdmissionLease, Admits};
 use stateright::{Checker, Model, Property};
 
 const LEASE: i64 = 4;
@@ -28,7 +28,7 @@
     /// The node's clock, and which of the last four ticks it missed, one bit each.
     clock: i64,
     missed: u8,
-    own: Own,
+    own: AdmissionLease,
     /// In which life, and when by its clock.
     asks: Vec<(u8, i64)>,
     /// The asking, the answer's number, what may be done.
@@ -65,7 +65,7 @@
             now: 0,
             clock: 0,
             missed: 0,
-            own: Own::new(0, LEASE, DRIFT),
+            own: AdmissionLease::new(0, LEASE, DRIFT),
             asks: Vec::new(),
             answers: Vec::new(),
             numbered: 0,
@@ -121,7 +121,7 @@
             Step::Arrive((life, asked), number, admits) => {
                 let asked = if self.0 == Planted::FromArrival { world.clock } else { asked };
                 let life = if self.0 == Planted::AnyLife { world.crashes } else { life };
-                if !world.own.confirmed(u64::from(life), asked, number, admits) {
+                if !world.own.record_answer(u64::from(life), asked, number, admits) {
                     return None;
                 }
             }
@@ -129,7 +129,7 @@
             Step::Crash => {
                 world.crashes += 1;
                 if self.0 != Planted::CrashKeeps {
-                    world.own = Own::new(u64::from(world.crashes), LEASE, DRIFT);
+                    world.own = AdmissionLease::new(u64::from(world.crashes), LEASE, DRIFT);
                 }
                 // Its clock counts from its start.
                 world.clock = 0;
@@ -142,7 +142,9 @@
         vec![
             Property::always("confined once the time is over", |fleet: &Fleet, world: &World| {
                 let drift = if fleet.0 == Planted::NoDrift { 0 } else { DRIFT };
-                let over = world.last_all.is_none_or(|last| world.now - last >= Own::outlives(LEASE, drift));
+                let over = world
+                    .last_all
+                    .is_none_or(|last| world.now - last >= AdmissionLease::max_validity(LEASE, drift));
                 let confined = world.outgoing_messages < Admits::All && over;
                 !confined || world.own.admits(world.clock) < Admits::All
             }),
--- a/crates/audit/tests/rollout.rs
+++ b/crates/audit/tests/rollout.rs
@@ -1,7 +1,7 @@
 //! A change in steps: how often it is judged wrongly, how soon, and what ends it.
 
 use rstest::rstest;
-use shorepath_audit::rollout::{judge, Counts, Rollout, Stage, StageResult, Steps, Why};
+use shorepath_audit::rollout::{evaluate, Counts, Rollout, RolloutPolicy, Stage, StageReason, StageResult};
 
 const S: i64 = 1_000_000;
 
@@ -19,7 +19,7 @@
 
 /// How often changes that fail with that chance are called worse, and how many of their jobs that takes in the mean.
 fn tried(usual: f64, now: f64) -> (f64, f64) {
-    let (steps, mut chance) = (Steps::default(), Chance(7));
+    let (steps, mut chance) = (RolloutPolicy::default(), Chance(7));
     let (mut worse, mut jobs) = (0, 0);
     for _ in 0..1_000 {
         let (mut old, mut new) = (Counts::default(), Counts::default());
@@ -29,12 +29,12 @@
                 *(if chance.next() < usual { &mut old.bad } else { &mut old.good }) += 1;
             }
             *(if chance.next() < now { &mut new.bad } else { &mut new.good }) += 1;
-            match judge(&steps, old, new) {
-                StageResult::Open if new.good + new.bad < 1_000_000 => {}
+            match evaluate(&steps, old, new) {
+                StageResult::Undecided if new.good + new.bad < 1_000_000 => {}
                 outcome => break outcome,
             }
         };
-        assert_ne!(outcome, StageResult::Open);
+        assert_ne!(outcome, StageResult::Undecided);
         worse += u32::from(outcome == StageResult::Worse);
         jobs += new.good + new.bad;
     }
@@ -65,10 +65,10 @@
 
 /// A release to 20 nodes; the canaries have taken it at 5 s.
 fn begun(number: u64) -> (Rollout, Vec<u32>) {
-    let mut rollout = Rollout::new(Steps::default(), number, &(0..20).collect::<Vec<_>>(), 0);
-    let canaries: Vec<u32> = (0..20).filter(|n| rollout.wants(*n)).collect();
+    let mut rollout = Rollout::new(RolloutPolicy::default(), number, &(0..20).collect::<Vec<_>>(), 0);
+    let canaries: Vec<u32> = (0..20).filter(|n| rollout.should_apply(*n)).collect();
     assert_eq!(canaries.len(), 2);
-    canaries.iter().for_each(|n| rollout.took(*n, 5 * S));
+    canaries.iter().for_each(|n| rollout.record_applied(*n, 5 * S));
     (rollout, canaries)
 }
 
@@ -76,19 +76,19 @@
 fn it_goes_to_the_rest_after_it_was_watched_and_is_done_when_all_held() {
     let (mut rollout, canaries) = begun(4);
     for n in 0..20 {
-        rollout.counted(n, well(10_000));
+        rollout.add_outcomes(n, well(10_000));
     }
-    assert_eq!(rollout.pass(34 * S), None);
-    assert_eq!(rollout.pass(35 * S), Some((Stage::Rest, Why::Well)));
-    assert!((0..20).all(|n| rollout.wants(n)));
+    assert_eq!(rollout.advance(34 * S), None);
+    assert_eq!(rollout.advance(35 * S), Some((Stage::Rest, StageReason::Good)));
+    assert!((0..20).all(|n| rollout.should_apply(n)));
     for n in 0..19 {
-        rollout.took(n, 40 * S);
+        rollout.record_applied(n, 40 * S);
     }
-    assert_eq!(rollout.pass(300 * S), None, "one has not taken it");
-    rollout.left(19, 301 * S);
-    assert_eq!(rollout.pass(331 * S), Some((Stage::Done, Why::AllTook)), "{canaries:?}");
-    assert_eq!(rollout.pass(332 * S), None);
-    assert_eq!(rollout.call_back(Why::ByHand), None);
+    assert_eq!(rollout.advance(300 * S), None, "one has not taken it");
+    rollout.remove_node(19, 301 * S);
+    assert_eq!(rollout.advance(331 * S), Some((Stage::Done, StageReason::AllApplied)), "{canaries:?}");
+    assert_eq!(rollout.advance(332 * S), None);
+    assert_eq!(rollout.roll_back(StageReason::Operator), None);
 }
 
 #[test]
@@ -96,35 +96,38 @@
     let (mut rollout, canaries) = begun(4);
     for n in 0..20 {
         let bad = if canaries.contains(&n) { 50 } else { 0 };
-        rollout.counted(n, Counts { good: 1_000, bad });
+        rollout.add_outcomes(n, Counts { good: 1_000, bad });
     }
-    assert_eq!(rollout.pass(6 * S), Some((Stage::CalledBack, Why::Worse)));
-    assert!((0..20).all(|n| !rollout.wants(n)));
+    assert_eq!(rollout.advance(6 * S), Some((Stage::RolledBack, StageReason::Worse)));
+    assert!((0..20).all(|n| !rollout.should_apply(n)));
 }
 
 #[test]
 fn the_rest_is_judged_too() {
     let (mut rollout, _) = begun(4);
     for n in 0..20 {
-        rollout.counted(n, well(10_000));
+        rollout.add_outcomes(n, well(10_000));
     }
-    rollout.pass(35 * S);
+    rollout.advance(35 * S);
     for n in 0..20 {
-        rollout.took(n, 40 * S);
-        rollout.counted(n, Counts { good: 1_000, bad: 20 });
+        rollout.record_applied(n, 40 * S);
+        rollout.add_outcomes(n, Counts { good: 1_000, bad: 20 });
     }
-    assert_eq!(rollout.pass(41 * S), Some((Stage::CalledBack, Why::Worse)));
+    assert_eq!(rollout.advance(41 * S), Some((Stage::RolledBack, StageReason::Worse)));
 }
 
 #[test]
 fn what_nobody_takes_or_nobody_can_judge_is_called_back_in_the_end() {
-    let mut untaken = Rollout::new(Steps::default(), 4, &[1, 2, 3], 0);
+    let mut untaken = Rollout::new(RolloutPolicy::default(), 4, &[1, 2, 3], 0);
     assert_eq!(
-        (untaken.pass(599 * S), untaken.pass(600 * S)),
-        (None, Some((Stage::CalledBack, Why::Undecided)))
+        (untaken.advance(599 * S), untaken.advance(600 * S)),
+        (None, Some((Stage::RolledBack, StageReason::Undecided)))
     );
     let (mut quiet, _) = begun(4);
-    assert_eq!((quiet.pass(599 * S), quiet.pass(600 * S)), (None, Some((Stage::CalledBack, Why::Undecided))));
+    assert_eq!(
+        (quiet.advance(599 * S), quiet.advance(600 * S)),
+        (None, Some((Stage::RolledBack, StageReason::Undecided)))
+    );
 }
 
 #[test]
--- a/crates/lab/src/sites/node.rs
+++ b/crates/lab/src/sites/node.rs
@@ -14,7 +14,7 @@
 use shorepath_sites::config::Plan;
 use shorepath_sites::health::{self, Changed, SiteHealth};
 use shorepath_sites::load_shifting::{Class, LoadShifting};
-use shorepath_sites::recovery_ramp::Pace;
+use shorepath_sites::recovery_ramp::SlowStart;
 
 /// The account that is closed, and that has a credit.
 pub const ACME: &str = "acme";
@@ -120,7 +120,7 @@
         }
         Some(Siting {
             seeing: SiteHealth::new(number, plan, seed, now).ok()?,
-            lending: LoadShifting::new(Pace { share: of.cold, time: of.warm_up }, now),
+            lending: LoadShifting::new(SlowStart { min_share: of.cold, duration: of.warm_up }, now),
             spread,
             confirmation: Confirmation::new(now),
             purses,
--- a/crates/mutants/src/systems/lending.rs
+++ b/crates/mutants/src/systems/lending.rs
@@ -7,7 +7,7 @@
 use crate::core::{Actor, Broken};
 use crate::troupe::{word, Deed, Part, Script};
 use crate::Micros;
-use shorepath_recovery::slow_start::Pace;
+use shorepath_recovery::slow_start::SlowStart;
 use shorepath_sites::config::{read, Plan};
 use shorepath_sites::health::{Message, SiteHealth};
 use shorepath_sites::load_allocation::{plan as shared, SiteLoad};
@@ -24,7 +24,7 @@
 const BEARS: u64 = 400;
 /// Classes: what one is worth, which part is lent in any case, in hundredths, and how many requests come in each tick.
 const CLASSES: [(&str, u64, u64, u64); 2] = [("control", 3_000, 10, 8), ("forecast", 1_000, 5, 4)];
-const PACE: Pace = Pace { share: 0.3, time: 2 * S };
+const PACE: SlowStart = SlowStart { min_share: 0.3, duration: 2 * S };
 /// What is asked for is counted by then.
 const COUNTED: Micros = 2_500 * MS;
 /// How often what a node lends may turn from more to less or back by a part of [`TURN`] of the most that it lends: up with the loss,
--- a/crates/recovery/src/at_most_once.rs
+++ b/crates/recovery/src/at_most_once.rs
@@ -5,7 +5,7 @@
 
 /// What is known of a request, or of what it is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Known {
+pub enum RequestState {
     /// A peer has asked about it to send it itself: it is not sent from here.
     Ceded,
     /// It was about to be sent: it may have run.
@@ -20,7 +20,7 @@
     /// Write its intent, and send it once that is on the disk.
     Send,
     /// Answer as it was answered.
-    Again(u16),
+    Replay(u16),
     /// Answer that it failed: it may have run.
     Failed,
     /// Deny it; asking again is harmless. Nothing of this kind is sent now.
@@ -31,7 +31,7 @@
 /// is about where it says so.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Guard {
-    known: BTreeMap<String, Known>,
+    known: BTreeMap<String, RequestState>,
     /// It acts under this epoch, if it may act at all.
     epoch: Option<u64>,
     /// The greatest that it ever acted under.
@@ -45,13 +45,14 @@
         answered: impl IntoIterator<Item = (String, u16)>,
         floor: u64,
     ) -> Guard {
-        let mut known: BTreeMap<String, Known> = open.into_iter().map(|k| (k, Known::MayHaveRun)).collect();
-        known.extend(answered.into_iter().map(|(k, status)| (k, Known::Answered(status))));
+        let mut known: BTreeMap<String, RequestState> =
+            open.into_iter().map(|k| (k, RequestState::MayHaveRun)).collect();
+        known.extend(answered.into_iter().map(|(k, status)| (k, RequestState::Answered(status))));
         Guard { known, epoch: None, floor }
     }
 
     /// A peer knows that of a key.
-    pub fn received(&mut self, key: &str, what: Known) {
+    pub fn merge(&mut self, key: &str, what: RequestState) {
         let known = self.known.entry(key.to_string()).or_insert(what);
         // A final answer says more than that something may have run.
         *known = (*known).max(what);
@@ -59,7 +60,7 @@
 
     /// The fleet has an epoch in which it may act, or none any more. One that is not newer than what it ever acted under was
     /// given before the loss.
-    pub fn act_under(&mut self, epoch: Option<u64>) -> bool {
+    pub fn set_epoch(&mut self, epoch: Option<u64>) -> bool {
         self.epoch = epoch.filter(|e| *e > self.floor);
         self.epoch.is_some()
     }
@@ -70,49 +71,49 @@
     }
 
     /// What becomes of a request with those keys; `peers` is whether all who may know of them have been asked.
-    pub fn judge(&self, keys: &[&str], peers: bool) -> Decision {
+    pub fn decide(&self, keys: &[&str], peers: bool) -> Decision {
         let known = keys.iter().filter_map(|k| self.known.get(*k)).max();
         match known {
-            Some(Known::Answered(status)) => Decision::Again(*status),
-            Some(Known::MayHaveRun) => Decision::Failed,
-            Some(Known::Ceded) => Decision::Reject,
+            Some(RequestState::Answered(status)) => Decision::Replay(*status),
+            Some(RequestState::MayHaveRun) => Decision::Failed,
+            Some(RequestState::Ceded) => Decision::Reject,
             None if self.epoch.is_some() && peers => Decision::Send,
             None => Decision::Reject,
         }
     }
 
     /// Its intent is on the disk: from now on it may have run.
-    pub fn intended(&mut self, keys: &[&str]) {
+    pub fn record_intent(&mut self, keys: &[&str]) {
         for key in keys {
-            self.known.insert(key.to_string(), Known::MayHaveRun);
+            self.known.insert(key.to_string(), RequestState::MayHaveRun);
         }
     }
 
     /// It never ran, which its server has proved: it may be sent, here or elsewhere.
-    pub fn never_ran(&mut self, keys: &[&str]) {
+    pub fn record_never_ran(&mut self, keys: &[&str]) {
         for key in keys {
-            if self.known.get(*key) == Some(&Known::MayHaveRun) {
+            if self.known.get(*key) == Some(&RequestState::MayHaveRun) {
                 self.known.remove(*key);
             }
         }
     }
 
     /// It has its final answer.
-    pub fn answered(&mut self, keys: &[&str], status: u16) {
+    pub fn record_answer(&mut self, keys: &[&str], status: u16) {
         for key in keys {
-            self.received(key, Known::Answered(status));
+            self.merge(key, RequestState::Answered(status));
         }
     }
 
     /// A peer asks about a key, to send what it stands for itself: what is known of it. Where nothing is, it is the peer's from now
     /// on, so that two that ask each other at once do not both send.
-    pub fn cede(&mut self, key: &str) -> Option<Known> {
-        let known = *self.known.entry(key.to_string()).or_insert(Known::Ceded);
-        (known != Known::Ceded).then_some(known)
+    pub fn cede(&mut self, key: &str) -> Option<RequestState> {
+        let known = *self.known.entry(key.to_string()).or_insert(RequestState::Ceded);
+        (known != RequestState::Ceded).then_some(known)
     }
 
     /// What is known of a key.
-    pub fn known(&self, key: &str) -> Option<Known> {
+    pub fn state(&self, key: &str) -> Option<RequestState> {
         self.known.get(key).copied()
     }
 }
--- a/crates/recovery/src/disk_trust.rs
+++ b/crates/recovery/src/disk_trust.rs
@@ -17,7 +17,7 @@
 
 /// Something that is kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Item {
+pub enum StoredItem {
     /// Intents of requests that must not run twice.
     Intents,
     /// Final answers.
@@ -38,7 +38,7 @@
 
 /// How far something is believed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Belief {
+pub enum TrustLevel {
     /// It holds.
     AsIs,
     /// It is a beginning, until something newer is learned.
@@ -50,13 +50,13 @@
 }
 
 /// As operators are shown it.
-impl fmt::Display for Belief {
+impl fmt::Display for TrustLevel {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Belief::AsIs => "AsIs",
-            Belief::AsInitial => "AsBeginning",
-            Belief::IfConfirmed => "IfConfirmed",
-            Belief::Never => "Never",
+            TrustLevel::AsIs => "AsIs",
+            TrustLevel::AsInitial => "AsBeginning",
+            TrustLevel::IfConfirmed => "IfConfirmed",
+            TrustLevel::Never => "Never",
         })
     }
 }
@@ -74,7 +74,7 @@
 
 /// What there is to say about a disk before anything on it is believed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Disk {
+pub enum DiskState {
     /// It is this node's, and the last one that it wrote.
     Own,
     /// There is none, or nothing on it, or it can't be read.
@@ -89,20 +89,25 @@
 
 /// Judge a disk: by the node's own name, and what peers remember of it (how often a process began with it, and whether one lives
 /// with it now that is not this one).
-pub fn judge(disk: Option<&Identity>, name: &str, remembered: Option<u64>, lives_elsewhere: bool) -> Disk {
+pub fn classify_disk(
+    disk: Option<&Identity>,
+    name: &str,
+    remembered: Option<u64>,
+    lives_elsewhere: bool,
+) -> DiskState {
     match disk {
-        None => Disk::Lost,
-        Some(d) if d.node != name => Disk::Strange,
-        Some(_) if lives_elsewhere => Disk::Copied,
-        Some(d) if remembered.is_some_and(|boots| boots > d.boots) => Disk::Old,
-        Some(_) => Disk::Own,
+        None => DiskState::Lost,
+        Some(d) if d.node != name => DiskState::Strange,
+        Some(_) if lives_elsewhere => DiskState::Copied,
+        Some(d) if remembered.is_some_and(|boots| boots > d.boots) => DiskState::Old,
+        Some(_) => DiskState::Own,
     }
 }
 
-impl Disk {
+impl DiskState {
     /// Whether all intents that this node ever wrote are on it.
-    pub fn is_whole(self) -> bool {
-        self == Disk::Own
+    pub fn is_complete(self) -> bool {
+        self == DiskState::Own
     }
 }
 
@@ -114,22 +119,22 @@
 }
 
 /// How far something on a disk is believed after an outage.
-pub fn belief(item: Item, disk: Disk, outage: Option<Micros>) -> Belief {
-    if matches!(disk, Disk::Lost | Disk::Strange) {
-        return Belief::Never;
+pub fn trust_level(item: StoredItem, disk: DiskState, outage: Option<Micros>) -> TrustLevel {
+    if matches!(disk, DiskState::Lost | DiskState::Strange) {
+        return TrustLevel::Never;
     }
     let within = |most: Micros| outage.is_some_and(|gone| gone <= most);
     match item {
         // They are about what was done, which no time undoes, and a copy's or an old disk's are as true.
-        Item::Intents | Item::Answers => Belief::AsIs,
+        StoredItem::Intents | StoredItem::Answers => TrustLevel::AsIs,
         // It only bounds from below what may be acted under now.
-        Item::Epoch => Belief::AsIs,
+        StoredItem::Epoch => TrustLevel::AsIs,
         // Their time ran on; nobody knows for how long.
-        Item::Leases | Item::Health => Belief::Never,
-        Item::List if within(LIST) => Belief::AsInitial,
-        Item::List => Belief::IfConfirmed,
-        Item::Speeds if within(SPEEDS) => Belief::AsInitial,
-        Item::Debts if within(DEBTS) && disk == Disk::Own => Belief::AsInitial,
-        Item::Speeds | Item::Debts => Belief::Never,
+        StoredItem::Leases | StoredItem::Health => TrustLevel::Never,
+        StoredItem::List if within(LIST) => TrustLevel::AsInitial,
+        StoredItem::List => TrustLevel::IfConfirmed,
+        StoredItem::Speeds if within(SPEEDS) => TrustLevel::AsInitial,
+        StoredItem::Debts if within(DEBTS) && disk == DiskState::Own => TrustLevel::AsInitial,
+        StoredItem::Speeds | StoredItem::Debts => TrustLevel::Never,
     }
 }
--- a/crates/recovery/src/incarnations.rs
+++ b/crates/recovery/src/incarnations.rs
@@ -4,7 +4,7 @@
 //! A node asks each partner what it remembers. Once its own disk is judged it *claims* its life: partners write that down before they
 //! say so. It acts only when each of them has its disk whole and remembers this very life; so a disk of an earlier life is always known.
 
-use crate::disk_trust::Disk;
+use crate::disk_trust::DiskState;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -16,7 +16,8 @@
     /// How often a process has begun with it, this one counted.
     pub boots: u64,
     /// The process's own number, drawn when it began.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub process: u64,
 }
 
 /// A word between two nodes.
@@ -43,20 +44,23 @@
     /// The last life of the one that asked that is remembered, on the disk.
     pub known: Option<DiskIncarnation>,
     /// That life is another one than the one that asks, and was heard just now.
-    pub lives: bool,
+    #[serde(rename = "lives")]
+    pub other_alive: bool,
     /// All that must not run twice and was placed by the one that says it is on its disk, or an operator has excused what is not.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub complete: bool,
     /// It has had power since an earlier life of the one that asks was heard, or serves and never heard of it.
-    pub outlived: bool,
+    #[serde(rename = "outlived")]
+    pub kept_power: bool,
 }
 
 /// Where a peer stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Peer {
+pub enum PeerState {
     /// It has said nothing to this life.
     Silent,
     /// Something that must not run twice may be missing on its disk.
-    NotWhole,
+    Incomplete,
     /// It does not yet remember this life.
     Unclaimed,
     /// It counts.
@@ -79,7 +83,7 @@
     }
 
     /// These are the partners from now on.
-    pub fn meet(&mut self, peers: &[u32]) {
+    pub fn set_peers(&mut self, peers: &[u32]) {
         self.replies.retain(|node, _| peers.contains(node));
         for node in peers {
             self.replies.entry(*node).or_insert(None);
@@ -87,32 +91,32 @@
     }
 
     /// A node has said that. What is not meant for this life, or is said by no partner, changes nothing.
-    pub fn received(&mut self, from: u32, reply: Reply) {
-        if reply.to != self.me.life {
+    pub fn record_reply(&mut self, from: u32, reply: Reply) {
+        if reply.to != self.me.process {
             return;
         }
         if let Some(replies) = self.replies.get_mut(&from) {
             // Once it remembers this life it says nothing of those before.
-            let outlived = reply.outlived || replies.as_ref().is_some_and(|t| t.outlived);
-            *replies = Some(Reply { outlived, ..reply });
+            let outlived = reply.kept_power || replies.as_ref().is_some_and(|t| t.kept_power);
+            *replies = Some(Reply { kept_power: outlived, ..reply });
         }
     }
 
     /// What is to be said of the own disk; `None` while partners that have said nothing might know better.
-    pub fn judge(&self) -> Option<Disk> {
-        let strange = |l: &DiskIncarnation| l.life != self.me.life;
+    pub fn classify_disk(&self) -> Option<DiskState> {
+        let strange = |l: &DiskIncarnation| l.process != self.me.process;
         for (known, lives) in
-            self.replies.values().flatten().filter_map(|t| Some((t.known.filter(strange)?, t.lives)))
+            self.replies.values().flatten().filter_map(|t| Some((t.known.filter(strange)?, t.other_alive)))
         {
             let own = known.disk == self.me.disk;
             match (own, self.is_new) {
                 // It had another disk, which is gone.
-                (false, true) => return Some(Disk::Lost),
-                (false, false) => return Some(Disk::Old),
-                (true, _) if known.boots >= self.me.boots && lives => return Some(Disk::Copied),
-                (true, _) if known.boots >= self.me.boots => return Some(Disk::Old),
+                (false, true) => return Some(DiskState::Lost),
+                (false, false) => return Some(DiskState::Old),
+                (true, _) if known.boots >= self.me.boots && lives => return Some(DiskState::Copied),
+                (true, _) if known.boots >= self.me.boots => return Some(DiskState::Old),
                 // It was whole once, and was found not to be since.
-                (true, true) => return Some(Disk::Old),
+                (true, true) => return Some(DiskState::Old),
                 _ => {}
             }
         }
@@ -120,36 +124,36 @@
             return None;
         }
         // Nobody remembers it. Where one at least has something to remember by, it never was.
-        match self.is_new && !self.replies.values().flatten().any(|t| t.whole) {
-            true => Some(Disk::Lost),
-            false => Some(Disk::Own),
+        match self.is_new && !self.replies.values().flatten().any(|t| t.complete) {
+            true => Some(DiskState::Lost),
+            false => Some(DiskState::Own),
         }
     }
 
     /// Whether each partner's disk is whole and remembers this life.
-    pub fn count(&self) -> bool {
-        !self.replies.is_empty() && self.states().all(|(_, state)| state == Peer::Counts)
+    pub fn all_confirmed(&self) -> bool {
+        !self.replies.is_empty() && self.states().all(|(_, state)| state == PeerState::Counts)
     }
 
     /// Where each partner stands.
-    pub fn states(&self) -> impl Iterator<Item = (u32, Peer)> + '_ {
+    pub fn states(&self) -> impl Iterator<Item = (u32, PeerState)> + '_ {
         self.replies.iter().map(|(node, replies)| {
             let state = match replies {
-                None => Peer::Silent,
-                Some(t) if !t.whole => Peer::NotWhole,
-                Some(t) if t.known != Some(self.me) => Peer::Unclaimed,
-                Some(_) => Peer::Counts,
+                None => PeerState::Silent,
+                Some(t) if !t.complete => PeerState::Incomplete,
+                Some(t) if t.known != Some(self.me) => PeerState::Unclaimed,
+                Some(_) => PeerState::Counts,
             };
             (*node, state)
         })
     }
 
     /// Whether half of those that have said something had power all the while: then this node's loss is its own.
-    pub fn lived(&self) -> bool {
+    pub fn is_local_outage(&self) -> bool {
         let (mut all, mut lived) = (0, 0);
         for replies in self.replies.values().flatten() {
             all += 1;
-            lived += usize::from(replies.outlived);
+            lived += usize::from(replies.kept_power);
         }
         lived > 0 && 2 * lived >= all
     }
@@ -165,74 +169,74 @@
     use super::*;
     use rstest::rstest;
 
-    const ME: DiskIncarnation = DiskIncarnation { disk: 7, boots: 4, life: 40 };
+    const ME: DiskIncarnation = DiskIncarnation { disk: 7, boots: 4, process: 40 };
 
     fn report(known: Option<DiskIncarnation>, whole: bool) -> Reply {
-        Reply { to: ME.life, known, lives: false, whole, outlived: false }
+        Reply { to: ME.process, known, other_alive: false, complete: whole, kept_power: false }
     }
 
     #[rstest]
-    #[case::nobody_knows_it(None, false, Some(Disk::Own))]
-    #[case::the_life_before(Some(DiskIncarnation { boots: 3, life: 30, ..ME }), false, Some(Disk::Own))]
-    #[case::itself(Some(ME), false, Some(Disk::Own))]
-    #[case::a_disk_of_last_week(Some(DiskIncarnation { boots: 9, life: 90, ..ME }), false, Some(Disk::Old))]
-    #[case::the_same_snapshot_again(Some(DiskIncarnation { life: 41, ..ME }), false, Some(Disk::Old))]
-    #[case::another_disk_was_its_last(Some(DiskIncarnation { disk: 8, boots: 1, life: 10 }), false, Some(Disk::Old))]
-    #[case::its_disk_is_gone(Some(DiskIncarnation { disk: 8, boots: 1, life: 10 }), true, Some(Disk::Lost))]
-    #[case::found_old_by_the_life_before(Some(DiskIncarnation { boots: 3, life: 30, ..ME }), true, Some(Disk::Old))]
-    #[case::a_new_node_of_a_fleet(None, true, Some(Disk::Own))]
+    #[case::nobody_knows_it(None, false, Some(DiskState::Own))]
+    #[case::the_life_before(Some(DiskIncarnation { boots: 3, process: 30, ..ME }), false, Some(DiskState::Own))]
+    #[case::itself(Some(ME), false, Some(DiskState::Own))]
+    #[case::a_disk_of_last_week(Some(DiskIncarnation { boots: 9, process: 90, ..ME }), false, Some(DiskState::Old))]
+    #[case::the_same_snapshot_again(Some(DiskIncarnation { process: 41, ..ME }), false, Some(DiskState::Old))]
+    #[case::another_disk_was_its_last(Some(DiskIncarnation { disk: 8, boots: 1, process: 10 }), false, Some(DiskState::Old))]
+    #[case::its_disk_is_gone(Some(DiskIncarnation { disk: 8, boots: 1, process: 10 }), true, Some(DiskState::Lost))]
+    #[case::found_old_by_the_life_before(Some(DiskIncarnation { boots: 3, process: 30, ..ME }), true, Some(DiskState::Old))]
+    #[case::a_new_node_of_a_fleet(None, true, Some(DiskState::Own))]
     fn a_disk_is_judged_by_what_is_remembered(
         #[case] known: Option<DiskIncarnation>,
         #[case] is_new: bool,
-        #[case] judged: Option<Disk>,
+        #[case] judged: Option<DiskState>,
     ) {
         let mut peers = Peers::new(ME, is_new);
-        peers.meet(&[1, 2]);
-        peers.received(1, report(known, true));
+        peers.set_peers(&[1, 2]);
+        peers.record_reply(1, report(known, true));
         // What is wrong is known by one; that nothing is, only by all.
-        let wrong = judged.filter(|d| *d != Disk::Own);
-        assert_eq!(peers.judge(), wrong);
-        peers.received(2, report(None, true));
-        assert_eq!(peers.judge(), judged);
+        let wrong = judged.filter(|d| *d != DiskState::Own);
+        assert_eq!(peers.classify_disk(), wrong);
+        peers.record_reply(2, report(None, true));
+        assert_eq!(peers.classify_disk(), judged);
     }
 
     #[test]
     fn a_life_that_goes_on_elsewhere_is_a_copy() {
         let mut peers = Peers::new(ME, false);
-        peers.meet(&[1]);
-        let known = Some(DiskIncarnation { life: 41, ..ME });
-        peers.received(1, Reply { lives: true, ..report(known, true) });
-        assert_eq!(peers.judge(), Some(Disk::Copied));
+        peers.set_peers(&[1]);
+        let known = Some(DiskIncarnation { process: 41, ..ME });
+        peers.record_reply(1, Reply { other_alive: true, ..report(known, true) });
+        assert_eq!(peers.classify_disk(), Some(DiskState::Copied));
     }
 
     /// A fleet that begins and one that lost all its disks look alike: only an operator can tell.
     #[test]
     fn where_nobody_remembers_anything_nothing_is_believed_until_somebody_is_whole() {
         let mut peers = Peers::new(ME, true);
-        peers.meet(&[1, 2]);
-        [1, 2].into_iter().for_each(|n| peers.received(n, report(None, false)));
-        assert_eq!(peers.judge(), Some(Disk::Lost));
-        peers.received(2, report(None, true));
-        assert_eq!(peers.judge(), Some(Disk::Own));
+        peers.set_peers(&[1, 2]);
+        [1, 2].into_iter().for_each(|n| peers.record_reply(n, report(None, false)));
+        assert_eq!(peers.classify_disk(), Some(DiskState::Lost));
+        peers.record_reply(2, report(None, true));
+        assert_eq!(peers.classify_disk(), Some(DiskState::Own));
     }
 
     #[test]
     fn partners_count_that_are_whole_and_remember_this_life() {
         let mut peers = Peers::new(ME, false);
-        assert!(!peers.count() && !peers.all_replied());
-        peers.meet(&[1, 2]);
-        peers.received(1, report(Some(ME), true));
-        peers.received(2, Reply { to: 41, ..report(Some(ME), true) });
-        peers.received(3, report(Some(ME), true));
-        assert!(!peers.count());
-        peers.received(2, report(Some(ME), false));
-        assert_eq!(peers.states().collect::<Vec<_>>(), [(1, Peer::Counts), (2, Peer::NotWhole)]);
-        peers.received(2, report(Some(DiskIncarnation { boots: 3, ..ME }), true));
-        assert_eq!(peers.states().last(), Some((2, Peer::Unclaimed)));
-        peers.received(2, report(Some(ME), true));
-        assert!(peers.count());
-        peers.meet(&[1]);
-        assert!(peers.count());
+        assert!(!peers.all_confirmed() && !peers.all_replied());
+        peers.set_peers(&[1, 2]);
+        peers.record_reply(1, report(Some(ME), true));
+        peers.record_reply(2, Reply { to: 41, ..report(Some(ME), true) });
+        peers.record_reply(3, report(Some(ME), true));
+        assert!(!peers.all_confirmed());
+        peers.record_reply(2, report(Some(ME), false));
+        assert_eq!(peers.states().collect::<Vec<_>>(), [(1, PeerState::Counts), (2, PeerState::Incomplete)]);
+        peers.record_reply(2, report(Some(DiskIncarnation { boots: 3, ..ME }), true));
+        assert_eq!(peers.states().last(), Some((2, PeerState::Unclaimed)));
+        peers.record_reply(2, report(Some(ME), true));
+        assert!(peers.all_confirmed());
+        peers.set_peers(&[1]);
+        assert!(peers.all_confirmed());
     }
 
     /// One that kept power while all others lost it does not make it the loss of one.
@@ -245,15 +249,15 @@
     fn the_loss_of_one_is_told_from_the_loss_of_all(#[case] outlived: &[bool], #[case] lived: bool) {
         let mut peers = Peers::new(ME, false);
         let nodes: Vec<u32> = (0..5).collect();
-        peers.meet(&nodes);
+        peers.set_peers(&nodes);
         for (node, outlived) in nodes.iter().zip(outlived) {
-            peers.received(*node, Reply { outlived: *outlived, ..report(None, true) });
+            peers.record_reply(*node, Reply { kept_power: *outlived, ..report(None, true) });
         }
-        assert_eq!(peers.lived(), lived);
+        assert_eq!(peers.is_local_outage(), lived);
         // Those remember it by then: what they said of its earlier life stays.
         for (node, _) in nodes.iter().zip(outlived) {
-            peers.received(*node, report(Some(ME), true));
+            peers.record_reply(*node, report(Some(ME), true));
         }
-        assert_eq!(peers.lived(), lived);
+        assert_eq!(peers.is_local_outage(), lived);
     }
 }
--- a/crates/recovery/tests/model.rs
+++ b/crates/recovery/tests/model.rs
@@ -1,7 +1,7 @@
 //! Two nodes that lose power in any order, with their disks or without, while a client asks one and then the other for a thing that
 //! must not be done twice: it is done once at most. The same search finds each planted fault.
 
-use shorepath_recovery::at_most_once::{Decision, Guard, Known};
+use shorepath_recovery::at_most_once::{Decision, Guard, RequestState};
 use stateright::{Checker, Model, Property};
 
 const KEY: &str = "valve-1";
@@ -87,7 +87,7 @@
         let open = (node.open && self.0 != Fault::Forgets).then(|| KEY.to_string());
         let answered = node.answered.then(|| (KEY.to_string(), 200));
         let mut guard = Guard::new(open, answered, node.floor);
-        guard.act_under(Some(epoch));
+        guard.set_epoch(Some(epoch));
         guard
     }
 }
@@ -99,7 +99,7 @@
     fn init_states(&self) -> Vec<State> {
         let node = || {
             let mut guard = Guard::new([], [], 0);
-            guard.act_under(Some(1));
+            guard.set_epoch(Some(1));
             Node {
                 guard: Some(guard),
                 phase: Phase::Idle,
@@ -165,13 +165,13 @@
                 let whole = peer.whole || self.0 == Fault::BelievesTheLost;
                 // A peer without power answers nothing.
                 let replies = match peer.guard.as_mut().filter(|_| whole) {
-                    Some(guard) if self.0 == Fault::KeepsIt => Some(guard.known(KEY)),
+                    Some(guard) if self.0 == Fault::KeepsIt => Some(guard.state(KEY)),
                     Some(guard) => Some(guard.cede(KEY)),
                     None => None,
                 };
                 let node = &mut s.nodes[n];
                 if let Some(Some(known)) = replies {
-                    node.guard.as_mut()?.received(KEY, known);
+                    node.guard.as_mut()?.merge(KEY, known);
                 }
                 node.phase = Phase::Received(replies.is_some());
             }
@@ -181,16 +181,16 @@
                 let guard = node.guard.as_mut()?;
                 // A node whose own disk is not whole sends nothing of this kind.
                 let whole = node.whole || self.0 == Fault::BelievesTheLost;
-                let outcome = guard.judge(&[KEY], received && whole);
+                let outcome = guard.decide(&[KEY], received && whole);
                 match outcome {
                     Decision::Send => {
-                        guard.intended(&[KEY]);
+                        guard.record_intent(&[KEY]);
                         node.phase = Phase::Intended;
                         if self.0 != Fault::SentFirst {
                             (node.open, node.floor) = (true, epoch);
                         }
                     }
-                    Decision::Again(_) | Decision::Failed | Decision::Reject => {
+                    Decision::Replay(_) | Decision::Failed | Decision::Reject => {
                         node.phase = Phase::Idle;
                         // Whoever has given up waiting does not hear it.
                         s.done |= s.waits == Some(n) && outcome != Decision::Reject;
@@ -209,7 +209,7 @@
             Step::Served(n) => {
                 let node = &mut s.nodes[n];
                 (node.phase, node.open, node.answered) = (Phase::Idle, false, true);
-                node.guard.as_mut()?.answered(&[KEY], 200);
+                node.guard.as_mut()?.record_answer(&[KEY], 200);
                 s.done |= s.waits == Some(n);
                 s.waits = s.waits.filter(|w| *w != n);
             }
@@ -243,9 +243,9 @@
             }),
             Property::sometimes("told that it may have run", |_, s: &State| {
                 s.done
-                    && s.nodes
-                        .iter()
-                        .any(|n| n.guard.as_ref().and_then(|g| g.known(KEY)) == Some(Known::MayHaveRun))
+                    && s.nodes.iter().any(|n| {
+                        n.guard.as_ref().and_then(|g| g.state(KEY)) == Some(RequestState::MayHaveRun)
+                    })
             }),
         ]
     }
--- a/crates/sites/src/load_shifting.rs
+++ b/crates/sites/src/load_shifting.rs
@@ -10,7 +10,7 @@
 use crate::load_allocation::{self, SiteLoad};
 use crate::recovery_ramp::{Moved, RecoveryRamp, Steps};
 use crate::{Micros, Seen};
-use shorepath_recovery::slow_start::{self, Pace, Warming};
+use shorepath_recovery::slow_start::{self, SlowStart, WarmingServer};
 use std::collections::{BTreeMap, VecDeque};
 
 /// What is asked for is counted over this long.
@@ -83,7 +83,7 @@
 /// One node's part in it.
 #[derive(Clone, Debug)]
 pub struct LoadShifting {
-    pace: Pace,
+    pace: SlowStart,
     begun: Micros,
     /// Requests of the own site's clients so far, by the number of the class, and what that was some time ago.
     asked: Vec<u64>,
@@ -104,7 +104,7 @@
 
 impl LoadShifting {
     /// One of a node that begins now, whose backend servers warm up like that.
-    pub fn new(pace: Pace, now: Micros) -> LoadShifting {
+    pub fn new(pace: SlowStart, now: Micros) -> LoadShifting {
         LoadShifting {
             pace,
             begun: now,
@@ -160,7 +160,11 @@
     /// What the own servers do now of what they do warm. They are taken to have come back with the site.
     fn warm(&self, now: Micros) -> f64 {
         let Some((_, since)) = &self.home else { return 1.0 };
-        slow_start::part(&[Warming { started: (*since).max(1), size: 1.0 }], self.pace, now.max(1))
+        slow_start::warm_fraction(
+            &[WarmingServer { started: (*since).max(1), capacity: 1.0 }],
+            self.pace,
+            now.max(1),
+        )
     }
 
     /// The part of the own site's load that is taken here, in hundredths.
--- a/crates/sites/src/recovery_config.rs
+++ b/crates/sites/src/recovery_config.rs
@@ -36,7 +36,12 @@
 impl Recover {
     /// How long each step may take.
     pub fn limits(&self) -> Limits {
-        Limits { reading: 10_000_000, asking: self.peers, catching_up: self.catch_up, outlive: self.outlive }
+        Limits {
+            reading: 10_000_000,
+            asking: self.peers,
+            catching_up: self.catch_up,
+            grant_expiry: self.outlive,
+        }
     }
 }
 
--- a/crates/sites/src/recovery_ramp.rs
+++ b/crates/sites/src/recovery_ramp.rs
@@ -5,7 +5,7 @@
 
 use crate::Micros;
 use shorepath_recovery::slow_start;
-pub use shorepath_recovery::slow_start::Pace;
+pub use shorepath_recovery::slow_start::SlowStart;
 use std::fmt;
 
 /// How a site takes its load back.
@@ -22,13 +22,13 @@
     /// A step without enough outcomes, for want of clients, is over after so long, in microseconds.
     pub timeout: Micros,
     /// How its servers warm up.
-    pub pace: Pace,
+    pub pace: SlowStart,
 }
 
 impl Steps {
     /// A fifth in each step, each a tenth of the warm-up long at least.
-    pub fn usual(pace: Pace) -> Steps {
-        let least = (pace.time / 10).max(1);
+    pub fn usual(pace: SlowStart) -> Steps {
+        let least = (pace.duration / 10).max(1);
         Steps { parts: vec![20, 40, 60, 80, 100], least, outcomes: 20, failed: 10, timeout: 3 * least, pace }
     }
 }
@@ -121,7 +121,7 @@
             && u128::from(self.failed) * 100 > all * u128::from(self.steps.failed)
     }
 
-    /// Time has passed. `warm` is the part of what the site's servers do warm that they can do now ([`slow_start::part`]): no step goes beyond it.
+    /// Time has passed. `warm` is the part of what the site's servers do warm that they can do now ([`slow_start::warm_fraction`]): no step goes beyond it.
     pub fn pass(&mut self, now: Micros, warm: f64) -> Option<Moved> {
         if self.is_whole() {
             return None;
@@ -168,7 +168,7 @@
     /// When a client that is denied is told to come back, in microseconds from now: spread over what is left of the way. `luck` is
     /// drawn from 0 to 1 by the caller.
     pub fn come_back(&self, warm: f64, least: Micros, most: Micros, luck: f64) -> Micros {
-        slow_start::come_back(f64::from(self.part(warm)) / 100.0, self.steps.pace, least, most, luck)
+        slow_start::retry_delay(f64::from(self.part(warm)) / 100.0, self.steps.pace, least, most, luck)
     }
 
     /// When [`RecoveryRamp::pass`] has something to do next, unless outcomes come.
--- a/crates/sites/tests/lending.rs
+++ b/crates/sites/tests/lending.rs
@@ -3,13 +3,13 @@
 use shorepath_sites::config::{read, Plan};
 use shorepath_sites::health::SiteHealth;
 use shorepath_sites::load_shifting::{guest_of, Class, LoadShifting};
-use shorepath_sites::recovery_ramp::Pace;
+use shorepath_sites::recovery_ramp::SlowStart;
 use shorepath_sites::Seen;
 use std::collections::BTreeMap;
 
 const MS: i64 = 1_000;
 const S: i64 = 1_000_000;
-const PACE: Pace = Pace { share: 0.2, time: 4 * S };
+const PACE: SlowStart = SlowStart { min_share: 0.2, duration: 4 * S };
 
 fn file(lends: &str) -> Plan {
     let text = format!(
--- a/crates/sites/tests/plan.rs
+++ b/crates/sites/tests/plan.rs
@@ -1,7 +1,7 @@
 //! The plan of load, the return, and who asks for which range: properties over many fleets.
 
 use proptest::prelude::*;
-use shorepath_recovery::slow_start::{part, Pace, Warming};
+use shorepath_recovery::slow_start::{warm_fraction, SlowStart, WarmingServer};
 use shorepath_sites::config::{read, Plan};
 use shorepath_sites::key_ownership::{Fence, Gone, Kept, KeyOwnership, Proof, Refused};
 use shorepath_sites::load_allocation::{plan, refusal, Job, Refusal, Share, SiteLoad};
@@ -278,10 +278,10 @@
     }
 }
 
-const PACE: Pace = Pace { share: 0.2, time: 30 * S };
+const PACE: SlowStart = SlowStart { min_share: 0.2, duration: 30 * S };
 
 fn warm(now: i64) -> f64 {
-    part(&[Warming { started: 1, size: 1.0 }], PACE, now)
+    warm_fraction(&[WarmingServer { started: 1, capacity: 1.0 }], PACE, now)
 }
 
 #[test]
@@ -295,9 +295,9 @@
         parts.push(home.part(warm(now)));
         whole = if whole == 0 && home.is_whole() { now } else { whole };
     }
-    println!("all taken back after {:.2} of the warm-up", whole as f64 / PACE.time as f64);
+    println!("all taken back after {:.2} of the warm-up", whole as f64 / PACE.duration as f64);
     assert!(parts.windows(2).all(|w| w[0] <= w[1]), "{parts:?}");
-    assert!(whole > 0 && whole <= PACE.time * 13 / 10, "{whole}");
+    assert!(whole > 0 && whole <= PACE.duration * 13 / 10, "{whole}");
 }
 
 #[test]
--- a/src/net/auditing.rs
+++ b/src/net/auditing.rs
@@ -4,10 +4,12 @@
 use super::exchange::{Attempt, Auditor};
 use super::Job;
 use serde::{Deserialize, Serialize};
-use shorepath_audit::audit_log::{decode, verify, Entry, Point, Record, RecordError, Timed, Why};
-use shorepath_audit::decision_counters::{Meter, Sampling};
-use shorepath_audit::gossip::{AuditUpdate, Message, Pace, Peers};
-use shorepath_audit::version::{Content, Item, Vector};
+use shorepath_audit::audit_log::{
+    decode, verify, AuditLog, AuditLogError, ChainPoint, ChangeSource, Entry, Timed,
+};
+use shorepath_audit::decision_counters::{DecisionCounters, Sampling};
+use shorepath_audit::gossip::{AuditUpdate, Gossip, Intervals, Message};
+use shorepath_audit::version::{ContentHash, Item, VersionVector};
 use shorepath_audit::Micros;
 use shorepath_sites::config::Audit;
 use shorepath_store::group_commit::GroupCommit;
@@ -29,8 +31,8 @@
 struct Kept {
     /// Drawn when the record was founded.
     life: u64,
-    base: Point,
-    head: Point,
+    base: ChainPoint,
+    head: ChainPoint,
 }
 
 /// What was asked of one that fails is not written: a clone of the flag goes with each commit.
@@ -45,11 +47,11 @@
     life: Cell<u64>,
     /// What the record may hold, in bytes.
     most: u64,
-    record: RefCell<Record>,
-    meter: RefCell<Meter>,
-    vector: RefCell<Vector>,
+    record: RefCell<AuditLog>,
+    meter: RefCell<DecisionCounters>,
+    vector: RefCell<VersionVector>,
     since: RefCell<Since>,
-    peers: RefCell<Peers>,
+    peers: RefCell<Gossip>,
     store: Arc<Store>,
     group_commit: Arc<GroupCommit>,
     origin: Instant,
@@ -58,7 +60,7 @@
     /// The record that was found at the start and is not what was written, and what is wrong with it.
     broken: RefCell<Option<String>>,
     /// The last entry that is on the disk: only that is told.
-    on_disk: Arc<Mutex<Option<Point>>>,
+    on_disk: Arc<Mutex<Option<ChainPoint>>>,
     unrecorded: Cell<u64>,
 }
 
@@ -67,10 +69,10 @@
 }
 
 /// What stands for the program that runs.
-pub fn program() -> Content {
+pub fn program() -> ContentHash {
     match std::fs::read("/proc/self/exe") {
-        Ok(bytes) => Content::of(&bytes),
-        Err(_) => Content::of(env!("CARGO_PKG_VERSION").as_bytes()),
+        Ok(bytes) => ContentHash::of(&bytes),
+        Err(_) => ContentHash::of(env!("CARGO_PKG_VERSION").as_bytes()),
     }
 }
 
@@ -92,14 +94,18 @@
 }
 
 /// The record goes on as it is on the disk, with the versions that were in force last.
-fn resume(kept: &Kept, all: &[(u64, Vec<u8>)], most: u64) -> Result<(Record, Vector, Since), RecordError> {
+fn resume(
+    kept: &Kept,
+    all: &[(u64, Vec<u8>)],
+    most: u64,
+) -> Result<(AuditLog, VersionVector, Since), AuditLogError> {
     let read = all.iter().map(|(number, entry)| (*number, entry.as_slice()));
     verify(kept.base, read, kept.head, &BTreeMap::new())?;
-    let (mut vector, mut since) = (Vector::default(), Since::default());
+    let (mut vector, mut since) = (VersionVector::default(), Since::default());
     for (number, entry) in all {
         let Timed { at, entry } = decode(*number, entry.get(32..).unwrap_or_default())?;
         match entry {
-            Entry::Began { vector: began } => {
+            Entry::ProcessStarted { vector: began } => {
                 let same =
                     |item: &Item| vector.get(*item).map(|v| v.content) == began.get(*item).map(|v| v.content);
                 since.retain(|item, _| same(item));
@@ -108,15 +114,15 @@
                 }
                 vector = began;
             }
-            Entry::Took { taken, .. } => {
+            Entry::VersionChanged { change: taken, .. } => {
                 since.insert(taken.item, at);
-                vector.put(taken.item, taken.to.content, Some(taken.to.number));
+                vector.set(taken.item, taken.to.content, Some(taken.to.number));
             }
             _ => {}
         }
     }
     let entries: Vec<Vec<u8>> = all.iter().map(|(_, entry)| entry.clone()).collect();
-    Ok((Record::open(kept.base, &entries, most)?, vector, since))
+    Ok((AuditLog::open(kept.base, &entries, most)?, vector, since))
 }
 
 impl Auditing {
@@ -127,10 +133,10 @@
         (node, me, chance): (&str, u32, u64),
         key: [u8; 16],
     ) -> Result<Rc<Auditing>, StoreError> {
-        let founded = || Record::open(Point::origin(node, chance), &[], audit.bytes);
+        let founded = || AuditLog::open(ChainPoint::origin(node, chance), &[], audit.bytes);
         let mut broken = None;
         let (life, record, vector, since) = match store.fact::<Kept>(KEPT)? {
-            None => (chance, founded(), Vector::default(), Since::default()),
+            None => (chance, founded(), VersionVector::default(), Since::default()),
             Some(kept) => match resume(&kept, &entries(&store, &kept)?, audit.bytes) {
                 Ok((record, vector, since)) => (kept.life, Ok(record), vector, since),
                 Err(e) => {
@@ -140,14 +146,15 @@
                         kept.life
                     );
                     broken = Some(format!("{:016x} {wrong}", kept.life));
-                    (chance, founded(), Vector::default(), Since::default())
+                    (chance, founded(), VersionVector::default(), Since::default())
                 }
             },
         };
         // Of no entries it can't fail, of others it has not.
         let record = record.map_err(|e| StoreError::Damaged(e.to_string()))?;
-        let sampling = Sampling { one_in: audit.one_in, a_second: audit.a_second, sum: audit.sum };
-        let meter = Meter::new(sampling, key, record.vector(), 0);
+        let sampling =
+            Sampling { one_in: audit.one_in, max_per_second: audit.a_second, summary_interval: audit.sum };
+        let meter = DecisionCounters::new(sampling, key, record.vector_number(), 0);
         Ok(Rc::new(Auditing {
             node: node.to_string(),
             life: Cell::new(life),
@@ -156,7 +163,7 @@
             meter: RefCell::new(meter),
             vector: RefCell::new(vector),
             since: RefCell::new(since),
-            peers: RefCell::new(Peers::new(me, &[], Pace::default(), chance, 0)),
+            peers: RefCell::new(Gossip::new(me, &[], Intervals::default(), chance, 0)),
             store,
             group_commit,
             origin: Instant::now(),
@@ -177,38 +184,38 @@
             self.unrecorded.set(self.unrecorded.get() + 1);
             return;
         }
-        if let Err(e) = self.record.borrow_mut().note(&Timed { at: unix(), entry }) {
+        if let Err(e) = self.record.borrow_mut().append(&Timed { at: unix(), entry }) {
             self.unrecorded.set(self.unrecorded.get() + 1);
             warn!("audit: an entry is not written down: {}", shorepath_message_auth::advice(&e));
         }
     }
 
     /// That version is in force from now on.
-    pub fn took(&self, item: Item, content: Content, number: Option<u64>, why: Why) {
-        let Some(taken) = self.vector.borrow_mut().put(item, content, number) else { return };
+    pub fn took(&self, item: Item, content: ContentHash, number: Option<u64>, why: ChangeSource) {
+        let Some(taken) = self.vector.borrow_mut().set(item, content, number) else { return };
         self.since.borrow_mut().insert(item, unix());
         if !self.begun.get() {
             return;
         }
-        let sums = self.meter.borrow_mut().turn(self.record.borrow().vector() + 1);
+        let sums = self.meter.borrow_mut().set_vector(self.record.borrow().vector_number() + 1);
         sums.into_iter().for_each(|entry| self.note(entry));
-        self.note(Entry::Took { taken, why });
+        self.note(Entry::VersionChanged { change: taken, source: why });
     }
 
     /// The process begins, steered by what was [`Auditing::took`] so far.
     pub fn begin(&self) {
         self.begun.set(true);
-        let sums = self.meter.borrow_mut().turn(self.record.borrow().vector() + 1);
+        let sums = self.meter.borrow_mut().set_vector(self.record.borrow().vector_number() + 1);
         sums.into_iter().for_each(|entry| self.note(entry));
         let vector = self.vector.borrow().clone();
         info!("audit: record {:016x} goes on at {}", self.life.get(), self.record.borrow().head().number);
-        self.note(Entry::Began { vector });
+        self.note(Entry::ProcessStarted { vector });
         self.pass();
     }
 
     /// Those are the nodes of the fleet.
     pub fn meet(&self, nodes: &[u32]) {
-        self.peers.borrow_mut().set_others(nodes);
+        self.peers.borrow_mut().set_peers(nodes);
     }
 
     /// What is to be said, and to whom.
@@ -241,15 +248,15 @@
         let updates = self.peers.borrow_mut().take_updates();
         for updates in updates {
             match updates {
-                AuditUpdate::Changed { node, content } => debug!("audit: node {node} is steered by {content}"),
-                AuditUpdate::OfOwn { life, point } => self.look_up(life, point),
-                AuditUpdate::AnotherRecord { node } => {
+                AuditUpdate::VersionsChanged { node, content } => debug!("audit: node {node} is steered by {content}"),
+                AuditUpdate::OwnLogClaim { log_id: life, point } => self.look_up(life, point),
+                AuditUpdate::LogReplaced { node } => {
                     warn!("audit: node {node} has begun another record: its disk was lost, or its record was not what was written");
                 }
-                AuditUpdate::WentBack { node, was, is } => warn!(
+                AuditUpdate::LogRolledBack { node, previous: was, current: is } => warn!(
                     "audit: the record of node {node} ends at {is}, and has ended at {was}: an older disk was put back"
                 ),
-                AuditUpdate::Contradicts { node, number } => warn!(
+                AuditUpdate::LogForked { node, number } => warn!(
                     "audit: entry {number} of node {node} is another one than it has told: compare its record with what its peers hold"
                 ),
             }
@@ -257,7 +264,7 @@
     }
 
     /// Others know a point of this node's record: if it is not there, this disk is older than what they know, or was changed.
-    fn look_up(&self, life: u64, known: Point) {
+    fn look_up(&self, life: u64, known: ChainPoint) {
         let (base, head) = (self.record.borrow().base().number, self.record.borrow().head().number);
         if life != self.life.get() || known.number <= base {
             return;
@@ -278,7 +285,7 @@
         warn!("audit: record {life:016x}: {wrong}; another one begins, and what is left of it stays");
         self.broken.replace(Some(format!("{life:016x} {wrong}")));
         let another = getrandom::u64().unwrap_or(life.wrapping_add(1));
-        match Record::open(Point::origin(&self.node, another), &[], self.most) {
+        match AuditLog::open(ChainPoint::origin(&self.node, another), &[], self.most) {
             Ok(record) => drop(self.record.replace(record)),
             Err(e) => return warn!("audit: {e}"),
         }
@@ -288,13 +295,13 @@
 
     /// Have on the disk what is to be written down by now.
     pub fn pass(&self) {
-        let sums = self.meter.borrow_mut().pass(self.now());
+        let sums = self.meter.borrow_mut().take_due(self.now());
         sums.into_iter().for_each(|entry| self.note(entry));
-        let Some(writing) = self.record.borrow_mut().write() else { return };
+        let Some(writing) = self.record.borrow_mut().take_pending() else { return };
         let name = journal(self.life.get());
-        let numbered = (writing.first..).zip(writing.entries);
+        let numbered = (writing.first_number..).zip(writing.entries);
         let mut ops: Vec<Op> = numbered.map(|(n, entry)| Op::Append(name.clone(), n, entry)).collect();
-        if let Some(dropped) = writing.drop {
+        if let Some(dropped) = writing.drop_through {
             ops.push(Op::Drop(name, dropped.number + 1));
         }
         let kept = Kept { life: self.life.get(), base: self.record.borrow().base(), head: writing.head };
@@ -323,8 +330,8 @@
             head.digest,
             record.size(),
             self.unrecorded.get(),
-            record.vector(),
-            vector.content()
+            record.vector_number(),
+            vector.content_hash()
         );
         if let Some(broken) = &*self.broken.borrow() {
             text += &format!("broken {broken}\n");
@@ -334,7 +341,7 @@
             let ms = since.map_or(0, |since| (unix() - since) / 1_000);
             text += &format!("{} {version} parent={} for_ms={ms}\n", item.name(), version.parent);
         }
-        for (story, steers, since, received) in self.peers.borrow().readiness() {
+        for (story, steers, since, received) in self.peers.borrow().nodes() {
             let versions = steers.map_or(String::new(), |v| {
                 v.iter().map(|(item, version)| format!(" {}={version}", item.name())).collect()
             });
@@ -350,7 +357,7 @@
     }
 
     fn decided(&self, class: &str, server: Option<&str>, reason: &'static str, always: bool, job: &Job) {
-        let entry = self.meter.borrow_mut().decided(&job.id, class, server, reason, always, self.now());
+        let entry = self.meter.borrow_mut().count(&job.id, class, server, reason, always, self.now());
         if let Some(entry) = entry {
             self.note(entry);
         }
@@ -368,6 +375,6 @@
     }
 
     fn listed(&self, revision: u64) {
-        self.took(Item::List, Content::of_number(revision), None, Why::Discovery);
+        self.took(Item::List, ContentHash::of_number(revision), None, ChangeSource::Discovery);
     }
 }
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -4,7 +4,7 @@
 use super::sites::Siting;
 use serde::Deserialize;
 use serde_json::Value;
-use shorepath_audit::version::Content;
+use shorepath_audit::version::ContentHash;
 use shorepath_quota::config::{Bounds, Budget, Plan};
 use shorepath_scheduler::{SettingsError, SettingsObject};
 use std::collections::BTreeSet;
@@ -39,7 +39,7 @@
     /// The list of backend servers as last held.
     pub known: Listing,
     /// What stands for the settings as they are written, in the order of their keys.
-    pub settings: Content,
+    pub settings: ContentHash,
     /// The settings object.
     pub setup: SettingsObject,
     /// All keys of the file, each with the way to it.
@@ -140,7 +140,7 @@
         let file: File = serde_json::from_slice(&text).map_err(malformed)?;
         let whole: Value = serde_json::from_slice(&text).map_err(malformed)?;
         let keys = keys(&whole);
-        let settings = Content::of(whole["settings"].to_string().as_bytes());
+        let settings = ContentHash::of(whole["settings"].to_string().as_bytes());
         let address = |field, value: String| {
             let wrong = |_| ConfigError::Value { field, wanted: "address with a port", value: value.clone() };
             value.parse().map_err(wrong)
--- a/src/net/exchange.rs
+++ b/src/net/exchange.rs
@@ -16,7 +16,7 @@
     name_hash, AttemptStatus, ClassId, EndpointId, Event, Idempotency, KeyId, Micros, QuotaKind, QuotaShare,
     QuotaUsage, Request, RequestId, Scheduler, SettingsObject, TenantId,
 };
-use shorepath_sites::recovery_ramp::Pace;
+use shorepath_sites::recovery_ramp::SlowStart;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
@@ -227,10 +227,10 @@
     }
 
     /// How backend servers warm up.
-    pub fn pace(&self) -> Pace {
+    pub fn pace(&self) -> SlowStart {
         let inner = self.inner.borrow();
         let set = inner.balancer.settings();
-        Pace { share: set.slow_start_min_share, time: set.slow_start_duration }
+        SlowStart { min_share: set.slow_start_min_share, duration: set.slow_start_duration }
     }
 
     /// What was done with each part since that was last asked.
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -12,7 +12,7 @@
 use super::Job;
 pub use config::{Sharing, SharingError};
 pub use list_calls::ListCalls;
-use shorepath_audit::version::Content;
+use shorepath_audit::version::ContentHash;
 use shorepath_membership::{Effect, MemberState, Membership, Peer};
 use shorepath_message_auth::advice;
 use shorepath_message_auth::channel::{Channel, Dropped};
@@ -147,7 +147,7 @@
     }
 
     /// Which file of budgets is in force.
-    pub fn version(&self) -> (u64, Content) {
+    pub fn version(&self) -> (u64, ContentHash) {
         let sharing = self.sharing.borrow();
         (sharing.plan.version, sharing.content)
     }
--- a/src/net/fleet/config.rs
+++ b/src/net/fleet/config.rs
@@ -1,6 +1,6 @@
 //! The operators' file of quotas, as the node reads it.
 
-use shorepath_audit::version::Content;
+use shorepath_audit::version::ContentHash;
 use shorepath_message_auth::advice;
 use shorepath_message_auth::keyring::{Keys, KeysError};
 use shorepath_quota::config::Plan;
@@ -18,7 +18,7 @@
     /// As it was read.
     pub plan: Plan,
     /// What stands for its text.
-    pub content: Content,
+    pub content: ContentHash,
     /// The keys that it names, under which datagrams go.
     pub keys: Option<Keys>,
     /// How the clock is wrong; only tests have it so.
@@ -89,6 +89,6 @@
             return Err(SharingError::Unlisted { path, name: name.to_string() });
         }
         let keys = plan.key.as_deref().map(keys).transpose()?;
-        Ok(Sharing { path, plan, content: Content::of(text.as_bytes()), keys, skew })
+        Ok(Sharing { path, plan, content: ContentHash::of(text.as_bytes()), keys, skew })
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -36,7 +36,7 @@
 use handover::{Found, Handover};
 use pool::{Buffer, Pool};
 use server_table::ServerTable;
-use shorepath_audit::audit_log::Why;
+use shorepath_audit::audit_log::ChangeSource;
 use shorepath_audit::version::Item;
 use sites::{Sites, Siting, SitingError};
 use std::io::ErrorKind;
@@ -178,7 +178,7 @@
                     info!("file of budgets read again: version {version}");
                     if let Some(auditing) = self.sites.as_ref().and_then(|s| s.auditing()) {
                         let (version, content) = fleet.version();
-                        auditing.took(Item::Budgets, content, Some(version), Why::Operator);
+                        auditing.took(Item::Budgets, content, Some(version), ChangeSource::Operator);
                     }
                 }
                 Err(e) => warn!("the old file of budgets stays: {e}"),
@@ -200,7 +200,7 @@
             info!("new settings hold");
             self.exchange.reconfigure(self.config.setup.clone());
             if let Some(auditing) = self.sites.as_ref().and_then(|s| s.auditing()) {
-                auditing.took(Item::Settings, self.config.settings, None, Why::Operator);
+                auditing.took(Item::Settings, self.config.settings, None, ChangeSource::Operator);
             }
             self.backend.bound(Bounds::of(&self.config, self.exchange.parts()));
         }
@@ -305,10 +305,10 @@
                 table.keep(last, kept.filter(|_| config.known.is_empty()));
             }
             if let Some(auditing) = sites.auditing() {
-                auditing.took(Item::Program, auditing::program(), None, Why::Start);
-                auditing.took(Item::Settings, config.settings, None, Why::Start);
+                auditing.took(Item::Program, auditing::program(), None, ChangeSource::Start);
+                auditing.took(Item::Settings, config.settings, None, ChangeSource::Start);
                 if let Some((version, content)) = fleet.as_ref().map(|f| f.version()) {
-                    auditing.took(Item::Budgets, content, Some(version), Why::Start);
+                    auditing.took(Item::Budgets, content, Some(version), ChangeSource::Start);
                 }
                 auditing.begin();
                 exchange.audit(auditing.clone());
--- a/src/net/recovering.rs
+++ b/src/net/recovering.rs
@@ -4,9 +4,11 @@
 use super::server_table::{LastList, Listing};
 use serde::{Deserialize, Serialize};
 use shorepath_quota::Micros;
-use shorepath_recovery::disk_trust::{belief, judge, outage, Belief, Disk, Identity, Item};
-use shorepath_recovery::incarnations::{DiskIncarnation, Message, Peer, Peers, Reply};
-use shorepath_recovery::phases::{Admits, Moved, Observation, Return, Step};
+use shorepath_recovery::disk_trust::{
+    classify_disk, outage, trust_level, DiskState, Identity, StoredItem, TrustLevel,
+};
+use shorepath_recovery::incarnations::{DiskIncarnation, Message, PeerState, Peers, Reply};
+use shorepath_recovery::phases::{Admits, Observation, Phase, Recovery, Transition};
 use shorepath_sites::recovery_config::Recover;
 use shorepath_store::group_commit::GroupCommit;
 use shorepath_store::{Op, Store, StoreError};
@@ -71,9 +73,9 @@
 pub struct Recovering {
     name: String,
     me: DiskIncarnation,
-    back: RefCell<Return>,
+    back: RefCell<Recovery>,
     since: Cell<Micros>,
-    disk: Cell<Disk>,
+    disk: Cell<DiskState>,
     /// The disk can be acted by: it is whole, or what is missing was excused.
     whole: Cell<bool>,
     /// An operator has excused what may be missing.
@@ -119,9 +121,9 @@
             before.clone().unwrap_or(Own { node: name.to_string(), disk: drawn, boots: 0, whole: false });
         let identity = |o: &Own| Identity { node: o.node.clone(), disk: o.disk, boots: o.boots };
         let kept = before.as_ref().filter(|o| o.whole).map(identity);
-        let disk = judge(kept.as_ref(), name, None, false);
+        let disk = classify_disk(kept.as_ref(), name, None, false);
         // What another node has written here is about its clients; counted from now on it is this one's.
-        if disk == Disk::Strange {
+        if disk == DiskState::Strange {
             own = Own { node: name.to_string(), disk: drawn, boots: 0, whole: false };
         }
         own.boots += 1;
@@ -131,9 +133,9 @@
         if let Err(e) = &counted {
             warn!("recovery: this start can't be written down, guarded work waits for another one: {e}");
         }
-        let me = DiskIncarnation { disk: own.disk, boots: own.boots, life: drawn };
-        let mut back = Return::new(clause.limits(), now);
-        let moved = back.learn(Observation::Read(disk), now);
+        let me = DiskIncarnation { disk: own.disk, boots: own.boots, process: drawn };
+        let mut back = Recovery::new(clause.limits(), now);
+        let moved = back.observe(Observation::DiskRead(disk), now);
         let recovering = Recovering {
             name: name.to_string(),
             me,
@@ -184,7 +186,7 @@
     pub fn last_list(&self, store: &Store, unix: Micros) -> Option<Listing> {
         let notified = store.fact::<Micros>(LIST_AT).ok()??;
         let age = outage(notified, unix)?;
-        if belief(Item::List, self.disk.get(), Some(age)) != Belief::AsInitial {
+        if trust_level(StoredItem::List, self.disk.get(), Some(age)) != TrustLevel::AsInitial {
             return None;
         }
         let list = store.fact::<Listing>(LIST).unwrap_or_else(|e| {
@@ -203,18 +205,18 @@
 
     /// These are asked from now on.
     pub fn meet(&self, peers: &[u32]) {
-        self.peers.borrow_mut().meet(peers);
+        self.peers.borrow_mut().set_peers(peers);
     }
 
-    fn report(&self, moved: Vec<Moved>, now: Micros) {
-        for Moved { from, to, why, by_hand } in moved {
+    fn report(&self, moved: Vec<Transition>, now: Micros) {
+        for Transition { from, to, reason, by_operator } in moved {
             self.since.set(now);
-            info!("recovery step=\"{to}\" before=\"{from}\" why=\"{why}\" by_hand={by_hand}");
+            info!("recovery step=\"{to}\" before=\"{from}\" why=\"{reason}\" by_hand={by_operator}");
         }
     }
 
     fn learn(&self, updates: Observation, now: Micros) {
-        let moved = self.back.borrow_mut().learn(updates, now);
+        let moved = self.back.borrow_mut().observe(updates, now);
         self.report(moved, now);
     }
 
@@ -232,19 +234,19 @@
         if self.excused.get() || !self.counted {
             return;
         }
-        let Some(mut disk) = self.peers.borrow().judge() else { return };
+        let Some(mut disk) = self.peers.borrow().classify_disk() else { return };
         // Guards against a copy that was taken while its own process lived: boots don't tell it, what partners have of its log does.
-        if facts.refounded && disk.is_whole() {
-            disk = Disk::Old;
+        if facts.refounded && disk.is_complete() {
+            disk = DiskState::Old;
         }
         if disk != self.disk.replace(disk) {
             warn!("recovery disk={disk:?}: by what its peers remember");
-            if !disk.is_whole() {
+            if !disk.is_complete() {
                 self.keep_own(false);
             }
-            self.learn(Observation::Read(disk), now);
+            self.learn(Observation::DiskRead(disk), now);
         }
-        let whole = disk.is_whole() && facts.asked;
+        let whole = disk.is_complete() && facts.asked;
         if whole && !self.whole.replace(whole) {
             self.keep_own(true);
             self.asks_at.set(now);
@@ -255,18 +257,18 @@
     /// Time has passed, or something has changed. Whether it is known from now on that all have lost power.
     pub fn pass(&self, facts: Facts, now: Micros, unix: Micros) -> bool {
         self.judge(facts, now);
-        if facts.complete && self.peers.borrow().count() {
-            self.learn(Observation::Peers, now);
+        if facts.complete && self.peers.borrow().all_confirmed() {
+            self.learn(Observation::PeersReplied, now);
         }
         if facts.asked {
             self.learn(Observation::CaughtUp, now);
         }
-        self.learn(Observation::Listed(usize::from(facts.servers)), now);
+        self.learn(Observation::ServersListed(usize::from(facts.servers)), now);
         // One whose disk another process has taken over acts under nothing any more.
         self.learn(Observation::Epoch(facts.epoch && self.whole.get()), now);
         if now >= self.asks_at.get() {
             let peers = self.peers.borrow();
-            self.asks_at.set(now + if peers.count() { NOTIFY_INTERVAL } else { ASKS });
+            self.asks_at.set(now + if peers.all_confirmed() { NOTIFY_INTERVAL } else { ASKS });
             let ask = Message::Ask { me: self.me, claims: self.whole.get() };
             self.outgoing_messages.borrow_mut().extend(peers.states().map(|(node, _)| (node, ask.clone())));
         }
@@ -287,12 +289,12 @@
     }
 
     fn lost(&self) -> bool {
-        let step = self.back.borrow().step();
+        let step = self.back.borrow().phase();
         let peers = self.peers.borrow();
-        if self.all_lost.get().is_some() || !(peers.all_replied() || step > Step::Asking) {
+        if self.all_lost.get().is_some() || !(peers.all_replied() || step > Phase::Asking) {
             return false;
         }
-        let all = !peers.lived();
+        let all = !peers.is_local_outage();
         self.all_lost.set(Some(all));
         match all {
             true => info!("recovery: hardly a peer had power meanwhile, servers are taken for cold"),
@@ -304,7 +306,7 @@
     /// Another node says something.
     pub fn receive(&self, from: u32, message: Message, now: Micros) {
         let (life, claims) = match message {
-            Message::Reply(reply) => return self.peers.borrow_mut().received(from, reply),
+            Message::Reply(reply) => return self.peers.borrow_mut().record_reply(from, reply),
             Message::Ask { me, claims } => (me, claims),
         };
         let known = self.lives.borrow().get(&from).copied();
@@ -338,14 +340,20 @@
     fn answer(&self, to: u32, life: DiskIncarnation, now: Micros) {
         let known = self.lives.borrow().get(&to).copied();
         let received = known.and_then(|(_, received)| received);
-        let lives =
-            known.is_some_and(|(l, _)| l.life != life.life) && received.is_some_and(|at| now - at < LIVES);
+        let lives = known.is_some_and(|(l, _)| l.process != life.process)
+            && received.is_some_and(|at| now - at < LIVES);
         let outlived = match &known {
-            Some((known, received)) => known.life != life.life && received.is_some(),
-            None => self.back.borrow().step() == Step::Serving,
+            Some((known, received)) => known.process != life.process && received.is_some(),
+            None => self.back.borrow().phase() == Phase::Serving,
         };
         let known = known.map(|(life, _)| life);
-        let reply = Reply { to: life.life, known, lives, whole: self.whole.get(), outlived };
+        let reply = Reply {
+            to: life.process,
+            known,
+            other_alive: lives,
+            complete: self.whole.get(),
+            kept_power: outlived,
+        };
         self.outgoing_messages.borrow_mut().push((to, Message::Reply(reply)));
     }
 
@@ -362,11 +370,11 @@
     /// What it waits for, for clients and operators; nothing once it serves all.
     pub fn waits_for(&self, now: Micros) -> Option<&'static str> {
         let back = self.back.borrow();
-        match back.step() {
-            Step::Guarded if !self.counted => {
+        match back.phase() {
+            Phase::Guarded if !self.counted => {
                 Some("a start that can be written down: make room on its disk first")
             }
-            Step::Asking | Step::Guarded | Step::Serving if self.list.is_notified_empty() => {
+            Phase::Asking | Phase::Guarded | Phase::Serving if self.list.is_notified_empty() => {
                 Some("servers: discovery's list is empty")
             }
             _ => back.waits_for(now),
@@ -378,14 +386,14 @@
     /// # Errors
     /// Nobody can let it go on from there, and why.
     pub fn release(&self, now: Micros) -> Result<String, String> {
-        let step = self.back.borrow().step();
+        let step = self.back.borrow().phase();
         let waits = self.waits_for(now).unwrap_or("nothing");
-        let excuses = !self.whole.get() || !self.peers.borrow().count();
-        if step == Step::Serving || step == Step::Guarded && (!excuses || !self.counted) {
+        let excuses = !self.whole.get() || !self.peers.borrow().all_confirmed();
+        if step == Phase::Serving || step == Phase::Guarded && (!excuses || !self.counted) {
             return Err(format!("{step}: it waits for {waits}, which nobody can release"));
         }
         warn!("recovery: an operator releases step=\"{step}\" waits_for=\"{waits}\"");
-        if step == Step::Guarded {
+        if step == Phase::Guarded {
             self.excused.set(true);
             self.whole.set(true);
             self.keep_own(true);
@@ -397,7 +405,7 @@
 
     /// For operators, a line each; `name` tells a node's name by its number.
     pub fn state(&self, name: impl Fn(u32) -> String, now: Micros) -> String {
-        let (step, admits) = (self.back.borrow().step(), self.admits());
+        let (step, admits) = (self.back.borrow().phase(), self.admits());
         let mut text =
             format!("step \"{step}\" for_ms={} admits={admits:?}\n", (now - self.since.get()) / 1_000);
         text += &format!("waits_for \"{}\"\n", self.waits_for(now).unwrap_or("nothing"));
@@ -413,8 +421,15 @@
             Some(true) => "loss \"of all\"\n",
             Some(false) => "loss \"of this node: others had power\"\n",
         };
-        for item in [Item::Intents, Item::Answers, Item::Epoch, Item::Leases, Item::List, Item::Health] {
-            text += &format!("trust {item:?} {}\n", belief(item, self.disk.get(), self.outage));
+        for item in [
+            StoredItem::Intents,
+            StoredItem::Answers,
+            StoredItem::Epoch,
+            StoredItem::Leases,
+            StoredItem::List,
+            StoredItem::Health,
+        ] {
+            text += &format!("trust {item:?} {}\n", trust_level(item, self.disk.get(), self.outage));
         }
         if let Some(age) = self.begins_with.get() {
             text += &format!("list \"as a beginning\" age_ms={}\n", age / 1_000);
@@ -424,10 +439,10 @@
         }
         for (node, peer) in self.peers.borrow().states() {
             let why = match peer {
-                Peer::Silent => "it has said nothing",
-                Peer::NotWhole => "what must not run twice may be missing on its disk",
-                Peer::Unclaimed => "it does not yet remember this life",
-                Peer::Counts => "it remembers this life",
+                PeerState::Silent => "it has said nothing",
+                PeerState::Incomplete => "what must not run twice may be missing on its disk",
+                PeerState::Unclaimed => "it does not yet remember this life",
+                PeerState::Counts => "it remembers this life",
             };
             text += &format!("peer {} {peer:?} why=\"{why}\"\n", name(node));
         }
--- a/src/net/sites.rs
+++ b/src/net/sites.rs
@@ -31,8 +31,8 @@
 use shorepath_accounts::freshness::Confirmation;
 use shorepath_accounts::gossip;
 use shorepath_accounts::in_flight::Taken;
-use shorepath_audit::audit_log::Why;
-use shorepath_audit::version::{Content, Item};
+use shorepath_audit::audit_log::ChangeSource;
+use shorepath_audit::version::{ContentHash, Item};
 use shorepath_message_auth::channel::Channel;
 use shorepath_placements::Writer;
 use shorepath_quota::{Micros, NodeId};
@@ -212,7 +212,7 @@
         sites.update_ownership();
         // Before the first client: nothing is begun that is barred.
         sites.hold();
-        sites.audit(Why::Start);
+        sites.audit(ChangeSource::Start);
         Ok((sites, written))
     }
 
@@ -221,11 +221,11 @@
         self.auditing.as_ref()
     }
 
-    fn audit(&self, why: Why) {
+    fn audit(&self, why: ChangeSource) {
         let Some(auditing) = &self.auditing else { return };
         let siting = self.siting.borrow();
         auditing.took(Item::Sites, siting.content, Some(siting.plan.version), why);
-        let (spread, content) = (self.spread.borrow(), |n: u64| Content::of_number(n));
+        let (spread, content) = (self.spread.borrow(), |n: u64| ContentHash::of_number(n));
         let book = spread.book();
         auditing.took(Item::Accounts, content(book.hash()), Some(book.highest()), why);
     }
@@ -283,7 +283,7 @@
         let version = newer.plan.version;
         self.siting.replace(newer);
         self.meet(now);
-        self.audit(Why::Operator);
+        self.audit(ChangeSource::Operator);
         if let Some(auditing) = &self.auditing {
             let siting = self.siting.borrow();
             auditing.meet(&siting.plan.nodes().map(|(_, n)| n.number).collect::<Vec<_>>());
@@ -405,7 +405,7 @@
         self.settle();
         self.running();
         if let Some(auditing) = &self.auditing {
-            self.audit(Why::Peers);
+            self.audit(ChangeSource::Peers);
             auditing.pass();
         }
     }
--- a/src/net/sites/config.rs
+++ b/src/net/sites/config.rs
@@ -3,7 +3,7 @@
 use super::unix;
 use shorepath_accounts::config::AccountsFile;
 use shorepath_accounts::{config as accounts, Change};
-use shorepath_audit::version::Content;
+use shorepath_audit::version::ContentHash;
 use shorepath_message_auth::keyring::{FileCodeError, Keys, KeysError};
 use shorepath_placements::log::LogError;
 use shorepath_quota::{ClockSkew, Micros};
@@ -24,7 +24,7 @@
     pub(super) state: PathBuf,
     pub(super) plan: Plan,
     /// What stands for the text of the file.
-    pub(super) content: Content,
+    pub(super) content: ContentHash,
     pub(super) keys: Keys,
     pub(super) accounts_file: Option<AccountsFile>,
     /// How the clock is wrong; only tests have it so.
@@ -151,7 +151,7 @@
             Some(file) => Some(accounts::read(&file.display().to_string(), &signed(&file, &keys)?)?),
             None => None,
         };
-        let content = Content::of(text_of_file.as_bytes());
+        let content = ContentHash::of(text_of_file.as_bytes());
         Ok(Siting { path, state, plan, content, keys, accounts_file, skew })
     }
 
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -9,11 +9,11 @@
 use shorepath_accounts::gossip::{self, Telling};
 use shorepath_accounts::registry::Book;
 use shorepath_accounts::{AccountStatus, Change};
-use shorepath_audit::audit_log::{self, Decision, Why};
-use shorepath_audit::decision_counters::tag;
-use shorepath_audit::gossip::Story;
-use shorepath_audit::version::{BackError, Content, Item, Vector};
-use shorepath_audit::{audit_log::Point, gossip as audit};
+use shorepath_audit::audit_log::{self, ChangeSource, Decision};
+use shorepath_audit::decision_counters::request_tag;
+use shorepath_audit::gossip::NodeReport;
+use shorepath_audit::version::{ContentHash, Item, VersionError, VersionVector};
+use shorepath_audit::{audit_log::ChainPoint, gossip as audit};
 use shorepath_membership::{Effect, Membership, Peer};
 use shorepath_message_auth::channel::Channel;
 use shorepath_message_auth::keyring::Keys;
@@ -340,23 +340,23 @@
 }
 
 fn recovery_messages() -> Vec<recovery::Message> {
-    let me = recovery::DiskIncarnation { disk: 9, boots: 4, life: 0x55 };
-    let reply = Reply { to: 0x55, known: Some(me), lives: true, whole: true, outlived: false };
+    let me = recovery::DiskIncarnation { disk: 9, boots: 4, process: 0x55 };
+    let reply = Reply { to: 0x55, known: Some(me), other_alive: true, complete: true, kept_power: false };
     vec![
         recovery::Message::Ask { me, claims: true },
         recovery::Message::Reply(reply),
         recovery::Message::Reply(Reply {
             known: None,
-            lives: false,
-            whole: false,
-            outlived: true,
+            other_alive: false,
+            complete: false,
+            kept_power: true,
             ..tell_of(me)
         }),
     ]
 }
 
 fn tell_of(me: recovery::DiskIncarnation) -> Reply {
-    Reply { to: me.life, known: Some(me), lives: false, whole: false, outlived: false }
+    Reply { to: me.process, known: Some(me), other_alive: false, complete: false, kept_power: false }
 }
 
 #[rstest]
@@ -457,8 +457,8 @@
     samples.check("placements.txt");
 }
 
-fn vector() -> Vector {
-    let mut vector = Vector::default();
+fn vector() -> VersionVector {
+    let mut vector = VersionVector::default();
     for (item, number) in [
         (Item::Program, None),
         (Item::Settings, None),
@@ -469,36 +469,58 @@
         (Item::Epoch, Some(7)),
         (Item::Members, None),
     ] {
-        vector.put(item, Content::of(item.name().as_bytes()), number);
+        vector.set(item, ContentHash::of(item.name().as_bytes()), number);
     }
     vector
 }
 
 fn audit_message() -> audit::Message {
-    let head = Point::origin("n0", 0x42).follow(b"entry");
-    let story = Story { node: 5, at: 1_700_000_000_000_000, life: 0x42, head, content: vector().content() };
-    audit::Message { stories: vec![story], vectors: vec![vector().notified()], disputed: vec![(0x42, head)] }
+    let head = ChainPoint::origin("n0", 0x42).successor(b"entry");
+    let story = NodeReport {
+        node: 5,
+        at: 1_700_000_000_000_000,
+        log_id: 0x42,
+        head,
+        content: vector().content_hash(),
+    };
+    audit::Message { reports: vec![story], vectors: vec![vector().shared()], disputed: vec![(0x42, head)] }
 }
 
 fn records() -> Vec<audit_log::Entry> {
-    let taken = vector().put(Item::Sites, Content::of_number(9), Some(9)).unwrap();
+    let taken = vector().set(Item::Sites, ContentHash::of_number(9), Some(9)).unwrap();
     let decision = Decision {
         request: 77,
         class: "valve".into(),
         server: Some("s-1".into()),
         reason: "dispatched".into(),
     };
-    let mut all = vec![audit_log::Entry::Began { vector: vector() }];
-    for why in [Why::Start, Why::Operator, Why::Discovery, Why::Peers, Why::Agreement] {
-        all.push(audit_log::Entry::Took { taken, why });
+    let mut all = vec![audit_log::Entry::ProcessStarted { vector: vector() }];
+    for why in [
+        ChangeSource::Start,
+        ChangeSource::Operator,
+        ChangeSource::Discovery,
+        ChangeSource::Peers,
+        ChangeSource::Agreement,
+    ] {
+        all.push(audit_log::Entry::VersionChanged { change: taken, source: why });
     }
-    for because in [BackError::Older { held: 5, offered: 4 }, BackError::Two(5)] {
-        all.push(audit_log::Entry::Back { item: Item::Accounts, because, why: Why::Operator });
+    for because in [VersionError::Older { held: 5, offered: 4 }, VersionError::Conflict(5)] {
+        all.push(audit_log::Entry::VersionRejected {
+            item: Item::Accounts,
+            error: because,
+            source: ChangeSource::Operator,
+        });
     }
-    all.push(audit_log::Entry::Sum { vector: 2, counts: BTreeMap::from([("served".to_string(), 4)]) });
-    all.push(audit_log::Entry::Decided { vector: 2, decision: decision.clone() });
-    all.push(audit_log::Entry::Decided { vector: 2, decision: Decision { server: None, ..decision } });
-    all.push(audit_log::Entry::Dropped { count: 6 });
+    all.push(audit_log::Entry::DecisionCounts {
+        vector: 2,
+        counts: BTreeMap::from([("served".to_string(), 4)]),
+    });
+    all.push(audit_log::Entry::SampledDecision { vector: 2, decision: decision.clone() });
+    all.push(audit_log::Entry::SampledDecision {
+        vector: 2,
+        decision: Decision { server: None, ..decision },
+    });
+    all.push(audit_log::Entry::DecisionsDropped { count: 6 });
     all
 }
 
@@ -515,10 +537,10 @@
         });
     }
     samples.json("vector", vector());
-    samples.computed("content", vector().content());
-    samples.computed("origin", hex(&Point::origin("n0", 0x42).digest.0));
-    samples.computed("follow", hex(&Point::origin("n0", 0x42).follow(b"entry").digest.0));
-    samples.computed("tag", tag(&[7; 16], "r1"));
+    samples.computed("content", vector().content_hash());
+    samples.computed("origin", hex(&ChainPoint::origin("n0", 0x42).digest.0));
+    samples.computed("follow", hex(&ChainPoint::origin("n0", 0x42).successor(b"entry").digest.0));
+    samples.computed("tag", request_tag(&[7; 16], "r1"));
     samples.check("audit.txt");
 }
 
--- a/tests/golden/site_datagrams.rs
+++ b/tests/golden/site_datagrams.rs
@@ -5,9 +5,9 @@
 use crate::support::*;
 use rstest::rstest;
 use serde_json::Value;
-use shorepath_audit::audit_log::Point;
-use shorepath_audit::gossip::Story;
-use shorepath_audit::version::Content;
+use shorepath_audit::audit_log::ChainPoint;
+use shorepath_audit::gossip::NodeReport;
+use shorepath_audit::version::ContentHash;
 use shorepath_message_auth::channel::Channel;
 use shorepath_message_auth::keyring::Keys;
 use shorepath_quota::NodeId;
@@ -168,9 +168,9 @@
         }
     }
     // Versions of other nodes.
-    let head = Point::origin("n1", 7).follow(b"entry");
-    let content = Content::of(b"steers");
-    let story = Story { node: NodeId::of("n1").0, at: 1, life: 7, head, content };
+    let head = ChainPoint::origin("n1", 7).successor(b"entry");
+    let content = ContentHash::of(b"steers");
+    let story = NodeReport { node: NodeId::of("n1").0, at: 1, log_id: 7, head, content };
     let notified = postcard::to_stdvec(&(vec![story], Vec::<u8>::new(), Vec::<u8>::new())).unwrap();
     other.send(&[b"a", notified.as_slice()].concat());
     let begin = Instant::now();
--- a/tests/node/audit.rs
+++ b/tests/node/audit.rs
@@ -4,9 +4,9 @@
 use crate::support::*;
 use rstest::rstest;
 use serde_json::Value;
-use shorepath_audit::audit_log::{decode, Entry, Why};
-use shorepath_audit::decision_counters::tag;
-use shorepath_audit::version::{Item, Vector};
+use shorepath_audit::audit_log::{decode, ChangeSource, Entry};
+use shorepath_audit::decision_counters::request_tag;
+use shorepath_audit::version::{Item, VersionVector};
 use shorepath_message_auth::keyring::Keys;
 use shorepath_store::{Op, Store};
 use std::collections::BTreeMap;
@@ -84,22 +84,23 @@
 
     let key = Keys::read(KEY).unwrap().code(b"audit");
     let key: [u8; 16] = key[..16].try_into().unwrap();
-    let (mut vectors, mut vector, mut decided) = (BTreeMap::new(), Vector::default(), Vec::new());
+    let (mut vectors, mut vector, mut decided) = (BTreeMap::new(), VersionVector::default(), Vec::new());
     let (mut number, mut summed) = (0, 0);
     for entry in entries(&files, 0) {
         match entry {
-            Entry::Began { vector: began } => vector = began,
-            Entry::Took { taken, why } => {
+            Entry::ProcessStarted { vector: began } => vector = began,
+            Entry::VersionChanged { change: taken, source: why } => {
                 assert_eq!(taken.from.map(|v| v.content), vector.get(taken.item).map(|v| v.content));
-                assert!(taken.item != Item::Sites || why == Why::Operator);
-                vector.put(taken.item, taken.to.content, Some(taken.to.number));
+                assert!(taken.item != Item::Sites || why == ChangeSource::Operator);
+                vector.set(taken.item, taken.to.content, Some(taken.to.number));
             }
-            Entry::Decided { vector, decision } => {
-                let name = ["r1", "r2", "r3"].into_iter().find(|id| tag(&key, id) == decision.request);
+            Entry::SampledDecision { vector, decision } => {
+                let name =
+                    ["r1", "r2", "r3"].into_iter().find(|id| request_tag(&key, id) == decision.request);
                 decided.push((name.unwrap(), vector, decision.server, decision.reason));
                 continue;
             }
-            Entry::Sum { vector, counts } => {
+            Entry::DecisionCounts { vector, counts } => {
                 assert!(vector == number, "a sum of {vector} after {number}");
                 summed += counts.values().sum::<u64>();
                 continue;
