--- a/crates/lab/src/sites/node.rs
+++ b/crates/lab/src/sites/node.rs
@@ -8,13 +8,12 @@
 use shorepath_accounts::freshness::Confirmation;
 use shorepath_accounts::gossip::{self, Spread};
 use shorepath_accounts::registry::{Book, RegistryUpdate};
-use shorepath_scheduler::Scheduler;
 use shorepath_scheduler::*;
-use shorepath_scheduler::{QuotaKind, QuotaShare};
+use shorepath_scheduler::{QuotaKind, QuotaShare, Scheduler};
 use shorepath_sites::config::SitesConfig;
 use shorepath_sites::health::{self, SiteHealth, StateChange};
 use shorepath_sites::load_shifting::{Class, LoadShifting};
-use shorepath_sites::recovery_ramp::Pace;
+use shorepath_sites::recovery_ramp::SlowStart;
 
 /// The account that is closed, and that has a credit.
 pub const ACME: &str = "acme";
@@ -120,7 +119,7 @@
         }
         Some(Siting {
             seeing: SiteHealth::new(number, plan, seed, now).ok()?,
-            lending: LoadShifting::new(Pace { share: of.cold, time: of.warm_up }, now),
+            lending: LoadShifting::new(SlowStart { min_share: of.cold, duration: of.warm_up }, now),
             spread,
             confirmation: Confirmation::new(now),
             purses,
