--- a/crates/lab/src/budgets.rs
+++ b/crates/lab/src/budgets.rs
@@ -9,10 +9,10 @@
 use rand_chacha::ChaCha8Rng;
 use rayon::prelude::*;
 use shorepath_quota::allocator::{Allocator, Entry};
-use shorepath_quota::client::{QuotaClient, Use};
-use shorepath_quota::config::{Budget, Per, Place, Plan};
+use shorepath_quota::client::{QuotaClient, Usage};
+use shorepath_quota::config::{Budget, Per, Plan, ProcessAddress};
 use shorepath_quota::messages::Message;
-use shorepath_quota::rate_limiter::Meter;
+use shorepath_quota::rate_limiter::TokenBucket;
 use shorepath_quota::{Micros, NodeId, NodeIncarnation};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -117,7 +117,7 @@
     /// Its process, if one runs.
     seat: Option<QuotaClient>,
     clock: Clock,
-    meter: Meter,
+    meter: TokenBucket,
     lives: u64,
     halted: Micros,
     back: Option<Micros>,
@@ -175,13 +175,18 @@
 const LONGEST: Micros = 2 * S;
 
 fn plan_of(trial: &Trial) -> Plan {
-    let place = |kind: char, k: usize| Place {
+    let place = |kind: char, k: usize| ProcessAddress {
         name: format!("{kind}{k}"),
         address: ([127, 0, 0, 1], 10_000 + k as u16).into(),
     };
     let whole = UNITS * u64::from(trial.nodes);
-    let budget =
-        |name: &str, per, whole, reserve| Budget { name: name.to_string(), per, whole, floor: 0, reserve };
+    let budget = |name: &str, per, whole, reserve| Budget {
+        name: name.to_string(),
+        per,
+        total: whole,
+        floor: 0,
+        reserve,
+    };
     Plan {
         version: 1,
         nodes: trial.nodes,
@@ -215,7 +220,7 @@
                 name: format!("n{k}"),
                 seat: None,
                 clock: Clock::drawn(&mut rng, trial.drift_ppm),
-                meter: Meter::new(0, 0),
+                meter: TokenBucket::new(0, 0),
                 lives: 0,
                 halted: 0,
                 // All within a second.
@@ -303,8 +308,8 @@
                 let term = self.terms;
                 let voter = &mut self.voters[k];
                 voter.term = term;
-                voter.divider.lead(false);
-                voter.divider.lead(true);
+                voter.divider.set_leader(false);
+                voter.divider.set_leader(true);
                 self.leader = Some(k);
             }
         }
@@ -334,7 +339,7 @@
                 }
                 let changed = voter.divider.apply(&entry, now);
                 voter.applied = self.log.len();
-                for say in voter.divider.settled(&entry, changed, now) {
+                for say in voter.divider.complete_proposal(&entry, changed, now) {
                     self.tell_life(who, say.to, &say.message);
                 }
             }
@@ -345,8 +350,9 @@
             }
             let now = self.voters[k].clock.at(self.now);
             // One that was replaced learns of it after a moment of acting on what it holds true.
-            if self.voters[k].divider.leads() && self.leader != Some(k) && self.rng.random::<f64>() < 0.05 {
-                self.voters[k].divider.lead(false);
+            if self.voters[k].divider.is_leader() && self.leader != Some(k) && self.rng.random::<f64>() < 0.05
+            {
+                self.voters[k].divider.set_leader(false);
             }
             if let Some(entry) = self.voters[k].divider.propose(now) {
                 let at = self.now + self.rng.random_range(2 * MS..15 * MS);
@@ -376,11 +382,11 @@
                     let leader = self.leader;
                     let voter = &mut self.voters[d];
                     let now = voter.clock.at(self.now);
-                    if voter.divider.leads() {
+                    if voter.divider.is_leader() {
                         voter.divider.receive(&word, now);
                     } else if matches!(word, Message::Ask { .. }) {
                         let leader = leader.map(|l| format!("d{l}"));
-                        self.say(To::Node(n, d), &Message::Elsewhere { leader });
+                        self.say(To::Node(n, d), &Message::NotLeader { leader });
                     }
                 }
                 To::Node(n, d) => {
@@ -406,8 +412,8 @@
         let at = node.clock.at(now);
         let life = NodeIncarnation { node: NodeId::of(&node.name), incarnation: node.lives };
         let mut seat = QuotaClient::new(life, plan, seed, at);
-        seat.own(true, at);
-        node.meter = Meter::new(200 * MS, at);
+        seat.set_owns_address(true, at);
+        node.meter = TokenBucket::new(200 * MS, at);
         (node.seat, node.back, node.wants) = (Some(seat), None, 0.0);
         node.own.clear();
     }
@@ -433,7 +439,7 @@
             even += node.demand.min(UNITS);
             // By the second.
             let rate = seat.usable(RATE, at).unwrap_or(0);
-            node.meter.pass(at, rate);
+            node.meter.refill(at, rate);
             node.wants += node.demand as f64 * TICK as f64 / 1e6;
             let wanted = node.wants as u64;
             let mut taken = 0;
@@ -444,7 +450,7 @@
             node.wants -= wanted as f64;
             used += taken;
             does += node.demand.min(rate);
-            seat.used(RATE, Use { wanted, used: taken });
+            seat.record_usage(RATE, Usage { wanted, used: taken });
             // In use at once: as many as a tenth of the demand.
             let most = seat.usable(FLIGHT, at).unwrap_or(0);
             let wants = node.demand / 10 + 1;
@@ -454,7 +460,7 @@
                 node.out.push(end);
                 self.out.begun += 1;
             }
-            seat.used(FLIGHT, Use { wanted: wants, used: node.own.len() as u64 });
+            seat.record_usage(FLIGHT, Usage { wanted: wants, used: node.own.len() as u64 });
             seat.pass(at);
             for say in seat.take_outgoing() {
                 self.say(To::Divider(say.to, k as u32), &say.message);
@@ -464,7 +470,7 @@
     }
 
     fn judge(&mut self, used: u64, (does, best, even): (u64, u64, u64)) {
-        let whole = self.plan.budgets[0].whole;
+        let whole = self.plan.budgets[0].total;
         // Grants given before it was lowered are a debt until they end.
         if whole != self.whole_was.0 {
             self.whole_was = (whole.max(self.whole_was.0), self.now + self.trial.term + S);
@@ -476,7 +482,7 @@
             |n: &Node| n.seat.as_ref().and_then(|s| s.usable(RATE, n.clock.at(self.now))).unwrap_or(0);
         let may: u64 = self.nodes.iter().map(clocks).sum();
         let flight: u64 = self.nodes.iter().map(|n| n.out.len() as u64).sum();
-        self.out.over += u64::from(may > most) + u64::from(flight > self.plan.budgets[1].whole);
+        self.out.over += u64::from(may > most) + u64::from(flight > self.plan.budgets[1].total);
         // Any second: the whole, what was saved for 200 ms, and a unit a node.
         self.used.push_back((self.now, used));
         while self.used.front().is_some_and(|u| u.0 <= self.now - S) {
@@ -544,7 +550,7 @@
                 let d = self.rng.random_range(0..self.voters.len());
                 let now = self.voters[d].clock.at(self.now);
                 let mut divider = Allocator::new(&format!("d{d}"), self.plan.clone(), self.rng.random());
-                divider.restore(&self.voters[d].divider.book().kept(), now);
+                divider.restore(&self.voters[d].divider.state().snapshot(), now);
                 self.voters[d].divider = divider;
                 if self.leader == Some(d) {
                     self.leader = None;
@@ -567,11 +573,11 @@
                 // Another file: the dividers first, then the nodes.
                 let whole = UNITS * u64::from(self.trial.nodes);
                 self.plan.version += 1;
-                self.plan.budgets[0].whole = self.rng.random_range(whole / 2..whole);
+                self.plan.budgets[0].total = self.rng.random_range(whole / 2..whole);
                 self.plan.budgets[0].reserve = self.rng.random_range(0..4);
                 self.plan.budgets[1].reserve = self.rng.random_range(0..3);
                 for v in &mut self.voters {
-                    v.divider.file(self.plan.clone());
+                    v.divider.set_plan(self.plan.clone());
                 }
                 for n in &mut self.nodes {
                     let at = n.clock.at(self.now);
--- a/crates/mutants/src/systems/budgets.rs
+++ b/crates/mutants/src/systems/budgets.rs
@@ -7,8 +7,8 @@
 use crate::change::{Change, Form};
 use crate::core::{Actor, Broken, Said, System};
 use crate::Micros;
-use shorepath_quota::allocator::{Allocator, Book, Entry};
-use shorepath_quota::client::{QuotaClient, Use};
+use shorepath_quota::allocator::{Allocator, Entry, ReplicatedState};
+use shorepath_quota::client::{QuotaClient, Usage};
 use shorepath_quota::config::{read, Per, Plan};
 use shorepath_quota::messages::Message;
 use shorepath_quota::{ClockSkew, NodeId, NodeIncarnation};
@@ -29,7 +29,7 @@
 /// Around the real cores, for tests: what a fault would make of what they hear and let be used.
 pub trait Around: Default + Clone {
     /// A divider with that book hears a word; what it is told in its place.
-    fn to_divider(&mut self, word: Message, _book: &Book) -> Vec<Message> {
+    fn to_divider(&mut self, word: Message, _book: &ReplicatedState) -> Vec<Message> {
         vec![word]
     }
 
@@ -167,7 +167,7 @@
         let at = node.skew.at(now);
         let mut seat =
             QuotaClient::new(life(&node.name, node.lives), plan(node.plan).clone(), seed as usize + n, at);
-        seat.own(true, at);
+        seat.set_owns_address(true, at);
         node.seat = Some(seat);
         node.asked.clear();
         node.heard.clear();
@@ -196,7 +196,7 @@
         let node = &mut self.nodes[n];
         node.jobs.retain(|j| j.2 > now);
         let Some(seat) = &mut node.seat else { return };
-        let (me, at) = (seat.life(), node.skew.at(now));
+        let (me, at) = (seat.incarnation(), node.skew.at(now));
         for (budget, wanted) in wanted {
             let Some(real) = seat.usable(budget, at) else { continue };
             let usable = self.around.usable(me, budget, real, at);
@@ -205,10 +205,10 @@
                 let mine = node.jobs.iter().filter(|j| j.0 == node.lives).count() as u64;
                 let begun = wanted.min(usable).saturating_sub(mine);
                 node.jobs.extend((0..begun).map(|_| (node.lives, budget, now + JOB)));
-                seat.used(budget, Use { wanted, used: mine + begun });
+                seat.record_usage(budget, Usage { wanted, used: mine + begun });
             } else {
                 let units = |rate: u64| (rate as i64 * now / S - rate as i64 * (now - span) / S) as u64;
-                seat.used(budget, Use { wanted: units(wanted), used: units(wanted.min(usable)) });
+                seat.record_usage(budget, Usage { wanted: units(wanted), used: units(wanted.min(usable)) });
             }
         }
     }
@@ -225,14 +225,14 @@
                         asked.pop_front();
                     }
                     let went = node.went.entry(c.budget.clone()).or_default();
-                    if went.0 == c.goes_by.0 && c.goes_by.1 < went.1 {
+                    if went.0 == c.in_force.0 && c.in_force.1 < went.1 {
                         let story = format!(
                             "{} went by {went:?} of {} and then {:?}",
-                            node.name, c.budget, c.goes_by
+                            node.name, c.budget, c.in_force
                         );
                         self.broken.get_or_insert(Broken::new("numbers never go back", story));
                     }
-                    *went = if c.goes_by.1 > 0 { c.goes_by } else { *went };
+                    *went = if c.in_force.1 > 0 { c.in_force } else { *went };
                 }
             }
             if say.to < DIVIDERS {
@@ -258,14 +258,14 @@
         let council = &mut self.dividers[d];
         let changed = council.divider.apply(&entry, at);
         council.applied = self.log.len();
-        let says = council.divider.settled(&entry, changed, at);
+        let says = council.divider.complete_proposal(&entry, changed, at);
         for say in says {
             if let Some(to) = council.addresses.get(&say.to) {
                 self.out.push(Said { from: NODES + d, to: *to, bytes: say.message.bytes() });
             }
         }
         for (budget, _) in WHOLES {
-            let number = council.divider.book().ledger(budget).map_or(0, |l| l.last());
+            let number = council.divider.state().ledger(budget).map_or(0, |l| l.last_number());
             let last = self.last.entry(budget).or_default();
             if number < *last {
                 let story = format!("{budget} after {last} has {number}");
@@ -286,20 +286,20 @@
                 self.nodes[n].seat = None;
                 // The members' words are not played here; the divider that leads learns of it so.
                 let node = NodeId::of(&self.nodes[n].name);
-                self.leader.into_iter().for_each(|d| self.dividers[d].divider.lost(node));
+                self.leader.into_iter().for_each(|d| self.dividers[d].divider.remove_node(node));
             }
             Deed::Start(n) => self.begin(n, now),
             Deed::Nobody => {
-                self.leader.take().into_iter().for_each(|d| self.dividers[d].divider.lead(false));
+                self.leader.take().into_iter().for_each(|d| self.dividers[d].divider.set_leader(false));
             }
             Deed::Leads(d) => {
                 self.learn(d, now);
-                self.dividers[d].divider.lead(true);
+                self.dividers[d].divider.set_leader(true);
                 self.leader = Some(d);
             }
             Deed::File(version) => {
                 for council in &mut self.dividers {
-                    council.divider.file(plan(version).clone());
+                    council.divider.set_plan(plan(version).clone());
                 }
             }
             Deed::Cut(n, cut) => self.nodes[n].cut = cut,
@@ -322,13 +322,15 @@
         let at = node.skew.at(now);
         let Some(seat) = &mut node.seat else { return Err("nobody is there".into()) };
         let refused = match &word {
-            Message::Grants { life, .. } | Message::Hurry { life } if *life != seat.life() => {
+            Message::Grants { holder: life, .. } | Message::AskAgain { holder: life }
+                if *life != seat.incarnation() =>
+            {
                 Some("another life's")
             }
-            Message::Ask { .. } | Message::Goes { .. } | Message::Returns { .. } => {
+            Message::Ask { .. } | Message::Acknowledge { .. } | Message::Returns { .. } => {
                 Some("no word for a node")
             }
-            Message::Elsewhere { leader } => {
+            Message::NotLeader { leader } => {
                 let known =
                     leader.as_ref().is_none_or(|l| seat.plan().allocators.iter().any(|d| d.name == *l));
                 (!known).then_some("no divider of the file")
@@ -355,9 +357,9 @@
                 }
                 first.filter(|_| !taken)
             }
-            Message::Hurry { .. } => None,
+            Message::AskAgain { .. } => None,
         };
-        self.around.at_node(seat.life(), &word, at);
+        self.around.at_node(seat.incarnation(), &word, at);
         seat.receive(place, &word, at);
         self.count(to, now, 0);
         self.speak(to);
@@ -368,32 +370,34 @@
         let word = Message::read(bytes).map_err(|_| "no word")?;
         let council = &mut self.dividers[d];
         let at = council.skew.at(now);
-        let leads = council.divider.leads();
-        if let Message::Ask { life, .. } = &word {
+        let leads = council.divider.is_leader();
+        if let Message::Ask { holder: life, .. } = &word {
             if !leads {
                 let leader = self.leader.map(|l| format!("d{l}"));
                 self.out.push(Said {
                     from: NODES + d,
                     to: from,
-                    bytes: Message::Elsewhere { leader }.bytes(),
+                    bytes: Message::NotLeader { leader }.bytes(),
                 });
                 return Err("does not lead".into());
             }
             council.addresses.insert(*life, from);
         }
-        let book = council.divider.book();
+        let book = council.divider.state();
         let unknown = |life: &NodeIncarnation, by: &[(String, u32, u64)]| {
             let held = |(b, _, n): &(String, u32, u64)| {
-                book.ledger(b).is_some_and(|l| l.newest(*life) >= *n && *n > 0)
+                book.ledger(b).is_some_and(|l| l.newest_number(*life) >= *n && *n > 0)
             };
             !by.iter().any(held)
         };
         let refused = match &word {
             _ if !leads => Some("does not lead"),
-            Message::Ask { life, .. } if book.plan().is_none_or(|p| p.name_of(life.node).is_none()) => {
+            Message::Ask { holder: life, .. }
+                if book.plan().is_none_or(|p| p.name_of(life.node).is_none()) =>
+            {
                 Some("no node of the file")
             }
-            Message::Ask { life, claims, .. } => {
+            Message::Ask { holder: life, claims, .. } => {
                 let mut news = claims.is_empty();
                 for c in claims {
                     let asked = council.asked.entry((*life, c.budget.clone())).or_default();
@@ -402,11 +406,11 @@
                 }
                 (!news).then_some("no newer asking")
             }
-            Message::Goes { life, by } => unknown(life, by).then_some("no such grant"),
-            Message::Returns { life, of } => unknown(life, of).then_some("no such grant"),
+            Message::Acknowledge { holder: life, grants: by } => unknown(life, by).then_some("no such grant"),
+            Message::Returns { holder: life, grants: of } => unknown(life, of).then_some("no such grant"),
             _ => Some("no word for a divider"),
         };
-        for word in self.around.to_divider(word, council.divider.book()) {
+        for word in self.around.to_divider(word, council.divider.state()) {
             council.divider.receive(&word, at);
         }
         refused.map_or(Ok(()), |why| Err(why.into()))
@@ -466,7 +470,7 @@
             last: BTreeMap::new(),
             around: A::default(),
         };
-        system.dividers[0].divider.lead(true);
+        system.dividers[0].divider.set_leader(true);
         (0..NODES).for_each(|n| system.begin(n, 0));
         system
     }
@@ -477,7 +481,7 @@
 
     fn life(&self, actor: Actor) -> u64 {
         match self.nodes.get(actor) {
-            Some(node) => node.seat.as_ref().map_or(0, |s| s.life().incarnation),
+            Some(node) => node.seat.as_ref().map_or(0, |s| s.incarnation().incarnation),
             None => 901 + actor as u64,
         }
     }
@@ -539,7 +543,7 @@
                 let at = node.skew.at(now);
                 let usable = node.seat.as_ref().and_then(|s| {
                     let real = s.usable(budget, at)?;
-                    Some(self.around.usable(s.life(), budget, real, at))
+                    Some(self.around.usable(s.incarnation(), budget, real, at))
                 });
                 // What a life that is over has begun is out until it ends.
                 *part = usable.unwrap_or(0).max(out(true)).saturating_add(out(false));
@@ -566,12 +570,12 @@
             }
             // Where all want much, no more is held back than by bands and turns.
             let least = if matches!(budget.per, Per::Moment { .. }) {
-                budget.whole / 2
+                budget.total / 2
             } else {
-                budget.whole * 3 / 4
+                budget.total * 3 / 4
             };
             if sum < least {
-                let story = format!("{}: {sum} of {} are granted", budget.name, budget.whole);
+                let story = format!("{}: {sum} of {} are granted", budget.name, budget.total);
                 return Err(Broken::new("all is granted again", story));
             }
         }
--- a/crates/mutants/src/systems/homes.rs
+++ b/crates/mutants/src/systems/homes.rs
@@ -15,7 +15,7 @@
 use shorepath_placements::idempotency_index::{Keys, Known};
 use shorepath_placements::{End, Entry, Placement, Timed, Writer};
 use shorepath_quota::allocator::Allocator;
-use shorepath_quota::client::{QuotaClient, Use};
+use shorepath_quota::client::{QuotaClient, Usage};
 use shorepath_quota::config::{self as budgets, Plan as Budgets};
 use shorepath_quota::messages::Message as Grants;
 use shorepath_quota::{ClockSkew, NodeId, NodeIncarnation};
@@ -175,7 +175,7 @@
         let (seed, me, at) = (self.seed, self.me, self.skew.at(now));
         let named = NodeIncarnation { node: NodeId(number(me)), incarnation: Homed::<FAULT>::name(life) };
         self.seat = QuotaClient::new(named, divided().clone(), 0, at);
-        self.seat.own(true, at);
+        self.seat.set_owns_address(true, at);
         self.homes = KeyOwnership::new(number(me), plan(), &self.kept);
         self.proving = Proving::default();
         let seeing = SiteHealth::new(number(me), plan(), seed ^ (me as u64) << 16 ^ life << 32, at);
@@ -197,7 +197,7 @@
         for budget in &self.seat.plan().budgets {
             let name = &budget.name;
             let mut lease = self.seat.lease(name, now).filter(|_| self.wanted.contains(name));
-            let term = self.seat.plan().term_of(budget);
+            let term = self.seat.plan().lease_period(budget);
             if FAULT == fault::FROM_ARRIVAL {
                 let arrived = self.arrived.get(name).copied();
                 if let (Some((grant, _)), Some((_, at))) =
@@ -219,7 +219,7 @@
     fn count(&mut self) {
         for budget in &divided().budgets {
             let wanted = u64::from(self.wanted.contains(&budget.name));
-            self.seat.used(&budget.name, Use { wanted, used: 0 });
+            self.seat.record_usage(&budget.name, Usage { wanted, used: 0 });
         }
     }
 
@@ -374,8 +374,8 @@
     fn hear_grants(&mut self, bytes: &[u8], now: Micros) -> Result<(), String> {
         let word = Grants::read(bytes).map_err(|_| "no word")?;
         self.count();
-        if let Grants::Grants { life, grants, .. } = &word {
-            if *life != self.seat.life() {
+        if let Grants::Grants { holder: life, grants, .. } = &word {
+            if *life != self.seat.incarnation() {
                 return Err("another life's".into());
             }
             for g in grants {
@@ -443,7 +443,7 @@
             Player::Council(council) => {
                 let at = council.skew.at(now);
                 let word = Grants::read(bytes).map_err(|_| "no word")?;
-                if let Grants::Ask { life, .. } = &word {
+                if let Grants::Ask { holder: life, .. } = &word {
                     council.addresses.insert(*life, from);
                 }
                 council.divider.receive(&word, at);
@@ -488,7 +488,7 @@
                 council.next = now + TICK / 2;
                 let Some(entry) = council.divider.propose(at) else { return };
                 let changed = council.divider.apply(&entry, at);
-                for say in council.divider.settled(&entry, changed, at) {
+                for say in council.divider.complete_proposal(&entry, changed, at) {
                     if let Some(to) = council.addresses.get(&say.to) {
                         council.says.push((*to, say.message.bytes()));
                     }
@@ -553,7 +553,7 @@
         let skew = skew(seed, actor);
         if actor == DIVIDER {
             let mut divider = Allocator::new("d0", divided().clone(), 40);
-            divider.lead(true);
+            divider.set_leader(true);
             let (addresses, says) = (BTreeMap::new(), Vec::new());
             return Player::Council(Council { skew, divider, addresses, next: now, says });
         }
--- a/crates/mutants/tests/plants.rs
+++ b/crates/mutants/tests/plants.rs
@@ -11,7 +11,7 @@
 use shorepath_mutants::systems::seeing::Sites;
 use shorepath_mutants::troupe::Troupe;
 use shorepath_mutants::Micros;
-use shorepath_quota::allocator::Book;
+use shorepath_quota::allocator::ReplicatedState;
 use shorepath_quota::messages::Message;
 use shorepath_quota::NodeIncarnation;
 use std::collections::{BTreeMap, BTreeSet};
@@ -29,7 +29,7 @@
 
 impl Around for OlderWins {
     fn at_node(&mut self, life: NodeIncarnation, word: &Message, now: Micros) {
-        let Message::Grants { life: to, grants, .. } = word else { return };
+        let Message::Grants { holder: to, grants, .. } = word else { return };
         for g in grants.iter().filter(|_| *to == life) {
             let held = self.0.entry((life, g.budget.clone())).or_default();
             // Only an older one is used otherwise than the core does.
@@ -48,7 +48,7 @@
 
 impl Around for FromArrival {
     fn at_node(&mut self, life: NodeIncarnation, word: &Message, now: Micros) {
-        let Message::Grants { life: to, grants, .. } = word else { return };
+        let Message::Grants { holder: to, grants, .. } = word else { return };
         for g in grants.iter().filter(|_| *to == life) {
             let held = self.0.entry((life, g.budget.clone())).or_default();
             if g.number > held.0 {
@@ -67,17 +67,17 @@
 struct TwiceFreed(BTreeSet<Vec<u8>>);
 
 impl Around for TwiceFreed {
-    fn to_divider(&mut self, word: Message, book: &Book) -> Vec<Message> {
-        let Message::Returns { life, of } = &word else { return vec![word] };
+    fn to_divider(&mut self, word: Message, book: &ReplicatedState) -> Vec<Message> {
+        let Message::Returns { holder: life, grants: of } = &word else { return vec![word] };
         if self.0.insert(word.bytes()) {
             return vec![word];
         }
         let mut all = Vec::new();
         for (budget, epoch, _) in of {
             let ledger = book.ledger(budget).unwrap();
-            for other in ledger.lives().filter(|l| l != life) {
-                let of = vec![(budget.clone(), *epoch, ledger.newest(other))];
-                all.push(Message::Returns { life: other, of });
+            for other in ledger.holders().filter(|l| l != life) {
+                let of = vec![(budget.clone(), *epoch, ledger.newest_number(other))];
+                all.push(Message::Returns { holder: other, grants: of });
             }
         }
         all
--- a/crates/quota-server/src/raft_storage.rs
+++ b/crates/quota-server/src/raft_storage.rs
@@ -11,7 +11,7 @@
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
-use shorepath_quota::allocator::{Allocator, Kept};
+use shorepath_quota::allocator::{Allocator, StateSnapshot};
 use std::fmt::Debug;
 use std::io::Cursor;
 use std::ops::RangeBounds;
@@ -240,7 +240,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Shot {
     meta: SnapshotMeta<u64, BasicNode>,
-    kept: Kept,
+    kept: StateSnapshot,
 }
 
 /// What the agreement is about, as this divider holds it.
@@ -333,7 +333,7 @@
             last_membership: self.membership.clone(),
             snapshot_id: format!("{}", self.applied.map_or(0, |l| l.index)),
         };
-        let kept = self.allocator().book().kept();
+        let kept = self.allocator().state().snapshot();
         Builder { store: self.store.clone(), shot: Shot { meta, kept } }
     }
 
@@ -346,7 +346,7 @@
         meta: &SnapshotMeta<u64, BasicNode>,
         snapshot: Box<Cursor<Vec<u8>>>,
     ) -> Result<(), Failed> {
-        let kept: Kept = serde_json::from_slice(snapshot.get_ref()).map_err(|e| reads(e.into()))?;
+        let kept: StateSnapshot = serde_json::from_slice(snapshot.get_ref()).map_err(|e| reads(e.into()))?;
         let shot = Shot { meta: meta.clone(), kept };
         self.go_on(&shot);
         self.store.aside(move |s| s.keep("snapshot", &shot)).await.map_err(writes)
--- a/crates/quota-server/src/server.rs
+++ b/crates/quota-server/src/server.rs
@@ -180,7 +180,7 @@
                     info!("file of version {} read again", newer.version);
                     shared.line.borrow_mut().set(unix(), &newer.fleet, keys.as_ref());
                     shared.caller.follow(&newer);
-                    shared.allocator().file(newer.clone());
+                    shared.allocator().set_plan(newer.clone());
                     shared.plan.replace(newer);
                 }
                 None => warn!("the old file stays"),
@@ -198,14 +198,14 @@
             Some((entry, changed)) = agreed.recv() => {
                 let entry: Entry = entry;
                 let now = clock.now();
-                let outgoing_messages = shared.allocator().settled(&entry, changed, now);
+                let outgoing_messages = shared.allocator().complete_proposal(&entry, changed, now);
                 log_entry(&shared, &entry, changed);
                 send_all(&shared, &socket, outgoing_messages, &addresses).await;
             }
             Some((in_term, ready)) = led.recv() => {
                 if term == Some(in_term) && ready {
                     info!("{name} leads in term {in_term}");
-                    shared.allocator().lead(true);
+                    shared.allocator().set_leader(true);
                 } else if term == Some(in_term) {
                     term = None; // asked again at the next look
                 }
@@ -226,7 +226,7 @@
                 };
                 if leading != term {
                     term = leading;
-                    shared.allocator().lead(false);
+                    shared.allocator().set_leader(false);
                     if let Some(in_term) = leading {
                         let (leads, raft) = (leads.clone(), raft.clone());
                         spawn_local(async move {
@@ -267,11 +267,11 @@
         Entry::Grants { grants, .. } if changed => {
             for (budget, g) in grants {
                 let plan = shared.plan.borrow();
-                let node = plan.name_of(g.life.node).unwrap_or("?");
+                let node = plan.name_of(g.holder.node).unwrap_or("?");
                 let (epoch, number) = (g.epoch, g.number);
                 tracing::debug!(
                     "grant {budget} to {node}/{} amount={} {epoch}/{number}",
-                    g.life.incarnation,
+                    g.holder.incarnation,
                     g.amount
                 );
             }
@@ -312,7 +312,7 @@
                 let node = NodeId(member.peer.node);
                 info!("member {} {:?}", plan.name_of(node).unwrap_or("?"), member.standing);
                 if matches!(member.standing, MemberState::Left | MemberState::Gone) {
-                    shared.allocator().lost(node);
+                    shared.allocator().remove_node(node);
                 }
             }
         }
@@ -352,24 +352,24 @@
     };
     if let (
         Some(sender),
-        Message::Ask { life, .. } | Message::Goes { life, .. } | Message::Returns { life, .. },
+        Message::Ask { holder, .. } | Message::Acknowledge { holder, .. } | Message::Returns { holder, .. },
     ) = (sender, &message)
     {
-        if life.node.0 != sender {
+        if holder.node.0 != sender {
             return warn!("from {from}: a word in another's name");
         }
     }
-    if let Message::Ask { life, .. } = &message {
-        let leads = shared.allocator().leads();
+    if let Message::Ask { holder, .. } = &message {
+        let leads = shared.allocator().is_leader();
         if !leads {
             let leader = shared.leader().filter(|l| *l != shared.name);
-            return shared.send(socket, Message::Elsewhere { leader }.bytes(), from).await;
+            return shared.send(socket, Message::NotLeader { leader }.bytes(), from).await;
         }
         // Guards against lives without number: those that come and go, and those that somebody makes up.
         if addresses.len() > KEPT * shared.plan.borrow().nodes.max(8) as usize {
             addresses.clear();
         }
-        addresses.insert(*life, from);
+        addresses.insert(*holder, from);
     }
     let now: Micros = shared.clock.now();
     shared.allocator().receive(&message, now);
--- a/crates/quota-server/tests/golden.rs
+++ b/crates/quota-server/tests/golden.rs
@@ -14,7 +14,7 @@
 use serde_json::{json, Value};
 use shorepath_quota::allocator::Allocator;
 use shorepath_quota::config::{read, Plan};
-use shorepath_quota::messages::{Claiming, Granting, Message, Status};
+use shorepath_quota::messages::{BudgetClaim, BudgetGrant, Message, Status};
 use shorepath_quota::{ClockSkew, NodeId, NodeIncarnation};
 use shorepath_quota_server::clock::Clock;
 use shorepath_quota_server::raft_storage::{Machine, Store};
@@ -143,12 +143,13 @@
     }
 
     /// Ask until something is granted.
-    fn granted(&self, plan: u64, incarnation: u64) -> Granting {
-        let (begin, life) = (Instant::now(), NodeIncarnation { node: NodeId::of("n0"), incarnation });
+    fn granted(&self, plan: u64, incarnation: u64) -> BudgetGrant {
+        let (begin, holder) = (Instant::now(), NodeIncarnation { node: NodeId::of("n0"), incarnation });
         for answers in 1.. {
             assert!(begin.elapsed() < LONG, "no grant");
-            let claim = Claiming { budget: "quota:a".into(), answers, demand: 30, used: 0, goes_by: (0, 0) };
-            let ask = Message::Ask { life, plan, claims: vec![claim] };
+            let claim =
+                BudgetClaim { budget: "quota:a".into(), answers, demand: 30, used: 0, in_force: (0, 0) };
+            let ask = Message::Ask { holder, plan, claims: vec![claim] };
             let _ = self.socket.send_to(&ask.bytes(), self.plan.allocators[0].address);
             let mut buffer = [0; 2_000];
             while let Ok((n, _)) = self.socket.recv_from(&mut buffer) {
--- a/crates/quota-server/tests/processes.rs
+++ b/crates/quota-server/tests/processes.rs
@@ -9,7 +9,7 @@
 use shorepath_message_auth::keyring::Keys;
 use shorepath_quota::config::{read, Plan};
 use shorepath_quota::lease::Holder;
-use shorepath_quota::messages::{Claiming, Granting, Message, Status};
+use shorepath_quota::messages::{BudgetClaim, BudgetGrant, Message, Status};
 use shorepath_quota::{NodeId, NodeIncarnation};
 use shorepath_quota_server::rpc::{Call, Caller, Reply};
 use std::net::UdpSocket;
@@ -27,7 +27,7 @@
     plan: Plan,
     allocators: Vec<Option<Child>>,
     socket: UdpSocket,
-    life: NodeIncarnation,
+    holder: NodeIncarnation,
     count: u64,
     caller: Caller,
     runtime: tokio::runtime::Runtime,
@@ -53,9 +53,9 @@
 }
 
 /// The line of the node that the test plays, in that life.
-fn coded(life: u64, keys: &[&str]) -> Channel {
+fn coded(holder: u64, keys: &[&str]) -> Channel {
     let lines: Vec<String> = keys.iter().map(|k| k.repeat(32)).collect();
-    Channel::new(NodeId::of("n0").0, life, "tidal", Keys::read(&lines.join("\n")).ok().as_ref())
+    Channel::new(NodeId::of("n0").0, holder, "tidal", Keys::read(&lines.join("\n")).ok().as_ref())
 }
 
 impl Fleet {
@@ -84,13 +84,13 @@
         let caller = Caller::default();
         caller.follow(&plan);
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-        let life = NodeIncarnation { node: NodeId::of("n0"), incarnation: 1 };
+        let holder = NodeIncarnation { node: NodeId::of("n0"), incarnation: 1 };
         let mut fleet = Fleet {
             dir,
             plan,
             allocators: Vec::new(),
             socket,
-            life,
+            holder,
             count: 0,
             caller,
             runtime,
@@ -163,18 +163,19 @@
         panic!("nobody leads\n{}", self.logs());
     }
 
-    fn granted(&mut self, demand: u64, goes_by: (u32, u64)) -> Granting {
-        self.granted_within(LONG, demand, goes_by).unwrap_or_else(|| panic!("no grant\n{}", self.logs()))
+    fn granted(&mut self, demand: u64, in_force: (u32, u64)) -> BudgetGrant {
+        self.granted_within(LONG, demand, in_force).unwrap_or_else(|| panic!("no grant\n{}", self.logs()))
     }
 
     /// Ask every divider until one grants, as a node does; the grant.
-    fn granted_within(&mut self, limit: Duration, demand: u64, goes_by: (u32, u64)) -> Option<Granting> {
+    fn granted_within(&mut self, limit: Duration, demand: u64, in_force: (u32, u64)) -> Option<BudgetGrant> {
         let begin = Instant::now();
         self.socket.set_read_timeout(Some(Duration::from_millis(300))).unwrap();
         while begin.elapsed() < limit {
             self.count += 1;
-            let claim = Claiming { budget: "quota:a".into(), answers: self.count, demand, used: 0, goes_by };
-            let ask = Message::Ask { life: self.life, plan: 1, claims: vec![claim] };
+            let claim =
+                BudgetClaim { budget: "quota:a".into(), answers: self.count, demand, used: 0, in_force };
+            let ask = Message::Ask { holder: self.holder, plan: 1, claims: vec![claim] };
             let ask = self.line.seal(ask.bytes());
             for allocator in &self.plan.allocators {
                 let _ = self.socket.send_to(&ask, allocator.address);
@@ -225,8 +226,8 @@
     // Two of three are enough, one is not: it doesn't go on alone.
     let last = fleet.leader();
     fleet.kill(last);
-    let goes_by = (third.epoch, third.number);
-    assert_eq!(fleet.granted_within(Duration::from_millis(1_800), 30, goes_by), None, "{}", fleet.logs());
+    let in_force = (third.epoch, third.number);
+    assert_eq!(fleet.granted_within(Duration::from_millis(1_800), 30, in_force), None, "{}", fleet.logs());
     let alone = (0..3).find(|k| fleet.allocators[*k].is_some()).unwrap();
     fleet.start(last);
     let fourth = fleet.granted(30, (third.epoch, third.number));
@@ -244,16 +245,18 @@
     fleet.kill(0);
     std::fs::remove_dir_all(fleet.folder(0)).unwrap();
     fleet.start(0);
-    fleet.life.incarnation = 2;
+    fleet.holder.incarnation = 2;
     let second = fleet.granted(90, (0, 0));
     assert!(asked.elapsed() >= Duration::from_millis(990), "{:?}", asked.elapsed());
     assert!(first.epoch != second.epoch && second.amount == 90, "{first:?} {second:?}");
     // The first life's process still runs: by its own clock its grant is over.
-    let term = fleet.plan.term_of(&fleet.plan.budgets[0]);
-    let mut holder = Holder::new(NodeIncarnation { incarnation: 1, ..fleet.life }, 0, term);
+    let term = fleet.plan.lease_period(&fleet.plan.budgets[0]);
+    let mut holder = Holder::new(NodeIncarnation { incarnation: 1, ..fleet.holder }, 0, term);
     holder.ask(0);
-    assert!(holder
-        .granted(Granting { answers: 1, ..first }.to(NodeIncarnation { incarnation: 1, ..fleet.life }), 0));
+    assert!(holder.accept(
+        BudgetGrant { answers: 1, ..first }.to(NodeIncarnation { incarnation: 1, ..fleet.holder }),
+        0
+    ));
     assert_eq!(holder.usable(asked.elapsed().as_micros() as i64), 0);
 }
 
@@ -289,10 +292,12 @@
     let first = fleet.granted(30, (0, 0));
     let allocator = fleet.plan.allocators[0].address;
     // With these the life would hand everything back, were they believed.
-    let of = vec![("quota:a".to_string(), first.epoch, first.number)];
-    let sent = Message::Returns { life: fleet.life, of }.bytes();
-    let another =
-        Message::Returns { life: NodeIncarnation { node: NodeId::of("n1"), incarnation: 1 }, of: Vec::new() };
+    let grants = vec![("quota:a".to_string(), first.epoch, first.number)];
+    let sent = Message::Returns { holder: fleet.holder, grants }.bytes();
+    let another = Message::Returns {
+        holder: NodeIncarnation { node: NodeId::of("n1"), incarnation: 1 },
+        grants: Vec::new(),
+    };
     let received = fleet.line.seal(another.bytes());
     let mut forged = coded(9, &[OTHER]);
     let before = fleet.granted(30, (first.epoch, first.number));
--- a/crates/quota/src/allocation.rs
+++ b/crates/quota/src/allocation.rs
@@ -14,26 +14,26 @@
 
 /// How much may change from one division to the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Moves {
+pub struct MoveLimits {
     /// A part stays as it is if it would change by no more than this many hundredths of itself.
     pub band_percent: u64,
     /// Units taken from nodes, all together, in one division at most.
     pub most: u64,
 }
 
-impl Moves {
+impl MoveLimits {
     /// Whatever is best now.
-    pub const FREE: Moves = Moves { band_percent: 0, most: u64::MAX };
+    pub const FREE: MoveLimits = MoveLimits { band_percent: 0, most: u64::MAX };
 }
 
 /// The floors alone exceed the whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the floors are {floors} in all, the whole is {whole}")]
+#[error("the floors are {floors} in all, the whole is {total}")]
 pub struct FloorsError {
     /// Their sum.
     pub floors: u64,
     /// The whole.
-    pub whole: u64,
+    pub total: u64,
 }
 
 /// The fair parts, in the order of the claims; they add up to the whole exactly. Units that nobody asks for are lent evenly.
@@ -41,10 +41,10 @@
 ///
 /// # Errors
 /// Where the floors exceed the whole.
-pub fn fair(whole: u64, claims: &[Claim], turn: u64) -> Result<Vec<u64>, FloorsError> {
+pub fn max_min_fair(total: u64, claims: &[Claim], turn: u64) -> Result<Vec<u64>, FloorsError> {
     let floors = claims.iter().fold(0u64, |sum, c| sum.saturating_add(c.floor));
-    if floors > whole {
-        return Err(FloorsError { floors, whole });
+    if floors > total {
+        return Err(FloorsError { floors, total });
     }
     let mut parts: Vec<u64> = claims.iter().map(|c| c.floor).collect();
     // The level to which all rise that ask for so much: the greatest whole one that there is enough for.
@@ -53,14 +53,14 @@
     let (mut level, mut above) = (0, claims.iter().map(|c| c.demand).max().unwrap_or(0).saturating_add(1));
     while above - level > 1 {
         let middle = level + (above - level) / 2;
-        if sum(middle) <= u128::from(whole) {
+        if sum(middle) <= u128::from(total) {
             level = middle;
         } else {
             above = middle;
         }
     }
     parts.iter_mut().zip(claims).for_each(|(p, c)| *p = at(level, c));
-    let mut left = whole - sum(level) as u64;
+    let mut left = total - sum(level) as u64;
     // Fewer units are left than nodes that would rise further.
     let open: Vec<usize> = (0..claims.len()).filter(|k| at(level + 1, &claims[*k]) > parts[*k]).collect();
     if !open.is_empty() {
@@ -90,8 +90,13 @@
 ///
 /// # Errors
 /// Where the floors exceed the whole.
-pub fn next(whole: u64, claims: &[Claim], turn: u64, moves: Moves) -> Result<Vec<u64>, FloorsError> {
-    let target = fair(whole, claims, turn)?;
+pub fn rebalance(
+    total: u64,
+    claims: &[Claim],
+    turn: u64,
+    moves: MoveLimits,
+) -> Result<Vec<u64>, FloorsError> {
+    let target = max_min_fair(total, claims, turn)?;
     let band = |c: &Claim| u128::from(c.held) * u128::from(moves.band_percent) / 100;
     let stays = |c: &Claim, t: u64| c.held >= c.floor && u128::from(c.held.abs_diff(t)) <= band(c);
     let mut parts: Vec<u64> =
@@ -107,7 +112,7 @@
     }
     // What was kept by some is missing for others: those above what they have give up their rise, the largest first, and then
     // whoever was spared goes to the target after all. The whole binds, whatever may be moved.
-    let mut over = parts.iter().fold(0u128, |sum, p| sum + u128::from(*p)).saturating_sub(u128::from(whole));
+    let mut over = parts.iter().fold(0u128, |sum, p| sum + u128::from(*p)).saturating_sub(u128::from(total));
     for spare in [true, false] {
         let base = |k: usize| if spare { claims[k].held.max(claims[k].floor) } else { target[k] };
         let mut above: Vec<usize> = (0..parts.len()).filter(|k| parts[*k] > base(*k)).collect();
--- a/crates/quota/src/allocator.rs
+++ b/crates/quota/src/allocator.rs
@@ -4,10 +4,10 @@
 //! that leads hears nodes ask, divides, and proposes; its proposal names the numbers that it builds on, so that one which was
 //! worked out before somebody else's changes nothing, however late it is agreed on.
 
-use crate::allocation::{next, Claim, Moves};
-use crate::config::{Bounds, Budget, Plan};
+use crate::allocation::{rebalance, Claim, MoveLimits};
+use crate::config::{Budget, BudgetKind, Plan};
 use crate::ledger::Ledger;
-use crate::messages::{BudgetStatus, Granting, Message, PartStatus, Status};
+use crate::messages::{BudgetGrant, BudgetStatus, Message, PartStatus, Status};
 use crate::{Grant, LeasePeriod, Micros, NodeId, NodeIncarnation};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -42,7 +42,7 @@
 
 /// All that was agreed on, less what has surely ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct StateSnapshot {
     plans: Vec<Plan>,
     epoch: Option<u32>,
     ledgers: BTreeMap<String, (u64, Vec<Grant>)>,
@@ -50,7 +50,7 @@
 
 /// What the fleet has agreed on so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Book {
+pub struct ReplicatedState {
     /// The oldest of which something is still kept first; the last is in force.
     plans: Vec<Plan>,
     epoch: Option<u32>,
@@ -59,7 +59,7 @@
     ledgers: BTreeMap<String, Ledger>,
 }
 
-impl Book {
+impl ReplicatedState {
     /// The file in force.
     pub fn plan(&self) -> Option<&Plan> {
         self.plans.last()
@@ -96,12 +96,12 @@
                 return self.plans.len() < before;
             }
             Entry::Grants { base, grants } => {
-                let last = |name: &str| self.ledgers.get(name).map(Ledger::last);
+                let last = |name: &str| self.ledgers.get(name).map(Ledger::last_number);
                 if self.epoch.is_none() || base.iter().any(|(name, number)| last(name) != Some(*number)) {
                     return false;
                 }
                 for (name, grant) in grants {
-                    self.ledgers.get_mut(name).into_iter().for_each(|l| l.enter(*grant, now));
+                    self.ledgers.get_mut(name).into_iter().for_each(|l| l.record(*grant, now));
                 }
             }
         }
@@ -119,45 +119,49 @@
             let reserves = self.plans.iter().filter_map(of).map(|b| b.reserve).max().unwrap_or(0);
             let reserved = u64::from(nodes).saturating_mul(reserves);
             let now = of(plan);
-            let whole = now.as_ref().map_or(0, |b| b.whole);
-            let term = now.map(|b| plan.term_of(&b)).or(self
+            let total = now.as_ref().map_or(0, |b| b.total);
+            let term = now.map(|b| plan.lease_period(&b)).or(self
                 .plans
                 .iter()
                 .rev()
-                .find_map(|p| Some(p.term_of(&of(p)?))));
+                .find_map(|p| Some(p.lease_period(&of(p)?))));
             let Some(term) = term else { continue };
-            let new = || Ledger::new(whole, reserved, term);
+            let new = || Ledger::new(total, reserved, term);
             let ledger = self.ledgers.entry(name.to_string()).or_insert_with(new);
-            ledger.resize(whole, reserved, term);
-            ledger.open(self.epoch.unwrap_or(0));
+            ledger.resize(total, reserved, term);
+            ledger.set_epoch(self.epoch.unwrap_or(0));
         }
     }
 
     /// All that another divider needs to go on from here.
-    pub fn kept(&self) -> Kept {
-        let ledgers = self.ledgers.iter().map(|(name, l)| (name.clone(), l.kept())).collect();
-        Kept { plans: self.plans.clone(), epoch: self.epoch, ledgers }
+    pub fn snapshot(&self) -> StateSnapshot {
+        let ledgers = self.ledgers.iter().map(|(name, l)| (name.clone(), l.snapshot())).collect();
+        StateSnapshot { plans: self.plans.clone(), epoch: self.epoch, ledgers }
     }
 
     /// Go on from what another divider kept; all of it counts from now.
-    pub fn restore(kept: &Kept, now: Micros) -> Book {
+    pub fn restore(kept: &StateSnapshot, now: Micros) -> ReplicatedState {
         let founded = (!kept.plans.is_empty()).then_some(now);
-        let mut book =
-            Book { plans: kept.plans.clone(), epoch: kept.epoch, founded, ledgers: BTreeMap::new() };
+        let mut state = ReplicatedState {
+            plans: kept.plans.clone(),
+            epoch: kept.epoch,
+            founded,
+            ledgers: BTreeMap::new(),
+        };
         // One that only an older plan named is still counted.
-        book.resize();
+        state.resize();
         for (name, kept) in &kept.ledgers {
             let term = LeasePeriod { length: 0, drift_ppm: 0, longest: 0 };
-            let ledger = book.ledgers.entry(name.clone()).or_insert_with(|| Ledger::new(0, 0, term));
+            let ledger = state.ledgers.entry(name.clone()).or_insert_with(|| Ledger::new(0, 0, term));
             ledger.restore(kept, now);
         }
-        book
+        state
     }
 
     /// From when on grants of an earlier fleet can't hold any more.
     fn opens(&self) -> Option<Micros> {
         let longest =
-            self.plans.iter().flat_map(|p| p.budgets.iter().map(|b| p.term_of(b).for_allocator())).max();
+            self.plans.iter().flat_map(|p| p.budgets.iter().map(|b| p.lease_period(b).for_allocator())).max();
         Some(self.founded? + longest?)
     }
 
@@ -219,7 +223,7 @@
     name: String,
     /// The operator's file as this divider has it.
     file: Plan,
-    book: Book,
+    state: ReplicatedState,
     leads: bool,
     proposing: bool,
     askers: BTreeMap<NodeIncarnation, Asker>,
@@ -238,7 +242,7 @@
         Allocator {
             name: name.to_string(),
             file,
-            book: Book::default(),
+            state: ReplicatedState::default(),
             leads: false,
             proposing: false,
             askers: BTreeMap::new(),
@@ -250,39 +254,39 @@
     }
 
     /// What was agreed on.
-    pub fn book(&self) -> &Book {
-        &self.book
+    pub fn state(&self) -> &ReplicatedState {
+        &self.state
     }
 
     /// The operator's file has been read again.
-    pub fn file(&mut self, file: Plan) {
+    pub fn set_plan(&mut self, file: Plan) {
         self.file = file;
     }
 
     /// Go on from a snapshot.
-    pub fn restore(&mut self, kept: &Kept, now: Micros) {
-        self.book = Book::restore(kept, now);
+    pub fn restore(&mut self, kept: &StateSnapshot, now: Micros) {
+        self.state = ReplicatedState::restore(kept, now);
     }
 
     /// An entry was agreed on. Whether it changed anything.
     pub fn apply(&mut self, entry: &Entry, now: Micros) -> bool {
-        self.book.apply(entry, now)
+        self.state.apply(entry, now)
     }
 
     /// It leads from now on, and knows all that was agreed on; or it leads no more.
-    pub fn lead(&mut self, leads: bool) {
+    pub fn set_leader(&mut self, leads: bool) {
         (self.leads, self.proposing) = (leads, false);
         self.askers.clear();
     }
 
     /// Whether it leads.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.leads
     }
 
     /// A life that says nothing for that long is thought dead.
     fn silence(&self) -> Micros {
-        self.book.plan().map_or(0, |p| p.term * 3 / 4)
+        self.state.plan().map_or(0, |p| p.term * 3 / 4)
     }
 
     /// A node has said something. Words are for the divider that leads: the others say who does.
@@ -291,22 +295,22 @@
             return;
         }
         match message {
-            Message::Ask { life, plan, claims } => {
-                if self.book.plan().is_none_or(|p| p.name_of(life.node).is_none()) {
+            Message::Ask { holder, plan, claims } => {
+                if self.state.plan().is_none_or(|p| p.name_of(holder.node).is_none()) {
                     return;
                 }
-                let asker = self.askers.entry(*life).or_insert(Asker {
+                let asker = self.askers.entry(*holder).or_insert(Asker {
                     received: now,
                     plan: *plan,
                     claims: BTreeMap::new(),
                     hurried: Micros::MIN / 2,
                 });
                 (asker.received, asker.plan) = (now, *plan);
-                let epoch = self.book.epoch;
+                let epoch = self.state.epoch;
                 for c in claims {
-                    let Some(ledger) = self.book.ledgers.get_mut(&c.budget) else { continue };
-                    if Some(c.goes_by.0) == epoch {
-                        ledger.taken(*life, c.goes_by.1);
+                    let Some(ledger) = self.state.ledgers.get_mut(&c.budget) else { continue };
+                    if Some(c.in_force.0) == epoch {
+                        ledger.acknowledge(*holder, c.in_force.1);
                     }
                     let claimed = asker.claims.entry(c.budget.clone()).or_default();
                     // What was overtaken on the way tells nothing new.
@@ -322,60 +326,64 @@
                 }
                 self.pressed |= asker.is_pressed();
             }
-            Message::Goes { life, by } => {
-                for (name, _, number) in by.iter().filter(|b| Some(b.1) == self.book.epoch) {
-                    self.book.ledgers.get_mut(name).into_iter().for_each(|l| l.taken(*life, *number));
+            Message::Acknowledge { holder, grants } => {
+                for (name, _, number) in grants.iter().filter(|b| Some(b.1) == self.state.epoch) {
+                    self.state
+                        .ledgers
+                        .get_mut(name)
+                        .into_iter()
+                        .for_each(|l| l.acknowledge(*holder, *number));
                 }
             }
-            Message::Returns { life, of } => {
-                for (name, epoch, number) in of {
-                    let same = Some(*epoch) == self.book.epoch;
-                    self.book
+            Message::Returns { holder, grants } => {
+                for (name, epoch, number) in grants {
+                    let same = Some(*epoch) == self.state.epoch;
+                    self.state
                         .ledgers
                         .get_mut(name)
                         .filter(|_| same)
                         .into_iter()
-                        .for_each(|l| l.returned(*life, *number));
+                        .for_each(|l| l.release(*holder, *number));
                     // A holder that gives back sends no more askings for that life.
-                    self.askers.get_mut(life).into_iter().for_each(|a| {
+                    self.askers.get_mut(holder).into_iter().for_each(|a| {
                         a.claims.remove(name);
                     });
                 }
-                if self.askers.get(life).is_some_and(|a| a.claims.is_empty()) {
-                    self.askers.remove(life);
+                if self.askers.get(holder).is_some_and(|a| a.claims.is_empty()) {
+                    self.askers.remove(holder);
                 }
             }
-            Message::Grants { .. } | Message::Hurry { .. } | Message::Elsewhere { .. } => {}
+            Message::Grants { .. } | Message::AskAgain { .. } | Message::NotLeader { .. } => {}
         }
     }
 
     /// A node is known to have left, or to be gone. It frees nothing.
-    pub fn lost(&mut self, node: NodeId) {
-        for life in self.askers.keys().copied().filter(|l| l.node == node).collect::<Vec<_>>() {
-            self.askers.remove(&life);
-            self.book.ledgers.values_mut().for_each(|l| l.suspect(life, true));
+    pub fn remove_node(&mut self, node: NodeId) {
+        for holder in self.askers.keys().copied().filter(|l| l.node == node).collect::<Vec<_>>() {
+            self.askers.remove(&holder);
+            self.state.ledgers.values_mut().for_each(|l| l.suspect(holder, true));
         }
     }
 
     fn tidy(&mut self, now: Micros) {
-        self.book.expire(now);
+        self.state.expire(now);
         let from = now - self.silence();
         self.askers.retain(|_, a| a.received >= from);
-        for ledger in self.book.ledgers.values_mut() {
-            for life in ledger.lives().collect::<Vec<_>>() {
-                ledger.suspect(life, !self.askers.contains_key(&life));
+        for ledger in self.state.ledgers.values_mut() {
+            for holder in ledger.holders().collect::<Vec<_>>() {
+                ledger.suspect(holder, !self.askers.contains_key(&holder));
             }
         }
     }
 
     /// The part of each life that is heard of, by demand.
     fn parts(&self, budget: &Budget, now: Micros) -> BTreeMap<NodeIncarnation, u64> {
-        let Some(ledger) = self.book.ledgers.get(&budget.name) else { return BTreeMap::new() };
+        let Some(ledger) = self.state.ledgers.get(&budget.name) else { return BTreeMap::new() };
         let who: Vec<(NodeIncarnation, Claimed)> =
             self.askers.iter().filter_map(|(l, a)| Some((*l, *a.claims.get(&budget.name)?))).collect();
         // A home is not shared by demand: its own node has it if it wants it, else who has it keeps it while it wants it. Nobody is lent it,
         // since who may have held it may have placed its keys.
-        if let Some(Bounds::Home(home)) = Bounds::of(&budget.name) {
+        if let Some(BudgetKind::Home(home)) = BudgetKind::of(&budget.name) {
             let own = home.split_once('/').map(|(_, node)| NodeId::of(node));
             let rank = |l: &NodeIncarnation| (Some(l.node) != own, ledger.charge(*l) == 0, *l);
             let first = who.iter().filter(|(_, c)| c.demand > 0).map(|(l, _)| *l).min_by_key(rank);
@@ -383,23 +391,23 @@
         }
         let claims: Vec<Claim> = who
             .iter()
-            .map(|(life, c)| Claim {
+            .map(|(holder, c)| Claim {
                 // What its reserve covers it needs no grant for.
                 demand: c.demand.saturating_sub(budget.reserve),
                 floor: budget.floor,
-                held: ledger.charge(*life),
+                held: ledger.charge(*holder),
             })
             .collect();
-        let whole = ledger.to_divide();
-        let moves = Moves { band_percent: BAND_PERCENT, most: (budget.whole / 2).max(1) };
+        let total = ledger.divisible();
+        let moves = MoveLimits { band_percent: BAND_PERCENT, most: (budget.total / 2).max(1) };
         // Single units go round from term to term.
-        let turn = (now / self.book.plan().map_or(1, |p| p.term.max(1))).unsigned_abs();
-        let parts = next(whole, &claims, turn, moves).or_else(|_| {
+        let turn = (now / self.state.plan().map_or(1, |p| p.term.max(1))).unsigned_abs();
+        let parts = rebalance(total, &claims, turn, moves).or_else(|_| {
             // Much is in doubt: nobody has a floor then.
             let bare: Vec<Claim> = claims.iter().map(|c| Claim { floor: 0, ..*c }).collect();
-            next(whole, &bare, turn, moves)
+            rebalance(total, &bare, turn, moves)
         });
-        who.into_iter().map(|(life, _)| life).zip(parts.unwrap_or_default()).collect()
+        who.into_iter().map(|(holder, _)| holder).zip(parts.unwrap_or_default()).collect()
     }
 
     /// What the fleet should agree on now, if anything; one proposal at a time, see [`Allocator::settled`].
@@ -416,20 +424,21 @@
     /// Whether nothing is to be agreed on for now, whoever has fallen silent. Guards against going through all lives of all budgets at
     /// every look.
     fn rests(&self, now: Micros) -> bool {
-        let newest = self.book.plan().map_or(0, |p| p.version);
-        let settled = self.file.version <= newest && self.book.epoch.is_some() && self.book.plans.len() == 1;
+        let newest = self.state.plan().map_or(0, |p| p.version);
+        let settled =
+            self.file.version <= newest && self.state.epoch.is_some() && self.state.plans.len() == 1;
         settled && now < self.proposed + if self.pressed { GAP } else { CALM }
     }
 
     fn next_entry(&mut self, now: Micros) -> Option<Entry> {
-        let newest = self.book.plan().map_or(0, |p| p.version);
+        let newest = self.state.plan().map_or(0, |p| p.version);
         if self.file.version > newest {
             return Some(Entry::Plan(Box::new(self.file.clone())));
         }
-        if self.book.epoch.is_none() {
-            return (now > self.book.opens()?).then_some(Entry::Open(self.epoch));
+        if self.state.epoch.is_none() {
+            return (now > self.state.opens()?).then_some(Entry::Open(self.epoch));
         }
-        if self.book.plans.len() > 1 && self.all_go_by(newest) {
+        if self.state.plans.len() > 1 && self.all_go_by(newest) {
             return Some(Entry::Settled(newest));
         }
         self.pressed = self.askers.values().any(Asker::is_pressed);
@@ -438,26 +447,26 @@
             return None;
         }
         let (mut base, mut grants) = (BTreeMap::new(), Vec::new());
-        for budget in self.book.plan()?.budgets.clone() {
+        for budget in self.state.plan()?.budgets.clone() {
             let parts = self.parts(&budget, now);
-            let Some(mut ledger) = self.book.ledgers.get(&budget.name).cloned() else { continue };
-            let before = ledger.last();
+            let Some(mut ledger) = self.state.ledgers.get(&budget.name).cloned() else { continue };
+            let before = ledger.last_number();
             // Who shrinks comes first, then who is owed an answer; whoever is short of its part may have more of an
             // earlier asking's.
             let mut order: Vec<NodeIncarnation> = parts.keys().copied().collect();
             let claimed = |l: &NodeIncarnation| self.askers[l].claims[&budget.name];
             order.sort_by_cached_key(|l| (parts[l] > ledger.charge(*l), !claimed(l).owed, *l));
-            for life in order {
-                let (c, part) = (claimed(&life), parts[&life]);
-                let grant = ledger.offer(life, part, c.answers);
+            for holder in order {
+                let (c, part) = (claimed(&holder), parts[&holder]);
+                let grant = ledger.offer(holder, part, c.answers);
                 // Nothing at all needs no grant, unless it takes the place of something.
-                let outgoing_messages = grant.amount > 0 || ledger.charge(life) > 0;
+                let outgoing_messages = grant.amount > 0 || ledger.charge(holder) > 0;
                 if outgoing_messages && (c.owed || grant.amount > c.granted) {
-                    ledger.enter(grant, now);
+                    ledger.record(grant, now);
                     grants.push((budget.name.clone(), grant));
                 }
             }
-            if ledger.last() > before {
+            if ledger.last_number() > before {
                 base.insert(budget.name.clone(), before);
             }
         }
@@ -470,7 +479,7 @@
 
     /// Whether every node that is listed has said that it goes by that version, in all its lives that are heard of.
     fn all_go_by(&self, version: u64) -> bool {
-        let Some(plan) = self.book.plan() else { return false };
+        let Some(plan) = self.state.plan() else { return false };
         let lives =
             |node: NodeId| self.askers.iter().filter(move |(l, _)| l.node == node).map(|(_, a)| a.plan);
         plan.members.iter().all(|p| {
@@ -480,15 +489,15 @@
     }
 
     /// What was proposed has been agreed on, and changed something, or not. What is to be said now.
-    pub fn settled(&mut self, entry: &Entry, agreed: bool, now: Micros) -> Vec<Outgoing> {
+    pub fn complete_proposal(&mut self, entry: &Entry, agreed: bool, now: Micros) -> Vec<Outgoing> {
         self.proposing = false;
         let (Entry::Grants { grants, .. }, true, true) = (entry, agreed, self.leads) else {
             return Vec::new();
         };
-        let mut notified: BTreeMap<NodeIncarnation, Vec<Granting>> = BTreeMap::new();
+        let mut notified: BTreeMap<NodeIncarnation, Vec<BudgetGrant>> = BTreeMap::new();
         for (name, grant) in grants {
-            notified.entry(grant.life).or_default().push(Granting::of(name, grant));
-            let asker = self.askers.get_mut(&grant.life);
+            notified.entry(grant.holder).or_default().push(BudgetGrant::of(name, grant));
+            let asker = self.askers.get_mut(&grant.holder);
             if let Some(c) = asker.and_then(|a| a.claims.get_mut(name)).filter(|c| c.answers == grant.answers)
             {
                 (c.granted, c.owed) = (grant.amount, false);
@@ -501,26 +510,29 @@
     /// while others are short.
     fn answers(
         &mut self,
-        mut notified: BTreeMap<NodeIncarnation, Vec<Granting>>,
+        mut notified: BTreeMap<NodeIncarnation, Vec<BudgetGrant>>,
         now: Micros,
     ) -> Vec<Outgoing> {
         let plan = self.covered();
-        for (life, asker) in &mut self.askers {
+        for (holder, asker) in &mut self.askers {
             let mut owed = false;
             for c in asker.claims.values_mut().filter(|c| c.owed) {
                 (c.owed, c.granted, owed) = (false, 0, true);
             }
             if owed {
-                notified.entry(*life).or_default();
+                notified.entry(*holder).or_default();
             }
         }
         let mut all: Vec<Outgoing> = notified
             .into_iter()
-            .map(|(life, grants)| Outgoing { to: life, message: Message::Grants { life, plan, grants } })
+            .map(|(holder, grants)| Outgoing {
+                to: holder,
+                message: Message::Grants { holder, plan, grants },
+            })
             .collect();
-        for life in self.has_too_much(now) {
-            self.askers.get_mut(&life).into_iter().for_each(|a| a.hurried = now);
-            all.push(Outgoing { to: life, message: Message::Hurry { life } });
+        for holder in self.has_too_much(now) {
+            self.askers.get_mut(&holder).into_iter().for_each(|a| a.hurried = now);
+            all.push(Outgoing { to: holder, message: Message::AskAgain { holder } });
         }
         all
     }
@@ -528,8 +540,8 @@
     /// The version that nodes are told of: a reserve may be used once it has room. One that has grown takes it from parts that were
     /// granted before, which are used until their holders go by smaller ones (found by mutants).
     fn covered(&mut self) -> u64 {
-        let Some(plan) = self.book.plan() else { return 0 };
-        let debt = |b: &Budget| self.book.ledgers.get(&b.name).map_or(0, |l| l.account().debt);
+        let Some(plan) = self.state.plan() else { return 0 };
+        let debt = |b: &Budget| self.state.ledgers.get(&b.name).map_or(0, |l| l.account().debt);
         if !plan.budgets.iter().any(|b| b.reserve > 0 && debt(b) > 0) {
             self.covered = plan.version;
         }
@@ -538,8 +550,8 @@
 
     fn has_too_much(&self, now: Micros) -> BTreeSet<NodeIncarnation> {
         let mut found = BTreeSet::new();
-        for budget in self.book.plan().map(|p| p.budgets.as_slice()).unwrap_or_default() {
-            let Some(ledger) = self.book.ledgers.get(&budget.name) else { continue };
+        for budget in self.state.plan().map(|p| p.budgets.as_slice()).unwrap_or_default() {
+            let Some(ledger) = self.state.ledgers.get(&budget.name) else { continue };
             let parts = self.parts(budget, now);
             let granted = |l: &NodeIncarnation| self.askers[l].claims[&budget.name].granted;
             if !parts.iter().any(|(l, p)| *p > granted(l)) {
@@ -554,14 +566,14 @@
 
     /// Where everything is, for operators; `leader` is who leads by the agreement's word.
     pub fn status(&self, leader: Option<String>, now: Micros) -> Status {
-        let plan = self.book.plan().cloned().unwrap_or_default();
+        let plan = self.state.plan().cloned().unwrap_or_default();
         let budgets = plan.budgets.iter().filter_map(|b| self.budget_status(b, &plan, now)).collect();
-        let kept = self.book.plans.iter().rev().skip(1).map(|p| p.version).collect();
+        let kept = self.state.plans.iter().rev().skip(1).map(|p| p.version).collect();
         Status {
             allocator: self.name.clone(),
             leader,
             plan: plan.version,
-            epoch: self.book.epoch,
+            epoch: self.state.epoch,
             kept,
             budgets,
             members: Vec::new(),
@@ -570,12 +582,12 @@
     }
 
     fn budget_status(&self, b: &Budget, plan: &Plan, now: Micros) -> Option<BudgetStatus> {
-        let ledger = self.book.ledgers.get(&b.name)?;
+        let ledger = self.state.ledgers.get(&b.name)?;
         let account = ledger.account();
         let claimed = |l: &NodeIncarnation| {
             self.askers.get(l).and_then(|a| a.claims.get(&b.name)).copied().unwrap_or_default()
         };
-        let mut lives: BTreeSet<NodeIncarnation> = ledger.lives().collect();
+        let mut lives: BTreeSet<NodeIncarnation> = ledger.holders().collect();
         lives.extend(self.askers.iter().filter(|(_, a)| a.claims.contains_key(&b.name)).map(|(l, _)| *l));
         let parts: Vec<PartStatus> = lives
             .iter()
@@ -585,7 +597,7 @@
                 amount: ledger.charge(*l),
                 demand: claimed(l).demand,
                 used: claimed(l).used,
-                number: ledger.newest(*l),
+                number: ledger.newest_number(*l),
                 received: self.askers.get(l).map(|a| now - a.received),
                 is_suspected: ledger.is_suspected(*l),
             })
@@ -593,7 +605,7 @@
         let beyond = |p: &PartStatus| if p.is_suspected { 0 } else { p.amount.saturating_sub(p.demand) };
         Some(BudgetStatus {
             name: b.name.clone(),
-            whole: account.whole,
+            total: account.total,
             reserved: account.reserved,
             granted: account.granted,
             surplus: parts.iter().map(beyond).sum(),
@@ -601,7 +613,7 @@
             free: account.free,
             debt: account.debt,
             used: parts.iter().map(|p| p.used).sum(),
-            number: ledger.last(),
+            number: ledger.last_number(),
             parts,
         })
     }
--- a/crates/quota/src/client.rs
+++ b/crates/quota/src/client.rs
@@ -1,8 +1,8 @@
 //! One node's side of all budgets: when it asks whom, what it may use now, and what it says as it leaves.
 
-use crate::config::{Bounds, Budget, Per, Plan};
+use crate::config::{Budget, BudgetKind, Per, Plan};
 use crate::lease::Holder;
-use crate::messages::{Claiming, Message};
+use crate::messages::{BudgetClaim, Message};
 use crate::{Grant, LeasePeriod, Micros, NodeIncarnation};
 use std::collections::BTreeMap;
 
@@ -19,7 +19,7 @@
 
 /// What a node did with a budget since it last said so.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Use {
+pub struct Usage {
     /// Units that were wanted since then; of what is in use at once, the most at any moment.
     pub wanted: u64,
     /// Units that were used since then; of what is in use at once, those in use.
@@ -40,7 +40,7 @@
     budget: Budget,
     holder: Holder,
     /// Wanted since the last asking, and the demand that was told then.
-    since: Use,
+    since: Usage,
     notified: u64,
     /// What was wanted lately, by the second or at once.
     mean: f64,
@@ -59,7 +59,7 @@
             Per::Second { .. } => 0,
             Per::Moment { .. } => self.holder.debt(self.since.used, now),
         };
-        let number = self.holder.goes_by();
+        let number = self.holder.in_force();
         let updates = debt == 0 && number != self.settled;
         self.settled = if updates { number } else { self.settled };
         updates.then_some(number)
@@ -69,7 +69,7 @@
     /// is wanted room for one is taken from another, and where it isn't room is lent. A jump, up or down, is told at once.
     fn demand(&self, span: Micros) -> (f64, u64) {
         // A home is wanted or not: a mean of it would keep it for seconds from the node that it belongs to.
-        if matches!(Bounds::of(&self.budget.name), Some(Bounds::Home(_))) {
+        if matches!(BudgetKind::of(&self.budget.name), Some(BudgetKind::Home(_))) {
             return (0.0, self.since.wanted);
         }
         let span = span.max(SOONEST) as f64;
@@ -89,12 +89,12 @@
     }
 
     fn is_home(&self) -> bool {
-        matches!(Bounds::of(&self.budget.name), Some(Bounds::Home(_)))
+        matches!(BudgetKind::of(&self.budget.name), Some(BudgetKind::Home(_)))
     }
 
     /// Use nothing more; what to tell of it, unless something is in use.
-    fn give_back(&mut self) -> Option<(String, u32, u64)> {
-        let (epoch, number) = self.holder.give_back();
+    fn release(&mut self) -> Option<(String, u32, u64)> {
+        let (epoch, number) = self.holder.release();
         let busy = matches!(self.budget.per, Per::Moment { .. }) && self.since.used > 0;
         (number > 0 && !busy).then(|| (self.budget.name.clone(), epoch, number))
     }
@@ -103,7 +103,7 @@
 /// One life of a node, and what it may use.
 #[derive(Clone, Debug)]
 pub struct QuotaClient {
-    life: NodeIncarnation,
+    incarnation: NodeIncarnation,
     plan: Plan,
     held: BTreeMap<String, Held>,
     /// Budgets that a file named no more. One that is named again goes on from here: what was on the way to it meanwhile would
@@ -127,10 +127,10 @@
 
 impl QuotaClient {
     /// One that starts now, with that file. `first` says which divider it asks first.
-    pub fn new(life: NodeIncarnation, plan: Plan, first: usize, now: Micros) -> QuotaClient {
+    pub fn new(incarnation: NodeIncarnation, plan: Plan, first: usize, now: Micros) -> QuotaClient {
         let allocator = first % plan.allocators.len().max(1);
         let mut quota_client = QuotaClient {
-            life,
+            incarnation,
             plan: Plan::default(),
             held: BTreeMap::new(),
             gone: BTreeMap::new(),
@@ -150,8 +150,8 @@
     }
 
     /// Which life it is.
-    pub fn life(&self) -> NodeIncarnation {
-        self.life
+    pub fn incarnation(&self) -> NodeIncarnation {
+        self.incarnation
     }
 
     /// The file that it goes by.
@@ -163,21 +163,21 @@
     pub fn replan(&mut self, plan: Plan, now: Micros) {
         let gone: Vec<String> =
             self.held.keys().filter(|n| plan.budgets.iter().all(|b| b.name != **n)).cloned().collect();
-        let mut of = Vec::new();
+        let mut grants = Vec::new();
         for (name, mut held) in gone.into_iter().filter_map(|name| self.held.remove_entry(&name)) {
-            of.extend(held.give_back());
+            grants.extend(held.release());
             (held.mean, held.notified, held.shrinks, held.since.wanted) = (0.0, 0, false, 0);
             self.gone.insert(name, held);
         }
-        if !of.is_empty() {
-            self.send(Message::Returns { life: self.life, of });
+        if !grants.is_empty() {
+            self.send(Message::Returns { holder: self.incarnation, grants });
         }
         for budget in &plan.budgets {
-            let term = plan.term_of(budget);
+            let term = plan.lease_period(budget);
             let new = || Held {
                 budget: budget.clone(),
-                holder: Holder::new(self.life, 0, term),
-                since: Use::default(),
+                holder: Holder::new(self.incarnation, 0, term),
+                since: Usage::default(),
                 notified: 0,
                 mean: 0.0,
                 settled: (0, 0),
@@ -203,7 +203,7 @@
     }
 
     /// This process has the node's address now, or has it no more.
-    pub fn own(&mut self, owns: bool, now: Micros) {
+    pub fn set_owns_address(&mut self, owns: bool, now: Micros) {
         self.owns = owns;
         self.reserves(now);
     }
@@ -216,11 +216,11 @@
             let over = match held.budget.per {
                 Per::Second { .. } => self.born,
                 Per::Moment { .. } => {
-                    self.born + self.plan.term_of(&held.budget).for_allocator() - self.plan.term
+                    self.born + self.plan.lease_period(&held.budget).for_allocator() - self.plan.term
                 }
             };
             let usable = self.owns && counted && now >= over && !self.left;
-            held.holder.reserve(if usable { held.budget.reserve } else { 0 });
+            held.holder.set_reserve(if usable { held.budget.reserve } else { 0 });
         }
     }
 
@@ -235,7 +235,7 @@
     }
 
     /// What was done with a budget, since this was last told.
-    pub fn used(&mut self, budget: &str, what: Use) {
+    pub fn record_usage(&mut self, budget: &str, what: Usage) {
         let Some(held) = self.held.get_mut(budget) else { return };
         let since = &mut held.since;
         match held.budget.per {
@@ -264,8 +264,9 @@
     pub fn lease(&self, budget: &str, now: Micros) -> Option<(Grant, Micros)> {
         let held = self.held.get(budget)?;
         let grant = held.holder.grant(now)?;
-        let length = LeasePeriod { length: grant.length, ..self.plan.term_of(&held.budget) }.for_holder();
-        Some((grant, held.holder.until()? - length))
+        let length =
+            LeasePeriod { length: grant.length, ..self.plan.lease_period(&held.budget) }.for_holder();
+        Some((grant, held.holder.expires_at()? - length))
     }
 
     /// What may be used of every budget now.
@@ -309,15 +310,15 @@
 
     /// What was given up is free for others as soon as nothing of it is in use: say so at once.
     fn settle(&mut self, now: Micros) {
-        let mut by = Vec::new();
+        let mut grants = Vec::new();
         for (name, held) in &mut self.held {
             let Some((epoch, number)) = held.settle(now) else { continue };
             if std::mem::take(&mut held.shrinks) {
-                by.push((name.clone(), epoch, number));
+                grants.push((name.clone(), epoch, number));
             }
         }
-        if !by.is_empty() {
-            self.send(Message::Goes { life: self.life, by });
+        if !grants.is_empty() {
+            self.send(Message::Acknowledge { holder: self.incarnation, grants });
         }
     }
 
@@ -335,26 +336,26 @@
                 Per::Second { .. } => held.since.used * 1_000_000 / span.max(SOONEST) as u64,
                 Per::Moment { .. } => held.since.used,
             };
-            claims.push(Claiming {
+            claims.push(BudgetClaim {
                 budget: name.clone(),
                 answers: held.holder.ask(now),
                 demand: held.notified,
                 used,
-                goes_by: held.settled,
+                in_force: held.settled,
             });
-            held.since = Use { wanted: 0, used: held.since.used };
+            held.since = Usage { wanted: 0, used: held.since.used };
             if matches!(held.budget.per, Per::Second { .. }) {
                 held.since.used = 0;
             }
         }
         (self.asked, self.answered, self.hurry) = (Some(now), false, false);
-        self.send(Message::Ask { life: self.life, plan: self.plan.version, claims });
+        self.send(Message::Ask { holder: self.incarnation, plan: self.plan.version, claims });
     }
 
     /// A divider has said something, the one of that place in the file. Whether what may be used has changed.
     pub fn receive(&mut self, from: usize, message: &Message, now: Micros) -> bool {
         match message {
-            Message::Grants { life, plan, grants } if *life == self.life && !self.left => {
+            Message::Grants { holder, plan, grants } if *holder == self.incarnation && !self.left => {
                 (self.answered, self.allocator, self.sent_on) = (true, from, 0);
                 self.agreed = Some(self.agreed.map_or(*plan, |v| v.max(*plan)));
                 if *plan >= self.plan.version {
@@ -367,16 +368,16 @@
                 for g in grants {
                     let Some(held) = self.held.get_mut(&g.budget) else { continue };
                     let before = held.holder.grant(now).map_or(0, |g| g.amount);
-                    held.shrinks |= held.holder.granted(g.to(*life), now) && g.amount < before;
+                    held.shrinks |= held.holder.accept(g.to(*holder), now) && g.amount < before;
                 }
                 self.settle(now);
                 true
             }
-            Message::Hurry { life } if *life == self.life => {
+            Message::AskAgain { holder } if *holder == self.incarnation => {
                 self.hurry = true;
                 false
             }
-            Message::Elsewhere { leader } => {
+            Message::NotLeader { leader } => {
                 let place = |name: &String| self.plan.allocators.iter().position(|d| d.name == *name);
                 let place =
                     leader.as_ref().and_then(place).filter(|p| *p != self.allocator && !self.answered);
@@ -393,17 +394,17 @@
     /// Hand everything back that is not in use: nothing begins any more, and nothing is asked for. What is still in use is
     /// counted until its grant has ended.
     pub fn leave(&mut self, now: Micros) {
-        let of: Vec<(String, u32, u64)> = self.held.values_mut().filter_map(Held::give_back).collect();
+        let grants: Vec<(String, u32, u64)> = self.held.values_mut().filter_map(Held::release).collect();
         self.left = true;
         self.reserves(now);
-        if !of.is_empty() {
-            self.send(Message::Returns { life: self.life, of });
+        if !grants.is_empty() {
+            self.send(Message::Returns { holder: self.incarnation, grants });
         }
     }
 
     /// When [`QuotaClient::pass`] has something to do next, or something may no longer be used.
     pub fn due(&self, now: Micros) -> Micros {
-        let ends = self.held.values().filter_map(|h| h.holder.until()).filter(|at| *at > now);
+        let ends = self.held.values().filter_map(|h| h.holder.expires_at()).filter(|at| *at > now);
         let asks = match self.asked {
             None => now,
             Some(_) if self.sent_on > 0 && self.hurry => now,
--- a/crates/quota/src/config.rs
+++ b/crates/quota/src/config.rs
@@ -24,7 +24,7 @@
 
 /// What a budget bounds, by its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bounds<'a> {
+pub enum BudgetKind<'a> {
     /// `quota:TENANT`: requests of that tenant that are sent on, their first attempts.
     Quota(&'a str),
     /// `flight:CLASS`: attempts of that class that are out.
@@ -43,25 +43,25 @@
     Connections,
 }
 
-impl Bounds<'_> {
+impl BudgetKind<'_> {
     /// What a budget of that name bounds, if it bounds anything.
-    pub fn of(name: &str) -> Option<Bounds<'_>> {
+    pub fn of(name: &str) -> Option<BudgetKind<'_>> {
         Some(match name.split_once(':') {
-            Some(("quota", tenant)) if !tenant.is_empty() => Bounds::Quota(tenant),
-            Some(("flight", class)) if !class.is_empty() => Bounds::Flight(class),
-            Some(("home", home)) if is_home(home) => Bounds::Home(home),
-            None if name == "retries" => Bounds::Retries,
-            None if name == "probes" => Bounds::Probes,
-            None if name == "lists" => Bounds::Lists,
-            None if name == "cold" => Bounds::Cold,
-            None if name == "connections" => Bounds::Connections,
+            Some(("quota", tenant)) if !tenant.is_empty() => BudgetKind::Quota(tenant),
+            Some(("flight", class)) if !class.is_empty() => BudgetKind::Flight(class),
+            Some(("home", home)) if is_home(home) => BudgetKind::Home(home),
+            None if name == "retries" => BudgetKind::Retries,
+            None if name == "probes" => BudgetKind::Probes,
+            None if name == "lists" => BudgetKind::Lists,
+            None if name == "cold" => BudgetKind::Cold,
+            None if name == "connections" => BudgetKind::Connections,
             _ => return None,
         })
     }
 
     /// Whether its units are in use for as long as something lasts, and not used up.
     fn by_moment(self) -> bool {
-        matches!(self, Bounds::Flight(_) | Bounds::Connections | Bounds::Home(_))
+        matches!(self, BudgetKind::Flight(_) | BudgetKind::Connections | BudgetKind::Home(_))
     }
 }
 
@@ -73,7 +73,7 @@
 
 /// One process of the fleet, and where datagrams reach it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Place {
+pub struct ProcessAddress {
     /// Its name, the same in all its lives.
     pub name: String,
     /// Its address; a divider takes connections there, too.
@@ -103,7 +103,8 @@
     /// What its units are counted by.
     pub per: Per,
     /// Units, over all nodes.
-    pub whole: u64,
+    #[serde(rename = "whole")]
+    pub total: u64,
     /// Units that each node has at least while it has a grant.
     pub floor: u64,
     /// Units that each node may use without a grant; counted inside the whole.
@@ -117,9 +118,9 @@
     pub version: u64,
     /// Those that divide; empty where only the division is looked at.
     #[serde(rename = "dividers")]
-    pub allocators: Vec<Place>,
+    pub allocators: Vec<ProcessAddress>,
     /// The nodes, where they are listed.
-    pub members: Vec<Place>,
+    pub members: Vec<ProcessAddress>,
     /// Nodes of the fleet, at most.
     pub nodes: u32,
     /// The length of a grant, in microseconds.
@@ -138,7 +139,7 @@
 
 impl Plan {
     /// For how long grants of a budget hold.
-    pub fn term_of(&self, budget: &Budget) -> LeasePeriod {
+    pub fn lease_period(&self, budget: &Budget) -> LeasePeriod {
         let longest = if let Per::Moment { longest } = budget.per { longest } else { 0 };
         LeasePeriod { length: self.term, drift_ppm: self.drift_ppm, longest }
     }
@@ -159,9 +160,9 @@
     ///
     /// # Errors
     /// Where they exceed the whole.
-    pub fn left(&self, budget: &Budget) -> Result<u64, FloorsError> {
+    pub fn shared_units(&self, budget: &Budget) -> Result<u64, FloorsError> {
         let fixed = u64::from(self.nodes).saturating_mul(budget.floor.saturating_add(budget.reserve));
-        budget.whole.checked_sub(fixed).ok_or(FloorsError { floors: fixed, whole: budget.whole })
+        budget.total.checked_sub(fixed).ok_or(FloorsError { floors: fixed, total: budget.total })
     }
 }
 
@@ -173,7 +174,7 @@
     shorepath_sexp::read(file, text, "budgets", |f| plan(f, Path::new(file)))
 }
 
-fn place(form: &Form) -> Place {
+fn place(form: &Form) -> ProcessAddress {
     let (name, text) = (form.word("a name"), form.word("an address with a port, in quotes"));
     form.finish();
     let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
@@ -181,11 +182,11 @@
         form.complain(format!("\"{text}\" is no address with a port"));
         nowhere
     });
-    Place { name, address }
+    ProcessAddress { name, address }
 }
 
 /// All lists of one kind; no two have one name, one number or one address, over all kinds.
-fn places(f: &Form, kind: &'static str, taken: &mut Vec<Place>) -> Vec<Place> {
+fn places(f: &Form, kind: &'static str, taken: &mut Vec<ProcessAddress>) -> Vec<ProcessAddress> {
     let mut all = Vec::new();
     for form in f.many(kind) {
         let place = place(&form);
@@ -250,13 +251,13 @@
                 true => Per::Moment { longest: form.time("longest", 0, 0..=DAY) },
                 false => Per::Second { burst: form.time("burst", 100_000, 0..=DAY) },
             },
-            whole: form.count("whole", 0, UNITS),
+            total: form.count("whole", 0, UNITS),
             floor: form.count("floor", 0, UNITS),
             reserve: form.count("reserve", 0, UNITS),
             name,
         };
         form.finish();
-        match Bounds::of(&budget.name) {
+        match BudgetKind::of(&budget.name) {
             None => form.complain(format!(
                 "{} bounds nothing; known: quota:TENANT, flight:CLASS, home:SITE/NODE, retries, probes, lists, cold, connections",
                 budget.name
@@ -270,14 +271,14 @@
         if !names.insert(budget.name.clone()) {
             form.complain(format!("the budget {} is given twice", budget.name));
         }
-        if budget.whole == 0 {
+        if budget.total == 0 {
             form.complain(format!("the budget {} needs a (whole UNITS) over 0", budget.name));
-        } else if let Err(e) = plan.left(&budget) {
+        } else if let Err(e) = plan.shared_units(&budget) {
             let text = format!("{}: floors and reserves of {} nodes: {e}", budget.name, plan.nodes);
             form.complain(text);
         }
-        let one = (budget.whole, budget.floor, budget.reserve) == (1, 0, 0);
-        if matches!(Bounds::of(&budget.name), Some(Bounds::Home(_))) && !one {
+        let one = (budget.total, budget.floor, budget.reserve) == (1, 0, 0);
+        if matches!(BudgetKind::of(&budget.name), Some(BudgetKind::Home(_))) && !one {
             form.complain(format!("{} is held by one node: (whole 1), and no reserve or floor", budget.name));
         }
         if moment && budget.per == (Per::Moment { longest: 0 }) {
--- a/crates/quota/src/lease.rs
+++ b/crates/quota/src/lease.rs
@@ -9,7 +9,7 @@
 /// One life's side of a budget.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Holder {
-    life: NodeIncarnation,
+    incarnation: NodeIncarnation,
     term: LeasePeriod,
     /// What it may use with or without a grant; the operators' file counts that inside the whole. It belongs to the one
     /// process that has the node's address.
@@ -23,8 +23,8 @@
 
 impl Holder {
     /// One that has only its reserve.
-    pub fn new(life: NodeIncarnation, reserve: u64, term: LeasePeriod) -> Holder {
-        Holder { life, term, reserve, asked: VecDeque::new(), count: 0, held: None, returned: (0, 0) }
+    pub fn new(incarnation: NodeIncarnation, reserve: u64, term: LeasePeriod) -> Holder {
+        Holder { incarnation, term, reserve, asked: VecDeque::new(), count: 0, held: None, returned: (0, 0) }
     }
 
     /// Ask for a grant, now: its time counts from here, so that a grant that was long on the way is short. The number that
@@ -40,7 +40,7 @@
 
     /// A grant has come. Whether it is gone by from now on; one that is for another life, older than what is held, given
     /// back, or over already, is not.
-    pub fn granted(&mut self, grant: Grant, now: Micros) -> bool {
+    pub fn accept(&mut self, grant: Grant, now: Micros) -> bool {
         let Some(&(_, asked)) = self.asked.iter().find(|(n, _)| *n == grant.answers) else { return false };
         let until = asked.saturating_add(LeasePeriod { length: grant.length, ..self.term }.for_holder());
         // Numbers of another fleet have no order beside these; that one gives nothing before all of the last one's has ended.
@@ -49,7 +49,7 @@
             Some((_, until)) => now >= until,
             None => grant.epoch != self.returned.0 || grant.number > self.returned.1,
         };
-        if grant.life != self.life || !newer || now >= until {
+        if grant.holder != self.incarnation || !newer || now >= until {
             return false;
         }
         self.held = Some((grant, until));
@@ -73,22 +73,22 @@
     }
 
     /// The fleet and the number of the grant that is gone by, or was last; 0 for none. It never goes back to an earlier one.
-    pub fn goes_by(&self) -> (u32, u64) {
+    pub fn in_force(&self) -> (u32, u64) {
         self.held.map_or(self.returned, |(g, _)| (g.epoch, g.number))
     }
 
     /// Another reserve holds from now on.
-    pub fn reserve(&mut self, reserve: u64) {
+    pub fn set_reserve(&mut self, reserve: u64) {
         self.reserve = reserve;
     }
 
     /// When it has to have another one.
-    pub fn until(&self) -> Option<Micros> {
+    pub fn expires_at(&self) -> Option<Micros> {
         self.held.map(|(_, until)| until)
     }
 
     /// Leave: nothing of any grant is used from now on. The fleet and the number up to which that holds.
-    pub fn give_back(&mut self) -> (u32, u64) {
+    pub fn release(&mut self) -> (u32, u64) {
         if let Some((grant, _)) = self.held.take() {
             self.returned = (grant.epoch, grant.number);
         }
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Account {
     /// All of them.
-    pub whole: u64,
+    pub total: u64,
     /// Kept for nodes without a grant.
     pub reserved: u64,
     /// Taken for used by lives that were heard of lately.
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Ledger {
     term: LeasePeriod,
-    whole: u64,
+    total: u64,
     reserved: u64,
     epoch: u32,
     last: u64,
@@ -47,11 +47,11 @@
 impl Ledger {
     /// Nothing granted yet. `reserved` units are kept for nodes that have no grant, all nodes together; they are counted
     /// inside the whole.
-    pub fn new(whole: u64, reserved: u64, term: LeasePeriod) -> Ledger {
+    pub fn new(total: u64, reserved: u64, term: LeasePeriod) -> Ledger {
         Ledger {
             term,
-            whole,
-            reserved: reserved.min(whole),
+            total,
+            reserved: reserved.min(total),
             epoch: 0,
             last: 0,
             out: BTreeMap::new(),
@@ -61,77 +61,77 @@
     }
 
     /// What a life has to be taken to use: the greatest of its grants, as it may not have heard of the last one.
-    pub fn charge(&self, life: NodeIncarnation) -> u64 {
-        self.out.get(&life).and_then(|all| all.iter().map(|o| o.grant.amount).max()).unwrap_or(0)
+    pub fn charge(&self, holder: NodeIncarnation) -> u64 {
+        self.out.get(&holder).and_then(|all| all.iter().map(|o| o.grant.amount).max()).unwrap_or(0)
     }
 
     /// Change what is out to a life, and the sum with it.
-    fn change(&mut self, life: NodeIncarnation, change: impl FnOnce(&mut Vec<Out>)) {
+    fn change(&mut self, holder: NodeIncarnation, change: impl FnOnce(&mut Vec<Out>)) {
         let greatest = |all: &[Out]| all.iter().map(|o| o.grant.amount).max().unwrap_or(0);
-        let all = self.out.entry(life).or_default();
+        let all = self.out.entry(holder).or_default();
         let before = greatest(all);
         change(all);
         let after = greatest(all);
         if all.is_empty() {
-            self.out.remove(&life);
-            self.dead.remove(&life);
+            self.out.remove(&holder);
+            self.dead.remove(&holder);
         }
         self.charged = self.charged.saturating_sub(before).saturating_add(after);
     }
 
     /// Where all units are.
     pub fn account(&self) -> Account {
-        let (whole, reserved, charged) = (self.whole, self.reserved, self.charged);
-        let withheld = self.dead.iter().map(|life| self.charge(*life)).sum();
+        let (total, reserved, charged) = (self.total, self.reserved, self.charged);
+        let withheld = self.dead.iter().map(|holder| self.charge(*holder)).sum();
         let used = reserved.saturating_add(charged);
         let granted = charged - withheld;
-        let (free, debt) = (whole.saturating_sub(used), used.saturating_sub(whole));
-        Account { whole, reserved, granted, withheld, free, debt }
+        let (free, debt) = (total.saturating_sub(used), used.saturating_sub(total));
+        Account { total, reserved, granted, withheld, free, debt }
     }
 
     /// The grant that would give a life so much, or as much of it as the others leave of the whole by all that they have to be
     /// taken to use. It counts once the fleet has agreed on it, see [`Ledger::enter`].
-    pub fn offer(&self, life: NodeIncarnation, wanted: u64, answers: u64) -> Grant {
+    pub fn offer(&self, holder: NodeIncarnation, wanted: u64, answers: u64) -> Grant {
         // Not what it has itself and what is free: a divider that took over counts grants that are long over, and would give
         // a life its own old part although another has that by now (found by the model).
-        let others = self.charged.saturating_sub(self.charge(life));
-        let most = self.whole.saturating_sub(self.reserved).saturating_sub(others);
+        let others = self.charged.saturating_sub(self.charge(holder));
+        let most = self.total.saturating_sub(self.reserved).saturating_sub(others);
         let (epoch, number) = (self.epoch, self.last + 1);
-        Grant { life, epoch, number, amount: wanted.min(most), answers, length: self.term.length }
+        Grant { holder, epoch, number, amount: wanted.min(most), answers, length: self.term.length }
     }
 
     /// The fleet has agreed on a grant; this divider knows of it now. One that was agreed on before is entered once.
-    pub fn enter(&mut self, grant: Grant, now: Micros) {
+    pub fn record(&mut self, grant: Grant, now: Micros) {
         if grant.number <= self.last {
             return;
         }
         self.last = grant.number;
         let until = now + self.counted(&grant);
-        self.dead.remove(&grant.life);
-        self.change(grant.life, |all| all.push(Out { grant, until }));
+        self.dead.remove(&grant.holder);
+        self.change(grant.holder, |all| all.push(Out { grant, until }));
     }
 
     /// A life has said that it goes by that grant: it never goes back to an earlier one.
-    pub fn taken(&mut self, life: NodeIncarnation, number: u64) {
-        if self.out.get(&life).is_some_and(|all| all.iter().any(|o| o.grant.number == number)) {
-            self.change(life, |all| all.retain(|o| o.grant.number >= number));
+    pub fn acknowledge(&mut self, holder: NodeIncarnation, number: u64) {
+        if self.out.get(&holder).is_some_and(|all| all.iter().any(|o| o.grant.number == number)) {
+            self.change(holder, |all| all.retain(|o| o.grant.number >= number));
         }
-        self.dead.remove(&life);
+        self.dead.remove(&holder);
     }
 
     /// A life has said that it uses nothing of that grant any more, nor of earlier ones, and never will.
-    pub fn returned(&mut self, life: NodeIncarnation, number: u64) {
-        if self.out.contains_key(&life) {
-            self.change(life, |all| all.retain(|o| o.grant.number > number));
+    pub fn release(&mut self, holder: NodeIncarnation, number: u64) {
+        if self.out.contains_key(&holder) {
+            self.change(holder, |all| all.retain(|o| o.grant.number > number));
         }
     }
 
     /// A life is thought dead, or heard of again. That frees nothing: it may only be cut off.
-    pub fn suspect(&mut self, life: NodeIncarnation, dead: bool) {
-        if dead && self.out.contains_key(&life) {
-            self.dead.insert(life);
+    pub fn suspect(&mut self, holder: NodeIncarnation, dead: bool) {
+        if dead && self.out.contains_key(&holder) {
+            self.dead.insert(holder);
         } else {
-            self.dead.remove(&life);
+            self.dead.remove(&holder);
         }
     }
 
@@ -139,8 +139,8 @@
     pub fn expire(&mut self, now: Micros) -> Option<Micros> {
         let over: Vec<NodeIncarnation> =
             self.out.iter().filter(|(_, all)| all.iter().any(|o| o.until <= now)).map(|(l, _)| *l).collect();
-        for life in over {
-            self.change(life, |all| all.retain(|o| o.until > now));
+        for holder in over {
+            self.change(holder, |all| all.retain(|o| o.until > now));
         }
         self.out.values().flatten().map(|o| o.until).min()
     }
@@ -152,7 +152,7 @@
 
     /// All grants that have to be taken for used, and the number of the last one ever entered: what another divider
     /// needs to go on from here, see [`Ledger::restore`].
-    pub fn kept(&self) -> (u64, Vec<Grant>) {
+    pub fn snapshot(&self) -> (u64, Vec<Grant>) {
         (self.last, self.out.values().flatten().map(|o| o.grant).collect())
     }
 
@@ -164,47 +164,47 @@
         self.charged = 0;
         for grant in grants {
             let until = now + self.counted(grant);
-            self.change(grant.life, |all| all.push(Out { grant: *grant, until }));
+            self.change(grant.holder, |all| all.push(Out { grant: *grant, until }));
         }
     }
 
     /// The fleet that gives from now on.
-    pub fn open(&mut self, epoch: u32) {
+    pub fn set_epoch(&mut self, epoch: u32) {
         self.epoch = epoch;
     }
 
     /// The number of the last grant entered.
-    pub fn last(&self) -> u64 {
+    pub fn last_number(&self) -> u64 {
         self.last
     }
 
     /// The greatest number of a life's grants, 0 for none.
-    pub fn newest(&self, life: NodeIncarnation) -> u64 {
-        self.out.get(&life).and_then(|all| all.iter().map(|o| o.grant.number).max()).unwrap_or(0)
+    pub fn newest_number(&self, holder: NodeIncarnation) -> u64 {
+        self.out.get(&holder).and_then(|all| all.iter().map(|o| o.grant.number).max()).unwrap_or(0)
     }
 
     /// Whether a life that has to be taken to use something is thought dead.
-    pub fn is_suspected(&self, life: NodeIncarnation) -> bool {
-        self.dead.contains(&life)
+    pub fn is_suspected(&self, holder: NodeIncarnation) -> bool {
+        self.dead.contains(&holder)
     }
 
     /// The operators' file has another whole, another reserve, or another term. What is granted stays granted, for as long
     /// as it was granted; what may still be in use after that is taken for the longest that was ever said.
-    pub fn resize(&mut self, whole: u64, reserved: u64, term: LeasePeriod) {
-        (self.whole, self.reserved) = (whole, reserved.min(whole));
+    pub fn resize(&mut self, total: u64, reserved: u64, term: LeasePeriod) {
+        (self.total, self.reserved) = (total, reserved.min(total));
         let longest = self.term.longest.max(term.longest);
         let drift_ppm = self.term.drift_ppm.max(term.drift_ppm);
         self.term = LeasePeriod { longest, drift_ppm, ..term };
     }
 
     /// What may be divided among lives that are heard of: the whole less the reserve and what is in doubt.
-    pub fn to_divide(&self) -> u64 {
+    pub fn divisible(&self) -> u64 {
         let a = self.account();
-        a.whole.saturating_sub(a.reserved).saturating_sub(a.withheld)
+        a.total.saturating_sub(a.reserved).saturating_sub(a.withheld)
     }
 
     /// All lives that have to be taken to use something.
-    pub fn lives(&self) -> impl Iterator<Item = NodeIncarnation> + '_ {
+    pub fn holders(&self) -> impl Iterator<Item = NodeIncarnation> + '_ {
         self.out.keys().copied()
     }
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -70,7 +70,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Grant {
     /// Whose.
-    pub life: NodeIncarnation,
+    #[serde(rename = "life")]
+    pub holder: NodeIncarnation,
     /// Which fleet gave it: drawn anew each time a fleet is founded, which is when its dividers begin with nothing. Numbers of
     /// different ones have no order; what one gave has ended before the next one gives anything.
     pub epoch: u32,
--- a/crates/quota/src/messages.rs
+++ b/crates/quota/src/messages.rs
@@ -6,7 +6,7 @@
 
 /// What a node says of one budget as it asks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Claiming {
+pub struct BudgetClaim {
     /// The budget.
     #[serde(rename = "b")]
     pub budget: String,
@@ -21,12 +21,12 @@
     pub used: u64,
     /// The fleet and the number of the grant that it goes by; 0 for none.
     #[serde(rename = "g", default)]
-    pub goes_by: (u32, u64),
+    pub in_force: (u32, u64),
 }
 
 /// A grant of one budget to the life that is told of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Granting {
+pub struct BudgetGrant {
     /// The budget.
     #[serde(rename = "b")]
     pub budget: String,
@@ -47,17 +47,17 @@
     pub length: Micros,
 }
 
-impl Granting {
+impl BudgetGrant {
     /// That grant of that budget.
-    pub fn of(budget: &str, grant: &Grant) -> Granting {
+    pub fn of(budget: &str, grant: &Grant) -> BudgetGrant {
         let Grant { epoch, number, amount, answers, length, .. } = *grant;
-        Granting { budget: budget.to_string(), epoch, number, amount, answers, length }
+        BudgetGrant { budget: budget.to_string(), epoch, number, amount, answers, length }
     }
 
     /// The grant, to the life that was told.
-    pub fn to(&self, life: NodeIncarnation) -> Grant {
-        let Granting { epoch, number, amount, answers, length, .. } = *self;
-        Grant { life, epoch, number, amount, answers, length }
+    pub fn to(&self, holder: NodeIncarnation) -> Grant {
+        let BudgetGrant { epoch, number, amount, answers, length, .. } = *self;
+        Grant { holder, epoch, number, amount, answers, length }
     }
 }
 
@@ -69,48 +69,53 @@
     Ask {
         /// Who.
         #[serde(flatten)]
-        life: NodeIncarnation,
+        holder: NodeIncarnation,
         /// The version of its file.
         plan: u64,
         /// Budgets.
         #[serde(rename = "c")]
-        claims: Vec<Claiming>,
+        claims: Vec<BudgetClaim>,
     },
     /// A node goes by those grants from now on, and never by earlier ones.
-    Goes {
+    #[serde(rename = "goes")]
+    Acknowledge {
         /// Who.
         #[serde(flatten)]
-        life: NodeIncarnation,
+        holder: NodeIncarnation,
         /// Budgets, with the fleets and numbers of the grants.
-        by: Vec<(String, u32, u64)>,
+        #[serde(rename = "by")]
+        grants: Vec<(String, u32, u64)>,
     },
     /// A node uses nothing of those grants any more, nor of earlier ones.
     Returns {
         /// Who.
         #[serde(flatten)]
-        life: NodeIncarnation,
+        holder: NodeIncarnation,
         /// Budgets, with the fleets and numbers of the grants.
-        of: Vec<(String, u32, u64)>,
+        #[serde(rename = "of")]
+        grants: Vec<(String, u32, u64)>,
     },
     /// A divider's answer.
     Grants {
         /// The life that it is for.
         #[serde(flatten)]
-        life: NodeIncarnation,
+        holder: NodeIncarnation,
         /// The version of the file that the fleet has agreed on.
         plan: u64,
         /// Budgets; none for what there is nothing of.
         #[serde(rename = "g")]
-        grants: Vec<Granting>,
+        grants: Vec<BudgetGrant>,
     },
     /// Somebody else is short of what this node has: ask again now.
-    Hurry {
+    #[serde(rename = "hurry")]
+    AskAgain {
         /// The life that is meant.
         #[serde(flatten)]
-        life: NodeIncarnation,
+        holder: NodeIncarnation,
     },
     /// This divider does not lead; the one named does, as far as it knows.
-    Elsewhere {
+    #[serde(rename = "elsewhere")]
+    NotLeader {
         /// The divider.
         leader: Option<String>,
     },
@@ -143,7 +148,8 @@
     /// Its name.
     pub name: String,
     /// All units.
-    pub whole: u64,
+    #[serde(rename = "whole")]
+    pub total: u64,
     /// Kept for nodes without a grant.
     pub reserved: u64,
     /// Granted to lives that were heard of lately.
--- a/crates/quota/tests/file.rs
+++ b/crates/quota/tests/file.rs
@@ -13,13 +13,15 @@
     assert_eq!((plan.allocators.len(), plan.members.len()), (3, 2));
     let flight = plan.budgets.iter().find(|b| b.name == "flight:actuator-cmd").unwrap();
     let per = Per::Moment { longest: 5_000_000 };
-    let wanted = Budget { name: flight.name.clone(), per, whole: 1200, floor: 1, reserve: 1 };
+    let wanted = Budget { name: flight.name.clone(), per, total: 1200, floor: 1, reserve: 1 };
     assert_eq!(*flight, wanted);
-    assert_eq!(plan.left(flight), Ok(600));
+    assert_eq!(plan.shared_units(flight), Ok(600));
     // What was begun under a grant runs on: its units are back that much later.
     let quota = &plan.budgets[0];
-    assert!(plan.term_of(flight).for_allocator() - plan.term_of(quota).for_allocator() >= 5_000_000);
-    assert_eq!(plan.term_of(flight).for_holder(), plan.term_of(quota).for_holder());
+    assert!(
+        plan.lease_period(flight).for_allocator() - plan.lease_period(quota).for_allocator() >= 5_000_000
+    );
+    assert_eq!(plan.lease_period(flight).for_holder(), plan.lease_period(quota).for_holder());
 }
 
 /// A key lies where the file does, unless its path says otherwise; neither it nor the fleet's name is agreed on.
--- a/crates/quota/tests/fleet.rs
+++ b/crates/quota/tests/fleet.rs
@@ -1,30 +1,30 @@
 //! One divider and one node's seat, each by itself.
 
 use shorepath_quota::allocator::{Allocator, Entry};
-use shorepath_quota::client::{QuotaClient, Use};
+use shorepath_quota::client::{QuotaClient, Usage};
 use shorepath_quota::config::{read, Plan};
-use shorepath_quota::messages::{Claiming, Granting, Message};
+use shorepath_quota::messages::{BudgetClaim, BudgetGrant, Message};
 use shorepath_quota::{NodeId, NodeIncarnation};
 
 const S: i64 = 1_000_000;
 
-fn plan(version: u64, whole: u64, reserve: u64) -> Plan {
+fn plan(version: u64, total: u64, reserve: u64) -> Plan {
     let text = format!(
         "(budgets (version {version}) (term 5 s) (divider d0 \"127.0.0.1:1\") (divider d1 \"127.0.0.1:2\")
            (node n0 \"127.0.0.1:3\") (node n1 \"127.0.0.1:4\")
-           (budget quota:a (whole {whole}) (reserve {reserve}))
+           (budget quota:a (whole {total}) (reserve {reserve}))
            (budget flight:v (per moment) (whole 8) (reserve 1) (longest 2 s)))"
     );
     read("b.sexp", &text).unwrap()
 }
 
-fn life(name: &str) -> NodeIncarnation {
+fn node_incarnation(name: &str) -> NodeIncarnation {
     NodeIncarnation { node: NodeId::of(name), incarnation: 1 }
 }
 
 fn ask(name: &str, plan: u64, answers: u64, demand: u64) -> Message {
-    let claim = Claiming { budget: "quota:a".into(), answers, demand, used: 0, goes_by: (0, 0) };
-    Message::Ask { life: life(name), plan, claims: vec![claim] }
+    let claim = BudgetClaim { budget: "quota:a".into(), answers, demand, used: 0, in_force: (0, 0) };
+    Message::Ask { holder: node_incarnation(name), plan, claims: vec![claim] }
 }
 
 /// Have what it proposes agreed on until it proposes nothing more.
@@ -32,7 +32,7 @@
     let mut all = Vec::new();
     while let Some(entry) = allocator.propose(now) {
         let changed = allocator.apply(&entry, now);
-        allocator.settled(&entry, changed, now);
+        allocator.complete_proposal(&entry, changed, now);
         all.push(entry);
     }
     all
@@ -40,7 +40,7 @@
 
 fn opened(file: Plan) -> Allocator {
     let mut allocator = Allocator::new("d0", file, 7);
-    allocator.lead(true);
+    allocator.set_leader(true);
     assert!(matches!(agree(&mut allocator, 0)[..], [Entry::Plan(_)]));
     assert!(agree(&mut allocator, 6 * S).is_empty(), "an earlier fleet's grants may still hold");
     assert_eq!(agree(&mut allocator, 8 * S), [Entry::Open(7)]);
@@ -50,12 +50,12 @@
 #[test]
 fn reserves_of_an_older_file_are_kept_until_every_node_goes_by_the_newer() {
     let mut allocator = opened(plan(1, 100, 20));
-    let reserved = |d: &Allocator| d.book().ledger("quota:a").unwrap().account().reserved;
+    let reserved = |d: &Allocator| d.state().ledger("quota:a").unwrap().account().reserved;
     assert_eq!(reserved(&allocator), 40);
-    allocator.file(plan(2, 100, 1));
+    allocator.set_plan(plan(2, 100, 1));
     let mut now = 9 * S;
     agree(&mut allocator, now);
-    assert_eq!((allocator.book().plan().unwrap().version, reserved(&allocator)), (2, 40));
+    assert_eq!((allocator.state().plan().unwrap().version, reserved(&allocator)), (2, 40));
     for (first, second, wanted) in [(1, 1, 40), (2, 1, 40), (2, 2, 2)] {
         now += S;
         allocator.receive(&ask("n0", first, now as u64, 5), now);
@@ -64,9 +64,9 @@
         assert_eq!(reserved(&allocator), wanted, "n0 by {first}, n1 by {second}");
     }
     // A file of an older version, read again by mistake, changes nothing.
-    allocator.file(plan(1, 100, 20));
+    allocator.set_plan(plan(1, 100, 20));
     agree(&mut allocator, now + S);
-    assert_eq!(allocator.book().plan().unwrap().version, 2);
+    assert_eq!(allocator.state().plan().unwrap().version, 2);
 }
 
 /// What was worked out before somebody else's grants were agreed on changes nothing, however late it is agreed on itself.
@@ -81,9 +81,9 @@
         new.receive(&ask(name, 1, answers, 40), now + answers as i64 * S);
         assert!(!agree(&mut new, now + answers as i64 * S).is_empty());
     }
-    let before = new.book().clone();
+    let before = new.state().clone();
     assert!(!new.apply(&late, now + 4 * S));
-    assert_eq!(*new.book(), before);
+    assert_eq!(*new.state(), before);
     assert!(old.apply(&late, now), "in its turn it would have held");
 }
 
@@ -95,13 +95,14 @@
     allocator.receive(&ask("n0", 1, 1, 1_000), 9 * S);
     allocator.receive(&ask("n1", 1, 1, 1_000), 9 * S);
     agree(&mut allocator, 9 * S);
-    let charge = |d: &Allocator, name: &str| d.book().ledger("quota:a").unwrap().charge(life(name));
+    let charge =
+        |d: &Allocator, name: &str| d.state().ledger("quota:a").unwrap().charge(node_incarnation(name));
     assert_eq!(
         (charge(&allocator, "stranger"), charge(&allocator, "n0"), charge(&allocator, "n1")),
         (0, 50, 50)
     );
-    let of = vec![("quota:a".to_string(), 7, 2)];
-    allocator.receive(&Message::Returns { life: life("n1"), of }, 10 * S);
+    let grants = vec![("quota:a".to_string(), 7, 2)];
+    allocator.receive(&Message::Returns { holder: node_incarnation("n1"), grants }, 10 * S);
     allocator.receive(&ask("n0", 1, 2, 1_000), 10 * S);
     agree(&mut allocator, 10 * S);
     assert_eq!((charge(&allocator, "n0"), charge(&allocator, "n1")), (100, 0));
@@ -110,19 +111,25 @@
 }
 
 fn grants(to: NodeIncarnation, plan: u64, answers: u64, amount: u64, number: u64) -> Message {
-    let g =
-        |budget: &str| Granting { budget: budget.into(), epoch: 1, number, amount, answers, length: 5 * S };
-    Message::Grants { life: to, plan, grants: vec![g("quota:a"), g("flight:v")] }
+    let g = |budget: &str| BudgetGrant {
+        budget: budget.into(),
+        epoch: 1,
+        number,
+        amount,
+        answers,
+        length: 5 * S,
+    };
+    Message::Grants { holder: to, plan, grants: vec![g("quota:a"), g("flight:v")] }
 }
 
 #[test]
 fn a_seat_uses_what_it_may_and_says_what_it_gave_up() {
-    let me = life("n0");
+    let me = node_incarnation("n0");
     let mut quota_client = QuotaClient::new(me, plan(1, 100, 3), 0, 0);
     let usable =
         |s: &QuotaClient, now| (s.usable("quota:a", now).unwrap(), s.usable("flight:v", now).unwrap());
     assert_eq!(usable(&quota_client, 0), (0, 0), "another process has the node's address");
-    quota_client.own(true, 0);
+    quota_client.set_owns_address(true, 0);
     assert_eq!(usable(&quota_client, 0), (3, 0), "an earlier life's jobs may still run");
     quota_client.pass(0);
     let asked = quota_client.take_outgoing();
@@ -132,14 +139,14 @@
     quota_client.pass(3 * S);
     assert_eq!(usable(&quota_client, 3 * S), (9, 7), "nothing of an earlier life is out any more");
     // Seven are out as the part shrinks to two: it is gone by once no more than three are.
-    quota_client.used("flight:v", Use { wanted: 7, used: 7 });
+    quota_client.record_usage("flight:v", Usage { wanted: 7, used: 7 });
     quota_client.pass(3 * S);
     quota_client.take_outgoing();
     quota_client.receive(0, &grants(me, 1, 2, 2, 11), 3 * S + 1_000);
     let goes = |s: &mut QuotaClient| {
         s.take_outgoing().into_iter().find_map(|s| {
-            if let Message::Goes { by, .. } = s.message {
-                Some(by)
+            if let Message::Acknowledge { grants, .. } = s.message {
+                Some(grants)
             } else {
                 None
             }
@@ -147,17 +154,17 @@
     };
     assert_eq!(goes(&mut quota_client), Some(vec![("quota:a".to_string(), 1, 11)]));
     assert_eq!(usable(&quota_client, 3 * S + 1_000), (5, 3));
-    quota_client.used("flight:v", Use { wanted: 4, used: 4 });
+    quota_client.record_usage("flight:v", Usage { wanted: 4, used: 4 });
     quota_client.pass(3 * S + 2_000);
     assert_eq!(goes(&mut quota_client), None);
-    quota_client.used("flight:v", Use { wanted: 3, used: 3 });
+    quota_client.record_usage("flight:v", Usage { wanted: 3, used: 3 });
     quota_client.pass(3 * S + 3_000);
     assert_eq!(goes(&mut quota_client), Some(vec![("flight:v".to_string(), 1, 11)]));
     // It leaves with three out: those are counted until their grant has ended.
     quota_client.leave(4 * S);
     let left = quota_client.take_outgoing();
     assert!(
-        matches!(&left[..], [s] if s.message == Message::Returns { life: me, of: vec![("quota:a".into(), 1, 11)] }),
+        matches!(&left[..], [s] if s.message == Message::Returns { holder: me, grants: vec![("quota:a".into(), 1, 11)] }),
         "{left:?}"
     );
     assert_eq!(usable(&quota_client, 4 * S), (0, 0));
@@ -166,9 +173,9 @@
 
 #[test]
 fn a_greater_reserve_is_used_once_the_dividers_count_it() {
-    let me = life("n0");
+    let me = node_incarnation("n0");
     let mut quota_client = QuotaClient::new(me, plan(1, 100, 3), 0, 0);
-    quota_client.own(true, 0);
+    quota_client.set_owns_address(true, 0);
     quota_client.pass(0);
     quota_client.receive(0, &grants(me, 1, 1, 5, 1), 1_000);
     quota_client.replan(plan(2, 100, 9), 2_000);
@@ -188,7 +195,7 @@
 /// It goes on to the next divider where one is silent, follows the one that is named, and is not sent to and fro for ever.
 #[test]
 fn a_seat_finds_the_divider_that_leads() {
-    let mut quota_client = QuotaClient::new(life("n0"), plan(1, 100, 3), 0, 0);
+    let mut quota_client = QuotaClient::new(node_incarnation("n0"), plan(1, 100, 3), 0, 0);
     let to = |s: &mut QuotaClient, now| {
         s.pass(now);
         s.take_outgoing().iter().map(|s| s.to).collect::<Vec<_>>()
@@ -196,7 +203,7 @@
     assert_eq!(to(&mut quota_client, 0), [0]);
     assert_eq!(to(&mut quota_client, 200_000), [0usize; 0], "it waits for an answer");
     assert_eq!(to(&mut quota_client, 300_000), [1]);
-    let elsewhere = |name: &str| Message::Elsewhere { leader: Some(name.into()) };
+    let elsewhere = |name: &str| Message::NotLeader { leader: Some(name.into()) };
     let mut now = 300_000;
     let mut sent = Vec::new();
     for k in 0..20 {
@@ -211,24 +218,26 @@
 #[test]
 fn two_nodes_with_one_name_are_two_lives() {
     let mut allocator = opened(plan(1, 100, 0));
-    let twin = NodeIncarnation { incarnation: 2, ..life("n0") };
+    let twin = NodeIncarnation { incarnation: 2, ..node_incarnation("n0") };
     for k in 1..=3 {
         let now = 8 * S + k * S;
         allocator.receive(&ask("n0", 1, k as u64, 1_000), now);
         let Message::Ask { plan, claims, .. } = ask("n0", 1, k as u64, 1_000) else { unreachable!() };
-        allocator.receive(&Message::Ask { life: twin, plan, claims }, now);
+        allocator.receive(&Message::Ask { holder: twin, plan, claims }, now);
         for entry in agree(&mut allocator, now) {
             let Entry::Grants { grants, .. } = entry else { continue };
             for (name, grant) in grants {
-                allocator
-                    .receive(&Message::Goes { life: grant.life, by: vec![(name, 7, grant.number)] }, now);
+                allocator.receive(
+                    &Message::Acknowledge { holder: grant.holder, grants: vec![(name, 7, grant.number)] },
+                    now,
+                );
             }
         }
-        let ledger = allocator.book().ledger("quota:a").unwrap();
-        assert!(ledger.charge(life("n0")) + ledger.charge(twin) <= 100);
+        let ledger = allocator.state().ledger("quota:a").unwrap();
+        assert!(ledger.charge(node_incarnation("n0")) + ledger.charge(twin) <= 100);
     }
-    let ledger = allocator.book().ledger("quota:a").unwrap();
-    assert_eq!((ledger.charge(life("n0")), ledger.charge(twin)), (50, 50));
+    let ledger = allocator.state().ledger("quota:a").unwrap();
+    assert_eq!((ledger.charge(node_incarnation("n0")), ledger.charge(twin)), (50, 50));
 }
 
 /// One unit over three hundred nodes is one node's at a time, and another's later.
@@ -238,7 +247,7 @@
     let text =
         format!("(budgets (term 1 s) (divider d0 \"127.0.0.1:1\") {nodes} (budget quota:a (whole 1)))");
     let mut allocator = Allocator::new("d0", read("b.sexp", &text).unwrap(), 7);
-    allocator.lead(true);
+    allocator.set_leader(true);
     agree(&mut allocator, 0);
     let (mut now, mut had) = (2 * S, std::collections::BTreeSet::new());
     for round in 1..=40 {
@@ -246,8 +255,8 @@
             allocator.receive(&ask(&format!("n{k}"), 1, round, 10), now);
         }
         agree(&mut allocator, now);
-        let ledger = allocator.book().ledger("quota:a").unwrap();
-        let out: Vec<NodeIncarnation> = ledger.lives().filter(|l| ledger.charge(*l) > 0).collect();
+        let ledger = allocator.state().ledger("quota:a").unwrap();
+        let out: Vec<NodeIncarnation> = ledger.holders().filter(|l| ledger.charge(*l) > 0).collect();
         assert!(out.len() <= 1, "{out:?}");
         had.extend(out);
         now += S / 4;
@@ -260,11 +269,11 @@
 fn words_of_another_version_are_understood() {
     let newer = r#"{"w":"ask","node":5,"incarnation":9,"plan":3,"zone":"a","c":[{"b":"probes","a":1,"d":2,"u":1,"g":[7,4],"x":true}]}"#;
     let older = r#"{"w":"ask","node":5,"incarnation":9,"plan":3,"c":[{"b":"probes","a":1,"d":2}]}"#;
-    let goes_by = |text: &str| match Message::read(text.as_bytes()).unwrap() {
-        Message::Ask { claims, .. } => claims[0].goes_by,
+    let in_force = |text: &str| match Message::read(text.as_bytes()).unwrap() {
+        Message::Ask { claims, .. } => claims[0].in_force,
         other => panic!("{other:?}"),
     };
-    assert_eq!((goes_by(newer), goes_by(older)), ((7, 4), (0, 0)));
+    assert_eq!((in_force(newer), in_force(older)), ((7, 4), (0, 0)));
     assert!(Message::read(br#"{"w":"sings"}"#).is_err() && Message::read(b"\xff").is_err());
     let message = ask("n0", 1, 2, 3);
     assert_eq!(Message::read(&message.bytes()).unwrap(), message);
@@ -273,7 +282,7 @@
 /// A budget that a file leaves out and the next one names again: askings go on counting, and what was on the way is not gone by.
 #[test]
 fn a_budget_that_comes_back_goes_on_counting() {
-    let me = life("n0");
+    let me = node_incarnation("n0");
     let mut quota_client = QuotaClient::new(me, plan(1, 100, 0), 0, 0);
     let asked = |s: &mut QuotaClient, now| {
         s.pass(now);
@@ -303,11 +312,11 @@
 fn the_largest_numbers_in_a_grant_are_borne() {
     let text = "(budgets (term 5 s) (drift-ppm 0) (divider d0 \"127.0.0.1:1\") (node n0 \"127.0.0.1:3\")
                   (budget quota:a (whole 100)))";
-    let me = life("n0");
+    let me = node_incarnation("n0");
     let mut quota_client = QuotaClient::new(me, read("b.sexp", text).unwrap(), 0, 0);
-    quota_client.own(true, S);
+    quota_client.set_owns_address(true, S);
     quota_client.pass(S);
-    let g = Granting {
+    let g = BudgetGrant {
         budget: "quota:a".into(),
         epoch: 1,
         number: u64::MAX,
@@ -315,8 +324,8 @@
         answers: 1,
         length: i64::MAX,
     };
-    quota_client.receive(0, &Message::Grants { life: me, plan: u64::MAX, grants: vec![g] }, S);
-    quota_client.used("quota:a", Use { wanted: 9, used: 9 });
+    quota_client.receive(0, &Message::Grants { holder: me, plan: u64::MAX, grants: vec![g] }, S);
+    quota_client.record_usage("quota:a", Usage { wanted: 9, used: 9 });
     quota_client.pass(2 * S);
     assert_eq!(quota_client.usable("quota:a", 2 * S), Some(u64::MAX));
 }
@@ -329,7 +338,7 @@
         let mut notified = Vec::new();
         while let Some(entry) = d.propose(now) {
             let changed = d.apply(&entry, now);
-            for outgoing in d.settled(&entry, changed, now) {
+            for outgoing in d.complete_proposal(&entry, changed, now) {
                 if let Message::Grants { plan, grants, .. } = outgoing.message {
                     let g = grants.iter().find(|g| g.budget == "quota:a");
                     notified.push((outgoing.to, plan, g.map(|g| (g.amount, g.number))));
@@ -344,7 +353,7 @@
     };
     let notified = ask_both(&mut allocator, 1, 1, 9 * S);
     assert!(notified.iter().all(|t| t.1 == 1 && t.2.is_some_and(|g| g.0 == 50)), "{notified:?}");
-    allocator.file(plan(2, 100, 10));
+    allocator.set_plan(plan(2, 100, 10));
     assert!(ask_both(&mut allocator, 2, 2, 10 * S).is_empty(), "the file is agreed on first");
     let notified = ask_both(&mut allocator, 2, 3, 11 * S);
     assert!(
@@ -352,8 +361,8 @@
         "{notified:?}"
     );
     for (to, _, g) in notified {
-        let by = vec![("quota:a".to_string(), 7, g.unwrap().1)];
-        allocator.receive(&Message::Goes { life: to, by }, 11 * S);
+        let grants = vec![("quota:a".to_string(), 7, g.unwrap().1)];
+        allocator.receive(&Message::Acknowledge { holder: to, grants }, 11 * S);
     }
     let notified = ask_both(&mut allocator, 2, 4, 12 * S);
     assert!(notified.len() == 2 && notified.iter().all(|t| t.1 == 2), "{notified:?}");
@@ -368,12 +377,12 @@
         (node n2 \"127.0.0.1:5\") (budget home:w/n0 (per moment) (whole 1) (longest 1 s)))";
     let file = read("b.sexp", text).unwrap();
     let mut allocator = Allocator::new("d0", file.clone(), 7);
-    allocator.lead(true);
+    allocator.set_leader(true);
     (0..8).for_each(|k| drop(agree(&mut allocator, k * S)));
-    let mut seats = ["n0", "n1", "n2"].map(|n| QuotaClient::new(life(n), file.clone(), 0, 0));
+    let mut seats = ["n0", "n1", "n2"].map(|n| QuotaClient::new(node_incarnation(n), file.clone(), 0, 0));
     let mut round = |now: i64, wants: [u64; 3]| {
         for (quota_client, wanted) in seats.iter_mut().zip(wants) {
-            quota_client.used("home:w/n0", Use { wanted, used: 0 });
+            quota_client.record_usage("home:w/n0", Usage { wanted, used: 0 });
             quota_client.pass(now);
             quota_client
                 .take_outgoing()
@@ -383,7 +392,7 @@
         for _ in 0..3 {
             while let Some(entry) = allocator.propose(now) {
                 let changed = allocator.apply(&entry, now);
-                for outgoing in allocator.settled(&entry, changed, now) {
+                for outgoing in allocator.complete_proposal(&entry, changed, now) {
                     for quota_client in &mut seats {
                         quota_client.receive(0, &outgoing.message, now);
                     }
--- a/crates/quota/tests/model.rs
+++ b/crates/quota/tests/model.rs
@@ -33,10 +33,10 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
-    Ask { life: NodeIncarnation, answers: u64, wanted: u64 },
+    Ask { holder: NodeIncarnation, answers: u64, wanted: u64 },
     Grant(Grant),
-    Taken { life: NodeIncarnation, number: u64 },
-    Returned { life: NodeIncarnation, number: u64 },
+    Taken { holder: NodeIncarnation, number: u64 },
+    Returned { holder: NodeIncarnation, number: u64 },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -82,7 +82,7 @@
     }
 }
 
-fn life(node: usize, incarnation: u64) -> NodeIncarnation {
+fn node_incarnation(node: usize, incarnation: u64) -> NodeIncarnation {
     NodeIncarnation { node: NodeId(node as u32), incarnation }
 }
 
@@ -105,7 +105,7 @@
         let mut all = Vec::new();
         for a in RATES {
             for d in RATES {
-                let holders = [0, 1].map(|n| Holder::new(life(n, 1), 0, self.holder_term()));
+                let holders = [0, 1].map(|n| Holder::new(node_incarnation(n, 1), 0, self.holder_term()));
                 all.push(State {
                     tick: 0,
                     rates: [a, 10, d],
@@ -130,7 +130,7 @@
         for (n, asks) in ASKS.iter().enumerate() {
             let next = asks.get(s.asked[n] as usize);
             actions.extend(next.map(|wanted| Step::Ask(n, *wanted)));
-            if s.holders[n].until().is_some() && n == 0 {
+            if s.holders[n].expires_at().is_some() && n == 0 {
                 actions.push(Step::Leave(n));
             }
             if s.lives[n] < 2 && n == 0 {
@@ -154,30 +154,30 @@
             Step::Ask(n, wanted) => {
                 s.asked[n] += 1;
                 let answers = s.holders[n].ask(s.clock(n));
-                s.messages.insert(Message::Ask { life: life(n, s.lives[n]), answers, wanted });
+                s.messages.insert(Message::Ask { holder: node_incarnation(n, s.lives[n]), answers, wanted });
             }
             Step::Leave(n) => {
-                let (_, number) = s.holders[n].give_back();
-                s.messages.insert(Message::Returned { life: life(n, s.lives[n]), number });
+                let (_, number) = s.holders[n].release();
+                s.messages.insert(Message::Returned { holder: node_incarnation(n, s.lives[n]), number });
             }
             Step::Restart(n) => {
                 s.lives[n] += 1;
-                s.holders[n] = Holder::new(life(n, s.lives[n]), 0, self.holder_term());
+                s.holders[n] = Holder::new(node_incarnation(n, s.lives[n]), 0, self.holder_term());
             }
             Step::More(n) => {
                 let now = s.clock(2);
                 s.more -= 1;
                 s.allocator.expire(now);
-                let answered = s.agreed.iter().rfind(|g| g.life.node.0 as usize == n)?;
-                let grant = s.allocator.offer(answered.life, WHOLE, answered.answers);
+                let answered = s.agreed.iter().rfind(|g| g.holder.node.0 as usize == n)?;
+                let grant = s.allocator.offer(answered.holder, WHOLE, answered.answers);
                 s.agreed.push(grant);
-                s.allocator.enter(grant, now);
+                s.allocator.record(grant, now);
                 s.messages.insert(Message::Grant(grant));
             }
             Step::Replace => {
                 let now = s.clock(2);
                 let mut next = Ledger::new(WHOLE, 0, TERM);
-                s.agreed.iter().for_each(|g| next.enter(*g, now));
+                s.agreed.iter().for_each(|g| next.record(*g, now));
                 if self.0 == Fault::EarlyRegrant {
                     next.expire(now + 1_000);
                 }
@@ -188,43 +188,44 @@
             }
             Step::Wake(message) => {
                 let now = s.clock(2);
-                let Message::Ask { life, answers, wanted } = message else { return None };
+                let Message::Ask { holder, answers, wanted } = message else { return None };
                 let old = s.replaced.as_mut()?;
                 old.expire(now);
-                let grant = old.offer(life, wanted, answers);
+                let grant = old.offer(holder, wanted, answers);
                 // The fleet would not agree to what one says that it has replaced; here it is not asked.
-                old.enter(grant, now);
+                old.record(grant, now);
                 s.messages.insert(Message::Grant(grant));
             }
             Step::Deliver(message) => {
                 let now = s.clock(2);
                 match message {
-                    Message::Ask { life, answers, wanted } => {
+                    Message::Ask { holder, answers, wanted } => {
                         s.allocator.expire(now);
-                        if s.agreed.iter().any(|g| g.life == life && g.answers == answers) {
+                        if s.agreed.iter().any(|g| g.holder == holder && g.answers == answers) {
                             return None; // answered already
                         }
-                        let mut grant = s.allocator.offer(life, wanted, answers);
+                        let mut grant = s.allocator.offer(holder, wanted, answers);
                         if self.0 == Fault::OwnCharge {
-                            grant.amount = wanted.min(s.allocator.charge(life) + s.allocator.account().free);
+                            grant.amount =
+                                wanted.min(s.allocator.charge(holder) + s.allocator.account().free);
                         }
                         s.agreed.push(grant);
-                        s.allocator.enter(grant, now);
+                        s.allocator.record(grant, now);
                         if self.0 == Fault::EarlyShrink {
-                            s.allocator.taken(life, grant.number);
+                            s.allocator.acknowledge(holder, grant.number);
                         }
                         s.messages.insert(Message::Grant(grant));
                     }
                     Message::Grant(grant) => {
-                        let n = grant.life.node.0 as usize;
+                        let n = grant.holder.node.0 as usize;
                         let at = s.clock(n);
-                        if !s.holders[n].granted(grant, at) {
+                        if !s.holders[n].accept(grant, at) {
                             return None;
                         }
-                        s.messages.insert(Message::Taken { life: grant.life, number: grant.number });
+                        s.messages.insert(Message::Taken { holder: grant.holder, number: grant.number });
                     }
-                    Message::Taken { life, number } => s.allocator.taken(life, number),
-                    Message::Returned { life, number } => s.allocator.returned(life, number),
+                    Message::Taken { holder, number } => s.allocator.acknowledge(holder, number),
+                    Message::Returned { holder, number } => s.allocator.release(holder, number),
                 }
             }
         }
--- a/crates/scheduler/src/quota.rs
+++ b/crates/scheduler/src/quota.rs
@@ -3,7 +3,7 @@
 use crate::event::{Request, WorkState};
 use crate::ids::{ClassId, RequestId, TenantId};
 use crate::request::{AttemptId, PendingRequest};
-use shorepath_quota::rate_limiter::Meter;
+use shorepath_quota::rate_limiter::TokenBucket;
 use shorepath_types::Micros;
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 struct TrackedShare {
     share: QuotaShare,
-    meter: Meter,
+    meter: TokenBucket,
     demand: u64,
     used: u64,
     /// Something had to wait for it.
@@ -74,7 +74,7 @@
 
 impl TrackedShare {
     fn new(share: QuotaShare, now: Micros) -> Self {
-        let meter = Meter::new(share.window, now);
+        let meter = TokenBucket::new(share.window, now);
         TrackedShare { share, meter, demand: 0, used: 0, is_short: Cell::new(false) }
     }
 
@@ -100,7 +100,7 @@
     /// These shares apply from now on; what was saved and what is in flight of a share stays with it.
     pub fn set(&mut self, now: Micros, shares: Vec<QuotaShare>) {
         for tracked in self.shares.values_mut() {
-            tracked.meter.pass(now, tracked.share.units);
+            tracked.meter.refill(now, tracked.share.units);
         }
         let mut before = std::mem::take(&mut self.shares);
         for share in shares {
@@ -153,12 +153,12 @@
     /// How long until a unit is available, if none is now.
     fn time_until_available(&mut self, now: Micros, kind: QuotaKind) -> Option<Micros> {
         let tracked = self.shares.get_mut(&kind)?;
-        tracked.meter.pass(now, tracked.share.units);
-        if tracked.meter.has() {
+        tracked.meter.refill(now, tracked.share.units);
+        if tracked.meter.has_token() {
             return None;
         }
         tracked.is_short.set(true);
-        Some(tracked.meter.next(tracked.share.units).map_or(NEVER, |at| (at - now).clamp(1, NEVER)))
+        Some(tracked.meter.next_token_at(tracked.share.units).map_or(NEVER, |at| (at - now).clamp(1, NEVER)))
     }
 
     fn spend(&mut self, kind: QuotaKind) {
@@ -180,9 +180,9 @@
     pub fn is_available(&self, now: Micros, kind: QuotaKind) -> bool {
         let Some(tracked) = self.shares.get(&kind) else { return true };
         let mut meter = tracked.meter;
-        meter.pass(now, tracked.share.units);
-        tracked.note_availability(meter.has());
-        meter.has()
+        meter.refill(now, tracked.share.units);
+        tracked.note_availability(meter.has_token());
+        meter.has_token()
     }
 
     /// Use what the next attempt of a request needs of all quotas; else how long it has to wait for that at least.
--- a/crates/sites/src/key_ownership.rs
+++ b/crates/sites/src/key_ownership.rs
@@ -14,7 +14,7 @@
 
 use crate::config::Plan;
 use crate::{Micros, Seen};
-use shorepath_quota::config::Bounds;
+use shorepath_quota::config::BudgetKind;
 use shorepath_quota::{Grant, LeasePeriod, NodeId};
 use siphasher::sip::SipHasher13;
 use std::collections::{BTreeMap, BTreeSet};
@@ -182,7 +182,7 @@
 
 /// Homes of the file without a budget, then budgets of homes that the file does not have; nothing where no budget is a home's.
 pub fn unmatched<'a>(plan: &Plan, budgets: impl Iterator<Item = &'a str>) -> (Vec<String>, Vec<String>) {
-    let named = |b: &&str| matches!(Bounds::of(b), Some(Bounds::Home(_)));
+    let named = |b: &&str| matches!(BudgetKind::of(b), Some(BudgetKind::Home(_)));
     let given: BTreeSet<String> = budgets.filter(named).map(str::to_string).collect();
     let ownership: BTreeSet<String> = plan.nodes().map(|(s, n)| budget(&s.name, &n.name)).collect();
     if given.is_empty() {
@@ -330,11 +330,11 @@
         term: LeasePeriod,
         now: Micros,
     ) -> bool {
-        let Some(Bounds::Home(home)) = Bounds::of(budget) else { return false };
+        let Some(BudgetKind::Home(home)) = BudgetKind::of(budget) else { return false };
         let Some(range) = self.ranges.iter_mut().find(|r| r.home == home) else { return false };
         let fence = Fence { epoch: grant.epoch, number: grant.number };
         let until = asked + LeasePeriod { length: grant.length, ..term }.for_holder();
-        if grant.life.node != NodeId(self.me) {
+        if grant.holder.node != NodeId(self.me) {
             return false;
         }
         // One of another epoch is given after all of the last one's has ended.
@@ -362,8 +362,8 @@
 
     /// This node goes by no grant of a range any more: it was given back, or taken for another.
     pub fn ended(&mut self, budget: &str) {
-        let home = match Bounds::of(budget) {
-            Some(Bounds::Home(home)) => home,
+        let home = match BudgetKind::of(budget) {
+            Some(BudgetKind::Home(home)) => home,
             _ => return,
         };
         self.ranges.iter_mut().filter(|r| r.home == home).for_each(|r| r.held = None);
--- a/crates/sites/tests/joint.rs
+++ b/crates/sites/tests/joint.rs
@@ -431,7 +431,7 @@
         s.allocator.expire(at + early);
         let grant = s.allocator.offer(life, wanted, answers);
         if grant.amount > 0 || s.allocator.charge(life) > 0 {
-            s.allocator.enter(grant, at);
+            s.allocator.record(grant, at);
             site.grant = Some(grant);
         }
     }
@@ -611,10 +611,10 @@
                 let at = clock(&s, n);
                 let site = Arc::make_mut(&mut s.sites[n]);
                 let grant = site.grant.take()?;
-                if site.holder.granted(grant, at) {
-                    let asked = site.holder.until()? - TERM.for_holder();
+                if site.holder.accept(grant, at) {
+                    let asked = site.holder.expires_at()? - TERM.for_holder();
                     site.ownership.granted(BUDGET, &grant, asked, TERM, at);
-                    s.allocator.taken(grant.life, grant.number);
+                    s.allocator.acknowledge(grant.holder, grant.number);
                 }
             }
             Step::Prove(n) => self.prove(&mut s, n),
--- a/crates/sites/tests/model.rs
+++ b/crates/sites/tests/model.rs
@@ -215,8 +215,9 @@
             }
             Step::BySight => {
                 let (now, life) = (clock(&s, 1), self.life(1, s.sites[1].life));
-                let number = s.allocator.last() + 1;
-                let grant = Grant { life, epoch: 0, number, amount: 1, answers: 0, length: TERM.length };
+                let number = s.allocator.last_number() + 1;
+                let grant =
+                    Grant { holder: life, epoch: 0, number, amount: 1, answers: 0, length: TERM.length };
                 s.sites[1].ownership.granted(BUDGET, &grant, now, TERM, now);
             }
             Step::Deliver(message) => {
@@ -224,7 +225,7 @@
                 match message {
                     Message::Ask { life, answers, wanted } => {
                         s.allocator.expire(now);
-                        if s.agreed.iter().any(|g| g.life == life && g.answers == answers) {
+                        if s.agreed.iter().any(|g| g.holder == life && g.answers == answers) {
                             return None; // answered already
                         }
                         let grant = s.allocator.offer(life, wanted, answers);
@@ -232,28 +233,28 @@
                             return None;
                         }
                         s.agreed.push(grant);
-                        s.allocator.enter(grant, now);
+                        s.allocator.record(grant, now);
                         s.messages.insert(Message::Grant(grant));
                     }
                     Message::Grant(grant) => {
-                        let n = usize::from(grant.life.node == self.life(1, 1).node);
+                        let n = usize::from(grant.holder.node == self.life(1, 1).node);
                         let at = clock(&s, n);
                         let site = &mut s.sites[n];
-                        if grant.life.incarnation != site.life {
+                        if grant.holder.incarnation != site.life {
                             return None;
                         }
-                        let took = site.holder.granted(grant, at);
+                        let took = site.holder.accept(grant, at);
                         let asked = match self.0 {
                             Fault::FromArrival => at,
-                            _ if took => site.holder.until()? - TERM.for_holder(),
+                            _ if took => site.holder.expires_at()? - TERM.for_holder(),
                             _ => return None,
                         };
                         let held = site.ownership.may_place(&self.2, at, |_| Proof::Clean).is_ok();
                         site.ownership.granted(BUDGET, &grant, asked, TERM, at);
                         site.goes_on = self.0 == Fault::GoesOn && held && grant.amount == 0;
-                        s.messages.insert(Message::Taken { life: grant.life, number: grant.number });
+                        s.messages.insert(Message::Taken { life: grant.holder, number: grant.number });
                     }
-                    Message::Taken { life, number } => s.allocator.taken(life, number),
+                    Message::Taken { life, number } => s.allocator.acknowledge(life, number),
                 }
             }
         }
@@ -266,7 +267,7 @@
             Property::always("placed once", |_, s: &State| s.placements < 2),
             Property::sometimes("an heir places what is proved", |w: &World, s: &State| w.may(s, 1)),
             Property::sometimes("it comes home again", |w: &World, s: &State| {
-                s.agreed.iter().any(|g| g.life.node == w.life(1, 1).node) && w.may(s, 0)
+                s.agreed.iter().any(|g| g.holder.node == w.life(1, 1).node) && w.may(s, 0)
             }),
         ]
     }
--- a/crates/sites/tests/plan.rs
+++ b/crates/sites/tests/plan.rs
@@ -370,7 +370,7 @@
     let mut ownership = KeyOwnership::new(me, &plan, &kept);
     let key = (0..).map(|k| format!("k{k}")).find(|k| ownership.home(k) == "s0/s0n0").unwrap();
     let life = NodeIncarnation { node: NodeId(me), incarnation: 1 };
-    let grant = |number| Grant { life, epoch: 7, number, amount: 1, answers: 1, length: 5 * S };
+    let grant = |number| Grant { holder: life, epoch: 7, number, amount: 1, answers: 1, length: 5 * S };
     let mut give = |number: u64, asked: i64, now: i64| {
         let took = ownership.granted("home:s0/s0n0", &grant(number), asked, term, now);
         (took, ownership.may_place(&key, now, |_| Proof::Unknown), ownership.clone())
@@ -401,7 +401,7 @@
     let me = before.node_named("s0n0").unwrap().number;
     let mut ownership = KeyOwnership::new(me, &before, &Kept::default());
     let life = NodeIncarnation { node: NodeId(me), incarnation: 1 };
-    let grant = Grant { life, epoch: 1, number: 1, amount: 1, answers: 1, length: 5 * S };
+    let grant = Grant { holder: life, epoch: 1, number: 1, amount: 1, answers: 1, length: 5 * S };
     assert!(ownership.granted(
         "home:s0/s0n0",
         &grant,
@@ -445,7 +445,7 @@
     let lease = |ownership: &mut KeyOwnership| {
         use shorepath_quota::{Grant, LeasePeriod, NodeId, NodeIncarnation};
         let life = NodeIncarnation { node: NodeId(me), incarnation: 1 };
-        let grant = Grant { life, epoch: 9, number: 1, amount: 1, answers: 1, length: 5 * S };
+        let grant = Grant { holder: life, epoch: 9, number: 1, amount: 1, answers: 1, length: 5 * S };
         let term = LeasePeriod { length: 5 * S, drift_ppm: 500, longest: S };
         ownership.granted("home:s0/s0n0", &grant, 0, term, 0);
         ownership.may_place(&key, 0, |_| Proof::Clean)
--- a/crates/sites/tests/sight/leases.rs
+++ b/crates/sites/tests/sight/leases.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::{Fleet, S};
 use shorepath_quota::allocator::Allocator;
-use shorepath_quota::client::{QuotaClient, Use};
+use shorepath_quota::client::{QuotaClient, Usage};
 use shorepath_quota::{config, NodeId, NodeIncarnation};
 use shorepath_sites::key_ownership::{budget, Gone, Kept, KeyOwnership, Proof};
 use shorepath_sites::Micros;
@@ -31,7 +31,7 @@
         }
         let file = config::read("b", &(text + ")")).unwrap();
         let mut allocator = Allocator::new("d", file.clone(), 7);
-        allocator.lead(true);
+        allocator.set_leader(true);
         let numbers: Vec<u32> = f.plan.nodes().map(|(_, n)| n.number).collect();
         let ownership: Vec<KeyOwnership> =
             numbers.iter().map(|n| KeyOwnership::new(*n, &f.plan, &Kept::default())).collect();
@@ -70,7 +70,7 @@
             let claims = self.ownership[k].claims(&self.f.plan, &gone, now);
             let quota_client = &mut self.seats[k];
             for name in self.file.budgets.iter().map(|b| &b.name) {
-                quota_client.used(name, Use { wanted: u64::from(claims.contains(name)), used: 0 });
+                quota_client.record_usage(name, Usage { wanted: u64::from(claims.contains(name)), used: 0 });
             }
             quota_client.pass(now);
             for outgoing in quota_client.take_outgoing() {
@@ -81,7 +81,7 @@
         }
         while let Some(entry) = self.allocator.propose(now) {
             let changed = self.allocator.apply(&entry, now);
-            for outgoing in self.allocator.settled(&entry, changed, now) {
+            for outgoing in self.allocator.complete_proposal(&entry, changed, now) {
                 for k in (0..3).filter(|k| !self.cut[*k] && !self.f.dead[*k]) {
                     self.seats[k].receive(0, &outgoing.message, now);
                 }
@@ -91,7 +91,7 @@
             for b in &self.file.budgets {
                 match self.seats[k].lease(&b.name, now) {
                     Some((grant, asked)) => {
-                        self.ownership[k].granted(&b.name, &grant, asked, self.file.term_of(b), now);
+                        self.ownership[k].granted(&b.name, &grant, asked, self.file.lease_period(b), now);
                     }
                     None => self.ownership[k].ended(&b.name),
                 }
--- a/src/ask.rs
+++ b/src/ask.rs
@@ -104,7 +104,7 @@
     }
     let head = ["budget", "whole", "granted", "used", "lent", "in doubt", "reserved", "free", "debt"];
     let cells = |b: &BudgetStatus| {
-        let figures = [b.whole, b.granted, b.used, b.surplus, b.withheld, b.reserved, b.free, b.debt];
+        let figures = [b.total, b.granted, b.used, b.surplus, b.withheld, b.reserved, b.free, b.debt];
         std::iter::once(b.name.clone()).chain(figures.map(|f| f.to_string())).collect::<Vec<_>>()
     };
     let rows: Vec<Vec<String>> =
--- a/src/main.rs
+++ b/src/main.rs
@@ -168,9 +168,9 @@
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
     let plan = budgets::read(&file.display().to_string(), &text)?;
     for b in &plan.budgets {
-        let (per, left) = (per(&b.per), plan.left(b)?);
+        let (per, left) = (per(&b.per), plan.shared_units(b)?);
         let (floors, reserves) = (b.floor * u64::from(plan.nodes), b.reserve * u64::from(plan.nodes));
-        println!("{}: {} {per}: {floors} floors, {reserves} reserves, {left} by demand", b.name, b.whole);
+        println!("{}: {} {per}: {floors} floors, {reserves} reserves, {left} by demand", b.name, b.total);
     }
     Ok(())
 }
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 use shorepath_audit::version::Content;
-use shorepath_quota::config::{Bounds, Budget, Plan};
+use shorepath_quota::config::{Budget, BudgetKind, Plan};
 use shorepath_scheduler::{SettingsError, SettingsObject};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -191,9 +191,9 @@
     /// The budgets of a plan that name a tenant or a class which the settings don't.
     pub fn strangers(&self, plan: &Plan) -> Vec<String> {
         let (_, names) = self.setup.to_settings();
-        let known = |b: &&Budget| match Bounds::of(&b.name) {
-            Some(Bounds::Quota(tenant)) => names.tenants.get(tenant).is_some(),
-            Some(Bounds::Flight(class)) => names.classes.get(class).is_some(),
+        let known = |b: &&Budget| match BudgetKind::of(&b.name) {
+            Some(BudgetKind::Quota(tenant)) => names.tenants.get(tenant).is_some(),
+            Some(BudgetKind::Flight(class)) => names.classes.get(class).is_some(),
             _ => true,
         };
         plan.budgets.iter().filter(|b| !known(b)).map(|b| b.name.clone()).collect()
--- a/src/net/exchange.rs
+++ b/src/net/exchange.rs
@@ -11,7 +11,7 @@
 use super::deadlines::Deadlines;
 use clock::Clock;
 use inner::{Inner, Taken};
-use shorepath_quota::config::Bounds;
+use shorepath_quota::config::BudgetKind;
 use shorepath_scheduler::{
     name_hash, AttemptStatus, ClassId, EndpointId, Event, Idempotency, KeyId, Micros, QuotaKind, QuotaShare,
     QuotaUsage, Request, RequestId, Scheduler, SettingsObject, TenantId,
@@ -118,14 +118,14 @@
 
     /// What a budget of that name bounds here, if it is anything that the module knows of.
     pub fn bound(&self, budget: &str) -> Option<QuotaKind> {
-        Some(match Bounds::of(budget)? {
-            Bounds::Quota(tenant) => QuotaKind::TenantRate(self.tenant(tenant)?),
-            Bounds::Flight(class) => QuotaKind::ClassConcurrency(self.class(class)?),
-            Bounds::Retries => QuotaKind::Retries,
-            Bounds::Probes => QuotaKind::Probes,
-            Bounds::Connections => QuotaKind::Connections,
-            Bounds::Cold => QuotaKind::SlowStart,
-            Bounds::Lists | Bounds::Home(_) => return None,
+        Some(match BudgetKind::of(budget)? {
+            BudgetKind::Quota(tenant) => QuotaKind::TenantRate(self.tenant(tenant)?),
+            BudgetKind::Flight(class) => QuotaKind::ClassConcurrency(self.class(class)?),
+            BudgetKind::Retries => QuotaKind::Retries,
+            BudgetKind::Probes => QuotaKind::Probes,
+            BudgetKind::Connections => QuotaKind::Connections,
+            BudgetKind::Cold => QuotaKind::SlowStart,
+            BudgetKind::Lists | BudgetKind::Home(_) => return None,
         })
     }
 
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -16,8 +16,8 @@
 use shorepath_membership::{Effect, MemberState, Membership, Peer};
 use shorepath_message_auth::advice;
 use shorepath_message_auth::channel::{Channel, Dropped};
-use shorepath_quota::client::{QuotaClient, Use};
-use shorepath_quota::config::{Bounds, Budget, Per, Place};
+use shorepath_quota::client::{QuotaClient, Usage};
+use shorepath_quota::config::{Budget, BudgetKind, Per, ProcessAddress};
 use shorepath_quota::messages::Message;
 use shorepath_quota::{ClockSkew, Micros, NodeId, NodeIncarnation};
 use shorepath_scheduler::QuotaShare;
@@ -188,7 +188,7 @@
             if owns && replaced {
                 // The next process takes the address, and the reserve with it; what this one has it serves by its grants.
                 (socket, owns) = (None, false);
-                self.quota_client.borrow_mut().own(false, self.now());
+                self.quota_client.borrow_mut().set_owns_address(false, self.now());
             }
             if !owns && !replaced && tried.is_none_or(|at| at.elapsed() >= BIND) {
                 tried = Some(Instant::now());
@@ -196,7 +196,7 @@
                     if let Ok(own) = UdpSocket::bind(address).await {
                         info!("this process is {} of the fleet, at {address}", self.name);
                         (socket, owns) = (Some(own), true);
-                        self.quota_client.borrow_mut().own(true, self.now());
+                        self.quota_client.borrow_mut().set_owns_address(true, self.now());
                     }
                 }
             }
@@ -259,18 +259,18 @@
             let of = self.exchange.bound(&name);
             let found = used.iter().find(|(bound, _)| Some(*bound) == of);
             let what = match found {
-                Some((_, what)) => Use { wanted: what.demand, used: what.used },
+                Some((_, what)) => Usage { wanted: what.demand, used: what.used },
                 None if name == "lists" => lists,
                 None => match self.key_leases.borrow().as_ref().and_then(|h| h.wants(&name)) {
                     Some(wanted) => {
-                        quota_client.used(&name, Use { wanted, used: 0 });
+                        quota_client.record_usage(&name, Usage { wanted, used: 0 });
                         continue;
                     }
                     None => continue,
                 },
             };
-            self.busy.set(self.busy.get() || what != Use::default());
-            quota_client.used(&name, what);
+            self.busy.set(self.busy.get() || what != Usage::default());
+            quota_client.record_usage(&name, what);
         }
     }
 
@@ -291,7 +291,7 @@
         let quota_client = self.quota_client.borrow();
         let (mut parts, mut bare, mut lists) = (Vec::new(), Vec::new(), None);
         for (budget, units) in quota_client.all_usable(now) {
-            let Budget { name, per, whole, .. } = budget;
+            let Budget { name, per, total, .. } = budget;
             let span = match per {
                 Per::Second { burst } => *burst,
                 Per::Moment { longest } => *longest,
@@ -299,9 +299,9 @@
             if name == "lists" {
                 lists = Some((units, span));
             } else if let Some(of) = self.exchange.bound(name) {
-                parts.push(QuotaShare { kind: of, units, total: *whole, window: span });
+                parts.push(QuotaShare { kind: of, units, total: *total, window: span });
             }
-            let home = matches!(Bounds::of(name), Some(Bounds::Home(_)));
+            let home = matches!(BudgetKind::of(name), Some(BudgetKind::Home(_)));
             if !home && !quota_client.is_granted(name, now) {
                 bare.push(name.clone());
             }
@@ -380,7 +380,8 @@
             }
             return;
         }
-        let divides = |d: &Place| d.address == from && sender.is_none_or(|s| s == NodeId::of(&d.name).0);
+        let divides =
+            |d: &ProcessAddress| d.address == from && sender.is_none_or(|s| s == NodeId::of(&d.name).0);
         let place = self.sharing.borrow().plan.allocators.iter().position(divides);
         match (place, Message::read(bytes)) {
             (Some(place), Ok(message)) => {
--- a/src/net/fleet/list_calls.rs
+++ b/src/net/fleet/list_calls.rs
@@ -1,8 +1,8 @@
 //! The part of the fleet's calls to discovery that this node may make.
 
 use crate::net::deadlines::Deadlines;
-use shorepath_quota::client::Use;
-use shorepath_quota::rate_limiter::Meter;
+use shorepath_quota::client::Usage;
+use shorepath_quota::rate_limiter::TokenBucket;
 use shorepath_quota::Micros;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -14,7 +14,7 @@
 /// The part of the fleet's calls to discovery that this node may make; none where that is not bounded.
 #[derive(Debug, Default)]
 pub struct ListCalls {
-    pub(super) part: RefCell<Option<(Meter, u64)>>,
+    pub(super) part: RefCell<Option<(TokenBucket, u64)>>,
     pub(super) origin: Cell<Option<Instant>>,
     pub(super) wanted: Cell<u64>,
     pub(super) used: Cell<u64>,
@@ -48,8 +48,8 @@
     pub(super) fn hold(&self, rate: u64, burst: Micros) {
         let now = self.now();
         let mut part = self.part.borrow_mut();
-        let (meter, before) = part.get_or_insert((Meter::new(burst, now), 0));
-        meter.pass(now, *before);
+        let (meter, before) = part.get_or_insert((TokenBucket::new(burst, now), 0));
+        meter.refill(now, *before);
         *before = rate;
     }
 
@@ -64,7 +64,7 @@
         loop {
             let now = self.now();
             let there = self.part.borrow_mut().as_mut().is_none_or(|(meter, rate)| {
-                meter.pass(now, *rate);
+                meter.refill(now, *rate);
                 meter.take()
             });
             if there {
@@ -74,8 +74,8 @@
         }
     }
 
-    pub(super) fn done(&self) -> Use {
+    pub(super) fn done(&self) -> Usage {
         // Guards against a call whose first asking was lost, or answered with nothing: what still waits is wanted on.
-        Use { wanted: self.wanted.take().max(self.waiting.get()), used: self.used.take() }
+        Usage { wanted: self.wanted.take().max(self.waiting.get()), used: self.used.take() }
     }
 }
--- a/src/net/key_leases.rs
+++ b/src/net/key_leases.rs
@@ -4,7 +4,7 @@
 use super::exchange::DispatchId;
 use shorepath_placements::history::History;
 use shorepath_quota::client::QuotaClient;
-use shorepath_quota::config::{Bounds, Plan as Budgets};
+use shorepath_quota::config::{BudgetKind, Plan as Budgets};
 use shorepath_quota::{ClockSkew, Micros, NodeId};
 use shorepath_sites::catch_up::{Message, Proving};
 use shorepath_sites::config::Plan;
@@ -17,7 +17,7 @@
 
 /// Whether a file of budgets names homes at all.
 pub fn named(budgets: &Budgets) -> bool {
-    budgets.budgets.iter().any(|b| matches!(Bounds::of(&b.name), Some(Bounds::Home(_))))
+    budgets.budgets.iter().any(|b| matches!(BudgetKind::of(&b.name), Some(BudgetKind::Home(_))))
 }
 
 /// This node's leases of ranges of keys.
@@ -75,7 +75,7 @@
 
     /// Whether one unit of a budget is wanted here; `None` for one that is no home.
     pub fn wants(&self, budget: &str) -> Option<u64> {
-        matches!(Bounds::of(budget), Some(Bounds::Home(_)))
+        matches!(BudgetKind::of(budget), Some(BudgetKind::Home(_)))
             .then(|| u64::from(self.wanted.borrow().contains(budget)))
     }
 
@@ -87,7 +87,7 @@
         for budget in quota_client.plan().budgets.iter().filter(|b| self.wants(&b.name).is_some()) {
             match quota_client.lease(&budget.name, now).filter(|_| wanted.contains(&budget.name)) {
                 Some((grant, asked)) => {
-                    let term = quota_client.plan().term_of(budget);
+                    let term = quota_client.plan().lease_period(budget);
                     ownership.granted(&budget.name, &grant, asked, term, now);
                 }
                 None => ownership.ended(&budget.name),
--- a/tests/golden/command_line.rs
+++ b/tests/golden/command_line.rs
@@ -149,7 +149,7 @@
     };
     let budget = |name: &str, free, debt, withheld| BudgetStatus {
         name: name.into(),
-        whole: 9,
+        total: 9,
         reserved: 2,
         granted: 2,
         surplus: 1,
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -21,8 +21,10 @@
 use shorepath_placements::hash_chain::{self, Digest, Piece};
 use shorepath_placements::history::{Base, History, Remembered};
 use shorepath_placements::{End, Placement, Timed, Writer};
-use shorepath_quota::allocator::{Allocator, Entry, Kept};
-use shorepath_quota::messages::{self as budgets, BudgetStatus, Claiming, Granting, PartStatus, Status};
+use shorepath_quota::allocator::{Allocator, Entry, StateSnapshot};
+use shorepath_quota::messages::{
+    self as budgets, BudgetClaim, BudgetGrant, BudgetStatus, PartStatus, Status,
+};
 use shorepath_quota::{Grant, NodeId, NodeIncarnation};
 use shorepath_recovery::incarnations::{self as recovery, Reply};
 use shorepath_scheduler::KeyId;
@@ -104,8 +106,9 @@
 }
 
 fn budget_messages() -> Vec<budgets::Message> {
-    let claim = Claiming { budget: "quota:acme".into(), answers: 9, demand: 70, used: 55, goes_by: (7, 12) };
-    let granting = Granting {
+    let claim =
+        BudgetClaim { budget: "quota:acme".into(), answers: 9, demand: 70, used: 55, in_force: (7, 12) };
+    let granting = BudgetGrant {
         budget: "quota:acme".into(),
         epoch: 7,
         number: 13,
@@ -115,18 +118,18 @@
     };
     let held = vec![("quota:acme".to_string(), 7, 13), ("flight:valve".to_string(), 7, 4)];
     vec![
-        budgets::Message::Ask { life: life(), plan: 3, claims: vec![claim] },
-        budgets::Message::Goes { life: life(), by: held.clone() },
-        budgets::Message::Returns { life: life(), of: held },
-        budgets::Message::Grants { life: life(), plan: 3, grants: vec![granting] },
-        budgets::Message::Hurry { life: life() },
-        budgets::Message::Elsewhere { leader: Some("d1".into()) },
-        budgets::Message::Elsewhere { leader: None },
+        budgets::Message::Ask { holder: life(), plan: 3, claims: vec![claim] },
+        budgets::Message::Acknowledge { holder: life(), grants: held.clone() },
+        budgets::Message::Returns { holder: life(), grants: held },
+        budgets::Message::Grants { holder: life(), plan: 3, grants: vec![granting] },
+        budgets::Message::AskAgain { holder: life() },
+        budgets::Message::NotLeader { leader: Some("d1".into()) },
+        budgets::Message::NotLeader { leader: None },
     ]
 }
 
 fn grant() -> Grant {
-    Grant { life: life(), epoch: 7, number: 13, amount: 60, answers: 9, length: 1_500_000 }
+    Grant { holder: life(), epoch: 7, number: 13, amount: 60, answers: 9, length: 1_500_000 }
 }
 
 /// What a divider has agreed on after a file, its opening and a grant.
@@ -153,7 +156,7 @@
     };
     let budget = BudgetStatus {
         name: "quota:acme".into(),
-        whole: 100,
+        total: 100,
         reserved: 10,
         granted: 60,
         surplus: 5,
@@ -192,8 +195,8 @@
     ] {
         samples.json("agreed", entry);
     }
-    samples.json("snapshot", allocator().book().kept());
-    samples.json("empty-snapshot", Kept::default());
+    samples.json("snapshot", allocator().state().snapshot());
+    samples.json("empty-snapshot", StateSnapshot::default());
     for name in ["n0", "n1", "d0", "en-node"] {
         samples.computed("node", NodeId::of(name).0);
     }
--- a/tests/node/fleet.rs
+++ b/tests/node/fleet.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use shorepath_message_auth::channel::Channel;
 use shorepath_message_auth::keyring::Keys;
-use shorepath_quota::messages::{BudgetStatus, Claiming, Granting, Message, PartStatus, Status};
+use shorepath_quota::messages::{BudgetClaim, BudgetGrant, BudgetStatus, Message, PartStatus, Status};
 use shorepath_quota::{NodeId, NodeIncarnation};
 use std::cell::RefCell;
 use std::io::{Read, Write};
@@ -71,9 +71,9 @@
         panic!("no such word");
     }
 
-    fn asked(&self) -> (NodeIncarnation, u64, Claiming, SocketAddr) {
+    fn asked(&self) -> (NodeIncarnation, u64, BudgetClaim, SocketAddr) {
         let ask = |w| {
-            if let Message::Ask { life, plan, mut claims } = w {
+            if let Message::Ask { holder: life, plan, mut claims } = w {
                 Some((life, plan, claims.remove(0)))
             } else {
                 None
@@ -96,7 +96,7 @@
         self.socket.set_nonblocking(false).unwrap();
         let (life, plan, claim, from) = self.asked();
         self.count += 1;
-        let grant = Granting {
+        let grant = BudgetGrant {
             budget: claim.budget,
             epoch: 7,
             number: self.count,
@@ -104,7 +104,7 @@
             answers: claim.answers,
             length: 1_000_000,
         };
-        let message = Message::Grants { life, plan, grants: vec![grant] };
+        let message = Message::Grants { holder: life, plan, grants: vec![grant] };
         let datagram = self.line.borrow_mut().seal(message.bytes());
         self.socket.send_to(&datagram, from).unwrap();
         (life, datagram, from)
@@ -143,7 +143,7 @@
     node.logs("all are granted");
     assert_eq!(served(&node, &mut server, "a", 4), 4);
     let ((), _) = allocator.hears(|w| match w {
-        Message::Ask { claims, .. } if claims[0].goes_by == (7, 1) && claims[0].demand > 0 => Some(()),
+        Message::Ask { claims, .. } if claims[0].in_force == (7, 1) && claims[0].demand > 0 => Some(()),
         _ => None,
     });
     // No answer comes any more: a term later the reserve is all, two a second.
@@ -153,7 +153,8 @@
     allocator.grant(30);
     node.logs("all are granted");
     node.terminate();
-    let (of, _) = allocator.hears(|w| if let Message::Returns { of, .. } = w { Some(of) } else { None });
+    let (of, _) =
+        allocator.hears(|w| if let Message::Returns { grants: of, .. } = w { Some(of) } else { None });
     assert_eq!(of, [("quota:acme".to_string(), 7, 2)]);
     assert!(node.exit().success());
 }
@@ -197,7 +198,7 @@
     node.logs("all are granted");
     let (life, received, to) = allocator.grants(39);
     // Were one of these believed, it would go by grant 9.
-    let grant = Granting {
+    let grant = BudgetGrant {
         budget: "quota:acme".into(),
         epoch: 7,
         number: 9,
@@ -205,22 +206,22 @@
         answers: u64::MAX,
         length: 1,
     };
-    let message = Message::Grants { life, plan: 1, grants: vec![grant] }.bytes();
+    let message = Message::Grants { holder: life, plan: 1, grants: vec![grant] }.bytes();
     for _ in 0..2 {
         let (stranger, earlier) = (coded(9, "5c").seal(message.clone()), received.clone());
         for datagram in [&message, &stranger, &earlier] {
             allocator.socket.send_to(datagram, to).unwrap();
         }
     }
-    let goes_by = |allocator: &Allocator, number| {
+    let in_force = |allocator: &Allocator, number| {
         let goes = |w| match w {
-            Message::Ask { claims, .. } if claims[0].goes_by.1 >= number => Some(claims[0].goes_by.1),
+            Message::Ask { claims, .. } if claims[0].in_force.1 >= number => Some(claims[0].in_force.1),
             _ => None,
         };
         assert_eq!(allocator.hears(goes).0, number);
     };
     allocator.grant(38);
-    goes_by(&allocator, 3);
+    in_force(&allocator, 3);
     write_keys(&allocator, &["5c", "4b"], 0o600);
     node.hang_up();
     let lines = node.logs_until("read again: version 1");
@@ -235,7 +236,7 @@
     let both = Keys::read(&["5c", "4b"].map(|k| k.repeat(32)).join("\n")).unwrap();
     allocator.line.borrow_mut().set(2, "tidal", Some(&both));
     allocator.grant(37);
-    goes_by(&allocator, 4);
+    in_force(&allocator, 4);
     allocator.line.replace(coded(3, "4b"));
     write_keys(&allocator, &["4b"], 0o640);
     node.hang_up();
@@ -331,7 +332,7 @@
     let parts = vec![part("n0", 2, 5, false), part("n1", 5, 0, true)];
     let budget = BudgetStatus {
         name: "probes".into(),
-        whole: 9,
+        total: 9,
         granted: 2,
         withheld: 5,
         reserved: 2,
--- a/tests/support/allocator.rs
+++ b/tests/support/allocator.rs
@@ -20,14 +20,14 @@
     let mut line = Channel::new(NodeId::of("d0").0, 1, "", None);
     let mut from: BTreeMap<NodeIncarnation, SocketAddr> = BTreeMap::new();
     let (begin, mut buffer) = (Instant::now(), [0; 4_000]);
-    allocator.lead(true);
+    allocator.set_leader(true);
     while !over.load(Ordering::Relaxed) {
         let now = |begin: Instant| begin.elapsed().as_micros() as i64;
         if let Ok((n, sender)) = socket.recv_from(&mut buffer) {
             let message =
                 line.open(&buffer[..n], 0).ok().and_then(|received| Message::read(received.sent).ok());
             if let Some(message) = message.filter(|_| !silent.load(Ordering::Relaxed)) {
-                if let Message::Ask { life, .. } = &message {
+                if let Message::Ask { holder: life, .. } = &message {
                     from.insert(*life, sender);
                 }
                 allocator.receive(&message, now(begin));
@@ -35,7 +35,7 @@
         }
         let Some(entry) = allocator.propose(now(begin)) else { continue };
         let agreed = allocator.apply(&entry, now(begin));
-        for outgoing in allocator.settled(&entry, agreed, now(begin)) {
+        for outgoing in allocator.complete_proposal(&entry, agreed, now(begin)) {
             if let Some(to) = from.get(&outgoing.to).filter(|_| !silent.load(Ordering::Relaxed)) {
                 let _ = socket.send_to(&line.seal(outgoing.message.bytes()), to);
             }
