--- a/crates/recovery/src/at_most_once.rs
+++ b/crates/recovery/src/at_most_once.rs
@@ -1,119 +1,123 @@
-//! What becomes of a request that must not run twice: it is sent once, under an epoch that no older grant can outlive, after its
-//! intent is on the disk; one that may have run is never sent again, by whomever it is asked again.
+//! Guards against running a request twice that must run at most once.
+//!
+//! A node sends such a request after its intent is on the disk, under an epoch newer than any earlier grant. A request that may
+//! have run is never sent again, by any node.
 
 use std::collections::BTreeMap;
 
-/// What is known of a request, or of what it is about.
+/// What a node knows of the request under one key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RequestState {
-    /// A peer has asked about it to send it itself: it is not sent from here.
+    /// A peer has asked for the key in order to send the request; this node doesn't send it.
     Ceded,
-    /// It was about to be sent: it may have run.
+    /// An intent to send the request was written.
     MayHaveRun,
-    /// It had that final answer, by its status.
+    /// The request has this final HTTP status.
     Answered(u16),
 }
 
-/// What becomes of it.
+/// The next step for an at-most-once request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Decision {
-    /// Write its intent, and send it once that is on the disk.
+    /// Write the intent; send the request once the intent is on the disk.
     Send,
-    /// Answer as it was answered.
+    /// Repeat the final answer with this HTTP status.
     Replay(u16),
-    /// Answer that it failed: it may have run.
+    /// Answer that the request failed and may have run.
     Failed,
-    /// Deny it; asking again is harmless. Nothing of this kind is sent now.
+    /// Reject the request unsent, so that a retry is harmless.
     Reject,
 }
 
-/// What one node knows of requests that must not run twice. Keys are what repeats are known by: a request's id, and what it
-/// is about where it says so.
+/// One node's knowledge of at-most-once requests.
+///
+/// A key identifies repeats: the request's id, or the idempotency key that it names.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Guard {
-    known: BTreeMap<String, RequestState>,
-    /// It acts under this epoch, if it may act at all.
+    states: BTreeMap<String, RequestState>,
+    /// The epoch that the node may send under; `None` while it may not send.
     epoch: Option<u64>,
-    /// The greatest that it ever acted under.
+    /// The greatest epoch that the node ever acted under, as found on the disk.
     floor: u64,
 }
 
 impl Guard {
-    /// One that begins with what the disk holds: what was about to be done and is not settled may have run.
+    /// Returns a guard with the disk's contents: the keys of `open` intents, final answers by key, and the greatest epoch used.
     pub fn new(
         open: impl IntoIterator<Item = String>,
         answered: impl IntoIterator<Item = (String, u16)>,
         floor: u64,
     ) -> Guard {
-        let mut known: BTreeMap<String, RequestState> =
+        let mut states: BTreeMap<String, RequestState> =
             open.into_iter().map(|k| (k, RequestState::MayHaveRun)).collect();
-        known.extend(answered.into_iter().map(|(k, status)| (k, RequestState::Answered(status))));
-        Guard { known, epoch: None, floor }
+        states.extend(answered.into_iter().map(|(k, status)| (k, RequestState::Answered(status))));
+        Guard { states, epoch: None, floor }
     }
 
-    /// A peer knows that of a key.
-    pub fn merge(&mut self, key: &str, what: RequestState) {
-        let known = self.known.entry(key.to_string()).or_insert(what);
-        // A final answer says more than that something may have run.
-        *known = (*known).max(what);
+    /// Merges a peer's knowledge of a key; a final answer takes precedence over `MayHaveRun`, and that over `Ceded`.
+    pub fn merge(&mut self, key: &str, received: RequestState) {
+        let state = self.states.entry(key.to_string()).or_insert(received);
+        *state = (*state).max(received);
     }
 
-    /// The fleet has an epoch in which it may act, or none any more. One that is not newer than what it ever acted under was
-    /// given before the loss.
+    /// Sets or clears the epoch to send under, and returns whether the node may send.
+    ///
+    /// An epoch no newer than the greatest one used before is ignored: it was granted before the restart.
     pub fn set_epoch(&mut self, epoch: Option<u64>) -> bool {
         self.epoch = epoch.filter(|e| *e > self.floor);
         self.epoch.is_some()
     }
 
-    /// The epoch that it acts under, which goes with each intent.
+    /// Returns the epoch to store with each intent; `None` while the node may not send.
     pub fn epoch(&self) -> Option<u64> {
         self.epoch
     }
 
-    /// What becomes of a request with those keys; `peers` is whether all who may know of them have been asked.
-    pub fn decide(&self, keys: &[&str], peers: bool) -> Decision {
-        let known = keys.iter().filter_map(|k| self.known.get(*k)).max();
-        match known {
+    /// Decides on a request with these keys; `peers_asked` is whether every peer that may know of them has answered.
+    pub fn decide(&self, keys: &[&str], peers_asked: bool) -> Decision {
+        let state = keys.iter().filter_map(|k| self.states.get(*k)).max();
+        match state {
             Some(RequestState::Answered(status)) => Decision::Replay(*status),
             Some(RequestState::MayHaveRun) => Decision::Failed,
             Some(RequestState::Ceded) => Decision::Reject,
-            None if self.epoch.is_some() && peers => Decision::Send,
+            None if self.epoch.is_some() && peers_asked => Decision::Send,
             None => Decision::Reject,
         }
     }
 
-    /// Its intent is on the disk: from now on it may have run.
+    /// Records that the intent is on the disk, so that the request may have run.
     pub fn record_intent(&mut self, keys: &[&str]) {
         for key in keys {
-            self.known.insert(key.to_string(), RequestState::MayHaveRun);
+            self.states.insert(key.to_string(), RequestState::MayHaveRun);
         }
     }
 
-    /// It never ran, which its server has proved: it may be sent, here or elsewhere.
+    /// Records the server's proof that the request never ran, which makes another attempt safe.
     pub fn record_never_ran(&mut self, keys: &[&str]) {
         for key in keys {
-            if self.known.get(*key) == Some(&RequestState::MayHaveRun) {
-                self.known.remove(*key);
+            if self.states.get(*key) == Some(&RequestState::MayHaveRun) {
+                self.states.remove(*key);
             }
         }
     }
 
-    /// It has its final answer.
+    /// Records the final HTTP status of a request.
     pub fn record_answer(&mut self, keys: &[&str], status: u16) {
         for key in keys {
             self.merge(key, RequestState::Answered(status));
         }
     }
 
-    /// A peer asks about a key, to send what it stands for itself: what is known of it. Where nothing is, it is the peer's from now
-    /// on, so that two that ask each other at once do not both send.
+    /// Answers a peer that wants to send the request with this key: the known state, or `None` if the key is ceded to the peer.
+    ///
+    /// Ceding guards against two nodes that ask each other at the same time and then both send.
     pub fn cede(&mut self, key: &str) -> Option<RequestState> {
-        let known = *self.known.entry(key.to_string()).or_insert(RequestState::Ceded);
-        (known != RequestState::Ceded).then_some(known)
+        let state = *self.states.entry(key.to_string()).or_insert(RequestState::Ceded);
+        (state != RequestState::Ceded).then_some(state)
     }
 
-    /// What is known of a key.
+    /// Returns the state of a key; `None` if the node knows nothing of it.
     pub fn state(&self, key: &str) -> Option<RequestState> {
-        self.known.get(key).copied()
+        self.states.get(key).copied()
     }
 }
--- a/crates/recovery/src/disk_trust.rs
+++ b/crates/recovery/src/disk_trust.rs
@@ -1,55 +1,56 @@
-//! What is believed of what the disk holds. The table with the reasons is in `docs/design/recovery.md`.
+//! How far data found on the disk is trusted after an outage. `docs/design/recovery.md` has the table with the reasons.
 
 use crate::Micros;
 use std::fmt;
 
+/// Microseconds in a day.
 const DAY: Micros = 86_400_000_000;
-/// Learned speeds and windows say something about servers for so long.
-const SPEEDS: Micros = DAY;
-/// A list tells whom to ask first for so long.
-const LIST: Micros = 10 * 60_000_000;
-/// Debts of tenants are forgotten after so long.
-const DEBTS: Micros = 60_000_000;
-/// An outage longer than this is taken for a clock that is wrong.
-const LONGEST: Micros = 90 * DAY;
-/// A clock that shows less than what was written last by more than this went backwards.
-const LEEWAY: Micros = 2_000_000;
+/// Learned speeds and concurrency windows are used up to this age, in microseconds.
+const SPEEDS_MAX_AGE: Micros = DAY;
+/// A stored server list is used up to this age, in microseconds.
+const LIST_MAX_AGE: Micros = 10 * 60_000_000;
+/// Token debts of tenants are kept up to this age, in microseconds.
+const DEBTS_MAX_AGE: Micros = 60_000_000;
+/// A longer outage, in microseconds, is attributed to a wrong clock.
+const MAX_OUTAGE: Micros = 90 * DAY;
+/// Clock steps backwards up to this size, in microseconds, count as an outage of zero.
+const CLOCK_TOLERANCE: Micros = 2_000_000;
 
-/// Something that is kept.
+/// A kind of data on the disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StoredItem {
-    /// Intents of requests that must not run twice.
+    /// Intents to send requests that must not run twice.
     Intents,
-    /// Final answers.
+    /// Final answers to such requests.
     Answers,
-    /// The greatest epoch that this node acted under.
+    /// The greatest epoch that this node has acted under.
     Epoch,
-    /// Grants and leases held.
+    /// Grants and leases that the node held.
     Leases,
-    /// Discovery's list.
+    /// The server list of discovery.
     List,
-    /// Learned speeds and windows.
+    /// Learned speeds and concurrency windows of servers.
     Speeds,
-    /// Debts of tenants.
+    /// Token debts of tenants.
     Debts,
-    /// Which servers were well.
+    /// Health states of servers.
     Health,
 }
 
-/// How far something is believed.
+/// How far a stored item is trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrustLevel {
-    /// It holds.
+    /// Still valid, used without a check.
     AsIs,
-    /// It is a beginning, until something newer is learned.
+    /// Used as an initial value until a newer one is learned.
     AsInitial,
-    /// Only if a peer or discovery says the same.
+    /// Used only if a peer or discovery confirms it.
     IfConfirmed,
-    /// It means nothing any more.
+    /// Discarded.
     Never,
 }
 
-/// As operators are shown it.
+/// The names on the operators' status page.
 impl fmt::Display for TrustLevel {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -61,34 +62,36 @@
     }
 }
 
-/// Whose disk this is, as it says.
+/// The identity that a disk claims for itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
-    /// The node that wrote it.
+    /// Name of the node that wrote the disk.
     pub node: String,
-    /// Drawn when it was made; a copy has the same.
+    /// Random number drawn when the disk was initialized; a copy of the disk has the same one.
     pub disk: u64,
-    /// How often a process has begun with it.
+    /// How many processes have started with the disk.
     pub boots: u64,
 }
 
-/// What there is to say about a disk before anything on it is believed.
+/// Whose data a disk holds, and whether anything is missing from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum DiskState {
-    /// It is this node's, and the last one that it wrote.
+    /// The last disk that this node wrote, complete.
     Own,
-    /// There is none, or nothing on it, or it can't be read.
+    /// Absent, empty or unreadable.
     Lost,
-    /// Another node wrote it.
+    /// Written by another node.
     Strange,
-    /// It is older than what peers remember of it: what came later is not on it.
+    /// Older than the disk that peers remember: later writes are missing.
     Old,
-    /// Another process lives with the same disk.
+    /// Also in use by another running process.
     Copied,
 }
 
-/// Judge a disk: by the node's own name, and what peers remember of it (how often a process began with it, and whether one lives
-/// with it now that is not this one).
+/// Classifies a disk by the node's name and by what peers report.
+///
+/// `remembered` is the boot count that peers remember for the disk, `lives_elsewhere` whether another process uses the same
+/// disk now.
 pub fn classify_disk(
     disk: Option<&Identity>,
     name: &str,
@@ -105,36 +108,37 @@
 }
 
 impl DiskState {
-    /// Whether all intents that this node ever wrote are on it.
+    /// Whether the disk holds every intent that this node has written.
     pub fn is_complete(self) -> bool {
         self == DiskState::Own
     }
 }
 
-/// How long the outage was, by the node's clock; `None` where that clock can't be believed: it shows less than what was written
-/// last, or an outage that nobody would have waited out.
+/// Returns the length of the outage in microseconds, by the node's clock.
+///
+/// `None` if the clock can't be trusted: it is behind the time of the last write, or the outage would be longer than 90 days.
 pub fn outage(written: Micros, now: Micros) -> Option<Micros> {
-    let gone = now - written;
-    (-LEEWAY..=LONGEST).contains(&gone).then_some(gone.max(0))
+    let elapsed = now - written;
+    (-CLOCK_TOLERANCE..=MAX_OUTAGE).contains(&elapsed).then_some(elapsed.max(0))
 }
 
-/// How far something on a disk is believed after an outage.
+/// Returns how far an item on a disk is trusted after an outage; an `outage` of `None` is of unknown length.
 pub fn trust_level(item: StoredItem, disk: DiskState, outage: Option<Micros>) -> TrustLevel {
     if matches!(disk, DiskState::Lost | DiskState::Strange) {
         return TrustLevel::Never;
     }
-    let within = |most: Micros| outage.is_some_and(|gone| gone <= most);
+    let within = |max_age: Micros| outage.is_some_and(|elapsed| elapsed <= max_age);
     match item {
-        // They are about what was done, which no time undoes, and a copy's or an old disk's are as true.
+        // Records of past requests stay true at any age, also on a copied or outdated disk.
         StoredItem::Intents | StoredItem::Answers => TrustLevel::AsIs,
-        // It only bounds from below what may be acted under now.
+        // The stored epoch is only a lower bound for the epochs that the node may act under.
         StoredItem::Epoch => TrustLevel::AsIs,
-        // Their time ran on; nobody knows for how long.
+        // Leases and health checks went out of date during the outage.
         StoredItem::Leases | StoredItem::Health => TrustLevel::Never,
-        StoredItem::List if within(LIST) => TrustLevel::AsInitial,
+        StoredItem::List if within(LIST_MAX_AGE) => TrustLevel::AsInitial,
         StoredItem::List => TrustLevel::IfConfirmed,
-        StoredItem::Speeds if within(SPEEDS) => TrustLevel::AsInitial,
-        StoredItem::Debts if within(DEBTS) && disk == DiskState::Own => TrustLevel::AsInitial,
+        StoredItem::Speeds if within(SPEEDS_MAX_AGE) => TrustLevel::AsInitial,
+        StoredItem::Debts if within(DEBTS_MAX_AGE) && disk == DiskState::Own => TrustLevel::AsInitial,
         StoredItem::Speeds | StoredItem::Debts => TrustLevel::Never,
     }
 }
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,10 +1,10 @@
-//! How a node comes back from a loss of power, choices only: no I/O, no clock, no randomness of its own.
+//! Recovery of a node after a power loss, as pure decisions: no I/O, no clock and no source of randomness.
 //!
-//! - [`disk_trust`]: what is believed of what the disk holds, and for how long;
-//! - [`incarnations`]: what nodes remember of each other's lives;
-//! - [`at_most_once`]: what becomes of a request that must not run twice;
-//! - [`phases`]: from dark to serving, with what each step waits for, for how long, and what then;
-//! - [`slow_start`]: how much is admitted while servers warm up, and when those are told to come back that are denied.
+//! - [`disk_trust`]: how far data found on the disk is trusted, and for how long;
+//! - [`incarnations`]: what nodes remember of each other's disks and processes;
+//! - [`at_most_once`]: how a request that must not run twice is handled;
+//! - [`phases`]: the phases from the start of the process to full service, with their timeouts;
+//! - [`slow_start`]: how much load is admitted while servers warm up, and when rejected clients retry.
 
 pub mod at_most_once;
 pub mod disk_trust;
--- a/crates/recovery/src/phases.rs
+++ b/crates/recovery/src/phases.rs
@@ -1,30 +1,30 @@
-//! From dark to serving: each step with what it waits for, for how long, and what then.
+//! The phases of a node's recovery, from the start of the process to full service, with their conditions and timeouts.
 
 use crate::disk_trust::DiskState;
 use crate::Micros;
 use std::fmt;
 
-/// Where a node stands.
+/// A phase of the recovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Phase {
-    /// Nothing has begun.
+    /// The recovery has not been started.
     NotStarted,
-    /// It reads its disk.
+    /// Reads the node's disk.
     Reading,
-    /// It asks peers and discovery.
+    /// Waits for replies of peers and for discovery's server list.
     Asking,
-    /// It takes in what they said.
+    /// Settles open intents and applies the peers' replies.
     CatchingUp,
-    /// It serves what may be repeated.
+    /// Serves idempotent requests only.
     Guarded,
-    /// It serves all.
+    /// Serves all requests.
     Serving,
 }
 
 impl fmt::Display for Phase {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Phase::NotStarted => "dark",
+            Phase::NotStarted => "not started",
             Phase::Reading => "reading",
             Phase::Asking => "asking",
             Phase::CatchingUp => "catching up",
@@ -34,99 +34,99 @@
     }
 }
 
-/// What may be served.
+/// The requests that a node admits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Admits {
-    /// Nothing: the door says that it is not ready.
+    /// No requests; the readiness check fails.
     Nothing,
-    /// What may be repeated.
+    /// Idempotent requests only.
     Repeatable,
-    /// All.
+    /// Idempotent and at-most-once requests.
     All,
 }
 
-/// How long each step may take, in microseconds.
+/// Timeouts of the phases, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Limits {
-    /// Reading the disk.
+    /// Limit for reading the disk.
     pub reading: Micros,
-    /// Until peers and discovery have answered.
+    /// Limit for replies of peers and discovery.
     pub asking: Micros,
-    /// Taking in what they said.
+    /// Limit for applying the peers' replies.
     pub catching_up: Micros,
-    /// What an earlier life, or a fleet before the loss, may still act under: no request that must not run twice is sent before.
+    /// Until grants from before the restart have expired; no at-most-once request is sent earlier.
     pub grant_expiry: Micros,
 }
 
-/// Something that was learned.
+/// An input to [`Recovery::observe`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Observation {
-    /// The disk has been read.
+    /// The disk was read and classified.
     DiskRead(DiskState),
-    /// Discovery's list has come in this life, with so many servers.
+    /// Discovery's list arrived in this process, with this number of servers.
     ServersListed(usize),
-    /// All peers that must be asked for what they know have answered.
+    /// Every required peer has replied.
     PeersReplied,
-    /// All that was open on the disk has been settled, and what peers said is taken in.
+    /// Open intents on the disk are settled and the peers' replies are applied.
     CaughtUp,
-    /// There is an epoch of this life to act under, or none any more.
+    /// Whether this process holds an epoch to act under.
     Epoch(bool),
-    /// An operator lets it go on from that step.
+    /// An operator ends the wait in this phase.
     Release(Phase),
 }
 
-/// One thing that happened, for the log: from where to where, and why.
+/// A change of phase, for the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Transition {
-    /// The step that it left.
+    /// The previous phase.
     pub from: Phase,
-    /// The step that it is in.
+    /// The new phase; equal to `from` if an operator only waived missing records.
     pub to: Phase,
-    /// Why.
+    /// The cause, for operators.
     pub reason: &'static str,
-    /// An operator did it.
+    /// Whether an operator caused the change.
     pub by_operator: bool,
 }
 
-/// A node on its way back.
+/// State machine of a node's recovery.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Recovery {
     limits: Limits,
     phase: Phase,
-    since: Micros,
-    began: Micros,
+    phase_since: Micros,
+    started: Micros,
     disk: Option<DiskState>,
     servers: usize,
-    peers: bool,
+    peers_replied: bool,
     caught_up: bool,
-    epoch: bool,
-    /// An operator has said that what may be missing on this disk does not matter.
-    excused: bool,
+    epoch_held: bool,
+    /// An operator has accepted that records may be missing on this disk.
+    missing_accepted: bool,
 }
 
 impl Recovery {
-    /// One that begins now.
+    /// Returns a recovery that starts now.
     pub fn new(limits: Limits, now: Micros) -> Recovery {
         Recovery {
             limits,
             phase: Phase::NotStarted,
-            since: now,
-            began: now,
+            phase_since: now,
+            started: now,
             disk: None,
             servers: 0,
-            peers: false,
+            peers_replied: false,
             caught_up: false,
-            epoch: false,
-            excused: false,
+            epoch_held: false,
+            missing_accepted: false,
         }
     }
 
-    /// Where it stands.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// What may be served.
+    /// Returns which requests the node admits now; none while the server list is empty.
     pub fn admits(&self) -> Admits {
         match self.phase {
             Phase::Guarded if self.servers > 0 => Admits::Repeatable,
@@ -135,22 +135,24 @@
         }
     }
 
-    /// What it waits for, in words for operators; `None` once it serves all.
+    /// Describes for operators what the recovery waits for; `None` once all requests are served.
     pub fn waits_for(&self, now: Micros) -> Option<&'static str> {
         Some(match self.phase {
-            Phase::NotStarted => "its beginning",
-            Phase::Reading => "its disk",
+            Phase::NotStarted => "its start",
+            Phase::Reading => "its disk to be read",
             Phase::Asking if self.servers == 0 => "discovery's list",
             Phase::Asking => "its peers",
-            Phase::CatchingUp => "what peers said to be taken in",
+            Phase::CatchingUp => "the replies of its peers to be applied",
             Phase::Guarded | Phase::Serving if self.servers == 0 => "servers",
-            Phase::Guarded if !self.is_complete() && !self.excused => {
-                "an operator: what must not run twice may be missing on its disk"
+            Phase::Guarded if !self.is_complete() && !self.missing_accepted => {
+                "an operator: records of at-most-once requests may be missing on its disk"
             }
-            Phase::Guarded if !self.peers => "its peers: they may know what must not run twice",
-            Phase::Guarded if !self.epoch => "an epoch of this life",
-            Phase::Guarded if now < self.free() => "what an earlier life may still act under to be over",
-            Phase::Guarded => "its turn",
+            Phase::Guarded if !self.peers_replied => {
+                "its peers: they may hold records of at-most-once requests"
+            }
+            Phase::Guarded if !self.epoch_held => "an epoch for this process",
+            Phase::Guarded if now < self.grants_expire_at() => "grants of an earlier process to expire",
+            Phase::Guarded => "the next check",
             Phase::Serving => return None,
         })
     }
@@ -159,29 +161,29 @@
         self.disk.is_some_and(DiskState::is_complete)
     }
 
-    /// From when on nothing of an earlier life can be acted under.
-    fn free(&self) -> Micros {
-        self.began + self.limits.grant_expiry
+    /// When the grants of earlier processes have expired.
+    fn grants_expire_at(&self) -> Micros {
+        self.started + self.limits.grant_expiry
     }
 
-    /// Something was learned.
-    pub fn observe(&mut self, updates: Observation, now: Micros) -> Vec<Transition> {
-        let mut moved = Vec::new();
-        match updates {
+    /// Applies an observation and returns the phase changes that follow.
+    pub fn observe(&mut self, observation: Observation, now: Micros) -> Vec<Transition> {
+        let mut transitions = Vec::new();
+        match observation {
             Observation::DiskRead(disk) => self.disk = Some(disk),
             Observation::ServersListed(servers) => self.servers = servers,
-            Observation::PeersReplied => self.peers = true,
+            Observation::PeersReplied => self.peers_replied = true,
             Observation::CaughtUp => self.caught_up = true,
-            Observation::Epoch(there) => self.epoch = there,
-            Observation::Release(phase) if phase == self.phase => moved.extend(self.release(now)),
-            // A word for a step that it has left meanwhile.
+            Observation::Epoch(held) => self.epoch_held = held,
+            Observation::Release(phase) if phase == self.phase => transitions.extend(self.release(now)),
+            // The node has left the released phase in the meantime.
             Observation::Release(_) => {}
         }
-        moved.extend(self.advance(now));
-        moved
+        transitions.extend(self.advance(now));
+        transitions
     }
 
-    /// An operator lets it go on. What must not run twice still waits for its epoch, and for what an earlier one could do.
+    /// Ends the wait in the current phase; at-most-once requests still wait for an epoch and for older grants to expire.
     fn release(&mut self, now: Micros) -> Option<Transition> {
         let next = match self.phase {
             Phase::NotStarted | Phase::Serving => return None,
@@ -192,78 +194,79 @@
             Phase::Asking => Phase::CatchingUp,
             Phase::CatchingUp => Phase::Guarded,
             Phase::Guarded => {
-                (self.excused, self.peers) = (true, true);
+                (self.missing_accepted, self.peers_replied) = (true, true);
                 return Some(Transition {
                     from: self.phase,
                     to: self.phase,
-                    reason: "what may be missing is excused",
+                    reason: "an operator accepted that records may be missing",
                     by_operator: true,
                 });
             }
         };
-        Some(self.go(next, now, "released", true))
+        Some(self.enter(next, now, "released by an operator", true))
     }
 
-    fn go(&mut self, to: Phase, now: Micros, reason: &'static str, by_operator: bool) -> Transition {
+    fn enter(&mut self, to: Phase, now: Micros, reason: &'static str, by_operator: bool) -> Transition {
         let from = std::mem::replace(&mut self.phase, to);
-        self.since = now;
+        self.phase_since = now;
         Transition { from, to, reason, by_operator }
     }
 
-    /// Time has passed. All steps that it has gone on.
+    /// Enters each phase that is due at `now`, and returns the changes.
     pub fn advance(&mut self, now: Micros) -> Vec<Transition> {
-        let mut all = Vec::new();
+        let mut transitions = Vec::new();
         while let Some((to, reason)) = self.next(now) {
-            all.push(self.go(to, now, reason, false));
+            transitions.push(self.enter(to, now, reason, false));
         }
-        all
+        transitions
     }
 
     fn next(&mut self, now: Micros) -> Option<(Phase, &'static str)> {
-        let late = |limit: Micros| now >= self.since + limit;
+        let timed_out = |limit: Micros| now >= self.phase_since + limit;
         match self.phase {
-            Phase::NotStarted => Some((Phase::Reading, "it has begun")),
-            Phase::Reading if self.disk.is_some() => Some((Phase::Asking, "its disk is read")),
-            Phase::Reading if late(self.limits.reading) => {
+            Phase::NotStarted => Some((Phase::Reading, "started")),
+            Phase::Reading if self.disk.is_some() => Some((Phase::Asking, "the disk was read")),
+            Phase::Reading if timed_out(self.limits.reading) => {
                 self.disk = Some(DiskState::Lost);
-                Some((Phase::Asking, "its disk takes too long and is taken for lost"))
-            }
-            Phase::Asking if self.servers > 0 && self.peers => {
-                Some((Phase::CatchingUp, "peers and discovery have answered"))
+                Some((Phase::Asking, "reading the disk timed out; the disk counts as lost"))
             }
-            // Without peers what may be repeated is served all the same; without a list nobody can be.
-            Phase::Asking if self.servers > 0 && late(self.limits.asking) => {
-                Some((Phase::CatchingUp, "peers have not answered in time"))
+            Phase::Asking if self.servers > 0 && self.peers_replied => {
+                Some((Phase::CatchingUp, "peers and discovery have replied"))
             }
-            Phase::CatchingUp if self.caught_up => Some((Phase::Guarded, "all is taken in")),
-            Phase::CatchingUp if late(self.limits.catching_up) => {
-                Some((Phase::Guarded, "taking in takes too long; what may be repeated need not wait"))
+            // Idempotent requests need a server list, but no peers.
+            Phase::Asking if self.servers > 0 && timed_out(self.limits.asking) => {
+                Some((Phase::CatchingUp, "peers did not reply in time"))
             }
-            Phase::Guarded if self.may_all(now) => {
-                Some((Phase::Serving, "an epoch of this life, and nothing older can be acted under"))
+            Phase::CatchingUp if self.caught_up => Some((Phase::Guarded, "replies of peers were applied")),
+            Phase::CatchingUp if timed_out(self.limits.catching_up) => Some((
+                Phase::Guarded,
+                "applying replies of peers timed out; idempotent requests need not wait",
+            )),
+            Phase::Guarded if self.may_serve_all(now) => {
+                Some((Phase::Serving, "an epoch is held and earlier grants have expired"))
             }
-            // An epoch that is gone takes what must not run twice with it.
-            Phase::Serving if !self.epoch => Some((Phase::Guarded, "its epoch is gone")),
+            // At-most-once requests need an epoch.
+            Phase::Serving if !self.epoch_held => Some((Phase::Guarded, "the epoch was lost")),
             _ => None,
         }
     }
 
-    fn may_all(&self, now: Micros) -> bool {
-        self.epoch
-            && self.peers
+    fn may_serve_all(&self, now: Micros) -> bool {
+        self.epoch_held
+            && self.peers_replied
             && self.caught_up
-            && (self.is_complete() || self.excused)
-            && now >= self.free()
+            && (self.is_complete() || self.missing_accepted)
+            && now >= self.grants_expire_at()
     }
 
-    /// When [`Recovery::advance`] has something to do at the latest.
+    /// Returns the latest time for the next call of [`Recovery::advance`]; `None` if none is needed.
     pub fn due(&self) -> Option<Micros> {
         match self.phase {
-            Phase::NotStarted => Some(self.since),
-            Phase::Reading => Some(self.since + self.limits.reading),
-            Phase::Asking => Some(self.since + self.limits.asking),
-            Phase::CatchingUp => Some(self.since + self.limits.catching_up),
-            Phase::Guarded => Some(self.free()),
+            Phase::NotStarted => Some(self.phase_since),
+            Phase::Reading => Some(self.phase_since + self.limits.reading),
+            Phase::Asking => Some(self.phase_since + self.limits.asking),
+            Phase::CatchingUp => Some(self.phase_since + self.limits.catching_up),
+            Phase::Guarded => Some(self.grants_expire_at()),
             Phase::Serving => None,
         }
     }
--- a/crates/recovery/src/slow_start.rs
+++ b/crates/recovery/src/slow_start.rs
@@ -1,44 +1,46 @@
-//! How much is admitted while servers warm up, and when those are told to come back that are denied.
+//! Load admission while servers warm up, and retry delays for the clients rejected meanwhile.
 
 use crate::Micros;
 
-/// A server, as far as warming up goes.
+/// A server that may still be warming up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmingServer {
-    /// When it last started; 0 for long ago.
+    /// When it last started, in microseconds; 0 or less if that was long ago.
     pub started: Micros,
-    /// How much it does when it is warm, in any unit.
+    /// Its capacity once warm, in any unit that all servers share.
     pub capacity: f64,
 }
 
-/// How servers warm up: with this share of their capacity at their start, evenly up to all of it after that time.
+/// Linear warm-up of a server after its start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStart {
-    /// The share at the start.
+    /// Share of the capacity that is available at the start, from 0 to 1.
     pub min_share: f64,
-    /// The time, in microseconds.
+    /// Time from the start to full capacity, in microseconds.
     pub duration: Micros,
 }
 
-/// The part of what all servers do warm that they can do now. Nothing without servers.
-pub fn warm_fraction(servers: &[WarmingServer], pace: SlowStart, now: Micros) -> f64 {
-    let whole: f64 = servers.iter().map(|s| s.capacity.max(0.0)).sum();
-    if whole <= 0.0 {
+/// Returns the available share of the servers' warm capacity, from 0 to 1; 0 without servers.
+pub fn warm_fraction(servers: &[WarmingServer], slow_start: SlowStart, now: Micros) -> f64 {
+    let total: f64 = servers.iter().map(|s| s.capacity.max(0.0)).sum();
+    if total <= 0.0 {
         return 0.0;
     }
-    let share = pace.min_share.clamp(0.0, 1.0);
-    let now_of = |s: &WarmingServer| {
-        let age = (now - s.started) as f64 / pace.duration.max(1) as f64;
+    let share = slow_start.min_share.clamp(0.0, 1.0);
+    let available = |s: &WarmingServer| {
+        let age = (now - s.started) as f64 / slow_start.duration.max(1) as f64;
         let warm = if s.started <= 0 { 1.0 } else { share + (1.0 - share) * age.clamp(0.0, 1.0) };
         s.capacity.max(0.0) * warm
     };
-    servers.iter().map(now_of).sum::<f64>() / whole
+    servers.iter().map(available).sum::<f64>() / total
 }
 
-/// When a client that is denied during the ramp is told to come back: spread evenly over what is left of it, and over as long again
-/// as clients are many, so that they do not come back together. `luck` is drawn from 0 to 1 by the caller.
-pub fn retry_delay(part: f64, pace: SlowStart, least: Micros, most: Micros, luck: f64) -> Micros {
-    let left = (1.0 - part.clamp(0.0, 1.0)) * pace.duration as f64;
-    let spread = least as f64 + luck.clamp(0.0, 1.0) * left.max(least as f64);
-    (spread as Micros).clamp(least, most.max(least))
+/// Returns the retry delay, in microseconds, for a client rejected during the warm-up.
+///
+/// Delays are spread over the remaining warm-up so that clients don't return all at once. `random` is uniform from 0 to 1;
+/// the delay is between `min` and `max`.
+pub fn retry_delay(fraction: f64, slow_start: SlowStart, min: Micros, max: Micros, random: f64) -> Micros {
+    let remaining = (1.0 - fraction.clamp(0.0, 1.0)) * slow_start.duration as f64;
+    let delay = min as f64 + random.clamp(0.0, 1.0) * remaining.max(min as f64);
+    (delay as Micros).clamp(min, max.max(min))
 }
--- a/tests/node/recovery.rs
+++ b/tests/node/recovery.rs
@@ -198,7 +198,7 @@
     }
     assert_eq!(nodes[1].call("POST", "/ops/recovery/release"), 200);
     nodes[1].logs("an operator releases step=\"guarded\"");
-    nodes[1].logs("why=\"what may be missing is excused\" by_hand=true");
+    nodes[1].logs("why=\"an operator accepted that records may be missing\" by_hand=true");
     nodes.iter().for_each(|n| until(n, "step \"serving\""));
     // What is served needs nobody's word any more.
     assert_eq!(nodes[1].call("POST", "/ops/recovery/release"), 409);
@@ -236,7 +236,7 @@
     let notified = notified(&node);
     assert!(notified.contains("loss \"of this node: others had power\""), "{notified}");
     assert!(
-        notified.contains("waits_for \"an operator: what must not run twice may be missing"),
+        notified.contains("waits_for \"an operator: records of at-most-once requests may be missing"),
         "{notified}"
     );
     assert_eq!(node.ask("free", "/zone-plan").message().status(), 200);
@@ -328,7 +328,7 @@
     assert_eq!(refusal(&refused), (503, Some("recovering: waits for discovery's list")));
     drop(node);
     let node = fleet.start(0, &[server.address], &[]);
-    node.logs("why=\"peers have not answered in time\"");
+    node.logs("why=\"peers did not reply in time\"");
     until(&node, "peer n1 Silent");
     until(&node, "step \"guarded\"");
     assert_eq!(node.ask("a", "/zone-plan").message().status(), 200);
@@ -400,7 +400,7 @@
     let nodes = fleet.start_all(&[0, 1], &[server.address]);
     until(&nodes[0], "step \"guarded\"");
     assert_eq!(nodes[0].call("POST", "/ops/recovery/release"), 200);
-    until(&nodes[0], "waits_for \"what an earlier life may still act under to be over\"");
+    until(&nodes[0], "waits_for \"grants of an earlier process to expire\"");
     until(&nodes[0], "peer n1 Counts");
     assert_eq!(nodes[0].call("POST", "/ops/recovery/release"), 409);
     assert_eq!(guarded(&nodes[0], "k").status(), 503);
@@ -577,8 +577,8 @@
                 node,
                 match kept[k] {
                     _ if kept == [Kept::Own; 5] => "step \"serving\"",
-                    Kept::Own => "waits_for \"its peers: they may know what must not run twice\"",
-                    _ => "waits_for \"an operator: what must not run twice may be missing on its disk\"",
+                    Kept::Own => "waits_for \"its peers: they may hold records of at-most-once requests\"",
+                    _ => "waits_for \"an operator: records of at-most-once requests may be missing on its disk\"",
                 },
             );
         }
