--- a/crates/audit/src/audit_log.rs
+++ b/crates/audit/src/audit_log.rs
@@ -1,7 +1,7 @@
-//! What a node writes down of its versions and decisions: entries bound by hashes, bounded in size.
+//! A node's log of its versions and decisions: a hash chain of entries, bounded in size.
 //!
-//! [`AuditLog`] says what is to be written and dropped; the shell writes, and says when it is on the disk. A crash leaves a prefix of what was
-//! written. [`verify`] finds an entry that was changed, left out or put in, and names it.
+//! [`AuditLog`] returns what to write and what to drop; the caller does the I/O. A crash leaves a prefix of the written entries.
+//! [`verify`] reports the first entry that was changed, removed or inserted.
 
 use crate::version::{Item, VersionChange, VersionError, VersionVector};
 use crate::Micros;
@@ -10,10 +10,10 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// An entry is this many bytes at most.
+/// Largest size of an encoded entry, in bytes.
 pub const MAX_ENTRY_BYTES: usize = 4_096;
 
-/// Stands for an entry and all before it (SHA-256).
+/// Chained SHA-256 of an entry and all entries before it.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Digest(pub [u8; 32]);
 
@@ -23,27 +23,27 @@
     }
 }
 
-/// The number of an entry, and what stands for it and all before it.
+/// A position in a hash chain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ChainPoint {
-    /// The entry's number; 0 is before the first one.
+    /// Number of the entry; 0 is the origin, before the first entry.
     pub number: u64,
-    /// What stands for it and all before it.
+    /// Digest of the entry and all entries before it.
     pub digest: Digest,
 }
 
 impl ChainPoint {
-    /// The point before the first entry of a node's record; `life` is drawn when the record is founded.
-    pub fn origin(node: &str, life: u64) -> ChainPoint {
+    /// Returns the origin of a node's log; `log_id` is drawn at random when the log is created.
+    pub fn origin(node: &str, log_id: u64) -> ChainPoint {
         let mut hash = Sha256::new();
         hash.update(b"shorepath audit 1");
         hash.update((node.len() as u64).to_be_bytes());
         hash.update(node.as_bytes());
-        hash.update(life.to_be_bytes());
+        hash.update(log_id.to_be_bytes());
         ChainPoint { number: 0, digest: Digest(hash.finalize().into()) }
     }
 
-    /// The point of the entry that comes next.
+    /// Returns the position of the next entry, given its bytes.
     pub fn successor(&self, entry: &[u8]) -> ChainPoint {
         let mut hash = Sha256::new();
         hash.update(self.digest.0);
@@ -52,230 +52,233 @@
     }
 }
 
-/// ChangeSource a version was taken over.
+/// What caused a change of version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ChangeSource {
-    /// The process began with it.
+    /// The start of the process.
     Start,
-    /// An operator handed it to this node (SIGHUP).
+    /// An operator's reload of this node (SIGHUP).
     Operator,
-    /// Discovery told it.
+    /// An update from discovery.
     Discovery,
-    /// Other nodes told it.
+    /// An update from other nodes.
     Peers,
-    /// The dividers' agreement.
+    /// The consensus of the quota servers.
     Agreement,
 }
 
-/// A single decision.
+/// The decision on one request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Decision {
-    /// Stands for the request's id under the fleet's key: the same at each node.
+    /// Keyed hash of the request's id, see [`crate::decision_counters::request_tag`].
     pub request: u64,
-    /// Its class.
+    /// The request's class.
     pub class: String,
-    /// The server, by its id in the list; none where it was not sent.
+    /// Id of the server in discovery's list; `None` if the request was not sent.
     pub server: Option<String>,
-    /// ChangeSource, in few words.
+    /// The decision and its reason, in a few words.
     pub reason: String,
 }
 
-/// One entry.
+/// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Entry {
-    /// A process begins to write, with these versions.
+    /// A process started to write the log.
     #[serde(rename = "Began")]
     ProcessStarted {
-        /// What steers it.
+        /// The versions at its start.
         vector: VersionVector,
     },
-    /// A version was taken over. From here on the vector's number is one more.
+    /// A version changed, which increments the number of the version vector.
     #[serde(rename = "Took")]
     VersionChanged {
-        /// What changed.
+        /// The changed item with its old and new version.
         #[serde(rename = "taken")]
         change: VersionChange,
-        /// ChangeSource.
+        /// What caused the change.
         #[serde(rename = "why")]
         source: ChangeSource,
     },
-    /// A version was offered and not taken.
+    /// A version was rejected.
     #[serde(rename = "Back")]
     VersionRejected {
-        /// Of what.
+        /// The item that keeps its version.
         item: Item,
-        /// What is wrong with it.
+        /// Why the version was rejected.
         #[serde(rename = "because")]
         error: VersionError,
-        /// Who offered it.
+        /// Where the version came from.
         #[serde(rename = "why")]
         source: ChangeSource,
     },
-    /// Decisions since the last sum, by reason.
+    /// Counts of decisions since the last entry of this kind.
     #[serde(rename = "Sum")]
     DecisionCounts {
-        /// The number of the vector under which they were taken.
+        /// Number of the version vector at the decisions.
         vector: u64,
-        /// How many, by reason.
+        /// Number of decisions by reason.
         counts: BTreeMap<String, u64>,
     },
-    /// One of the sample, or the refusal of a guarded job.
+    /// A sampled decision, or the rejection of an at-most-once request.
     #[serde(rename = "Decided")]
     SampledDecision {
-        /// The number of the vector under which it was taken.
+        /// Number of the version vector at the decision.
         vector: u64,
-        /// The decision.
+        /// The logged decision.
         decision: Decision,
     },
-    /// So many single decisions were not kept since the last of these.
+    /// Single decisions that the rate limit has dropped since the last entry of this kind.
     #[serde(rename = "Dropped")]
     DecisionsDropped {
-        /// How many.
+        /// Number of dropped decisions.
         count: u64,
     },
 }
 
-/// An entry at its time.
+/// An entry with its time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Timed {
-    /// Unix time by the node's own clock; it may go back.
+    /// Unix time in microseconds by the node's clock, which may go backwards.
     pub at: Micros,
-    /// What.
+    /// The logged entry.
     pub entry: Entry,
 }
 
-/// What is wrong with a record.
+/// Why a log is invalid, or an entry can't be appended.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
 pub enum AuditLogError {
-    /// An entry is not the one that was written, or an earlier one was left out or put in.
-    #[error("entry {number} was changed, or one before it was left out")]
-    #[diagnostic(help("something else than this program wrote on the disk, or it is failing: keep a copy for inquiry, compare it with what peers hold of this node, then remove the record"))]
+    /// An entry was changed, or an earlier one was removed or inserted.
+    #[error("entry {number} was changed, or an entry before it was removed")]
+    #[diagnostic(help("another program wrote to the disk, or the disk is failing: keep a copy for analysis, compare it with what peers know of this node's log, then remove the log"))]
     Changed {
-        /// Its number.
+        /// Number of the entry.
         number: u64,
     },
-    /// Entries are missing.
+    /// One or more entries are missing.
     #[error("entry {number} is missing")]
-    #[diagnostic(help("the disk lost what it had written, or somebody removed it: compare it with what peers hold of this node"))]
+    #[diagnostic(help("the disk lost entries, or someone removed them: compare the log with what peers know of this node's log"))]
     Missing {
-        /// The first one's number.
+        /// Number of the first missing entry.
         number: u64,
     },
-    /// It can't be read.
-    #[error("entry {number} can't be read")]
+    /// An entry can't be decoded.
+    #[error("entry {number} can't be decoded")]
     #[diagnostic(help(
-        "another version of this program wrote it: read it with that one, or look at the versions' changelog"
+        "another version of this program wrote it: read the log with that version, or see the changelog"
     ))]
     Unreadable {
-        /// Its number.
+        /// Number of the entry.
         number: u64,
     },
-    /// It is too long.
+    /// An encoded entry exceeds [`MAX_ENTRY_BYTES`]; holds its size in bytes.
     #[error("an entry of {0} bytes is over {MAX_ENTRY_BYTES}")]
-    #[diagnostic(help(
-        "names of classes, servers and reasons are too long to be recorded: use shorter ones"
-    ))]
+    #[diagnostic(help("use shorter names of classes and servers"))]
     EntryTooLong(usize),
 }
 
-/// What is to be done on the disk, as one: all of it or nothing.
+/// A write to the disk, to be done as one atomic transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingWrite {
-    /// The first entry's number.
+    /// Number of the first entry.
     pub first_number: u64,
-    /// The entries, as they are kept.
+    /// The encoded entries, each preceded by its digest.
     pub entries: Vec<Vec<u8>>,
-    /// Entries up to this number are dropped, and the base is kept beside the record.
+    /// Entries up to and including this position are dropped, and it is stored as the log's new base.
     pub drop_through: Option<ChainPoint>,
-    /// Where the record ends then.
+    /// Position of the last entry after the write.
     pub head: ChainPoint,
 }
 
-/// One segment: entries that are dropped together.
+/// Consecutive entries that are dropped together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Segment {
-    /// The point of its last entry.
+    /// Position of the last entry.
     last: ChainPoint,
-    /// What it holds, in bytes.
+    /// Size of the entries in bytes.
     size: u64,
 }
 
-/// A node's record, as far as it has to be known to write on.
+/// The state that is needed to append to a node's log.
 #[derive(Clone, Debug)]
 pub struct AuditLog {
     base: ChainPoint,
     head: ChainPoint,
-    /// All but the newest are full.
+    /// Oldest first; only the newest may be partly filled.
     segments: Vec<Segment>,
-    /// Bytes that all segments may hold, and one of them.
-    most: u64,
-    segment: u64,
+    /// Limit of the log's size in bytes.
+    max_bytes: u64,
+    /// Limit of a segment's size in bytes.
+    max_segment_bytes: u64,
+    /// Number of the current version vector.
     vectors: u64,
-    waiting: Vec<Vec<u8>>,
+    /// Entries that [`AuditLog::take_pending`] has not returned yet.
+    pending: Vec<Vec<u8>>,
+    /// Position of the last dropped entry, until [`AuditLog::take_pending`] returns it.
     dropped: Option<ChainPoint>,
 }
 
 impl AuditLog {
-    /// A record that begins at `base` and holds `entries` after it, as they are kept; `most` is what it may hold, in bytes, at least
-    /// eight segments of the longest entry.
+    /// Opens a log with the stored `entries` after `base`.
+    ///
+    /// `max_bytes` limits its size; it is raised to eight entries of [`MAX_ENTRY_BYTES`].
     ///
     /// # Errors
-    /// An entry can't be read. Whether they are those that were written is for [`verify`].
-    pub fn open(base: ChainPoint, entries: &[Vec<u8>], most: u64) -> Result<AuditLog, AuditLogError> {
-        let most = most.max(8 * MAX_ENTRY_BYTES as u64);
-        let segment = most / 8;
-        let mut record = AuditLog {
+    /// An entry can't be decoded. The hash chain is not checked here, see [`verify`].
+    pub fn open(base: ChainPoint, entries: &[Vec<u8>], max_bytes: u64) -> Result<AuditLog, AuditLogError> {
+        let max_bytes = max_bytes.max(8 * MAX_ENTRY_BYTES as u64);
+        let max_segment_bytes = max_bytes / 8;
+        let mut log = AuditLog {
             base,
             head: base,
             segments: Vec::new(),
-            most,
-            segment,
+            max_bytes,
+            max_segment_bytes,
             vectors: 0,
-            waiting: Vec::new(),
+            pending: Vec::new(),
             dropped: None,
         };
         for kept in entries {
-            let number = record.head.number + 1;
+            let number = log.head.number + 1;
             let (_, bytes) = split(number, kept)?;
-            record.count(&decode(number, bytes)?.entry);
-            record.chain(bytes);
+            log.count_vector(&decode(number, bytes)?.entry);
+            log.chain(bytes);
         }
-        Ok(record)
+        Ok(log)
     }
 
-    /// The point before the first entry that is left.
+    /// Returns the position before the first entry that is kept.
     pub fn base(&self) -> ChainPoint {
         self.base
     }
 
-    /// The last entry's point, written or waiting to be.
+    /// Returns the position of the last entry, written or pending.
     pub fn head(&self) -> ChainPoint {
         self.head
     }
 
-    /// What it holds, in bytes of entries.
+    /// Returns the total size of the kept entries in bytes.
     pub fn size(&self) -> u64 {
         self.segments.iter().map(|s| s.size).sum()
     }
 
-    /// The number of the vector in force: it grows with each entry that changes it.
+    /// Returns the number of the current version vector, which each entry that changes the vector increments.
     pub fn vector_number(&self) -> u64 {
         self.vectors
     }
 
-    fn count(&mut self, entry: &Entry) {
+    fn count_vector(&mut self, entry: &Entry) {
         if matches!(entry, Entry::ProcessStarted { .. } | Entry::VersionChanged { .. }) {
             self.vectors = self.vectors.saturating_add(1);
         }
     }
 
-    /// An entry as it is kept: what stands for it and all before it, then its bytes.
+    /// Appends an encoded entry to the chain and returns it as stored: its digest, then its bytes.
     fn chain(&mut self, bytes: &[u8]) -> Vec<u8> {
         self.head = self.head.successor(bytes);
         let kept = [self.head.digest.0.as_slice(), bytes].concat();
         let size = kept.len() as u64;
         match self.segments.last_mut() {
-            Some(newest) if newest.size + size <= self.segment => {
+            Some(newest) if newest.size + size <= self.max_segment_bytes => {
                 *newest = Segment { last: self.head, size: newest.size + size };
             }
             _ => self.segments.push(Segment { last: self.head, size }),
@@ -283,28 +286,28 @@
         kept
     }
 
-    /// Write an entry down; it is on the disk once what [`AuditLog::take_pending`] gives is. Old segments make room.
+    /// Appends an entry, to be written with the next [`AuditLog::take_pending`]; drops the oldest segments over the size limit.
     ///
     /// # Errors
-    /// It is too long; then nothing changes.
+    /// The encoded entry exceeds [`MAX_ENTRY_BYTES`]; the log stays unchanged.
     pub fn append(&mut self, timed: &Timed) -> Result<ChainPoint, AuditLogError> {
         let bytes = encode(timed)?;
-        self.count(&timed.entry);
+        self.count_vector(&timed.entry);
         let kept = self.chain(&bytes);
-        self.waiting.push(kept);
-        while self.size() > self.most {
+        self.pending.push(kept);
+        while self.size() > self.max_bytes {
             self.base = self.segments.remove(0).last;
             self.dropped = Some(self.base);
         }
         Ok(self.head)
     }
 
-    /// What has to be done on the disk, if anything.
+    /// Returns the next write to the disk; `None` if no entry is pending.
     pub fn take_pending(&mut self) -> Option<PendingWrite> {
-        if self.waiting.is_empty() {
+        if self.pending.is_empty() {
             return None;
         }
-        let entries = std::mem::take(&mut self.waiting);
+        let entries = std::mem::take(&mut self.pending);
         let first = self.head.number + 1 - entries.len() as u64;
         Some(PendingWrite {
             first_number: first,
@@ -315,10 +318,10 @@
     }
 }
 
-/// An entry as it is kept.
+/// Encodes an entry.
 ///
 /// # Errors
-/// It is too long.
+/// The encoded entry exceeds [`MAX_ENTRY_BYTES`].
 pub fn encode(timed: &Timed) -> Result<Vec<u8>, AuditLogError> {
     let bytes = postcard::to_stdvec(timed).map_err(|_| AuditLogError::EntryTooLong(usize::MAX))?;
     match bytes.len() {
@@ -327,10 +330,10 @@
     }
 }
 
-/// The entry of that number from its bytes.
+/// Decodes the entry with this number.
 ///
 /// # Errors
-/// It is none.
+/// The bytes are not exactly one entry.
 pub fn decode(number: u64, bytes: &[u8]) -> Result<Timed, AuditLogError> {
     match postcard::take_from_bytes::<Timed>(bytes) {
         Ok((timed, [])) => Ok(timed),
@@ -338,17 +341,18 @@
     }
 }
 
-/// An entry's digest and its bytes, from what is kept.
+/// Splits a stored entry into its digest and its encoded bytes.
 fn split(number: u64, kept: &[u8]) -> Result<(Digest, &[u8]), AuditLogError> {
     let (digest, bytes) = kept.split_first_chunk::<32>().ok_or(AuditLogError::Unreadable { number })?;
     Ok((Digest(*digest), bytes))
 }
 
-/// Whether `entries`, by number and as they are kept, are those that lead from `base` to `head`, and through the points that peers know of
-/// this record (digests by number).
+/// Checks that the stored `entries` form the hash chain from `base` to `head`.
+///
+/// `known` holds digests by entry number that peers have received from this log; entries have to match them too.
 ///
 /// # Errors
-/// The first entry that is missing, was changed, or is another one than a peer has heard of.
+/// The first entry that is missing, was changed, or differs from a digest in `known`.
 pub fn verify<'a>(
     base: ChainPoint,
     entries: impl IntoIterator<Item = (u64, &'a [u8])>,
--- a/crates/audit/src/decision_counters.rs
+++ b/crates/audit/src/decision_counters.rs
@@ -1,4 +1,4 @@
-//! Decisions counted by version and reason, with a sample of single ones: so much a second at most, whatever comes.
+//! Counts decisions by version vector and reason, and keeps a rate-limited sample of single decisions.
 
 use crate::audit_log::{Decision, Entry};
 use crate::Micros;
@@ -6,17 +6,17 @@
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 
-/// Reasons that are counted apart; what comes beyond is counted as `other`.
+/// Number of reasons that are counted separately; further ones are counted as `other`.
 pub const MAX_REASONS: usize = 64;
 
-/// How decisions are written down.
+/// How decisions are logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sampling {
-    /// One request in so many is kept whole, at every node the same ones; 0 keeps none.
+    /// One request in this many is sampled, the same ones at every node; 0 samples none.
     pub one_in: u64,
-    /// Single decisions a second at most, and at once.
+    /// Limit of single decisions per second, which is also the largest burst.
     pub max_per_second: u64,
-    /// Between two sums of one vector, in microseconds.
+    /// Interval between two entries of counts for one vector, in microseconds.
     pub summary_interval: Micros,
 }
 
@@ -26,52 +26,56 @@
     }
 }
 
-/// What stands for a request's id at all nodes that share the key.
+/// Returns a keyed hash of a request's id, equal at all nodes that share the key.
 pub fn request_tag(key: &[u8; 16], request: &str) -> u64 {
     let mut hash = SipHasher13::new_with_key(key);
     hash.write(request.as_bytes());
     hash.finish()
 }
 
-/// Counts decisions between two entries.
+/// Counts decisions between two log entries.
 #[derive(Clone, Debug)]
 pub struct DecisionCounters {
     sampling: Sampling,
     key: [u8; 16],
-    /// The number of the vector in force.
+    /// Number of the current version vector.
     vector: u64,
     counts: BTreeMap<&'static str, u64>,
-    /// When the next sum is due, while anything is counted.
+    /// When the next entry of counts is due; `None` while nothing is counted.
     due: Option<Micros>,
-    /// Single decisions that may be kept now, in millionths.
-    capacity: u64,
-    seen: Micros,
+    /// Tokens of the sample's rate limit, in millionths of a decision.
+    tokens: u64,
+    refilled_at: Micros,
     dropped: u64,
 }
 
 impl DecisionCounters {
-    /// Nothing counted. `key` is the fleet's, for tags; `now` is of a clock that does not go back.
+    /// Returns empty counters for the version vector with this number.
+    ///
+    /// `key` is the fleet's key for [`request_tag`]; `now` comes from a monotonic clock.
     pub fn new(sampling: Sampling, key: [u8; 16], vector: u64, now: Micros) -> DecisionCounters {
-        let capacity = sampling.max_per_second.saturating_mul(1_000_000);
+        let tokens = sampling.max_per_second.saturating_mul(1_000_000);
         DecisionCounters {
             sampling,
             key,
             vector,
             counts: BTreeMap::new(),
             due: None,
-            capacity,
-            seen: now,
+            tokens,
+            refilled_at: now,
             dropped: 0,
         }
     }
 
-    /// Whether single decisions about that request are kept, where there is room: the same at each node.
+    /// Whether the request is in the sample, which is the same at each node; the rate limit applies in addition.
     pub fn is_sampled(&self, request: &str) -> bool {
         self.sampling.one_in > 0 && request_tag(&self.key, request).is_multiple_of(self.sampling.one_in)
     }
 
-    /// A decision was taken. It is to be written down where an entry is returned: one of the sample, or `always` (a guarded class was
-    /// refused), as far as there is room; else it only counts.
+    /// Counts a decision and returns an entry if it is to be logged by itself.
+    ///
+    /// That is the case for requests in the sample, and for all decisions with `always` (rejections in an at-most-once class), as
+    /// far as the rate limit allows.
     pub fn count(
         &mut self,
         request: &str,
@@ -90,18 +94,18 @@
         if !always && !self.is_sampled(request) {
             return None;
         }
-        let most = self.sampling.max_per_second.saturating_mul(1_000_000);
-        let since = u64::try_from(now.saturating_sub(self.seen)).unwrap_or(0);
-        self.capacity =
-            self.capacity.saturating_add(since.saturating_mul(self.sampling.max_per_second)).min(most);
-        self.seen = self.seen.max(now);
-        // The sample leaves half of the room to what is always kept.
-        let needs = if always { 1_000_000 } else { (most / 2).max(1_000_000) };
-        if self.capacity < needs {
+        let max_tokens = self.sampling.max_per_second.saturating_mul(1_000_000);
+        let elapsed = u64::try_from(now.saturating_sub(self.refilled_at)).unwrap_or(0);
+        self.tokens =
+            self.tokens.saturating_add(elapsed.saturating_mul(self.sampling.max_per_second)).min(max_tokens);
+        self.refilled_at = self.refilled_at.max(now);
+        // The sample leaves half of the burst to decisions that are always logged.
+        let required = if always { 1_000_000 } else { (max_tokens / 2).max(1_000_000) };
+        if self.tokens < required {
             self.dropped += 1;
             return None;
         }
-        self.capacity -= 1_000_000;
+        self.tokens -= 1_000_000;
         let decision = Decision {
             request: request_tag(&self.key, request),
             class: class.to_string(),
@@ -111,38 +115,38 @@
         Some(Entry::SampledDecision { vector: self.vector, decision })
     }
 
-    /// The vector changes: what was counted belongs to the one before, and is to be written down before the change is.
+    /// Switches to another version vector; the returned entries belong to the previous one and are to be logged before the change.
     pub fn set_vector(&mut self, vector: u64) -> Vec<Entry> {
-        let events = self.sum();
+        let entries = self.take_counts();
         self.vector = vector;
-        events
+        entries
     }
 
-    /// What is to be written down by now.
+    /// Returns the entries to log if they are due at `now`.
     pub fn take_due(&mut self, now: Micros) -> Vec<Entry> {
         match self.due {
-            Some(due) if due <= now => self.sum(),
+            Some(due) if due <= now => self.take_counts(),
             _ => Vec::new(),
         }
     }
 
-    /// When [`DecisionCounters::take_due`] has something to say.
+    /// Returns when [`DecisionCounters::take_due`] has entries; `None` while nothing is counted.
     pub fn due(&self) -> Option<Micros> {
         self.due
     }
 
-    fn sum(&mut self) -> Vec<Entry> {
+    fn take_counts(&mut self) -> Vec<Entry> {
         self.due = None;
         let counts = std::mem::take(&mut self.counts);
         let counts: BTreeMap<String, u64> = counts.into_iter().map(|(r, n)| (r.to_string(), n)).collect();
-        let mut events = Vec::new();
+        let mut entries = Vec::new();
         if !counts.is_empty() {
-            events.push(Entry::DecisionCounts { vector: self.vector, counts });
+            entries.push(Entry::DecisionCounts { vector: self.vector, counts });
         }
         match std::mem::take(&mut self.dropped) {
             0 => {}
-            count => events.push(Entry::DecisionsDropped { count }),
+            count => entries.push(Entry::DecisionsDropped { count }),
         }
-        events
+        entries
     }
 }
--- a/crates/audit/src/gossip.rs
+++ b/crates/audit/src/gossip.rs
@@ -1,7 +1,8 @@
-//! What nodes tell each other of their versions and records, told on by all: who stands where since when, and whose report contradicts itself.
+//! Gossip of version vectors and audit log heads, which also detects logs that were rolled back or forked.
 //!
-//! A change is told at once to three others by each that learns it, within a pace; besides that each tells one other from time to time what has
-//! changed last and, in turn, what has not. So words a node and second don't grow with the fleet.
+//! A node that learns a change forwards it to three random peers, at a limited rate. In addition, each node regularly sends one
+//! random peer the latest changes and some of the unchanged reports in turn. The message rate per node is therefore independent of
+//! the size of the fleet.
 
 use crate::audit_log::{ChainPoint, Digest};
 use crate::version::{ContentHash, VersionVector};
@@ -9,21 +10,21 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Stories in a word at most, and vectors.
+/// Limit of reports in a message, and of disputed log positions.
 pub const MAX_REPORTS: usize = 10;
-/// See [`MAX_REPORTS`].
+/// Limit of version vectors in a message.
 pub const MAX_VECTORS: usize = 2;
-/// Each that learns a change tells so many others.
+/// Number of messages in which a node forwards a change.
 const FANOUT: u8 = 3;
-/// Points of a record that are remembered of one node.
-const POINTS: usize = 64;
+/// Limit of remembered log positions per node.
+const MAX_LOG_POINTS: usize = 64;
 
-/// How often is told what.
+/// Minimum intervals between messages of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Intervals {
-    /// Between two words about changes, in microseconds.
+    /// Between messages about changes, in microseconds.
     pub hot: Micros,
-    /// Between two words that are said in any case, in microseconds; a quarter of it for five of these after a change.
+    /// Between periodic messages, in microseconds; a quarter of it during the first five intervals after a change.
     pub idle: Micros,
 }
 
@@ -33,70 +34,71 @@
     }
 }
 
-/// What a node says of itself.
+/// A node's report on itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct NodeReport {
-    /// Which node, by its number.
+    /// The node's number.
     pub node: u32,
-    /// Grows with each report of the node, over its lives: its Unix time in microseconds, or one more than it was heard to have told.
+    /// Increases with each report of the node, also across restarts: its Unix time in microseconds, or one more than the last value
+    /// if its clock went backwards.
     pub at: Micros,
-    /// The log_id of its record.
+    /// Random id of the node's audit log, drawn when the log was created.
     #[serde(rename = "life")]
     pub log_id: u64,
-    /// Where its record ends.
+    /// Position of the last entry of the log.
     pub head: ChainPoint,
-    /// What steers it, see [`VersionVector::shared`].
+    /// Hash of the node's version vector, see [`VersionVector::shared`].
     pub content: ContentHash,
 }
 
-/// One word between two nodes.
+/// A gossip message between two nodes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// What nodes say of themselves.
+    /// Reports of any nodes, at most [`MAX_REPORTS`].
     #[serde(rename = "stories")]
     pub reports: Vec<NodeReport>,
-    /// What some of their contents are.
+    /// Version vectors for some of the reports, at most [`MAX_VECTORS`].
     pub vectors: Vec<VersionVector>,
-    /// Of the hearer's own record, by its log_id: what it has told, and tells otherwise now.
+    /// Positions of the receiver's own log, with the log's id, that contradict its later reports.
     pub disputed: Vec<(u64, ChainPoint)>,
 }
 
-/// What has come to be known.
+/// An observation on a node, for the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AuditUpdate {
-    /// A node is steered by something else than before.
+    /// A node acts on other versions than before.
     VersionsChanged {
-        /// Which node.
+        /// The node's number.
         node: u32,
-        /// What steers it.
+        /// Hash of its version vector.
         content: ContentHash,
     },
-    /// A node has begun another record: its disk was lost, or the record was not what was written.
+    /// A node has started a new log: its disk was lost, or the old log was invalid.
     LogReplaced {
-        /// Which node.
+        /// The node's number.
         node: u32,
     },
-    /// A node's record ends before where it has ended: an older disk was put back.
+    /// A node's log has become shorter: an older disk was restored.
     LogRolledBack {
-        /// Which node.
+        /// The node's number.
         node: u32,
-        /// Where it has ended.
+        /// Number of the last entry before.
         previous: u64,
-        /// Where it ends.
+        /// Number of the last entry now.
         current: u64,
     },
-    /// An entry of a node's record is another one than it has told.
+    /// A node reports different digests for one entry of its log.
     LogForked {
-        /// Which node.
+        /// The node's number.
         node: u32,
-        /// The entry's number.
+        /// Number of the entry.
         number: u64,
     },
-    /// Others know that point of this node's own record of that log_id: it has to be looked up there.
+    /// Peers know a position of this node's own log that the log on its disk has to be checked against.
     OwnLogClaim {
-        /// The log_id of the record.
+        /// Id of the log.
         log_id: u64,
-        /// What they know.
+        /// The position that peers know.
         point: ChainPoint,
     },
 }
@@ -104,28 +106,31 @@
 #[derive(Clone, Debug)]
 struct Known {
     report: NodeReport,
-    /// Since when its content is known here, and when it was heard last.
+    /// When this version vector became known here.
     since: Micros,
+    /// When the last newer report arrived.
     received: Micros,
-    /// How many are still to be told.
-    hot: u8,
+    /// Number of messages that are still to forward the report.
+    pending_forwards: u8,
+    /// Digests of the current log by entry number.
     points: BTreeMap<u64, Digest>,
-    /// What it has told of that log_id of its record, and does not any more: it is told so until it begins another.
+    /// A position of the log, with its id, that later reports contradict; the node is informed until it starts a new log.
     disputed: Option<(u64, ChainPoint)>,
 }
 
-/// What one node knows of all, and what it says.
+/// One node's knowledge of the fleet, and its outgoing messages.
 #[derive(Clone, Debug)]
 pub struct Gossip {
     me: u32,
     others: Vec<u32>,
-    pace: Intervals,
+    intervals: Intervals,
     known: BTreeMap<u32, Known>,
     vectors: BTreeMap<ContentHash, VersionVector>,
-    chance: u64,
-    /// In the order in which they changed, the newest last.
+    /// State of the random number generator, never 0.
+    random: u64,
+    /// Nodes by the time of their last change, the latest one last.
     changed: VecDeque<u32>,
-    /// Whom it told of last in its turn.
+    /// The last node whose report was sent in turn.
     turn: u32,
     next_hot: Micros,
     next_idle: Micros,
@@ -133,24 +138,24 @@
 }
 
 impl Gossip {
-    /// One node among others; `chance` is any number by chance.
-    pub fn new(me: u32, others: &[u32], pace: Intervals, chance: u64, now: Micros) -> Gossip {
+    /// Returns the gossip state of node `me`; `seed` is a random number.
+    pub fn new(me: u32, others: &[u32], intervals: Intervals, seed: u64, now: Micros) -> Gossip {
         Gossip {
             me,
             others: others.iter().copied().filter(|n| *n != me).collect(),
-            pace,
+            intervals,
             known: BTreeMap::new(),
             vectors: BTreeMap::new(),
-            chance: chance | 1,
+            random: seed | 1,
             changed: VecDeque::new(),
             turn: 0,
             next_hot: now,
-            next_idle: now.saturating_add((chance % 1_000) as i64 * pace.idle / 1_000),
+            next_idle: now.saturating_add((seed % 1_000) as i64 * intervals.idle / 1_000),
             updates: Vec::new(),
         }
     }
 
-    /// The fleet is that from now on.
+    /// Sets the other nodes of the fleet, and forgets all that left.
     pub fn set_peers(&mut self, others: &[u32]) {
         self.others = others.iter().copied().filter(|n| *n != self.me).collect();
         let (me, others) = (self.me, &self.others);
@@ -158,7 +163,7 @@
         self.changed.retain(|node| *node == me || others.contains(node));
     }
 
-    /// This node's own report; `unix` is its clock, which may go back.
+    /// Sets this node's own report; `unix` is its clock in microseconds, which may go backwards.
     pub fn report(
         &mut self,
         vector: &VersionVector,
@@ -167,45 +172,45 @@
         unix: Micros,
         now: Micros,
     ) {
-        let notified = vector.shared();
-        let content = notified.content_hash();
+        let shared = vector.shared();
+        let content = shared.content_hash();
         let before = self.known.get(&self.me).map(|k| k.report);
-        if before.is_some_and(|s| (s.content, s.log_id, s.head) == (content, log_id, head)) {
+        if before.is_some_and(|r| (r.content, r.log_id, r.head) == (content, log_id, head)) {
             return;
         }
-        self.vectors.insert(content, notified);
-        let at = before.map_or(unix, |s| unix.max(s.at.saturating_add(1)));
+        self.vectors.insert(content, shared);
+        let at = before.map_or(unix, |r| unix.max(r.at.saturating_add(1)));
         self.learn(NodeReport { node: self.me, at, log_id, head, content }, now);
     }
 
     fn learn(&mut self, report: NodeReport, now: Micros) {
         let node = report.node;
         let before = self.known.get(&node);
-        let steers = before.is_none_or(|k| k.report.content != report.content);
-        let is_new = steers || before.is_some_and(|k| k.report.log_id != report.log_id);
-        let (mut points, mut since, mut hot) = before.map_or((BTreeMap::new(), now, 0), |k| {
+        let versions_changed = before.is_none_or(|k| k.report.content != report.content);
+        let is_new = versions_changed || before.is_some_and(|k| k.report.log_id != report.log_id);
+        let (mut points, mut since, mut pending_forwards) = before.map_or((BTreeMap::new(), now, 0), |k| {
             (
                 if k.report.log_id == report.log_id { k.points.clone() } else { BTreeMap::new() },
                 k.since,
-                k.hot,
+                k.pending_forwards,
             )
         });
         let mut disputed = before.and_then(|k| k.disputed).filter(|(log_id, _)| *log_id == report.log_id);
-        if let Some(was) = before.filter(|_| node != self.me) {
-            let (was, is) = (&was.report, &report);
-            if was.log_id != is.log_id {
+        if let Some(previous) = before.filter(|_| node != self.me) {
+            let (previous, current) = (&previous.report, &report);
+            if previous.log_id != current.log_id {
                 self.updates.push(AuditUpdate::LogReplaced { node });
-            } else if is.head.number < was.head.number {
-                disputed = Some((was.log_id, was.head));
+            } else if current.head.number < previous.head.number {
+                disputed = Some((previous.log_id, previous.head));
                 self.updates.push(AuditUpdate::LogRolledBack {
                     node,
-                    previous: was.head.number,
-                    current: is.head.number,
+                    previous: previous.head.number,
+                    current: current.head.number,
                 });
             }
-            let (number, digest) = (is.head.number, is.head.digest);
+            let (number, digest) = (current.head.number, current.head.digest);
             if let Some(known) = points.get(&number).filter(|known| **known != digest) {
-                disputed = Some((is.log_id, ChainPoint { number, digest: *known }));
+                disputed = Some((current.log_id, ChainPoint { number, digest: *known }));
                 self.updates.push(AuditUpdate::LogForked { node, number });
             }
             if disputed.is_some() {
@@ -213,28 +218,29 @@
             }
         }
         points.entry(report.head.number).or_insert(report.head.digest);
-        if points.len() > POINTS {
-            // Every other one of the older half goes, so that what is left reaches back in growing steps.
-            let older: Vec<u64> = points.keys().copied().take(POINTS / 2).skip(1).step_by(2).collect();
-            points.retain(|number, _| !older.contains(number));
+        if points.len() > MAX_LOG_POINTS {
+            // Drops every second position of the older half, so that the kept ones thin out towards the past.
+            let dropped: Vec<u64> =
+                points.keys().copied().take(MAX_LOG_POINTS / 2).skip(1).step_by(2).collect();
+            points.retain(|number, _| !dropped.contains(number));
         }
         if is_new {
-            (since, hot) = (now, FANOUT);
+            (since, pending_forwards) = (now, FANOUT);
             self.changed.retain(|n| *n != node);
             self.changed.push_back(node);
-            if steers && node != self.me {
+            if versions_changed && node != self.me {
                 self.updates.push(AuditUpdate::VersionsChanged { node, content: report.content });
             }
         }
-        self.known.insert(node, Known { report, since, received: now, hot, points, disputed });
+        self.known.insert(node, Known { report, since, received: now, pending_forwards, points, disputed });
     }
 
-    /// A word came. Stories of nobody that is known, and older ones than are known, change nothing.
+    /// Applies a message; reports of unknown nodes and reports no newer than the known one are ignored.
     pub fn receive(&mut self, message: &Message, now: Micros) {
         for vector in message.vectors.iter().take(MAX_VECTORS) {
-            let notified = vector.shared();
-            // Kept only while somebody is steered by it; see `forget`.
-            self.vectors.entry(notified.content_hash()).or_insert(notified);
+            let shared = vector.shared();
+            // `drop_unused_vectors` removes it once no node reports it.
+            self.vectors.entry(shared.content_hash()).or_insert(shared);
         }
         let disputed = message.disputed.iter().take(MAX_REPORTS);
         self.updates.extend(
@@ -242,7 +248,7 @@
         );
         for report in message.reports.iter().take(MAX_REPORTS) {
             if report.node == self.me {
-                self.own(*report, now);
+                self.receive_own(*report, now);
                 continue;
             }
             let is_newer = match self.known.get(&report.node) {
@@ -253,11 +259,11 @@
                 self.learn(*report, now);
             }
         }
-        self.forget();
+        self.drop_unused_vectors();
     }
 
-    /// Others know of an earlier log_id of this node, or of this one.
-    fn own(&mut self, report: NodeReport, now: Micros) {
+    /// Compares a report on this node, of this or an earlier process, to the node's own state.
+    fn receive_own(&mut self, report: NodeReport, now: Micros) {
         let Some(known) = self.known.get_mut(&self.me) else { return };
         if known.points.get(&report.head.number) != Some(&report.head.digest)
             || report.log_id != known.report.log_id
@@ -265,13 +271,13 @@
             self.updates.push(AuditUpdate::OwnLogClaim { log_id: report.log_id, point: report.head });
         }
         if report.at > known.report.at || (report.at == known.report.at && report != known.report) {
-            // Its clock has gone back: what it says has to be newer than what it has said.
+            // The clock went backwards: the next report must have a greater `at` than those that peers know.
             known.report.at = report.at.saturating_add(1);
-            (known.hot, known.received) = (FANOUT, now);
+            (known.pending_forwards, known.received) = (FANOUT, now);
         }
     }
 
-    fn forget(&mut self) {
+    fn drop_unused_vectors(&mut self) {
         if self.vectors.len() <= self.known.len() + MAX_VECTORS {
             return;
         }
@@ -279,24 +285,24 @@
         self.vectors.retain(|content, _| used.contains(content));
     }
 
-    fn dice(&mut self, sides: usize) -> usize {
+    fn random_below(&mut self, bound: usize) -> usize {
         // xorshift64: Marsaglia, "Xorshift RNGs", 2003.
-        self.chance ^= self.chance << 13;
-        self.chance ^= self.chance >> 7;
-        self.chance ^= self.chance << 17;
-        (self.chance >> 11) as usize % sides.max(1)
+        self.random ^= self.random << 13;
+        self.random ^= self.random >> 7;
+        self.random ^= self.random << 17;
+        (self.random >> 11) as usize % bound.max(1)
     }
 
-    /// One of the others; there are some.
-    fn someone(&mut self) -> u32 {
-        let place = self.dice(self.others.len());
-        self.others.get(place).copied().unwrap_or(self.me)
+    /// Returns a random peer; the caller makes sure that there is one.
+    fn random_peer(&mut self) -> u32 {
+        let index = self.random_below(self.others.len());
+        self.others.get(index).copied().unwrap_or(self.me)
     }
 
     fn message(&self, nodes: &[u32]) -> Message {
         let reports: Vec<NodeReport> = nodes.iter().filter_map(|n| Some(self.known.get(n)?.report)).collect();
         let mut contents: Vec<ContentHash> = Vec::new();
-        // The most told one first: after a release all are steered by one.
+        // The most frequent vector first: after a release most nodes have the same one.
         for report in &reports {
             if !contents.contains(&report.content) {
                 contents.push(report.content);
@@ -308,24 +314,30 @@
         Message { reports, vectors, disputed: Vec::new() }
     }
 
-    /// What is to be said now, and to whom.
+    /// Returns the messages that are due at `now`, with their receivers.
     pub fn take_outgoing(&mut self, now: Micros) -> Vec<(u32, Message)> {
-        let mut events = Vec::new();
+        let mut outgoing = Vec::new();
         if self.others.is_empty() {
-            return events;
+            return outgoing;
         }
         if now >= self.next_hot {
-            let hot: Vec<u32> = self.known.iter().filter(|(_, k)| k.hot > 0).map(|(n, _)| *n).collect();
-            if !hot.is_empty() {
-                let start = self.dice(hot.len());
-                let notified: Vec<u32> =
-                    hot.iter().cycle().skip(start).take(hot.len().min(MAX_REPORTS)).copied().collect();
-                for node in &notified {
-                    self.known.entry(*node).and_modify(|k| k.hot -= 1);
+            let pending: Vec<u32> =
+                self.known.iter().filter(|(_, k)| k.pending_forwards > 0).map(|(n, _)| *n).collect();
+            if !pending.is_empty() {
+                let start = self.random_below(pending.len());
+                let selected: Vec<u32> = pending
+                    .iter()
+                    .cycle()
+                    .skip(start)
+                    .take(pending.len().min(MAX_REPORTS))
+                    .copied()
+                    .collect();
+                for node in &selected {
+                    self.known.entry(*node).and_modify(|k| k.pending_forwards -= 1);
                 }
-                let to = self.someone();
-                events.push((to, self.message(&notified)));
-                self.next_hot = now.saturating_add(self.pace.hot);
+                let to = self.random_peer();
+                outgoing.push((to, self.message(&selected)));
+                self.next_hot = now.saturating_add(self.intervals.hot);
             }
         }
         if now >= self.next_idle {
@@ -338,47 +350,52 @@
                 nodes.push(node);
             }
             nodes.dedup();
-            let mut once = Vec::new();
+            let mut seen = Vec::new();
             nodes.retain(|n| {
-                !once.contains(n) && {
-                    once.push(*n);
+                !seen.contains(n) && {
+                    seen.push(*n);
                     true
                 }
             });
-            let to = self.someone();
-            events.push((to, self.message(&nodes)));
+            let to = self.random_peer();
+            outgoing.push((to, self.message(&nodes)));
             let disputed =
                 self.known.iter().filter_map(|(node, k)| Some((*node, k.disputed?))).take(MAX_REPORTS);
-            events.extend(
+            outgoing.extend(
                 disputed.map(|(node, of)| (node, Message { disputed: vec![of], ..Message::default() })),
             );
             let newest = self.changed.back().and_then(|n| self.known.get(n)).map(|k| k.since);
-            let lately =
-                newest.is_some_and(|since| now.saturating_sub(since) < self.pace.idle.saturating_mul(5));
-            self.next_idle = now.saturating_add(if lately { self.pace.idle / 4 } else { self.pace.idle });
+            let changed_recently =
+                newest.is_some_and(|since| now.saturating_sub(since) < self.intervals.idle.saturating_mul(5));
+            self.next_idle = now.saturating_add(if changed_recently {
+                self.intervals.idle / 4
+            } else {
+                self.intervals.idle
+            });
         }
-        events
+        outgoing
     }
 
-    /// When something is to be said.
+    /// Returns when the next message is due, in microseconds.
     pub fn due(&self) -> Micros {
-        match self.known.values().any(|k| k.hot > 0) {
+        match self.known.values().any(|k| k.pending_forwards > 0) {
             true => self.next_hot.min(self.next_idle),
             false => self.next_idle,
         }
     }
 
-    /// What has come to be known since it was last asked.
+    /// Returns the updates since the last call.
     pub fn take_updates(&mut self) -> Vec<AuditUpdate> {
         std::mem::take(&mut self.updates)
     }
 
-    /// Where each node stands: its report, what steers it where that was told, since when that is known here and when it was heard last.
+    /// Returns for each known node its latest report, its version vector (`None` until it was received), when that vector became
+    /// known here, and when the last newer report arrived.
     pub fn nodes(&self) -> impl Iterator<Item = (&NodeReport, Option<&VersionVector>, Micros, Micros)> {
         self.known.values().map(|k| (&k.report, self.vectors.get(&k.report.content), k.since, k.received))
     }
 
-    /// Points of a node's record as they were told, to verify it by.
+    /// Returns a node's log id and the known digests of that log by entry number; `None` for an unknown node.
     pub fn points(&self, node: u32) -> Option<(u64, &BTreeMap<u64, Digest>)> {
         self.known.get(&node).map(|k| (k.report.log_id, &k.points))
     }
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,11 +1,11 @@
-//! Which node acted on which version: no I/O, no clock, no randomness.
+//! Audit of the configuration versions that nodes act on: no I/O, no clock and no source of randomness.
 //!
-//! - [`version`]: what steers a node, each item with its version, and how far one vector is behind another;
-//! - [`gossip`]: what nodes tell each other of it, told on by all;
-//! - [`audit_log`]: what a node writes down of it, bound by hashes and bounded in size;
-//! - [`version_lag`]: who is behind what is required, and what follows;
-//! - [`rollout`]: a change in steps, judged beside what was before;
-//! - [`decision_counters`]: decisions counted by version, with a sample of single ones.
+//! - [`version`]: versions of the configuration items of a node, and how far one version vector lags behind another;
+//! - [`gossip`]: gossip of version vectors and log heads between nodes;
+//! - [`audit_log`]: a node's hash-chained log of versions and decisions, bounded in size;
+//! - [`version_lag`]: nodes that lag behind the required versions, and how they are restricted;
+//! - [`rollout`]: staged rollout of a change, with canaries compared to the other nodes;
+//! - [`decision_counters`]: decision counts per version, with a rate-limited sample of single decisions.
 
 pub mod audit_log;
 pub mod decision_counters;
--- a/crates/audit/src/rollout.rs
+++ b/crates/audit/src/rollout.rs
@@ -1,8 +1,8 @@
-//! A change in policy: to a few nodes first, judged beside the others by a sequential test, then to the rest, or called back.
+//! Staged rollout of a change: to canary nodes first, then to all nodes, or rolled back.
 //!
-//! The test is Wald's ("Sequential Tests of Statistical Hypotheses", 1945): the canaries fail as often as the others, against `worse` times as often, with
-//! the stated chances of being wrong. What the others fail is taken as known once it is counted often enough. Whoever drives it writes its
-//! moves down as facts: a logarithm may differ in its last digit between machines.
+//! Wald's sequential test ("Sequential Tests of Statistical Hypotheses", 1945) compares the failure rate of the canaries to that of
+//! the other nodes: equal, against `worse_ratio` times as high. The rate of the other nodes counts as known after enough outcomes.
+//! Replicas have to exchange the stage changes instead of computing them again, since logarithms may differ between machines.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
@@ -10,30 +10,30 @@
 use std::collections::BTreeSet;
 use std::hash::Hasher;
 
-/// Outcomes of the others that are needed before anything is judged.
-const ENOUGH: u64 = 200;
+/// Number of outcomes at the nodes without the change before the canaries are compared to them.
+const MIN_BASELINE_OUTCOMES: u64 = 200;
 
-/// How a change goes out.
+/// Parameters of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RolloutPolicy {
-    /// So many hundredths of the fleet go first, one node at least.
+    /// Share of the fleet that are canaries, in percent; at least one node is.
     #[serde(rename = "canary")]
     pub canary_percent: u32,
-    /// They are watched for so long at least, in microseconds.
+    /// Minimum time that a stage is observed once all its nodes have the change, in microseconds.
     #[serde(rename = "watch")]
     pub observation: Micros,
-    /// If nothing is decided by then, the change is called back.
+    /// Time after which an undecided canary stage is rolled back, in microseconds.
     #[serde(rename = "most")]
     pub timeout: Micros,
-    /// Failing so many times as often as the others is worse, above 1.
+    /// Ratio to the failure rate of the other nodes that the test detects, above 1.
     #[serde(rename = "worse")]
     pub worse_ratio: f64,
-    /// A part of failures below which none is told from none, above 0.
+    /// Failure rates below this one count as this rate, above 0.
     #[serde(rename = "least")]
     pub min_failure_rate: f64,
-    /// The chance that a good change is called back.
+    /// Probability that a good change is rolled back.
     pub alpha: f64,
-    /// The chance that one that is `worse` is let through.
+    /// Probability that a change with `worse_ratio` is let through.
     pub beta: f64,
 }
 
@@ -52,57 +52,57 @@
     }
 }
 
-/// Where a change stands.
+/// Stage of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Stage {
-    /// The canaries act on it, or are to.
+    /// The canaries apply the change.
     Canary,
-    /// All are to act on it; they are still judged.
+    /// All nodes apply the change and are still observed.
     Rest,
-    /// All do, and it held.
+    /// All nodes have the change, and it passed the observation.
     Done,
-    /// It is to be called back: the old content under a greater number, for all.
+    /// The change is withdrawn: all nodes get the old content under a greater number.
     #[serde(rename = "CalledBack")]
     RolledBack,
 }
 
-/// StageReason it moved.
+/// Why a rollout entered a stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum StageReason {
-    /// The canaries do as well as the others.
+    /// The canaries fail no more often than the other nodes.
     #[serde(rename = "Well")]
     Good,
-    /// They fail more often.
+    /// Nodes with the change fail more often than those without it.
     Worse,
-    /// It was not decided in time, or the canaries did not take it.
+    /// The test was undecided at the timeout, or the canaries did not apply the change.
     Undecided,
-    /// Too many did not take it ([`crate::version_lag::LagEvent::RolloutStopped`]).
+    /// Too many nodes did not apply the change ([`crate::version_lag::LagEvent::RolloutStopped`]).
     Stopped,
-    /// An operator said so.
+    /// An operator ended the rollout.
     #[serde(rename = "ByHand")]
     Operator,
-    /// Everybody has taken it, and it was watched for long enough.
+    /// All nodes have applied the change and were observed for long enough.
     #[serde(rename = "AllTook")]
     AllApplied,
 }
 
-/// What the test says so far.
+/// Result of the sequential test so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StageResult {
-    /// As good as the others.
+    /// The failure rate is that of the other nodes.
     Good,
-    /// Worse.
+    /// The failure rate is higher by `worse_ratio`.
     Worse,
-    /// More is to be counted.
+    /// More outcomes are needed.
     Undecided,
 }
 
-/// Outcomes of one side.
+/// Request outcomes of the nodes with or without the change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Counts {
-    /// Served in time.
+    /// Requests served in time.
     pub good: u64,
-    /// Failed: not what was refused for want of room.
+    /// Failed requests, without those rejected for lack of capacity.
     pub bad: u64,
 }
 
@@ -112,18 +112,18 @@
         self.bad = self.bad.saturating_add(more.bad);
     }
 
-    fn all(self) -> u64 {
+    fn total(self) -> u64 {
         self.good.saturating_add(self.bad)
     }
 }
 
-/// Judge `new` beside `old`.
+/// Compares the outcomes with the change (`new`) to those without it (`old`).
 pub fn evaluate(policy: &RolloutPolicy, old: Counts, new: Counts) -> StageResult {
-    if old.all() < ENOUGH {
+    if old.total() < MIN_BASELINE_OUTCOMES {
         return StageResult::Undecided;
     }
-    let usual = (old.bad as f64 / old.all() as f64).max(policy.min_failure_rate).min(0.5);
-    // What fails nearly always can't fail twice as often; it may still fail more often than not.
+    let usual = (old.bad as f64 / old.total() as f64).max(policy.min_failure_rate).min(0.5);
+    // Keeps the higher rate below 1 when `worse_ratio` times the usual one would exceed it.
     let worse = (usual * policy.worse_ratio).min((1.0 + usual) / 2.0);
     let ratio =
         new.bad as f64 * (worse / usual).ln() + new.good as f64 * ((1.0 - worse) / (1.0 - usual)).ln();
@@ -136,51 +136,56 @@
     }
 }
 
-/// One change on its way.
+/// The rollout of one change.
 #[derive(Clone, Debug)]
 pub struct Rollout {
     policy: RolloutPolicy,
     canaries: BTreeSet<u32>,
     fleet: BTreeSet<u32>,
-    took: BTreeSet<u32>,
+    /// Nodes that have applied the change.
+    applied: BTreeSet<u32>,
     stage: Stage,
     since: Micros,
-    /// Since when all that are to act on it do.
-    complete: Option<Micros>,
+    /// When the last node of the stage applied the change; `None` while one has not.
+    complete_since: Option<Micros>,
+    /// Outcomes without the change.
     old: Counts,
+    /// Outcomes with the change.
     new: Counts,
 }
 
 impl Rollout {
-    /// The release of that number begins to go out to a fleet. The canaries are drawn by its number, so that no node is always one.
+    /// Starts the rollout of the change with this number to a fleet.
+    ///
+    /// The number seeds the choice of canaries, so that each change has others.
     pub fn new(policy: RolloutPolicy, number: u64, fleet: &[u32], now: Micros) -> Rollout {
-        let drawn = |node: u32| {
+        let rank = |node: u32| {
             let mut hash = SipHasher13::new_with_keys(number, u64::from(node));
             hash.write_u32(node);
             hash.finish()
         };
         let mut order: Vec<u32> = fleet.to_vec();
-        order.sort_by_key(|node| (drawn(*node), *node));
-        let first = (fleet.len() * policy.canary_percent as usize / 100).max(1);
+        order.sort_by_key(|node| (rank(*node), *node));
+        let canary_count = (fleet.len() * policy.canary_percent as usize / 100).max(1);
         Rollout {
             policy,
-            canaries: order.into_iter().take(first).collect(),
+            canaries: order.into_iter().take(canary_count).collect(),
             fleet: fleet.iter().copied().collect(),
-            took: BTreeSet::new(),
+            applied: BTreeSet::new(),
             stage: Stage::Canary,
             since: now,
-            complete: None,
+            complete_since: None,
             old: Counts::default(),
             new: Counts::default(),
         }
     }
 
-    /// Where it stands.
+    /// Returns the current stage.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// Whether a node is to act on it now.
+    /// Whether a node is to apply the change now.
     pub fn should_apply(&self, node: u32) -> bool {
         match self.stage {
             Stage::Canary => self.canaries.contains(&node),
@@ -189,74 +194,75 @@
         }
     }
 
-    /// A node acts on it from now on.
+    /// Records that a node has applied the change; ignored if it should not.
     pub fn record_applied(&mut self, node: u32, now: Micros) {
         if self.should_apply(node) {
-            self.took.insert(node);
+            self.applied.insert(node);
         }
-        self.watch(now);
+        self.update_completion(now);
     }
 
-    /// A node has left the fleet: it is not waited for.
+    /// Removes a node that left the fleet, so that the rollout no longer waits for it.
     pub fn remove_node(&mut self, node: u32, now: Micros) {
         self.fleet.remove(&node);
         self.canaries.remove(&node);
-        self.took.remove(&node);
-        self.watch(now);
+        self.applied.remove(&node);
+        self.update_completion(now);
     }
 
-    fn watch(&mut self, now: Micros) {
-        let all = match self.stage {
+    fn update_completion(&mut self, now: Micros) {
+        let required = match self.stage {
             Stage::Canary => &self.canaries,
             _ => &self.fleet,
         };
-        match all.is_subset(&self.took) && !all.is_empty() {
-            true => self.complete = self.complete.or(Some(now)),
-            false => self.complete = None,
+        match required.is_subset(&self.applied) && !required.is_empty() {
+            true => self.complete_since = self.complete_since.or(Some(now)),
+            false => self.complete_since = None,
         }
     }
 
-    /// What came of jobs at a node since it was last told. Before it took the change that counts for the others; while the rest follows, what
-    /// the others did before is what it is held against.
+    /// Adds request outcomes of a node since the last call.
+    ///
+    /// Outcomes without the change count only in the canary stage and only from nodes that are not canaries.
     pub fn add_outcomes(&mut self, node: u32, counts: Counts) {
-        match (self.stage, self.took.contains(&node)) {
+        match (self.stage, self.applied.contains(&node)) {
             (Stage::Canary | Stage::Rest, true) => self.new.add(counts),
             (Stage::Canary, false) if !self.canaries.contains(&node) => self.old.add(counts),
             _ => {}
         }
     }
 
-    /// An operator, or the overseer, ends it.
-    pub fn roll_back(&mut self, why: StageReason) -> Option<(Stage, StageReason)> {
+    /// Rolls the change back; `None` if the rollout is over already.
+    pub fn roll_back(&mut self, reason: StageReason) -> Option<(Stage, StageReason)> {
         match self.stage {
-            Stage::Canary | Stage::Rest => Some(self.moved(Stage::RolledBack, why, self.since)),
+            Stage::Canary | Stage::Rest => Some(self.enter(Stage::RolledBack, reason, self.since)),
             Stage::Done | Stage::RolledBack => None,
         }
     }
 
-    fn moved(&mut self, to: Stage, why: StageReason, now: Micros) -> (Stage, StageReason) {
-        (self.stage, self.since, self.complete) = (to, now, None);
-        self.watch(now);
-        (to, why)
+    fn enter(&mut self, to: Stage, reason: StageReason, now: Micros) -> (Stage, StageReason) {
+        (self.stage, self.since, self.complete_since) = (to, now, None);
+        self.update_completion(now);
+        (to, reason)
     }
 
-    /// What follows by now, if anything.
+    /// Enters the next stage if it is due, and returns it with the reason.
     pub fn advance(&mut self, now: Micros) -> Option<(Stage, StageReason)> {
-        let watched = self.complete.is_some_and(|at| now - at >= self.policy.observation);
+        let observed = self.complete_since.is_some_and(|at| now - at >= self.policy.observation);
         let outcome = evaluate(&self.policy, self.old, self.new);
         match (self.stage, outcome) {
             (Stage::Canary | Stage::Rest, StageResult::Worse) => {
-                Some(self.moved(Stage::RolledBack, StageReason::Worse, now))
+                Some(self.enter(Stage::RolledBack, StageReason::Worse, now))
             }
-            (Stage::Canary, StageResult::Good) if watched => {
-                // The rest is judged by what it does itself.
+            (Stage::Canary, StageResult::Good) if observed => {
+                // The next stage is evaluated by its own outcomes.
                 self.new = Counts::default();
-                Some(self.moved(Stage::Rest, StageReason::Good, now))
+                Some(self.enter(Stage::Rest, StageReason::Good, now))
             }
             (Stage::Canary, _) if now - self.since >= self.policy.timeout => {
-                Some(self.moved(Stage::RolledBack, StageReason::Undecided, now))
+                Some(self.enter(Stage::RolledBack, StageReason::Undecided, now))
             }
-            (Stage::Rest, _) if watched => Some(self.moved(Stage::Done, StageReason::AllApplied, now)),
+            (Stage::Rest, _) if observed => Some(self.enter(Stage::Done, StageReason::AllApplied, now)),
             _ => None,
         }
     }
--- a/crates/audit/src/version.rs
+++ b/crates/audit/src/version.rs
@@ -1,24 +1,24 @@
-//! Versions of what steers a node, and the vector of them.
+//! Versions of the configuration items that a node acts on, and the vector of them.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Stands for a content: the first 16 bytes of its SHA-256.
+/// Hash of an item's content: the first 16 bytes of its SHA-256.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ContentHash(pub [u8; 16]);
 
 impl ContentHash {
-    /// What stands for those bytes.
+    /// Returns the hash of the bytes.
     pub fn of(bytes: &[u8]) -> ContentHash {
-        let whole: [u8; 32] = Sha256::digest(bytes).into();
+        let digest: [u8; 32] = Sha256::digest(bytes).into();
         let mut first = [0; 16];
-        first.copy_from_slice(&whole[..16]);
+        first.copy_from_slice(&digest[..16]);
         ContentHash(first)
     }
 
-    /// What stands for a number that says all there is to say, such as a list's revision.
+    /// Returns a value for content that its number identifies, such as a list revision; nothing is hashed.
     pub fn of_number(number: u64) -> ContentHash {
         let mut bytes = [0; 16];
         bytes[..8].copy_from_slice(&number.to_be_bytes());
@@ -38,35 +38,36 @@
     }
 }
 
-/// What steers a node.
+/// A configuration item that a node acts on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Item {
-    /// The program's build.
+    /// Build of the program.
     Program,
-    /// The settings of the platform's configuration.
+    /// Settings from the platform's configuration.
     Settings,
-    /// The operators' file of sites.
+    /// The operators' sites file.
     Sites,
-    /// The operators' file of budgets.
+    /// The operators' budgets file.
     Budgets,
-    /// The authority's file of accounts.
+    /// The authority's accounts file.
     Accounts,
-    /// Discovery's list.
+    /// Server list from discovery.
     List,
-    /// The epoch of the budgets' agreement.
+    /// Epoch of the budget consensus.
     Epoch,
-    /// Who is in the fleet.
+    /// Member list of the fleet.
     Members,
 }
 
 impl Item {
-    /// Whether its numbers come from outside, so that they can be compared between nodes. Others are counted by each node for itself: a
-    /// list's revisions begin anew with another discovery.
+    /// Whether version numbers of the item are comparable between nodes.
+    ///
+    /// Otherwise each node counts the versions itself; revisions of a list, for example, restart with another discovery service.
     pub fn is_numbered(self) -> bool {
         !matches!(self, Item::Program | Item::Settings | Item::List | Item::Members)
     }
 
-    /// Its name in logs and at the door.
+    /// Returns the name used in logs and on the operators' pages.
     pub fn name(self) -> &'static str {
         match self {
             Item::Program => "program",
@@ -81,14 +82,14 @@
     }
 }
 
-/// One version of an item.
+/// A version of a configuration item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
     /// Grows with each version of the item.
     pub number: u64,
-    /// What it is.
+    /// Hash of the item's content.
     pub content: ContentHash,
-    /// What the one before it was, at this node; nothing (zeros) where it is the first.
+    /// Hash of the previous version at this node; zeros for the first one.
     pub parent: ContentHash,
 }
 
@@ -98,74 +99,76 @@
     }
 }
 
-/// Why a version was not taken.
+/// Why a version was rejected.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error, miette::Diagnostic,
 )]
 pub enum VersionError {
-    /// An older number.
-    #[error("version {offered} is older than {held}, which is in force")]
-    #[diagnostic(help("a file was restored or handed out twice: to return to an old content, hand it out under a new, greater number"))]
+    /// The number is lower than the current one.
+    #[error("version {offered} is older than the current version {held}")]
+    #[diagnostic(help("an old file was restored or distributed again: to return to old content, distribute it under a new, greater number"))]
     Older {
-        /// The number that is in force.
+        /// The current version number.
         held: u64,
-        /// The number that was offered.
+        /// The rejected version number.
         offered: u64,
     },
-    /// The number that is in force with another content.
-    #[error("two contents of version {0}")]
-    #[diagnostic(help("two people have handed out different files of one number: settle which is meant, and hand it out under a greater number"))]
+    /// The current number with different content.
+    #[error("version {0} exists with two different contents")]
+    #[diagnostic(help("two different files were distributed under the same number: decide which one is valid, and distribute it under a greater number"))]
     #[serde(rename = "Two")]
     Conflict(u64),
 }
 
-/// How a version stands to the one that is required.
+/// A held version compared to the required one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Lag {
-    /// It is that one.
+    /// Equal to the required version.
     Same,
-    /// It is newer, by so many numbers.
+    /// Newer, by this many versions.
     Ahead(u64),
-    /// It is older, by so many numbers, or missing.
+    /// Older by this many versions; for a missing item, the required number itself.
     Behind(u64),
-    /// It is another one, and its numbers, each node's own, can't say which is older.
+    /// Different content of an item whose numbers are not comparable between nodes.
     #[serde(rename = "Other")]
     Different,
-    /// It is another content of the same number: one of both is to be called back.
+    /// Different content under the same number: one of the two has to be withdrawn.
     #[serde(rename = "Apart")]
     Conflict,
 }
 
-/// What one change of a vector was.
+/// A change of one item in a [`VersionVector`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VersionChange {
-    /// Of which item.
+    /// The changed item.
     pub item: Item,
-    /// The version before, if there was one.
+    /// The previous version; `None` if the item had none.
     pub from: Option<Version>,
-    /// The version from now on.
+    /// The new version.
     pub to: Version,
 }
 
-/// One version for each item that steers a node.
+/// The current version of each configuration item of a node.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VersionVector(BTreeMap<Item, Version>);
 
 impl VersionVector {
-    /// The version of an item, if it has one.
+    /// Returns the version of an item; `None` if it has none.
     pub fn get(&self, item: Item) -> Option<&Version> {
         self.0.get(&item)
     }
 
-    /// All of them.
+    /// Returns the items with their versions, in the order of [`Item`].
     pub fn iter(&self) -> impl Iterator<Item = (Item, &Version)> {
         self.0.iter().map(|(item, version)| (*item, version))
     }
 
-    /// Take a content over; `number` is its own where it has one, else it is counted. Nothing is returned where it is in force already.
+    /// Replaces the version of an item unless the new one is older; `None` if the content is current already.
+    ///
+    /// `number` is the number that the content carries; without one, the next number is assigned.
     ///
     /// # Errors
-    /// It is older, or another one of the same number; then nothing changes.
+    /// The number is lower than the current one, or equal with different content; the vector stays unchanged.
     pub fn apply(
         &mut self,
         item: Item,
@@ -193,7 +196,7 @@
         Ok(Some(VersionChange { item, from, to }))
     }
 
-    /// This is in force, whatever was before: a process begins with an older file, and must say so. Nothing is returned where it is the same.
+    /// Replaces the version of an item even by an older one, such as a file found at the start; `None` if nothing changes.
     pub fn set(&mut self, item: Item, content: ContentHash, number: Option<u64>) -> Option<VersionChange> {
         let from = self.0.get(&item).copied();
         if from.is_some_and(|held| held.content == content && number.is_none_or(|n| n == held.number)) {
@@ -205,50 +208,51 @@
         Some(VersionChange { item, from, to })
     }
 
-    /// What others need to know of it: not the list, which changes all the time, nor what each node counts for itself.
+    /// Returns the part that other nodes need: without the server list, which changes often, without numbers that each node
+    /// assigns itself, and without parents.
     pub fn shared(&self) -> VersionVector {
         let items = self.0.iter().filter(|(item, _)| **item != Item::List);
-        let plain = |item: Item, v: &Version| {
+        let without_history = |item: Item, v: &Version| {
             let number = if item.is_numbered() { v.number } else { 0 };
             Version { number, content: v.content, parent: ContentHash::default() }
         };
-        VersionVector(items.map(|(item, version)| (*item, plain(*item, version))).collect())
+        VersionVector(items.map(|(item, version)| (*item, without_history(*item, version))).collect())
     }
 
-    /// What stands for all of it, without the history behind: equal at nodes that are steered alike.
+    /// Returns a hash of all versions without their parents, equal at nodes that act on the same configuration.
     pub fn content_hash(&self) -> ContentHash {
-        let mut all = Vec::with_capacity(self.0.len() * 25);
+        let mut bytes = Vec::with_capacity(self.0.len() * 25);
         for (item, version) in &self.0 {
-            all.push(*item as u8);
+            bytes.push(*item as u8);
             let number = if item.is_numbered() { version.number } else { 0 };
-            all.extend_from_slice(&number.to_be_bytes());
-            all.extend_from_slice(&version.content.0);
+            bytes.extend_from_slice(&number.to_be_bytes());
+            bytes.extend_from_slice(&version.content.0);
         }
-        ContentHash::of(&all)
+        ContentHash::of(&bytes)
     }
 
-    /// How each item that `required` names stands to it.
+    /// Compares each item in `required` to the version held here.
     pub fn compare(&self, required: &VersionVector) -> BTreeMap<Item, Lag> {
-        required.0.iter().map(|(item, wanted)| (*item, lag(*item, self.0.get(item), wanted))).collect()
+        required.0.iter().map(|(item, required)| (*item, lag(*item, self.0.get(item), required))).collect()
     }
 
-    /// Whether it acts on something older than `required` says, or on something else where nobody can say which is older.
+    /// Whether any item is older than in `required`, or differs from it without a comparable number.
     pub fn is_behind(&self, required: &VersionVector) -> bool {
         self.compare(required).values().any(|lag| matches!(lag, Lag::Behind(_) | Lag::Different))
     }
 }
 
-fn lag(item: Item, held: Option<&Version>, wanted: &Version) -> Lag {
-    let Some(held) = held else { return Lag::Behind(wanted.number) };
-    if held.content == wanted.content && (held.number == wanted.number || !item.is_numbered()) {
+fn lag(item: Item, held: Option<&Version>, required: &Version) -> Lag {
+    let Some(held) = held else { return Lag::Behind(required.number) };
+    if held.content == required.content && (held.number == required.number || !item.is_numbered()) {
         return Lag::Same;
     }
     if !item.is_numbered() {
         return Lag::Different;
     }
-    match held.number.cmp(&wanted.number) {
-        std::cmp::Ordering::Less => Lag::Behind(wanted.number - held.number),
-        std::cmp::Ordering::Greater => Lag::Ahead(held.number - wanted.number),
+    match held.number.cmp(&required.number) {
+        std::cmp::Ordering::Less => Lag::Behind(required.number - held.number),
+        std::cmp::Ordering::Greater => Lag::Ahead(held.number - required.number),
         std::cmp::Ordering::Equal => Lag::Conflict,
     }
 }
--- a/crates/audit/src/version_lag.rs
+++ b/crates/audit/src/version_lag.rs
@@ -1,33 +1,33 @@
-//! Who is behind what is required, and what follows: brought up, confined to work that may be repeated, shut out, readmitted.
+//! Nodes that lag behind the required versions: they are updated, confined to idempotent requests, shut out and readmitted.
 //!
-//! [`VersionMonitor`] is a pure function of what it was told and when, so that all who go by one agreement hold the same. It confines nobody by a
-//! word: what a node may place ends with its leases, which are not renewed. [`AdmissionLease`] is the node's side of that: without a fresh confirmation it confines itself,
-//! before anyone may take it for confined.
+//! [`VersionMonitor`] is a deterministic state machine, so replicas with the same inputs agree. It restricts a node by not renewing its
+//! leases, never by a command. [`AdmissionLease`] is the node's side: without a fresh answer the node confines itself, before the
+//! monitor may consider it confined.
 
 use crate::version::{Item, Lag, VersionVector};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// When what follows, times in microseconds.
+/// Time limits of the states, in microseconds, and the limit of nodes that are shut out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Rules {
-    /// A node may act on an older version for so long before it is behind, and peers push what it lacks.
+    /// How long a node may act on an older version before it counts as behind and peers push the missing versions to it.
     #[serde(rename = "behind")]
     pub grace: Micros,
-    /// It is behind and brought up for so long before it is confined.
+    /// How long a node may stay behind, or catch up, before it is confined.
     #[serde(rename = "bring")]
     pub catch_up: Micros,
-    /// It is confined for so long before it is shut out.
+    /// How long a node stays confined before it is shut out.
     #[serde(rename = "confine")]
     pub confinement: Micros,
-    /// Once readmitted it has to stay with what is required for so long before it is as any other.
+    /// How long a readmitted node has to keep the required versions before it counts as current.
     #[serde(rename = "hold")]
     pub probation: Micros,
-    /// A node that was not heard for so long can't be reached.
+    /// A node counts as unreachable after this time without a report.
     #[serde(rename = "silent")]
     pub unreachable_after: Micros,
-    /// So many hundredths of the fleet may be shut out at once, one node at least.
+    /// Share of the fleet that may be shut out at once, in percent; at least one node may be.
     #[serde(rename = "share")]
     pub max_shut_out_percent: u32,
 }
@@ -46,41 +46,41 @@
     }
 }
 
-/// How a node stands to what is required.
+/// State of a node with respect to the required versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum State {
-    /// It acts on what is required, on something newer, or not for long on something older.
+    /// Acts on the required versions or newer ones, or on older ones within the grace period.
     Current,
-    /// It acts on something older.
+    /// Has acted on an older version for longer than the grace period.
     Behind,
-    /// It does, and a peer has pushed what it lacks.
+    /// Behind, and a peer has pushed the missing versions.
     #[serde(rename = "BringingUp")]
     CatchingUp,
-    /// It may only do what may be repeated.
+    /// May serve idempotent requests only.
     Confined,
-    /// It may do nothing, and its door says not ready.
+    /// May serve no requests, and its readiness check fails.
     ShutOut,
-    /// It was confined or shut out, and acts on what is required again, not for long.
+    /// Was confined, shut out or unreachable, and has acted on the required versions again for a short time.
     #[serde(rename = "Readmitted")]
     Probation,
-    /// It was not heard; it has confined itself by now.
+    /// Has sent no report for too long, and has confined itself by now.
     #[serde(rename = "Unreached")]
     Unreachable,
 }
 
-/// What a node may do.
+/// The requests that a node may serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Admits {
-    /// Nothing.
+    /// No requests.
     Nothing,
-    /// What may be repeated.
+    /// Idempotent requests only.
     Repeatable,
-    /// Everything.
+    /// All requests.
     All,
 }
 
 impl State {
-    /// What a node in it may do.
+    /// Returns which requests a node in this state may serve.
     pub fn admits(self) -> Admits {
         match self {
             State::ShutOut => Admits::Nothing,
@@ -90,61 +90,62 @@
     }
 }
 
-/// LagReason a node's state has changed.
+/// Why a node's state has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum LagReason {
-    /// It reports something older, or something else, of that item.
+    /// It reports an older or a different version of this item.
     Older(Item),
-    /// It reports what is required and was seen to act on something older of that item.
+    /// It reports the required version of this item, and other nodes saw it act on an older one.
     Contradicts(Item),
-    /// It was not heard.
+    /// It has sent no report for too long.
     Silent,
-    /// It was heard again.
+    /// It reports again.
     #[serde(rename = "Heard")]
     Reachable,
-    /// A peer has pushed what it lacks.
+    /// A peer has pushed the missing versions.
     Pushed,
-    /// It acts on what is required.
+    /// It acts on the required versions.
     CaughtUp,
-    /// It has stayed with that for long enough.
+    /// It kept the required versions during its probation.
     #[serde(rename = "Held")]
     Stable,
-    /// It fell behind again too soon.
+    /// It fell behind on this item during its probation.
     #[serde(rename = "Flaps")]
     Flapping(Item),
 }
 
-/// One thing that has come about.
+/// An event for operators and for the rollout of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum LagEvent {
-    /// A node's state has changed.
+    /// A node entered another state.
     #[serde(rename = "Moved")]
     StateChanged {
-        /// Which node.
+        /// The node's number.
         node: u32,
-        /// Its state before.
+        /// The previous state.
         from: State,
-        /// Its state from now on.
+        /// The new state.
         to: State,
-        /// LagReason.
+        /// The cause of the change.
         #[serde(rename = "why")]
         reason: LagReason,
     },
-    /// One node more would have been shut out than may be: the change that is required is stopped, and what was required before it counts as
-    /// well. It is to be called back: by a greater number with the old content.
+    /// Too many nodes would be shut out: the required change is stopped, and nodes on the versions before it count as current too.
+    ///
+    /// The change has to be withdrawn by distributing the old content under a greater number.
     #[serde(rename = "Stopped")]
     RolloutStopped {
-        /// How many are shut out.
+        /// Number of nodes that are shut out.
         out: usize,
-        /// How many would be.
+        /// Number of nodes that would be shut out.
         wanted: usize,
     },
-    /// A node holds another content of the very number that is required of that item: whichever is meant, a greater number has to say so.
+    /// A node has different content under the required number of an item; the valid content needs a greater number.
     #[serde(rename = "Two")]
     Conflict {
-        /// Which node.
+        /// The node's number.
         node: u32,
-        /// Of what.
+        /// The item in conflict.
         item: Item,
     },
 }
@@ -152,28 +153,29 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 struct Node {
     state: State,
-    /// Since when it is in that state.
+    /// When the node entered the state.
     since: Micros,
+    /// When the last report arrived.
     #[serde(rename = "heard")]
     received: Micros,
-    /// Since when it acts on something older.
+    /// Since when the node acts on an older version; `None` if it doesn't.
     #[serde(rename = "older")]
     outdated_since: Option<Micros>,
     reported: VersionVector,
-    /// What it was seen to act on last, by others.
+    /// The versions that other nodes last saw the node act on.
     #[serde(rename = "acted")]
     observed: Option<VersionVector>,
-    /// Items of which it holds another content of the same number, as far as that was told.
+    /// Items with different content under the required number that were already reported as events.
     #[serde(rename = "two")]
     conflicts: Vec<Item>,
 }
 
-/// Knows how each node of a fleet stands.
+/// Tracks the state of each node of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VersionMonitor {
     rules: Rules,
     required: VersionVector,
-    /// What was required before; it counts as well once a change was stopped.
+    /// The versions required before the last change, which are accepted too once that change is stopped.
     before: VersionVector,
     stopped: bool,
     nodes: BTreeMap<u32, Node>,
@@ -182,7 +184,7 @@
 }
 
 impl VersionMonitor {
-    /// Nothing is required, nobody is known.
+    /// Returns a monitor without nodes and without required versions.
     pub fn new(rules: Rules) -> VersionMonitor {
         VersionMonitor {
             rules,
@@ -194,7 +196,7 @@
         }
     }
 
-    /// Who belongs to the fleet. One that is new begins as unreached, one that is gone is forgotten.
+    /// Sets the nodes of the fleet: new ones start as unreachable, and those that left are forgotten.
     pub fn set_fleet(&mut self, nodes: &[u32], now: Micros) {
         self.nodes.retain(|node, _| nodes.contains(node));
         for node in nodes {
@@ -210,14 +212,14 @@
         }
     }
 
-    /// That is required from now on. It has to have gone by [`VersionVector::apply`], so that no older one ever comes back.
+    /// Sets the required versions. They have to come from [`VersionVector::apply`], so that older ones never return.
     pub fn require(&mut self, required: VersionVector) {
         if required != self.required {
             self.before = std::mem::replace(&mut self.required, required);
             self.stopped = false;
             for node in self.nodes.values_mut() {
                 node.conflicts.clear();
-                // Whoever lags behind an earlier change as well has had no more time to take this one.
+                // A node that already lags behind an earlier change gets no new grace period.
                 if node.state == State::Current {
                     node.outdated_since = None;
                 }
@@ -225,17 +227,17 @@
         }
     }
 
-    /// What is required.
+    /// Returns the required versions.
     pub fn required(&self) -> &VersionVector {
         &self.required
     }
 
-    /// The change to it was stopped.
+    /// Whether the last change of the required versions was stopped.
     pub fn is_stopped(&self) -> bool {
         self.stopped
     }
 
-    /// A node's own word of what steers it. One of nobody that is known changes nothing.
+    /// Records a node's report of its versions; one from an unknown node is ignored.
     pub fn report(&mut self, node: u32, vector: &VersionVector, now: Micros) {
         if let Some(node) = self.nodes.get_mut(&node) {
             node.received = node.received.max(now);
@@ -244,7 +246,7 @@
         self.advance(now);
     }
 
-    /// Others saw the node act under that: it counts above its own word until it is seen to act under another.
+    /// Records the versions that other nodes saw a node act on; the node is behind if either these or its report are.
     pub fn record_observed(&mut self, node: u32, vector: &VersionVector, now: Micros) {
         if let Some(node) = self.nodes.get_mut(&node) {
             node.observed = Some(vector.clone());
@@ -252,7 +254,7 @@
         self.advance(now);
     }
 
-    /// A peer has pushed to a node what it lacks.
+    /// Records that a peer has pushed the missing versions to a node.
     pub fn record_push(&mut self, number: u32, now: Micros) {
         if let Some(node) = self.nodes.get_mut(&number).filter(|n| n.state == State::Behind) {
             node.state = State::CatchingUp;
@@ -266,107 +268,108 @@
         self.advance(now);
     }
 
-    /// How a node stands; nothing of one that is not known.
+    /// Returns the state of a node; `None` if it is unknown.
     pub fn state(&self, node: u32) -> Option<State> {
         self.nodes.get(&node).map(|n| n.state)
     }
 
-    /// What a node may do. One that is not known may only do what may be repeated.
+    /// Returns which requests a node may serve; an unknown node only idempotent ones.
     pub fn admits(&self, node: u32) -> Admits {
         self.state(node).map_or(Admits::Repeatable, State::admits)
     }
 
-    /// Nodes that are to be pushed what they lack.
+    /// Returns the nodes that peers should push the missing versions to.
     pub fn outdated_nodes(&self) -> impl Iterator<Item = u32> + '_ {
-        let lacks = |n: &Node| {
+        let is_outdated = |n: &Node| {
             matches!(n.state, State::Behind | State::CatchingUp | State::Confined | State::ShutOut)
         };
-        self.nodes.iter().filter(move |(_, n)| lacks(n)).map(|(node, _)| *node)
+        self.nodes.iter().filter(move |(_, n)| is_outdated(n)).map(|(node, _)| *node)
     }
 
-    /// What has come about since it was last asked.
+    /// Returns the events since the last call.
     pub fn take_events(&mut self) -> Vec<LagEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// So many may be shut out at once.
+    /// Returns how many nodes may be shut out at once.
     pub fn max_shut_out(&self) -> usize {
         (self.nodes.len() * self.rules.max_shut_out_percent as usize / 100).max(1)
     }
 
-    /// Bring all states up to `now`, of a clock that does not go back.
+    /// Advances all states to `now`, from a monotonic clock.
     pub fn advance(&mut self, now: Micros) {
         let numbers: Vec<u32> = self.nodes.keys().copied().collect();
         for number in numbers {
-            // One step may make the next one due.
-            while self.step(number, now) {}
+            // A transition may make the next one due.
+            while self.transition(number, now) {}
         }
     }
 
-    /// When something may be due without a word from anybody.
+    /// Returns when a state may change without a new input; `None` if none can.
     pub fn due(&self) -> Option<Micros> {
         let rules = self.rules;
-        let of = |n: &Node| {
-            let ends = match n.state {
-                State::Current => n.outdated_since.map(|older| older + rules.grace),
+        let node_due = |n: &Node| {
+            let deadline = match n.state {
+                State::Current => n.outdated_since.map(|since| since + rules.grace),
                 State::Behind | State::CatchingUp => Some(n.since + rules.catch_up),
                 State::Confined if !self.stopped => Some(n.since + rules.confinement),
                 State::Probation => Some(n.since + rules.probation),
                 _ => None,
             };
             let silent = (n.state != State::Unreachable).then(|| n.received + rules.unreachable_after);
-            ends.into_iter().chain(silent).min()
+            deadline.into_iter().chain(silent).min()
         };
-        self.nodes.values().filter_map(of).min()
+        self.nodes.values().filter_map(node_due).min()
     }
 
-    /// Of what it is behind, and whether its own word says otherwise.
-    fn behind(&self, node: &Node) -> Option<(Item, bool)> {
-        let older = |vector: &VersionVector| {
-            let of = |required: &VersionVector| {
+    /// Returns an item on which the node is behind, and whether the node's own report contradicts that.
+    fn outdated_item(&self, node: &Node) -> Option<(Item, bool)> {
+        let first_outdated = |vector: &VersionVector| {
+            let behind = |required: &VersionVector| {
                 let lags = vector.compare(required);
                 lags.into_iter()
                     .find(|(_, lag)| matches!(lag, Lag::Behind(_) | Lag::Different))
                     .map(|(item, _)| item)
             };
-            let first = of(&self.required);
-            first.filter(|_| !self.stopped || of(&self.before).is_some())
+            let first = behind(&self.required);
+            first.filter(|_| !self.stopped || behind(&self.before).is_some())
         };
-        let reported = older(&node.reported);
-        let acted = node.observed.as_ref().and_then(older);
-        reported.map(|item| (item, false)).or(acted.map(|item| (item, true)))
+        let reported = first_outdated(&node.reported);
+        let observed = node.observed.as_ref().and_then(first_outdated);
+        reported.map(|item| (item, false)).or(observed.map(|item| (item, true)))
     }
 
-    fn step(&mut self, number: u32, now: Micros) -> bool {
+    fn transition(&mut self, number: u32, now: Micros) -> bool {
         let Some(node) = self.nodes.get(&number) else { return false };
-        let behind = self.behind(node);
-        let older = behind.map(|_| node.outdated_since.unwrap_or(now));
+        let behind = self.outdated_item(node);
+        let outdated_since = behind.map(|_| node.outdated_since.unwrap_or(now));
         let (state, since, rules) = (node.state, node.since, self.rules);
-        let two = node.reported.compare(&self.required).into_iter().filter(|(_, lag)| *lag == Lag::Conflict);
-        let two: Vec<Item> =
-            two.map(|(item, _)| item).filter(|item| !node.conflicts.contains(item)).collect();
+        let new_conflicts =
+            node.reported.compare(&self.required).into_iter().filter(|(_, lag)| *lag == Lag::Conflict);
+        let new_conflicts: Vec<Item> =
+            new_conflicts.map(|(item, _)| item).filter(|item| !node.conflicts.contains(item)).collect();
         let silent = now - node.received >= rules.unreachable_after;
-        // A node that was never heard has said nothing.
-        let received =
+        // A new node counts as reachable only after its first report.
+        let has_reported =
             node.received > since || (node.received == since && node.reported != VersionVector::default());
-        let because = |(item, contradicts)| match contradicts {
+        let lag_reason = |(item, contradicts)| match contradicts {
             true => LagReason::Contradicts(item),
             false => LagReason::Older(item),
         };
         let to = match (state, behind) {
-            (State::Unreachable, _) if silent || !received => None,
+            (State::Unreachable, _) if silent || !has_reported => None,
             (_, _) if silent => Some((State::Unreachable, LagReason::Silent)),
-            // It was away: it is brought up from now on, and may not place meanwhile what must not run twice.
+            // Guards against an at-most-once request on old versions by a node that was unreachable.
             (State::Unreachable, Some(_)) => Some((State::Confined, LagReason::Reachable)),
             (State::Unreachable, None) => Some((State::Probation, LagReason::Reachable)),
-            (State::Current, Some(why)) if older.is_some_and(|older| now - older >= rules.grace) => {
-                Some((State::Behind, because(why)))
+            (State::Current, Some(lag)) if outdated_since.is_some_and(|since| now - since >= rules.grace) => {
+                Some((State::Behind, lag_reason(lag)))
             }
-            (State::Behind | State::CatchingUp, Some(why)) if now - since >= rules.catch_up => {
-                Some((State::Confined, because(why)))
+            (State::Behind | State::CatchingUp, Some(lag)) if now - since >= rules.catch_up => {
+                Some((State::Confined, lag_reason(lag)))
             }
-            (State::Confined, Some(why)) if now - since >= rules.confinement && !self.stopped => {
-                Some((State::ShutOut, because(why)))
+            (State::Confined, Some(lag)) if now - since >= rules.confinement && !self.stopped => {
+                Some((State::ShutOut, lag_reason(lag)))
             }
             (State::Probation, Some((item, _))) => Some((State::Confined, LagReason::Flapping(item))),
             (State::Behind | State::CatchingUp, None) => Some((State::Current, LagReason::CaughtUp)),
@@ -384,47 +387,51 @@
                 return true;
             }
         }
-        self.events.extend(two.iter().map(|item| LagEvent::Conflict { node: number, item: *item }));
+        self.events.extend(new_conflicts.iter().map(|item| LagEvent::Conflict { node: number, item: *item }));
         if let Some(node) = self.nodes.get_mut(&number) {
-            node.conflicts.extend(two);
-            node.outdated_since = older;
-            if let Some((to, why)) = to {
+            node.conflicts.extend(new_conflicts);
+            node.outdated_since = outdated_since;
+            if let Some((to, reason)) = to {
                 (node.state, node.since) = (to, now);
-                self.events.push(LagEvent::StateChanged { node: number, from: state, to, reason: why });
+                self.events.push(LagEvent::StateChanged { node: number, from: state, to, reason });
             }
         }
         to.is_some()
     }
 }
 
-/// A node's own side: what it may do, by its own clock.
+/// The node's side of the restrictions: which requests it may serve, by its own clock.
 ///
-/// It asks; the answer says what it may do, and holds for a lease from the *asking* on, less what its clock may be off by. Who answers takes the node for
-/// confined only after [`AdmissionLease::max_validity`], counted from the answer.
+/// The node sends requests to the monitor's side. An answer is valid for one lease from the time of the *request*, shortened by the
+/// possible clock drift. The monitor's side considers the node confined only [`AdmissionLease::max_validity`] after its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AdmissionLease {
-    /// Drawn as the process begins: what an earlier one asked by another clock is none of this one's.
-    life: u64,
+    /// Random number of this process; answers to an earlier process, with another clock, are ignored.
+    process: u64,
+    /// Duration of the lease, in microseconds.
     lease: Micros,
-    /// What clocks may be off by, in millionths.
+    /// Largest clock drift, in parts per million.
     drift: u32,
     admits: Admits,
-    /// When the asking was sent to which the newest answer belongs.
+    /// When the latest answered request was sent.
     asked: Option<Micros>,
-    /// The number of the newest answer.
+    /// Number of the newest answer.
     number: u64,
 }
 
 impl AdmissionLease {
-    /// Nothing is confirmed: only what may be repeated is done.
-    pub fn new(life: u64, lease: Micros, drift: u32) -> AdmissionLease {
-        AdmissionLease { life, lease, drift, admits: Admits::Repeatable, asked: None, number: 0 }
+    /// Returns a lease without an answer, which admits idempotent requests only.
+    ///
+    /// `lease` is in microseconds, `drift` in parts per million.
+    pub fn new(process: u64, lease: Micros, drift: u32) -> AdmissionLease {
+        AdmissionLease { process, lease, drift, admits: Admits::Repeatable, asked: None, number: 0 }
     }
 
-    /// An answer to what this life asked at `asked`, by its clock. Answers are numbered by who answers; an older one changes nothing, and
-    /// neither does one to another life.
-    pub fn record_answer(&mut self, life: u64, asked: Micros, number: u64, admits: Admits) -> bool {
-        if number <= self.number || life != self.life {
+    /// Records the answer to a request that was sent at `asked` by this process's clock, and returns whether it was accepted.
+    ///
+    /// The answering side numbers its answers; an older one, or one to another process, is ignored.
+    pub fn record_answer(&mut self, process: u64, asked: Micros, number: u64, admits: Admits) -> bool {
+        if number <= self.number || process != self.process {
             return false;
         }
         (self.number, self.admits) = (number, admits);
@@ -432,17 +439,17 @@
         true
     }
 
-    /// What it may do now, by its own clock.
+    /// Returns which requests the node may serve at `now`, by its own clock.
     pub fn admits(&self, now: Micros) -> Admits {
-        let holds = self.lease - self.lease * Micros::from(self.drift) / 1_000_000;
+        let validity = self.lease - self.lease * Micros::from(self.drift) / 1_000_000;
         match self.asked {
-            Some(asked) if now - asked < holds && now >= asked => self.admits,
-            // What it was refused stays refused; nothing more than that is allowed without a word.
+            Some(asked) if now - asked < validity && now >= asked => self.admits,
+            // Without a valid answer, idempotent requests at most; an earlier restriction stays.
             _ => self.admits.min(Admits::Repeatable),
         }
     }
 
-    /// So long after an answer that said less, by the clock of who answered, nothing that the one before allowed is done any more.
+    /// Returns the time after a restricting answer, by the answering side's clock, after which no earlier permission is in use.
     pub fn max_validity(lease: Micros, drift: u32) -> Micros {
         lease + lease * Micros::from(drift) / 1_000_000
     }
--- a/crates/audit/tests/model.rs
+++ b/crates/audit/tests/model.rs
@@ -1,60 +1,63 @@
-//! A node that confines itself, and who answers it: all orders of asking, answering, losing, doubling, crashing and of a clock that
-//! is off. Once the time has passed that [`AdmissionLease::max_validity`] says, nothing guarded is done that was forbidden.
+//! Model check of [`AdmissionLease`]: requests and answers are lost, reordered and repeated, the node restarts, and its clock drifts.
+//! Once [`AdmissionLease::max_validity`] has passed after a restricting answer, the node serves no at-most-once request.
 
 use shorepath_audit::version_lag::{AdmissionLease, Admits};
 use stateright::{Checker, Model, Property};
 
+/// Duration of the lease, in ticks.
 const LEASE: i64 = 4;
-/// A quarter each: while one clock shows three ticks, the other may show five.
+/// Largest drift of each clock, in parts per million: one clock may advance by five ticks while the other advances by three.
 const DRIFT: u32 = 250_000;
+/// Last tick of a run.
 const LAST: i64 = 9;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Planted {
-    Nothing,
-    /// The lease counts from the answer's arrival.
-    FromArrival,
-    /// An answer to what an earlier process asked is believed.
-    AnyLife,
-    /// Who answers does not reckon with a slow clock.
-    NoDrift,
-    /// A process that begins anew goes on with what was confirmed.
-    CrashKeeps,
+enum Fault {
+    None,
+    /// The lease starts at the arrival of the answer.
+    LeaseFromArrival,
+    /// An answer to an earlier process is accepted.
+    AnyProcess,
+    /// The answering side ignores clock drift.
+    IgnoreDrift,
+    /// A restarted process keeps the lease.
+    KeepLeaseOnRestart,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     now: i64,
-    /// The node's clock, and which of the last four ticks it missed, one bit each.
+    /// The node's clock, in ticks.
     clock: i64,
+    /// Which of the last four ticks the node's clock missed, one bit each.
     missed: u8,
-    own: AdmissionLease,
-    /// In which life, and when by its clock.
-    asks: Vec<(u8, i64)>,
-    /// The asking, the answer's number, what may be done.
+    lease: AdmissionLease,
+    /// Requests in flight: the sending process, and the send time by its clock.
+    requests: Vec<(u8, i64)>,
+    /// Answers in flight: the request, the answer's number, and what is admitted.
     answers: Vec<((u8, i64), u64, Admits)>,
-    numbered: u64,
-    /// Who answers says no more than this from now on.
-    outgoing_messages: Admits,
-    /// When it last said that all may be done.
+    last_answer_number: u64,
+    /// What new answers admit.
+    permitted: Admits,
+    /// When an answer last admitted all requests.
     last_all: Option<i64>,
-    crashes: u8,
+    restarts: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
     Tick,
-    /// The node's clock misses one.
+    /// Time advances by one tick, and the node's clock doesn't.
     SlowTick,
     Ask,
     Answer((u8, i64)),
-    /// An answer arrives; it stays on the way, to arrive again.
+    /// An answer arrives, and may arrive again later.
     Arrive((u8, i64), u64, Admits),
     Confine,
-    Crash,
+    Restart,
 }
 
-struct Fleet(Planted);
+struct Fleet(Fault);
 
 impl Model for Fleet {
     type State = World;
@@ -65,13 +68,13 @@
             now: 0,
             clock: 0,
             missed: 0,
-            own: AdmissionLease::new(0, LEASE, DRIFT),
-            asks: Vec::new(),
+            lease: AdmissionLease::new(0, LEASE, DRIFT),
+            requests: Vec::new(),
             answers: Vec::new(),
-            numbered: 0,
-            outgoing_messages: Admits::All,
+            last_answer_number: 0,
+            permitted: Admits::All,
             last_all: None,
-            crashes: 0,
+            restarts: 0,
         }]
     }
 
@@ -82,20 +85,20 @@
                 steps.push(Step::SlowTick);
             }
         }
-        if world.asks.len() < 2 && !world.asks.contains(&(world.crashes, world.clock)) {
+        if world.requests.len() < 2 && !world.requests.contains(&(world.restarts, world.clock)) {
             steps.push(Step::Ask);
         }
         if world.answers.len() < 2 {
-            steps.extend(world.asks.iter().map(|asked| Step::Answer(*asked)));
+            steps.extend(world.requests.iter().map(|asked| Step::Answer(*asked)));
         }
         steps.extend(
             world.answers.iter().map(|(asked, number, admits)| Step::Arrive(*asked, *number, *admits)),
         );
-        if world.outgoing_messages == Admits::All {
+        if world.permitted == Admits::All {
             steps.push(Step::Confine);
         }
-        if world.crashes == 0 {
-            steps.push(Step::Crash);
+        if world.restarts == 0 {
+            steps.push(Step::Restart);
         }
     }
 
@@ -110,28 +113,28 @@
                 world.now += 1;
                 world.missed = (world.missed << 1 | 1) & 15;
             }
-            Step::Ask => world.asks.push((world.crashes, world.clock)),
+            Step::Ask => world.requests.push((world.restarts, world.clock)),
             Step::Answer(asked) => {
-                world.numbered += 1;
-                if world.outgoing_messages == Admits::All {
+                world.last_answer_number += 1;
+                if world.permitted == Admits::All {
                     world.last_all = Some(world.now);
                 }
-                world.answers.push((asked, world.numbered, world.outgoing_messages));
+                world.answers.push((asked, world.last_answer_number, world.permitted));
             }
-            Step::Arrive((life, asked), number, admits) => {
-                let asked = if self.0 == Planted::FromArrival { world.clock } else { asked };
-                let life = if self.0 == Planted::AnyLife { world.crashes } else { life };
-                if !world.own.record_answer(u64::from(life), asked, number, admits) {
+            Step::Arrive((process, asked), number, admits) => {
+                let asked = if self.0 == Fault::LeaseFromArrival { world.clock } else { asked };
+                let process = if self.0 == Fault::AnyProcess { world.restarts } else { process };
+                if !world.lease.record_answer(u64::from(process), asked, number, admits) {
                     return None;
                 }
             }
-            Step::Confine => world.outgoing_messages = Admits::Repeatable,
-            Step::Crash => {
-                world.crashes += 1;
-                if self.0 != Planted::CrashKeeps {
-                    world.own = AdmissionLease::new(u64::from(world.crashes), LEASE, DRIFT);
+            Step::Confine => world.permitted = Admits::Repeatable,
+            Step::Restart => {
+                world.restarts += 1;
+                if self.0 != Fault::KeepLeaseOnRestart {
+                    world.lease = AdmissionLease::new(u64::from(world.restarts), LEASE, DRIFT);
                 }
-                // Its clock counts from its start.
+                // The clock of the new process starts at 0.
                 world.clock = 0;
             }
         }
@@ -140,38 +143,39 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("confined once the time is over", |fleet: &Fleet, world: &World| {
-                let drift = if fleet.0 == Planted::NoDrift { 0 } else { DRIFT };
-                let over = world
+            Property::always("confined once the validity has passed", |fleet: &Fleet, world: &World| {
+                let drift = if fleet.0 == Fault::IgnoreDrift { 0 } else { DRIFT };
+                let expired = world
                     .last_all
                     .is_none_or(|last| world.now - last >= AdmissionLease::max_validity(LEASE, drift));
-                let confined = world.outgoing_messages < Admits::All && over;
-                !confined || world.own.admits(world.clock) < Admits::All
+                let confined = world.permitted < Admits::All && expired;
+                !confined || world.lease.admits(world.clock) < Admits::All
             }),
-            Property::sometimes("a confirmed node does all", |_, world: &World| {
-                world.own.admits(world.clock) == Admits::All
+            Property::sometimes("a node with a valid lease serves all requests", |_, world: &World| {
+                world.lease.admits(world.clock) == Admits::All
             }),
         ]
     }
 }
 
-fn broken(planted: Planted) -> (bool, usize) {
-    let checker = Fleet(planted).checker().threads(2).spawn_bfs().join();
-    checker.assert_any_discovery("a confirmed node does all");
-    (checker.discovery("confined once the time is over").is_some(), checker.unique_state_count())
+/// Returns whether the search found a violation, and the number of states.
+fn search(fault: Fault) -> (bool, usize) {
+    let checker = Fleet(fault).checker().threads(2).spawn_bfs().join();
+    checker.assert_any_discovery("a node with a valid lease serves all requests");
+    (checker.discovery("confined once the validity has passed").is_some(), checker.unique_state_count())
 }
 
 #[test]
-fn a_node_has_confined_itself_before_anyone_takes_it_for_confined() {
-    let (broken, states) = broken(Planted::Nothing);
+fn node_confines_itself_before_others_consider_it_confined() {
+    let (violated, states) = search(Fault::None);
     println!("{states} states");
-    assert!(!broken);
+    assert!(!violated);
     assert!(states > 1_000_000, "{states} states");
 }
 
 #[test]
-fn planted_faults_are_found() {
-    for planted in [Planted::FromArrival, Planted::AnyLife, Planted::NoDrift, Planted::CrashKeeps] {
-        assert!(broken(planted).0, "{planted:?} was not found");
+fn injected_faults_are_found() {
+    for fault in [Fault::LeaseFromArrival, Fault::AnyProcess, Fault::IgnoreDrift, Fault::KeepLeaseOnRestart] {
+        assert!(search(fault).0, "{fault:?} was not found");
     }
 }
--- a/crates/audit/tests/rollout.rs
+++ b/crates/audit/tests/rollout.rs
@@ -1,14 +1,15 @@
-//! A change in steps: how often it is judged wrongly, how soon, and what ends it.
+//! Tests of staged rollouts: error rates of the sequential test, and the transitions between stages.
 
 use rstest::rstest;
 use shorepath_audit::rollout::{evaluate, Counts, Rollout, RolloutPolicy, Stage, StageReason, StageResult};
 
 const S: i64 = 1_000_000;
 
-/// Numbers by chance, the same each time (SplitMix64).
-struct Chance(u64);
+/// Deterministic random numbers (SplitMix64).
+struct Random(u64);
 
-impl Chance {
+impl Random {
+    /// Returns a number from 0 to 1.
     fn next(&mut self) -> f64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let z = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -17,54 +18,54 @@
     }
 }
 
-/// How often changes that fail with that chance are called worse, and how many of their jobs that takes in the mean.
-fn tried(usual: f64, now: f64) -> (f64, f64) {
-    let (steps, mut chance) = (RolloutPolicy::default(), Chance(7));
-    let (mut worse, mut jobs) = (0, 0);
+/// Returns the share of changes with failure rate `changed` that the test rejects against a baseline of `usual`, and the mean
+/// number of requests with the change that it takes.
+fn rejection_rate(usual: f64, changed: f64) -> (f64, f64) {
+    let (policy, mut random) = (RolloutPolicy::default(), Random(7));
+    let (mut rejected, mut requests) = (0, 0);
     for _ in 0..1_000 {
         let (mut old, mut new) = (Counts::default(), Counts::default());
-        // The others are nine times as many.
+        // One node in ten is a canary.
         let outcome = loop {
             for _ in 0..9 {
-                *(if chance.next() < usual { &mut old.bad } else { &mut old.good }) += 1;
+                *(if random.next() < usual { &mut old.bad } else { &mut old.good }) += 1;
             }
-            *(if chance.next() < now { &mut new.bad } else { &mut new.good }) += 1;
-            match evaluate(&steps, old, new) {
+            *(if random.next() < changed { &mut new.bad } else { &mut new.good }) += 1;
+            match evaluate(&policy, old, new) {
                 StageResult::Undecided if new.good + new.bad < 1_000_000 => {}
                 outcome => break outcome,
             }
         };
         assert_ne!(outcome, StageResult::Undecided);
-        worse += u32::from(outcome == StageResult::Worse);
-        jobs += new.good + new.bad;
+        rejected += u32::from(outcome == StageResult::Worse);
+        requests += new.good + new.bad;
     }
-    (f64::from(worse) / 1_000.0, jobs as f64 / 1_000.0)
+    (f64::from(rejected) / 1_000.0, requests as f64 / 1_000.0)
 }
 
-/// The stated chances are a hundredth each; what the others fail is counted, not known, which costs a little of that: three
-/// hundredths are allowed, at 1,000 tries.
+/// The stated error probabilities are 0.01 each. 0.03 is allowed over 1,000 runs, since the baseline is estimated from counts.
 #[rstest]
-#[case::seldom(0.005)]
-#[case::sometimes(0.02)]
-#[case::often(0.2)]
-fn good_changes_go_on_and_bad_ones_are_called_back(#[case] usual: f64) {
-    let (wrongly, jobs) = tried(usual, usual);
-    println!("{usual}: {wrongly} called back wrongly, {jobs} jobs");
-    assert!(wrongly <= 0.03, "{wrongly} of good changes called back");
-    let (rightly, jobs) = tried(usual, usual * 2.0);
-    println!("{usual}: {rightly} called back rightly, {jobs} jobs");
-    assert!(rightly >= 0.97, "{rightly} of bad changes called back");
-    // One that breaks everything is seen at once.
-    let (rightly, jobs) = tried(usual, 1.0);
-    assert!(rightly == 1.0 && jobs <= 40.0, "{rightly}, {jobs} jobs");
+#[case::rare_failures(0.005)]
+#[case::some_failures(0.02)]
+#[case::frequent_failures(0.2)]
+fn good_changes_pass_and_bad_ones_are_rejected(#[case] usual: f64) {
+    let (false_rejections, requests) = rejection_rate(usual, usual);
+    println!("{usual}: {false_rejections} of good changes rejected, {requests} requests");
+    assert!(false_rejections <= 0.03, "{false_rejections} of good changes rejected");
+    let (rejections, requests) = rejection_rate(usual, usual * 2.0);
+    println!("{usual}: {rejections} of bad changes rejected, {requests} requests");
+    assert!(rejections >= 0.97, "{rejections} of bad changes rejected");
+    // A change that fails every request is rejected after few of them.
+    let (rejections, requests) = rejection_rate(usual, 1.0);
+    assert!(rejections == 1.0 && requests <= 40.0, "{rejections}, {requests} requests");
 }
 
-fn well(n: u64) -> Counts {
+fn served(n: u64) -> Counts {
     Counts { good: n, bad: 0 }
 }
 
-/// A release to 20 nodes; the canaries have taken it at 5 s.
-fn begun(number: u64) -> (Rollout, Vec<u32>) {
+/// Returns a rollout to 20 nodes whose canaries applied the change at 5 s, and the canaries.
+fn started_rollout(number: u64) -> (Rollout, Vec<u32>) {
     let mut rollout = Rollout::new(RolloutPolicy::default(), number, &(0..20).collect::<Vec<_>>(), 0);
     let canaries: Vec<u32> = (0..20).filter(|n| rollout.should_apply(*n)).collect();
     assert_eq!(canaries.len(), 2);
@@ -73,10 +74,10 @@
 }
 
 #[test]
-fn it_goes_to_the_rest_after_it_was_watched_and_is_done_when_all_held() {
-    let (mut rollout, canaries) = begun(4);
+fn rollout_reaches_all_nodes_after_the_observation_time() {
+    let (mut rollout, canaries) = started_rollout(4);
     for n in 0..20 {
-        rollout.add_outcomes(n, well(10_000));
+        rollout.add_outcomes(n, served(10_000));
     }
     assert_eq!(rollout.advance(34 * S), None);
     assert_eq!(rollout.advance(35 * S), Some((Stage::Rest, StageReason::Good)));
@@ -84,7 +85,7 @@
     for n in 0..19 {
         rollout.record_applied(n, 40 * S);
     }
-    assert_eq!(rollout.advance(300 * S), None, "one has not taken it");
+    assert_eq!(rollout.advance(300 * S), None, "one node has not applied the change");
     rollout.remove_node(19, 301 * S);
     assert_eq!(rollout.advance(331 * S), Some((Stage::Done, StageReason::AllApplied)), "{canaries:?}");
     assert_eq!(rollout.advance(332 * S), None);
@@ -92,8 +93,8 @@
 }
 
 #[test]
-fn canaries_that_fail_call_it_back_before_anybody_else_takes_it() {
-    let (mut rollout, canaries) = begun(4);
+fn failing_canaries_roll_back_before_other_nodes_apply_the_change() {
+    let (mut rollout, canaries) = started_rollout(4);
     for n in 0..20 {
         let bad = if canaries.contains(&n) { 50 } else { 0 };
         rollout.add_outcomes(n, Counts { good: 1_000, bad });
@@ -103,10 +104,10 @@
 }
 
 #[test]
-fn the_rest_is_judged_too() {
-    let (mut rollout, _) = begun(4);
+fn failures_in_the_last_stage_roll_back() {
+    let (mut rollout, _) = started_rollout(4);
     for n in 0..20 {
-        rollout.add_outcomes(n, well(10_000));
+        rollout.add_outcomes(n, served(10_000));
     }
     rollout.advance(35 * S);
     for n in 0..20 {
@@ -117,24 +118,24 @@
 }
 
 #[test]
-fn what_nobody_takes_or_nobody_can_judge_is_called_back_in_the_end() {
-    let mut untaken = Rollout::new(RolloutPolicy::default(), 4, &[1, 2, 3], 0);
+fn unapplied_or_undecided_change_is_rolled_back_at_the_timeout() {
+    let mut unapplied = Rollout::new(RolloutPolicy::default(), 4, &[1, 2, 3], 0);
     assert_eq!(
-        (untaken.advance(599 * S), untaken.advance(600 * S)),
+        (unapplied.advance(599 * S), unapplied.advance(600 * S)),
         (None, Some((Stage::RolledBack, StageReason::Undecided)))
     );
-    let (mut quiet, _) = begun(4);
+    let (mut idle, _) = started_rollout(4);
     assert_eq!(
-        (quiet.advance(599 * S), quiet.advance(600 * S)),
+        (idle.advance(599 * S), idle.advance(600 * S)),
         (None, Some((Stage::RolledBack, StageReason::Undecided)))
     );
 }
 
 #[test]
-fn canaries_change_with_the_release() {
-    let mut ever = std::collections::BTreeSet::new();
+fn canaries_differ_between_changes() {
+    let mut canaries = std::collections::BTreeSet::new();
     for number in 0..100 {
-        ever.extend(begun(number).1);
+        canaries.extend(started_rollout(number).1);
     }
-    assert_eq!(ever.len(), 20);
+    assert_eq!(canaries.len(), 20);
 }
