--- a/crates/audit/src/audit_log.rs
+++ b/crates/audit/src/audit_log.rs
@@ -76,7 +76,7 @@
     pub class: String,
     /// Id of the server in discovery's list; `None` if the request was not sent.
     pub server: Option<String>,
-    /// The decision and its reason, in a few words.
+    /// Short text for the decision and its reason.
     pub reason: String,
 }
 
@@ -95,7 +95,7 @@
         /// The changed item with its old and new version.
         #[serde(rename = "taken")]
         change: VersionChange,
-        /// What caused the change.
+        /// Cause of the change.
         #[serde(rename = "why")]
         source: ChangeSource,
     },
@@ -107,7 +107,7 @@
         /// Why the version was rejected.
         #[serde(rename = "because")]
         error: VersionError,
-        /// Where the version came from.
+        /// Origin of the rejected version.
         #[serde(rename = "why")]
         source: ChangeSource,
     },
@@ -171,7 +171,7 @@
         number: u64,
     },
     /// An encoded entry exceeds [`MAX_ENTRY_BYTES`]; holds its size in bytes.
-    #[error("an entry of {0} bytes is over {MAX_ENTRY_BYTES}")]
+    #[error("an entry of {0} bytes exceeds the limit of {MAX_ENTRY_BYTES} bytes")]
     #[diagnostic(help("use shorter names of classes and servers"))]
     EntryTooLong(usize),
 }
@@ -210,7 +210,7 @@
     /// Limit of a segment's size in bytes.
     max_segment_bytes: u64,
     /// Number of the current version vector.
-    vectors: u64,
+    vector_number: u64,
     /// Entries that [`AuditLog::take_pending`] has not returned yet.
     pending: Vec<Vec<u8>>,
     /// Position of the last dropped entry, until [`AuditLog::take_pending`] returns it.
@@ -233,13 +233,13 @@
             segments: Vec::new(),
             max_bytes,
             max_segment_bytes,
-            vectors: 0,
+            vector_number: 0,
             pending: Vec::new(),
             dropped: None,
         };
-        for kept in entries {
+        for stored in entries {
             let number = log.head.number + 1;
-            let (_, bytes) = split(number, kept)?;
+            let (_, bytes) = split(number, stored)?;
             log.count_vector(&decode(number, bytes)?.entry);
             log.chain(bytes);
         }
@@ -263,27 +263,27 @@
 
     /// Returns the number of the current version vector, which each entry that changes the vector increments.
     pub fn vector_number(&self) -> u64 {
-        self.vectors
+        self.vector_number
     }
 
     fn count_vector(&mut self, entry: &Entry) {
         if matches!(entry, Entry::ProcessStarted { .. } | Entry::VersionChanged { .. }) {
-            self.vectors = self.vectors.saturating_add(1);
+            self.vector_number = self.vector_number.saturating_add(1);
         }
     }
 
     /// Appends an encoded entry to the chain and returns it as stored: its digest, then its bytes.
     fn chain(&mut self, bytes: &[u8]) -> Vec<u8> {
         self.head = self.head.successor(bytes);
-        let kept = [self.head.digest.0.as_slice(), bytes].concat();
-        let size = kept.len() as u64;
+        let stored = [self.head.digest.0.as_slice(), bytes].concat();
+        let size = stored.len() as u64;
         match self.segments.last_mut() {
             Some(newest) if newest.size + size <= self.max_segment_bytes => {
                 *newest = Segment { last: self.head, size: newest.size + size };
             }
             _ => self.segments.push(Segment { last: self.head, size }),
         }
-        kept
+        stored
     }
 
     /// Appends an entry, to be written with the next [`AuditLog::take_pending`]; drops the oldest segments over the size limit.
@@ -293,8 +293,8 @@
     pub fn append(&mut self, timed: &Timed) -> Result<ChainPoint, AuditLogError> {
         let bytes = encode(timed)?;
         self.count_vector(&timed.entry);
-        let kept = self.chain(&bytes);
-        self.pending.push(kept);
+        let stored = self.chain(&bytes);
+        self.pending.push(stored);
         while self.size() > self.max_bytes {
             self.base = self.segments.remove(0).last;
             self.dropped = Some(self.base);
@@ -342,8 +342,8 @@
 }
 
 /// Splits a stored entry into its digest and its encoded bytes.
-fn split(number: u64, kept: &[u8]) -> Result<(Digest, &[u8]), AuditLogError> {
-    let (digest, bytes) = kept.split_first_chunk::<32>().ok_or(AuditLogError::Unreadable { number })?;
+fn split(number: u64, stored: &[u8]) -> Result<(Digest, &[u8]), AuditLogError> {
+    let (digest, bytes) = stored.split_first_chunk::<32>().ok_or(AuditLogError::Unreadable { number })?;
     Ok((Digest(*digest), bytes))
 }
 
@@ -360,11 +360,11 @@
     known: &BTreeMap<u64, Digest>,
 ) -> Result<(), AuditLogError> {
     let mut at = base;
-    for (number, kept) in entries {
+    for (number, stored) in entries {
         if number != at.number + 1 {
             return Err(AuditLogError::Missing { number: at.number + 1 });
         }
-        let (digest, bytes) = split(number, kept).map_err(|_| AuditLogError::Changed { number })?;
+        let (digest, bytes) = split(number, stored).map_err(|_| AuditLogError::Changed { number })?;
         at = at.successor(bytes);
         if at.digest != digest || known.get(&number).is_some_and(|d| *d != digest) {
             return Err(AuditLogError::Changed { number });
--- a/crates/audit/src/decision_counters.rs
+++ b/crates/audit/src/decision_counters.rs
@@ -9,7 +9,7 @@
 /// Number of reasons that are counted separately; further ones are counted as `other`.
 pub const MAX_REASONS: usize = 64;
 
-/// How decisions are logged.
+/// Limits for the logging of decisions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sampling {
     /// One request in this many is sampled, the same ones at every node; 0 samples none.
--- a/crates/audit/src/gossip.rs
+++ b/crates/audit/src/gossip.rs
@@ -23,14 +23,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Intervals {
     /// Between messages about changes, in microseconds.
-    pub hot: Micros,
+    pub changes: Micros,
     /// Between periodic messages, in microseconds; a quarter of it during the first five intervals after a change.
-    pub idle: Micros,
+    pub periodic: Micros,
 }
 
 impl Default for Intervals {
     fn default() -> Self {
-        Intervals { hot: 50_000, idle: 1_000_000 }
+        Intervals { changes: 50_000, periodic: 1_000_000 }
     }
 }
 
@@ -104,7 +104,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct KnownNode {
     report: NodeReport,
     /// When this version vector became known here.
     since: Micros,
@@ -122,45 +122,45 @@
 #[derive(Clone, Debug)]
 pub struct Gossip {
     me: u32,
-    others: Vec<u32>,
+    peers: Vec<u32>,
     intervals: Intervals,
-    known: BTreeMap<u32, Known>,
+    known: BTreeMap<u32, KnownNode>,
     vectors: BTreeMap<ContentHash, VersionVector>,
     /// State of the random number generator, never 0.
     random: u64,
     /// Nodes by the time of their last change, the latest one last.
     changed: VecDeque<u32>,
     /// The last node whose report was sent in turn.
-    turn: u32,
-    next_hot: Micros,
-    next_idle: Micros,
+    last_in_turn: u32,
+    next_change_message: Micros,
+    next_periodic_message: Micros,
     updates: Vec<AuditUpdate>,
 }
 
 impl Gossip {
     /// Returns the gossip state of node `me`; `seed` is a random number.
-    pub fn new(me: u32, others: &[u32], intervals: Intervals, seed: u64, now: Micros) -> Gossip {
+    pub fn new(me: u32, peers: &[u32], intervals: Intervals, seed: u64, now: Micros) -> Gossip {
         Gossip {
             me,
-            others: others.iter().copied().filter(|n| *n != me).collect(),
+            peers: peers.iter().copied().filter(|n| *n != me).collect(),
             intervals,
             known: BTreeMap::new(),
             vectors: BTreeMap::new(),
             random: seed | 1,
             changed: VecDeque::new(),
-            turn: 0,
-            next_hot: now,
-            next_idle: now.saturating_add((seed % 1_000) as i64 * intervals.idle / 1_000),
+            last_in_turn: 0,
+            next_change_message: now,
+            next_periodic_message: now.saturating_add((seed % 1_000) as i64 * intervals.periodic / 1_000),
             updates: Vec::new(),
         }
     }
 
-    /// Sets the other nodes of the fleet, and forgets all that left.
-    pub fn set_peers(&mut self, others: &[u32]) {
-        self.others = others.iter().copied().filter(|n| *n != self.me).collect();
-        let (me, others) = (self.me, &self.others);
-        self.known.retain(|node, _| *node == me || others.contains(node));
-        self.changed.retain(|node| *node == me || others.contains(node));
+    /// Sets the nodes of the fleet, and forgets those that left.
+    pub fn set_peers(&mut self, peers: &[u32]) {
+        self.peers = peers.iter().copied().filter(|n| *n != self.me).collect();
+        let (me, peers) = (self.me, &self.peers);
+        self.known.retain(|node, _| *node == me || peers.contains(node));
+        self.changed.retain(|node| *node == me || peers.contains(node));
     }
 
     /// Sets this node's own report; `unix` is its clock in microseconds, which may go backwards.
@@ -180,23 +180,23 @@
         }
         self.vectors.insert(content, shared);
         let at = before.map_or(unix, |r| unix.max(r.at.saturating_add(1)));
-        self.learn(NodeReport { node: self.me, at, log_id, head, content }, now);
+        self.apply_report(NodeReport { node: self.me, at, log_id, head, content }, now);
     }
 
-    fn learn(&mut self, report: NodeReport, now: Micros) {
+    fn apply_report(&mut self, report: NodeReport, now: Micros) {
         let node = report.node;
-        let before = self.known.get(&node);
-        let versions_changed = before.is_none_or(|k| k.report.content != report.content);
-        let is_new = versions_changed || before.is_some_and(|k| k.report.log_id != report.log_id);
-        let (mut points, mut since, mut pending_forwards) = before.map_or((BTreeMap::new(), now, 0), |k| {
+        let last = self.known.get(&node);
+        let versions_changed = last.is_none_or(|k| k.report.content != report.content);
+        let is_new = versions_changed || last.is_some_and(|k| k.report.log_id != report.log_id);
+        let (mut points, mut since, mut pending_forwards) = last.map_or((BTreeMap::new(), now, 0), |k| {
             (
                 if k.report.log_id == report.log_id { k.points.clone() } else { BTreeMap::new() },
                 k.since,
                 k.pending_forwards,
             )
         });
-        let mut disputed = before.and_then(|k| k.disputed).filter(|(log_id, _)| *log_id == report.log_id);
-        if let Some(previous) = before.filter(|_| node != self.me) {
+        let mut disputed = last.and_then(|k| k.disputed).filter(|(log_id, _)| *log_id == report.log_id);
+        if let Some(previous) = last.filter(|_| node != self.me) {
             let (previous, current) = (&previous.report, &report);
             if previous.log_id != current.log_id {
                 self.updates.push(AuditUpdate::LogReplaced { node });
@@ -214,7 +214,7 @@
                 self.updates.push(AuditUpdate::LogForked { node, number });
             }
             if disputed.is_some() {
-                self.next_idle = now;
+                self.next_periodic_message = now;
             }
         }
         points.entry(report.head.number).or_insert(report.head.digest);
@@ -232,7 +232,8 @@
                 self.updates.push(AuditUpdate::VersionsChanged { node, content: report.content });
             }
         }
-        self.known.insert(node, Known { report, since, received: now, pending_forwards, points, disputed });
+        self.known
+            .insert(node, KnownNode { report, since, received: now, pending_forwards, points, disputed });
     }
 
     /// Applies a message; reports of unknown nodes and reports no newer than the known one are ignored.
@@ -253,10 +254,10 @@
             }
             let is_newer = match self.known.get(&report.node) {
                 Some(known) => report.at > known.report.at,
-                None => self.others.contains(&report.node),
+                None => self.peers.contains(&report.node),
             };
             if is_newer {
-                self.learn(*report, now);
+                self.apply_report(*report, now);
             }
         }
         self.drop_unused_vectors();
@@ -295,11 +296,11 @@
 
     /// Returns a random peer; the caller makes sure that there is one.
     fn random_peer(&mut self) -> u32 {
-        let index = self.random_below(self.others.len());
-        self.others.get(index).copied().unwrap_or(self.me)
+        let index = self.random_below(self.peers.len());
+        self.peers.get(index).copied().unwrap_or(self.me)
     }
 
-    fn message(&self, nodes: &[u32]) -> Message {
+    fn build_message(&self, nodes: &[u32]) -> Message {
         let reports: Vec<NodeReport> = nodes.iter().filter_map(|n| Some(self.known.get(n)?.report)).collect();
         let mut contents: Vec<ContentHash> = Vec::new();
         // The most frequent vector first: after a release most nodes have the same one.
@@ -308,7 +309,7 @@
                 contents.push(report.content);
             }
         }
-        contents.sort_by_key(|c| std::cmp::Reverse(reports.iter().filter(|s| s.content == *c).count()));
+        contents.sort_by_key(|c| std::cmp::Reverse(reports.iter().filter(|r| r.content == *c).count()));
         let vectors =
             contents.iter().filter_map(|c| self.vectors.get(c)).take(MAX_VECTORS).cloned().collect();
         Message { reports, vectors, disputed: Vec::new() }
@@ -317,10 +318,10 @@
     /// Returns the messages that are due at `now`, with their receivers.
     pub fn take_outgoing(&mut self, now: Micros) -> Vec<(u32, Message)> {
         let mut outgoing = Vec::new();
-        if self.others.is_empty() {
+        if self.peers.is_empty() {
             return outgoing;
         }
-        if now >= self.next_hot {
+        if now >= self.next_change_message {
             let pending: Vec<u32> =
                 self.known.iter().filter(|(_, k)| k.pending_forwards > 0).map(|(n, _)| *n).collect();
             if !pending.is_empty() {
@@ -336,17 +337,17 @@
                     self.known.entry(*node).and_modify(|k| k.pending_forwards -= 1);
                 }
                 let to = self.random_peer();
-                outgoing.push((to, self.message(&selected)));
-                self.next_hot = now.saturating_add(self.intervals.hot);
+                outgoing.push((to, self.build_message(&selected)));
+                self.next_change_message = now.saturating_add(self.intervals.changes);
             }
         }
-        if now >= self.next_idle {
+        if now >= self.next_periodic_message {
             let newest = self.changed.iter().rev().take(MAX_REPORTS / 2).copied();
             let mut nodes: Vec<u32> = [self.me].into_iter().chain(newest).collect();
-            let after = self.known.range(self.turn.saturating_add(1)..).map(|(n, _)| *n);
+            let after = self.known.range(self.last_in_turn.saturating_add(1)..).map(|(n, _)| *n);
             let from_start = self.known.keys().copied();
             for node in after.chain(from_start).take(MAX_REPORTS / 2 - 1) {
-                self.turn = node;
+                self.last_in_turn = node;
                 nodes.push(node);
             }
             nodes.dedup();
@@ -358,19 +359,21 @@
                 }
             });
             let to = self.random_peer();
-            outgoing.push((to, self.message(&nodes)));
+            outgoing.push((to, self.build_message(&nodes)));
             let disputed =
                 self.known.iter().filter_map(|(node, k)| Some((*node, k.disputed?))).take(MAX_REPORTS);
             outgoing.extend(
-                disputed.map(|(node, of)| (node, Message { disputed: vec![of], ..Message::default() })),
+                disputed.map(|(node, position)| {
+                    (node, Message { disputed: vec![position], ..Message::default() })
+                }),
             );
             let newest = self.changed.back().and_then(|n| self.known.get(n)).map(|k| k.since);
-            let changed_recently =
-                newest.is_some_and(|since| now.saturating_sub(since) < self.intervals.idle.saturating_mul(5));
-            self.next_idle = now.saturating_add(if changed_recently {
-                self.intervals.idle / 4
+            let changed_recently = newest
+                .is_some_and(|since| now.saturating_sub(since) < self.intervals.periodic.saturating_mul(5));
+            self.next_periodic_message = now.saturating_add(if changed_recently {
+                self.intervals.periodic / 4
             } else {
-                self.intervals.idle
+                self.intervals.periodic
             });
         }
         outgoing
@@ -379,8 +382,8 @@
     /// Returns when the next message is due, in microseconds.
     pub fn due(&self) -> Micros {
         match self.known.values().any(|k| k.pending_forwards > 0) {
-            true => self.next_hot.min(self.next_idle),
-            false => self.next_idle,
+            true => self.next_change_message.min(self.next_periodic_message),
+            false => self.next_periodic_message,
         }
     }
 
--- a/crates/audit/src/rollout.rs
+++ b/crates/audit/src/rollout.rs
@@ -122,14 +122,14 @@
     if old.total() < MIN_BASELINE_OUTCOMES {
         return StageResult::Undecided;
     }
-    let usual = (old.bad as f64 / old.total() as f64).max(policy.min_failure_rate).min(0.5);
-    // Keeps the higher rate below 1 when `worse_ratio` times the usual one would exceed it.
-    let worse = (usual * policy.worse_ratio).min((1.0 + usual) / 2.0);
-    let ratio =
-        new.bad as f64 * (worse / usual).ln() + new.good as f64 * ((1.0 - worse) / (1.0 - usual)).ln();
-    if ratio >= ((1.0 - policy.beta) / policy.alpha).ln() {
+    let baseline_rate = (old.bad as f64 / old.total() as f64).max(policy.min_failure_rate).min(0.5);
+    // Keeps the higher rate below 1 when `worse_ratio` times the baseline rate would exceed it.
+    let worse_rate = (baseline_rate * policy.worse_ratio).min((1.0 + baseline_rate) / 2.0);
+    let log_likelihood_ratio = new.bad as f64 * (worse_rate / baseline_rate).ln()
+        + new.good as f64 * ((1.0 - worse_rate) / (1.0 - baseline_rate)).ln();
+    if log_likelihood_ratio >= ((1.0 - policy.beta) / policy.alpha).ln() {
         StageResult::Worse
-    } else if ratio <= (policy.beta / (1.0 - policy.alpha)).ln() {
+    } else if log_likelihood_ratio <= (policy.beta / (1.0 - policy.alpha)).ln() {
         StageResult::Good
     } else {
         StageResult::Undecided
@@ -145,7 +145,7 @@
     /// Nodes that have applied the change.
     applied: BTreeSet<u32>,
     stage: Stage,
-    since: Micros,
+    stage_since: Micros,
     /// When the last node of the stage applied the change; `None` while one has not.
     complete_since: Option<Micros>,
     /// Outcomes without the change.
@@ -173,7 +173,7 @@
             fleet: fleet.iter().copied().collect(),
             applied: BTreeSet::new(),
             stage: Stage::Canary,
-            since: now,
+            stage_since: now,
             complete_since: None,
             old: Counts::default(),
             new: Counts::default(),
@@ -235,13 +235,13 @@
     /// Rolls the change back; `None` if the rollout is over already.
     pub fn roll_back(&mut self, reason: StageReason) -> Option<(Stage, StageReason)> {
         match self.stage {
-            Stage::Canary | Stage::Rest => Some(self.enter(Stage::RolledBack, reason, self.since)),
+            Stage::Canary | Stage::Rest => Some(self.enter(Stage::RolledBack, reason, self.stage_since)),
             Stage::Done | Stage::RolledBack => None,
         }
     }
 
     fn enter(&mut self, to: Stage, reason: StageReason, now: Micros) -> (Stage, StageReason) {
-        (self.stage, self.since, self.complete_since) = (to, now, None);
+        (self.stage, self.stage_since, self.complete_since) = (to, now, None);
         self.update_completion(now);
         (to, reason)
     }
@@ -259,7 +259,7 @@
                 self.new = Counts::default();
                 Some(self.enter(Stage::Rest, StageReason::Good, now))
             }
-            (Stage::Canary, _) if now - self.since >= self.policy.timeout => {
+            (Stage::Canary, _) if now - self.stage_since >= self.policy.timeout => {
                 Some(self.enter(Stage::RolledBack, StageReason::Undecided, now))
             }
             (Stage::Rest, _) if observed => Some(self.enter(Stage::Done, StageReason::AllApplied, now)),
--- a/crates/audit/src/version_lag.rs
+++ b/crates/audit/src/version_lag.rs
@@ -99,7 +99,7 @@
     Contradicts(Item),
     /// It has sent no report for too long.
     Silent,
-    /// It reports again.
+    /// A report arrived after the node was unreachable.
     #[serde(rename = "Heard")]
     Reachable,
     /// A peer has pushed the missing versions.
@@ -414,7 +414,7 @@
     drift: u32,
     admits: Admits,
     /// When the latest answered request was sent.
-    asked: Option<Micros>,
+    request_sent_at: Option<Micros>,
     /// Number of the newest answer.
     number: u64,
 }
@@ -424,32 +424,43 @@
     ///
     /// `lease` is in microseconds, `drift` in parts per million.
     pub fn new(process: u64, lease: Micros, drift: u32) -> AdmissionLease {
-        AdmissionLease { process, lease, drift, admits: Admits::Repeatable, asked: None, number: 0 }
+        AdmissionLease { process, lease, drift, admits: Admits::Repeatable, request_sent_at: None, number: 0 }
     }
 
-    /// Records the answer to a request that was sent at `asked` by this process's clock, and returns whether it was accepted.
+    /// Records the answer to a request that was sent at `request_sent_at` by this process's clock, and returns whether it was accepted.
     ///
     /// The answering side numbers its answers; an older one, or one to another process, is ignored.
-    pub fn record_answer(&mut self, process: u64, asked: Micros, number: u64, admits: Admits) -> bool {
+    pub fn record_answer(
+        &mut self,
+        process: u64,
+        request_sent_at: Micros,
+        number: u64,
+        admits: Admits,
+    ) -> bool {
         if number <= self.number || process != self.process {
             return false;
         }
         (self.number, self.admits) = (number, admits);
-        self.asked = Some(self.asked.map_or(asked, |before| before.max(asked)));
+        self.request_sent_at =
+            Some(self.request_sent_at.map_or(request_sent_at, |before| before.max(request_sent_at)));
         true
     }
 
     /// Returns which requests the node may serve at `now`, by its own clock.
     pub fn admits(&self, now: Micros) -> Admits {
         let validity = self.lease - self.lease * Micros::from(self.drift) / 1_000_000;
-        match self.asked {
-            Some(asked) if now - asked < validity && now >= asked => self.admits,
+        match self.request_sent_at {
+            Some(request_sent_at) if now - request_sent_at < validity && now >= request_sent_at => {
+                self.admits
+            }
             // Without a valid answer, idempotent requests at most; an earlier restriction stays.
             _ => self.admits.min(Admits::Repeatable),
         }
     }
 
-    /// Returns the time after a restricting answer, by the answering side's clock, after which no earlier permission is in use.
+    /// Returns how long, in microseconds after a restricting answer, an earlier permission may stay in use.
+    ///
+    /// It is measured by the answering side's clock; `lease` is in microseconds, `drift` in parts per million.
     pub fn max_validity(lease: Micros, drift: u32) -> Micros {
         lease + lease * Micros::from(drift) / 1_000_000
     }
--- a/crates/audit/tests/model.rs
+++ b/crates/audit/tests/model.rs
@@ -25,7 +25,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
+struct State {
     now: i64,
     /// The node's clock, in ticks.
     clock: i64,
@@ -37,7 +37,7 @@
     /// Answers in flight: the request, the answer's number, and what is admitted.
     answers: Vec<((u8, i64), u64, Admits)>,
     last_answer_number: u64,
-    /// What new answers admit.
+    /// The requests that new answers admit.
     permitted: Admits,
     /// When an answer last admitted all requests.
     last_all: Option<i64>,
@@ -57,14 +57,14 @@
     Restart,
 }
 
-struct Fleet(Fault);
+struct LeaseModel(Fault);
 
-impl Model for Fleet {
-    type State = World;
+impl Model for LeaseModel {
+    type State = State;
     type Action = Step;
 
-    fn init_states(&self) -> Vec<World> {
-        vec![World {
+    fn init_states(&self) -> Vec<State> {
+        vec![State {
             now: 0,
             clock: 0,
             missed: 0,
@@ -78,81 +78,81 @@
         }]
     }
 
-    fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        if world.now < LAST {
+    fn actions(&self, state: &State, steps: &mut Vec<Step>) {
+        if state.now < LAST {
             steps.push(Step::Tick);
-            if world.missed.count_ones() < 2 {
+            if state.missed.count_ones() < 2 {
                 steps.push(Step::SlowTick);
             }
         }
-        if world.requests.len() < 2 && !world.requests.contains(&(world.restarts, world.clock)) {
+        if state.requests.len() < 2 && !state.requests.contains(&(state.restarts, state.clock)) {
             steps.push(Step::Ask);
         }
-        if world.answers.len() < 2 {
-            steps.extend(world.requests.iter().map(|asked| Step::Answer(*asked)));
+        if state.answers.len() < 2 {
+            steps.extend(state.requests.iter().map(|request| Step::Answer(*request)));
         }
         steps.extend(
-            world.answers.iter().map(|(asked, number, admits)| Step::Arrive(*asked, *number, *admits)),
+            state.answers.iter().map(|(request, number, admits)| Step::Arrive(*request, *number, *admits)),
         );
-        if world.permitted == Admits::All {
+        if state.permitted == Admits::All {
             steps.push(Step::Confine);
         }
-        if world.restarts == 0 {
+        if state.restarts == 0 {
             steps.push(Step::Restart);
         }
     }
 
-    fn next_state(&self, world: &World, step: Step) -> Option<World> {
-        let mut world = world.clone();
+    fn next_state(&self, state: &State, step: Step) -> Option<State> {
+        let mut state = state.clone();
         match step {
             Step::Tick => {
-                (world.now, world.clock) = (world.now + 1, world.clock + 1);
-                world.missed = world.missed << 1 & 15;
+                (state.now, state.clock) = (state.now + 1, state.clock + 1);
+                state.missed = state.missed << 1 & 15;
             }
             Step::SlowTick => {
-                world.now += 1;
-                world.missed = (world.missed << 1 | 1) & 15;
+                state.now += 1;
+                state.missed = (state.missed << 1 | 1) & 15;
             }
-            Step::Ask => world.requests.push((world.restarts, world.clock)),
-            Step::Answer(asked) => {
-                world.last_answer_number += 1;
-                if world.permitted == Admits::All {
-                    world.last_all = Some(world.now);
+            Step::Ask => state.requests.push((state.restarts, state.clock)),
+            Step::Answer(request) => {
+                state.last_answer_number += 1;
+                if state.permitted == Admits::All {
+                    state.last_all = Some(state.now);
                 }
-                world.answers.push((asked, world.last_answer_number, world.permitted));
+                state.answers.push((request, state.last_answer_number, state.permitted));
             }
-            Step::Arrive((process, asked), number, admits) => {
-                let asked = if self.0 == Fault::LeaseFromArrival { world.clock } else { asked };
-                let process = if self.0 == Fault::AnyProcess { world.restarts } else { process };
-                if !world.lease.record_answer(u64::from(process), asked, number, admits) {
+            Step::Arrive((process, sent_at), number, admits) => {
+                let sent_at = if self.0 == Fault::LeaseFromArrival { state.clock } else { sent_at };
+                let process = if self.0 == Fault::AnyProcess { state.restarts } else { process };
+                if !state.lease.record_answer(u64::from(process), sent_at, number, admits) {
                     return None;
                 }
             }
-            Step::Confine => world.permitted = Admits::Repeatable,
+            Step::Confine => state.permitted = Admits::Repeatable,
             Step::Restart => {
-                world.restarts += 1;
+                state.restarts += 1;
                 if self.0 != Fault::KeepLeaseOnRestart {
-                    world.lease = AdmissionLease::new(u64::from(world.restarts), LEASE, DRIFT);
+                    state.lease = AdmissionLease::new(u64::from(state.restarts), LEASE, DRIFT);
                 }
                 // The clock of the new process starts at 0.
-                world.clock = 0;
+                state.clock = 0;
             }
         }
-        Some(world)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("confined once the validity has passed", |fleet: &Fleet, world: &World| {
-                let drift = if fleet.0 == Fault::IgnoreDrift { 0 } else { DRIFT };
-                let expired = world
+            Property::always("confined once the validity has passed", |model: &LeaseModel, state: &State| {
+                let drift = if model.0 == Fault::IgnoreDrift { 0 } else { DRIFT };
+                let expired = state
                     .last_all
-                    .is_none_or(|last| world.now - last >= AdmissionLease::max_validity(LEASE, drift));
-                let confined = world.permitted < Admits::All && expired;
-                !confined || world.lease.admits(world.clock) < Admits::All
+                    .is_none_or(|last| state.now - last >= AdmissionLease::max_validity(LEASE, drift));
+                let confined = state.permitted < Admits::All && expired;
+                !confined || state.lease.admits(state.clock) < Admits::All
             }),
-            Property::sometimes("a node with a valid lease serves all requests", |_, world: &World| {
-                world.lease.admits(world.clock) == Admits::All
+            Property::sometimes("a node with a valid lease serves all requests", |_, state: &State| {
+                state.lease.admits(state.clock) == Admits::All
             }),
         ]
     }
@@ -160,7 +160,7 @@
 
 /// Returns whether the search found a violation, and the number of states.
 fn search(fault: Fault) -> (bool, usize) {
-    let checker = Fleet(fault).checker().threads(2).spawn_bfs().join();
+    let checker = LeaseModel(fault).checker().threads(2).spawn_bfs().join();
     checker.assert_any_discovery("a node with a valid lease serves all requests");
     (checker.discovery("confined once the validity has passed").is_some(), checker.unique_state_count())
 }
--- a/crates/recovery/src/disk_trust.rs
+++ b/crates/recovery/src/disk_trust.rs
@@ -90,19 +90,19 @@
 
 /// Classifies a disk by the node's name and by what peers report.
 ///
-/// `remembered` is the boot count that peers remember for the disk, `lives_elsewhere` whether another process uses the same
+/// `remembered_boots` is the boot count that peers remember for the disk, `used_elsewhere` whether another process uses the same
 /// disk now.
 pub fn classify_disk(
     disk: Option<&Identity>,
     name: &str,
-    remembered: Option<u64>,
-    lives_elsewhere: bool,
+    remembered_boots: Option<u64>,
+    used_elsewhere: bool,
 ) -> DiskState {
     match disk {
         None => DiskState::Lost,
         Some(d) if d.node != name => DiskState::Strange,
-        Some(_) if lives_elsewhere => DiskState::Copied,
-        Some(d) if remembered.is_some_and(|boots| boots > d.boots) => DiskState::Old,
+        Some(_) if used_elsewhere => DiskState::Copied,
+        Some(d) if remembered_boots.is_some_and(|boots| boots > d.boots) => DiskState::Old,
         Some(_) => DiskState::Own,
     }
 }
