--- a/crates/scheduler/benches/decision.rs
+++ b/crates/scheduler/benches/decision.rs
@@ -1,25 +1,28 @@
-//! What a decision costs by the size of the fleet: a request's whole life (taken, sent, started, served, with the
-//! wake-ups between) at one scheduler that keeps its fleet 60% busy, that has a small part of it, or whose jobs
+//! Measures the cost of a request by the number of endpoints: arrival, attempt, start and answer, and the
+//! wake-ups in between. The scheduler under test uses 60% of the fleet, uses 1.2% of it, or sees its jobs
 //! start late.
 //!
-//!     cargo bench -p shorepath-scheduler
+//! Run it with `cargo bench -p shorepath-scheduler`.
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, Throughput};
-use shorepath_scheduler::Scheduler;
-use shorepath_scheduler::*;
+use shorepath_scheduler::{
+    Action, AttemptStatus, ClassId, ClassSettings, Endpoint, EndpointId, EndpointState, Event, Idempotency,
+    KindId, Micros, Request, RequestId, Scheduler, Settings, TenantId, TenantSettings, WorkState, ZoneId,
+};
 use std::collections::BTreeMap;
 use std::hint::black_box;
 
+/// Microseconds in a millisecond.
 const MS: Micros = 1_000;
 
 fn settings() -> Settings {
-    let class = |effect| ClassSettings {
+    let class = |idempotency| ClassSettings {
         latency_objective: 200 * MS,
         work_factor: 2.0,
         deadline: 5_000 * MS,
         late_fraction: 0.3,
         priority_weight: 1.0,
-        idempotency: effect,
+        idempotency,
         kind: None,
     };
     Settings {
@@ -42,24 +45,28 @@
     }
 }
 
-/// A scheduler in the middle of its work.
-struct Busy {
-    balancer: Scheduler,
+/// A scheduler under a constant load.
+struct LoadedScheduler {
+    scheduler: Scheduler,
     now: Micros,
-    gap: f64,
-    next: u64,
+    /// Mean time between arrivals, in microseconds.
+    arrival_interval: f64,
+    last_id: u64,
+    /// Events to report, by time and request id: the start of an attempt, or its end if the flag is set.
     due: BTreeMap<(Micros, u64, bool), ()>,
-    wake: Micros,
-    out: Vec<Action>,
-    owed: f64,
-    /// From a send to its start.
-    start: Micros,
+    wake_at: Micros,
+    actions: Vec<Action>,
+    /// The fraction of a microsecond by which the last arrival was early.
+    arrival_remainder: f64,
+    /// Time from sending an attempt to its start.
+    start_delay: Micros,
 }
 
-impl Busy {
-    /// One with so many servers in three zones, that asks for so many jobs at a time.
-    fn new(servers: u32, at_a_time: f64, start: Micros) -> Busy {
-        let member = |n: u32| Endpoint {
+impl LoadedScheduler {
+    /// Creates a scheduler with endpoints in three zones and a mean number of jobs in flight. It runs until
+    /// the concurrency limit and the estimates have settled.
+    fn new(endpoints: u32, mean_in_flight: f64, start_delay: Micros) -> LoadedScheduler {
+        let endpoint = |n: u32| Endpoint {
             id: EndpointId(n),
             name_hash: u64::from(n),
             kind: KindId(n % 3),
@@ -69,72 +76,74 @@
             state: EndpointState::Live,
             started_at: 0,
         };
-        let mut busy = Busy {
-            balancer: Scheduler::new(settings(), 7),
+        let mut loaded = LoadedScheduler {
+            scheduler: Scheduler::new(settings(), 7),
             now: 1_000 * MS,
-            gap: 100.0 * MS as f64 / at_a_time,
-            next: 0,
+            arrival_interval: 100.0 * MS as f64 / mean_in_flight,
+            last_id: 0,
             due: BTreeMap::new(),
-            wake: Micros::MAX,
-            out: Vec::new(),
-            owed: 0.0,
-            start,
+            wake_at: Micros::MAX,
+            actions: Vec::new(),
+            arrival_remainder: 0.0,
+            start_delay,
         };
-        busy.tell(Event::EndpointList((0..servers).map(member).collect()));
-        // Until its window and what it has learned have settled.
-        for _ in 0..(30.0 * at_a_time) as u64 + 2_000 {
-            busy.request();
+        loaded.report(Event::EndpointList((0..endpoints).map(endpoint).collect()));
+        for _ in 0..(30.0 * mean_in_flight) as u64 + 2_000 {
+            loaded.run_to_next_arrival();
         }
-        busy
+        loaded
     }
 
-    fn tell(&mut self, event: Event) {
-        let mut out = std::mem::take(&mut self.out);
-        self.balancer.handle(self.now, event, &mut out);
-        for action in out.drain(..) {
+    fn report(&mut self, event: Event) {
+        let mut actions = std::mem::take(&mut self.actions);
+        self.scheduler.handle(self.now, event, &mut actions);
+        for action in actions.drain(..) {
             match action {
                 Action::StartAttempt { id, .. } => {
-                    self.due.insert((self.now + self.start, id.0, false), ());
+                    self.due.insert((self.now + self.start_delay, id.0, false), ());
                     self.due.insert((self.now + 100 * MS, id.0, true), ());
                 }
-                Action::WakeAfter { delay: after } => self.wake = self.wake.min(self.now + after.max(1)),
+                Action::WakeAfter { delay: after } => {
+                    self.wake_at = self.wake_at.min(self.now + after.max(1))
+                }
                 _ => {}
             }
         }
-        self.out = out;
+        self.actions = actions;
     }
 
-    /// Everything up to the next request, and that.
-    fn request(&mut self) {
-        self.owed += self.gap;
-        let at = self.now + self.owed as Micros;
-        self.owed -= self.owed.floor();
+    /// Advances time to the next arrival, handles the events that are due before it, and lets the request
+    /// arrive.
+    fn run_to_next_arrival(&mut self) {
+        self.arrival_remainder += self.arrival_interval;
+        let at = self.now + self.arrival_remainder as Micros;
+        self.arrival_remainder -= self.arrival_remainder.floor();
         loop {
             let first = self.due.first_key_value().map(|(k, ())| *k);
             match first {
-                Some(due) if due.0 <= at && due.0 <= self.wake => {
+                Some(due) if due.0 <= at && due.0 <= self.wake_at => {
                     self.due.pop_first();
                     self.now = self.now.max(due.0);
                     let id = RequestId(due.1);
-                    self.tell(if due.2 {
+                    self.report(if due.2 {
                         Event::AttemptEnded { id, attempt: 0, status: AttemptStatus::Ok, is_final: true }
                     } else {
                         Event::AttemptStarted { id, attempt: 0 }
                     });
                 }
-                _ if self.wake <= at => {
-                    self.now = self.now.max(self.wake);
-                    self.wake = Micros::MAX;
-                    self.tell(Event::Wake);
+                _ if self.wake_at <= at => {
+                    self.now = self.now.max(self.wake_at);
+                    self.wake_at = Micros::MAX;
+                    self.report(Event::Wake);
                 }
                 _ => break,
             }
         }
         self.now = at.max(self.now);
-        self.next += 1;
-        self.tell(Event::RequestArrived(Request {
-            id: RequestId(self.next),
-            class: ClassId(usize::from(self.next.is_multiple_of(4))),
+        self.last_id += 1;
+        self.report(Event::RequestArrived(Request {
+            id: RequestId(self.last_id),
+            class: ClassId(usize::from(self.last_id.is_multiple_of(4))),
             tenant: Some(TenantId(0)),
             key: None,
             time_remaining: 5_000 * MS,
@@ -147,18 +156,22 @@
     }
 }
 
-fn lives(c: &mut Criterion) {
-    // Where starts take long, most servers have a job of ours that has not started, and are passed over.
-    let ways = [("whole fleet", 1.2, 2), ("a fiftieth of it", 0.024, 2), ("all wait", 1.5, 90)];
-    for (name, part, start) in ways {
-        let mut group = c.benchmark_group(name);
+fn request_cost(criterion: &mut Criterion) {
+    // With slow starts, most endpoints have a job that has not started, and are skipped.
+    let loads = [("60% of the fleet", 1.2, 2), ("1.2% of the fleet", 0.024, 2), ("slow starts", 1.5, 90)];
+    for (name, jobs_per_endpoint, start_delay) in loads {
+        let mut group = criterion.benchmark_group(name);
         group.throughput(Throughput::Elements(1)).sample_size(30);
-        for servers in [10u32, 100, 1_000, 10_000] {
-            let mut busy = Busy::new(servers, (f64::from(servers) * part).max(1.0), start * MS);
-            group.bench_function(BenchmarkId::from_parameter(servers), |b| {
-                b.iter(|| {
-                    busy.request();
-                    black_box(&busy.now);
+        for endpoints in [10u32, 100, 1_000, 10_000] {
+            let mut loaded = LoadedScheduler::new(
+                endpoints,
+                (f64::from(endpoints) * jobs_per_endpoint).max(1.0),
+                start_delay * MS,
+            );
+            group.bench_function(BenchmarkId::from_parameter(endpoints), |bencher| {
+                bencher.iter(|| {
+                    loaded.run_to_next_arrival();
+                    black_box(&loaded.now);
                 })
             });
         }
@@ -166,5 +179,5 @@
     }
 }
 
-criterion_group!(benches, lives);
+criterion_group!(benches, request_cost);
 criterion_main!(benches);
--- a/crates/scheduler/src/fair_queue.rs
+++ b/crates/scheduler/src/fair_queue.rs
@@ -69,9 +69,9 @@
     }
 
     /// Lowers both means by a fraction.
-    pub fn lower_by(&mut self, part: f64) {
-        self.local *= 1.0 - part;
-        self.remote *= 1.0 - part;
+    pub fn lower_by(&mut self, fraction: f64) {
+        self.local *= 1.0 - fraction;
+        self.remote *= 1.0 - fraction;
     }
 }
 
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -13,7 +13,7 @@
 //! assert!(actions.is_empty());
 //! ```
 //!
-//! Requests are ordered by Redemptive Fair Queuing (Gulati and Varman, sections 3 and 4). A comment that
+//! Requests are ordered by Redemptive Fair Queuing (Gulati and Varman, sections 3 and 4). A paragraph that
 //! begins with `Departure:` explains where the code differs from the paper, and why.
 
 #![warn(
--- a/crates/scheduler/src/outlier.rs
+++ b/crates/scheduler/src/outlier.rs
@@ -58,7 +58,7 @@
 
 /// Class, tenant and key of the last failed job.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct FailureCause {
+pub(crate) struct FailedJob {
     pub class: usize,
     pub tenant: usize,
     pub key: Option<KeyId>,
@@ -72,8 +72,8 @@
     pub until: Micros,
     /// How long the subject was last avoided; 0 if it never was.
     pub pause: Micros,
-    /// The job of the last failure.
-    pub cause: FailureCause,
+    /// The job whose failure came last.
+    pub failed_job: FailedJob,
     /// The endpoint of the last failure.
     pub endpoint: EndpointId,
     /// Consecutive failures, at different endpoints where the subject spans several.
@@ -94,7 +94,7 @@
         Suspicion {
             until: now,
             pause: 0,
-            cause: FailureCause::default(),
+            failed_job: FailedJob::default(),
             endpoint,
             streak: 0,
             since: now,
--- a/crates/scheduler/src/quota.rs
+++ b/crates/scheduler/src/quota.rs
@@ -286,7 +286,7 @@
 
     /// Returns the fraction of slow-start work that may come from this scheduler, or `None` if it is
     /// unknown.
-    pub fn slow_start_part(&self) -> Option<f64> {
+    pub fn slow_start_share(&self) -> Option<f64> {
         let tracked = self.shares.get(&QuotaKind::SlowStart)?;
         Some(tracked.share.units as f64 / tracked.share.total.max(1) as f64)
     }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -189,7 +189,7 @@
             Timer::ProbeRoundOver(id, round)
                 if self.requests.get(&id).is_some_and(|r| r.probe_round == round) =>
             {
-                self.probe_next(id, actions);
+                self.start_probe_round(id, actions);
             }
             Timer::AnswerDue(_) | Timer::ProbeRoundOver(..) | Timer::CapacityFreed => {}
             Timer::AttemptOverdue(id, attempt) => self.on_attempt_overdue((id, attempt), actions),
--- a/crates/scheduler/src/scheduler/admission.rs
+++ b/crates/scheduler/src/scheduler/admission.rs
@@ -131,11 +131,12 @@
         self.timers.set(until - job.work as Micros - start_wait, Timer::AnswerDue(id));
     }
 
-    /// Returns whether a request beyond its tenant's share has to be shed on arrival.
+    /// Returns whether a request is too far beyond its tenant's share to be queued, and has to be shed on
+    /// arrival.
     ///
-    /// Departure: such a request may wait only for a fraction of the mean objective, the fraction that its
-    /// weight has of its class's. The mean is over all classes, or a flood would leave only the classes with
-    /// long objectives. A request with a later start tag is shed before it costs anything.
+    /// Departure: a request beyond its tenant's share may wait only for the fraction `over_share_fraction`
+    /// of the mean objective, and a later start is shed before it has cost any work. The mean is over all
+    /// classes, because with their own objectives a flood would consist of the classes with the most work.
     fn is_too_far_over_share(&self, id: RequestId, start_tag: Micros) -> bool {
         let Some(request) = self.requests.get(&id).filter(|request| request.is_queued) else { return false };
         let longest_wait = self.mean_objective() * self.settings.over_share_fraction.clamp(0.0, 1.0);
@@ -186,7 +187,7 @@
         let window = self.settings.recent_window();
         let age = (self.now - self.demand.since.unwrap_or(self.now)) as f64;
         let observed_fraction =
-            (1.0 - (-age / window).exp()).max(self.settings.recent_eighth() as f64 / window);
+            (1.0 - (-age / window).exp()).max(self.settings.eighth_of_recent_window() as f64 / window);
         self.demand.arrivals[tenant].rate(self.now, window) / observed_fraction
     }
 
@@ -227,8 +228,9 @@
     /// or when a busy period starts.
     ///
     /// Departure: a scheduler with little traffic stays below its limit even while endpoints are full. With
-    /// quotas, buckets are refilled only while the share of lost requests is below the weight of a request
-    /// beyond its tenant's share. Harm: see `docs/`.
+    /// quotas, buckets are therefore refilled only while the share of lost requests is at most the weight of
+    /// a request beyond its tenant's share. Harm: while more is lost, a tenant keeps its deficit through
+    /// idle periods.
     pub(super) fn may_reset_deficit(&self, queue: usize, tenant: usize) -> bool {
         // A single bad sample is no evidence; two in a row are.
         let two_samples = 2.0 * crate::concurrency_limit::SAMPLE_WEIGHT;
--- a/crates/scheduler/src/scheduler/attempts.rs
+++ b/crates/scheduler/src/scheduler/attempts.rs
@@ -113,7 +113,8 @@
         }
         self.record_start_wait(endpoint, job.queue, wait);
         // A start is timely within an eighth of the objective or, if longer, half of the time that the
-        // request was queued here. After a long time in the queue, the limit was too low.
+        // request was queued here. A long time in this queue means that the limit is too low, so the wait at
+        // the endpoint must not lower it further.
         let objective = self.settings.classes[job.class.0].latency_objective;
         let timely_limit = (objective / 8).max(queued_for / 2).max(2 * self.settings.tick);
         let is_late = self.now + job.work as Micros > job.due_at;
--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -61,7 +61,7 @@
                 self.wait_for_quota(id, wait, actions);
             } else if self.uses_probes(queue) {
                 self.queues[queue].concurrency.in_flight += 1;
-                self.probe_next(id, actions);
+                self.start_probe_round(id, actions);
             } else {
                 self.start_attempt(id, endpoint, actions);
             }
--- a/crates/scheduler/src/scheduler/outlier_detection.rs
+++ b/crates/scheduler/src/scheduler/outlier_detection.rs
@@ -4,7 +4,7 @@
 use super::Scheduler;
 use crate::endpoint_table::TrackedEndpoint;
 use crate::ids::EndpointId;
-use crate::outlier::{FailureCause, Subject, Suspicion};
+use crate::outlier::{FailedJob, Subject, Suspicion};
 use crate::request::{Attempt, Job};
 use crate::settings::Idempotency;
 use shorepath_types::Micros;
@@ -113,7 +113,7 @@
         let (now, shortest) = (self.now, self.settings.longest_objective() as Micros);
         let longest = self.settings.recent_window() as Micros;
         let Some(suspicion) = self.suspicions.get_mut(&subject) else { return };
-        suspicion.cause = FailureCause { class: job.class.0, tenant: job.tenant, key: job.key };
+        suspicion.failed_job = FailedJob { class: job.class.0, tenant: job.tenant, key: job.key };
         suspicion.endpoint = endpoint;
         suspicion.is_error = is_error;
         let is_paused = now < suspicion.until && !suspicion.is_cleared;
@@ -137,10 +137,10 @@
             is_attributed |= self.count_job_failure(subject, attempt);
         }
         if is_attributed {
+            // Endpoints that were suspected because of the same key are no longer avoided.
             let key = attempt.job.key;
-            let has_same_cause = |s: &Suspicion| s.cause.key == key && s.is_error;
-            self.suspicions
-                .retain(|subject, s| !matches!(subject, Subject::Endpoint(_)) || !has_same_cause(s));
+            let has_same_key = |s: &Suspicion| s.failed_job.key == key && s.is_error;
+            self.suspicions.retain(|subject, s| !matches!(subject, Subject::Endpoint(_)) || !has_same_key(s));
         }
         is_attributed
     }
@@ -217,11 +217,11 @@
         let before = suspicion.clone();
         (suspicion.is_cleared, suspicion.streak, suspicion.pause) = (true, 0, suspicion.pause / 2);
         let narrower = match subject {
-            Subject::Endpoint(endpoint) if before.cause.class != job.class.0 => {
-                Subject::ClassAt(endpoint, before.cause.class)
+            Subject::Endpoint(endpoint) if before.failed_job.class != job.class.0 => {
+                Subject::ClassAt(endpoint, before.failed_job.class)
             }
-            Subject::Endpoint(endpoint) if before.cause.tenant != job.tenant => {
-                Subject::TenantAt(endpoint, before.cause.tenant)
+            Subject::Endpoint(endpoint) if before.failed_job.tenant != job.tenant => {
+                Subject::TenantAt(endpoint, before.failed_job.tenant)
             }
             _ => return,
         };
--- a/crates/scheduler/src/scheduler/probing.rs
+++ b/crates/scheduler/src/scheduler/probing.rs
@@ -46,19 +46,19 @@
 
     /// Starts the next round of probes for a request. After the last round, the least busy of the probed
     /// endpoints gets the request.
-    pub(super) fn probe_next(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    pub(super) fn start_probe_round(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.probe_round += 1;
         let round = request.probe_round;
         self.timers.set(self.now + PROBE_ROUND_DURATION, Timer::ProbeRoundOver(id, round));
         if round <= MAX_PROBE_ROUNDS {
-            self.probe_round(id, actions);
+            self.send_probes(id, actions);
         } else {
             self.start_after_probes(id, actions);
         }
     }
 
-    fn probe_round(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    fn send_probes(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         for _ in 0..PROBES_PER_ROUND {
             let request = &self.requests[&id];
             let selected = self.select_endpoint(request, request.job.queue);
@@ -96,8 +96,8 @@
     fn probed_load(&self, id: EndpointId, request: &PendingRequest) -> Option<ProbedLoad> {
         let tracked: &TrackedEndpoint = self.endpoints.get(id).filter(|e| self.accepts(e, request, false))?;
         let waiting = (tracked.load.in_flight? - 1.0).max(0.0);
-        let capacity_share = self.slow_start_part(tracked, self.now);
-        Some(ProbedLoad { endpoint: id, load: waiting / (self.speed(tracked) * capacity_share) })
+        let load_fraction = self.slow_start_load_fraction(tracked, self.now);
+        Some(ProbedLoad { endpoint: id, load: waiting / (self.speed(tracked) * load_fraction) })
     }
 
     /// Handles the end of a probe. An endpoint with a free slot gets the request that it was probed for.
@@ -127,7 +127,7 @@
         if is_free && self.accepts(&self.endpoints[endpoint], &self.requests[&id], false) {
             self.start_attempt(id, endpoint, actions);
         } else if self.requests[&id].pending_probes == 0 {
-            self.probe_next(id, actions);
+            self.start_probe_round(id, actions);
         }
     }
 
--- a/crates/scheduler/src/scheduler/selection.rs
+++ b/crates/scheduler/src/scheduler/selection.rs
@@ -158,7 +158,7 @@
     fn weight(&self, tracked: &TrackedEndpoint) -> f64 {
         let (scheduler, endpoint) = (self.scheduler, &tracked.endpoint);
         let is_remote = endpoint.zone != scheduler.settings.zone;
-        let speed = scheduler.speed(tracked) * scheduler.slow_start_part(tracked, scheduler.now);
+        let speed = scheduler.speed(tracked) * scheduler.slow_start_load_fraction(tracked, scheduler.now);
         let included_speed =
             if scheduler.settings.capacity_includes_speed { scheduler.kind_speed(tracked) } else { 1.0 };
         let zone_factor = if is_remote { self.zone_factor(endpoint.zone) } else { 1.0 };
@@ -184,7 +184,8 @@
         }
         let now = scheduler.now;
         let since_success = now - tracked.last_success_at;
-        let is_recent = tracked.last_success_at > 0 && since_success < scheduler.settings.recent_eighth();
+        let is_recent =
+            tracked.last_success_at > 0 && since_success < scheduler.settings.eighth_of_recent_window();
         let wait = if is_recent { tracked.start_wait as f64 } else { self.queue.start_wait.get(is_remote) };
         let time_left = (job.due_at - now) as f64;
         scheduler.would_overload(tracked, job) || wait + job.work / speed > time_left
--- a/crates/scheduler/src/scheduler/slow_start.rs
+++ b/crates/scheduler/src/scheduler/slow_start.rs
@@ -20,7 +20,7 @@
     /// Returns the fraction of its full load that an endpoint may get at a time. It is the fraction of
     /// capacity for the endpoint's age, which rises evenly from the fraction at its start, times half the
     /// multiple at which the endpoint fails, and at most 1.
-    pub(super) fn slow_start_part(&self, tracked: &TrackedEndpoint, at: Micros) -> f64 {
+    pub(super) fn slow_start_load_fraction(&self, tracked: &TrackedEndpoint, at: Micros) -> f64 {
         let started_at = tracked.endpoint.started_at;
         let age = (at - started_at) as f64 / self.settings.slow_start_duration.max(1) as f64;
         let initial_share = if started_at <= 0 {
@@ -34,9 +34,10 @@
 
     /// Returns whether the job would make an endpoint in slow start fail.
     pub(super) fn would_overload(&self, tracked: &TrackedEndpoint, job: &Job) -> bool {
-        let part = self.slow_start_part(tracked, self.now);
+        let load_fraction = self.slow_start_load_fraction(tracked, self.now);
         let capacity = tracked.endpoint.capacity.max(1.0);
-        part < 1.0 && job.total_work > part * capacity * self.settings.overload_window as f64
+        load_fraction < 1.0
+            && job.total_work > load_fraction * capacity * self.settings.overload_window as f64
     }
 
     /// Returns the work per microsecond that this scheduler may send to an endpoint in slow start. The limit
@@ -51,12 +52,13 @@
         let served_rate = self.served_work.rate(self.now, settings.recent_window()) * capacity;
         let sending_processes = (settings.schedulers.max(1) * settings.processes.max(1)) as f64;
         let limit = (0.5 * settings.overload_multiple).min(1.0) * capacity.max(1.0);
-        let part = self.slow_start_part(tracked, (tracked.slow_start_updated_at + self.now) / 2);
-        let rate = match self.quotas.slow_start_part() {
-            Some(agreed_part) => limit * agreed_part,
+        let load_fraction =
+            self.slow_start_load_fraction(tracked, (tracked.slow_start_updated_at + self.now) / 2);
+        let rate = match self.quotas.slow_start_share() {
+            Some(agreed_share) => limit * agreed_share,
             None => served_rate.max(limit / sending_processes),
         };
-        BUDGET_FRACTION * part * rate
+        BUDGET_FRACTION * load_fraction * rate
     }
 
     /// Returns the fraction of the budget of a first job that this scheduler has when an endpoint starts,
@@ -98,7 +100,7 @@
         let (job, capacity) = (&request.job, tracked.endpoint.capacity.max(1.0));
         let window = self.settings.overload_window as f64;
         let mean = self.mean_work() / capacity;
-        let tolerated_work = 2.0 * self.slow_start_part(tracked, self.now) * window;
+        let tolerated_work = 2.0 * self.slow_start_load_fraction(tracked, self.now) * window;
         // A hint below its class's mean may be too low, so the mean is used unless the endpoint tolerates
         // less than that.
         let class_work = job.total_work * self.class_work[job.class.0] / job.work;
--- a/crates/scheduler/src/settings.rs
+++ b/crates/scheduler/src/settings.rs
@@ -184,7 +184,7 @@
     }
 
     /// Returns an eighth of [`Settings::recent_window`], in microseconds.
-    pub(crate) fn recent_eighth(&self) -> Micros {
+    pub(crate) fn eighth_of_recent_window(&self) -> Micros {
         self.recent_window() as Micros / 8
     }
 
--- a/crates/scheduler/src/settings_object.rs
+++ b/crates/scheduler/src/settings_object.rs
@@ -18,7 +18,8 @@
 /// Idle timeout of connections if the settings object has none, in microseconds.
 const DEFAULT_IDLE_TIMEOUT: Micros = 1_000_000;
 
-/// The settings object as it is written. Missing fields count as zero, unknown or not allowed.
+/// The settings object as it is written; `rename` attributes hold the names of its fields. Missing fields
+/// count as zero, unknown or not allowed.
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
 #[serde(default)]
 pub struct SettingsObject {
@@ -27,15 +28,20 @@
     costs: Costs,
     discovery: String,
     family_info: FamilyInfo,
-    granularity_ms: f64,
+    #[serde(rename = "granularity_ms")]
+    tick_ms: f64,
     kinds: Vec<String>,
-    over_share_worth: f64,
-    projects: Vec<Project>,
+    #[serde(rename = "over_share_worth")]
+    over_share_fraction: f64,
+    #[serde(rename = "projects")]
+    tenants: Vec<Tenant>,
     rank: Option<u32>,
-    replicas_of_me: u32,
+    #[serde(rename = "replicas_of_me")]
+    schedulers: u32,
     report: Reports,
     rules: Rules,
-    value_by: String,
+    #[serde(rename = "value_by")]
+    weight_unit: String,
     weights: String,
     zone: String,
 }
@@ -44,26 +50,34 @@
 #[serde(default)]
 struct Allowed {
     cancel: bool,
-    conn_idle_ms: f64,
+    #[serde(rename = "conn_idle_ms")]
+    idle_timeout_ms: f64,
     connect_timeout_ms: f64,
     max_retry_after_ms: f64,
     probing: bool,
     retry_after: bool,
-    try_limit: u32,
+    #[serde(rename = "try_limit")]
+    max_attempts: u32,
 }
 
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
 #[serde(default)]
 struct Class {
     name: String,
-    aim_stretch: Option<f64>,
+    #[serde(rename = "aim_stretch")]
+    work_factor: Option<f64>,
     deadline_ms: f64,
     dedup_window_ms: f64,
-    group: String,
-    late_worth: f64,
-    semantics: String,
-    target_ms: f64,
-    worth: f64,
+    #[serde(rename = "group")]
+    dedup_scope: String,
+    #[serde(rename = "late_worth")]
+    late_fraction: f64,
+    #[serde(rename = "semantics")]
+    idempotency: String,
+    #[serde(rename = "target_ms")]
+    latency_objective_ms: f64,
+    #[serde(rename = "worth")]
+    priority_weight: f64,
 }
 
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
@@ -76,8 +90,10 @@
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
 #[serde(default)]
 struct FamilyInfo {
-    class_kind: Vec<i64>,
-    class_stretch: Vec<f64>,
+    #[serde(rename = "class_kind")]
+    class_kinds: Vec<i64>,
+    #[serde(rename = "class_stretch")]
+    class_work_factors: Vec<f64>,
     #[serde(rename = "tells_start")]
     reports_starts: bool,
     report_x0: String,
@@ -92,10 +108,11 @@
 }
 
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
-#[serde(default)]
-struct Project {
+#[serde(default, rename = "Project")]
+struct Tenant {
     name: String,
-    portion: f64,
+    #[serde(rename = "portion")]
+    share: f64,
     quota_rps: f64,
 }
 
@@ -103,15 +120,24 @@
 #[serde(default)]
 struct Rules {
     drain_grace_ms: f64,
-    cold_share: f64,
-    cold_ms: f64,
-    tip_multiple: f64,
-    fall_ms: f64,
-    shed_after_start: bool,
-    min_extra: Option<f64>,
-    extra_share: Option<f64>,
-    ratio_span_ms: f64,
-    soft_removal: bool,
+    #[serde(rename = "cold_share")]
+    slow_start_min_share: f64,
+    #[serde(rename = "cold_ms")]
+    slow_start_ms: f64,
+    #[serde(rename = "tip_multiple")]
+    overload_multiple: f64,
+    #[serde(rename = "fall_ms")]
+    overload_window_ms: f64,
+    #[serde(rename = "shed_after_start")]
+    overloaded_may_have_run: bool,
+    #[serde(rename = "min_extra")]
+    min_retries: Option<f64>,
+    #[serde(rename = "extra_share")]
+    retry_ratio: Option<f64>,
+    #[serde(rename = "ratio_span_ms")]
+    retry_window_ms: f64,
+    #[serde(rename = "soft_removal")]
+    only_draining_excludes: bool,
 }
 
 /// Why a settings object can't be used.
@@ -139,7 +165,7 @@
 impl SettingsObject {
     /// Returns the number of nodes, including this one; 1 if the settings object has no number.
     pub fn schedulers(&self) -> u32 {
-        self.replicas_of_me.max(1)
+        self.schedulers.max(1)
     }
 
     /// Returns how many nodes send their polls to the same discovery service, including this one. Where
@@ -170,7 +196,7 @@
         let mut catalog = Catalog {
             kinds: NameTable::from_names(self.kinds.iter()),
             classes: NameTable::from_names(self.classes.iter().map(|c| &c.name)),
-            tenants: NameTable::from_names(self.projects.iter().map(|p| &p.name)),
+            tenants: NameTable::from_names(self.tenants.iter().map(|tenant| &tenant.name)),
             ..Catalog::default()
         };
         (self.settings(&mut catalog), catalog)
@@ -224,12 +250,12 @@
     ) -> Vec<TenantSettings> {
         let without_share = |_| TenantSettings { share: 0.0, quota_per_second: 0.0 };
         let mut kept: Vec<TenantSettings> = old.tenants.iter().map(without_share).collect();
-        for (project, tenant) in self.projects.iter().zip(tenants) {
-            let number = catalog.tenants.intern(&project.name) as usize;
+        for (named, tenant) in self.tenants.iter().zip(tenants) {
+            let number = catalog.tenants.intern(&named.name) as usize;
             kept.resize(kept.len().max(number + 1), tenant.clone());
             kept[number] = tenant;
         }
-        catalog.tenants.numbers.retain(|name, _| self.projects.iter().any(|p| p.name == *name));
+        catalog.tenants.numbers.retain(|name, _| self.tenants.iter().any(|tenant| tenant.name == *name));
         kept
     }
 
@@ -250,7 +276,7 @@
         if self.classes.iter().any(is_duplicate) {
             return Err(SettingsError::DuplicateClass);
         }
-        if self.allowed.try_limit == 0 {
+        if self.allowed.max_attempts == 0 {
             return Err(SettingsError::NoAttempts);
         }
         Ok(())
@@ -275,54 +301,55 @@
     /// Returns how long an endpoint keeps an idle connection open; one second if the settings object has
     /// none.
     pub fn idle_timeout(&self) -> Micros {
-        positive_or(micros_from_ms(self.allowed.conn_idle_ms), DEFAULT_IDLE_TIMEOUT)
+        positive_or(micros_from_ms(self.allowed.idle_timeout_ms), DEFAULT_IDLE_TIMEOUT)
     }
 
     fn settings(&self, catalog: &mut Catalog) -> Settings {
         let kinds: Vec<KindId> = self.kinds.iter().map(|k| KindId(catalog.kinds.intern(k))).collect();
         let classes = self.classes.iter().enumerate().map(|(i, class)| self.class_settings(i, class, &kinds));
-        let tenants = self.projects.iter();
-        let tenants = tenants.map(|p| TenantSettings { share: p.portion, quota_per_second: p.quota_rps });
+        let tenants = self.tenants.iter();
+        let tenants =
+            tenants.map(|tenant| TenantSettings { share: tenant.share, quota_per_second: tenant.quota_rps });
         Settings {
             schedulers: self.schedulers(),
             rank: self.rank,
             processes: 1,
             zone: ZoneId(catalog.zones.intern(&self.zone)),
-            tick: micros_from_ms(self.granularity_ms).max(1),
+            tick: micros_from_ms(self.tick_ms).max(1),
             classes: classes.collect(),
             tenants: tenants.collect(),
-            weight_by_work: self.value_by == "work",
-            over_share_fraction: self.over_share_worth,
+            weight_by_work: self.weight_unit == "work",
+            over_share_fraction: self.over_share_fraction,
             must_subscribe: self.discovery == "on_request",
             reports_starts: self.family_info.reports_starts,
             can_cancel: self.allowed.cancel,
             capacity_includes_speed: matches!(self.weights.as_str(), "nominal" | "live"),
             sends_retry_after: self.allowed.retry_after,
             max_retry_after: micros_from_ms(self.allowed.max_retry_after_ms),
-            max_attempts: self.allowed.try_limit,
+            max_attempts: self.allowed.max_attempts,
             drain_grace: micros_from_ms(self.rules.drain_grace_ms),
-            slow_start_min_share: self.rules.cold_share,
-            slow_start_duration: micros_from_ms(self.rules.cold_ms),
-            overload_multiple: self.rules.tip_multiple,
-            overload_window: micros_from_ms(self.rules.fall_ms),
-            overloaded_may_have_run: self.rules.shed_after_start,
+            slow_start_min_share: self.rules.slow_start_min_share,
+            slow_start_duration: micros_from_ms(self.rules.slow_start_ms),
+            overload_multiple: self.rules.overload_multiple,
+            overload_window: micros_from_ms(self.rules.overload_window_ms),
+            overloaded_may_have_run: self.rules.overloaded_may_have_run,
             cross_zone_cost: self.costs.cross_zone,
             probing: self.allows_probes(),
             probe_cost: self.costs.probe,
             retry_budget: self.rules.retry_budget(),
-            only_draining_excludes: self.rules.soft_removal,
+            only_draining_excludes: self.rules.only_draining_excludes,
         }
     }
 
     fn class_settings(&self, index: usize, class: &Class, kinds: &[KindId]) -> ClassSettings {
         let info = &self.family_info;
-        let kind = info.class_kind.get(index).and_then(|k| kinds.get(usize::try_from(*k).ok()?));
+        let kind = info.class_kinds.get(index).and_then(|k| kinds.get(usize::try_from(*k).ok()?));
         ClassSettings {
-            latency_objective: micros_from_ms(class.target_ms),
-            work_factor: class.aim_stretch.or(info.class_stretch.get(index).copied()).unwrap_or(0.0),
+            latency_objective: micros_from_ms(class.latency_objective_ms),
+            work_factor: class.work_factor.or(info.class_work_factors.get(index).copied()).unwrap_or(0.0),
             deadline: micros_from_ms(class.deadline_ms),
-            late_fraction: class.late_worth,
-            priority_weight: class.worth,
+            late_fraction: class.late_fraction,
+            priority_weight: class.priority_weight,
             idempotency: class.idempotency(),
             kind: kind.copied(),
         }
@@ -337,10 +364,10 @@
 
 impl Class {
     fn idempotency(&self) -> Idempotency {
-        match self.semantics.as_str() {
+        match self.idempotency.as_str() {
             "free" => Idempotency::Idempotent,
             "guarded" => Idempotency::Keyed {
-                scope: match self.group.as_str() {
+                scope: match self.dedup_scope.as_str() {
                     "all" => DedupScope::All,
                     "zone" => DedupScope::Zone,
                     _ => DedupScope::Cell,
@@ -356,11 +383,11 @@
     /// Returns a retry budget if a window and at least one of the limits are set. A missing or negative
     /// limit counts as 0.
     fn retry_budget(&self) -> Option<RetryBudget> {
-        let is_given = self.min_extra.is_some() || self.extra_share.is_some();
-        (is_given && self.ratio_span_ms > 0.0).then(|| RetryBudget {
-            window: micros_from_ms(self.ratio_span_ms),
-            min_retries: self.min_extra.unwrap_or(0.0).max(0.0),
-            ratio: self.extra_share.unwrap_or(0.0).max(0.0),
+        let is_given = self.min_retries.is_some() || self.retry_ratio.is_some();
+        (is_given && self.retry_window_ms > 0.0).then(|| RetryBudget {
+            window: micros_from_ms(self.retry_window_ms),
+            min_retries: self.min_retries.unwrap_or(0.0).max(0.0),
+            ratio: self.retry_ratio.unwrap_or(0.0).max(0.0),
         })
     }
 }
