--- a/crates/placements/src/anti_entropy.rs
+++ b/crates/placements/src/anti_entropy.rs
@@ -1,16 +1,22 @@
-//! How two nodes give each other what the other lacks of all logs: bounded words, paced, from where the other stands.
+//! Anti-entropy between two nodes: each sends the log entries that the other lacks, in size-limited messages
+//! and at a limited rate.
 //!
-//! Each says what it has ([`Message::Have`]): at first and from time to time all of it, soon after something came that log. What the other
-//! said it has stays true for its life, so words may be lost, doubled, late or out of order. Pieces are sent ahead of what was
-//! confirmed by a window at most, and again from there where nothing is confirmed for a time; so nothing is queued but the window, and after a
-//! cut it goes on where it stood. Where logs forked, points at doubling distances from the end tell where they part (as block locators of
-//! Bitcoin do: "Protocol documentation", getblocks).
+//! Each node reports what it holds ([`Message::Have`]): all logs at the start and at regular intervals, and a
+//! single log soon after entries of it arrived. What a peer reported stays valid until it restarts, so
+//! messages may be lost, duplicated, delayed or reordered. Pieces are sent ahead of the confirmed point by at
+//! most one window and are sent again if nothing is confirmed for a time. Only the window is buffered, and
+//! after a network partition sending resumes at the confirmed point. For forked logs the nodes exchange
+//! points at doubling distances from the end, which locate the fork (like Bitcoin's block locators: "Protocol
+//! documentation", getblocks).
 //!
-//! That the other is ahead on a log is a claim until it shows: it is waited for, as what the other lacks is most likely a part of that. The
-//! wait ends with the next whole that says otherwise, with the second whole that does not name the log at all, and where nothing new of the
-//! log came for [`Settings::again`]: then the other is told where its line may part, and is sent what it lacks by what it is known to have.
+//! A peer that reports a point beyond this node's log is assumed to hold a superset of the log, so nothing of
+//! the log is sent to it while its entries arrive. The claim ends with the next full summary that no longer
+//! contains it, with the second full summary that doesn't name the log at all, or when no new entry of the
+//! log arrived for [`Settings::resend_after`]. In the last case the peer is sent locators of the log, and the
+//! entries that it lacks according to its confirmed points.
 //!
-//! One exchange is one node's side towards one other node. Entries are read and taken through [`Holdings`], which the shell may keep as it likes.
+//! An [`Exchange`] is one node's side of the exchange with one peer. It reads and writes entries through
+//! [`LogReplicas`], which may be implemented on any storage.
 
 use crate::hash_chain::{self, Digest, Piece, Point};
 use crate::history::{Base, History, HistoryError, OwnLogState, RetainedKey};
@@ -18,30 +24,32 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A word has this many bytes at most, encoded, where the names of a site and a node hold 60 together.
+/// Maximum size of an encoded message in bytes, provided that the names of a site and a node together have at
+/// most 60 bytes.
 pub const MAX_MESSAGE_BYTES: usize = 1_150;
-/// A claim that was not backed is waited for so many times [`Settings::again`] at most, before the other is sent something once more.
+/// Maximum wait for the entries of an unconfirmed claim, as a multiple of [`Settings::resend_after`].
 const MAX_WAIT_FACTOR: Micros = 16;
 
-/// What a node holds of all logs; [`History`] is one. Reading may fail: then there is nothing to send for now.
+/// Copies of logs that a node holds; [`History`] implements it. If reading fails there is nothing to send for
+/// now.
 pub trait LogReplicas {
-    /// All writers that are known, in order.
+    /// Returns the writers of all known logs, in order.
     fn writers(&self) -> Vec<Writer>;
-    /// See [`History::heads`].
+    /// Returns the last entry of each branch; see [`History::heads`].
     fn heads(&self, writer: &Writer) -> Vec<Point>;
-    /// See [`History::locators`].
+    /// Returns points that locate a fork; see [`History::locators`].
     fn locators(&self, writer: &Writer) -> Vec<Vec<Point>>;
-    /// See [`History::knows`].
+    /// Returns whether an entry and all before it are held or sealed; see [`History::knows`].
     fn knows(&self, writer: &Writer, point: &Point) -> bool;
-    /// See [`History::sealed`].
+    /// Returns the last sealed entry of a log; see [`History::sealed`].
     fn sealed(&self, writer: &Writer) -> Point;
-    /// See [`History::remembered`].
+    /// Returns guarded keys of the sealed part of a log; see [`History::retained_keys`].
     fn retained_keys(&self, writer: &Writer, from: u64, most: usize) -> (u64, Vec<RetainedKey>);
-    /// See [`History::lacking`].
+    /// Returns entries that are missing at a node which holds `points`; see [`History::missing`].
     fn missing(&self, writer: &Writer, points: &[Point], most: usize) -> Option<Piece>;
-    /// See [`History::prune`].
+    /// Removes points that are implied by others; see [`History::prune`].
     fn prune(&self, writer: &Writer, points: &mut Vec<Point>);
-    /// See [`History::walk`].
+    /// Visits entries that are missing at a node which holds `points`; see [`History::visit_missing`].
     fn visit_missing(
         &self,
         writer: &Writer,
@@ -49,14 +57,14 @@
         most: usize,
         reply: &mut dyn FnMut(Point, &[u8]) -> bool,
     ) -> Option<(Point, Point)>;
-    /// See [`History::on_line`].
+    /// Returns the digest at an entry of a branch; see [`History::digest_on_branch`].
     fn digest_on_branch(&self, writer: &Writer, point: &Point, number: u64) -> Option<Digest>;
-    /// See [`History::take`].
+    /// Inserts entries; see [`History::insert`].
     ///
     /// # Errors
-    /// See there.
+    /// Those of [`History::insert`].
     fn insert(&mut self, piece: &Piece) -> Result<u64, HistoryError>;
-    /// See [`History::adopt`].
+    /// Adopts the seal of another node; see [`History::adopt`].
     fn adopt(&mut self, writer: &Writer, base: &Base);
 }
 
@@ -105,55 +113,63 @@
     }
 }
 
-/// What a node has of one log.
+/// What a node holds of one log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogSummary {
-    /// Whose log.
+    /// Log that is summarized.
     pub writer: Writer,
-    /// The last entry that it has sealed.
+    /// Last entry that the node has sealed.
     pub sealed: Point,
-    /// Points that it has, with all before each.
+    /// Points that the node holds together with all entries before them.
     pub points: Vec<Point>,
-    /// How many guarded keys it has been told of what another one sealed up to a point.
-    pub taking: Option<(Point, u64)>,
+    /// Point up to which the node is receiving the seal of another one, and how many of its guarded keys have
+    /// arrived.
+    #[serde(rename = "taking")]
+    pub receiving: Option<(Point, u64)>,
 }
 
-/// What one node says to another. Encoded by postcard ([`Message::encode`]); in a text format it is longer than [`MAX_MESSAGE`].
+/// Message from one node to another. Messages are encoded by postcard ([`Message::encode`]); in a text format
+/// they may exceed [`MAX_MESSAGE_BYTES`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// What I have.
+    /// Reports what the sender holds.
     Have {
-        /// The life of the node that says it. What was known of another one is not known any more: it may have another disk. A late word of
-        /// an earlier life costs no more than that something is sent again.
-        life: u64,
-        /// The number of the whole of which this is a part.
-        number: u64,
-        /// Which part, from 0.
+        /// Incarnation of the sender. When it changes, everything known of the previous one is discarded,
+        /// because the node may have another disk. A delayed message of a previous incarnation only causes
+        /// entries to be sent again.
+        #[serde(rename = "life")]
+        incarnation: u64,
+        /// Number of the full summary to which this part belongs.
+        #[serde(rename = "number")]
+        summary_number: u64,
+        /// Index of the part, from 0.
         part: u32,
-        /// How many there are; 0 for something said in between, which is no part of a whole.
+        /// Number of parts of the full summary; 0 in a message that summarizes single logs only.
         parts: u32,
-        /// Of some logs.
-        of: Vec<LogSummary>,
+        /// Summaries of some logs.
+        #[serde(rename = "of")]
+        logs: Vec<LogSummary>,
     },
-    /// What you lack.
+    /// Sends entries that the receiver lacks.
     Piece {
-        /// Entries.
+        /// Consecutive entries of one log.
         piece: Piece,
     },
-    /// What was sealed of what you lack.
+    /// Sends retained keys of a sealed part that the receiver lacks.
     Sealed {
-        /// Whose log.
+        /// Log that was sealed.
         writer: Writer,
-        /// Up to there.
+        /// Last sealed entry.
         point: Point,
-        /// The place of the first of these guarded keys among all.
+        /// Index of the first of these guarded keys.
         from: u64,
-        /// How many there are.
+        /// Total number of guarded keys of the sealed part.
         total: u64,
-        /// Guarded keys that were placed up to there.
+        /// Guarded keys from index `from` on.
         #[serde(rename = "remembered")]
         retained_keys: Vec<RetainedKey>,
-        /// Stands for all of that: by it entries are dropped.
+        /// Checksum of the other fields. It is needed because the receiver drops entries on the strength of
+        /// this message.
         check: Digest,
     },
 }
@@ -170,34 +186,36 @@
     hash_chain::next_digest(&hash_chain::origin(writer).1, &bytes)
 }
 
-/// Why a word was dropped.
+/// Why a received message was dropped.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
 pub enum MessageError {
-    /// It is no word.
-    #[error("a word about placements can't be read")]
-    #[diagnostic(help("the other node runs another version of this program: let both run one"))]
+    /// The bytes don't decode to a message.
+    #[error("a message about placements can't be decoded")]
+    #[diagnostic(help(
+        "the sending node runs another version of this program; install the same version on both nodes"
+    ))]
     Unreadable,
-    /// What it says of a sealed log is not what its digest says.
-    #[error("what was said of sealed placements was changed on its way")]
-    #[diagnostic(help("nothing to do where it happens once: it is said again; otherwise look at the network between the sites"))]
+    /// The checksum of a sealed part doesn't match.
+    #[error("a message about sealed placements was corrupted in transit")]
+    #[diagnostic(help("no action is needed if this happens once, because the message is repeated; otherwise check the network between the sites"))]
     Changed,
-    /// What it brought can't be taken.
+    /// The entries that it carried were rejected.
     #[error(transparent)]
     #[diagnostic(transparent)]
     History(#[from] HistoryError),
 }
 
 impl Message {
-    /// As it is sent.
+    /// Encodes the message as it is sent.
     pub fn encode(&self) -> Vec<u8> {
-        // Nothing in a word fails to be written.
-        postcard::to_stdvec(self).expect("a message has a length known before")
+        // Serializing these types can't fail.
+        postcard::to_stdvec(self).expect("a message has a length known before serialization")
     }
 
-    /// From what was received.
+    /// Decodes a received message.
     ///
     /// # Errors
-    /// It is no word.
+    /// [`MessageError::Unreadable`] if the bytes don't decode.
     pub fn decode(bytes: &[u8]) -> Result<Message, MessageError> {
         match postcard::take_from_bytes(bytes) {
             Ok((message, [])) => Ok(message),
@@ -206,19 +224,19 @@
     }
 }
 
-/// How an exchange goes.
+/// Rates and delays of an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Bytes a second that it sends at most, over a second.
+    /// Maximum send rate in bytes per second.
     pub bytes_per_second: u64,
-    /// Bytes that it sends ahead of what is confirmed.
+    /// Maximum number of bytes that are sent ahead of what is confirmed.
     pub window_bytes: usize,
-    /// What is not confirmed for so long is sent again.
+    /// Time in microseconds without a confirmation after which entries are sent again.
     pub resend_after: Micros,
-    /// It says all that it has so often.
+    /// Interval between full summaries in microseconds.
     pub full_summary_interval: Micros,
-    /// What came is said to be here so long after the last such saying, at the soonest; a tenth of it where a quarter of the window has come
-    /// since, or where it shows that one of both lacks something.
+    /// Minimum delay in microseconds between two summaries of single logs. A tenth of it applies once a
+    /// quarter of the window has arrived, or when a summary shows that one of the two nodes lacks entries.
     pub summary_delay: Micros,
 }
 
@@ -234,345 +252,366 @@
     }
 }
 
-/// What a word brought.
+/// Changes to the stored logs that a received message caused.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Received {
-    /// Pieces of which something was new: to be kept on the disk ([`crate::log::Copies::piece`]).
+    /// Pieces with new entries, which are to be stored ([`crate::log::Copies::append_piece`]).
     pub pieces: Vec<Piece>,
-    /// A log of which somebody has sealed more ([`crate::log::Copies::base`]).
+    /// Log whose further seal was adopted from the peer, which is to be stored
+    /// ([`crate::log::Copies::append_base`]).
     pub sealed: Option<(Writer, Base)>,
-    /// How many entries were new.
+    /// Number of new entries.
     pub new: u64,
 }
 
-/// A point that the other says it has, and that is not known here.
+/// A point that the peer reports to hold and that is unknown here.
 #[derive(Clone, Copy, Debug)]
 struct Claim {
     point: Point,
-    /// Since when nothing new of that log came, and for how long that is waited for.
+    /// Time since which no new entry of the log has arrived, and how long to wait for one.
     since: Micros,
     wait: Micros,
-    /// Nothing came: it is not waited for any more.
+    /// The wait ended without a new entry.
     given_up: bool,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Theirs {
-    /// What the other has, as far as it is known here.
+struct PeerLog {
+    /// Known points that the peer holds.
     points: Vec<Point>,
-    /// The furthest that it has and is not known here.
+    /// The last point that the peer holds and that is unknown here.
     ahead: Option<Claim>,
-    /// It has another entry of a number than is known here.
-    apart: bool,
-    /// Wholes since it named that log, the one in or after which it did counted.
-    wholes: u32,
-    /// How many of the guarded keys that were sealed up to there it has been told.
-    taking: Option<(Point, u64)>,
+    /// The peer holds another entry of the same number.
+    diverged: bool,
+    /// Number of full summaries since the peer last named the log, including the one in or after which it
+    /// did.
+    full_summaries: u32,
+    /// Seal that the peer is receiving, and how many of its guarded keys have arrived there.
+    receiving: Option<(Point, u64)>,
 }
 
-/// What the other gets of a log from somebody else, and why not from here.
+/// State of a log that the peer normally receives from another node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Spare {
-    /// It lacks something, and has not come on since then.
+enum CoveredLog {
+    /// The peer lacks entries and has made no progress since that time.
     Stalled(Micros),
-    /// It stood for too long: it is sent from here, until it comes on another way.
+    /// The peer made no progress for too long: this node sends the entries until the peer receives some from
+    /// elsewhere.
     Sent,
 }
 
 #[derive(Clone, Debug)]
-struct Flight {
+struct InFlight {
     writer: Writer,
     point: Point,
-    /// Guarded keys of what was sealed, up to that one of them; 0 for entries.
+    /// Number of guarded keys sent so far of a sealed part; 0 for entries.
     keys: u64,
     bytes: usize,
-    /// Since when nothing of that log was confirmed.
+    /// Time since which nothing of the log was confirmed.
     since: Micros,
 }
 
-/// What was sent of one log and is not confirmed.
+/// What was sent of one log and is not confirmed yet.
 #[derive(Clone, Debug, Default)]
 struct Unconfirmed {
     points: Vec<Point>,
     keys: Option<(Point, u64)>,
 }
 
-/// How far others know a log beyond its writer's disk, whose last entry is `own`, or otherwise: then an older disk was put back, or a copied one,
-/// and the log is founded anew before the next entry. Asked once exchanges are complete. What only the exchanges say is not all of it: an entry that
-/// one partner has given back meanwhile is no longer ahead.
+/// Returns the number of the last entry that peers hold of a log beyond its writer's disk, or the disk's last
+/// entry `own` if peers hold a different one. In both cases the disk was restored from an older copy or was
+/// copied, and a new log must be started before the next entry. `None` if the disk is up to date.
+///
+/// It is called once the exchanges are complete. The history is examined, too, because entries that a peer
+/// has sent back meanwhile no longer count as ahead.
 pub fn newest_entry_at_peers<'a>(
     exchanges: impl IntoIterator<Item = &'a Exchange>,
     history: &History,
     writer: &Writer,
     own: Point,
 ) -> Option<u64> {
-    let outgoing_messages =
+    let last_at_peer =
         |e: &Exchange| e.ahead(writer).map(|point| point.0).max(e.diverged(writer).then_some(own.0));
-    let ahead = exchanges.into_iter().filter_map(outgoing_messages).max();
-    let back = match history.own_log_state(writer, own) {
+    let ahead = exchanges.into_iter().filter_map(last_at_peer).max();
+    let in_history = match history.own_log_state(writer, own) {
         OwnLogState::Intact => None,
         OwnLogState::RolledBack { known, .. } => Some(known),
         OwnLogState::Forked { own } => Some(own),
     };
-    ahead.max(back)
+    ahead.max(in_history)
 }
 
-/// One node's side of the exchange with one other.
+/// One node's side of the exchange with one peer.
 #[derive(Clone, Debug)]
 pub struct Exchange {
     settings: Settings,
-    life: u64,
-    number: u64,
-    other: Option<u64>,
-    /// Parts of the last whole that were heard.
-    whole: (u64, BTreeSet<u32>),
-    /// The last whole that was heard to its end.
-    ended: u64,
+    incarnation: u64,
+    summary_number: u64,
+    peer_incarnation: Option<u64>,
+    /// Number of the full summary that is being received, and the parts that have arrived.
+    incoming_summary: (u64, BTreeSet<u32>),
+    /// Number of the last full summary that arrived completely.
+    last_full_summary: u64,
     complete: bool,
-    theirs: BTreeMap<Writer, Theirs>,
-    /// Sent and not confirmed: until it is sent again it counts as had.
-    notified: BTreeMap<Writer, Unconfirmed>,
-    flying: VecDeque<Flight>,
-    /// Pieces that came before the ones before them, and when.
-    early: BTreeMap<(Writer, u64), (Piece, Micros)>,
-    early_bytes: usize,
-    /// Keys of what the other has sealed, as far as they came.
-    taking: BTreeMap<Writer, (Point, Vec<RetainedKey>)>,
-    soon: BTreeSet<Writer>,
-    /// Bytes that came since it was last said what is had.
-    unsaid: usize,
-    /// The other waits for that word.
-    waited: bool,
-    /// Nodes, by site and name, whose entries the other gets another way.
-    spare: BTreeSet<(String, String)>,
-    /// Of logs of those: how that goes.
-    spares: BTreeMap<Writer, Spare>,
-    next_look: Micros,
-    part_ways: BTreeSet<Writer>,
-    next_whole: Micros,
-    /// When it last said what it has.
-    sent: Micros,
-    /// What may be sent now, in bytes; below nothing where a word was longer.
-    may: i64,
-    filled: Micros,
-    more: bool,
-    /// The window was full.
-    full: bool,
-    /// The writer that is served next.
-    turn: usize,
-    out: Vec<Message>,
+    peer_logs: BTreeMap<Writer, PeerLog>,
+    /// What was sent and is not confirmed; the peer is assumed to hold it until it is sent again.
+    unconfirmed: BTreeMap<Writer, Unconfirmed>,
+    in_flight: VecDeque<InFlight>,
+    /// Pieces that arrived before the entries that precede them, with their arrival times.
+    out_of_order: BTreeMap<(Writer, u64), (Piece, Micros)>,
+    out_of_order_bytes: usize,
+    /// Guarded keys of the peer's seals that have arrived so far.
+    receiving: BTreeMap<Writer, (Point, Vec<RetainedKey>)>,
+    summaries_due: BTreeSet<Writer>,
+    /// Bytes received since the last summary was sent.
+    unreported_bytes: usize,
+    /// The peer needs the next summary before it can go on.
+    peer_waits: bool,
+    /// Nodes, by site and name, whose logs the peer receives from other nodes.
+    covered_nodes: BTreeSet<(String, String)>,
+    /// States of those nodes' logs of which the peer lacks entries.
+    covered_logs: BTreeMap<Writer, CoveredLog>,
+    next_check: Micros,
+    locators_due: BTreeSet<Writer>,
+    next_full_summary: Micros,
+    /// Time at which the last summary was sent.
+    last_summary_at: Micros,
+    /// Bytes that may be sent now; negative after a message that exceeded the budget.
+    send_budget: i64,
+    refilled_at: Micros,
+    more_to_send: bool,
+    /// Sending stopped because the window was full.
+    window_full: bool,
+    /// Index of the log that is served next.
+    next_log: usize,
+    outgoing: Vec<Message>,
 }
 
 impl Exchange {
-    /// One that begins now, in a life of this node that is never used twice.
-    pub fn new(settings: Settings, life: u64, now: Micros) -> Exchange {
+    /// Creates an exchange. `incarnation` identifies this run of the node and must never be reused.
+    pub fn new(settings: Settings, incarnation: u64, now: Micros) -> Exchange {
         Exchange {
             settings,
-            life,
-            number: 0,
-            other: None,
-            whole: (0, BTreeSet::new()),
-            ended: 0,
+            incarnation,
+            summary_number: 0,
+            peer_incarnation: None,
+            incoming_summary: (0, BTreeSet::new()),
+            last_full_summary: 0,
             complete: false,
-            theirs: BTreeMap::new(),
-            notified: BTreeMap::new(),
-            flying: VecDeque::new(),
-            early: BTreeMap::new(),
-            early_bytes: 0,
-            taking: BTreeMap::new(),
-            soon: BTreeSet::new(),
-            unsaid: 0,
-            waited: false,
-            spare: BTreeSet::new(),
-            spares: BTreeMap::new(),
-            next_look: now,
-            part_ways: BTreeSet::new(),
-            next_whole: now,
-            sent: now.saturating_sub(settings.summary_delay),
-            may: 0,
-            filled: now,
-            more: false,
-            full: false,
-            turn: 0,
-            out: Vec::new(),
-        }
-    }
-
-    /// The other gets what these nodes write, by site and name, from somebody else: it is sent from here only once the other lacks something
-    /// of such a log and has not come on in it for three times [`Settings::soon`].
+            peer_logs: BTreeMap::new(),
+            unconfirmed: BTreeMap::new(),
+            in_flight: VecDeque::new(),
+            out_of_order: BTreeMap::new(),
+            out_of_order_bytes: 0,
+            receiving: BTreeMap::new(),
+            summaries_due: BTreeSet::new(),
+            unreported_bytes: 0,
+            peer_waits: false,
+            covered_nodes: BTreeSet::new(),
+            covered_logs: BTreeMap::new(),
+            next_check: now,
+            locators_due: BTreeSet::new(),
+            next_full_summary: now,
+            last_summary_at: now.saturating_sub(settings.summary_delay),
+            send_budget: 0,
+            refilled_at: now,
+            more_to_send: false,
+            window_full: false,
+            next_log: 0,
+            outgoing: Vec::new(),
+        }
+    }
+
+    /// Sets nodes, by site and name, whose logs the peer receives from other nodes. Entries of these logs are
+    /// sent from here only after the peer has lacked some of them and made no progress for three times
+    /// [`Settings::summary_delay`].
     pub fn set_covered_nodes(&mut self, nodes: BTreeSet<(String, String)>) {
-        self.spare = nodes;
-        self.spares.clear();
+        self.covered_nodes = nodes;
+        self.covered_logs.clear();
     }
 
-    fn is_spare(&self, writer: &Writer) -> bool {
-        // No name is made for the asking where there are none.
-        !self.spare.is_empty() && self.spare.contains(&(writer.site.clone(), writer.node.clone()))
+    fn is_covered(&self, writer: &Writer) -> bool {
+        // Avoids cloning the names in the common case without covered nodes.
+        !self.covered_nodes.is_empty()
+            && self.covered_nodes.contains(&(writer.site.clone(), writer.node.clone()))
     }
 
-    /// The other has said all that it has in this life.
+    /// Returns whether a full summary of the peer's present incarnation has arrived.
     pub fn complete(&self) -> bool {
         self.complete
     }
 
-    /// The furthest entry of a log that the other has and this node has not. Of one's own log it means that an older disk was put back:
-    /// asked once [`Exchange::complete`], by [`beyond`].
+    /// Returns the last point of a log that the peer holds and this node doesn't. If it is this node's own
+    /// log its disk was restored from an older copy; [`newest_entry_at_peers`] evaluates that once
+    /// [`Exchange::complete`].
     pub fn ahead(&self, writer: &Writer) -> Option<Point> {
-        self.theirs.get(writer)?.ahead.map(|claim| claim.point)
+        self.peer_logs.get(writer)?.ahead.map(|claim| claim.point)
     }
 
-    /// The other has another entry of that log than this node for one number at least: of one's own log that it forked.
+    /// Returns whether the peer holds a different entry of the same number in that log. If it is this node's
+    /// own log, it has forked.
     pub fn diverged(&self, writer: &Writer) -> bool {
-        self.theirs.get(writer).is_some_and(|theirs| theirs.apart)
+        self.peer_logs.get(writer).is_some_and(|peer_log| peer_log.diverged)
     }
 
-    /// The furthest entry of a log that the other has by its own word and this node knows, too.
-    pub fn confirmed_point(&self, holdings: &impl LogReplicas, writer: &Writer) -> Option<Point> {
-        let points = self.theirs.get(writer)?.points.iter().filter(|p| holdings.knows(writer, p));
+    /// Returns the last entry of a log that the peer reported to hold and that this node knows, too.
+    pub fn confirmed_point(&self, replicas: &impl LogReplicas, writer: &Writer) -> Option<Point> {
+        let points = self.peer_logs.get(writer)?.points.iter().filter(|p| replicas.knows(writer, p));
         points.max_by_key(|p| p.0).copied()
     }
 
-    /// Each has what the other has, as far as is known.
-    pub fn in_sync(&self, holdings: &impl LogReplicas) -> bool {
+    /// Returns whether both nodes hold the same entries, as far as this node knows.
+    pub fn in_sync(&self, replicas: &impl LogReplicas) -> bool {
         let same = |writer: &Writer| {
-            let theirs = self.theirs.get(writer);
-            theirs.is_some_and(|t| !t.points.is_empty() && holdings.missing(writer, &t.points, 1).is_none())
+            let peer_log = self.peer_logs.get(writer);
+            peer_log.is_some_and(|t| !t.points.is_empty() && replicas.missing(writer, &t.points, 1).is_none())
         };
         self.complete
-            && self.theirs.values().all(|t| t.ahead.is_none())
-            && holdings.writers().iter().all(same)
+            && self.peer_logs.values().all(|t| t.ahead.is_none())
+            && replicas.writers().iter().all(same)
     }
 
-    /// What is held here for the other's sake, in bytes: what flies, and what came early.
+    /// Returns the number of bytes that are buffered: pieces that arrived out of order, and outgoing messages
+    /// at their maximum size.
     pub fn buffered_bytes(&self) -> usize {
-        self.early_bytes + self.out.len() * MAX_MESSAGE_BYTES
+        self.out_of_order_bytes + self.outgoing.len() * MAX_MESSAGE_BYTES
     }
 
-    /// A word came. What it brought is taken at once.
+    /// Handles a received message and inserts its entries at once.
     ///
     /// # Errors
-    /// It was dropped.
+    /// The message was dropped.
     pub fn receive(
         &mut self,
-        holdings: &mut impl LogReplicas,
+        replicas: &mut impl LogReplicas,
         message: Message,
         now: Micros,
     ) -> Result<Received, MessageError> {
         match message {
-            Message::Have { life, number, part, parts, of } => {
-                if self.other.replace(life) != Some(life) {
-                    self.theirs.clear();
-                    self.notified.clear();
-                    self.spares.clear();
-                    self.flying.clear();
-                    (self.whole, self.ended) = ((0, BTreeSet::new()), 0);
+            Message::Have { incarnation, summary_number, part, parts, logs } => {
+                if self.peer_incarnation.replace(incarnation) != Some(incarnation) {
+                    self.peer_logs.clear();
+                    self.unconfirmed.clear();
+                    self.covered_logs.clear();
+                    self.in_flight.clear();
+                    (self.incoming_summary, self.last_full_summary) = ((0, BTreeSet::new()), 0);
                     self.complete = false;
                 }
-                for known in of {
-                    self.receive_summary(holdings, known, parts > 0, now);
+                for summary in logs {
+                    self.receive_summary(replicas, summary, parts > 0, now);
                 }
                 if part < parts {
-                    if number != self.whole.0 {
-                        self.whole = (number, BTreeSet::new());
+                    if summary_number != self.incoming_summary.0 {
+                        self.incoming_summary = (summary_number, BTreeSet::new());
                     }
-                    self.whole.1.insert(part);
-                    if self.whole.1.len() as u32 == parts && number != self.ended {
-                        (self.ended, self.complete) = (number, true);
-                        // What it does not name the other does not have, whatever was said in between. One such whole may
-                        // have been on its way when it was said.
-                        self.theirs.retain(|_, theirs| theirs.wholes < 2);
-                        self.theirs.values_mut().for_each(|theirs| theirs.wholes += 1);
+                    self.incoming_summary.1.insert(part);
+                    if self.incoming_summary.1.len() as u32 == parts
+                        && summary_number != self.last_full_summary
+                    {
+                        (self.last_full_summary, self.complete) = (summary_number, true);
+                        // The peer doesn't hold a log that a full summary leaves out, whatever it reported
+                        // before. One such summary may have been on its way when it did.
+                        self.peer_logs.retain(|_, peer_log| peer_log.full_summaries < 2);
+                        self.peer_logs.values_mut().for_each(|peer_log| peer_log.full_summaries += 1);
                     }
                 }
                 Ok(Received::default())
             }
-            Message::Piece { piece } => self.receive_piece(holdings, piece, now),
+            Message::Piece { piece } => self.receive_piece(replicas, piece, now),
             Message::Sealed { writer, point, from, total, retained_keys, check: sent } => {
                 if sent != sealed_checksum(&writer, &point, from, total, &retained_keys) {
                     return Err(MessageError::Changed);
                 }
-                Ok(self.receive_sealed(holdings, writer, point, (from, total), retained_keys))
+                Ok(self.receive_sealed(replicas, writer, point, (from, total), retained_keys))
             }
         }
     }
 
-    fn receive_summary(&mut self, holdings: &impl LogReplicas, known: LogSummary, whole: bool, now: Micros) {
-        let LogSummary { writer, sealed, points, taking } = known;
-        let heads = holdings.heads(&writer);
+    fn receive_summary(
+        &mut self,
+        replicas: &impl LogReplicas,
+        summary: LogSummary,
+        is_full: bool,
+        now: Micros,
+    ) {
+        let LogSummary { writer, sealed, points, receiving } = summary;
+        let heads = replicas.heads(&writer);
         let own_last = heads.iter().map(|p| p.0).max().unwrap_or(0);
-        let own_sealed = holdings.sealed(&writer);
-        let theirs = self.theirs.entry(writer.clone()).or_default();
-        let before = (theirs.points.clone(), theirs.taking);
-        let (mut had, mut all) = (Vec::new(), true);
-        theirs.wholes = u32::from(!whole);
-        theirs.apart &= !whole;
-        let mut ahead = theirs.ahead.filter(|_| !whole).map(|claim| claim.point);
+        let own_sealed = replicas.sealed(&writer);
+        let peer_log = self.peer_logs.entry(writer.clone()).or_default();
+        let before = (peer_log.points.clone(), peer_log.receiving);
+        let (mut held_points, mut all) = (Vec::new(), true);
+        peer_log.full_summaries = u32::from(!is_full);
+        peer_log.diverged &= !is_full;
+        let mut ahead = peer_log.ahead.filter(|_| !is_full).map(|claim| claim.point);
         for point in points.into_iter().chain([sealed]) {
-            if holdings.knows(&writer, &point) {
-                had.push(point);
+            if replicas.knows(&writer, &point) {
+                held_points.push(point);
                 continue;
             }
             all = false;
             if point.0 > own_last {
                 ahead = ahead.max(Some(point));
-                self.soon.insert(writer.clone());
-                self.waited = true;
+                self.summaries_due.insert(writer.clone());
+                self.peer_waits = true;
             } else if point.0 > own_sealed.0 {
-                // It is another entry than the one here: where they part is told by points further back.
-                theirs.apart = true;
-                self.part_ways.insert(writer.clone());
-                self.soon.insert(writer.clone());
-                self.waited = true;
+                // The peer has another entry of that number; locators show where the branches differ.
+                peer_log.diverged = true;
+                self.locators_due.insert(writer.clone());
+                self.summaries_due.insert(writer.clone());
+                self.peer_waits = true;
             }
         }
-        // Where all that it said is known here it is taken at its word; else what it said before still holds.
-        if !(whole && all) {
-            had.append(&mut theirs.points);
-        }
-        holdings.prune(&writer, &mut had);
-        had.sort_unstable();
-        theirs.points = had;
-        if let Some(taking) = taking.filter(|(point, _)| *point == own_sealed) {
-            theirs.taking = Some(taking);
-        }
-        let fresh = Claim { point: sealed, since: now, wait: self.settings.resend_after, given_up: false };
-        let claim = theirs.ahead.unwrap_or(fresh);
-        theirs.ahead = ahead.filter(|p| !holdings.knows(&writer, p)).map(|point| Claim { point, ..claim });
-        if before == (theirs.points.clone(), theirs.taking) {
+        // A full summary whose points are all known replaces earlier reports; otherwise these remain valid.
+        if !(is_full && all) {
+            held_points.append(&mut peer_log.points);
+        }
+        replicas.prune(&writer, &mut held_points);
+        held_points.sort_unstable();
+        peer_log.points = held_points;
+        if let Some(receiving) = receiving.filter(|(point, _)| *point == own_sealed) {
+            peer_log.receiving = Some(receiving);
+        }
+        let new_claim =
+            Claim { point: sealed, since: now, wait: self.settings.resend_after, given_up: false };
+        let claim = peer_log.ahead.unwrap_or(new_claim);
+        peer_log.ahead = ahead.filter(|p| !replicas.knows(&writer, p)).map(|point| Claim { point, ..claim });
+        if before == (peer_log.points.clone(), peer_log.receiving) {
             return;
         }
-        let (points, keys) = (&theirs.points, theirs.taking.map_or(0, |(_, keys)| keys));
-        if let Some(spare) = self.spares.get(&writer) {
-            // It has come on; further than it was sent from here only another way.
-            let notified = self.notified.get(&writer).and_then(|t| t.points.iter().map(|p| p.0).max());
-            let further = |notified| points.iter().any(|p| p.0 > notified);
-            if *spare != Spare::Sent || notified.is_some_and(further) {
-                self.spares.remove(&writer);
+        let (points, keys) = (&peer_log.points, peer_log.receiving.map_or(0, |(_, keys)| keys));
+        if let Some(state) = self.covered_logs.get(&writer) {
+            // The peer made progress. It goes beyond what this node sent only if entries reach it from
+            // elsewhere.
+            let last_sent = self.unconfirmed.get(&writer).and_then(|t| t.points.iter().map(|p| p.0).max());
+            let further = |last_sent| points.iter().any(|p| p.0 > last_sent);
+            if *state != CoveredLog::Sent || last_sent.is_some_and(further) {
+                self.covered_logs.remove(&writer);
             }
         }
         let covers = |point: &Point| {
             points.iter().any(|p| p.0 >= point.0) && {
-                let mut with = points.clone();
-                with.push(*point);
-                // On a log of one line the number says it.
+                let mut extended = points.clone();
+                extended.push(*point);
+                // On a log with one branch comparing the numbers is enough.
                 if heads.len() > 1 {
-                    holdings.prune(&writer, &mut with);
-                    with.sort_unstable();
-                    with == *points
+                    replicas.prune(&writer, &mut extended);
+                    extended.sort_unstable();
+                    extended == *points
                 } else {
                     true
                 }
             }
         };
-        // There is room again for what waited.
-        self.more |= self.full;
-        self.flying.retain_mut(|flight| {
-            if flight.writer != writer {
+        // The window has space again for entries that were held back.
+        self.more_to_send |= self.window_full;
+        self.in_flight.retain_mut(|sent| {
+            if sent.writer != writer {
                 return true;
             }
-            flight.since = now;
-            !match flight.keys {
-                0 => covers(&flight.point),
+            sent.since = now;
+            !match sent.keys {
+                0 => covers(&sent.point),
                 up_to => up_to <= keys || !points.is_empty(),
             }
         });
@@ -580,57 +619,58 @@
 
     fn receive_piece(
         &mut self,
-        holdings: &mut impl LogReplicas,
+        replicas: &mut impl LogReplicas,
         piece: Piece,
         now: Micros,
     ) -> Result<Received, MessageError> {
         let writer = piece.writer.clone();
-        self.soon.insert(writer.clone());
-        self.unsaid += piece.size();
+        self.summaries_due.insert(writer.clone());
+        self.unreported_bytes += piece.size();
         let mut received = Received::default();
         let last = (!piece.entries.is_empty()).then(|| piece.last());
         let mut next = Some(piece);
         while let Some(piece) = next.take() {
-            match holdings.insert(&piece) {
+            match replicas.insert(&piece) {
                 Ok(new) => {
                     received.new += new;
                     let last = piece.last().0;
                     if new > 0 {
                         received.pieces.push(piece);
                     }
-                    // What came early may follow now.
+                    // A piece that arrived too early may follow now.
                     let range = (writer.clone(), 0)..=(writer.clone(), last);
-                    if let Some(key) = self.early.range(range).next().map(|(key, _)| key.clone()) {
-                        next = self.early.remove(&key).map(|(piece, _)| piece);
-                        self.early_bytes -= next.as_ref().map_or(0, Piece::size);
+                    if let Some(key) = self.out_of_order.range(range).next().map(|(key, _)| key.clone()) {
+                        next = self.out_of_order.remove(&key).map(|(piece, _)| piece);
+                        self.out_of_order_bytes -= next.as_ref().map_or(0, Piece::size);
                     }
                 }
                 Err(HistoryError::Gap { .. }) => {
-                    if self.early_bytes + piece.size() <= self.settings.window_bytes * 2 {
+                    if self.out_of_order_bytes + piece.size() <= self.settings.window_bytes * 2 {
                         let (key, size) = ((writer.clone(), piece.after), piece.size());
-                        let old = self.early.insert(key, (piece, now)).map_or(0, |(old, _)| old.size());
-                        self.early_bytes = self.early_bytes + size - old;
+                        let old =
+                            self.out_of_order.insert(key, (piece, now)).map_or(0, |(old, _)| old.size());
+                        self.out_of_order_bytes = self.out_of_order_bytes + size - old;
                     }
                 }
                 Err(e) => {
                     if matches!(e, HistoryError::Diverged { .. }) {
-                        self.part_ways.insert(writer.clone());
+                        self.locators_due.insert(writer.clone());
                     }
-                    // What was taken before it stays, and is to be kept.
+                    // Pieces inserted before the error remain valid and must be stored.
                     if received.pieces.is_empty() {
                         return Err(e.into());
                     }
                 }
             }
         }
-        // What came from it, it has, and what it said it has and is known now.
-        let theirs = self.theirs.entry(writer.clone()).or_default();
-        let claim = theirs.ahead.take_if(|claim| holdings.knows(&writer, &claim.point));
-        let had = claim.map(|claim| claim.point).into_iter().chain(last);
-        theirs.points.extend(had.filter(|point| holdings.knows(&writer, point)));
-        holdings.prune(&writer, &mut theirs.points);
-        theirs.points.sort_unstable();
-        if let (Some(claim), true) = (&mut theirs.ahead, received.new > 0) {
+        // The peer holds the entries that it sent, and a claimed point that is known now.
+        let peer_log = self.peer_logs.entry(writer.clone()).or_default();
+        let claim = peer_log.ahead.take_if(|claim| replicas.knows(&writer, &claim.point));
+        let held_points = claim.map(|claim| claim.point).into_iter().chain(last);
+        peer_log.points.extend(held_points.filter(|point| replicas.knows(&writer, point)));
+        replicas.prune(&writer, &mut peer_log.points);
+        peer_log.points.sort_unstable();
+        if let (Some(claim), true) = (&mut peer_log.ahead, received.new > 0) {
             *claim = Claim { since: now, wait: self.settings.resend_after, given_up: false, ..*claim };
         }
         Ok(received)
@@ -638,193 +678,207 @@
 
     fn receive_sealed(
         &mut self,
-        holdings: &mut impl LogReplicas,
+        replicas: &mut impl LogReplicas,
         writer: Writer,
         point: Point,
         (from, total): (u64, u64),
         retained_keys: Vec<RetainedKey>,
     ) -> Received {
-        self.soon.insert(writer.clone());
-        self.waited = true;
-        // What is known that far needs no word of what was sealed; whatever is sealed here follows from one's own entries.
-        if point.0 <= holdings.sealed(&writer).0 || holdings.knows(&writer, &point) {
-            self.taking.remove(&writer);
+        self.summaries_due.insert(writer.clone());
+        self.peer_waits = true;
+        // A node that holds the entries up to the seal doesn't need it; it seals the log itself from its own
+        // entries.
+        if point.0 <= replicas.sealed(&writer).0 || replicas.knows(&writer, &point) {
+            self.receiving.remove(&writer);
             return Received::default();
         }
-        let taking = self.taking.entry(writer.clone()).or_insert((point, Vec::new()));
-        if taking.0 != point {
-            *taking = (point, Vec::new());
+        let receiving = self.receiving.entry(writer.clone()).or_insert((point, Vec::new()));
+        if receiving.0 != point {
+            *receiving = (point, Vec::new());
         }
-        if from == taking.1.len() as u64 {
-            taking.1.extend(retained_keys);
+        if from == receiving.1.len() as u64 {
+            receiving.1.extend(retained_keys);
         }
-        if taking.1.len() as u64 != total {
+        if receiving.1.len() as u64 != total {
             return Received::default();
         }
-        let Some((point, retained_keys)) = self.taking.remove(&writer) else { return Received::default() };
+        let Some((point, retained_keys)) = self.receiving.remove(&writer) else { return Received::default() };
         let base = Base { point, retained_keys };
-        holdings.adopt(&writer, &base);
+        replicas.adopt(&writer, &base);
         Received { sealed: Some((writer, base)), ..Received::default() }
     }
 
-    /// Time has passed: what is to be said is made ([`Exchange::take_outgoing`]). `chance` spreads the sayings of many.
-    pub fn poll(&mut self, holdings: &impl LogReplicas, now: Micros, chance: u64) {
+    /// Advances the exchange to `now`, in microseconds, and creates outgoing messages
+    /// ([`Exchange::take_outgoing`]). `chance` is a random number that spreads the full summaries of
+    /// different nodes.
+    pub fn poll(&mut self, replicas: &impl LogReplicas, now: Micros, chance: u64) {
         let rate = i64::try_from(self.settings.bytes_per_second).unwrap_or(i64::MAX).max(1);
         let burst = (rate / 50).max(MAX_MESSAGE_BYTES as i64);
-        let gone = (now - self.filled).clamp(0, 1_000_000);
-        let add = rate.saturating_mul(gone) / 1_000_000;
+        let elapsed = (now - self.refilled_at).clamp(0, 1_000_000);
+        let add = rate.saturating_mul(elapsed) / 1_000_000;
         if add > 0 {
-            self.may = self.may.saturating_add(add).min(burst);
-            self.filled = now;
+            self.send_budget = self.send_budget.saturating_add(add).min(burst);
+            self.refilled_at = now;
         }
-        if now >= self.next_whole {
-            let all = holdings.writers();
-            self.number += 1;
-            self.send_summary(holdings, &all, true);
+        if now >= self.next_full_summary {
+            let all = replicas.writers();
+            self.summary_number += 1;
+            self.send_summary(replicas, &all, true);
             let spread = (self.settings.full_summary_interval / 8).max(1);
-            self.next_whole = now + self.settings.full_summary_interval + (chance % spread as u64) as Micros;
-            self.sent = now;
-            self.soon.retain(|writer| !all.contains(writer));
-        } else if !self.soon.is_empty() && now >= self.next_soon() {
-            let some: Vec<Writer> = std::mem::take(&mut self.soon).into_iter().collect();
-            self.send_summary(holdings, &some, false);
-            self.sent = now;
-        }
-        let again = self.settings.resend_after;
-        let mut late: Vec<Writer> =
-            self.flying.iter().filter(|f| now - f.since >= again).map(|f| f.writer.clone()).collect();
-        late.dedup();
-        for writer in late {
-            self.flying.retain(|f| f.writer != writer);
-            self.notified.remove(&writer);
-            // What it was sent though it says that it is ahead did not get there either: less of that.
-            if let Some(claim) = self.theirs.get_mut(&writer).and_then(|t| t.ahead.as_mut()) {
-                let wait = (claim.wait * 2).min(again.saturating_mul(MAX_WAIT_FACTOR));
+            self.next_full_summary =
+                now + self.settings.full_summary_interval + (chance % spread as u64) as Micros;
+            self.last_summary_at = now;
+            self.summaries_due.retain(|writer| !all.contains(writer));
+        } else if !self.summaries_due.is_empty() && now >= self.next_summary_due() {
+            let writers_due: Vec<Writer> = std::mem::take(&mut self.summaries_due).into_iter().collect();
+            self.send_summary(replicas, &writers_due, false);
+            self.last_summary_at = now;
+        }
+        let resend_after = self.settings.resend_after;
+        let mut overdue: Vec<Writer> = self
+            .in_flight
+            .iter()
+            .filter(|f| now - f.since >= resend_after)
+            .map(|f| f.writer.clone())
+            .collect();
+        overdue.dedup();
+        for writer in overdue {
+            self.in_flight.retain(|f| f.writer != writer);
+            self.unconfirmed.remove(&writer);
+            // Entries sent despite the peer's claim were not confirmed either, so the next wait is longer.
+            if let Some(claim) = self.peer_logs.get_mut(&writer).and_then(|t| t.ahead.as_mut()) {
+                let wait = (claim.wait * 2).min(resend_after.saturating_mul(MAX_WAIT_FACTOR));
                 *claim = Claim { since: now, wait, given_up: false, ..*claim };
             }
         }
-        for (writer, theirs) in &mut self.theirs {
-            let Some(claim) = theirs.ahead.as_mut().filter(|c| !c.given_up && now - c.since >= c.wait) else {
+        for (writer, peer_log) in &mut self.peer_logs {
+            let Some(claim) = peer_log.ahead.as_mut().filter(|c| !c.given_up && now - c.since >= c.wait)
+            else {
                 continue;
             };
             claim.given_up = true;
-            self.part_ways.insert(writer.clone());
-            self.soon.insert(writer.clone());
-        }
-        // What came early is sent again by then, with what is before it, if there is such a thing.
-        let early_bytes = &mut self.early_bytes;
-        self.early.retain(|_, (piece, came)| {
-            let keeps = now - *came < again;
-            *early_bytes -= if keeps { 0 } else { piece.size() };
-            keeps
+            self.locators_due.insert(writer.clone());
+            self.summaries_due.insert(writer.clone());
+        }
+        // Pieces that arrived too early are dropped by the time the peer sends them again together with the
+        // entries before them.
+        let out_of_order_bytes = &mut self.out_of_order_bytes;
+        self.out_of_order.retain(|_, (piece, arrived_at)| {
+            let keep = now - *arrived_at < resend_after;
+            *out_of_order_bytes -= if keep { 0 } else { piece.size() };
+            keep
         });
-        (self.more, self.full) = (false, false);
-        let writers = if self.other.is_some() { holdings.writers() } else { Vec::new() };
-        let looks = now >= self.next_look;
-        if looks {
-            self.next_look = now + self.settings.summary_delay;
+        (self.more_to_send, self.window_full) = (false, false);
+        let writers = if self.peer_incarnation.is_some() { replicas.writers() } else { Vec::new() };
+        let check_due = now >= self.next_check;
+        if check_due {
+            self.next_check = now + self.settings.summary_delay;
         }
         let mut idle = 0;
-        let mut flying: usize = self.flying.iter().map(|f| f.bytes).sum();
+        let mut in_flight: usize = self.in_flight.iter().map(|f| f.bytes).sum();
         while idle < writers.len() {
-            if self.may <= 0 || flying >= self.settings.window_bytes {
-                (self.more, self.full) = (self.may <= 0, self.may > 0);
+            if self.send_budget <= 0 || in_flight >= self.settings.window_bytes {
+                (self.more_to_send, self.window_full) = (self.send_budget <= 0, self.send_budget > 0);
                 break;
             }
-            let Some(writer) = writers.get(self.turn % writers.len()) else { break };
-            let held = self.is_spare(writer) && self.is_deferred(holdings, writer, looks, now);
-            match if held { None } else { self.next_message(holdings, writer) } {
+            let Some(writer) = writers.get(self.next_log % writers.len()) else { break };
+            let deferred = self.is_covered(writer) && self.is_deferred(replicas, writer, check_due, now);
+            match if deferred { None } else { self.next_message(replicas, writer) } {
                 Some((message, point, keys)) => {
                     let writer = writer.clone();
                     let bytes = self.send(message);
-                    self.flying.push_back(Flight { writer, point, keys, bytes, since: now });
-                    flying += bytes;
+                    self.in_flight.push_back(InFlight { writer, point, keys, bytes, since: now });
+                    in_flight += bytes;
                     idle = 0;
                 }
                 None => {
                     idle += 1;
-                    self.turn = (self.turn + 1) % writers.len();
+                    self.next_log = (self.next_log + 1) % writers.len();
                 }
             }
         }
     }
 
-    /// Whether what the other lacks of a log is left to somebody else for now. It is looked at once in `soon`.
+    /// Returns whether the entries that the peer lacks of a log are left to other nodes for now. It is
+    /// evaluated once per [`Settings::summary_delay`].
     fn is_deferred(
         &mut self,
-        holdings: &impl LogReplicas,
+        replicas: &impl LogReplicas,
         writer: &Writer,
-        looks: bool,
+        check_due: bool,
         now: Micros,
     ) -> bool {
-        match self.spares.get(writer) {
-            Some(Spare::Sent) => return false,
-            _ if !looks => return true,
+        match self.covered_logs.get(writer) {
+            Some(CoveredLog::Sent) => return false,
+            _ if !check_due => return true,
             _ => {}
         }
-        let theirs = self.theirs.get(writer);
-        let had = theirs.map_or(&[][..], |t| t.points.as_slice());
-        let sealed = had.is_empty() && holdings.sealed(writer).0 > 0;
-        let waits = theirs.map_or(!self.complete, |t| t.ahead.is_some_and(|claim| !claim.given_up));
-        if waits || !(sealed || holdings.missing(writer, had, 1).is_some()) {
-            self.spares.remove(writer);
+        let peer_log = self.peer_logs.get(writer);
+        let held_points = peer_log.map_or(&[][..], |t| t.points.as_slice());
+        let sealed = held_points.is_empty() && replicas.sealed(writer).0 > 0;
+        let awaits_claim = peer_log.map_or(!self.complete, |t| t.ahead.is_some_and(|claim| !claim.given_up));
+        if awaits_claim || !(sealed || replicas.missing(writer, held_points, 1).is_some()) {
+            self.covered_logs.remove(writer);
             return true;
         }
-        let spare = self.spares.entry(writer.clone()).or_insert(Spare::Stalled(now));
-        match *spare {
-            Spare::Stalled(since) if now - since < 3 * self.settings.summary_delay => true,
+        let state = self.covered_logs.entry(writer.clone()).or_insert(CoveredLog::Stalled(now));
+        match *state {
+            CoveredLog::Stalled(since) if now - since < 3 * self.settings.summary_delay => true,
             _ => {
-                *spare = Spare::Sent;
+                *state = CoveredLog::Sent;
                 false
             }
         }
     }
 
-    /// When it says what it has of logs of which something came.
-    fn next_soon(&self) -> Micros {
-        let hurry = self.waited || self.unsaid >= self.settings.window_bytes / 4;
-        self.sent + if hurry { self.settings.summary_delay / 10 } else { self.settings.summary_delay }
+    /// Returns when the next summary of single logs is due.
+    fn next_summary_due(&self) -> Micros {
+        let urgent = self.peer_waits || self.unreported_bytes >= self.settings.window_bytes / 4;
+        self.last_summary_at
+            + if urgent { self.settings.summary_delay / 10 } else { self.settings.summary_delay }
     }
 
-    /// Have that said; how many bytes it has.
+    /// Queues a message and returns its encoded size in bytes.
     fn send(&mut self, message: Message) -> usize {
         let bytes = message.encode().len();
-        self.may -= bytes as i64;
-        self.out.push(message);
+        self.send_budget -= bytes as i64;
+        self.outgoing.push(message);
         bytes
     }
 
-    /// The next word that the other lacks of that log.
+    /// Returns the next message with content of that log which the peer lacks.
     fn next_message(
         &mut self,
-        holdings: &impl LogReplicas,
+        replicas: &impl LogReplicas,
         writer: &Writer,
     ) -> Option<(Message, Point, u64)> {
-        let theirs = self.theirs.get(writer);
-        if theirs.is_none() && !self.complete {
+        let peer_log = self.peer_logs.get(writer);
+        if peer_log.is_none() && !self.complete {
             return None;
         }
-        // What is behind of the other's is most likely a part of it; whether it is shows once that came.
-        if theirs.and_then(|t| t.ahead).is_some_and(|claim| !claim.given_up) {
+        // A peer that is ahead most likely holds everything held here; whether it does shows once its entries
+        // have arrived.
+        if peer_log.and_then(|t| t.ahead).is_some_and(|claim| !claim.given_up) {
             return None;
         }
-        let had = theirs.map_or(&[][..], |t| t.points.as_slice());
-        let notified = self.notified.entry(writer.clone()).or_default();
-        let sealed = holdings.sealed(writer);
+        let held_points = peer_log.map_or(&[][..], |t| t.points.as_slice());
+        let unconfirmed = self.unconfirmed.entry(writer.clone()).or_default();
+        let sealed = replicas.sealed(writer);
         let names = writer.site.len() + writer.node.len();
-        if sealed.0 > 0 && had.is_empty() {
+        if sealed.0 > 0 && held_points.is_empty() {
             let upto = |keys: Option<(Point, u64)>| keys.filter(|(p, _)| *p == sealed).map_or(0, |(_, n)| n);
-            let notified_keys = upto(notified.keys);
-            let from = notified_keys.max(upto(theirs.and_then(|t| t.taking)));
+            let sent_keys = upto(unconfirmed.keys);
+            let from = sent_keys.max(upto(peer_log.and_then(|t| t.receiving)));
             let (total, retained_keys) =
-                holdings.retained_keys(writer, from, (MAX_MESSAGE_BYTES - 180).saturating_sub(names));
-            // After the last one, one word more, so that the other surely knows that it was.
-            if notified_keys > total {
+                replicas.retained_keys(writer, from, (MAX_MESSAGE_BYTES - 180).saturating_sub(names));
+            // One more message follows the last key, so that the peer certainly learns that the list is
+            // complete.
+            if sent_keys > total {
                 return None;
             }
             let from = from.min(total);
             let keys = if retained_keys.is_empty() { total + 1 } else { from + retained_keys.len() as u64 };
-            notified.keys = Some((sealed, keys));
+            unconfirmed.keys = Some((sealed, keys));
             let (writer, point) = (writer.clone(), sealed);
             let check = sealed_checksum(&writer, &point, from, total, &retained_keys);
             return Some((
@@ -833,32 +887,32 @@
                 keys,
             ));
         }
-        let notified = &mut notified.points;
-        let points: Vec<Point> = had.iter().chain(notified.iter()).copied().collect();
-        let piece = holdings.missing(writer, &points, (MAX_MESSAGE_BYTES - 120).saturating_sub(names))?;
-        notified.retain(|p| *p != (piece.after, piece.before));
-        notified.push(piece.last());
+        let unconfirmed = &mut unconfirmed.points;
+        let points: Vec<Point> = held_points.iter().chain(unconfirmed.iter()).copied().collect();
+        let piece = replicas.missing(writer, &points, (MAX_MESSAGE_BYTES - 120).saturating_sub(names))?;
+        unconfirmed.retain(|p| *p != (piece.after, piece.before));
+        unconfirmed.push(piece.last());
         let last = piece.last();
         Some((Message::Piece { piece }, last, 0))
     }
 
-    /// Say what is had of those logs.
-    fn send_summary(&mut self, holdings: &impl LogReplicas, writers: &[Writer], whole: bool) {
+    /// Queues summaries of those logs.
+    fn send_summary(&mut self, replicas: &impl LogReplicas, writers: &[Writer], is_full: bool) {
         let point_size = 36;
         let mut groups: Vec<Vec<LogSummary>> = vec![Vec::new()];
         let mut capacity = MAX_MESSAGE_BYTES - 40;
         for writer in writers {
-            let sealed = holdings.sealed(writer);
-            let lines = if self.part_ways.remove(writer) {
-                holdings.locators(writer).into_iter().flatten().collect()
+            let sealed = replicas.sealed(writer);
+            let all_points = if self.locators_due.remove(writer) {
+                replicas.locators(writer).into_iter().flatten().collect()
             } else {
-                holdings.heads(writer)
+                replicas.heads(writer)
             };
-            let taking = self.taking.get(writer).map(|(point, keys)| (*point, keys.len() as u64));
+            let receiving = self.receiving.get(writer).map(|(point, keys)| (*point, keys.len() as u64));
             let base = writer.site.len() + writer.node.len() + 20 + point_size + 45;
-            let most = ((MAX_MESSAGE_BYTES - 40).saturating_sub(base) / point_size).max(1);
-            // A log of which nothing is held is said, too: so the other knows.
-            let mut chunks: Vec<&[Point]> = lines.chunks(most).collect();
+            let max_points = ((MAX_MESSAGE_BYTES - 40).saturating_sub(base) / point_size).max(1);
+            // A log without entries is summarized, too, so that the peer learns that none are held.
+            let mut chunks: Vec<&[Point]> = all_points.chunks(max_points).collect();
             if chunks.is_empty() {
                 chunks.push(&[]);
             }
@@ -869,47 +923,50 @@
                     capacity = MAX_MESSAGE_BYTES - 40;
                 }
                 capacity = capacity.saturating_sub(size);
-                let known = LogSummary { writer: writer.clone(), sealed, points: points.to_vec(), taking };
+                let summary =
+                    LogSummary { writer: writer.clone(), sealed, points: points.to_vec(), receiving };
                 if let Some(group) = groups.last_mut() {
-                    group.push(known);
+                    group.push(summary);
                 }
             }
         }
-        (self.unsaid, self.waited) = (0, false);
-        let (life, number) = (self.life, self.number);
-        let parts = if whole { groups.len() as u32 } else { 0 };
-        for (part, of) in (0..).zip(groups) {
-            self.send(Message::Have { life, number, part, parts, of });
+        (self.unreported_bytes, self.peer_waits) = (0, false);
+        let (incarnation, summary_number) = (self.incarnation, self.summary_number);
+        let parts = if is_full { groups.len() as u32 } else { 0 };
+        for (part, logs) in (0..).zip(groups) {
+            self.send(Message::Have { incarnation, summary_number, part, parts, logs });
         }
     }
 
-    /// Something of that log came another way: the other is told soon, so that it does not send it, too.
+    /// Notes that entries of a log arrived from another node. The peer is soon informed, so that it doesn't send
+    /// them again.
     pub fn note_update(&mut self, writer: &Writer) {
-        self.soon.insert(writer.clone());
+        self.summaries_due.insert(writer.clone());
     }
 
-    /// What is to be said now.
+    /// Returns and removes the outgoing messages.
     pub fn take_outgoing(&mut self) -> Vec<Message> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outgoing)
     }
 
-    /// When it wants to be passed again, at the latest.
+    /// Returns the latest time, in microseconds, at which [`Exchange::poll`] must be called again.
     pub fn due(&self) -> Micros {
-        let mut due = self.next_whole;
-        if !self.soon.is_empty() {
-            due = due.min(self.next_soon());
+        let mut due = self.next_full_summary;
+        if !self.summaries_due.is_empty() {
+            due = due.min(self.next_summary_due());
         }
-        if let Some(since) = self.flying.iter().map(|f| f.since).min() {
+        if let Some(since) = self.in_flight.iter().map(|f| f.since).min() {
             due = due.min(since + self.settings.resend_after);
         }
-        if !self.spares.is_empty() {
-            due = due.min(self.next_look);
+        if !self.covered_logs.is_empty() {
+            due = due.min(self.next_check);
         }
-        let claims = self.theirs.values().filter_map(|t| t.ahead).filter(|claim| !claim.given_up);
+        let claims = self.peer_logs.values().filter_map(|t| t.ahead).filter(|claim| !claim.given_up);
         due = claims.map(|claim| claim.since.saturating_add(claim.wait)).fold(due, Micros::min);
-        if self.more {
+        if self.more_to_send {
             let rate = i64::try_from(self.settings.bytes_per_second).unwrap_or(i64::MAX).max(1);
-            due = due.min(self.filled + (1 - self.may).max(1).saturating_mul(1_000_000) / rate + 1);
+            due = due
+                .min(self.refilled_at + (1 - self.send_budget).max(1).saturating_mul(1_000_000) / rate + 1);
         }
         due
     }
--- a/crates/placements/src/compaction.rs
+++ b/crates/placements/src/compaction.rs
@@ -1,25 +1,30 @@
-//! When the beginning of a log may be dropped.
+//! Decides how many of the first entries of a log may be dropped.
 //!
-//! The rule: up to an entry whose number is a multiple of [`SEGMENT`], where all sites have said that they have it; all up to there is
-//! older than a stated age; each placement up to there has its end up to there; and the log has one line up to there. The head of the chain and the
-//! memory of guarded keys stay ([`History::seal`]).
+//! A log may be sealed up to an entry whose number is a multiple of [`SEGMENT_ENTRIES`] if all sites have
+//! confirmed that they hold that entry, all entries up to it are older than a given age, all placements up to
+//! it have also ended by then, and the log has no fork up to it. The digest at that entry and the guarded
+//! keys are retained ([`History::seal`]).
 //!
-//! The age must be longer than a node may take to write what it heard on its disk, and than a repeat of a request may come late.
+//! The age must exceed the time that a node may take to write received entries to its disk, and the time
+//! after which no repeat of a request arrives any more.
 
 use crate::hash_chain::Point;
 use crate::history::History;
 use crate::{Entry, Micros, Writer};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Logs are dropped by so many entries.
+/// Number of entries by which logs are sealed.
 pub const SEGMENT_ENTRIES: u64 = 1_024;
-/// So many segments are looked at once, so that a call is bounded.
-const MOST: u64 = 64;
+/// Maximum number of segments that one call examines, which bounds its running time.
+const MAX_SEGMENTS: u64 = 64;
 
-/// Up to where a log may be sealed now, where that is further than it is.
+/// Returns the number of the entry up to which a log may be sealed now, or `None` if that is no further than
+/// it is sealed already.
 ///
-/// `confirmed` is what each site has of it, by its own word ([`crate::anti_entropy::Message::Have`]); all sites of the operator's file have to be in
-/// it, a lost one, too, until the operator takes it out. `now` is Unix time; clocks that go ahead are what `age` has to bear.
+/// `confirmed` holds the last entry that each site reported to hold ([`crate::anti_entropy::Message::Have`]).
+/// Each site of the configuration must be in it; a site that was lost blocks compaction until the operator
+/// removes it. `now` is Unix time in microseconds; `age`, in microseconds, must allow for clocks that run
+/// ahead.
 pub fn sealable_up_to(
     history: &History,
     writer: &Writer,
@@ -30,15 +35,15 @@
 ) -> Option<u64> {
     let from = history.sealed(writer).0;
     let heads = history.heads(writer);
-    let mut most = from.saturating_add(MOST * SEGMENT_ENTRIES);
+    let mut limit = from.saturating_add(MAX_SEGMENTS * SEGMENT_ENTRIES);
     for site in sites {
         let point = confirmed.get(site).filter(|point| history.knows(writer, point))?;
-        most = most.min(point.0);
+        limit = limit.min(point.0);
     }
-    let parts = history.forks().into_iter().filter(|f| f.writer == *writer).map(|f| f.number - 1).min();
-    most = most.min(parts.unwrap_or(u64::MAX)).min(heads.iter().map(|p| p.0).max()?);
+    let first_fork = history.forks().into_iter().filter(|f| f.writer == *writer).map(|f| f.number - 1).min();
+    limit = limit.min(first_fork.unwrap_or(u64::MAX)).min(heads.iter().map(|p| p.0).max()?);
     let (mut open, mut sealable) = (BTreeSet::new(), None);
-    for number in from + 1..=most {
+    for number in from + 1..=limit {
         let timed = history.entry(writer, number)?;
         if timed.at > now.saturating_sub(age) {
             break;
--- a/crates/placements/src/hash_chain.rs
+++ b/crates/placements/src/hash_chain.rs
@@ -1,14 +1,15 @@
-//! Hash chains: each entry of a log is bound to all before it, so that a changed or missing one is found and named.
+//! Hash chain of a log: the digest of each entry covers all entries before it, so that a changed or missing
+//! entry is detected and its number known.
 
 use crate::{Entry, Timed, Writer};
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 use std::fmt;
 
-/// An entry is this many bytes at most, so that one always fits a word.
+/// Maximum size of an encoded entry in bytes, so that every entry fits into one message.
 pub const MAX_ENTRY_BYTES: usize = 900;
 
-/// Stands for an entry and all before it in its log (SHA-256).
+/// SHA-256 digest of an entry and all entries before it in its log.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Digest(pub [u8; 32]);
 
@@ -24,32 +25,32 @@
     }
 }
 
-/// The number of an entry, and what stands for it and all before it.
+/// Number of an entry and the digest of the log up to and including it.
 pub type Point = (u64, Digest);
 
-/// Why bytes are no entry.
+/// Why bytes are not a valid entry.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
 pub enum EntryError {
-    /// It is longer than a word carries.
-    #[error("an entry of {0} bytes is over {MAX_ENTRY_BYTES}")]
-    #[diagnostic(help("keys, classes, tenants and servers of a placement hold {MAX_ENTRY_BYTES} bytes together; the client has to use a shorter key"))]
+    /// The encoded entry is longer than [`MAX_ENTRY_BYTES`]; holds its size in bytes.
+    #[error("an entry has {0} bytes; the limit is {MAX_ENTRY_BYTES}")]
+    #[diagnostic(help("key, class, tenant and server of a placement together must fit into {MAX_ENTRY_BYTES} bytes; let the client use a shorter key"))]
     TooLong(usize),
-    /// It can't be read.
-    #[error("an entry can't be read")]
-    #[diagnostic(help("the other site runs another version of this program, or the entry was changed; compare their versions"))]
+    /// The bytes don't decode to an entry.
+    #[error("an entry can't be decoded")]
+    #[diagnostic(help("the sending site runs another version of this program, or the entry was corrupted; compare the versions of both sites"))]
     Unreadable,
-    /// It ends a placement that is not before it.
-    #[error("entry {number} ends entry {of}, which is not before it")]
-    #[diagnostic(help("whoever wrote it is faulty; report it with the log of that node"))]
+    /// The entry ends a placement that doesn't precede it.
+    #[error("entry {number} ends entry {of}, which does not precede it")]
+    #[diagnostic(help("the node that wrote the log has a defect; report it together with that node's log"))]
     InvalidEnd {
-        /// Its number.
+        /// Number of the entry.
         number: u64,
-        /// What it ends.
+        /// Number of the placement that the entry claims to end.
         of: u64,
     },
 }
 
-/// The point before the first entry of a log.
+/// Returns the point before the first entry of a log: number 0 and a digest of the writer's identity.
 pub fn origin(writer: &Writer) -> Point {
     let mut hash = Sha256::new();
     hash.update(b"shorepath placements 1");
@@ -61,7 +62,7 @@
     (0, Digest(hash.finalize().into()))
 }
 
-/// What stands for an entry after what stands for the one before it.
+/// Returns the digest after an entry, from the digest `before` it.
 pub fn next_digest(before: &Digest, entry: &[u8]) -> Digest {
     let mut hash = Sha256::new();
     hash.update(before.0);
@@ -69,10 +70,10 @@
     Digest(hash.finalize().into())
 }
 
-/// An entry as it is kept and sent.
+/// Encodes an entry as it is stored and sent.
 ///
 /// # Errors
-/// It is too long.
+/// [`EntryError::TooLong`] if the result exceeds [`MAX_ENTRY_BYTES`].
 pub fn encode(timed: &Timed) -> Result<Vec<u8>, EntryError> {
     let bytes = postcard::to_stdvec(timed).map_err(|_| EntryError::Unreadable)?;
     if bytes.len() > MAX_ENTRY_BYTES {
@@ -81,10 +82,10 @@
     Ok(bytes)
 }
 
-/// The entry of that number from its bytes.
+/// Decodes the entry with that number.
 ///
 /// # Errors
-/// It is none.
+/// The bytes are too long, don't decode, or end a placement that doesn't precede the entry.
 pub fn decode(number: u64, bytes: &[u8]) -> Result<Timed, EntryError> {
     if bytes.len() > MAX_ENTRY_BYTES {
         return Err(EntryError::TooLong(bytes.len()));
@@ -99,7 +100,7 @@
     }
 }
 
-/// Entries as bytes, not as numbers one by one.
+/// Serializes entries as byte strings instead of sequences of numbers.
 mod as_bytes {
     use serde::{Deserialize, Deserializer, Serializer};
     use serde_bytes::{ByteBuf, Bytes};
@@ -113,34 +114,34 @@
     }
 }
 
-/// Some entries of a log that follow each other.
+/// Consecutive entries of one log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Piece {
-    /// Whose log.
+    /// Log to which the entries belong.
     pub writer: Writer,
-    /// The number of the entry before the first one; 0 at the beginning of the log.
+    /// Number of the entry before the first one; 0 at the start of the log.
     pub after: u64,
-    /// What stands for that entry and all before it.
+    /// Digest of the log up to entry `after`.
     pub before: Digest,
-    /// The entries, see [`encode`].
+    /// Encoded entries (see [`encode`]).
     #[serde(with = "as_bytes")]
     pub entries: Vec<Vec<u8>>,
-    /// What stands for the last one and all before it.
+    /// Digest of the log up to the last of the entries.
     pub head: Digest,
 }
 
 impl Piece {
-    /// The last entry's point.
+    /// Returns the point of the last entry.
     pub fn last(&self) -> Point {
         (self.after.saturating_add(self.entries.len() as u64), self.head)
     }
 
-    /// What its entries hold, in bytes.
+    /// Returns the total size of the encoded entries in bytes.
     pub fn size(&self) -> usize {
         self.entries.iter().map(Vec::len).sum()
     }
 
-    /// Whether the entries are what the digests say.
+    /// Returns whether the entries lead from `before` to `head` and their numbers don't overflow.
     pub fn digests_match(&self) -> bool {
         self.after.checked_add(self.entries.len() as u64).is_some()
             && self.entries.iter().fold(self.before, |before, entry| next_digest(&before, entry)) == self.head
--- a/crates/placements/src/history.rs
+++ b/crates/placements/src/history.rs
@@ -1,138 +1,144 @@
-//! What all sites have written, as far as one of them knows: of each log a verified part from its beginning on.
+//! Verified copies of all logs, as far as one node knows them.
 //!
-//! The merge is a join: order, repetition and partial delivery don't matter. A log has one writer and so one line of entries. Two entries of
-//! one number of one log mean that two processes wrote it: its disk was copied, or an older one was put back. Both lines are kept
-//! then, as a tree that looks the same at all sites whatever came first, and the fork is named; nobody chooses between them.
+//! Merging is a join: order, duplicates and partial delivery don't matter. A log has a single writer and
+//! therefore a single branch. Two different entries with the same number in one log mean that two processes
+//! wrote it: its disk was copied, or restored from an older copy. Both branches are then kept in a tree that
+//! is the same at all sites whatever arrived first, and the fork is reported; none of the branches is
+//! preferred.
 //!
-//! The root of each log may be sealed: its entries are dropped, what stands for them and the memory of guarded keys stay ([`crate::compaction`]).
+//! The start of a log may be sealed: its entries are dropped, while its digest and its guarded keys are
+//! retained ([`crate::compaction`]).
 
 use crate::hash_chain::{self, Digest, EntryError, Piece, Point};
 use crate::{End, Entry, Micros, Timed, Writer};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// So many entries share one digest that is kept; the ones between are made again when they are asked for.
+/// Number of entries that share one stored digest; digests between are recomputed on demand.
 const ENTRIES_PER_CHUNK: u64 = 16;
 
-/// Why something can't be taken into a history.
+/// Why a piece or a seal was rejected by a history.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
 pub enum HistoryError {
-    /// Entries before it are missing.
-    #[error("log {writer:?}: entries from {have} to {after} are missing")]
-    #[diagnostic(help("nothing to do: they are asked for again"))]
+    /// Entries before the piece are missing.
+    #[error("log {writer:?}: entries after {have} up to {after} are missing")]
+    #[diagnostic(help("no action is needed: peers send the missing entries again"))]
     Gap {
-        /// Whose log.
+        /// Log of the piece.
         writer: Writer,
-        /// The last that is held.
+        /// Number of the last entry that is held.
         have: u64,
-        /// The one before the first that came.
+        /// Number of the entry before the piece.
         after: u64,
     },
-    /// It follows an entry that is not the one that is held under that number.
-    #[error("log {writer:?} parts from what is held at or before entry {after}")]
+    /// The piece follows an entry that differs from the one that is held under the same number.
+    #[error("log {writer:?} differs from the stored copy at or before entry {after}")]
     #[diagnostic(help(
-        "the log was written from two disks; the fork is named once the point where they part is known"
+        "the log was written from two disks; the fork is reported as soon as its position is known"
     ))]
     Diverged {
-        /// Whose log.
+        /// Log of the piece.
         writer: Writer,
-        /// The number of the entry that is another.
+        /// Number of the differing entry.
         after: u64,
     },
-    /// It parts from entries that are sealed.
-    #[error("log {writer:?} parts from what was sealed, at or before entry {number}")]
-    #[diagnostic(help("a disk older than what all sites confirmed was put back: stop that node, found its log anew, and compare the guarded keys it served since"))]
+    /// The piece forks from entries that are sealed.
+    #[error("log {writer:?} differs from its sealed part at or before entry {number}")]
+    #[diagnostic(help("a disk was restored that is older than what all sites confirmed: stop that node, let it start a new log, and check the guarded keys that it has served since"))]
     Sealed {
-        /// Whose log.
+        /// Log of the piece.
         writer: Writer,
-        /// The last entry that was sealed.
+        /// Number of the last sealed entry.
         number: u64,
     },
-    /// The entries are not what the digest says.
-    #[error("log {writer:?}: what came after entry {after} is not what its digest says")]
-    #[diagnostic(help("it was changed on its way, or on the disk it was read from; look at that disk where it happens again"))]
+    /// The entries don't match the piece's digest.
+    #[error("log {writer:?}: entries after {after} do not match their digest")]
+    #[diagnostic(help("the entries were corrupted in transit or on the disk from which they were read; check that disk if this happens again"))]
     Changed {
-        /// Whose log.
+        /// Log of the piece.
         writer: Writer,
-        /// The number before the first of them.
+        /// Number of the entry before the piece.
         after: u64,
     },
-    /// One of them is no entry.
+    /// The piece contains an invalid entry.
     #[error("log {writer:?}, entry {number}: {why}")]
     #[diagnostic(help(
-        "the other site runs another version of this program, or is faulty; compare their versions"
+        "the sending site runs another version of this program or has a defect; compare the versions of both sites"
     ))]
     Entry {
-        /// Whose log.
+        /// Log of the piece.
         writer: Writer,
-        /// Its number.
+        /// Number of the invalid entry.
         number: u64,
-        /// Why.
+        /// Why the entry is invalid.
         why: EntryError,
     },
-    /// There can't be sealed so far.
+    /// The log can't be sealed up to that entry.
     #[error("log {writer:?} can't be sealed up to entry {upto}")]
     #[diagnostic(help(
-        "nothing to do: a log is sealed only where it has one line and no placement without an end"
+        "no action is needed: a log is sealed only up to an entry before which it has no fork and no open placement"
     ))]
     Unsealable {
-        /// Whose log.
+        /// Log to seal.
         writer: Writer,
-        /// Up to where.
+        /// Number of the last entry to seal.
         upto: u64,
     },
 }
 
-/// What stays of a placement that must not run twice, once its entries are dropped.
+/// What is retained of a guarded placement that may have run once its entries are dropped.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RetainedKey {
-    /// Its class.
+    /// Name of the request class.
     pub class: String,
-    /// Its key.
+    /// Idempotency key of the job.
     pub key: String,
-    /// Its number in the log.
+    /// Number of the placement's entry in its log.
     pub number: u64,
-    /// When it was placed, by the writer's clock.
+    /// Time of the placement in microseconds, by the writer's clock.
     pub at: Micros,
-    /// The server.
+    /// Id of the server.
     pub server: String,
-    /// The fence under which it was placed.
+    /// Fencing token under which the job was placed.
     pub fence: u64,
-    /// How it ended. What never ran is not remembered.
+    /// How the placement ended; never [`End::NeverRan`].
     pub how: End,
 }
 
-/// Two lines of one log.
+/// A log with two or more branches.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fork {
-    /// Whose log.
+    /// The forked log.
     pub writer: Writer,
-    /// The number of which there are several entries.
+    /// Entry number at which the branches differ.
     pub number: u64,
-    /// What stands for each of them.
+    /// Digests at that number, one for each branch.
     pub entries: Vec<Digest>,
 }
 
-/// What a writer's own log is to what others know of it.
+/// How a writer's log on its disk compares with what peers know of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnLogState {
-    /// Others know a part of it, or all.
+    /// Peers know all of the log or a first part of it.
     Intact,
-    /// Others know more of it: an older disk was put back. The log must be founded anew before the next entry.
+    /// Peers know further entries, because the disk was restored from an older copy. A new log must be
+    /// started before the next entry.
     RolledBack {
-        /// The last entry that the disk holds.
+        /// Number of the last entry on the disk.
         own: u64,
-        /// The last entry that others know.
+        /// Number of the last entry that peers know.
         known: u64,
     },
-    /// Others know another entry of that number: the disk was copied, or put back and written since. As above.
+    /// Peers know another entry of the same number, because the disk was copied, or was restored and then
+    /// written. A new log must be started before the next entry.
     Forked {
-        /// The last entry that the disk holds.
+        /// Number of the last entry on the disk.
         own: u64,
     },
 }
 
-/// Entries of one line, `EVERY` together at most.
+/// Up to [`ENTRIES_PER_CHUNK`] consecutive entries of a branch: their bytes, and the offset of each entry's
+/// end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Chunk {
     before: Digest,
@@ -147,26 +153,26 @@
     }
 }
 
-/// A line of entries up to where it parts.
+/// A sequence of entries without a fork, and the branches that follow it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Run {
+struct Branch {
     before: Digest,
-    /// The number of its first entry; its last is one less where it has none.
+    /// Number of the first entry; if the branch is empty, `last` is `first - 1`.
     first: u64,
     last: u64,
     head: Digest,
     chunks: Vec<Chunk>,
-    /// None, or two at least, in the order of their first entries.
-    next: Vec<Run>,
+    /// Branches after the last entry, ordered by their first entries: none, or at least two.
+    children: Vec<Branch>,
 }
 
-impl Run {
-    fn after((number, before): Point) -> Run {
+impl Branch {
+    fn starting_after((number, before): Point) -> Branch {
         let first = number + 1;
-        Run { before, first, last: number, head: before, chunks: Vec::new(), next: Vec::new() }
+        Branch { before, first, last: number, head: before, chunks: Vec::new(), children: Vec::new() }
     }
 
-    fn slot(&self, number: u64) -> (usize, usize) {
+    fn position(&self, number: u64) -> (usize, usize) {
         let (chunk, start) = ((number - 1) / ENTRIES_PER_CHUNK, (self.first - 1) / ENTRIES_PER_CHUNK);
         let begin = (chunk * ENTRIES_PER_CHUNK + 1).max(self.first);
         ((chunk - start) as usize, (number - begin) as usize)
@@ -176,11 +182,11 @@
         if number < self.first || number > self.last {
             return None;
         }
-        let (chunk, k) = self.slot(number);
+        let (chunk, k) = self.position(number);
         self.chunks.get(chunk)?.entry(k)
     }
 
-    /// What stands for that entry, or for the one before the first.
+    /// Returns the digest at that entry, or at the one before the first.
     fn digest(&self, number: u64) -> Option<Digest> {
         if number == self.first - 1 {
             return Some(self.before);
@@ -191,7 +197,7 @@
         if number < self.first || number > self.last {
             return None;
         }
-        let (chunk, k) = self.slot(number);
+        let (chunk, k) = self.position(number);
         let chunk = self.chunks.get(chunk)?;
         let mut digest = chunk.before;
         for i in 0..=k {
@@ -218,20 +224,20 @@
         }
     }
 
-    /// Keep what is up to that number; what comes after it.
-    fn split(&mut self, number: u64) -> Run {
-        let mut tail = Run::after((number, self.digest(number).unwrap_or(self.head)));
+    /// Truncates the branch after that number and returns the rest.
+    fn split(&mut self, number: u64) -> Branch {
+        let mut tail = Branch::starting_after((number, self.digest(number).unwrap_or(self.head)));
         for k in number + 1..=self.last {
             if let Some(entry) = self.entry(k) {
                 tail.push(entry);
             }
         }
-        tail.next = std::mem::take(&mut self.next);
+        tail.children = std::mem::take(&mut self.children);
         self.head = tail.before;
         if number + 1 == self.first {
             self.chunks.clear();
         } else {
-            let (chunk, k) = self.slot(number);
+            let (chunk, k) = self.position(number);
             self.chunks.truncate(chunk + 1);
             if let Some(chunk) = self.chunks.last_mut() {
                 chunk.ends.truncate(k + 1);
@@ -242,33 +248,33 @@
         tail
     }
 
-    /// Drop what is up to that number.
+    /// Drops the entries up to that number.
     fn drop_front(&mut self, number: u64) {
         if number.is_multiple_of(ENTRIES_PER_CHUNK) && number >= self.first {
             self.before = self.digest(number).unwrap_or(self.head);
-            let gone = (number / ENTRIES_PER_CHUNK - (self.first - 1) / ENTRIES_PER_CHUNK) as usize;
-            self.chunks.drain(..gone.min(self.chunks.len()));
+            let dropped_chunks = (number / ENTRIES_PER_CHUNK - (self.first - 1) / ENTRIES_PER_CHUNK) as usize;
+            self.chunks.drain(..dropped_chunks.min(self.chunks.len()));
             self.first = number + 1;
         } else if number >= self.first {
             *self = self.split(number);
         }
     }
 
-    fn find(&self, point: &Point) -> Option<&Run> {
+    fn find(&self, point: &Point) -> Option<&Branch> {
         if self.digest(point.0) == Some(point.1) {
             return Some(self);
         }
-        self.next.iter().find_map(|run| run.find(point))
+        self.children.iter().find_map(|branch| branch.find(point))
     }
 
-    fn find_mut(&mut self, point: &Point) -> Option<&mut Run> {
+    fn find_mut(&mut self, point: &Point) -> Option<&mut Branch> {
         if self.digest(point.0) == Some(point.1) {
             return Some(self);
         }
-        self.next.iter_mut().find_map(|run| run.find_mut(point))
+        self.children.iter_mut().find_map(|branch| branch.find_mut(point))
     }
 
-    /// Take entries after that number, which this run holds; how many were new.
+    /// Inserts entries after the number `at`, which the branch holds; returns how many were new.
     fn insert(&mut self, mut at: u64, entries: &[Vec<u8>]) -> u64 {
         for (k, entry) in entries.iter().enumerate() {
             if at < self.last {
@@ -277,20 +283,20 @@
                     continue;
                 }
                 let tail = self.split(at);
-                self.next.push(tail);
-            } else if self.next.is_empty() {
+                self.children.push(tail);
+            } else if self.children.is_empty() {
                 entries.iter().skip(k).for_each(|entry| self.push(entry));
                 return (entries.len() - k) as u64;
             }
-            // Here it parts.
-            let first = |run: &Run| run.entry(run.first).map(<[u8]>::to_vec).unwrap_or_default();
+            // The entries fork from the held ones at this number.
+            let first = |branch: &Branch| branch.entry(branch.first).map(<[u8]>::to_vec).unwrap_or_default();
             let rest = entries.get(k..).unwrap_or_default();
-            return match self.next.binary_search_by_key(entry, first) {
-                Ok(same) => self.next.get_mut(same).map_or(0, |run| run.insert(at, rest)),
+            return match self.children.binary_search_by_key(entry, first) {
+                Ok(same) => self.children.get_mut(same).map_or(0, |branch| branch.insert(at, rest)),
                 Err(place) => {
-                    let mut run = Run::after((self.last, self.head));
-                    rest.iter().for_each(|entry| run.push(entry));
-                    self.next.insert(place, run);
+                    let mut branch = Branch::starting_after((self.last, self.head));
+                    rest.iter().for_each(|entry| branch.push(entry));
+                    self.children.insert(place, branch);
                     rest.len() as u64
                 }
             };
@@ -298,9 +304,10 @@
         0
     }
 
-    /// Whether one of these points is in it or after it, and the first place after which nothing is covered by them.
-    fn missing(&self, points: &[Point]) -> (bool, Option<(&Run, u64)>) {
-        let after: Vec<_> = self.next.iter().map(|run| run.missing(points)).collect();
+    /// Returns whether one of the points is in this branch or after it, and the first position after which no
+    /// entry is covered by the points.
+    fn missing(&self, points: &[Point]) -> (bool, Option<(&Branch, u64)>) {
+        let after: Vec<_> = self.children.iter().map(|branch| branch.missing(points)).collect();
         let from = if after.iter().any(|(touched, _)| *touched) {
             self.last
         } else {
@@ -309,55 +316,60 @@
             });
             within.map(|p| p.0).max().unwrap_or(self.first - 1)
         };
-        let lack =
-            if from < self.last { Some((self, from)) } else { after.into_iter().find_map(|(_, lack)| lack) };
-        (from >= self.first, lack)
+        let missing = if from < self.last {
+            Some((self, from))
+        } else {
+            after.into_iter().find_map(|(_, missing)| missing)
+        };
+        (from >= self.first, missing)
     }
 
-    fn leaves<'a>(&'a self, path: &mut Vec<&'a Run>, report: &mut dyn FnMut(&[&'a Run])) {
+    fn visit_leaves<'a>(&'a self, path: &mut Vec<&'a Branch>, report: &mut dyn FnMut(&[&'a Branch])) {
         path.push(self);
-        if self.next.is_empty() {
+        if self.children.is_empty() {
             report(path);
         }
-        self.next.iter().for_each(|run| run.leaves(path, report));
+        self.children.iter().for_each(|branch| branch.visit_leaves(path, report));
         path.pop();
     }
 
     fn forks(&self, writer: &Writer, into: &mut Vec<Fork>) {
-        if !self.next.is_empty() {
-            let mut entries: Vec<Digest> = self.next.iter().filter_map(|run| run.digest(run.first)).collect();
+        if !self.children.is_empty() {
+            let mut entries: Vec<Digest> =
+                self.children.iter().filter_map(|branch| branch.digest(branch.first)).collect();
             entries.sort_unstable();
             into.push(Fork { writer: writer.clone(), number: self.last + 1, entries });
         }
-        self.next.iter().for_each(|run| run.forks(writer, into));
+        self.children.iter().for_each(|branch| branch.forks(writer, into));
     }
 
-    fn bytes(&self, out: &mut Vec<u8>) {
+    fn write_bytes(&self, out: &mut Vec<u8>) {
         out.extend((self.last + 1 - self.first).to_be_bytes());
         for number in self.first..=self.last {
             let entry = self.entry(number).unwrap_or_default();
             out.extend((entry.len() as u32).to_be_bytes());
             out.extend(entry);
         }
-        out.extend((self.next.len() as u32).to_be_bytes());
-        self.next.iter().for_each(|run| run.bytes(out));
+        out.extend((self.children.len() as u32).to_be_bytes());
+        self.children.iter().for_each(|branch| branch.write_bytes(out));
     }
 
     fn count(&self) -> (u64, u64) {
-        let held = self.chunks.iter().map(|c| c.bytes.len() as u64).sum();
-        self.next
+        let total_size = self.chunks.iter().map(|c| c.bytes.len() as u64).sum();
+        self.children
             .iter()
-            .map(Run::count)
-            .fold((self.last + 1 - self.first, held), |a, b| (a.0 + b.0, a.1 + b.1))
+            .map(Branch::count)
+            .fold((self.last + 1 - self.first, total_size), |a, b| (a.0 + b.0, a.1 + b.1))
     }
 }
 
-/// What is kept of a log whose beginning was sealed.
+/// What is retained of the sealed part of a log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Base {
-    /// The last entry that was dropped; number 0 where none was.
+    /// Last sealed entry; number 0 if none is sealed.
     pub point: Point,
-    /// Guarded keys that were placed up to there and may have run, by class and key; of several placements the last.
+    /// Guarded keys of the sealed placements that may have run, ordered by class and key; the latest
+    /// placement of each key.
     #[serde(rename = "remembered")]
     pub retained_keys: Vec<RetainedKey>,
 }
@@ -369,65 +381,67 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Log {
     point: Point,
-    /// In the order of class and key.
+    /// Ordered by class and key.
     retained_keys: Vec<RetainedKey>,
-    root: Run,
+    root: Branch,
 }
 
 impl Log {
     fn new(writer: &Writer) -> Log {
         let point = hash_chain::origin(writer);
-        Log { point, retained_keys: Vec::new(), root: Run::after(point) }
+        Log { point, retained_keys: Vec::new(), root: Branch::starting_after(point) }
     }
 }
 
-/// All that is known of all logs.
+/// All entries and seals that are known of all logs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct History {
     logs: BTreeMap<Writer, Log>,
 }
 
 impl History {
-    /// One that knows nothing.
+    /// Creates an empty history.
     pub fn new() -> History {
         History::default()
     }
 
-    /// All writers that are known.
+    /// Returns the writers of all known logs, in order.
     pub fn writers(&self) -> impl Iterator<Item = &Writer> {
         self.logs.keys()
     }
 
-    /// Of each log its last entry; of one that forked the longest line's, of several the one with the least digest.
+    /// Returns the last entry of each log. Of a forked log it is the end of the longest branch, or of equally
+    /// long ones the one with the smallest digest.
     pub fn latest_points(&self) -> BTreeMap<Writer, Point> {
         let best =
             |writer: &Writer| self.heads(writer).into_iter().max_by_key(|p| (p.0, std::cmp::Reverse(p.1)));
         self.logs.keys().filter_map(|w| Some((w.clone(), best(w)?))).collect()
     }
 
-    /// The last entry of each line of a log: one, unless it forked; none of a log that is not known.
+    /// Returns the last entry of each branch of a log: one unless the log forked, and none for an unknown
+    /// log.
     pub fn heads(&self, writer: &Writer) -> Vec<Point> {
         let mut heads = Vec::new();
         if let Some(log) = self.logs.get(writer) {
-            log.root.leaves(&mut Vec::new(), &mut |path| {
-                heads.extend(path.last().map(|run| (run.last, run.head)));
+            log.root.visit_leaves(&mut Vec::new(), &mut |path| {
+                heads.extend(path.last().map(|branch| (branch.last, branch.head)));
             });
         }
         heads
     }
 
-    /// Points of each line of a log, from its end on at doubling distances down to what is sealed: with them two histories find where
-    /// theirs part.
+    /// Returns points of each branch of a log, from its end backwards at doubling distances down to the
+    /// sealed part. Two histories use them to find where their branches differ.
     pub fn locators(&self, writer: &Writer) -> Vec<Vec<Point>> {
         let mut all = Vec::new();
         let Some(log) = self.logs.get(writer) else { return all };
-        log.root.leaves(&mut Vec::new(), &mut |path| {
-            let last = path.last().map_or(0, |run| run.last);
+        log.root.visit_leaves(&mut Vec::new(), &mut |path| {
+            let last = path.last().map_or(0, |branch| branch.last);
             let (mut points, mut back) = (Vec::new(), 0);
             while last > log.point.0 + back {
                 let number = last - back;
-                let run = path.iter().find(|run| run.first <= number && number <= run.last);
-                points.extend(run.and_then(|run| Some((number, run.digest(number)?))));
+                let branch = path.iter().find(|branch| branch.first <= number && number <= branch.last);
+                points.extend(branch.and_then(|branch| Some((number, branch.digest(number)?))));
                 back = (back * 2).max(1);
             }
             points.push(log.point);
@@ -436,54 +450,57 @@
         all
     }
 
-    /// Whether that entry and all before it are held, or were sealed.
+    /// Returns whether that entry and all before it are held or sealed.
     pub fn knows(&self, writer: &Writer, point: &Point) -> bool {
         self.logs.get(writer).is_some_and(|log| log.root.find(point).is_some())
             || *point == hash_chain::origin(writer)
     }
 
-    /// What stands for the entry of that number on the line that holds that point.
+    /// Returns the digest at the entry `number` of the branch that contains `point`.
     pub fn digest_on_branch(&self, writer: &Writer, point: &Point, number: u64) -> Option<Digest> {
-        fn of(run: &Run, point: &Point, number: u64) -> Option<Option<Digest>> {
-            let own = |run: &Run| if run.first <= number { run.digest(number) } else { None };
-            if run.digest(point.0) == Some(point.1) {
-                return Some(own(run));
+        fn find_digest(branch: &Branch, point: &Point, number: u64) -> Option<Option<Digest>> {
+            let own = |branch: &Branch| if branch.first <= number { branch.digest(number) } else { None };
+            if branch.digest(point.0) == Some(point.1) {
+                return Some(own(branch));
             }
-            let found = run.next.iter().find_map(|next| of(next, point, number))?;
-            Some(found.or_else(|| own(run)))
+            let found = branch.children.iter().find_map(|next| find_digest(next, point, number))?;
+            Some(found.or_else(|| own(branch)))
         }
-        of(&self.logs.get(writer)?.root, point, number)?
+        find_digest(&self.logs.get(writer)?.root, point, number)?
     }
 
-    /// What was sealed of a log.
+    /// Returns the sealed part of a log; `None` if the log is unknown.
     pub fn base(&self, writer: &Writer) -> Option<Base> {
         let log = self.logs.get(writer)?;
         Some(Base { point: log.point, retained_keys: log.retained_keys.clone() })
     }
 
-    /// The last entry that was sealed of a log, the beginning where none was.
+    /// Returns the last sealed entry of a log, or its origin if none is sealed.
     pub fn sealed(&self, writer: &Writer) -> Point {
         self.logs.get(writer).map_or_else(|| hash_chain::origin(writer), |log| log.point)
     }
 
-    /// How many guarded keys of what was sealed there are, and those from that place on, of `most` bytes at most, but one at least.
-    pub fn retained_keys(&self, writer: &Writer, from: u64, most: usize) -> (u64, Vec<RetainedKey>) {
+    /// Returns the number of guarded keys that are retained of the sealed part of a log, and the keys from
+    /// index `from` on: at most `max_bytes` bytes, but at least one key if there is one.
+    pub fn retained_keys(&self, writer: &Writer, from: u64, max_bytes: usize) -> (u64, Vec<RetainedKey>) {
         let Some(log) = self.logs.get(writer) else { return (0, Vec::new()) };
-        let mut held = 0;
+        let mut total_size = 0;
         let size = |r: &RetainedKey| r.class.len() + r.key.len() + r.server.len() + 40;
         let some = log.retained_keys.iter().skip(from as usize).enumerate().take_while(|(k, r)| {
-            held += size(r);
-            *k == 0 || held <= most
+            total_size += size(r);
+            *k == 0 || total_size <= max_bytes
         });
         (log.retained_keys.len() as u64, some.map(|(_, r)| r.clone()).collect())
     }
 
-    /// Drop points that follow from others: of each line the last one stays. A point that is not known here goes, too.
+    /// Removes points that are implied by others, so that the last one of each branch remains. Unknown points
+    /// are removed, too.
     pub fn prune(&self, writer: &Writer, points: &mut Vec<Point>) {
-        fn last(run: &Run, points: &[Point], into: &mut Vec<Point>) -> bool {
-            let after = run.next.iter().fold(false, |any, run| last(run, points, into) | any);
-            let within = points.iter().filter(|p| p.0 >= run.first && p.0 <= run.last);
-            let within = within.filter(|p| run.digest(p.0) == Some(p.1)).max();
+        fn collect_last(branch: &Branch, points: &[Point], into: &mut Vec<Point>) -> bool {
+            let after =
+                branch.children.iter().fold(false, |any, branch| collect_last(branch, points, into) | any);
+            let within = points.iter().filter(|p| p.0 >= branch.first && p.0 <= branch.last);
+            let within = within.filter(|p| branch.digest(p.0) == Some(p.1)).max();
             if !after {
                 into.extend(within);
             }
@@ -491,51 +508,55 @@
         }
         let Some(log) = self.logs.get(writer) else { return points.clear() };
         let mut kept = Vec::new();
-        if !last(&log.root, points, &mut kept) && points.contains(&log.point) {
+        if !collect_last(&log.root, points, &mut kept) && points.contains(&log.point) {
             kept.push(log.point);
         }
         *points = kept;
     }
 
-    /// How many entries are held, and how many bytes they have.
+    /// Returns how many entries are held, and their total size in bytes.
     pub fn entries_and_bytes(&self) -> (u64, u64) {
         self.logs.values().map(|log| log.root.count()).fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1))
     }
 
-    /// The entry of that number on the first line that holds one.
+    /// Returns the entry of that number on the first branch that has one.
     pub fn entry(&self, writer: &Writer, number: u64) -> Option<Timed> {
-        fn of(run: &Run, number: u64) -> Option<&[u8]> {
-            run.entry(number).or_else(|| run.next.iter().find_map(|run| of(run, number)))
+        fn find_entry(branch: &Branch, number: u64) -> Option<&[u8]> {
+            branch
+                .entry(number)
+                .or_else(|| branch.children.iter().find_map(|branch| find_entry(branch, number)))
         }
-        hash_chain::decode(number, of(&self.logs.get(writer)?.root, number)?).ok()
+        hash_chain::decode(number, find_entry(&self.logs.get(writer)?.root, number)?).ok()
     }
 
-    /// The first entries that somebody lacks who has these points and all before them: `most` bytes at most, but one entry at least.
-    /// Asked again with the last point of what it gave it goes on, through all lines, until nothing is lacking.
-    pub fn missing(&self, writer: &Writer, points: &[Point], most: usize) -> Option<Piece> {
+    /// Returns the first entries that are missing at a node which holds `points` and all entries before them:
+    /// at most `max_bytes` bytes, but at least one entry. Repeated calls that add the last point of each
+    /// result go through all branches until the result is `None`.
+    pub fn missing(&self, writer: &Writer, points: &[Point], max_bytes: usize) -> Option<Piece> {
         let mut entries = Vec::new();
-        let (before, last) = self.visit_missing(writer, points, most, &mut |_, entry| {
+        let (before, last) = self.visit_missing(writer, points, max_bytes, &mut |_, entry| {
             entries.push(entry.to_vec());
             true
         })?;
         Some(Piece { writer: writer.clone(), after: before.0, before: before.1, entries, head: last.1 })
     }
 
-    /// As [`History::lacking`], but each entry is told with its point, until whoever is told says no; the points before the first and of the last one.
+    /// Passes the entries that [`History::missing`] would return to `report`, each with its point, until
+    /// `report` returns `false`. Returns the point before the first and that of the last passed entry.
     pub fn visit_missing(
         &self,
         writer: &Writer,
         points: &[Point],
-        most: usize,
+        max_bytes: usize,
         report: &mut dyn FnMut(Point, &[u8]) -> bool,
     ) -> Option<(Point, Point)> {
-        let (run, after) = self.logs.get(writer)?.root.missing(points).1?;
-        let before = (after, run.digest(after)?);
-        let (mut last, mut held) = (before, 0);
-        for number in after + 1..=run.last {
-            let entry = run.entry(number)?;
-            held += entry.len() + 2;
-            if held > most && last != before {
+        let (branch, after) = self.logs.get(writer)?.root.missing(points).1?;
+        let before = (after, branch.digest(after)?);
+        let (mut last, mut total_size) = (before, 0);
+        for number in after + 1..=branch.last {
+            let entry = branch.entry(number)?;
+            total_size += entry.len() + 2;
+            if total_size > max_bytes && last != before {
                 break;
             }
             last = (number, hash_chain::next_digest(&last.1, entry));
@@ -546,10 +567,11 @@
         Some((before, last))
     }
 
-    /// Take entries; how many were new. Taken again they change nothing.
+    /// Inserts entries and returns how many were new. Inserting them again changes nothing.
     ///
     /// # Errors
-    /// They don't follow what is held, are not what their digests say, or are no entries. Nothing was taken then.
+    /// The entries don't follow the held ones, don't match their digests, or are invalid. The history is
+    /// unchanged then.
     pub fn insert(&mut self, piece: &Piece) -> Result<u64, HistoryError> {
         let writer = &piece.writer;
         if piece.entries.is_empty() {
@@ -565,7 +587,7 @@
         self.insert_verified(piece)
     }
 
-    /// See [`History::take`], for what is known to be well.
+    /// Inserts a piece whose digests and entries have been verified; see [`History::insert`].
     pub(crate) fn insert_verified(&mut self, piece: &Piece) -> Result<u64, HistoryError> {
         let writer = &piece.writer;
         let mut fresh = None;
@@ -575,7 +597,7 @@
         };
         let (mut at, mut entries) = ((piece.after, piece.before), piece.entries.as_slice());
         while at.0 < log.point.0 {
-            // What is sealed can't be compared any more but at its end.
+            // Sealed entries can be compared only by the digest at their end.
             let Some((entry, rest)) = entries.split_first() else { return Ok(0) };
             at = (at.0 + 1, hash_chain::next_digest(&at.1, entry));
             entries = rest;
@@ -583,7 +605,7 @@
         if at.0 == log.point.0 && at.1 != log.point.1 {
             return Err(HistoryError::Sealed { writer: writer.clone(), number: at.0 });
         }
-        let Some(run) = log.root.find_mut(&at) else {
+        let Some(branch) = log.root.find_mut(&at) else {
             let have = self.heads(writer).iter().map(|p| p.0).max().unwrap_or(0);
             let (writer, after) = (writer.clone(), at.0);
             return Err(if after > have {
@@ -592,16 +614,17 @@
                 HistoryError::Diverged { writer, after }
             });
         };
-        let new = run.insert(at.0, entries);
+        let new = branch.insert(at.0, entries);
         if let Some(log) = fresh {
             self.logs.insert(writer.clone(), log);
         }
         Ok(new)
     }
 
-    /// Take what another history knows; how many entries were new.
+    /// Merges another history into this one; returns how many entries were new.
     ///
-    /// Of two that sealed differently far, the one that sealed more is gone by: only what all sites confirmed is sealed.
+    /// If the two sealed a log up to different entries the later seal applies, because only entries that all
+    /// sites confirmed are sealed.
     pub fn merge(&mut self, other: &History) -> u64 {
         let mut new = 0;
         for (writer, log) in &other.logs {
@@ -609,7 +632,7 @@
             self.adopt(writer, &base);
             let mut points = self.heads(writer);
             while let Some(piece) = other.missing(writer, &points, 1 << 16) {
-                // What parts from the sealed is not taken: see above.
+                // A branch that forks from the sealed part is rejected.
                 new += self.insert_verified(&piece).unwrap_or(0);
                 points.retain(|p| *p != (piece.after, piece.before));
                 points.push(piece.last());
@@ -618,46 +641,50 @@
         new
     }
 
-    /// Go by what somebody else has sealed, where that is further. Entries up to there are dropped; a line that parts before it goes,
-    /// as whoever sealed knew it from all sites.
+    /// Adopts the seal of another node if it reaches further than the own one. Entries up to it are dropped,
+    /// and so are branches that fork before it, because the other node sealed only what all sites had
+    /// confirmed.
     pub fn adopt(&mut self, writer: &Writer, base: &Base) {
         let log = self.logs.entry(writer.clone()).or_insert_with(|| Log::new(writer));
-        // Two that sealed another entry of one number: no order may matter, so the lesser goes on.
+        // Of two seals with the same number and different digests the smaller digest wins, so that the result
+        // doesn't depend on the order.
         let further =
             base.point.0 > log.point.0 || (base.point.0 == log.point.0 && base.point.1 < log.point.1);
-        // No log is that long.
+        // Rejects numbers near the maximum, which no valid log reaches, so that arithmetic on them can't
+        // overflow.
         if !further || base.point.0 >= u64::MAX / 2 {
             return;
         }
         let on_root = log.root.digest(base.point.0) == Some(base.point.1);
         if on_root && base.point.0 != log.point.0 {
             log.root.drop_front(base.point.0);
-        } else if let Some(run) = log.root.find(&base.point).filter(|_| base.point.0 != log.point.0) {
-            let mut run = run.clone();
-            run.drop_front(base.point.0);
-            log.root = run;
+        } else if let Some(branch) = log.root.find(&base.point).filter(|_| base.point.0 != log.point.0) {
+            let mut branch = branch.clone();
+            branch.drop_front(base.point.0);
+            log.root = branch;
         } else {
-            log.root = Run::after(base.point);
+            log.root = Branch::starting_after(base.point);
         }
         log.point = base.point;
         log.retained_keys = by_key(&base.retained_keys).into_values().collect();
     }
 
-    /// Drop the entries of a log up to that number; what stands for them and its guarded keys stay.
+    /// Drops the entries of a log up to that number and retains their digest and guarded keys.
     ///
     /// # Errors
-    /// It parts before there, is not held so far, or a placement up to there has no end up to there.
+    /// The log forks before that entry, is not held up to it, or a placement up to it has not ended by then.
+    /// The history is unchanged then.
     pub fn seal(&mut self, writer: &Writer, upto: u64) -> Result<(), HistoryError> {
-        let no = || HistoryError::Unsealable { writer: writer.clone(), upto };
-        let log = self.logs.get_mut(writer).ok_or_else(no)?;
+        let unsealable = || HistoryError::Unsealable { writer: writer.clone(), upto };
+        let log = self.logs.get_mut(writer).ok_or_else(unsealable)?;
         if upto <= log.point.0 {
             return Ok(());
         }
-        let digest = log.root.digest(upto).filter(|_| upto >= log.root.first).ok_or_else(no)?;
+        let digest = log.root.digest(upto).filter(|_| upto >= log.root.first).ok_or_else(unsealable)?;
         let (mut open, mut retained_keys) = (BTreeMap::new(), by_key(&log.retained_keys));
         for number in log.root.first..=upto {
-            let bytes = log.root.entry(number).ok_or_else(no)?;
-            let timed = hash_chain::decode(number, bytes).map_err(|_| no())?;
+            let bytes = log.root.entry(number).ok_or_else(unsealable)?;
+            let timed = hash_chain::decode(number, bytes).map_err(|_| unsealable())?;
             match timed.entry {
                 Entry::Placed(placement) => drop(open.insert(number, (timed.at, placement))),
                 Entry::Ended { of, how } => {
@@ -674,21 +701,22 @@
             }
         }
         if !open.is_empty() {
-            return Err(no());
+            return Err(unsealable());
         }
         (log.retained_keys, log.point) = (retained_keys.into_values().collect(), (upto, digest));
         log.root.drop_front(upto);
         Ok(())
     }
 
-    /// All numbers of which there are two entries.
+    /// Returns all forks, in the order of their logs.
     pub fn forks(&self) -> Vec<Fork> {
         let mut forks = Vec::new();
         self.logs.iter().for_each(|(writer, log)| log.root.forks(writer, &mut forks));
         forks
     }
 
-    /// What a writer's own disk is to what others know of its log: asked with the disk's last entry, once others were heard.
+    /// Compares the last entry on a writer's disk with what is known of its log. It is called once peers have
+    /// sent what they hold.
     pub fn own_log_state(&self, writer: &Writer, own: Point) -> OwnLogState {
         let heads = self.heads(writer);
         let known = heads.iter().map(|p| p.0).max().unwrap_or(0);
@@ -701,31 +729,31 @@
         }
     }
 
-    /// All of it, the same at all who know the same, byte for byte.
+    /// Returns a canonical encoding: histories with the same contents have the same bytes.
     pub fn canonical_bytes(&self) -> Vec<u8> {
         let mut out = Vec::new();
-        let name = |out: &mut Vec<u8>, text: &str| {
+        let write_text = |out: &mut Vec<u8>, text: &str| {
             out.extend((text.len() as u32).to_be_bytes());
             out.extend(text.as_bytes());
         };
         for (writer, log) in &self.logs {
-            // A log of which nothing is known is as one that was not heard of.
-            if log.point.0 == 0 && log.root.last == 0 && log.root.next.is_empty() {
+            // A log without any entry is left out, as if it were unknown.
+            if log.point.0 == 0 && log.root.last == 0 && log.root.children.is_empty() {
                 continue;
             }
-            name(&mut out, &writer.site);
-            name(&mut out, &writer.node);
+            write_text(&mut out, &writer.site);
+            write_text(&mut out, &writer.node);
             out.extend(writer.log.to_be_bytes());
             out.extend(log.point.0.to_be_bytes());
             out.extend(log.point.1 .0);
             out.extend((log.retained_keys.len() as u32).to_be_bytes());
             for r in &log.retained_keys {
-                [&r.class, &r.key, &r.server].into_iter().for_each(|text| name(&mut out, text));
+                [&r.class, &r.key, &r.server].into_iter().for_each(|text| write_text(&mut out, text));
                 [r.number, r.fence].into_iter().for_each(|n| out.extend(n.to_be_bytes()));
                 out.extend(r.at.to_be_bytes());
                 out.push(r.how as u8);
             }
-            log.root.bytes(&mut out);
+            log.root.write_bytes(&mut out);
         }
         out
     }
--- a/crates/placements/src/lib.rs
+++ b/crates/placements/src/lib.rs
@@ -1,7 +1,9 @@
-//! What each site has placed where: which job was given to which server, under what it knew, and how that ended.
+//! Records of placements: which job was sent to which server, what the node knew at that time, and how the
+//! job ended.
 //!
-//! Each node with a disk writes a log of its own; histories of several are merged by a join, so that order, repetition and partial
-//! delivery don't matter. No I/O but in [`log`], no clock, no randomness.
+//! Each node with a disk appends to a log of its own. Copies of several logs are merged by an operation that
+//! is commutative, associative and idempotent, so order, duplicates and partial delivery don't matter. Only
+//! [`log`] does I/O; the package reads no clock and no random numbers.
 
 pub mod anti_entropy;
 pub mod compaction;
@@ -16,73 +18,77 @@
 
 pub use shorepath_types::Micros;
 
-/// Who writes a log: a node of a site, by its number, with the number drawn when its log was founded.
+/// Identifies a log: the node that writes it, and the number that was drawn at random when the log was
+/// started.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Writer {
-    /// The site's name.
+    /// Name of the node's site.
     pub site: String,
-    /// The node's name.
+    /// Name of the node.
     pub node: String,
-    /// Drawn when the log was founded; a node whose disk was lost founds another.
+    /// Random number of the log. A node that lost its disk starts another log under another number.
     pub log: u64,
 }
 
-/// A job that was given to a server.
+/// A job that was sent to a server.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Placement {
-    /// What repeats are known by, or what it is about, where the request says so.
+    /// Idempotency key by which repeats of the job are recognized, or the object that the job concerns;
+    /// `None` where the request names neither.
     pub key: Option<String>,
-    /// Its class.
+    /// Name of the request class.
     pub class: String,
-    /// It must not run twice.
+    /// Whether the job must not run twice.
     pub guarded: bool,
-    /// Its tenant, where there is one.
+    /// Tenant of the request; `None` for a request without one.
     pub tenant: Option<String>,
-    /// The server, by its id in the list.
+    /// Id of the server in the server list.
     pub server: String,
-    /// The number of the tenant's standing that was known when the job was taken.
+    /// Number of the tenant's latest account standing that the node knew when it accepted the job.
     pub standing: u64,
-    /// When the job was taken, by the writer's clock: what was taken before a closing is running work, whenever it is placed. A repeat
-    /// of a job that the node knows carries the first one's time.
+    /// When the job was accepted, in microseconds by the writer's clock. A job that was accepted before its
+    /// account was closed counts as running work, however late it is placed. A repeat of a job that the node
+    /// knows carries the time of the first request.
     pub taken: Micros,
-    /// That standing could not be confirmed: the site was alone.
+    /// Whether the account standing could not be confirmed because the site was isolated.
     pub on_credit: bool,
-    /// The revision of the list that was followed.
+    /// Revision of the server list that was in use.
     pub list: u64,
-    /// The fence of the lease under which it was placed; 0 for what may be repeated.
+    /// Fencing token of the lease under which the job was placed; 0 for a job that may be repeated.
     pub fence: u64,
 }
 
-/// How a placement ended.
+/// Outcome of a placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum End {
-    /// It was served.
+    /// The job ran and was answered.
     Served,
-    /// It surely never ran.
+    /// The job certainly never ran.
     NeverRan,
-    /// It may have run; nobody knows.
+    /// The job may have run; its result is unknown.
     Unknown,
 }
 
-/// One entry of a log. Entries count from 1 without a gap.
+/// One entry of a log. Entries are numbered from 1 without gaps.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Entry {
-    /// A job was given to a server; for one that must not run twice this is on the disk before its first byte is sent.
+    /// A job is sent to a server. For a job that must not run twice the entry is on the disk before the first
+    /// byte is sent.
     Placed(Placement),
-    /// The placement of that number has ended.
+    /// A placement of the same log has ended.
     Ended {
-        /// The number of the placement in the same log.
+        /// Number of the placement's entry.
         of: u64,
-        /// How.
+        /// Outcome of that placement.
         how: End,
     },
 }
 
-/// An entry at its time.
+/// An entry with the time at which it was written.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Timed {
-    /// When, by the writer's clock.
+    /// Time of the entry in microseconds, by the writer's clock.
     pub at: Micros,
-    /// What.
+    /// The entry itself.
     pub entry: Entry,
 }
--- a/crates/placements/src/log.rs
+++ b/crates/placements/src/log.rs
@@ -1,8 +1,10 @@
-//! One node's own log on its disk, over the store, and its copies of others' logs.
+//! A node's own log on its disk, and its copies of other nodes' logs.
 //!
-//! What must not run twice is on the disk before it may be sent; the rest goes with it, or when [`Log::flush`] is called. Numbers and
-//! chain are given at once, in the order of asking; only what is on the disk is ever shown ([`Log::read`], [`Log::pour`]), so that a crash
-//! never takes back what another site has heard. After a write that failed nothing more is taken until the log is opened again.
+//! A job that must not run twice is on the disk before it may be sent; other entries are written with the
+//! next such job, or by [`Log::flush`]. Numbers and digests are assigned at once, in the order of the calls.
+//! Only entries on the disk are read by others ([`Log::read`], [`Log::load_into`]), so that a crash never
+//! revokes what another site has received. After a failed write the log accepts nothing until it is opened
+//! again or recovered.
 
 use crate::hash_chain::{self, Digest, EntryError, Piece, Point};
 use crate::history::{Base, History, HistoryError};
@@ -13,74 +15,75 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The name of the fact that holds the log's identity.
+/// Name of the store's fact that holds the log's identity.
 const IDENTITY: &str = "placements";
-/// The journal of others' logs.
+/// Name of the store's journal with copies of other logs.
 const COPIES: &str = "placements copies";
-/// So much is read at once, in bytes.
+/// Maximum number of bytes that are read from the store at once.
 const READ_BYTES: usize = 1 << 20;
-/// So many entries that need not be on the disk wait at most; then they go, asked for or not.
+/// Maximum number of pending entries that need not be on the disk; when it is reached they are written
+/// without a flush.
 pub const MAX_PENDING_ENTRIES: usize = 256;
-/// So many of the last entries are kept in memory at most until they are poured into a history.
+/// Maximum number of recent entries that are kept in memory until they are loaded into a history.
 const MAX_RECENT_ENTRIES: usize = 4_096;
 
-/// Why a log can't be used or written.
+/// Why a log can't be opened, read or written.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
 pub enum LogError {
     /// The disk is full.
     #[error("placements can't be recorded: the disk is full")]
-    #[diagnostic(help("make room on the disk of the node's state and start the node again; until then guarded work and closing accounts are refused, the rest is served unrecorded"))]
+    #[diagnostic(help("free space on the disk of the state folder and restart the node; until then guarded jobs and the closing of accounts are refused, other jobs are served without a record"))]
     Full,
-    /// The store failed, now or at an earlier write.
+    /// The store failed, now or at an earlier write; holds its error.
     #[error("placements can't be recorded: {0}")]
     #[diagnostic(help(
-        "look at the disk of the node's state; the log has to be opened again before guarded work is taken"
+        "check the disk of the state folder; guarded jobs are refused until the log can be opened again"
     ))]
     Store(String),
-    /// Another process has the store.
-    #[error("another process has the log")]
-    #[diagnostic(help("two nodes were started on one state folder: stop one of them"))]
+    /// Another process has opened the store.
+    #[error("another process has opened the log")]
+    #[diagnostic(help("two nodes use the same state folder; stop one of them"))]
     Locked,
-    /// An entry is missing.
+    /// An entry is missing on the disk.
     #[error("entry {number} of log {log} is missing")]
-    #[diagnostic(help("the disk lost what it had written: keep a copy for inquiry, then remove the state folder; the node founds another log, and what others hold of this one stays"))]
+    #[diagnostic(help("the disk lost entries that it had confirmed: keep a copy of the state folder for analysis, then remove the folder; the node starts a new log, and peers keep their copies of this one"))]
     Missing {
-        /// Which log.
+        /// Random number of the log.
         log: u64,
-        /// Its number.
+        /// Number of the missing entry.
         number: u64,
     },
-    /// An entry is not the one that was written.
-    #[error("entry {number} of log {log} was changed")]
-    #[diagnostic(help("something else than this program wrote on the disk, or it is failing: keep a copy for inquiry, then remove the state folder; the node founds another log"))]
+    /// An entry on the disk doesn't match its digest.
+    #[error("entry {number} of log {log} does not match its digest")]
+    #[diagnostic(help("another program wrote to the disk, or the disk is failing: keep a copy of the state folder for analysis, then remove the folder; the node starts a new log"))]
     Changed {
-        /// Which log.
+        /// Random number of the log.
         log: u64,
-        /// Its number.
+        /// Number of the corrupted entry.
         number: u64,
     },
-    /// The disk is another node's.
-    #[error("the log is of node {node} of site {site}")]
+    /// The store belongs to another node.
+    #[error("the log belongs to node {node} of site {site}")]
     #[diagnostic(help(
         "give each node a state folder of its own; to reuse a folder under a new name, empty it"
     ))]
     WrongNode {
-        /// Its site.
+        /// Site of the node to which the store belongs.
         site: String,
-        /// Its node.
+        /// Name of the node to which the store belongs.
         node: String,
     },
-    /// It is no entry.
+    /// The entry is not valid.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Entry(#[from] EntryError),
-    /// What is to be ended is not open.
-    #[error("entry {0} is no placement whose end is unknown")]
-    #[diagnostic(help("the program ended a placement twice; report it"))]
+    /// The placement to end is not open; holds its entry number.
+    #[error("entry {0} is not an open placement")]
+    #[diagnostic(help("the program ended a placement twice; report this defect"))]
     NotOpen(u64),
-    /// A copy on the disk does not fit.
-    #[error("a copy of another log on the disk does not fit: {0}")]
-    #[diagnostic(help("remove the state folder of this node; other sites send what they hold"))]
+    /// A stored copy of another log doesn't fit the history.
+    #[error("a stored copy of another node's log does not fit: {0}")]
+    #[diagnostic(help("remove the state folder of this node; other sites send their copies again"))]
     InvalidCopy(HistoryError),
 }
 
@@ -100,26 +103,27 @@
     }
 }
 
-/// What is kept beside the entries.
+/// What identifies the log, stored as a fact beside the entries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Identity {
     writer: Writer,
-    /// The last entry that was dropped.
+    /// Last entry that was dropped.
     base: Point,
-    /// Earlier logs on this disk, with the last entry that was dropped of each.
+    /// Earlier logs on this disk, each with the last entry that was dropped of it.
     retired: Vec<(Writer, Point)>,
 }
 
-fn journal(writer: &Writer) -> String {
+fn journal_name(writer: &Writer) -> String {
     format!("placements {:016x}", writer.log)
 }
 
-/// The fact that tells the last number, so that entries missing at the end are found, too.
-fn end_of(writer: &Writer) -> String {
+/// Returns the name of the fact that holds the last entry's number, so that entries missing at the end are
+/// detected.
+fn last_number_fact(writer: &Writer) -> String {
     format!("placements {:016x} end", writer.log)
 }
 
-fn remember(name: &str, what: &impl Serialize) -> Result<Op, LogError> {
+fn fact_op(name: &str, what: &impl Serialize) -> Result<Op, LogError> {
     let text = serde_json::to_vec(what).map_err(|e| LogError::Store(e.to_string()))?;
     Ok(Op::Remember(name.to_string(), text))
 }
@@ -127,18 +131,18 @@
 #[derive(Debug)]
 struct State {
     identity: Identity,
-    /// The last entry that was given a number.
+    /// Last entry that was assigned a number.
     head: Point,
-    /// The last one that is on the disk.
+    /// Last entry that is on the disk.
     durable: Point,
     open: BTreeMap<u64, Placement>,
-    waiting: Vec<Op>,
-    /// The last entries with their digests, for [`Log::pour`]; the number and digest before them.
-    fresh: (Point, VecDeque<(Vec<u8>, Digest)>),
+    pending: Vec<Op>,
+    /// Recent entries with their digests, which [`Log::load_into`] reads, and the point before them.
+    recent: (Point, VecDeque<(Vec<u8>, Digest)>),
     failed: Option<LogError>,
     unrecorded: u64,
-    /// Counted up each time it goes on after a failure.
-    again: u64,
+    /// Incremented by each recovery from a failure, so that writes from before it are recognized.
+    generation: u64,
 }
 
 /// A node's own log.
@@ -153,14 +157,14 @@
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Read a log whole, in order; its last point.
-fn verified(
+/// Reads a log to its end, checks the digests, and passes each entry to `report`; returns the last point.
+fn read_verified(
     store: &Store,
     writer: &Writer,
     base: Point,
     mut report: impl FnMut(u64, Timed),
 ) -> Result<Point, LogError> {
-    let (name, log, mut at) = (journal(writer), writer.log, base);
+    let (name, log, mut at) = (journal_name(writer), writer.log, base);
     loop {
         let records = store.journal(&name, at.0 + 1, READ_BYTES)?;
         if records.is_empty() {
@@ -179,22 +183,22 @@
             report(number, hash_chain::decode(number, entry).map_err(|_| changed)?);
         }
     }
-    let end: u64 = store.fact(&end_of(writer))?.unwrap_or(0);
+    let end: u64 = store.fact(&last_number_fact(writer))?.unwrap_or(0);
     if end > at.0 {
         return Err(LogError::Missing { log, number: at.0 + 1 });
     }
     Ok(at)
 }
 
-fn pieces(
+fn read_piece(
     store: &Store,
     writer: &Writer,
     (after, before): Point,
     upto: u64,
-    most: usize,
+    max_bytes: usize,
 ) -> Result<Piece, LogError> {
     let mut piece = Piece { writer: writer.clone(), after, before, entries: Vec::new(), head: before };
-    for (number, record) in store.journal(&journal(writer), after + 1, most)? {
+    for (number, record) in store.journal(&journal_name(writer), after + 1, max_bytes)? {
         if number > upto {
             break;
         }
@@ -213,10 +217,11 @@
 }
 
 impl Log {
-    /// The log of that node on that store, verified whole; founded with the number `drawn` where there is none.
+    /// Opens the log of that node in the store and verifies all entries. If the store has no log, one with
+    /// the number `drawn` is started.
     ///
     /// # Errors
-    /// It is another node's, an entry is missing or was changed, or the disk fails.
+    /// The log belongs to another node, an entry is missing or corrupted, or the store fails.
     pub fn open(
         store: Arc<Store>,
         group_commit: Arc<GroupCommit>,
@@ -230,9 +235,9 @@
                 let writer = Writer { site: site.into(), node: node.into(), log: drawn };
                 let base = hash_chain::origin(&writer);
                 let identity = Identity { writer, base, retired: Vec::new() };
-                // On a full disk it is founded with what comes first once there is room.
+                // On a full disk the identity is written with the first commit that succeeds.
                 if store.takes() {
-                    store.commit(&[remember(IDENTITY, &identity)?])?;
+                    store.commit(&[fact_op(IDENTITY, &identity)?])?;
                 }
                 identity
             }
@@ -242,44 +247,56 @@
             return Err(LogError::WrongNode { site: has_site.clone(), node: has_node.clone() });
         }
         let mut open = BTreeMap::new();
-        let head = verified(&store, &identity.writer, identity.base, |number, timed| match timed.entry {
-            Entry::Placed(placement) => drop(open.insert(number, placement)),
-            Entry::Ended { of, .. } => drop(open.remove(&of)),
-        })?;
+        let head =
+            read_verified(&store, &identity.writer, identity.base, |number, timed| match timed.entry {
+                Entry::Placed(placement) => drop(open.insert(number, placement)),
+                Entry::Ended { of, .. } => drop(open.remove(&of)),
+            })?;
         let failed = (!store.takes()).then_some(LogError::Full);
-        let (waiting, fresh) = (Vec::new(), (head, VecDeque::new()));
-        let state =
-            State { identity, head, durable: head, open, waiting, fresh, failed, unrecorded: 0, again: 0 };
+        let (pending, recent) = (Vec::new(), (head, VecDeque::new()));
+        let state = State {
+            identity,
+            head,
+            durable: head,
+            open,
+            pending,
+            recent,
+            failed,
+            unrecorded: 0,
+            generation: 0,
+        };
         Ok(Log { store, group_commit, state: Arc::new(Mutex::new(state)) })
     }
 
-    /// Who writes it.
+    /// Returns the identity of the log.
     pub fn writer(&self) -> Writer {
         lock(&self.state).identity.writer.clone()
     }
 
-    /// The last entry that is on the disk; only what is there is shown to others.
+    /// Returns the last entry that is on the disk.
     pub fn durable(&self) -> Point {
         lock(&self.state).durable
     }
 
-    /// Placements whose end is not written, by number. After a crash: whatever was on its way then.
+    /// Returns the placements whose end is not recorded, by entry number. After a crash these are the jobs
+    /// that were running then.
     pub fn open_placements(&self) -> BTreeMap<u64, Placement> {
         lock(&self.state).open.clone()
     }
 
-    /// How many entries went unrecorded since it was opened.
+    /// Returns how many entries could not be recorded since the log was opened.
     pub fn unrecorded(&self) -> u64 {
         lock(&self.state).unrecorded
     }
 
-    /// Why nothing can be recorded any more, where it can't. Guarded work is to be denied then.
+    /// Returns why nothing can be recorded any more; `None` if the log works. Guarded jobs must be refused
+    /// while it is failed.
     pub fn failed(&self) -> Option<LogError> {
         lock(&self.state).failed.clone()
     }
 
-    /// Give an entry its number and its place in the chain.
-    fn number(state: &mut State, timed: &Timed) -> Result<u64, LogError> {
+    /// Assigns an entry its number and digest and adds it to the pending writes.
+    fn assign_number(state: &mut State, timed: &Timed) -> Result<u64, LogError> {
         if let Some(why) = &state.failed {
             return Err(why.clone());
         }
@@ -291,32 +308,33 @@
         }
         state.head = (number, hash_chain::next_digest(&state.head.1, &bytes));
         let record = [&state.head.1 .0, bytes.as_slice()].concat();
-        state.waiting.push(Op::Append(journal(&state.identity.writer), number, record));
+        state.pending.push(Op::Append(journal_name(&state.identity.writer), number, record));
         let digest = state.head.1;
-        let (before, fresh) = &mut state.fresh;
-        fresh.push_back((bytes, digest));
-        if fresh.len() > MAX_RECENT_ENTRIES {
-            if let Some((_, digest)) = fresh.pop_front() {
+        let (before, recent) = &mut state.recent;
+        recent.push_back((bytes, digest));
+        if recent.len() > MAX_RECENT_ENTRIES {
+            if let Some((_, digest)) = recent.pop_front() {
                 *before = (before.0 + 1, digest);
             }
         }
         Ok(number)
     }
 
-    /// Have all that waits on the disk. The lock is held while it is handed over, so that groups go in the order of their numbers.
-    fn hand(
+    /// Hands all pending writes and `extra` to the group commit. The caller holds the lock, so that groups
+    /// are committed in the order of their numbers.
+    fn submit(
         &self,
         state: &mut State,
-        besides: Vec<Op>,
+        extra: Vec<Op>,
         done: impl FnOnce(Result<(), LogError>) + Send + 'static,
     ) {
-        let mut ops = std::mem::take(&mut state.waiting);
+        let mut ops = std::mem::take(&mut state.pending);
         let (upto, count) = (state.head, ops.len() as u64);
         if count > 0 {
-            ops.push(Op::Remember(end_of(&state.identity.writer), upto.0.to_string().into_bytes()));
+            ops.push(Op::Remember(last_number_fact(&state.identity.writer), upto.0.to_string().into_bytes()));
         }
-        ops.extend(besides);
-        let (shared, log, again) = (self.state.clone(), state.identity.writer.log, state.again);
+        ops.extend(extra);
+        let (shared, log, generation) = (self.state.clone(), state.identity.writer.log, state.generation);
         self.group_commit.commit(ops, move |result| {
             let result = {
                 let mut state = lock(&shared);
@@ -327,14 +345,14 @@
                         }
                         Ok(())
                     }
-                    Err(e) if state.again > again => {
+                    Err(e) if state.generation > generation => {
                         state.unrecorded += count;
                         Err(LogError::from(e.as_ref()))
                     }
                     Err(e) => {
-                        state.unrecorded += count + state.waiting.len() as u64;
-                        state.waiting.clear();
-                        // What came after a full disk failed for that.
+                        state.unrecorded += count + state.pending.len() as u64;
+                        state.pending.clear();
+                        // Later writes report the failure of the first one as their cause.
                         Err(state.failed.get_or_insert_with(|| LogError::from(e.as_ref())).clone())
                     }
                 }
@@ -343,86 +361,91 @@
         });
     }
 
-    /// Append an entry that has to be on the disk: a guarded placement, before its first byte is sent. Its number; `done` is told
-    /// from the keeper's thread once it is on the disk, or why it is not: then it must not be sent.
+    /// Appends an entry that must be on the disk before the job is sent. Returns its number. `done` is called
+    /// on the commit thread once the entry is on the disk, or with the error, in which case the job must not
+    /// be sent.
     ///
     /// # Errors
-    /// It can't be recorded; `done` is not told.
+    /// The entry can't be recorded; `done` is not called.
     pub fn append(
         &self,
         timed: &Timed,
         done: impl FnOnce(Result<u64, LogError>) + Send + 'static,
     ) -> Result<u64, LogError> {
         let mut state = lock(&self.state);
-        let number = Log::number(&mut state, timed)?;
-        self.hand(&mut state, Vec::new(), move |result| done(result.map(|()| number)));
+        let number = Log::assign_number(&mut state, timed)?;
+        self.submit(&mut state, Vec::new(), move |result| done(result.map(|()| number)));
         Ok(number)
     }
 
-    /// Append an entry that may wait for the next one that may not, or for [`Log::flush`]. Its number.
+    /// Appends an entry that is written with the next [`Log::append`] or [`Log::flush`]. Returns its number.
     ///
     /// # Errors
-    /// It can't be recorded: whoever asked goes on without, and it is counted.
+    /// The entry can't be recorded. It is counted in [`Log::unrecorded`], and the caller may go on without
+    /// it.
     pub fn append_deferred(&self, timed: &Timed) -> Result<u64, LogError> {
         let mut state = lock(&self.state);
-        let number = Log::number(&mut state, timed).inspect_err(|_| state.unrecorded += 1)?;
-        if state.waiting.len() >= MAX_PENDING_ENTRIES {
-            self.hand(&mut state, Vec::new(), |_| ());
+        let number = Log::assign_number(&mut state, timed).inspect_err(|_| state.unrecorded += 1)?;
+        if state.pending.len() >= MAX_PENDING_ENTRIES {
+            self.submit(&mut state, Vec::new(), |_| ());
         }
         Ok(number)
     }
 
-    /// Have all that waits on the disk; `done` is told once it is there.
+    /// Writes all pending entries; `done` is called once they are on the disk, or with the error.
     pub fn flush(&self, done: impl FnOnce(Result<(), LogError>) + Send + 'static) {
-        self.hand(&mut lock(&self.state), Vec::new(), done);
+        self.submit(&mut lock(&self.state), Vec::new(), done);
     }
 
-    /// As [`Log::flush`], with the copies that were gathered, in one commit.
+    /// Writes all pending entries and the queued copies in one commit; see [`Log::flush`].
     pub fn flush_with(&self, copies: &Copies, done: impl FnOnce(Result<(), LogError>) + Send + 'static) {
-        self.hand(&mut lock(&self.state), copies.gathered(), done);
+        self.submit(&mut lock(&self.state), copies.take_queued(), done);
     }
 
-    /// Entries after that point that are on the disk, of `most` bytes at most, but one at least where there is one.
+    /// Returns entries after that point which are on the disk: at most `max_bytes` bytes, but at least one
+    /// entry if there is one.
     ///
     /// # Errors
-    /// An entry is missing or was changed, or the disk fails.
-    pub fn read(&self, after: Point, most: usize) -> Result<Piece, LogError> {
+    /// An entry is missing or corrupted, or the store fails.
+    pub fn read(&self, after: Point, max_bytes: usize) -> Result<Piece, LogError> {
         let (writer, durable) = {
             let state = lock(&self.state);
             (state.identity.writer.clone(), state.durable)
         };
-        pieces(&self.store, &writer, after, durable.0, most)
+        read_piece(&self.store, &writer, after, durable.0, max_bytes)
     }
 
-    /// Add to a history what it lacks of this log and of earlier ones on this disk; how many entries were new. Called before words are
-    /// exchanged, and after [`Copies::restore`].
+    /// Adds to a history the entries that it lacks of this log and of earlier logs on this disk; returns how
+    /// many were new. It is called before messages are exchanged and after [`Copies::restore`].
     ///
     /// # Errors
-    /// As [`Log::read`]; or the history holds another entry of one number ([`LogError::InvalidCopy`]; see [`History::judge`]).
+    /// Those of [`Log::read`], or [`LogError::InvalidCopy`] if the history has another entry of the same
+    /// number (see [`History::own_log_state`]).
     pub fn load_into(&self, history: &mut History) -> Result<u64, LogError> {
         let (identity, durable) = {
             let state = lock(&self.state);
             (state.identity.clone(), state.durable)
         };
-        // Most often what is new is still in memory, and was made here.
-        if let Some(piece) = self.fresh(history) {
+        // New entries usually are still in memory; they were verified when they were appended.
+        if let Some(piece) = self.recent(history) {
             return history.insert_verified(&piece).map_err(LogError::InvalidCopy);
         }
         let retired = identity.retired.iter().map(|(writer, base)| (writer, *base, u64::MAX));
         let mut new = 0;
         for (writer, base, upto) in retired.chain([(&identity.writer, identity.base, durable.0)]) {
-            // From the last that is known of this line on, or from where the disk begins.
+            // Starts after the last entry of this branch that the history holds, or at the first entry on the
+            // disk.
             let known = history.heads(writer).into_iter().filter(|p| p.0 >= base.0 && p.0 <= upto);
             let mut at = known.max_by_key(|p| p.0).unwrap_or(base);
             if at != base && upto == durable.0 && at.0 == durable.0 && at != durable {
                 at = base;
             }
             loop {
-                let piece = pieces(&self.store, writer, at, upto, READ_BYTES)?;
+                let piece = read_piece(&self.store, writer, at, upto, READ_BYTES)?;
                 if piece.entries.is_empty() {
                     break;
                 }
-                // Where the history's line is another one than the disk's, the digests don't follow: begin where the disk does.
+                // The digests don't follow from the history's branch: starts at the first entry on the disk.
                 if !piece.digests_match() {
                     if at == base {
                         return Err(LogError::Changed { log: writer.log, number: at.0 + 1 });
@@ -437,16 +460,18 @@
         Ok(new)
     }
 
-    /// Go on after the store was opened again: from what the disk has. What was given a number and is not there never was, and placements
-    /// there that nobody knows of any more are open ([`Log::open_placements`]). What has to be committed before anything else of this log.
+    /// Resumes from the entries on the disk after the store was reopened. Entries that were assigned a number
+    /// but not written are discarded; placements on the disk that have no end are open
+    /// ([`Log::open_placements`]). Returns operations that must be committed before anything else of this
+    /// log.
     ///
     /// # Errors
-    /// As [`Log::open`]; nothing has changed then.
+    /// Those of [`Log::open`]; the log is unchanged then.
     pub fn recover(&self) -> Result<Vec<Op>, LogError> {
         let mut state = lock(&self.state);
         let (identity, ops) = match self.store.fact::<Identity>(IDENTITY)? {
             Some(identity) => (identity, Vec::new()),
-            None => (state.identity.clone(), vec![remember(IDENTITY, &state.identity)?]),
+            None => (state.identity.clone(), vec![fact_op(IDENTITY, &state.identity)?]),
         };
         let (own, found) = (&state.identity.writer, &identity.writer);
         if (&own.site, &own.node) != (&found.site, &found.node) {
@@ -454,41 +479,43 @@
         }
         let mut open = BTreeMap::new();
         let head =
-            verified(&self.store, &identity.writer, identity.base, |number, timed| match timed.entry {
+            read_verified(&self.store, &identity.writer, identity.base, |number, timed| match timed.entry {
                 Entry::Placed(placement) => drop(open.insert(number, placement)),
                 Entry::Ended { of, .. } => drop(open.remove(&of)),
             })?;
-        state.unrecorded += state.waiting.len() as u64;
-        state.waiting.clear();
+        state.unrecorded += state.pending.len() as u64;
+        state.pending.clear();
         (state.identity, state.head, state.durable, state.open) = (identity, head, head, open);
-        state.fresh = (head, VecDeque::new());
+        state.recent = (head, VecDeque::new());
         state.failed = None;
-        state.again += 1;
+        state.generation += 1;
         Ok(ops)
     }
 
-    /// What is on the disk and follows the history's one line of this log, where that is still in memory.
-    fn fresh(&self, history: &History) -> Option<Piece> {
+    /// Returns the entries on the disk that follow the history's only branch of this log, if they still are
+    /// in memory.
+    fn recent(&self, history: &History) -> Option<Piece> {
         let mut state = lock(&self.state);
         let writer = state.identity.writer.clone();
         let [(after, before)] = *history.heads(&writer) else { return None };
-        let (durable, (first, fresh)) = (state.durable, &mut state.fresh);
+        let (durable, (first, recent)) = (state.durable, &mut state.recent);
         while first.0 < after {
-            let (_, digest) = fresh.pop_front()?;
+            let (_, digest) = recent.pop_front()?;
             *first = (first.0 + 1, digest);
         }
         if *first != (after, before) || durable.0 <= after {
             return None;
         }
         let entries =
-            fresh.iter().take((durable.0 - after) as usize).map(|(bytes, _)| bytes.clone()).collect();
+            recent.iter().take((durable.0 - after) as usize).map(|(bytes, _)| bytes.clone()).collect();
         Some(Piece { writer, after, before, entries, head: durable.1 })
     }
 
-    /// Drop entries up to that one, which has to be on the disk and without an open placement before it; see [`crate::compaction`].
+    /// Drops the entries up to that point, which must be on the disk and have no open placement before it
+    /// (see [`crate::compaction`]).
     ///
     /// # Errors
-    /// There is an open placement, or the disk fails.
+    /// A placement up to there is open, or the store fails.
     pub fn seal(&self, upto: Point) -> Result<(), LogError> {
         let mut state = lock(&self.state);
         if let Some(why) = &state.failed {
@@ -501,19 +528,20 @@
             return Err(LogError::NotOpen(*number));
         }
         let identity = Identity { base: upto, ..state.identity.clone() };
-        let ops = [remember(IDENTITY, &identity)?, Op::Drop(journal(&identity.writer), upto.0 + 1)];
+        let ops = [fact_op(IDENTITY, &identity)?, Op::Drop(journal_name(&identity.writer), upto.0 + 1)];
         self.store.commit(&ops)?;
         state.identity = identity;
         Ok(())
     }
 
-    /// Found another log on this disk, with the number `drawn`: where others know this one further than the disk does, or otherwise
-    /// ([`History::judge`]). The earlier one stays readable ([`Log::pour`]); the open placements of it that are given back have
-    /// nobody any more to write their ends, so guarded ones of them may have run. Where this log has that number nothing changes: one that was
-    /// founded in this life is nobody else's.
+    /// Starts another log on this disk, with the number `drawn`, because peers know the old log further than
+    /// the disk does or with other entries ([`History::own_log_state`]). The old log stays readable
+    /// ([`Log::load_into`]). Returns its open placements: nobody will write their ends, so guarded ones among
+    /// them may have run. If this log already has the number `drawn` nothing changes, because it was started
+    /// in this run.
     ///
     /// # Errors
-    /// The disk fails.
+    /// The store fails.
     pub fn start_new_log(&self, drawn: u64) -> Result<BTreeMap<u64, Placement>, LogError> {
         let mut state = lock(&self.state);
         if let Some(why) = &state.failed {
@@ -527,76 +555,88 @@
         let mut retired = state.identity.retired.clone();
         retired.push((state.identity.writer.clone(), state.identity.base));
         let identity = Identity { writer, base, retired };
-        // What waits goes to the old log, with the change or not at all.
-        let mut ops = std::mem::take(&mut state.waiting);
-        ops.push(remember(&end_of(&state.identity.writer), &state.head.0)?);
-        ops.push(remember(IDENTITY, &identity)?);
-        // What waited is not written then, and its numbers are given.
+        // Pending entries belong to the old log; they are committed together with the change or not at all.
+        let mut ops = std::mem::take(&mut state.pending);
+        ops.push(fact_op(&last_number_fact(&state.identity.writer), &state.head.0)?);
+        ops.push(fact_op(IDENTITY, &identity)?);
+        // If the commit fails the log is marked failed, because numbers of pending entries were already
+        // returned.
         self.store.commit(&ops).map_err(|e| state.failed.insert(e.into()).clone())?;
         (state.identity, state.head, state.durable) = (identity, base, base);
-        state.fresh = (base, VecDeque::new());
+        state.recent = (base, VecDeque::new());
         Ok(std::mem::take(&mut state.open))
     }
 }
 
-/// What the disk holds of others' logs: pieces in the order in which they came.
+/// Copies of other nodes' logs on the disk, in the order in which their pieces arrived.
 #[derive(Debug)]
 pub struct Copies {
     group_commit: Arc<GroupCommit>,
-    /// The next number, and what was gathered.
+    /// Number of the next record, and the queued writes.
     next: Mutex<(u64, Vec<Op>)>,
-    /// What follows this node's own log, until that is poured.
-    early: Mutex<Vec<Piece>>,
+    /// Pieces that follow this node's own log, kept until that log is loaded.
+    out_of_order: Mutex<Vec<Piece>>,
 }
 
 #[derive(Serialize, Deserialize)]
-enum Kept {
+enum CopyRecord {
     Piece(Piece),
     Base(Writer, Base),
 }
 
 impl Copies {
-    /// Read all of them into a history, verified; what to write further ones with.
+    /// Reads all copies into a history and verifies them.
     ///
     /// # Errors
-    /// A copy is damaged, or the disk fails.
+    /// A copy is corrupted, or the store fails.
     pub fn restore(
         store: &Store,
         group_commit: Arc<GroupCommit>,
         history: &mut History,
     ) -> Result<Copies, LogError> {
-        let (mut next, mut early) = (0, Vec::new());
+        let (mut next, mut out_of_order) = (0, Vec::new());
         loop {
             let records = store.journal(COPIES, next, READ_BYTES)?;
             let Some((last, _)) = records.last() else { break };
             next = last + 1;
             for (number, record) in &records {
-                let unreadable = LogError::Store(format!("copy {number} can't be read"));
+                let unreadable = LogError::Store(format!("record {number} of the copies can't be decoded"));
                 match postcard::from_bytes(record).map_err(|_| unreadable)? {
-                    Kept::Piece(piece) => match history.insert(&piece) {
+                    CopyRecord::Piece(piece) => match history.insert(&piece) {
                         Ok(_) => {}
-                        // What others knew of this node's own log beyond an older disk follows what is poured later.
-                        Err(HistoryError::Gap { .. } | HistoryError::Diverged { .. }) => early.push(piece),
+                        // Peers may hold entries of this node's own log beyond those on an older disk; they
+                        // follow entries that are loaded later.
+                        Err(HistoryError::Gap { .. } | HistoryError::Diverged { .. }) => {
+                            out_of_order.push(piece)
+                        }
                         Err(e) => return Err(LogError::InvalidCopy(e)),
                     },
-                    Kept::Base(writer, base) => history.adopt(&writer, &base),
+                    CopyRecord::Base(writer, base) => history.adopt(&writer, &base),
                 }
             }
         }
-        Ok(Copies { group_commit, next: Mutex::new((next, Vec::new())), early: Mutex::new(early) })
+        Ok(Copies {
+            group_commit,
+            next: Mutex::new((next, Vec::new())),
+            out_of_order: Mutex::new(out_of_order),
+        })
     }
 
-    /// Called once the own log was poured into that history: take the copies that follow it, as after an older disk was put back.
+    /// Inserts copies that follow this node's own log, as after a disk was restored from an older copy. It is
+    /// called once that log has been loaded into the history.
     ///
     /// # Errors
-    /// One does not fit even now.
+    /// A copy still doesn't fit.
     pub fn insert_deferred(&self, history: &mut History) -> Result<(), LogError> {
-        let early = std::mem::take(&mut *self.early.lock().unwrap_or_else(PoisonError::into_inner));
-        early.iter().try_for_each(|piece| history.insert(piece).map(drop).map_err(LogError::InvalidCopy))
+        let out_of_order =
+            std::mem::take(&mut *self.out_of_order.lock().unwrap_or_else(PoisonError::into_inner));
+        out_of_order
+            .iter()
+            .try_for_each(|piece| history.insert(piece).map(drop).map_err(LogError::InvalidCopy))
     }
 
-    /// Number them after what was gathered.
-    fn gather(&self, kept: &[Kept]) -> MutexGuard<'_, (u64, Vec<Op>)> {
+    /// Numbers the records and adds them to the queued writes.
+    fn queue(&self, kept: &[CopyRecord]) -> MutexGuard<'_, (u64, Vec<Op>)> {
         let mut held = self.next.lock().unwrap_or_else(PoisonError::into_inner);
         let (next, ops) = &mut *held;
         for kept in kept {
@@ -608,8 +648,8 @@
         held
     }
 
-    fn gathered(&self) -> Vec<Op> {
-        std::mem::take(&mut self.gather(&[]).1)
+    fn take_queued(&self) -> Vec<Op> {
+        std::mem::take(&mut self.queue(&[]).1)
     }
 
     fn commit(
@@ -621,52 +661,57 @@
         self.group_commit.commit(ops, move |result| done(result.map_err(|e| LogError::from(e.as_ref()))));
     }
 
-    /// Keep a piece that was taken into the history with the next [`Log::flush_with`], or with what is kept at once. What is lost
-    /// with a process before that is asked for again: its next life says what it has anew.
+    /// Queues a piece that was inserted into the history; it is written by the next [`Log::flush_with`] or
+    /// the next commit of copies. If the process ends before that, peers send the piece again, because the
+    /// next run reports that it lacks it.
     pub fn append_piece_deferred(&self, piece: &Piece) {
-        drop(self.gather(&[Kept::Piece(piece.clone())]));
+        drop(self.queue(&[CopyRecord::Piece(piece.clone())]));
     }
 
-    /// Keep a piece that was taken into the history; `done` is told once it is on the disk. Only then may others be told that it is here.
+    /// Writes a piece that was inserted into the history; `done` is called once it is on the disk. Peers may
+    /// be informed that this node holds it only after that.
     pub fn append_piece(&self, piece: &Piece, done: impl FnOnce(Result<(), LogError>) + Send + 'static) {
-        self.commit(self.gather(&[Kept::Piece(piece.clone())]), done);
+        self.commit(self.queue(&[CopyRecord::Piece(piece.clone())]), done);
     }
 
-    /// Keep that a history goes by what somebody sealed.
+    /// Writes that the history adopted the sealed part of a log from a peer.
     pub fn append_base(
         &self,
         writer: &Writer,
         base: &Base,
         done: impl FnOnce(Result<(), LogError>) + Send + 'static,
     ) {
-        self.commit(self.gather(&[Kept::Base(writer.clone(), base.clone())]), done);
+        self.commit(self.queue(&[CopyRecord::Base(writer.clone(), base.clone())]), done);
     }
 
-    /// Write what the history holds of all logs anew and drop what was written before, in one commit: after sealing, so that the disk holds
-    /// no more than the history.
+    /// Replaces all copies on the disk by the present contents of the history, in one commit. It is called
+    /// after sealing, so that the disk holds no more than the history.
     pub fn rewrite(&self, history: &History, done: impl FnOnce(Result<(), LogError>) + Send + 'static) {
-        self.commit(self.all(history), done);
+        self.commit(self.queue_rewrite(history), done);
     }
 
-    /// What does that, to be committed before any further piece: after pieces that the disk did not take.
+    /// Returns the operations of [`Copies::rewrite`], to be committed before any further piece after the disk
+    /// rejected pieces.
     pub fn rewrite_ops(&self, history: &History) -> Vec<Op> {
-        std::mem::take(&mut self.all(history).1)
+        std::mem::take(&mut self.queue_rewrite(history).1)
     }
 
-    fn all(&self, history: &History) -> MutexGuard<'_, (u64, Vec<Op>)> {
+    fn queue_rewrite(&self, history: &History) -> MutexGuard<'_, (u64, Vec<Op>)> {
         let mut all = Vec::new();
         for writer in history.writers() {
-            all.extend(history.base(writer).filter(|b| b.point.0 > 0).map(|b| Kept::Base(writer.clone(), b)));
+            all.extend(
+                history.base(writer).filter(|b| b.point.0 > 0).map(|b| CopyRecord::Base(writer.clone(), b)),
+            );
             let mut points = vec![history.sealed(writer)];
             while let Some(piece) = history.missing(writer, &points, 1 << 16) {
                 points.retain(|p| *p != (piece.after, piece.before));
                 points.push(piece.last());
-                all.push(Kept::Piece(piece));
+                all.push(CopyRecord::Piece(piece));
             }
         }
-        // What was gathered is in the history.
-        self.gathered();
-        let mut held = self.gather(&all);
+        // The history already contains the queued pieces.
+        self.take_queued();
+        let mut held = self.queue(&all);
         let first = held.0 - held.1.len() as u64;
         held.1.push(Op::Drop(COPIES.into(), first));
         held
--- a/crates/placements/src/log_recovery.rs
+++ b/crates/placements/src/log_recovery.rs
@@ -1,11 +1,13 @@
-//! What a node may write before it knows whether its log goes on.
+//! Decides after a start whether a node may go on writing its log, and buffers entries until then.
 //!
-//! A disk that was put back looks sound to its node. An entry that is written to it then has a number that another one has elsewhere, and the log
-//! forks. So nothing is written to the log of the last life before partners have said what they know of it. What is placed until then is
-//! held here, in order, and written once it is known whether the log goes on or another one is founded; what the last life left open gets
-//! its end by then, or never, where the log is not gone on with.
+//! A disk that was restored from an older copy looks intact to its node. If the node appended to it, the new
+//! entry would have the number of another entry that peers already hold, and the log would fork. Nothing is
+//! therefore written to the log of the previous run before peers have reported what they hold of it.
+//! Placements are buffered in order until the log is either continued or replaced by a new one. Placements
+//! that the previous run left open get their end then if the log is continued, and otherwise never.
 //!
-//! Where nobody is heard for a stated time the log goes on unproved: a node that is alone has to record what it does. Guarded work goes on waiting.
+//! If no peer answers within the timeout the log is continued unconfirmed, because an isolated node has to
+//! record what it does; guarded jobs keep waiting.
 
 use crate::anti_entropy::{newest_entry_at_peers, Exchange};
 use crate::hash_chain::Point;
@@ -13,109 +15,113 @@
 use crate::{End, Entry, Micros, Timed, Writer};
 use std::collections::BTreeMap;
 
-/// So many placements are held at most, each with its end; some 250 bytes and its names each. Further ones go unrecorded and are counted.
+/// Maximum number of buffered placements, each with its end. Each takes about 250 bytes plus its names.
+/// Further placements are not recorded but counted ([`LogRecovery::unrecorded`]).
 pub const MAX_BUFFERED_PLACEMENTS: usize = 8_192;
 
-/// What becomes of the log that the last life left.
+/// What becomes of the log that the previous run left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogOutcome {
-    /// It goes on; `true` where partners were asked, `false` where none was heard in time.
+    /// The log is continued; `true` if peers were asked, `false` if none answered in time.
     Continues(bool),
-    /// Others know that entry of it, the disk does not: another log is founded before anything is written.
+    /// Peers know the log up to the entry with that number, beyond what the disk holds: a new log is started
+    /// before anything is written.
     Replaced(u64),
 }
 
-/// Where a placement is until it has ended.
+/// Where a placement is recorded until it has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum PlacementRef {
-    /// It is held, under that ticket.
+    /// In the buffer, under that ticket.
     Buffered(u64),
-    /// It is in the log, under that number.
+    /// In the log, under that entry number.
     Written(u64),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    Waits,
-    /// What is to be written is; partners were not asked yet.
-    Unproved,
-    Asked,
+    Waiting,
+    /// The log is continued, but no peer has answered yet.
+    Unconfirmed,
+    Confirmed,
 }
 
 #[derive(Clone, Debug)]
-enum Held {
+enum Buffered {
     Placed(Timed),
     Ended(u64, Micros, End),
 }
 
-/// The first moments of a node's life.
+/// State of the recovery of a node's log.
 #[derive(Clone, Debug)]
 pub struct LogRecovery {
-    began: Micros,
+    started_at: Micros,
     wait: Micros,
     stage: Stage,
-    /// What has no end in the log though it is over, and how it ended.
+    /// Placements whose end is not in the log although they are over, and how they ended.
     open: BTreeMap<u64, End>,
-    held: Vec<Held>,
-    placed: usize,
-    lost: u64,
+    buffered: Vec<Buffered>,
+    placement_count: usize,
+    unrecorded: u64,
 }
 
 impl LogRecovery {
-    /// A life that begins now, with what the log holds without an end. Partners are waited for at least until one has said all that it
-    /// knows, and for the others `wait` at most.
+    /// Starts the recovery with the placements that have no end in the log. It waits until at least one peer
+    /// has sent its full summary, and up to `wait` microseconds for the others.
     pub fn new(now: Micros, wait: Micros, open: impl IntoIterator<Item = u64>) -> LogRecovery {
         LogRecovery {
-            began: now,
+            started_at: now,
             wait,
-            stage: Stage::Waits,
+            stage: Stage::Waiting,
             open: open.into_iter().map(|of| (of, End::Unknown)).collect(),
-            held: Vec::new(),
-            placed: 0,
-            lost: 0,
+            buffered: Vec::new(),
+            placement_count: 0,
+            unrecorded: 0,
         }
     }
 
-    /// The disk could not be written for a time, and can be now: partners are asked once more, since another log could not be founded meanwhile.
-    /// What is held stays; `open` is what has no end in the log though it is over.
+    /// Starts over after the disk was unwritable for a time: peers are asked again, because no new log could
+    /// be started meanwhile. The buffer stays; `open` lists placements that are over but have no end in the
+    /// log.
     pub fn restart(&mut self, now: Micros, open: impl IntoIterator<Item = (u64, End)>) {
-        (self.began, self.stage) = (now, Stage::Waits);
+        (self.started_at, self.stage) = (now, Stage::Waiting);
         self.open = open.into_iter().collect();
     }
 
-    /// Nothing may be written yet.
+    /// Returns whether entries must be buffered because nothing may be written yet.
     pub fn is_buffering(&self) -> bool {
-        self.stage == Stage::Waits
+        self.stage == Stage::Waiting
     }
 
-    /// Partners were asked: guarded work may be taken.
+    /// Returns whether peers have answered, so that guarded jobs may be accepted.
     pub fn peers_answered(&self) -> bool {
-        self.stage == Stage::Asked
+        self.stage == Stage::Confirmed
     }
 
-    /// How many placements went unrecorded since too many were held.
+    /// Returns how many placements were not recorded because the buffer was full.
     pub fn unrecorded(&self) -> u64 {
-        self.lost
+        self.unrecorded
     }
 
-    /// A placement, to be written later; `None` where too many are held.
+    /// Buffers a placement; `None` if the buffer is full.
     pub fn buffer_placement(&mut self, timed: Timed) -> Option<PlacementRef> {
-        if self.placed >= MAX_BUFFERED_PLACEMENTS {
-            self.lost += 1;
+        if self.placement_count >= MAX_BUFFERED_PLACEMENTS {
+            self.unrecorded += 1;
             return None;
         }
-        self.placed += 1;
-        self.held.push(Held::Placed(timed));
-        Some(PlacementRef::Buffered(self.held.len() as u64 - 1))
+        self.placement_count += 1;
+        self.buffered.push(Buffered::Placed(timed));
+        Some(PlacementRef::Buffered(self.buffered.len() as u64 - 1))
     }
 
-    /// What is held under that ticket has ended.
+    /// Buffers the end of the placement with that ticket.
     pub fn buffer_end(&mut self, ticket: u64, at: Micros, how: End) {
-        self.held.push(Held::Ended(ticket, at, how));
+        self.buffered.push(Buffered::Ended(ticket, at, how));
     }
 
-    /// What becomes of the log, whose last entry on the disk is `own`, once that is known; told once, or twice where it went on unproved
-    /// first. [`LogRecovery::write`] is to follow.
+    /// Returns what becomes of the log, whose last entry on the disk is `own`, as soon as that is known. It
+    /// is returned once, or a second time if peers answer after the log was continued unconfirmed. The caller
+    /// then calls [`LogRecovery::write_buffered`].
     pub fn decide<'a>(
         &mut self,
         exchanges: impl Iterator<Item = &'a Exchange> + Clone,
@@ -124,20 +130,20 @@
         own: Point,
         now: Micros,
     ) -> Option<LogOutcome> {
-        let over = now - self.began >= self.wait;
-        let some = exchanges.clone().any(Exchange::complete);
-        let asked = some && (over || exchanges.clone().all(Exchange::complete));
+        let timed_out = now - self.started_at >= self.wait;
+        let any_complete = exchanges.clone().any(Exchange::complete);
+        let answered = any_complete && (timed_out || exchanges.clone().all(Exchange::complete));
         self.stage = match self.stage {
-            Stage::Waits | Stage::Unproved if asked => Stage::Asked,
-            Stage::Waits if over => Stage::Unproved,
+            Stage::Waiting | Stage::Unconfirmed if answered => Stage::Confirmed,
+            Stage::Waiting if timed_out => Stage::Unconfirmed,
             _ => return None,
         };
-        let known = newest_entry_at_peers(exchanges, history, writer, own);
-        Some(known.map_or(LogOutcome::Continues(asked), LogOutcome::Replaced))
+        let newest_at_peers = newest_entry_at_peers(exchanges, history, writer, own);
+        Some(newest_at_peers.map_or(LogOutcome::Continues(answered), LogOutcome::Replaced))
     }
 
-    /// Write what was held, in its order. `write` gives each its number, or none where it can't be recorded. What is held without an end, by ticket, with
-    /// its number.
+    /// Writes the buffered entries in order. `write` returns the number of each entry, or `None` if it can't
+    /// be recorded. Returns the entry numbers of placements that have not ended, by ticket.
     pub fn write_buffered(
         &mut self,
         outcome: LogOutcome,
@@ -150,17 +156,17 @@
             }
         }
         let mut numbers = BTreeMap::new();
-        for (ticket, held) in (0..).zip(std::mem::take(&mut self.held)) {
-            match held {
-                Held::Placed(timed) => numbers.extend(write(timed).map(|number| (ticket, number))),
-                Held::Ended(ticket, at, how) => {
+        for (ticket, buffered) in (0..).zip(std::mem::take(&mut self.buffered)) {
+            match buffered {
+                Buffered::Placed(timed) => numbers.extend(write(timed).map(|number| (ticket, number))),
+                Buffered::Ended(ticket, at, how) => {
                     if let Some(of) = numbers.remove(&ticket) {
                         write(Timed { at, entry: Entry::Ended { of, how } });
                     }
                 }
             }
         }
-        self.placed = 0;
+        self.placement_count = 0;
         numbers
     }
 }
@@ -169,9 +175,9 @@
 mod tests {
     use super::*;
 
-    /// A disk that failed is written again: what was held meanwhile is written then, after the ends that could not be, and once each.
+    /// Guards against losing or repeating buffered entries when a failed disk becomes writable again.
     #[test]
-    fn what_could_not_be_written_is_written_once_partners_were_asked_again() {
+    fn buffered_entries_are_written_once_after_a_restart() {
         let (history, writer, own) = (
             History::new(),
             Writer { site: "west".into(), node: "n0".into(), log: 1 },
@@ -179,12 +185,13 @@
         );
         let mut log_recovery = LogRecovery::new(0, 3, [4]);
         let none: [&Exchange; 0] = [];
-        let ask = |b: &mut LogRecovery, now| b.decide(none.into_iter(), &history, &writer, own, now);
+        let ask =
+            |recovery: &mut LogRecovery, now| recovery.decide(none.into_iter(), &history, &writer, own, now);
         assert_eq!(ask(&mut log_recovery, 3), Some(LogOutcome::Continues(false)));
         let mut written = Vec::new();
-        let mut write = |b: &mut LogRecovery| {
+        let mut write = |recovery: &mut LogRecovery| {
             let mut number = 10;
-            b.write_buffered(LogOutcome::Continues(false), |timed| {
+            recovery.write_buffered(LogOutcome::Continues(false), |timed| {
                 written.push(timed.entry);
                 number += 1;
                 Some(number)
@@ -205,8 +212,9 @@
             list: 0,
             fence: 0,
         };
-        let held = log_recovery.buffer_placement(Timed { at: 11, entry: Entry::Placed(placement.clone()) });
-        assert_eq!(held, Some(PlacementRef::Buffered(0)));
+        let buffered =
+            log_recovery.buffer_placement(Timed { at: 11, entry: Entry::Placed(placement.clone()) });
+        assert_eq!(buffered, Some(PlacementRef::Buffered(0)));
         assert_eq!(
             (ask(&mut log_recovery, 12), ask(&mut log_recovery, 13)),
             (None, Some(LogOutcome::Continues(false)))
@@ -214,12 +222,12 @@
         assert_eq!(write(&mut log_recovery), BTreeMap::from([(0, 13)]));
         assert!(write(&mut log_recovery).is_empty());
         let ended = |of, how| Entry::Ended { of, how };
-        let all = [
+        let expected = [
             ended(4, End::Unknown),
             ended(5, End::NeverRan),
             ended(6, End::Unknown),
             Entry::Placed(placement),
         ];
-        assert_eq!(written, all);
+        assert_eq!(written, expected);
     }
 }
