--- a/crates/placements/src/reconcile.rs
+++ b/crates/placements/src/reconcile.rs
@@ -1,14 +1,17 @@
-//! What follows from a history: who ran what twice, who began work that was not to begin, what was used above the whole.
+//! Derives decisions from a history: jobs that ran twice, jobs that were started after their account was
+//! closed, and usage above a quota or a credit limit.
 //!
-//! It reads each entry once, whatever came in between; what it has decided in the end does not depend on the order. What it finds changes
-//! decisions: it is no report.
+//! Each entry is read once, whatever arrives in between; the final result doesn't depend on the order. The
+//! decisions change how the node acts: debts are paid off, and keys stay blocked.
 //!
-//! It works in slices ([`Reconciler::slice`]) of so many steps at most and goes on where the last one ended, so that a node's loop is not held up: a
-//! step is an entry, a log that is looked at, a guarded key of what was sealed, a placement that is given up or one that is judged again.
+//! The work is divided into slices ([`Reconciler::slice`]) of a limited number of steps, so that a node's
+//! event loop isn't blocked. A step is one entry, one examined log, one retained key of a sealed part, one
+//! placement that is given up, or one that is evaluated again.
 //!
-//! Memory: some 200 bytes and its names for each guarded key, for ever, as nothing undoes that it may have run; some 60 for each open
-//! placement; some 70 for each remembered key of a free class ([`Settings::keys`]); the rest is bounded by [`Settings`], and by the
-//! credit that was given.
+//! Memory: about 200 bytes and its names for each guarded key, which are never freed, because a key that may
+//! have run stays blocked; about 60 bytes for each open placement; about 70 bytes for each stored key of a
+//! repeatable class ([`Settings::max_repeatable_keys`]). The rest is limited by [`Settings`] and by the
+//! granted credit.
 
 use crate::anti_entropy::LogReplicas;
 use crate::hash_chain::{self, Digest, Point};
@@ -18,20 +21,25 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::hash::{BuildHasherDefault, Hasher};
 
-/// What is kept, and how long.
+/// Limits of what a reconciler stores and does at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// A placement without an end is given up so long after it was placed: the longest job, and what clocks may differ.
+    /// Time in microseconds after which a placement without an end is given up. It must exceed the longest
+    /// job plus the difference of the nodes' clocks.
     pub give_up_after: Micros,
-    /// Quotas and the use of servers are counted by spans of this length.
+    /// Length in microseconds of the spans by which quotas and the use of servers are counted.
     pub span: Micros,
-    /// So many pairs of a span and a tenant, and of a span and a server, are remembered; the oldest give way.
+    /// Maximum number of pairs of a span and a tenant, and of a span and a server, that are stored; the
+    /// oldest are dropped first.
     pub max_spans: usize,
-    /// So many keys of free classes are remembered, twice at most; in 64 parts, each of which forgets its older half by itself.
+    /// Number of keys of repeatable classes in one generation; two generations are stored, and the older one
+    /// is dropped when the newer one is full. The keys are divided into up to 64 parts, each of which does
+    /// this by itself.
     pub max_repeatable_keys: usize,
-    /// So many of each account's latest placements are remembered, for changes of standing that are learned later.
+    /// Maximum number of recent placements that are stored for each account, so that changes of standing
+    /// which are learned later apply to them.
     pub placements_per_account: usize,
-    /// So many steps are made at once, see [`Reconciler::slice`].
+    /// Maximum number of steps of one slice (see [`Reconciler::slice`]).
     pub steps_per_slice: usize,
 }
 
@@ -48,187 +56,189 @@
     }
 }
 
-/// A change of an account's standing, as far as it matters here.
+/// A change of an account's standing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StandingChange {
-    /// Its number.
+    /// Number of the change.
     pub number: u64,
-    /// From when on it holds, in Unix time.
+    /// Unix time in microseconds from which the change applies.
     pub from: Micros,
-    /// New work is taken.
+    /// Whether the account may start new jobs.
     pub takes_new: bool,
 }
 
-/// What a debt is of.
+/// Kind of use for which a tenant owes jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DebtKind {
-    /// Jobs that were begun on unconfirmed standing.
+    /// Jobs that were started without a confirmed standing.
     Credit,
     /// Jobs above the quota.
     Quota,
 }
 
-/// Whether whoever began something could know that it was not to begin.
+/// Whether the node that started a job knew that the account was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Awareness {
-    /// It was not told yet.
+    /// The node had not received the change yet.
     #[serde(rename = "good")]
     Unaware,
-    /// It had been told: the number that it wrote is the closing's or a later one.
+    /// The node had received it: the standing that it recorded is that change or a later one.
     #[serde(rename = "against-knowledge")]
     Aware,
 }
 
-/// One placement in the story of a key.
+/// One placement of a guarded key, as reported in a [`DuplicateRun`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct PlacementRecord {
-    /// Who placed it.
+    /// Log that contains the placement.
     pub writer: Writer,
-    /// The number of the entry.
+    /// Entry number of the placement.
     pub number: u64,
-    /// When, by the writer's clock.
+    /// Time of the placement in microseconds, by the writer's clock.
     pub at: Micros,
-    /// Where.
+    /// Id of the server.
     pub server: String,
-    /// Under which fence.
+    /// Fencing token under which the job was placed.
     pub fence: u64,
-    /// Under which standing.
+    /// Number of the account standing that the node knew.
     pub standing: u64,
-    /// How it ended, where that is known.
+    /// How the placement ended; `None` if it is open.
     pub how: Option<End>,
 }
 
-/// All that is known of a key that must not run twice and may have.
+/// Placements of a guarded key that may have run more than once.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct DuplicateRun {
-    /// Its class.
+    /// Name of the request class.
     pub class: String,
-    /// The key.
+    /// Idempotency key of the job.
     pub key: String,
-    /// Placements that are not known never to have run: two at least.
+    /// Placements that may have run, two or more.
     #[serde(rename = "scenes")]
     pub placements: Vec<PlacementRecord>,
 }
 
-/// What follows from a history.
+/// A decision that follows from a history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Decision {
-    /// So much more was used than the whole: later parts pay it off ([`Debts`]).
+    /// A tenant used more than its limit; later shares pay the difference off ([`Debts`]).
     Debt {
-        /// The tenant.
+        /// Tenant that owes the jobs.
         tenant: String,
-        /// What it is of.
+        /// Limit that was exceeded.
         kind: DebtKind,
-        /// Jobs.
+        /// Number of jobs.
         jobs: u64,
     },
-    /// Work was begun under a standing that took no new work any more.
+    /// A job was started after its account had been closed to new jobs.
     Standing {
-        /// The tenant.
+        /// Tenant whose account was closed.
         tenant: String,
-        /// The number of the change that closed it.
+        /// Number of the change that closed the account.
         number: u64,
-        /// Whether that was known there.
+        /// Whether the node that started the job knew of the change.
         #[serde(rename = "faith")]
         awareness: Awareness,
-        /// Who began it.
+        /// Log that contains the placement.
         writer: Writer,
-        /// The number of the entry.
+        /// Entry number of the placement.
         entry: u64,
     },
-    /// That job may have run, and nobody knows: it is neither run again nor forgotten.
+    /// A job may have run: it is neither repeated nor forgotten.
     MayHaveRun {
-        /// Its class.
+        /// Name of the request class.
         class: String,
-        /// Its key, where it has one.
+        /// Idempotency key of the job; `None` if it has none.
         key: Option<String>,
-        /// Who placed it.
+        /// Log that contains the placement.
         writer: Writer,
-        /// The number of the entry.
+        /// Entry number of the placement.
         entry: u64,
     },
-    /// What was said of that key before, a violation or that it may have run, was taken back by a later entry: it never ran, or ran once.
+    /// A later entry revokes an earlier decision about a key: its job never ran, or ran once.
     Cleared {
-        /// Its class.
+        /// Name of the request class.
         class: String,
-        /// The key.
+        /// Idempotency key of the job.
         key: String,
     },
-    /// Two sites used a server as if each had it alone: what was learned of its speed in that time, and its cold budget, are to be set
-    /// right.
+    /// Two sites used a server at the same time, at least one of them isolated. Its measured speed and its
+    /// cold-start budget for that time must be corrected.
     SharedServer {
-        /// The server.
+        /// Id of the server.
         server: String,
-        /// The beginning of the span, by the writers' clocks.
+        /// Start of the span in microseconds, by the writers' clocks.
         from: Micros,
-        /// Its end.
+        /// End of the span in microseconds, by the writers' clocks.
         to: Micros,
     },
-    /// A key that must not run twice may have, with its whole story.
+    /// A guarded key may have run more than once.
     Violation(DuplicateRun),
 }
 
-/// What was counted.
+/// Counters of what was read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Placements.
+    /// Number of placements.
     pub placements: u64,
-    /// Of them such as must not run twice.
+    /// Number of placements that must not run twice.
     pub guarded: u64,
-    /// Ends.
+    /// Number of ends of placements.
     pub ends: u64,
-    /// Ends of what is not open, as a log that forked has them.
+    /// Number of ends without an open placement, which occur in forked logs.
     #[serde(rename = "strays")]
     pub unmatched_ends: u64,
-    /// Keys of free classes that were placed at another site, too.
+    /// Number of keys of repeatable classes that were placed at more than one site.
     pub repeated: u64,
-    /// Free placements that were given up without an end.
+    /// Number of repeatable placements that were given up without an end.
     pub lost: u64,
-    /// Placements on unconfirmed standing.
+    /// Number of placements without a confirmed standing.
     pub on_credit: u64,
 }
 
-/// What is owed for use above the whole; each later part pays off a stated share of itself at most, so that nobody stands still for it.
+/// Jobs owed for use above a limit. Each later share pays off at most a given part of itself, so that no
+/// tenant is stopped completely.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Debts {
     owed: BTreeMap<String, BTreeMap<DebtKind, u64>>,
 }
 
 impl Debts {
-    /// So much more is owed.
+    /// Adds jobs to a debt.
     pub fn add(&mut self, tenant: &str, kind: DebtKind, jobs: u64) {
         let owed = self.owed.entry(tenant.to_string()).or_default().entry(kind).or_default();
         *owed = owed.saturating_add(jobs);
     }
 
-    /// What is owed, in jobs.
+    /// Returns the owed number of jobs.
     pub fn owed(&self, tenant: &str, kind: DebtKind) -> u64 {
         self.owed.get(tenant).and_then(|kinds| kinds.get(&kind)).copied().unwrap_or(0)
     }
 
-    /// What is left of a part once it has paid: `share` thousandths of it at most, one job at least where it has one.
+    /// Pays off a debt from a tenant's next share of `part` jobs, and returns what remains of the share. At
+    /// most `share` thousandths of it are paid, but at least one job if the share has one.
     pub fn pay(&mut self, tenant: &str, kind: DebtKind, part: u64, share: u32) -> u64 {
         let Some(kinds) = self.owed.get_mut(tenant) else { return part };
         let Some(owed) = kinds.get_mut(&kind) else { return part };
-        let most = (part / 1_000 * u64::from(share.min(1_000))
+        let payment_limit = (part / 1_000 * u64::from(share.min(1_000))
             + part % 1_000 * u64::from(share.min(1_000)) / 1_000)
             .max(1)
             .min(part);
-        let step = most.min(*owed);
-        *owed -= step;
+        let payment = payment_limit.min(*owed);
+        *owed -= payment;
         if *owed == 0 {
             kinds.remove(&kind);
             if kinds.is_empty() {
                 self.owed.remove(tenant);
             }
         }
-        part - step
+        part - payment
     }
 }
 
-/// Names by number, so that what is remembered is small.
+/// Maps names to numbers, to store each name once.
 #[derive(Clone, Debug, Default)]
 struct Names {
     numbers: BTreeMap<String, u32>,
@@ -251,10 +261,11 @@
     }
 }
 
-/// An entry of a line of a log: the number of its writer, its own, and the beginning of what stands for it.
+/// Identifies an entry of a branch of a log: the number of its writer, its entry number, and the first 8
+/// bytes of its digest.
 type Place = (u32, u64, u64);
 
-fn tag(digest: &Digest) -> u64 {
+fn digest_prefix(digest: &Digest) -> u64 {
     digest.0.iter().take(8).fold(0, |all, b| all << 8 | u64::from(*b))
 }
 
@@ -265,24 +276,24 @@
     fence: u64,
     standing: u64,
     how: Option<End>,
-    /// It was said that it may have run.
-    notified: bool,
+    /// The decision that the placement may have run was returned.
+    reported: bool,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Key {
     key_placements: Vec<(Place, KeyPlacement)>,
-    /// So many scenes the last story had.
-    notified: usize,
+    /// Number of placements in the last reported violation.
+    reported: usize,
 }
 
 #[derive(Clone, Debug)]
 struct Open {
     at: Micros,
     server: u32,
-    /// The class and the key of one that must not run twice; `None` for others.
+    /// Class and key of a placement that must not run twice; `None` for others.
     guarded: Option<(u32, Option<String>)>,
-    alone: bool,
+    isolated: bool,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -290,18 +301,19 @@
     changes: BTreeMap<u64, StandingChange>,
     credit: Option<(u64, Micros)>,
     quota: Option<u64>,
-    /// Jobs on credit, and when they were taken.
+    /// Jobs on credit by hash, and when they were accepted.
     on_credit: BTreeMap<u64, Micros>,
     charged: u64,
-    /// When taken, and where written; under which standing, and the change that it was blamed for.
+    /// Recent placements by time of acceptance and place: the standing that the node knew, and the number of
+    /// the change for which a decision was returned, or 0.
     recent: BTreeMap<(Micros, Place), (u64, u64)>,
 }
 
-/// For what is hashed already.
+/// Hasher for keys that are hashes already.
 #[derive(Clone, Copy, Debug, Default)]
-struct Hashed(u64);
+struct IdentityHasher(u64);
 
-impl Hasher for Hashed {
+impl Hasher for IdentityHasher {
     fn finish(&self) -> u64 {
         self.0
     }
@@ -311,48 +323,52 @@
     }
 }
 
-/// A table that grows or goes whole takes long: it is kept in so many parts.
-const FREE_PARTS: usize = 64;
+/// Number of parts of the table of repeatable keys; growing or dropping one large table would block the
+/// caller for too long.
+const KEY_PARTS: usize = 64;
 
-type FreeKeys = HashMap<u64, u64, BuildHasherDefault<Hashed>>;
+type KeySites = HashMap<u64, u64, BuildHasherDefault<IdentityHasher>>;
 
-/// What has been read, and what follows.
+/// Reads histories and returns the decisions that follow from them.
 #[derive(Clone, Debug)]
 pub struct Reconciler {
     settings: Settings,
     seen: BTreeMap<Writer, Vec<Point>>,
-    /// The log that is read next.
-    turn: Option<Writer>,
-    /// So many logs were looked at in turn and had nothing new.
-    calm: usize,
-    /// All was read that had come by the last news.
-    level: bool,
-    /// What was sealed of the log that is read, where not all of its guarded keys were yet, and how many were.
+    /// Log that is read next.
+    next_log: Option<Writer>,
+    /// Number of consecutive logs without new entries.
+    idle_logs: usize,
+    /// All entries that existed at the last update were read.
+    all_read: bool,
+    /// Sealed part of a log of which not all retained keys were read yet: the log, its last sealed entry, and
+    /// the number of keys read.
     sealing: Option<(Writer, Point, u64)>,
-    /// Placements that are to be judged again.
-    again: VecDeque<(String, (Micros, Place))>,
+    /// Placements that are to be evaluated again after a change of standing.
+    to_evaluate: VecDeque<(String, (Micros, Place))>,
     writers: BTreeMap<Writer, u32>,
-    by_number: Vec<Writer>,
+    writers_by_number: Vec<Writer>,
     sites: Names,
     names: Names,
     keys: BTreeMap<(u32, String), Key>,
     open: BTreeMap<Place, Open>,
-    /// Open placements by when they were placed.
+    /// Open placements by the time of their placement.
     due: BTreeSet<(Micros, Place)>,
-    /// Free keys, and the sites that placed them: the latest, and those before.
-    free: Vec<[FreeKeys; 2]>,
+    /// Repeatable keys by hash, with a bit for each site that placed them: the newer and the older generation
+    /// of each part.
+    repeatable_keys: Vec<[KeySites; 2]>,
     accounts: BTreeMap<String, Account>,
-    /// Placements of a tenant in a span, and those charged.
+    /// Placements of a tenant in a span, and how many of them were charged.
     quotas: BTreeMap<(Micros, String), (u64, u64)>,
-    /// Which sites used a server in a span, which of them were alone, and whether it was said.
+    /// Use of a server in a span: a bit for each site that used it, a bit for each of them that was isolated,
+    /// and whether the decision was returned.
     servers: BTreeMap<(Micros, u32), (u64, u64, bool)>,
     counts: Counts,
     debts: BTreeMap<(String, DebtKind), u64>,
     out: Vec<Decision>,
 }
 
-/// FNV-1a over the parts of a name.
-fn hashed<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> u64 {
+/// Hashes the parts of a name by FNV-1a.
+fn hash_parts<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> u64 {
     let mut hash = 0xcbf2_9ce4_8422_2325u64;
     for part in parts {
         for b in part.iter().chain(&[0xff]) {
@@ -362,7 +378,7 @@
     hash
 }
 
-/// The more it says that it ran, the more it holds.
+/// Ranks ends; of several ends of one placement the one with the highest rank applies.
 fn rank(how: Option<End>) -> u8 {
     match how {
         None => 0,
@@ -373,27 +389,31 @@
 }
 
 impl Reconciler {
-    /// One that has read nothing.
+    /// Creates a reconciler that has read nothing.
     pub fn new(settings: Settings) -> Reconciler {
         Reconciler {
             settings: Settings { span: settings.span.max(1), ..settings },
             seen: BTreeMap::new(),
-            turn: None,
-            calm: 0,
-            level: false,
+            next_log: None,
+            idle_logs: 0,
+            all_read: false,
             sealing: None,
-            again: VecDeque::new(),
+            to_evaluate: VecDeque::new(),
             writers: BTreeMap::new(),
-            by_number: Vec::new(),
+            writers_by_number: Vec::new(),
             sites: Names::default(),
             names: Names::default(),
             keys: BTreeMap::new(),
             open: BTreeMap::new(),
             due: BTreeSet::new(),
-            // Few parts where there are few keys.
-            free: vec![
+            // A small table is not divided.
+            repeatable_keys: vec![
                 Default::default();
-                if settings.max_repeatable_keys < FREE_PARTS * FREE_PARTS { 1 } else { FREE_PARTS }
+                if settings.max_repeatable_keys < KEY_PARTS * KEY_PARTS {
+                    1
+                } else {
+                    KEY_PARTS
+                }
             ],
             accounts: BTreeMap::new(),
             quotas: BTreeMap::new(),
@@ -404,126 +424,133 @@
         }
     }
 
-    /// What was counted.
+    /// Returns the counters.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// All keys that must not run twice and may have.
+    /// Returns all guarded keys that may have run more than once.
     pub fn violations(&self) -> Vec<DuplicateRun> {
-        self.keys.keys().filter_map(|place| self.story(place)).filter(|s| s.placements.len() > 1).collect()
+        self.keys
+            .keys()
+            .filter_map(|place| self.duplicate_run(place))
+            .filter(|s| s.placements.len() > 1)
+            .collect()
     }
 
-    /// Placements that have no end yet.
+    /// Returns the number of placements without an end.
     pub fn open_count(&self) -> usize {
         self.open.len()
     }
 
-    /// An account's standing has changed, or is learned of; placements that are remembered are judged again: some at once, the rest in
-    /// slices.
+    /// Records a change of an account's standing, which may be learned late. Stored placements are evaluated
+    /// again, some at once and the rest in slices. Returns the decisions so far.
     pub fn change_standing(&mut self, tenant: &str, change: StandingChange) -> Vec<Decision> {
         let account = self.accounts.entry(tenant.to_string()).or_default();
         account.changes.insert(change.number, change);
-        self.again.extend(account.recent.keys().map(|at| (tenant.to_string(), *at)));
-        self.judge_again(self.settings.steps_per_slice);
+        self.to_evaluate.extend(account.recent.keys().map(|at| (tenant.to_string(), *at)));
+        self.evaluate_queued(self.settings.steps_per_slice);
         self.decisions()
     }
 
-    /// How many steps that took.
-    fn judge_again(&mut self, most: usize) -> usize {
-        let some = most.min(self.again.len());
+    /// Evaluates up to `max_steps` queued placements again; returns how many it did.
+    fn evaluate_queued(&mut self, max_steps: usize) -> usize {
+        let some = max_steps.min(self.to_evaluate.len());
         for _ in 0..some {
-            if let Some((tenant, at)) = self.again.pop_front() {
-                self.judge(&tenant, at);
+            if let Some((tenant, at)) = self.to_evaluate.pop_front() {
+                self.evaluate(&tenant, at);
             }
         }
         some
     }
 
-    /// So many jobs may be begun on unconfirmed standing, over all sites together, taken after `since`, when it was confirmed last.
-    pub fn set_credit(&mut self, tenant: &str, whole: u64, since: Micros) -> Vec<Decision> {
+    /// Sets how many jobs a tenant may start without a confirmed standing at all sites together. Only jobs
+    /// accepted after `since`, the Unix time of the last confirmation in microseconds, count.
+    pub fn set_credit(&mut self, tenant: &str, limit: u64, since: Micros) -> Vec<Decision> {
         let account = self.accounts.entry(tenant.to_string()).or_default();
         if account.credit.is_none_or(|(_, before)| before != since) {
             account.on_credit.retain(|_, taken| *taken > since);
             account.charged = 0;
         }
-        account.credit = Some((whole, since));
+        account.credit = Some((limit, since));
         self.charge(tenant);
         self.decisions()
     }
 
-    /// So many placements a span are a tenant's whole quota.
-    pub fn set_quota(&mut self, tenant: &str, a_span: u64) {
-        self.accounts.entry(tenant.to_string()).or_default().quota = Some(a_span);
+    /// Sets a tenant's quota at all sites together, in placements per span.
+    pub fn set_quota(&mut self, tenant: &str, jobs_per_span: u64) {
+        self.accounts.entry(tenant.to_string()).or_default().quota = Some(jobs_per_span);
     }
 
-    /// Go on for [`Settings::steps`] steps: give up what has no end for too long by `now`, in Unix time, judge again what is to be, and read what
-    /// is new: `news` where something may have come since the last slice. What follows, and whether there is more to do.
+    /// Performs up to [`Settings::steps_per_slice`] steps: gives up placements that have had no end for too
+    /// long at `now` (Unix time in microseconds), evaluates queued placements again, and reads new entries.
+    /// `updates` states whether entries may have arrived since the last slice. Returns the decisions, and
+    /// whether there is more to do.
     pub fn slice(
         &mut self,
-        holdings: &impl LogReplicas,
+        replicas: &impl LogReplicas,
         now: Micros,
         updates: bool,
     ) -> (Vec<Decision>, bool) {
         if updates {
-            (self.calm, self.level) = (0, false);
+            (self.idle_logs, self.all_read) = (0, false);
         }
-        let most = self.settings.steps_per_slice.max(1);
-        let mut left = most - self.give_up(now, most);
-        left -= self.judge_again(left);
+        let max_steps = self.settings.steps_per_slice.max(1);
+        let mut left = max_steps - self.give_up(now, max_steps);
+        left -= self.evaluate_queued(left);
         let more = match left {
             0 => true,
-            _ => !self.level && self.read(holdings, left),
+            _ => !self.all_read && self.read(replicas, left),
         };
-        (self.decisions(), more || !self.again.is_empty())
+        (self.decisions(), more || !self.to_evaluate.is_empty())
     }
 
-    /// Read all that is new at once; what follows.
-    pub fn read_all(&mut self, holdings: &impl LogReplicas) -> Vec<Decision> {
-        self.calm = 0;
-        while self.read(holdings, usize::MAX) {}
-        self.judge_again(usize::MAX);
+    /// Reads all new entries at once and returns the decisions.
+    pub fn read_all(&mut self, replicas: &impl LogReplicas) -> Vec<Decision> {
+        self.idle_logs = 0;
+        while self.read(replicas, usize::MAX) {}
+        self.evaluate_queued(usize::MAX);
         self.decisions()
     }
 
-    /// Whether there is more to read.
-    fn read(&mut self, holdings: &impl LogReplicas, most: usize) -> bool {
-        let writers = holdings.writers();
-        let first = self.turn.take().map_or(0, |turn| writers.partition_point(|w| *w < turn));
-        let mut left = most;
+    /// Reads up to `max_steps` steps of new entries; returns whether there is more to read.
+    fn read(&mut self, replicas: &impl LogReplicas, max_steps: usize) -> bool {
+        let writers = replicas.writers();
+        let first = self.next_log.take().map_or(0, |next_log| writers.partition_point(|w| *w < next_log));
+        let mut left = max_steps;
         for writer in writers.iter().cycle().skip(first) {
-            if self.calm >= writers.len() || left == 0 {
-                self.turn = Some(writer.clone());
+            if self.idle_logs >= writers.len() || left == 0 {
+                self.next_log = Some(writer.clone());
                 break;
             }
             let before = left;
-            if !self.read_log(holdings, writer, &mut left) {
-                (self.turn, self.calm) = (Some(writer.clone()), 0);
+            if !self.read_log(replicas, writer, &mut left) {
+                (self.next_log, self.idle_logs) = (Some(writer.clone()), 0);
                 break;
             }
             if left < before {
-                self.calm = 1;
+                self.idle_logs = 1;
             } else {
-                self.calm += 1;
+                self.idle_logs += 1;
                 left -= 1;
             }
         }
-        self.level = self.calm >= writers.len();
-        !self.level
+        self.all_read = self.idle_logs >= writers.len();
+        !self.all_read
     }
 
-    /// Whether it was read to its end. There has to be a step left.
-    fn read_log(&mut self, holdings: &impl LogReplicas, writer: &Writer, left: &mut usize) -> bool {
+    /// Returns whether the log was read to its end. At least one step must be left.
+    fn read_log(&mut self, replicas: &impl LogReplicas, writer: &Writer, left: &mut usize) -> bool {
         let mut points = self.seen.remove(writer).unwrap_or_default();
-        holdings.prune(writer, &mut points);
+        replicas.prune(writer, &mut points);
         if points.is_empty() {
-            // What was sealed before it was read here is known by its guarded keys only.
-            let sealed = holdings.sealed(writer);
+            // Entries that were sealed before they were read are known only by their retained keys.
+            let sealed = replicas.sealed(writer);
             let at = self.sealing.take().filter(|(w, point, _)| w == writer && *point == sealed);
             let mut from = at.map_or(0, |(.., from)| from);
             loop {
-                // One is said to have 40 bytes and its names.
-                let (total, retained_keys) = holdings.retained_keys(writer, from, left.saturating_mul(40));
+                // The size limit assumes 40 bytes per key, not counting its names.
+                let (total, retained_keys) = replicas.retained_keys(writer, from, left.saturating_mul(40));
                 from += retained_keys.len() as u64;
                 *left = left.saturating_sub(retained_keys.len());
                 retained_keys.into_iter().for_each(|kept| self.apply_retained_key(writer, kept));
@@ -539,10 +566,10 @@
         }
         let mut all = false;
         while !all && *left > 0 {
-            let walked = holdings.visit_missing(writer, &points, 1 << 16, &mut |point, entry| {
+            let walked = replicas.visit_missing(writer, &points, 1 << 16, &mut |point, entry| {
                 *left -= 1;
                 if let Ok(timed) = hash_chain::decode(point.0, entry) {
-                    self.entry(holdings, writer, point, timed.at, timed.entry);
+                    self.entry(replicas, writer, point, timed.at, timed.entry);
                 }
                 *left > 0
             });
@@ -558,16 +585,17 @@
         all
     }
 
-    /// What has no end for too long by now, in Unix time, is given up: if it must not run twice it may have run. [`Settings::steps`] of it at most.
+    /// Gives up placements that have had no end for too long at `now` (Unix time in microseconds), at most
+    /// [`Settings::steps_per_slice`] of them. A given-up placement that must not run twice may have run.
     pub fn give_up_overdue(&mut self, now: Micros) -> Vec<Decision> {
         self.give_up(now, self.settings.steps_per_slice.max(1));
         self.decisions()
     }
 
-    /// How many were given up.
-    fn give_up(&mut self, now: Micros, most: usize) -> usize {
+    /// Gives up at most `max_steps` placements and returns how many it did.
+    fn give_up(&mut self, now: Micros, max_steps: usize) -> usize {
         let mut count = 0;
-        while let Some((at, place)) = self.due.first().copied().filter(|_| count < most) {
+        while let Some((at, place)) = self.due.first().copied().filter(|_| count < max_steps) {
             if at.saturating_add(self.settings.give_up_after) > now {
                 break;
             }
@@ -597,37 +625,43 @@
         if let Some(number) = self.writers.get(writer) {
             return (*number, site);
         }
-        let number = self.by_number.len() as u32;
-        self.by_number.push(writer.clone());
+        let number = self.writers_by_number.len() as u32;
+        self.writers_by_number.push(writer.clone());
         self.writers.insert(writer.clone(), number);
         (number, site)
     }
 
-    fn by_number(&self, number: u32) -> Writer {
-        let nobody = || Writer { site: String::new(), node: String::new(), log: 0 };
-        self.by_number.get(number as usize).cloned().unwrap_or_else(nobody)
+    fn writer_by_number(&self, number: u32) -> Writer {
+        let unknown_writer = || Writer { site: String::new(), node: String::new(), log: 0 };
+        self.writers_by_number.get(number as usize).cloned().unwrap_or_else(unknown_writer)
     }
 
     fn entry(
         &mut self,
-        holdings: &impl LogReplicas,
+        replicas: &impl LogReplicas,
         writer: &Writer,
         (number, digest): Point,
         at: Micros,
         entry: Entry,
     ) {
-        let (who, site) = self.writer(writer);
+        let (writer_number, site) = self.writer(writer);
         match entry {
-            Entry::Placed(placement) => self.placed((who, number, tag(&digest)), site, at, placement),
+            Entry::Placed(placement) => {
+                self.placed((writer_number, number, digest_prefix(&digest)), site, at, placement)
+            }
             Entry::Ended { of, how } => {
                 self.counts.ends += 1;
-                let mut places = self.open.range((who, of, 0)..=(who, of, u64::MAX)).map(|(place, _)| *place);
+                let mut places = self
+                    .open
+                    .range((writer_number, of, 0)..=(writer_number, of, u64::MAX))
+                    .map(|(place, _)| *place);
                 let place = match (places.next(), places.next()) {
                     (one, None) => one,
-                    // The log forked: it ends what is on its own line.
+                    // The log forked: the end belongs to the placement on its own branch.
                     (Some(_), Some(_)) => {
-                        let own = holdings.digest_on_branch(writer, &(number, digest), of);
-                        own.map(|d| (who, of, tag(&d))).filter(|place| self.open.contains_key(place))
+                        let own = replicas.digest_on_branch(writer, &(number, digest), of);
+                        own.map(|d| (writer_number, of, digest_prefix(&d)))
+                            .filter(|place| self.open.contains_key(place))
                     }
                     (None, Some(_)) => None,
                 };
@@ -635,16 +669,20 @@
                     return self.ended(place, site, at, how);
                 }
                 self.counts.unmatched_ends += 1;
-                // A log that forked after a placement may end it twice.
-                if holdings.heads(writer).len() > 1 {
-                    let own =
-                        holdings.digest_on_branch(writer, &(number, digest), of).map(|d| (who, of, tag(&d)));
-                    let of_place =
+                // A log that forked after a placement may contain two ends of it.
+                if replicas.heads(writer).len() > 1 {
+                    let own = replicas
+                        .digest_on_branch(writer, &(number, digest), of)
+                        .map(|d| (writer_number, of, digest_prefix(&d)));
+                    let has_place =
                         |key: &Key| key.key_placements.iter().any(|(place, _)| Some(*place) == own);
-                    let named =
-                        self.keys.iter().find(|(_, key)| of_place(key)).map(|(named, _)| named.clone());
-                    if let (Some(named), Some(place)) = (named, own) {
-                        self.settled(named, place, how);
+                    let class_and_key = self
+                        .keys
+                        .iter()
+                        .find(|(_, key)| has_place(key))
+                        .map(|(class_and_key, _)| class_and_key.clone());
+                    if let (Some(class_and_key), Some(place)) = (class_and_key, own) {
+                        self.set_outcome(class_and_key, place, how);
                     }
                 }
             }
@@ -657,25 +695,25 @@
         let class = self.names.number(&placement.class);
         let Placement { key, guarded, tenant, standing, on_credit, fence, taken, .. } = placement;
         self.counts.on_credit += u64::from(on_credit);
-        self.use_server(server, site, at, on_credit);
-        let (who, number) = (place.0.to_be_bytes(), place.1.to_be_bytes());
+        self.record_server_use(server, site, at, on_credit);
+        let (writer_number, number) = (place.0.to_be_bytes(), place.1.to_be_bytes());
         let job = match &key {
-            Some(key) => hashed([
+            Some(key) => hash_parts([
                 placement.class.as_bytes(),
                 tenant.as_deref().unwrap_or_default().as_bytes(),
                 key.as_bytes(),
             ]),
-            None => hashed([&who[..], &number[..], &place.2.to_be_bytes()[..]]),
+            None => hash_parts([&writer_number[..], &number[..], &place.2.to_be_bytes()[..]]),
         };
         if let Some(tenant) = &tenant {
             self.account(tenant, place, job, (at, taken), standing, on_credit);
         }
-        let mut open = Open { at, server, guarded: None, alone: on_credit };
+        let mut open = Open { at, server, guarded: None, isolated: on_credit };
         if guarded {
             self.counts.guarded += 1;
             open.guarded = Some((class, key.clone()));
             if let Some(key) = key {
-                let key_placement = KeyPlacement { at, server, fence, standing, how: None, notified: false };
+                let key_placement = KeyPlacement { at, server, fence, standing, how: None, reported: false };
                 self.keys
                     .entry((class, key.clone()))
                     .or_default()
@@ -684,7 +722,7 @@
                 self.report(&(class, key));
             }
         } else if key.is_some() {
-            self.free_key(job, site);
+            self.record_repeatable_key(job, site);
         }
         self.open.insert(place, open);
         self.due.insert((at, place));
@@ -692,31 +730,31 @@
 
     fn ended(&mut self, place: Place, site: u64, at: Micros, how: End) {
         let Some(open) = self.open.get(&place).cloned() else { return };
-        self.use_server(open.server, site, at, open.alone);
+        self.record_server_use(open.server, site, at, open.isolated);
         self.due.remove(&(open.at, place));
         self.open.remove(&place);
         match open.guarded {
-            Some((class, Some(key))) => self.settled((class, key), place, how),
+            Some((class, Some(key))) => self.set_outcome((class, key), place, how),
             Some((class, None)) if how == End::Unknown => self.may_have_run(class, None, place),
             _ => {}
         }
     }
 
-    /// The placement of a key that must not run twice has ended so. Of two ends, as a log that forked may have them, the one that says more
-    /// that it ran holds.
-    fn settled(&mut self, named: (u32, String), place: Place, how: End) {
+    /// Records the end of a guarded placement. A forked log may contain several; the one with the highest
+    /// rank applies.
+    fn set_outcome(&mut self, class_and_key: (u32, String), place: Place, how: End) {
         let mut cleared = false;
-        if let Some(found) = self.keys.get_mut(&named) {
+        if let Some(found) = self.keys.get_mut(&class_and_key) {
             for (_, key_placement) in found.key_placements.iter_mut().filter(|(p, _)| *p == place) {
                 if rank(key_placement.how) < rank(Some(how)) {
                     key_placement.how = Some(how);
                 }
-                cleared |= key_placement.notified && key_placement.how != Some(End::Unknown);
-                key_placement.notified &= key_placement.how == Some(End::Unknown);
+                cleared |= key_placement.reported && key_placement.how != Some(End::Unknown);
+                key_placement.reported &= key_placement.how == Some(End::Unknown);
             }
         }
-        self.report(&named);
-        let (class, key) = named;
+        self.report(&class_and_key);
+        let (class, key) = class_and_key;
         if how == End::Unknown {
             self.may_have_run(class, Some(key), place);
         } else if cleared {
@@ -729,19 +767,19 @@
             let found = self.keys.get_mut(&(class, key.clone()));
             let key_placement = found.and_then(|k| k.key_placements.iter_mut().find(|(p, _)| *p == place));
             if key_placement
-                .is_some_and(|(_, key_placement)| std::mem::replace(&mut key_placement.notified, true))
+                .is_some_and(|(_, key_placement)| std::mem::replace(&mut key_placement.reported, true))
             {
                 return;
             }
         }
-        let (class, writer) = (self.names.name(class), self.by_number(place.0));
+        let (class, writer) = (self.names.name(class), self.writer_by_number(place.0));
         self.out.push(Decision::MayHaveRun { class, key, writer, entry: place.1 });
     }
 
-    fn story(&self, named: &(u32, String)) -> Option<DuplicateRun> {
-        let key = self.keys.get(named)?;
+    fn duplicate_run(&self, class_and_key: &(u32, String)) -> Option<DuplicateRun> {
+        let key = self.keys.get(class_and_key)?;
         let record = |(place, key_placement): &(Place, KeyPlacement)| PlacementRecord {
-            writer: self.by_number(place.0),
+            writer: self.writer_by_number(place.0),
             number: place.1,
             at: key_placement.at,
             server: self.names.name(key_placement.server),
@@ -749,35 +787,42 @@
             standing: key_placement.standing,
             how: key_placement.how,
         };
-        let ran =
+        let may_have_run =
             key.key_placements.iter().filter(|(_, key_placement)| key_placement.how != Some(End::NeverRan));
-        let mut placements: Vec<PlacementRecord> = ran.map(record).collect();
+        let mut placements: Vec<PlacementRecord> = may_have_run.map(record).collect();
         placements.sort();
-        Some(DuplicateRun { class: self.names.name(named.0), key: named.1.clone(), placements })
+        Some(DuplicateRun {
+            class: self.names.name(class_and_key.0),
+            key: class_and_key.1.clone(),
+            placements,
+        })
     }
 
-    /// Say what is to be said of a key, where that is new.
-    fn report(&mut self, named: &(u32, String)) {
-        let Some(key) = self.keys.get_mut(named) else { return };
-        let ran = key
+    /// Queues a decision about a key if its number of placements that may have run has changed.
+    fn report(&mut self, class_and_key: &(u32, String)) {
+        let Some(key) = self.keys.get_mut(class_and_key) else { return };
+        let may_have_run_count = key
             .key_placements
             .iter()
             .filter(|(_, key_placement)| key_placement.how != Some(End::NeverRan))
             .count();
-        let before = std::mem::replace(&mut key.notified, ran);
-        if ran > 1 && ran != before {
-            self.out.extend(self.story(named).map(Decision::Violation));
-        } else if ran <= 1 && before > 1 {
-            self.out.push(Decision::Cleared { class: self.names.name(named.0), key: named.1.clone() });
+        let before = std::mem::replace(&mut key.reported, may_have_run_count);
+        if may_have_run_count > 1 && may_have_run_count != before {
+            self.out.extend(self.duplicate_run(class_and_key).map(Decision::Violation));
+        } else if may_have_run_count <= 1 && before > 1 {
+            self.out.push(Decision::Cleared {
+                class: self.names.name(class_and_key.0),
+                key: class_and_key.1.clone(),
+            });
         }
     }
 
     fn apply_retained_key(&mut self, writer: &Writer, kept: RetainedKey) {
-        let (who, _) = self.writer(writer);
+        let (writer_number, _) = self.writer(writer);
         let (class, server) = (self.names.number(&kept.class), self.names.number(&kept.server));
-        let named = (class, kept.key);
-        let key = self.keys.entry(named.clone()).or_default();
-        if key.key_placements.iter().any(|(place, _)| place.0 == who && place.1 == kept.number) {
+        let class_and_key = (class, kept.key);
+        let key = self.keys.entry(class_and_key.clone()).or_default();
+        if key.key_placements.iter().any(|(place, _)| place.0 == writer_number && place.1 == kept.number) {
             return;
         }
         let key_placement = KeyPlacement {
@@ -786,34 +831,34 @@
             fence: kept.fence,
             standing: 0,
             how: Some(kept.how),
-            notified: false,
+            reported: false,
         };
-        let place = (who, kept.number, 0);
+        let place = (writer_number, kept.number, 0);
         key.key_placements.push((place, key_placement));
-        self.report(&named);
+        self.report(&class_and_key);
         if kept.how == End::Unknown {
-            self.may_have_run(class, Some(named.1), place);
+            self.may_have_run(class, Some(class_and_key.1), place);
         }
     }
 
-    fn free_key(&mut self, job: u64, site: u64) {
-        let parts = self.free.len();
-        // Neither the bits by which a table finds its places nor those by which it tells entries apart.
-        let Some([now, before]) = self.free.get_mut((job >> 40) as usize % parts) else { return };
-        let most = (self.settings.max_repeatable_keys / parts).max(1);
+    fn record_repeatable_key(&mut self, job: u64, site: u64) {
+        let parts = self.repeatable_keys.len();
+        // Uses neither the bits by which the table selects a bucket nor those by which it compares entries.
+        let Some([now, before]) = self.repeatable_keys.get_mut((job >> 40) as usize % parts) else { return };
+        let max_keys = (self.settings.max_repeatable_keys / parts).max(1);
         let known = now.get(&job).or_else(|| before.get(&job)).copied().unwrap_or(0);
         self.counts.repeated += u64::from(known != 0 && known & site == 0);
         now.insert(job, known | site);
-        if now.len() >= most {
+        if now.len() >= max_keys {
             *before = std::mem::take(now);
         }
     }
 
-    fn use_server(&mut self, server: u32, site: u64, at: Micros, alone: bool) {
+    fn record_server_use(&mut self, server: u32, site: u64, at: Micros, isolated: bool) {
         let (span, length) = (at.div_euclid(self.settings.span), self.settings.span);
         let used = self.servers.entry((span, server)).or_default();
         used.0 |= site;
-        used.1 |= if alone { site } else { 0 };
+        used.1 |= if isolated { site } else { 0 };
         if used.0.count_ones() > 1 && used.1 != 0 && !std::mem::replace(&mut used.2, true) {
             let (from, to) = (span.saturating_mul(length), (span + 1).saturating_mul(length));
             self.out.push(Decision::SharedServer { server: self.names.name(server), from, to });
@@ -857,31 +902,31 @@
             let first = account.on_credit.entry(job).or_insert(taken);
             *first = taken.min(*first);
         }
-        self.judge(tenant, (taken, place));
+        self.evaluate(tenant, (taken, place));
         if counts {
             self.charge(tenant);
         }
     }
 
-    /// Whether that placement began what was not to begin.
-    fn judge(&mut self, tenant: &str, at: (Micros, Place)) {
+    /// Queues a decision if the placement was started after its account was closed.
+    fn evaluate(&mut self, tenant: &str, at: (Micros, Place)) {
         let Some(account) = self.accounts.get_mut(tenant) else { return };
-        let Some((standing, blamed)) = account.recent.get_mut(&at) else { return };
+        let Some((standing, reported_change)) = account.recent.get_mut(&at) else { return };
         let Some(change) = account.changes.values().rev().find(|c| c.from <= at.0) else { return };
-        if change.takes_new || *blamed == change.number {
+        if change.takes_new || *reported_change == change.number {
             return;
         }
-        *blamed = change.number;
+        *reported_change = change.number;
         let awareness = if *standing >= change.number { Awareness::Aware } else { Awareness::Unaware };
         let (tenant, number, entry) = (tenant.to_string(), change.number, at.1 .1);
-        let writer = self.by_number(at.1 .0);
+        let writer = self.writer_by_number(at.1 .0);
         self.out.push(Decision::Standing { tenant, number, awareness, writer, entry });
     }
 
     fn charge(&mut self, tenant: &str) {
         let Some(account) = self.accounts.get_mut(tenant) else { return };
-        let Some((whole, _)) = account.credit else { return };
-        let above = (account.on_credit.len() as u64).saturating_sub(whole);
+        let Some((limit, _)) = account.credit else { return };
+        let above = (account.on_credit.len() as u64).saturating_sub(limit);
         if above > account.charged {
             let jobs = above - account.charged;
             account.charged = above;
--- a/crates/placements/tests/exchange.rs
+++ b/crates/placements/tests/exchange.rs
@@ -553,10 +553,12 @@
     let (sides, wanted) = two(false);
     let mut changed = false;
     let sides = plays(sides, 200, |_, from, bytes| match Message::decode(&bytes) {
-        Ok(Message::Have { life, number, part, parts: 0, mut of }) if from == 0 && !changed => {
-            let known = of.iter_mut().find(|k| k.writer.site == "south").unwrap();
+        Ok(Message::Have { incarnation, summary_number, part, parts: 0, mut logs })
+            if from == 0 && !changed =>
+        {
+            let known = logs.iter_mut().find(|k| k.writer.site == "south").unwrap();
             (known.sealed.0, changed) = (31, true);
-            Message::Have { life, number, part, parts: 0, of }.encode()
+            Message::Have { incarnation, summary_number, part, parts: 0, logs }.encode()
         }
         _ => bytes,
     });
@@ -571,17 +573,17 @@
         let (sides, wanted) = two(false);
         let mut sent = 0;
         let sides = plays(sides, 300, |_, from, bytes| match Message::decode(&bytes) {
-            Ok(Message::Have { life, number, part, parts, mut of }) if from == 0 && lies => {
-                for known in &mut of {
+            Ok(Message::Have { incarnation, summary_number, part, parts, mut logs }) if from == 0 && lies => {
+                for known in &mut logs {
                     known.points.push((1_000, Digest([9; 32])));
                 }
                 let south = LogSummary {
                     writer: writer("south", 2),
                     points: vec![(500, Digest([8; 32]))],
-                    ..of[0].clone()
+                    ..logs[0].clone()
                 };
-                of.push(south);
-                Message::Have { life, number, part, parts, of }.encode()
+                logs.push(south);
+                Message::Have { incarnation, summary_number, part, parts, logs }.encode()
             }
             _ => {
                 sent += bytes.len();
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -416,10 +416,16 @@
         writer: writer(),
         sealed: (1, Digest([1; 32])),
         points: vec![point],
-        taking: Some((point, 4)),
+        receiving: Some((point, 4)),
     };
     vec![
-        anti_entropy::Message::Have { life: 0x77, number: 3, part: 0, parts: 1, of: vec![known] },
+        anti_entropy::Message::Have {
+            incarnation: 0x77,
+            summary_number: 3,
+            part: 0,
+            parts: 1,
+            logs: vec![known],
+        },
         anti_entropy::Message::Piece { piece: piece() },
         anti_entropy::Message::Sealed {
             writer: writer(),
--- a/tests/node/recovery.rs
+++ b/tests/node/recovery.rs
@@ -415,7 +415,7 @@
     assert!(fleet.fails(0, "n0").contains("another process has it"));
     nodes.clear();
     let notified = fleet.fails(0, "n1");
-    assert!(notified.contains("the log is of node n0"), "{notified}");
+    assert!(notified.contains("the log belongs to node n0"), "{notified}");
     // Whoever may do anything is not hindered by the mode.
     let file = fleet.state(0).join("kept.redb");
     std::fs::set_permissions(&file, std::fs::Permissions::from_mode(0o400)).unwrap();
