--- a/crates/placements/src/reconcile.rs
+++ b/crates/placements/src/reconcile.rs
@@ -164,8 +164,8 @@
         /// Idempotency key of the job.
         key: String,
     },
-    /// Two sites used a server at the same time, at least one of them isolated. Its measured speed and its
-    /// cold-start budget for that time must be corrected.
+    /// Two sites used a server at the same time, at least one of them isolated. The speed observed then and its
+    /// cold-start budget of that time must be corrected.
     SharedServer {
         /// Id of the server.
         server: String,
--- a/crates/placements/tests/common/mod.rs
+++ b/crates/placements/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of this package share.
+//! Helpers shared by the tests of this package.
 #![allow(dead_code, missing_docs)]
 
 use shorepath_placements::hash_chain::{self, Piece, Point};
@@ -32,28 +32,28 @@
     Timed { at, entry: Entry::Ended { of, how } }
 }
 
-/// Placement and end in turns: so many entries, other ones for another salt.
+/// Returns entries that alternate between a placement and its end; different salts yield different entries.
 pub fn entries(count: u64, salt: u64) -> Vec<Timed> {
-    let one = |n: u64| match n % 2 {
+    let entry = |n: u64| match n % 2 {
         1 => placed(n as i64, placement(salt * 1_000_000 + n, n.is_multiple_of(3))),
         _ => ended(n as i64, n - 1, End::Served),
     };
-    (1..=count).map(one).collect()
+    (1..=count).map(entry).collect()
 }
 
-/// Those entries after that point, as one piece.
+/// Encodes entries as a piece that follows the given point.
 pub fn piece(writer: &Writer, (after, before): Point, entries: &[Timed]) -> Piece {
     let entries: Vec<Vec<u8>> = entries.iter().map(|t| hash_chain::encode(t).unwrap()).collect();
     let head = entries.iter().fold(before, |d, e| hash_chain::next_digest(&d, e));
     Piece { writer: writer.clone(), after, before, entries, head }
 }
 
-/// A log of so many entries in pieces of `size`.
+/// Encodes a log as consecutive pieces of `size` entries.
 pub fn pieces(writer: &Writer, all: &[Timed], size: usize) -> Vec<Piece> {
     let mut at = hash_chain::origin(writer);
     let mut pieces = Vec::new();
-    for some in all.chunks(size) {
-        let piece = piece(writer, at, some);
+    for chunk in all.chunks(size) {
+        let piece = piece(writer, at, chunk);
         at = piece.last();
         pieces.push(piece);
     }
--- a/crates/placements/tests/keys.rs
+++ b/crates/placements/tests/keys.rs
@@ -1,4 +1,4 @@
-//! What is known of a key does not depend on the order in which logs are heard, nor on how often.
+//! Tests that the state of a key doesn't depend on the order in which logs are applied, nor on repetition.
 
 use proptest::prelude::*;
 use shorepath_placements::idempotency_index::{IdempotencyIndex, KeyState};
@@ -19,7 +19,7 @@
     })
 }
 
-fn story() -> Vec<(u64, u64, Entry)> {
+fn log_entries() -> Vec<(u64, u64, Entry)> {
     let ended = |of, how| Entry::Ended { of, how };
     vec![
         (1, 1, placed(1, true)),
@@ -38,20 +38,21 @@
 }
 
 proptest! {
-    /// Whichever log comes first, and whatever is fed again in between.
+    /// Guards against results that depend on which log is applied first, or on entries that are applied
+    /// again.
     #[test]
-    fn any_order_of_logs_tells_the_same(first in proptest::collection::vec(any::<(bool, bool)>(), 48)) {
-        let (story, mut keys) = (story(), IdempotencyIndex::default());
-        let (one, two) = (&story[..7], &story[7..]);
+    fn log_order_does_not_change_key_states(choices in proptest::collection::vec(any::<(bool, bool)>(), 48)) {
+        let (log_entries, mut keys) = (log_entries(), IdempotencyIndex::default());
+        let (first_log, second_log) = (&log_entries[..7], &log_entries[7..]);
         let (mut at, mut order) = ([0, 0], Vec::new());
-        let picks = first.into_iter().chain([(true, false); 7]).chain([(false, false); 5]);
-        for (from_one, again) in picks {
-            let (k, log) = if from_one { (0, one) } else { (1, two) };
+        let steps = choices.into_iter().chain([(true, false); 7]).chain([(false, false); 5]);
+        for (from_first, repeat) in steps {
+            let (k, log) = if from_first { (0, first_log) } else { (1, second_log) };
             if let Some(next) = log.get(at[k]) {
                 order.push(next);
                 at[k] += 1;
             }
-            if again && at[k] > 0 {
+            if repeat && at[k] > 0 {
                 order.push(&log[at[k] - 1]);
                 order.push(&log[0]);
             }
@@ -60,20 +61,21 @@
             let writer = Writer { site: "west".into(), node: format!("n{log}"), log: *log };
             keys.apply_entry(&writer, *number, entry);
         }
-        let known: Vec<KeyState> = (1..=6).map(|k| keys.state("valve", &format!("k{k}"))).collect();
-        // Served once, never ran, open at one site though served at another, free class, unknown, never heard of.
+        let states: Vec<KeyState> = (1..=6).map(|k| keys.state("valve", &format!("k{k}"))).collect();
+        // Served once, never ran, open at one site though served at another, repeatable class, unknown
+        // result, never placed.
         use KeyState::*;
-        prop_assert_eq!(known, [Served, Free, MayHaveRun, Free, MayHaveRun, Free]);
+        prop_assert_eq!(states, [Served, Free, MayHaveRun, Free, MayHaveRun, Free]);
         prop_assert_eq!(keys.state("other", "k1"), Free);
     }
 }
 
-/// What is sealed before it was fed is known as if it had been: what may have run stays, what never ran is free, what was open has ended.
+/// Guards against losing or misreading keys of entries that were sealed before they were applied.
 #[test]
-fn a_sealed_beginning_is_known_as_its_entries_were() {
+fn sealed_entries_yield_the_same_key_states() {
     use shorepath_placements::history::RetainedKey;
     let writer = Writer { site: "west".into(), node: "n1".into(), log: 1 };
-    let kept = |key: u8, number, how| RetainedKey {
+    let retained_key = |key: u8, number, how| RetainedKey {
         class: "valve".into(),
         key: format!("k{key}"),
         number,
@@ -86,13 +88,15 @@
     [(1, placed(1, true)), (2, placed(2, true)), (3, placed(3, true))]
         .iter()
         .for_each(|(number, entry)| keys.apply_entry(&writer, *number, entry));
-    // Of these the first was served and the second never ran; the third is open still, as its end is later; a fourth came meanwhile.
-    let sealed = [kept(1, 1, End::Served), kept(3, 3, End::Unknown), kept(4, 5, End::Served)];
-    keys.apply_sealed(&writer, 6, &sealed);
+    // The first placement was served and the second never ran. The third ended with an unknown result, and
+    // the fourth key was placed and served meanwhile.
+    let retained =
+        [retained_key(1, 1, End::Served), retained_key(3, 3, End::Unknown), retained_key(4, 5, End::Served)];
+    keys.apply_sealed(&writer, 6, &retained);
     keys.apply_sealed(&writer, 6, &[]);
-    let known: Vec<KeyState> = (1..=5).map(|k| keys.state("valve", &format!("k{k}"))).collect();
+    let states: Vec<KeyState> = (1..=5).map(|k| keys.state("valve", &format!("k{k}"))).collect();
     use KeyState::*;
-    assert_eq!(known, [Served, Free, MayHaveRun, Served, Free]);
+    assert_eq!(states, [Served, Free, MayHaveRun, Served, Free]);
     keys.apply_entry(&writer, 6, &placed(5, true));
-    assert_eq!(keys.state("valve", "k5"), Free, "it was dropped with the rest");
+    assert_eq!(keys.state("valve", "k5"), Free, "entry 6 belongs to the sealed part");
 }
--- a/crates/placements/tests/reconcile.rs
+++ b/crates/placements/tests/reconcile.rs
@@ -1,4 +1,4 @@
-//! What reconciling finds, that the order of arrival does not matter to it, and when logs may be dropped.
+//! Tests the decisions of a reconciler, their independence of arrival order, and the rule for sealing logs.
 
 mod common;
 
@@ -26,12 +26,12 @@
     history
 }
 
-fn all(reconciler: &mut Reconciler, history: &History) -> Vec<Decision> {
+fn read_all(reconciler: &mut Reconciler, history: &History) -> Vec<Decision> {
     reconciler.read_all(history)
 }
 
 #[test]
-fn a_guarded_key_placed_twice_is_told_with_its_whole_story() {
+fn guarded_key_placed_twice_is_reported_with_its_placements() {
     let (a, b) = (writer("north", 1), writer("south", 2));
     let one = |at, fence| placed(at, Placement { fence, ..placement(7, true) });
     let mut logs = vec![
@@ -39,24 +39,24 @@
         (b.clone(), vec![one(50, 5)]),
     ];
     let mut reconciler = Reconciler::new(settings());
-    let found = all(&mut reconciler, &history(&logs));
+    let found = read_all(&mut reconciler, &history(&logs));
     let [Decision::Violation(DuplicateRun { class, key, placements })] = found.as_slice() else {
         panic!("{found:?}")
     };
     assert_eq!((class.as_str(), key.as_str()), ("valve", "k7"));
-    let notified: Vec<_> =
+    let reported: Vec<_> =
         placements.iter().map(|s| (s.writer.clone(), s.number, s.at, s.fence, s.how)).collect();
-    assert_eq!(notified, [(a, 3, 30, 4, Some(End::Served)), (b, 1, 50, 5, None)]);
-    assert!(all(&mut reconciler, &history(&logs)).is_empty(), "told once");
-    // It turns out that the second one never ran.
+    assert_eq!(reported, [(a, 3, 30, 4, Some(End::Served)), (b, 1, 50, 5, None)]);
+    assert!(read_all(&mut reconciler, &history(&logs)).is_empty(), "reported once");
+    // The second placement turns out never to have run.
     logs[1].1.push(ended(60, 1, End::NeverRan));
     let cleared = Decision::Cleared { class: "valve".into(), key: "k7".into() };
-    assert_eq!(all(&mut reconciler, &history(&logs)), [cleared]);
+    assert_eq!(read_all(&mut reconciler, &history(&logs)), [cleared]);
     assert!(reconciler.violations().is_empty());
 }
 
 #[test]
-fn what_has_no_end_may_have_run() {
+fn placement_without_end_may_have_run() {
     let a = writer("north", 1);
     let mut logs = vec![(
         a.clone(),
@@ -68,32 +68,32 @@
         ],
     )];
     let mut reconciler = Reconciler::new(settings());
-    let may = |key: &str, entry| Decision::MayHaveRun {
+    let may_have_run = |key: &str, entry| Decision::MayHaveRun {
         class: "valve".into(),
         key: Some(key.into()),
         writer: a.clone(),
         entry,
     };
-    assert_eq!(all(&mut reconciler, &history(&logs)), [may("k2", 2)]);
+    assert_eq!(read_all(&mut reconciler, &history(&logs)), [may_have_run("k2", 2)]);
     assert!(reconciler.give_up_overdue(999).is_empty());
-    assert_eq!(reconciler.give_up_overdue(1_000), [may("k1", 1)]);
+    assert_eq!(reconciler.give_up_overdue(1_000), [may_have_run("k1", 1)]);
     assert!(reconciler.give_up_overdue(1_400).is_empty());
     assert_eq!(reconciler.counts().lost, 0);
     reconciler.give_up_overdue(1_500);
     assert_eq!(reconciler.counts().lost, 1);
     logs[0].1.push(ended(1_600, 1, End::Served));
     let cleared = Decision::Cleared { class: "valve".into(), key: "k1".into() };
-    assert_eq!(all(&mut reconciler, &history(&logs)), [cleared]);
+    assert_eq!(read_all(&mut reconciler, &history(&logs)), [cleared]);
 }
 
 #[rstest]
-#[case::not_told(100, 4, Some(Awareness::Unaware))]
-#[case::notified(100, 5, Some(Awareness::Aware))]
-#[case::told_later(100, 9, Some(Awareness::Aware))]
-#[case::taken_before(99, 4, None)]
-#[case::taken_before_and_told(99, 5, None)]
-#[case::after_it_was_reopened(200, 4, None)]
-fn work_begun_under_a_closed_standing_is_told_from_running_work(
+#[case::node_not_informed(100, 4, Some(Awareness::Unaware))]
+#[case::node_informed(100, 5, Some(Awareness::Aware))]
+#[case::node_informed_of_later_change(100, 9, Some(Awareness::Aware))]
+#[case::accepted_before(99, 4, None)]
+#[case::accepted_before_and_informed(99, 5, None)]
+#[case::accepted_after_reopening(200, 4, None)]
+fn jobs_started_after_closing_are_distinguished_from_running_jobs(
     #[case] taken: i64,
     #[case] standing: u64,
     #[case] awareness: Option<Awareness>,
@@ -104,7 +104,7 @@
         p.taken = taken;
     }
     let history = history(&[(a.clone(), vec![one])]);
-    let wanted: Vec<Decision> = awareness
+    let expected: Vec<Decision> = awareness
         .map(|awareness| Decision::Standing {
             tenant: "t1".into(),
             number: 5,
@@ -118,40 +118,37 @@
         StandingChange { number: 5, from: 100, takes_new: false },
         StandingChange { number: 6, from: 200, takes_new: true },
     ];
-    // Learned before the placement, and after it.
+    // The change is learned before the placement is read, and after it.
     let mut before = Reconciler::new(settings());
     changes.iter().for_each(|c| assert!(before.change_standing("t1", *c).is_empty()));
-    assert_eq!(all(&mut before, &history), wanted);
+    assert_eq!(read_all(&mut before, &history), expected);
     let mut after = Reconciler::new(settings());
-    assert!(all(&mut after, &history).is_empty());
-    // The reopening first: an account that was closed in between must not be taken for closed for ever.
+    assert!(read_all(&mut after, &history).is_empty());
+    // Changes in reverse order guard against treating an account that was closed for a time as closed
+    // forever.
     let found: Vec<Decision> = changes.iter().rev().flat_map(|c| after.change_standing("t1", *c)).collect();
-    assert_eq!(found, wanted);
+    assert_eq!(found, expected);
 }
 
 #[test]
-fn credit_and_quota_above_the_whole_are_a_debt_paid_off_in_steps() {
+fn credit_and_quota_overuse_becomes_a_debt_paid_in_shares() {
     let on = |at, key| placed(at, Placement { on_credit: true, ..placement(key, false) });
     let logs = [
-        // A further attempt at a server is no further job.
+        // A further attempt at a server is the same job.
         (writer("north", 1), vec![on(10, 1), on(11, 1), on(12, 2), on(13, 3)]),
         (writer("south", 2), vec![on(20, 4), on(21, 5)]),
     ];
     let mut reconciler = Reconciler::new(settings());
     reconciler.set_credit("t1", 3, 0);
     reconciler.set_quota("t1", 5);
-    let found: Vec<Decision> = all(&mut reconciler, &history(&logs))
+    let found: Vec<Decision> = read_all(&mut reconciler, &history(&logs))
         .into_iter()
         .filter(|d| matches!(d, Decision::Debt { .. }))
         .collect();
     let debt = |kind, jobs| Decision::Debt { tenant: "t1".into(), kind, jobs };
     assert_eq!(found, [debt(DebtKind::Credit, 2), debt(DebtKind::Quota, 1)]);
     assert!(reconciler.set_credit("t1", 3, 0).is_empty(), "charged once");
-    assert_eq!(
-        reconciler.set_credit("t1", 2, 0),
-        [debt(DebtKind::Credit, 1)],
-        "the whole turned out to be less"
-    );
+    assert_eq!(reconciler.set_credit("t1", 2, 0), [debt(DebtKind::Credit, 1)], "the limit was lowered");
 
     let mut debts = Debts::default();
     debts.add("t1", DebtKind::Credit, 25);
@@ -163,27 +160,27 @@
 }
 
 #[test]
-fn a_server_that_two_sites_used_as_if_alone_is_told_once_a_span() {
-    let on = |at, alone| placed(at, Placement { on_credit: alone, ..placement(1, false) });
+fn shared_server_is_reported_once_per_span() {
+    let on = |at, isolated| placed(at, Placement { on_credit: isolated, ..placement(1, false) });
     let logs = [
         (writer("north", 1), vec![on(10, true), on(11, true), on(150, true), on(250, false)]),
         (writer("south", 2), vec![on(20, false), on(90, false), on(260, false)]),
     ];
     let mut reconciler = Reconciler::new(settings());
-    let found = all(&mut reconciler, &history(&logs));
+    let found = read_all(&mut reconciler, &history(&logs));
     assert_eq!(found, [Decision::SharedServer { server: "s1".into(), from: 0, to: 100 }]);
-    assert_eq!(reconciler.counts().repeated, 1, "a free key at two sites is counted");
+    assert_eq!(reconciler.counts().repeated, 1, "a repeatable key at two sites is counted");
 }
 
-/// Logs of three writers, one of which forked, with all that can be found in them.
+/// Returns logs of three writers, one of them forked, that lead to all kinds of decisions.
 fn logs(seed: u64) -> Vec<(Writer, Vec<Timed>)> {
     let mut chance = seed;
     let mut next = |n: u64| {
         chance = chance.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (chance >> 33) % n
     };
-    let mut line = |begin: &[Timed]| {
-        let mut all = begin.to_vec();
+    let mut branch = |prefix: &[Timed]| {
+        let mut all = prefix.to_vec();
         let mut open: Vec<u64> = Vec::new();
         for k in all.len() as u64 + 1..40 {
             let at = k as i64 * 10;
@@ -199,24 +196,24 @@
         }
         all
     };
-    let trunk = line(&[]);
-    let other = line(&trunk[..20]);
+    let first_branch = branch(&[]);
+    let other = branch(&first_branch[..20]);
     vec![
-        (writer("north", 1), trunk),
+        (writer("north", 1), first_branch),
         (writer("north", 1), other),
-        (writer("south", 2), line(&[])),
-        (writer("east", 3), line(&[])),
+        (writer("south", 2), branch(&[])),
+        (writer("east", 3), branch(&[])),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(100))]
 
-    /// Whatever came when: the same is found in the end, and each entry is read once.
+    /// Guards against decisions that depend on the order of arrival, and against reading an entry twice.
     #[test]
-    fn the_order_of_arrival_does_not_matter(seed: u64, order in Just((0..4usize).collect::<Vec<_>>()).prop_shuffle(), size in 1usize..15) {
+    fn decisions_are_independent_of_arrival_order(seed: u64, order in Just((0..4usize).collect::<Vec<_>>()).prop_shuffle(), size in 1usize..15) {
         let logs = logs(seed);
-        let settle = |steps: &[(Writer, Vec<Timed>)], size| {
+        let reconcile = |steps: &[(Writer, Vec<Timed>)], size| {
             let mut reconciler = Reconciler::new(settings());
             reconciler.set_credit("t1", 3, 0);
             reconciler.set_quota("t1", 2);
@@ -240,54 +237,55 @@
             (reconciler.violations(), reconciler.counts(), debts, standing, history.canonical_bytes())
         };
         let shuffled: Vec<_> = order.iter().map(|k| logs[*k].clone()).collect();
-        prop_assert_eq!(settle(&logs, 5), settle(&shuffled, size));
+        prop_assert_eq!(reconcile(&logs, 5), reconcile(&shuffled, size));
     }
 
-    /// In slices of any size, with entries that come in between, the same is found as at once; and no slice reads more than its steps.
+    /// Guards against slices that miss decisions or exceed their steps while entries arrive in between.
     #[test]
-    fn slices_find_what_is_found_at_once(seed: u64, steps_per_slice in 1usize..40, size in 1usize..15, seal in any::<bool>()) {
+    fn slices_find_the_same_as_a_single_pass(seed: u64, steps_per_slice in 1usize..40, size in 1usize..15, seal in any::<bool>()) {
         let sliced = Settings { steps_per_slice, ..settings() };
         let change = StandingChange { number: 2, from: 150, takes_new: false };
-        let mut whole = History::new();
+        let mut full = History::new();
         let mut parts = Vec::new();
         for (writer, entries) in logs(seed) {
             parts.extend(pieces(&writer, &entries, size));
         }
-        parts.iter().for_each(|piece| assert!(whole.insert(piece).is_ok()));
+        parts.iter().for_each(|piece| assert!(full.insert(piece).is_ok()));
         let mut late = writer("west", 4);
         late.log += u64::from(seal);
         let mut sealed = history(&[(late.clone(), entries(120, 4))]);
         if seal {
             sealed.seal(&late, 100).unwrap();
         }
-        whole.merge(&sealed);
-        let begin = |settings| {
+        full.merge(&sealed);
+        let new_reconciler = |settings| {
             let mut reconciler = Reconciler::new(settings);
             reconciler.set_credit("t1", 3, 0);
             reconciler.set_quota("t1", 2);
             reconciler
         };
-        let known = |found: &[Decision]| {
-            let (mut debts, mut notified) = (Debts::default(), BTreeSet::new());
+        let summarize = |found: &[Decision]| {
+            let (mut debts, mut reported) = (Debts::default(), BTreeSet::new());
             for decision in found {
                 match decision {
                     Decision::Debt { tenant, kind, jobs } => debts.add(tenant, *kind, *jobs),
-                    Decision::Standing { writer, entry, awareness, .. } => drop(notified.insert((writer.clone(), *entry, *awareness))),
+                    Decision::Standing { writer, entry, awareness, .. } => drop(reported.insert((writer.clone(), *entry, *awareness))),
                     _ => {}
                 }
             }
-            (debts, notified)
+            (debts, reported)
         };
-        let mut at_once = begin(settings());
-        let mut wanted = at_once.read_all(&whole);
-        wanted.extend(at_once.change_standing("t1", change));
-        wanted.extend(at_once.read_all(&whole));
-        wanted.extend(at_once.give_up_overdue(1_300));
+        let mut at_once = new_reconciler(settings());
+        let mut expected = at_once.read_all(&full);
+        expected.extend(at_once.change_standing("t1", change));
+        expected.extend(at_once.read_all(&full));
+        expected.extend(at_once.give_up_overdue(1_300));
 
-        let mut reconciler = begin(sliced);
-        let (mut history, mut found, mut turns) = (sealed, Vec::new(), 0);
-        let mut come = parts.iter();
-        // Pieces come in between; then a change of standing, then all that has no end is overdue.
+        let mut reconciler = new_reconciler(sliced);
+        let (mut history, mut found, mut slices) = (sealed, Vec::new(), 0);
+        let mut arriving = parts.iter();
+        // Pieces arrive in between; then the standing changes, and finally all placements without an end are
+        // overdue.
         for (now, stage) in [(0, 0), (0, 1), (1_300, 2)] {
             if stage == 1 {
                 found.extend(reconciler.change_standing("t1", change));
@@ -296,73 +294,79 @@
             while more {
                 let read = |r: &Reconciler| r.counts().placements + r.counts().ends + r.counts().lost;
                 let before = read(&reconciler);
-                let (some, rest) = reconciler.slice(&history, now, updates);
-                let made = read(&reconciler) - before;
-                prop_assert!(made <= steps_per_slice as u64, "{made} in {steps_per_slice} steps");
-                found.extend(some);
-                updates = come.next().map(|piece| history.insert(piece).unwrap()).is_some();
-                more = rest || updates;
-                turns += 1;
-                prop_assert!(turns < 2_000, "it does not end");
+                let (decisions, more_to_do) = reconciler.slice(&history, now, updates);
+                let steps_done = read(&reconciler) - before;
+                prop_assert!(steps_done <= steps_per_slice as u64, "{steps_done} in {steps_per_slice} steps");
+                found.extend(decisions);
+                updates = arriving.next().map(|piece| history.insert(piece).unwrap()).is_some();
+                more = more_to_do || updates;
+                slices += 1;
+                prop_assert!(slices < 2_000, "the slices do not end");
             }
         }
-        prop_assert_eq!(history.canonical_bytes(), whole.canonical_bytes());
+        prop_assert_eq!(history.canonical_bytes(), full.canonical_bytes());
         prop_assert_eq!(reconciler.violations(), at_once.violations());
         prop_assert_eq!(reconciler.open_count(), at_once.open_count());
         prop_assert_eq!(reconciler.counts().placements, at_once.counts().placements);
         prop_assert_eq!(reconciler.counts().ends, at_once.counts().ends);
         prop_assert_eq!(reconciler.counts().repeated, at_once.counts().repeated);
         prop_assert_eq!(reconciler.counts().lost, at_once.counts().lost);
-        prop_assert_eq!(known(&found), known(&wanted));
+        prop_assert_eq!(summarize(&found), summarize(&expected));
     }
 }
 
 #[test]
-fn a_log_is_sealed_only_where_all_have_it_and_all_has_ended() {
+fn log_is_sealable_only_where_confirmed_and_ended() {
     let w = writer("north", 1);
     let sites = ["north".to_string(), "south".to_string()];
     let last = (SEGMENT_ENTRIES * 3) as i64;
     let mut log = entries(SEGMENT_ENTRIES * 3, 1);
-    let whole = history(&[(w.clone(), log.clone())]);
+    let full = history(&[(w.clone(), log.clone())]);
     let at = |n: u64| {
         let piece = piece(&w, hash_chain::origin(&w), &log[..n as usize]);
         piece.last()
     };
     let all = |n: u64, m: u64| BTreeMap::from([("north".to_string(), at(n)), ("south".to_string(), at(m))]);
-    let rule = |history: &History, confirmed: &BTreeMap<_, _>, now| {
+    let sealable = |history: &History, confirmed: &BTreeMap<_, _>, now| {
         compaction::sealable_up_to(history, &w, confirmed, &sites, 50, now)
     };
     let now = last + 50;
-    assert_eq!(rule(&whole, &all(SEGMENT_ENTRIES * 3, SEGMENT_ENTRIES * 3), now), Some(SEGMENT_ENTRIES * 3));
     assert_eq!(
-        rule(&whole, &all(SEGMENT_ENTRIES * 3, SEGMENT_ENTRIES * 2 + 9), now),
+        sealable(&full, &all(SEGMENT_ENTRIES * 3, SEGMENT_ENTRIES * 3), now),
+        Some(SEGMENT_ENTRIES * 3)
+    );
+    assert_eq!(
+        sealable(&full, &all(SEGMENT_ENTRIES * 3, SEGMENT_ENTRIES * 2 + 9), now),
         Some(SEGMENT_ENTRIES * 2),
-        "not all have it"
+        "not confirmed by all sites"
     );
     assert_eq!(
-        rule(&whole, &all(SEGMENT_ENTRIES * 3, SEGMENT_ENTRIES * 3), now - 1),
+        sealable(&full, &all(SEGMENT_ENTRIES * 3, SEGMENT_ENTRIES * 3), now - 1),
         Some(SEGMENT_ENTRIES * 2),
-        "too young"
+        "entries too recent"
     );
     let one = BTreeMap::from([("north".to_string(), at(SEGMENT_ENTRIES * 3))]);
-    assert_eq!(rule(&whole, &one, now), None, "a site was not heard");
+    assert_eq!(sealable(&full, &one, now), None, "a site has not confirmed");
     let mut other = all(SEGMENT_ENTRIES * 3, SEGMENT_ENTRIES * 3);
     other.insert("south".into(), (SEGMENT_ENTRIES * 3, hash_chain::Digest([7; 32])));
-    assert_eq!(rule(&whole, &other, now), None, "a site has another line");
-    let mut sealed = whole.clone();
+    assert_eq!(sealable(&full, &other, now), None, "a site has another branch");
+    let mut sealed = full.clone();
     sealed.seal(&w, SEGMENT_ENTRIES * 2).unwrap();
-    assert_eq!(rule(&sealed, &all(SEGMENT_ENTRIES * 3, SEGMENT_ENTRIES * 3), now), Some(SEGMENT_ENTRIES * 3));
-    // A site that reads it only now still knows the guarded keys.
+    assert_eq!(
+        sealable(&sealed, &all(SEGMENT_ENTRIES * 3, SEGMENT_ENTRIES * 3), now),
+        Some(SEGMENT_ENTRIES * 3)
+    );
+    // A node that reads the log only after sealing still knows its guarded keys.
     let mut reconciler = Reconciler::new(settings());
-    let again = [(writer("south", 2), vec![placed(5, placement(1_000_003, true))])];
+    let repeated_key = [(writer("south", 2), vec![placed(5, placement(1_000_003, true))])];
     let mut both = sealed.clone();
-    both.merge(&history(&again));
+    both.merge(&history(&repeated_key));
     let found = reconciler.read_all(&both);
-    let violated = |d: &Decision| matches!(d, Decision::Violation(s) if s.key == "k1000003");
-    assert_eq!(found.iter().filter(|d| violated(d)).count(), 1);
-    // One placement without an end holds up what comes after it.
+    let is_violation = |d: &Decision| matches!(d, Decision::Violation(s) if s.key == "k1000003");
+    assert_eq!(found.iter().filter(|d| is_violation(d)).count(), 1);
+    // A placement without an end blocks sealing beyond it.
     log[SEGMENT_ENTRIES as usize + 5] = placed(0, placement(1, true));
-    let stuck = history(&[(w.clone(), log.clone())]);
-    let confirmed = sites.iter().map(|s| (s.clone(), stuck.latest_points()[&w])).collect();
-    assert_eq!(rule(&stuck, &confirmed, now), Some(SEGMENT_ENTRIES));
+    let blocked = history(&[(w.clone(), log.clone())]);
+    let confirmed = sites.iter().map(|s| (s.clone(), blocked.latest_points()[&w])).collect();
+    assert_eq!(sealable(&blocked, &confirmed, now), Some(SEGMENT_ENTRIES));
 }
