--- a/crates/accounts/src/admission.rs
+++ b/crates/accounts/src/admission.rs
@@ -4,8 +4,8 @@
 //! have run' where that is kept.
 
 use crate::credit::CreditBalance;
-use crate::in_flight::{Key, Taken};
-use crate::registry::Book;
+use crate::in_flight::{AcceptedRequests, Key};
+use crate::registry::AccountRegistry;
 use crate::{AccountStatus, Change, Micros};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
     /// The steady clock.
     pub steady: Micros,
     /// Since when, on the steady clock, standing can't be confirmed; none where it can.
-    pub alone_since: Option<Micros>,
+    pub unconfirmed_since: Option<Micros>,
 }
 
 /// Why a request is refused.
@@ -40,7 +40,7 @@
     miette::Diagnostic,
 )]
 #[serde(rename_all = "kebab-case")]
-pub enum Why {
+pub enum RefusalReason {
     /// Nothing new is taken of its account.
     #[error("account closing")]
     #[diagnostic(help(
@@ -69,14 +69,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Refusal {
     /// Why.
-    pub why: Why,
+    #[serde(rename = "why")]
+    pub reason: RefusalReason,
     /// It may do to ask again later: `Retry-After` is sent.
     pub retry: bool,
 }
 
 impl Refusal {
-    fn of(why: Why) -> Refusal {
-        Refusal { why, retry: matches!(why, Why::CreditSpent | Why::NoDisk) }
+    fn of(reason: RefusalReason) -> Refusal {
+        Refusal { reason, retry: matches!(reason, RefusalReason::CreditSpent | RefusalReason::NoDisk) }
     }
 }
 
@@ -84,53 +85,55 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AdmissionDecision {
     /// It is taken, as far as its account goes.
-    Take,
+    Admit,
     /// It is taken on unconfirmed standing, and one of the account's credit was spent for it.
-    TakeOnCredit,
+    AdmitOnCredit,
     /// It is refused.
     Refuse(Refusal),
 }
 
 /// Rule on a request. An account without a purse has no bounded credit: it is served on unconfirmed standing as if that were confirmed.
 ///
-/// The caller tells [`Taken::take`] of a request that is then taken, and [`CreditBalance::unspend`] of one that is refused for something
-/// else after [`AdmissionDecision::TakeOnCredit`], with [`Book::change`]'s number and the same Unix time.
-pub fn rule(
-    book: &Book,
+/// The caller tells [`AcceptedRequests::take`] of a request that is then taken, and [`CreditBalance::unspend`] of one that is refused for something
+/// else after [`AdmissionDecision::AdmitOnCredit`], with [`AccountRegistry::change`]'s number and the same Unix time.
+pub fn decide(
+    book: &AccountRegistry,
     balance: Option<&mut CreditBalance>,
-    taken: &Taken,
+    taken: &AcceptedRequests,
     tenant: &str,
     key: Option<&Key>,
     now: Now,
 ) -> AdmissionDecision {
-    let Change { number, standing, .. } = book.change(tenant, now.unix);
-    let refuse = |why| AdmissionDecision::Refuse(Refusal::of(why));
+    let Change { number, standing, .. } = book.change_at(tenant, now.unix);
+    let refuse = |reason| AdmissionDecision::Refuse(Refusal::of(reason));
     if standing == AccountStatus::Closed {
-        return refuse(Why::Closed);
+        return refuse(RefusalReason::Closed);
     }
-    if taken.holds(tenant, key, now.steady) {
-        return AdmissionDecision::Take;
+    if taken.contains(tenant, key, now.steady) {
+        return AdmissionDecision::Admit;
     }
     if standing == AccountStatus::Closing {
-        return refuse(Why::Closing);
+        return refuse(RefusalReason::Closing);
     }
-    let Some(balance) = balance.filter(|_| now.alone_since.is_some()) else { return AdmissionDecision::Take };
-    if balance.allow(now.steady, now.alone_since) == 0 {
-        return refuse(Why::CreditSpent);
+    let Some(balance) = balance.filter(|_| now.unconfirmed_since.is_some()) else {
+        return AdmissionDecision::Admit;
+    };
+    if balance.left_at(now.steady, now.unconfirmed_since) == 0 {
+        return refuse(RefusalReason::CreditSpent);
     }
     match balance.spend(number, now.unix) {
-        true => AdmissionDecision::TakeOnCredit,
-        false => refuse(Why::NoDisk),
+        true => AdmissionDecision::AdmitOnCredit,
+        false => refuse(RefusalReason::NoDisk),
     }
 }
 
 /// Why the decision module has not taken something new of an account, for its client.
-pub fn why(book: &Book, balance: Option<&CreditBalance>, tenant: &str, now: Now) -> Refusal {
-    Refusal::of(match book.standing(tenant, now.unix) {
-        AccountStatus::Closed => Why::Closed,
-        AccountStatus::Closing => Why::Closing,
-        _ if balance.is_some_and(CreditBalance::broken) => Why::NoDisk,
-        _ => Why::CreditSpent,
+pub fn refusal(book: &AccountRegistry, balance: Option<&CreditBalance>, tenant: &str, now: Now) -> Refusal {
+    Refusal::of(match book.standing_at(tenant, now.unix) {
+        AccountStatus::Closed => RefusalReason::Closed,
+        AccountStatus::Closing => RefusalReason::Closing,
+        _ if balance.is_some_and(CreditBalance::has_write_failed) => RefusalReason::NoDisk,
+        _ => RefusalReason::CreditSpent,
     })
 }
 
@@ -138,29 +141,30 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Restriction {
     /// Jobs that may still be begun; none where that is not bounded, 0 where nothing new is taken.
-    pub begin: Option<u64>,
+    pub max_new_jobs: Option<u64>,
     /// What is held may be sent: what was taken runs on. False where nothing runs any more.
-    pub send: bool,
+    pub may_send: bool,
 }
 
 /// What the decision module is told: accounts that aren't named are not bounded.
 pub type Restrictions = BTreeMap<String, Restriction>;
 
 /// The bars of all accounts that are barred or go on credit.
-pub fn restrictions(book: &Book, balances: &mut CreditBalances, now: Now) -> Restrictions {
+pub fn restrictions(book: &AccountRegistry, balances: &mut CreditBalances, now: Now) -> Restrictions {
     let mut all = Restrictions::new();
     for (account, balance) in balances.iter_mut() {
-        if now.alone_since.is_some() {
-            let left = balance.allow(now.steady, now.alone_since);
+        if now.unconfirmed_since.is_some() {
+            let left = balance.left_at(now.steady, now.unconfirmed_since);
             // Where the disk fails, what is begun beyond its note would be begun once more after a restart.
-            let begin = Some(if balance.broken() { balance.noted() } else { left });
-            all.insert(account.clone(), Restriction { begin, send: true });
+            let max_new_jobs = Some(if balance.has_write_failed() { balance.durable_left() } else { left });
+            all.insert(account.clone(), Restriction { max_new_jobs, may_send: true });
         }
     }
-    for account in book.named() {
-        let standing = book.standing(account, now.unix);
+    for account in book.accounts_in_newest_file() {
+        let standing = book.standing_at(account, now.unix);
         if standing.rejects_new_work() {
-            let restriction = Restriction { begin: Some(0), send: standing != AccountStatus::Closed };
+            let restriction =
+                Restriction { max_new_jobs: Some(0), may_send: standing != AccountStatus::Closed };
             all.insert(account.to_string(), restriction);
         }
     }
--- a/crates/accounts/src/config.rs
+++ b/crates/accounts/src/config.rs
@@ -16,15 +16,15 @@
 use std::collections::BTreeMap;
 
 /// Accounts that one file may name.
-pub const ACCOUNTS: usize = 4_096;
+pub const MAX_ACCOUNTS: usize = 4_096;
 /// The greatest number that a file may have. One that stands higher could hardly be followed by another.
-pub const NUMBERS: u64 = 1_000_000_000_000;
+pub const MAX_NUMBER: u64 = 1_000_000_000_000;
 /// Bytes of an account's name at most.
-pub const NAME: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 /// Bytes of a reason at most.
-pub const REASON: usize = 200;
+pub const MAX_REASON_BYTES: usize = 200;
 /// The last time that a file may name, in seconds of Unix time (the year 5138).
-const LAST: u64 = 100_000_000_000;
+const MAX_FROM_SECONDS: u64 = 100_000_000_000;
 
 /// A file that can't be taken.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
@@ -34,7 +34,7 @@
     #[diagnostic(help(
         "nothing of the file was taken: mend the lines named, give it a code anew, and hand it to any node"
     ))]
-    Wrong(#[from] ParseErrors),
+    Invalid(#[from] ParseErrors),
 }
 
 /// What one file of the authority says.
@@ -76,15 +76,17 @@
 }
 
 /// Unix time in seconds: greater than the times that [`Form::time`] reads.
-fn from(form: &Form) -> Micros {
+fn start_time(form: &Form) -> Micros {
     let read = |f: &Form| {
         let parts = f.rest();
         let seconds = match parts.as_slice() {
-            [number, unit] if unit == "s" => number.parse::<u64>().ok().filter(|n| *n <= LAST),
+            [number, unit] if unit == "s" => number.parse::<u64>().ok().filter(|n| *n <= MAX_FROM_SECONDS),
             _ => None,
         };
         if seconds.is_none() {
-            f.complain(format!("(from) needs Unix time in whole seconds, 0 to {LAST}: (from 1764633600 s)"));
+            f.complain(format!(
+                "(from) needs Unix time in whole seconds, 0 to {MAX_FROM_SECONDS}: (from 1764633600 s)"
+            ));
         }
         seconds
     };
@@ -92,7 +94,7 @@
 }
 
 /// Whether words of that fit everywhere.
-pub(crate) fn fits(text: &str, most: usize) -> bool {
+pub(crate) fn is_valid_text(text: &str, most: usize) -> bool {
     text.len() <= most && !text.chars().any(char::is_control)
 }
 
@@ -100,22 +102,24 @@
     if f.many("number").is_empty() {
         f.complain("a file of accounts needs a (number N) that is greater than that of the one before");
     }
-    let number = f.count("number", 0, 1..=NUMBERS);
+    let number = f.count("number", 0, 1..=MAX_NUMBER);
     let mut changes = BTreeMap::new();
     let mut lines = BTreeMap::new();
     for form in f.many("account") {
         let name = form.word("an account's name");
-        if !fits(&name, NAME) || name.is_empty() {
-            form.complain(format!("an account's name has 1 to {NAME} bytes and no control characters"));
+        if !is_valid_text(&name, MAX_NAME_BYTES) || name.is_empty() {
+            form.complain(format!(
+                "an account's name has 1 to {MAX_NAME_BYTES} bytes and no control characters"
+            ));
         }
         if form.many("standing").is_empty() {
             form.complain(format!("{name} needs a (standing WORD)"));
         }
         let names = ["good", "warned", "closing", "closed", "reopened"];
         let standing = standing(&form.choice("standing", "good", &names));
-        let (from, reason) = (from(&form), form.text("reason", ""));
-        if !fits(&reason, REASON) {
-            form.complain(format!("a reason has {REASON} bytes at most and no control characters"));
+        let (from, reason) = (start_time(&form), form.text("reason", ""));
+        if !is_valid_text(&reason, MAX_REASON_BYTES) {
+            form.complain(format!("a reason has {MAX_REASON_BYTES} bytes at most and no control characters"));
         }
         form.finish();
         let line = form.place().line;
@@ -124,8 +128,8 @@
         }
         changes.insert(name, Change { number, standing, from, reason });
     }
-    if changes.len() > ACCOUNTS {
-        f.complain(format!("{} accounts; {ACCOUNTS} at most", changes.len()));
+    if changes.len() > MAX_ACCOUNTS {
+        f.complain(format!("{} accounts; {MAX_ACCOUNTS} at most", changes.len()));
     }
     AccountsFile::new(number, changes)
 }
--- a/crates/accounts/src/in_flight.rs
+++ b/crates/accounts/src/in_flight.rs
@@ -27,11 +27,11 @@
 /// Beyond the number the oldest is forgotten: its own attempts go on, but a client's repeat of it counts as new. So the number
 /// is to be what a node takes within the time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Taken {
-    most: usize,
-    age: Micros,
+pub struct AcceptedRequests {
+    max_entries: usize,
+    ttl: Micros,
     /// When each was taken first, on the steady clock.
-    at: BTreeMap<u128, Micros>,
+    last_seen: BTreeMap<u128, Micros>,
     order: VecDeque<(Micros, u128)>,
 }
 
@@ -41,69 +41,74 @@
     hasher.finish128().as_u128()
 }
 
-impl Taken {
+impl AcceptedRequests {
     /// Nothing was taken yet. At most so many are remembered, each for `age` microseconds since it was taken or repeated.
-    pub fn new(most: usize, age: Micros) -> Taken {
-        Taken { most: most.max(1), age: age.max(0), at: BTreeMap::new(), order: VecDeque::new() }
+    pub fn new(max_entries: usize, ttl: Micros) -> AcceptedRequests {
+        AcceptedRequests {
+            max_entries: max_entries.max(1),
+            ttl: ttl.max(0),
+            last_seen: BTreeMap::new(),
+            order: VecDeque::new(),
+        }
     }
 
     /// A request was taken, or is repeated by its client while it is remembered. Never call this for one that was refused. `now` is on
     /// the steady clock.
-    pub fn take(&mut self, tenant: &str, key: Option<&Key>, now: Micros) {
+    pub fn record(&mut self, tenant: &str, key: Option<&Key>, now: Micros) {
         let Some(key) = key else { return };
         let id = digest(tenant, key);
-        self.at.insert(id, now);
+        self.last_seen.insert(id, now);
         self.order.push_back((now, id));
-        self.pass(now);
+        self.evict(now);
         // A key that is repeated over and over leaves old places in the order.
-        if self.order.len() > 2 * self.most {
-            let at = &self.at;
-            self.order.retain(|(when, id)| at.get(id) == Some(when));
+        if self.order.len() > 2 * self.max_entries {
+            let last_seen = &self.last_seen;
+            self.order.retain(|(when, id)| last_seen.get(id) == Some(when));
         }
     }
 
     /// What was remembered as taken was refused after all: a repeat of it is new work.
-    pub fn forget(&mut self, tenant: &str, key: Option<&Key>) {
+    pub fn remove(&mut self, tenant: &str, key: Option<&Key>) {
         if let Some(key) = key {
-            self.at.remove(&digest(tenant, key));
+            self.last_seen.remove(&digest(tenant, key));
         }
     }
 
     /// What was taken before a restart, and how long before `now`: the shell reads it from its log, the oldest first.
     pub fn restore<'a>(&mut self, taken: impl IntoIterator<Item = (&'a str, &'a Key, Micros)>, now: Micros) {
         for (tenant, key, ago) in taken {
-            self.take(tenant, Some(key), now.saturating_sub(ago.max(0)));
+            self.record(tenant, Some(key), now.saturating_sub(ago.max(0)));
         }
-        self.pass(now);
+        self.evict(now);
     }
 
     /// Whether such a request was taken, and is remembered.
-    pub fn holds(&self, tenant: &str, key: Option<&Key>, now: Micros) -> bool {
-        let at = key.and_then(|key| self.at.get(&digest(tenant, key)));
-        at.is_some_and(|at| now.saturating_sub(*at) <= self.age)
+    pub fn contains(&self, tenant: &str, key: Option<&Key>, now: Micros) -> bool {
+        let at = key.and_then(|key| self.last_seen.get(&digest(tenant, key)));
+        at.is_some_and(|at| now.saturating_sub(*at) <= self.ttl)
     }
 
     /// Forget what is too old or too much.
-    pub fn pass(&mut self, now: Micros) {
+    pub fn evict(&mut self, now: Micros) {
         while let Some((when, id)) = self.order.front().copied() {
-            let void = self.at.get(&id) != Some(&when);
-            if !void && self.at.len() <= self.most && now.saturating_sub(when) <= self.age {
+            let outdated = self.last_seen.get(&id) != Some(&when);
+            if !outdated && self.last_seen.len() <= self.max_entries && now.saturating_sub(when) <= self.ttl {
                 return;
             }
             self.order.pop_front();
-            if !void {
-                self.at.remove(&id);
+            if !outdated {
+                self.last_seen.remove(&id);
             }
         }
     }
 
     /// How many are remembered.
     pub fn len(&self) -> usize {
-        self.at.len()
+        self.last_seen.len()
     }
 
     /// Whether none is.
     pub fn is_empty(&self) -> bool {
-        self.at.is_empty()
+        self.last_seen.is_empty()
     }
 }
--- a/crates/accounts/src/lib.rs
+++ b/crates/accounts/src/lib.rs
@@ -52,6 +52,6 @@
     pub standing: AccountStatus,
     /// From when on, in Unix time.
     pub from: Micros,
-    /// Why, for people.
+    /// RefusalReason, for people.
     pub reason: String,
 }
--- a/crates/accounts/tests/book.rs
+++ b/crates/accounts/tests/book.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use shorepath_accounts::config::AccountsFile;
-use shorepath_accounts::registry::{Book, RegistryUpdate, PAGES};
+use shorepath_accounts::registry::{AccountRegistry, RegistryUpdate, MAX_FILES};
 use shorepath_accounts::{AccountStatus, Change, Micros};
 use std::collections::BTreeMap;
 
@@ -11,9 +11,9 @@
     AccountsFile::new(number, changes.iter().map(|(a, s, f)| (a.to_string(), change(*s, *f))).collect())
 }
 
-fn book(decrees: &[AccountsFile]) -> Book {
-    let mut book = Book::new();
-    decrees.iter().for_each(|d| drop(book.learn(d)));
+fn book(decrees: &[AccountsFile]) -> AccountRegistry {
+    let mut book = AccountRegistry::new();
+    decrees.iter().for_each(|d| drop(book.add_file(d)));
     book
 }
 
@@ -27,20 +27,23 @@
         accounts_file(7, &[("a", Closed, 100), ("b", Good, 0)]),
     ];
     let known = book(&files);
-    let at = |now| known.change("a", now);
+    let at = |now| known.change_at("a", now);
     assert_eq!([0, 49, 50, 99, 100].map(|t| at(t).standing), [Warned, Warned, Closing, Closing, Closed]);
     assert_eq!([0, 50, 100].map(|t| at(t).number), [1, 4, 7]);
-    assert_eq!((known.next(0), known.next(50), known.next(100)), (Some(50), Some(100), None));
+    assert_eq!(
+        (known.next_change_after(0), known.next_change_after(50), known.next_change_after(100)),
+        (Some(50), Some(100), None)
+    );
     let mut known = book(&[files[2].clone(), files[0].clone()]);
-    assert_eq!(known.learn(&files[1]), [RegistryUpdate::Older { number: 4, highest: 7 }]);
+    assert_eq!(known.add_file(&files[1]), [RegistryUpdate::OldFile { number: 4, newest: 7 }]);
     assert_eq!(known, book(&files));
     // Who is not named is good again, and told apart from one that always was.
-    let updates = known.learn(&accounts_file(8, &[]));
-    assert_eq!(updates[0], RegistryUpdate::Newer { number: 8 });
+    let updates = known.add_file(&accounts_file(8, &[]));
+    assert_eq!(updates[0], RegistryUpdate::NewFile { number: 8 });
     assert!(
-        matches!(&updates[1], RegistryUpdate::Changed { account, change } if account == "a" && change.number == 8)
+        matches!(&updates[1], RegistryUpdate::StandingChanged { account, change } if account == "a" && change.number == 8)
     );
-    assert_eq!((known.standing("a", 0), known.standing("b", 0)), (Reopened, Good));
+    assert_eq!((known.standing_at("a", 0), known.standing_at("b", 0)), (Reopened, Good));
 }
 
 #[test]
@@ -48,29 +51,29 @@
     let one = accounts_file(3, &[("a", Closing, 10), ("b", Closed, 0)]);
     let other = accounts_file(3, &[("a", Closed, 20), ("c", Warned, 0)]);
     let mut known = book(std::slice::from_ref(&one));
-    assert!(known.learn(&one).is_empty());
-    assert_eq!(known.learn(&other)[0], RegistryUpdate::TwoFiles { number: 3 });
-    assert!(known.learn(&other).is_empty(), "told once");
-    assert_eq!([0, 10, 20].map(|t| known.standing("a", t)), [Good, Closing, Closed]);
-    assert_eq!((known.standing("b", 0), known.standing("c", 0)), (Closed, Warned));
+    assert!(known.add_file(&one).is_empty());
+    assert_eq!(known.add_file(&other)[0], RegistryUpdate::ConflictingFiles { number: 3 });
+    assert!(known.add_file(&other).is_empty(), "told once");
+    assert_eq!([0, 10, 20].map(|t| known.standing_at("a", t)), [Good, Closing, Closed]);
+    assert_eq!((known.standing_at("b", 0), known.standing_at("c", 0)), (Closed, Warned));
     assert_eq!(known, book(&[other, one]));
     // One that says less than the other is another file, too.
     let mut known = book(&[accounts_file(3, &[("a", Closed, 0)])]);
-    assert_eq!(known.learn(&accounts_file(3, &[])), [RegistryUpdate::TwoFiles { number: 3 }]);
+    assert_eq!(known.add_file(&accounts_file(3, &[])), [RegistryUpdate::ConflictingFiles { number: 3 }]);
 }
 
 #[test]
 fn a_book_is_bounded() {
-    let mut known = Book::new();
-    for number in 1..=3 * PAGES as u64 {
-        known.learn(&accounts_file(number, &[("a", Closing, 0)]));
+    let mut known = AccountRegistry::new();
+    for number in 1..=3 * MAX_FILES as u64 {
+        known.add_file(&accounts_file(number, &[("a", Closing, 0)]));
     }
     let before = known.clone();
-    known.learn(&accounts_file(1, &[("a", Closed, 0)]));
-    known.learn(&accounts_file(0, &[]));
-    known.learn(&accounts_file(u64::MAX, &[]));
+    known.add_file(&accounts_file(1, &[("a", Closed, 0)]));
+    known.add_file(&accounts_file(0, &[]));
+    known.add_file(&accounts_file(u64::MAX, &[]));
     assert_eq!(known, before);
-    assert_eq!(known.change("a", 0).number, 3 * PAGES as u64);
+    assert_eq!(known.change_at("a", 0).number, 3 * MAX_FILES as u64);
 }
 
 fn any_decree() -> impl Strategy<Value = AccountsFile> {
@@ -90,12 +93,12 @@
             prop::collection::vec(any_decree(), 0..14)),
     ) {
         let [x, y, z] = [&a, &b, &c].map(|d| book(d));
-        let join = |p: &Book, q: &Book| { let mut p = p.clone(); p.merge(q); p };
+        let join = |p: &AccountRegistry, q: &AccountRegistry| { let mut p = p.clone(); p.merge(q); p };
         prop_assert_eq!(join(&x, &y), join(&y, &x));
         prop_assert_eq!(join(&join(&x, &y), &z), join(&x, &join(&y, &z)));
         prop_assert_eq!(join(&x, &x), x.clone());
         let written = serde_json::to_string(&x).unwrap();
-        prop_assert_eq!(join(&Book::new(), &serde_json::from_str(&written).unwrap()), x.clone());
+        prop_assert_eq!(join(&AccountRegistry::new(), &serde_json::from_str(&written).unwrap()), x.clone());
         prop_assert_eq!(join(&join(&x, &y), &y), join(&x, &y));
         // Files one by one, backwards and doubled, say what the books say.
         let mut all: Vec<AccountsFile> = [a, b, c].concat();
@@ -112,9 +115,9 @@
         for account in ["a", "b", "c"] {
             let here = |d: &&AccountsFile| d.changes.get(account).map(|c| (c.from <= now, c.standing));
             if let Some(strictest) = last.iter().filter_map(here).filter(|c| c.0).map(|c| c.1).max() {
-                prop_assert_eq!(known.standing(account, now), strictest);
+                prop_assert_eq!(known.standing_at(account, now), strictest);
             } else if last.iter().all(|d| !d.changes.contains_key(account)) {
-                prop_assert!(known.standing(account, now) <= Reopened);
+                prop_assert!(known.standing_at(account, now) <= Reopened);
             }
         }
     }
--- a/crates/accounts/tests/file.rs
+++ b/crates/accounts/tests/file.rs
@@ -35,10 +35,10 @@
     "1:22: an account's name has 1 to 128 bytes and no control characters",
 ])]
 fn every_fault_is_named_with_its_place(#[case] text: &str, #[case] wanted: &[&str]) {
-    let FileError::Wrong(complaints) = read("f", text).unwrap_err();
-    let account_lines = complaints.to_string();
-    let account_lines: Vec<&str> = account_lines.lines().map(|l| l.strip_prefix("f:").unwrap()).collect();
-    assert_eq!(account_lines, wanted);
+    let FileError::Invalid(complaints) = read("f", text).unwrap_err();
+    let lines = complaints.to_string();
+    let lines: Vec<&str> = lines.lines().map(|l| l.strip_prefix("f:").unwrap()).collect();
+    assert_eq!(lines, wanted);
 }
 
 #[test]
--- a/crates/accounts/tests/model.rs
+++ b/crates/accounts/tests/model.rs
@@ -3,11 +3,11 @@
 //! of an account is taken by a node that was told that it is closing, and its running work is always finished. The same search
 //! finds each planted fault.
 
-use shorepath_accounts::admission::{restrictions, rule, AdmissionDecision, CreditBalances, Now};
+use shorepath_accounts::admission::{decide, restrictions, AdmissionDecision, CreditBalances, Now};
 use shorepath_accounts::config::AccountsFile;
-use shorepath_accounts::credit::{parts, Credit, CreditBalance, Note, Part, Share};
-use shorepath_accounts::in_flight::{Key, Taken};
-use shorepath_accounts::registry::Book;
+use shorepath_accounts::credit::{divide, Credit, CreditBalance, CreditRecord, NodeCredit, SiteShare};
+use shorepath_accounts::in_flight::{AcceptedRequests, Key};
+use shorepath_accounts::registry::AccountRegistry;
 use shorepath_accounts::{AccountStatus, Change};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
@@ -16,7 +16,7 @@
 const ACME: &str = "acme";
 /// Node 0 is a site of its own that can confirm standing; nodes 1 and 2 are the one that is cut off.
 const NODES: usize = 3;
-const CREDIT: Credit = Credit { whole: 2, reserve: 0, shrink_after: 1_000 };
+const CREDIT: Credit = Credit { total: 2, reserve: 0, shrink_after: 1_000 };
 /// What the authority's files say, one after the other: closing, named no more, closing again.
 const FILES: [Option<AccountStatus>; 3] = [Some(AccountStatus::Closing), None, Some(AccountStatus::Closing)];
 /// So many are searched.
@@ -38,14 +38,14 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
-    book: Book,
+    book: AccountRegistry,
     balance: CreditBalance,
-    note: Option<Note>,
-    taken: Taken,
+    note: Option<CreditRecord>,
+    taken: AcceptedRequests,
     /// Jobs that were taken here and have no answer yet; on the disk, as the node's log has them.
     running: BTreeSet<u8>,
     /// The greatest number that it was told.
-    account_lines: u64,
+    known_number: u64,
     /// Jobs begun on credit since standing was last confirmed here.
     begun: u64,
 }
@@ -101,14 +101,14 @@
 }
 
 /// The part of each node: none for the one that can always confirm standing.
-static PARTS: LazyLock<Vec<Part>> = LazyLock::new(|| {
-    let share = |nodes, weight| Share { site: String::new(), nodes, weight };
-    parts(&CREDIT, &[share(1, Some(0)), share(2, Some(1))]).unwrap().concat()
+static PARTS: LazyLock<Vec<NodeCredit>> = LazyLock::new(|| {
+    let share = |nodes, weight| SiteShare { site: String::new(), nodes, weight };
+    divide(&CREDIT, &[share(1, Some(0)), share(2, Some(1))]).unwrap().concat()
 });
 
 impl State {
     fn now(&self, node: usize) -> Now {
-        Now { unix: 1, steady: 1, alone_since: (self.cut && node > 0).then_some(0) }
+        Now { unix: 1, steady: 1, unconfirmed_since: (self.cut && node > 0).then_some(0) }
     }
 
     fn linked(&self, a: usize, b: usize) -> bool {
@@ -120,33 +120,39 @@
         let now = self.now(at);
         let node = Arc::make_mut(&mut self.nodes[at]);
         // The disk of the node that does not crash follows at once.
-        if let Some(note) = node.balance.durable_to().filter(|_| at == 2) {
-            node.balance.wrote(note);
+        if let Some(note) = node.balance.record_to_write().filter(|_| at == 2) {
+            node.balance.record_written(note);
         }
         if fault == Fault::RefusedRuns {
-            node.taken.take(ACME, Some(&key(job)), 1);
+            node.taken.record(ACME, Some(&key(job)), 1);
         }
-        match rule(&node.book, Some(&mut node.balance), &node.taken, ACME, Some(&key(job)), now) {
+        match decide(&node.book, Some(&mut node.balance), &node.taken, ACME, Some(&key(job)), now) {
             AdmissionDecision::Refuse(_) => self.refused = Some((at, job)),
             admission => {
-                self.wrong |= rejection(node.account_lines);
-                node.begun += u64::from(admission == AdmissionDecision::TakeOnCredit);
-                node.taken.take(ACME, Some(&key(job)), 1);
+                self.wrong |= rejection(node.known_number);
+                node.begun += u64::from(admission == AdmissionDecision::AdmitOnCredit);
+                node.taken.record(ACME, Some(&key(job)), 1);
                 node.running.insert(job);
                 self.refused = self.refused.filter(|refused| *refused != (at, job));
             }
         }
     }
 
-    fn receive(&mut self, fault: Fault, at: usize, account_lines: u64, what: impl FnOnce(&mut Book)) {
+    fn receive(
+        &mut self,
+        fault: Fault,
+        at: usize,
+        known_number: u64,
+        what: impl FnOnce(&mut AccountRegistry),
+    ) {
         let node = Arc::make_mut(&mut self.nodes[at]);
         if fault == Fault::OlderWins {
-            node.book = Book::new();
+            node.book = AccountRegistry::new();
         }
         what(&mut node.book);
-        node.account_lines = node.account_lines.max(account_lines);
-        if fault == Fault::Dropped && node.book.standing(ACME, 1).rejects_new_work() {
-            node.taken = Taken::new(8, 100);
+        node.known_number = node.known_number.max(known_number);
+        if fault == Fault::Dropped && node.book.standing_at(ACME, 1).rejects_new_work() {
+            node.taken = AcceptedRequests::new(8, 100);
         }
     }
 }
@@ -158,12 +164,17 @@
     fn init_states(&self) -> Vec<State> {
         let node = |k| {
             Arc::new(Node {
-                book: Book::new(),
-                balance: CreditBalance::restore(PARTS[k], CREDIT.shrink_after, 1, Some(Note::default())),
-                note: Some(Note::default()),
-                taken: Taken::new(8, 100),
+                book: AccountRegistry::new(),
+                balance: CreditBalance::restore(
+                    PARTS[k],
+                    CREDIT.shrink_after,
+                    1,
+                    Some(CreditRecord::default()),
+                ),
+                note: Some(CreditRecord::default()),
+                taken: AcceptedRequests::new(8, 100),
                 running: BTreeSet::new(),
-                account_lines: 0,
+                known_number: 0,
                 begun: 0,
             })
         };
@@ -187,7 +198,7 @@
             if s.crashes < 1 && a == 1 {
                 actions.extend([Step::Crash(a, true), Step::Crash(a, false)]);
             }
-            if s.cut && a == 1 && s.nodes[a].balance.durable_to().is_some() {
+            if s.cut && a == 1 && s.nodes[a].balance.record_to_write().is_some() {
                 actions.push(Step::Write(a));
             }
             actions.extend(s.nodes[a].running.iter().map(|job| Step::Finish(a, *job)));
@@ -209,27 +220,28 @@
             Step::Issue(at) => {
                 s.issued += 1;
                 let number = s.issued;
-                s.receive(fault, at, number as u64, |book| drop(book.learn(&file(number))));
+                s.receive(fault, at, number as u64, |book| drop(book.add_file(&file(number))));
             }
             Step::Again(at, number) => {
-                s.receive(fault, at, number as u64, |book| drop(book.learn(&file(number))))
+                s.receive(fault, at, number as u64, |book| drop(book.add_file(&file(number))))
             }
             Step::Reply(from, to) => {
-                let (book, account_lines) = (s.nodes[from].book.clone(), s.nodes[from].account_lines);
-                s.receive(fault, to, account_lines, |known| drop(known.merge(&book)));
+                let (book, known_number) = (s.nodes[from].book.clone(), s.nodes[from].known_number);
+                s.receive(fault, to, known_number, |known| drop(known.merge(&book)));
             }
             Step::Cut => (s.cut, s.cuts) = (true, s.cuts + 1),
             Step::Heal => {
                 s.cut = false;
                 // Standing counts as confirmed once the other side's book was heard.
                 for at in 1..NODES {
-                    let (book, account_lines) = (s.nodes[0].book.clone(), s.nodes[0].account_lines);
-                    s.receive(fault, at, account_lines, |known| drop(known.merge(&book)));
+                    let (book, known_number) = (s.nodes[0].book.clone(), s.nodes[0].known_number);
+                    s.receive(fault, at, known_number, |known| drop(known.merge(&book)));
                     let node = Arc::make_mut(&mut s.nodes[at]);
-                    let change = node.book.change(ACME, 1);
-                    let (spent, owed) = (node.balance.note_now().spent, node.balance.confirmed(&change));
+                    let change = node.book.change_at(ACME, 1);
+                    let (spent, owed) =
+                        (node.balance.current_record().spent, node.balance.confirmed(&change));
                     // What was begun before a file that bars is owed; for the rest of the search the debt is paid.
-                    assert!(owed <= spent && node.balance.pay(owed) == 0);
+                    assert!(owed <= spent && node.balance.pay_debt(owed) == 0);
                     node.begun = 0;
                 }
             }
@@ -237,19 +249,19 @@
                 s.crashes += 1;
                 let node = Arc::make_mut(&mut s.nodes[at]);
                 if !disk {
-                    (node.book, node.note, node.account_lines) = (Book::new(), None, 0);
+                    (node.book, node.note, node.known_number) = (AccountRegistry::new(), None, 0);
                     node.running.clear();
                 }
-                let note = if fault == Fault::Refill { Some(Note::default()) } else { node.note };
+                let note = if fault == Fault::Refill { Some(CreditRecord::default()) } else { node.note };
                 node.balance = CreditBalance::restore(PARTS[at], CREDIT.shrink_after, 1, note);
-                node.taken = Taken::new(8, 100);
+                node.taken = AcceptedRequests::new(8, 100);
                 let keys: Vec<Key> = node.running.iter().map(|job| key(*job)).collect();
                 node.taken.restore(keys.iter().map(|key| (ACME, key, 0)), 1);
             }
             Step::Write(at) => {
                 let node = Arc::make_mut(&mut s.nodes[at]);
-                node.note = node.balance.durable_to();
-                node.note.into_iter().for_each(|note| node.balance.wrote(note));
+                node.note = node.balance.record_to_write();
+                node.note.into_iter().for_each(|note| node.balance.record_written(note));
             }
             Step::New(at) => {
                 s.asked += 1;
@@ -273,29 +285,29 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("begun on credit within the whole", |_, s: &State| {
-                s.nodes.iter().enumerate().all(|(at, n)| n.begun <= PARTS[at].whole)
+                s.nodes.iter().enumerate().all(|(at, n)| n.begun <= PARTS[at].total)
             }),
             Property::always("nothing new after it was told", |_, s: &State| !s.wrong),
             Property::always("running work goes on", |_, s: &State| {
                 s.nodes.iter().enumerate().all(|(at, node)| {
                     let sent = restrictions(&node.book, &mut CreditBalances::new(), s.now(at))
                         .get(ACME)
-                        .is_none_or(|restriction| restriction.send);
+                        .is_none_or(|restriction| restriction.may_send);
                     let repeat = |job: &u8| {
-                        rule(&node.book, None, &node.taken, ACME, Some(&key(*job)), s.now(at))
-                            == AdmissionDecision::Take
+                        decide(&node.book, None, &node.taken, ACME, Some(&key(*job)), s.now(at))
+                            == AdmissionDecision::Admit
                     };
                     sent && node.running.iter().all(repeat)
                 })
             }),
             Property::sometimes("all of the credit is used", |_, s: &State| {
-                s.nodes.iter().map(|n| n.begun).sum::<u64>() == CREDIT.whole
+                s.nodes.iter().map(|n| n.begun).sum::<u64>() == CREDIT.total
             }),
             Property::sometimes("work ends after the closing", |_, s: &State| {
-                s.nodes.iter().any(|n| n.account_lines == 3 && n.running.is_empty() && !n.taken.is_empty())
+                s.nodes.iter().any(|n| n.known_number == 3 && n.running.is_empty() && !n.taken.is_empty())
             }),
             Property::sometimes("taken again after it was reopened", |_, s: &State| {
-                s.nodes[1].account_lines == 2 && !s.nodes[1].running.is_empty()
+                s.nodes[1].known_number == 2 && !s.nodes[1].running.is_empty()
             }),
         ]
     }
--- a/crates/accounts/tests/spread.rs
+++ b/crates/accounts/tests/spread.rs
@@ -3,9 +3,9 @@
 
 use oorandom::Rand64;
 use proptest::prelude::*;
-use shorepath_accounts::config::{AccountsFile, ACCOUNTS, NAME, NUMBERS, REASON};
-use shorepath_accounts::gossip::{AccountLine, Counts, Message, Spread, Telling, LARGEST};
-use shorepath_accounts::registry::{Book, RegistryUpdate};
+use shorepath_accounts::config::{AccountsFile, MAX_ACCOUNTS, MAX_NAME_BYTES, MAX_NUMBER, MAX_REASON_BYTES};
+use shorepath_accounts::gossip::{AccountLine, Counts, FileTransfer, Gossip, Message, MAX_MESSAGE_BYTES};
+use shorepath_accounts::registry::{AccountRegistry, RegistryUpdate};
 use shorepath_accounts::{AccountStatus, Change, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -27,7 +27,7 @@
 
 /// Nodes that talk over links with a delay of 1 to 20 ms each way.
 struct Fleet {
-    nodes: Vec<Spread>,
+    nodes: Vec<Gossip>,
     events: BTreeMap<(Micros, u64), Event>,
     count: u64,
     now: Micros,
@@ -44,7 +44,7 @@
 impl Fleet {
     fn new(nodes: u32, loss: f64, seed: u64) -> Fleet {
         let all: Vec<u32> = (0..nodes).collect();
-        let spreads = all.iter().map(|n| Spread::new(*n, all.clone(), seed * 100_003 + u64::from(*n), 0));
+        let spreads = all.iter().map(|n| Gossip::new(*n, all.clone(), seed * 100_003 + u64::from(*n), 0));
         let mut fleet = Fleet {
             nodes: spreads.collect(),
             events: BTreeMap::new(),
@@ -71,7 +71,7 @@
 
     /// What a node says goes out, as JSON from every other node and as postcard from the rest.
     fn send(&mut self, from: usize) {
-        if self.known[from].is_none() && self.nodes[from].book().highest() >= self.looked {
+        if self.known[from].is_none() && self.nodes[from].registry().newest_number() >= self.looked {
             self.known[from] = Some(self.now);
         }
         for (to, message) in self.nodes[from].take_outgoing() {
@@ -91,7 +91,7 @@
     fn learn(&mut self, at: usize, accounts_file: &AccountsFile) {
         self.looked = accounts_file.number;
         self.known.iter_mut().for_each(|k| *k = None);
-        self.nodes[at].learn(accounts_file, self.now);
+        self.nodes[at].add_file(accounts_file, self.now);
         self.send(at);
     }
 
@@ -101,7 +101,7 @@
             self.now = now;
             match event {
                 Event::Pass(n) => {
-                    self.nodes[n].pass(now);
+                    self.nodes[n].tick(now);
                     let due = self.nodes[n].due(now);
                     self.at(now + due, Event::Pass(n));
                     self.send(n);
@@ -125,11 +125,11 @@
     }
 
     fn counts(&self) -> Vec<Counts> {
-        self.nodes.iter().map(Spread::counts).collect()
+        self.nodes.iter().map(Gossip::counts).collect()
     }
 
     fn hashes(&self) -> usize {
-        self.nodes.iter().map(|n| n.book().hash()).collect::<BTreeSet<_>>().len()
+        self.nodes.iter().map(|n| n.registry().hash()).collect::<BTreeSet<_>>().len()
     }
 }
 
@@ -138,8 +138,8 @@
     let (mut ways, mut idle, mut busy) = (Vec::new(), 0.0, 0.0);
     for seed in 0..runs {
         let mut fleet = Fleet::new(nodes, loss, seed);
-        let mut known = Book::new();
-        known.learn(&accounts_file(7, 40, false, "unpaid"));
+        let mut known = AccountRegistry::new();
+        known.add_file(&accounts_file(7, 40, false, "unpaid"));
         fleet.nodes.iter_mut().for_each(|n| n.restore(&known));
         fleet.run(200_000);
         let before = fleet.sent();
@@ -152,7 +152,7 @@
         fleet.run(4_200_000);
         assert_eq!(fleet.hashes(), 1, "seed {seed}: the change did not reach all");
         ways.extend(fleet.known.iter().map(|at| (at.unwrap() - 1_200_000) as f64 / 1e3));
-        assert!(fleet.largest <= LARGEST, "a word of {} bytes", fleet.largest);
+        assert!(fleet.largest <= MAX_MESSAGE_BYTES, "a word of {} bytes", fleet.largest);
         let refused: u64 = fleet.counts().iter().map(|c| c.refused + c.unknown + c.held_back).sum();
         assert_eq!(refused, 0, "seed {seed}");
     }
@@ -185,20 +185,24 @@
 #[test]
 fn a_full_file_reaches_one_that_knows_nothing_and_later_only_differences_are_told() {
     let mut fleet = Fleet::new(3, 0.1, 5);
-    fleet.learn(0, &accounts_file(1, ACCOUNTS - 4, false, "r"));
+    fleet.learn(0, &accounts_file(1, MAX_ACCOUNTS - 4, false, "r"));
     fleet.run(30_000_000);
     assert_eq!(fleet.hashes(), 1);
     let last = fleet.known.iter().flatten().max();
-    println!("{} accounts: all three know after {} ms", ACCOUNTS - 4, last.unwrap() / 1_000);
-    let mut next = accounts_file(2, ACCOUNTS - 4, true, "r");
-    let longest =
-        Change { number: 2, standing: AccountStatus::Reopened, from: i64::MAX, reason: "\"".repeat(REASON) };
-    next.changes.extend(["\\", "x", "\""].map(|name| (name.repeat(NAME), longest.clone())));
+    println!("{} accounts: all three know after {} ms", MAX_ACCOUNTS - 4, last.unwrap() / 1_000);
+    let mut next = accounts_file(2, MAX_ACCOUNTS - 4, true, "r");
+    let longest = Change {
+        number: 2,
+        standing: AccountStatus::Reopened,
+        from: i64::MAX,
+        reason: "\"".repeat(MAX_REASON_BYTES),
+    };
+    next.changes.extend(["\\", "x", "\""].map(|name| (name.repeat(MAX_NAME_BYTES), longest.clone())));
     let before = fleet.sent();
     fleet.learn(1, &AccountsFile::new(2, next.changes));
     fleet.run(32_000_000);
     assert_eq!(fleet.hashes(), 1);
-    assert!(fleet.largest <= LARGEST, "a word of {} bytes", fleet.largest);
+    assert!(fleet.largest <= MAX_MESSAGE_BYTES, "a word of {} bytes", fleet.largest);
     // Digests for two seconds, and four pieces to two others by each.
     assert!(fleet.sent() - before < 22.0, "{} words a node", fleet.sent() - before);
 }
@@ -216,24 +220,25 @@
     assert_eq!(fleet.hashes(), 1);
     for node in &mut fleet.nodes {
         let updates = node.take_updates();
-        let account_lines = updates.iter().filter(|n| **n == RegistryUpdate::TwoFiles { number: 4 }).count();
-        assert_eq!(account_lines, 1, "{updates:?}");
-        assert_eq!(node.book().standing("acme", 0), AccountStatus::Closed);
-        assert_eq!(node.book().standing("account-2", 0), AccountStatus::Closing);
+        let reports =
+            updates.iter().filter(|n| **n == RegistryUpdate::ConflictingFiles { number: 4 }).count();
+        assert_eq!(reports, 1, "{updates:?}");
+        assert_eq!(node.registry().standing_at("acme", 0), AccountStatus::Closed);
+        assert_eq!(node.registry().standing_at("account-2", 0), AccountStatus::Closing);
     }
     // One of a greater number ends it, and an older one that is handed in again changes nothing.
     fleet.learn(3, &accounts_file(5, 0, false, ""));
     fleet.learn(4, &accounts_file(4, 2, true, "other"));
     fleet.run(10_000_000);
     assert_eq!(fleet.hashes(), 1);
-    assert!(fleet.nodes.iter().all(|n| n.book().standing("acme", 0) == AccountStatus::Reopened));
+    assert!(fleet.nodes.iter().all(|n| n.registry().standing_at("acme", 0) == AccountStatus::Reopened));
 }
 
 #[test]
 fn words_and_fields_that_are_not_known_are_passed_over() {
-    let mut node = Spread::new(0, vec![0, 1], 1, 0);
+    let mut node = Gossip::new(0, vec![0, 1], 1, 0);
     let message: Message = serde_json::from_str("{\"w\":9,\"n\":[1,2],\"new\":{\"a\":[]}}").unwrap();
-    assert_eq!(message, Message::Other(9));
+    assert_eq!(message, Message::Unknown(9));
     node.receive(1, &message, 0);
     let message: Message = serde_json::from_str("{\"w\":1,\"n\":[3,4],\"h\":5,\"new\":1}").unwrap();
     assert_eq!(message, Message::Digest { newest: (3, 4), hash: 5 });
@@ -241,20 +246,21 @@
     longer.extend([1, 2, 3]);
     assert_eq!(postcard::from_bytes::<Message>(&longer).unwrap(), message);
     node.receive(1, &message, 0);
-    assert!(matches!(&node.take_outgoing()[..], [(1, Message::Have { ask: true, .. })]));
+    assert!(matches!(&node.take_outgoing()[..], [(1, Message::Have { wants_reply: true, .. })]));
     assert_eq!((node.counts().received, node.counts().unknown), (2, 1));
-    let most = (NUMBERS, u64::MAX);
-    let lacks = Some((Telling { page: most, base: most, of: u32::MAX }, vec![99_999; 32]));
-    let longest = serde_json::to_vec(&Message::Have { pages: vec![most; 16], ask: true, lacks }).unwrap();
-    assert!(longest.len() <= LARGEST, "{} bytes", longest.len());
+    let most = (MAX_NUMBER, u64::MAX);
+    let missing = Some((FileTransfer { file: most, base: most, piece_count: u32::MAX }, vec![99_999; 32]));
+    let longest =
+        serde_json::to_vec(&Message::Have { files: vec![most; 16], wants_reply: true, missing }).unwrap();
+    assert!(longest.len() <= MAX_MESSAGE_BYTES, "{} bytes", longest.len());
 }
 
 #[test]
 fn no_more_is_said_in_a_second_than_stated() {
-    let mut node = Spread::new(0, vec![1], 1, 0);
-    node.learn(&accounts_file(1, ACCOUNTS, false, "r"), 0);
+    let mut node = Gossip::new(0, vec![1], 1, 0);
+    node.add_file(&accounts_file(1, MAX_ACCOUNTS, false, "r"), 0);
     for now in 0..1_000 {
-        node.receive(1, &Message::Have { pages: vec![], ask: true, lacks: None }, now * 1_000);
+        node.receive(1, &Message::Have { files: vec![], wants_reply: true, missing: None }, now * 1_000);
     }
     let sent = node.take_outgoing().len();
     assert!((300..=400).contains(&sent), "{sent} words");
@@ -265,47 +271,54 @@
     prop_oneof![0..4u64, any::<u64>(), Just(u64::MAX), Just(1_000_000_000_000)]
 }
 
-fn any_word() -> impl Strategy<Value = Message> {
+fn any_message() -> impl Strategy<Value = Message> {
     let pair = || (any_number(), any_number());
     let count = || prop_oneof![0..5u32, any::<u32>()];
-    let telling = move || (pair(), pair(), count()).prop_map(|(page, base, of)| Telling { page, base, of });
+    let transfer = move || {
+        (pair(), pair(), count()).prop_map(|(file, base, piece_count)| FileTransfer {
+            file,
+            base,
+            piece_count,
+        })
+    };
     let standing = prop::option::of(prop::sample::select(vec![AccountStatus::Good, AccountStatus::Closed]));
-    let account_lines = (".{0,9}", standing, any::<i64>(), ".{0,9}")
+    let line = (".{0,9}", standing, any::<i64>(), ".{0,9}")
         .prop_map(|(account, standing, from, reason)| AccountLine { account, standing, from, reason });
-    let lacks = prop::option::of((telling(), prop::collection::vec(count(), 0..5)));
+    let missing = prop::option::of((transfer(), prop::collection::vec(count(), 0..5)));
     prop_oneof![
         (pair(), any_number()).prop_map(|(newest, hash)| Message::Digest { newest, hash }),
-        (prop::collection::vec(pair(), 0..20), any::<bool>(), lacks)
-            .prop_map(|(pages, ask, lacks)| Message::Have { pages, ask, lacks }),
-        (telling(), count(), any::<bool>(), any::<bool>(), prop::collection::vec(account_lines, 0..4))
-            .prop_map(|(telling, at, two, last, account_lines)| Message::Piece {
-                telling,
-                at,
-                two,
+        (prop::collection::vec(pair(), 0..20), any::<bool>(), missing)
+            .prop_map(|(files, wants_reply, missing)| Message::Have { files, wants_reply, missing }),
+        (transfer(), count(), any::<bool>(), any::<bool>(), prop::collection::vec(line, 0..4)).prop_map(
+            |(transfer, index, conflicting, last, lines)| Message::Piece {
+                transfer,
+                index,
+                conflicting,
                 last,
-                account_lines
-            }),
-        any::<u32>().prop_map(Message::Other),
+                lines
+            }
+        ),
+        any::<u32>().prop_map(Message::Unknown),
     ]
 }
 
 proptest! {
     #[test]
     fn nothing_heard_makes_a_node_panic_or_forget(
-        messages in prop::collection::vec((any_word(), 0..4u32, any::<i64>()), 0..40), bytes in any::<Vec<u8>>(),
+        messages in prop::collection::vec((any_message(), 0..4u32, any::<i64>()), 0..40), bytes in any::<Vec<u8>>(),
     ) {
         let _ = postcard::from_bytes::<Message>(&bytes);
-        let mut node = Spread::new(0, vec![1, 2], 1, 0);
-        node.learn(&accounts_file(3, 2, true, ""), 0);
-        let mut known = node.book().clone();
+        let mut node = Gossip::new(0, vec![1, 2], 1, 0);
+        node.add_file(&accounts_file(3, 2, true, ""), 0);
+        let mut known = node.registry().clone();
         for (message, from, now) in messages {
             node.receive(from, &message, now);
-            node.pass(now);
+            node.tick(now);
             node.due(now);
             let sent = node.take_outgoing();
             prop_assert!(sent.len() <= 400);
         }
-        known.merge(node.book());
-        prop_assert_eq!(&known, node.book());
+        known.merge(node.registry());
+        prop_assert_eq!(&known, node.registry());
     }
 }
--- a/crates/lab/src/sites/node.rs
+++ b/crates/lab/src/sites/node.rs
@@ -4,10 +4,10 @@
 use super::{Micros, MS, S};
 use shorepath_accounts::admission::{restrictions, CreditBalances, Now};
 use shorepath_accounts::config::AccountsFile;
-use shorepath_accounts::credit::{CreditBalance, Note, Part as CreditPart};
+use shorepath_accounts::credit::{CreditBalance, CreditRecord, NodeCredit};
 use shorepath_accounts::freshness::Confirmation;
-use shorepath_accounts::gossip::{self, Spread};
-use shorepath_accounts::registry::{Book, RegistryUpdate};
+use shorepath_accounts::gossip::{self, Gossip};
+use shorepath_accounts::registry::{AccountRegistry, RegistryUpdate};
 use shorepath_scheduler::*;
 use shorepath_scheduler::{QuotaKind, QuotaShare, Scheduler};
 use shorepath_sites::config::SitesConfig;
@@ -35,15 +35,15 @@
 /// What is kept on a node's disk.
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
-    book: Book,
-    purse: Option<Note>,
+    book: AccountRegistry,
+    purse: Option<CreditRecord>,
 }
 
 /// What a node knows of sites; nothing of it is there in the program without this part.
 pub struct Siting {
     pub seeing: SiteHealth,
     pub lending: LoadShifting,
-    pub spread: Spread,
+    pub spread: Gossip,
     confirmation: Confirmation,
     purses: CreditBalances,
     lends_at: Micros,
@@ -110,11 +110,11 @@
         now: Micros,
     ) -> Option<Siting> {
         let peers = plan.nodes().map(|(_, n)| n.number).collect();
-        let mut spread = Spread::new(number, peers, seed, now);
+        let mut spread = Gossip::new(number, peers, seed, now);
         spread.restore(&disk.book);
         let mut purses = CreditBalances::new();
         if let (Some(credit), Some(part)) = (of.credit, plan.credit_part(ACME, number)) {
-            let part = CreditPart { whole: part.jobs, reserve: part.reserve };
+            let part = NodeCredit { total: part.jobs, reserve: part.reserve };
             purses.insert(ACME.to_string(), CreditBalance::restore(part, credit.shrink, CHUNK, disk.purse));
         }
         Some(Siting {
@@ -130,7 +130,7 @@
     }
 
     pub fn learn(&mut self, decree: &AccountsFile, now: Micros) {
-        self.spread.learn(decree, now);
+        self.spread.add_file(decree, now);
     }
 
     pub fn hear(&mut self, from: u32, said: &Said, now: Micros) {
@@ -148,10 +148,10 @@
 
     /// A new job of the account was taken: it counts against the credit where standing can't be confirmed. Whether it did.
     pub fn began(&mut self, now: Micros) -> bool {
-        if self.confirmation.alone_since().is_none() {
+        if self.confirmation.unconfirmed_since().is_none() {
             return false;
         }
-        let number = self.spread.book().change(ACME, now).number;
+        let number = self.spread.registry().change_at(ACME, now).number;
         let Some(purse) = self.purses.get_mut(ACME) else { return false };
         let spent = purse.spend(number, now);
         Self::note(purse, &mut self.disk);
@@ -160,8 +160,8 @@
 
     /// The disk of the lab takes everything at once.
     fn note(purse: &mut CreditBalance, disk: &mut Disk) {
-        if let Some(note) = purse.durable_to() {
-            purse.wrote(note);
+        if let Some(note) = purse.record_to_write() {
+            purse.record_written(note);
             disk.purse = Some(note);
         }
     }
@@ -169,7 +169,7 @@
     /// Time has passed, as in the node's shell: what is heard is looked at, what is lent is brought up to date, and others are told.
     pub fn pass(&mut self, outcomes: &mut (u64, u64), begun: u64, now: Micros) -> Passed {
         let mut passed = Passed::default();
-        self.spread.pass(now);
+        self.spread.tick(now);
         self.seeing.tick(now);
         if now >= self.lends_at {
             self.lends_at = now + LENDS;
@@ -177,25 +177,28 @@
             self.lending.tick(&mut self.seeing, &classes, std::mem::take(outcomes), true, now);
         }
         passed.changed = self.seeing.take_changes();
-        self.confirmation.pass(self.seeing.majority_heard_at(now), now);
-        let alone_since = self.confirmation.alone_since();
+        self.confirmation.update(self.seeing.majority_heard_at(now), now);
+        let unconfirmed_since = self.confirmation.unconfirmed_since();
         for news in self.spread.take_updates() {
-            if let RegistryUpdate::Changed { change, .. } = news {
+            if let RegistryUpdate::StandingChanged { change, .. } = news {
                 passed.barred.extend(change.standing.rejects_new_work().then_some(change.number));
             }
         }
-        self.disk.book.clone_from(self.spread.book());
+        self.disk.book.clone_from(self.spread.registry());
         if let Some(purse) = self.purses.get_mut(ACME) {
-            if alone_since.is_none() && purse.note_now() != Note::default() {
-                purse.confirmed(&self.spread.book().change(ACME, now));
+            if unconfirmed_since.is_none() && purse.current_record() != CreditRecord::default() {
+                purse.confirmed(&self.spread.registry().change_at(ACME, now));
             }
             Self::note(purse, &mut self.disk);
         }
-        let all =
-            restrictions(self.spread.book(), &mut self.purses, Now { unix: now, steady: now, alone_since });
+        let all = restrictions(
+            self.spread.registry(),
+            &mut self.purses,
+            Now { unix: now, steady: now, unconfirmed_since },
+        );
         let mut parts = Vec::new();
         if let Some(bar) = all.get(ACME) {
-            if let Some(units) = bar.begin {
+            if let Some(units) = bar.max_new_jobs {
                 let units = units.saturating_add(begun);
                 parts.push(QuotaShare {
                     kind: QuotaKind::NewWork(TenantId(0)),
@@ -204,7 +207,7 @@
                     window: 0,
                 });
             }
-            if !bar.send {
+            if !bar.may_send {
                 parts.push(QuotaShare {
                     kind: QuotaKind::TenantEnabled(TenantId(0)),
                     units: 0,
--- a/crates/mutants/src/systems/accounts.rs
+++ b/crates/mutants/src/systems/accounts.rs
@@ -7,13 +7,13 @@
 use crate::core::{Actor, Broken};
 use crate::troupe::{word, Deed, Part, Script};
 use crate::Micros;
-use shorepath_accounts::admission::{restrictions, rule, AdmissionDecision, CreditBalances, Now};
+use shorepath_accounts::admission::{decide, restrictions, AdmissionDecision, CreditBalances, Now};
 use shorepath_accounts::config::AccountsFile;
-use shorepath_accounts::credit::{parts, Credit, CreditBalance, Note, Share};
+use shorepath_accounts::credit::{divide, Credit, CreditBalance, CreditRecord, SiteShare};
 use shorepath_accounts::freshness::Confirmation;
-use shorepath_accounts::gossip::{Message, Spread};
-use shorepath_accounts::in_flight::{Key, Taken};
-use shorepath_accounts::registry::{Book, RegistryUpdate};
+use shorepath_accounts::gossip::{Gossip, Message};
+use shorepath_accounts::in_flight::{AcceptedRequests, Key};
+use shorepath_accounts::registry::{AccountRegistry, RegistryUpdate};
 use shorepath_accounts::AccountStatus;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -23,7 +23,7 @@
 const UNIX: Micros = 1_764_633_600 * S;
 const NODES: usize = 4;
 const TICK: Micros = 50 * MS;
-const CREDIT: Credit = Credit { whole: 13, reserve: 4, shrink_after: 1_500 * MS };
+const CREDIT: Credit = Credit { total: 13, reserve: 4, shrink_after: 1_500 * MS };
 /// The other site counts as heard for so long.
 const HEARD: Micros = 1_200 * MS;
 /// Whom the files are about.
@@ -62,12 +62,12 @@
 pub struct Node<const OLDER: bool> {
     me: usize,
     life: u64,
-    spread: Spread,
+    spread: Gossip,
     confirmation: Confirmation,
     purses: CreditBalances,
-    taken: Taken,
+    taken: AcceptedRequests,
     /// What is on its disk beside the book.
-    disk: Option<Note>,
+    disk: Option<CreditRecord>,
     /// The greatest number of a file that it knew, and whether there were two of it.
     knew: (u64, bool),
     /// When a word of the other site last came.
@@ -80,16 +80,23 @@
     broken: Option<Broken>,
     /// Of the fault: pieces that came, and the one that holds.
     came: BTreeSet<(Actor, Vec<u8>)>,
-    older: Option<Book>,
+    older: Option<AccountRegistry>,
 }
 
 impl<const OLDER: bool> Node<OLDER> {
-    fn new(seed: u64, me: usize, life: u64, now: Micros, book: Option<&Book>, disk: Option<Note>) -> Self {
+    fn new(
+        seed: u64,
+        me: usize,
+        life: u64,
+        now: Micros,
+        book: Option<&AccountRegistry>,
+        disk: Option<CreditRecord>,
+    ) -> Self {
         let others = (0..NODES as u32).collect();
-        let mut spread = Spread::new(me as u32, others, seed ^ (me as u64) << 16 ^ life << 32, now);
+        let mut spread = Gossip::new(me as u32, others, seed ^ (me as u64) << 16 ^ life << 32, now);
         book.into_iter().for_each(|book| spread.restore(book));
-        let sites = ["a", "b"].map(|s| Share { site: s.into(), nodes: NODES as u32 / 2, weight: None });
-        let part = parts(&CREDIT, &sites).ok().and_then(|all| all.into_iter().flatten().nth(me));
+        let sites = ["a", "b"].map(|s| SiteShare { site: s.into(), nodes: NODES as u32 / 2, weight: None });
+        let part = divide(&CREDIT, &sites).ok().and_then(|all| all.into_iter().flatten().nth(me));
         let purse = CreditBalance::restore(part.unwrap_or_default(), CREDIT.shrink_after, 2, disk);
         Node {
             me,
@@ -97,7 +104,7 @@
             spread,
             confirmation: Confirmation::new(now),
             purses: CreditBalances::from([(ACCOUNT.to_string(), purse)]),
-            taken: Taken::new(256, 60 * S),
+            taken: AcceptedRequests::new(256, 60 * S),
             disk,
             knew: (0, false),
             heard: None,
@@ -115,48 +122,48 @@
         self.broken.get_or_insert(Broken::new(rule, story));
     }
 
-    fn book(&self) -> &Book {
-        self.older.as_ref().unwrap_or(self.spread.book())
+    fn book(&self) -> &AccountRegistry {
+        self.older.as_ref().unwrap_or(self.spread.registry())
     }
 
     /// Look at what was learned.
     fn look(&mut self) {
-        let number = self.book().highest();
+        let number = self.book().newest_number();
         if number < self.knew.0 {
             let story = format!("{} knew file {} and goes by {number}", self.me, self.knew.0);
             self.breaks("never an older number", story);
         }
-        let two = self.spread.take_updates().contains(&RegistryUpdate::TwoFiles { number });
+        let two = self.spread.take_updates().contains(&RegistryUpdate::ConflictingFiles { number });
         self.knew = if number > self.knew.0 { (number, two) } else { (self.knew.0, self.knew.1 || two) };
     }
 
     /// Ask for a new job and for one that runs.
     fn ask(&mut self, now: Micros) {
         let heard = self.heard.filter(|at| now - at < HEARD);
-        let times = Now { unix: UNIX + now, steady: now, alone_since: None };
-        let confirmed = self.confirmation.pass(heard, now) == Some(false);
-        let times = Now { alone_since: self.confirmation.alone_since(), ..times };
-        let book = self.older.as_ref().unwrap_or(self.spread.book());
-        let standing = book.standing(ACCOUNT, times.unix);
+        let times = Now { unix: UNIX + now, steady: now, unconfirmed_since: None };
+        let confirmed = self.confirmation.update(heard, now) == Some(false);
+        let times = Now { unconfirmed_since: self.confirmation.unconfirmed_since(), ..times };
+        let book = self.older.as_ref().unwrap_or(self.spread.registry());
+        let standing = book.standing_at(ACCOUNT, times.unix);
         let Some(purse) = self.purses.get_mut(ACCOUNT) else { return };
         if confirmed {
-            purse.confirmed(&book.change(ACCOUNT, times.unix));
+            purse.confirmed(&book.change_at(ACCOUNT, times.unix));
             self.alone = 0;
         }
-        purse.pay(1);
-        if let Some(note) = purse.durable_to() {
-            purse.wrote(note);
+        purse.pay_debt(1);
+        if let Some(note) = purse.record_to_write() {
+            purse.record_written(note);
             self.disk = Some(note);
         }
         let bar = restrictions(book, &mut self.purses, times).get(ACCOUNT).copied();
         let Some(purse) = self.purses.get_mut(ACCOUNT) else { return };
         self.asked += 1;
         let key = Key::Request(format!("{}-{}-{}", self.me, self.life, self.asked));
-        let ruling = rule(book, Some(purse), &self.taken, ACCOUNT, Some(&key), times);
-        self.alone += u64::from(ruling == AdmissionDecision::TakeOnCredit);
+        let ruling = decide(book, Some(purse), &self.taken, ACCOUNT, Some(&key), times);
+        self.alone += u64::from(ruling == AdmissionDecision::AdmitOnCredit);
         if !matches!(ruling, AdmissionDecision::Refuse(_)) {
-            self.taken.take(ACCOUNT, Some(&key), now);
-            if barred(self.knew.0, self.knew.1) || bar.is_some_and(|b| b.begin == Some(0)) {
+            self.taken.record(ACCOUNT, Some(&key), now);
+            if barred(self.knew.0, self.knew.1) || bar.is_some_and(|b| b.max_new_jobs == Some(0)) {
                 let story = format!("{} knows {:?}, bars {bar:?}, and begins {key:?}", self.me, self.knew);
                 let broken = Broken::new("nothing new of one that is closing", story);
                 self.broken.get_or_insert(broken);
@@ -168,8 +175,8 @@
             if matches!(ruling, AdmissionDecision::Refuse(_)) { runs.clone() } else { Some((now, key)) };
         if let Some((_, key)) = runs.filter(|_| standing != AccountStatus::Closed) {
             let Some(purse) = self.purses.get_mut(ACCOUNT) else { return };
-            let ruling = rule(book, Some(purse), &self.taken, ACCOUNT, Some(&key), times);
-            if ruling != AdmissionDecision::Take {
+            let ruling = decide(book, Some(purse), &self.taken, ACCOUNT, Some(&key), times);
+            if ruling != AdmissionDecision::Admit {
                 self.breaks("what runs is finished", format!("{} has {ruling:?} for {key:?}", self.me));
             }
         }
@@ -184,15 +191,15 @@
         }
         let before = self.spread.counts();
         self.spread.receive(from as u32, &word, now);
-        if let (true, Message::Piece { telling, .. }) = (OLDER, &word) {
+        if let (true, Message::Piece { transfer, .. }) = (OLDER, &word) {
             let again = !self.came.insert((from, bytes.to_vec()));
             self.older = (0..FILES.len())
                 .filter_map(file)
-                .find(|decree| decree.number == telling.page.0)
-                .filter(|d| again && d.number < self.spread.book().highest())
+                .find(|decree| decree.number == transfer.file.0)
+                .filter(|d| again && d.number < self.spread.registry().newest_number())
                 .map(|decree| {
-                    let mut book = Book::new();
-                    book.learn(&decree);
+                    let mut book = AccountRegistry::new();
+                    book.add_file(&decree);
                     book
                 });
         }
@@ -207,7 +214,7 @@
 
     fn pass(&mut self, now: Micros) {
         self.next = now + TICK;
-        self.spread.pass(now);
+        self.spread.tick(now);
         self.ask(now);
     }
 
@@ -221,7 +228,7 @@
     }
 
     fn does(&mut self, now: Micros, what: u32) {
-        file(what as usize).iter().for_each(|decree| self.spread.learn(decree, now));
+        file(what as usize).iter().for_each(|decree| self.spread.add_file(decree, now));
         self.look();
     }
 
@@ -245,7 +252,7 @@
     const ACTORS: usize = NODES;
 
     fn start(seed: u64, me: Actor, life: u64, now: Micros) -> Self::Part {
-        let note = Note { spent: 0, debt: 0, shrunk: false };
+        let note = CreditRecord { spent: 0, debt: 0, shrunk: false };
         Node::new(seed, me, life, now, None, Some(note))
     }
 
@@ -253,7 +260,7 @@
         let Some(last) = last else { return Self::start(seed, me, life, now) };
         // The one whose disk is lost begins with nothing; what it has begun counts all the same. The fault's keep theirs.
         let kept = me == 1 || OLDER;
-        let (book, disk) = if kept { (Some(last.spread.book()), last.disk) } else { (None, None) };
+        let (book, disk) = if kept { (Some(last.spread.registry()), last.disk) } else { (None, None) };
         let mut node = Node::new(seed, me, life, now, book, disk);
         node.knew = if kept { last.knew } else { node.knew };
         (node.alone, node.broken, node.came) = (last.alone, last.broken, last.came);
@@ -293,7 +300,7 @@
             return Err(broken);
         }
         let begun: u64 = nodes().map(|n| n.alone).sum();
-        if begun > CREDIT.whole {
+        if begun > CREDIT.total {
             let each: Vec<u64> = nodes().map(|n| n.alone).collect();
             return Err(Broken::new("never beyond the credit", format!("{each:?} of {CREDIT:?}")));
         }
@@ -304,7 +311,7 @@
         let all: Vec<(u64, u64, AccountStatus)> = parts
             .iter()
             .flatten()
-            .map(|n| (n.book().highest(), n.book().hash(), n.book().standing(ACCOUNT, UNIX + now)))
+            .map(|n| (n.book().newest_number(), n.book().hash(), n.book().standing_at(ACCOUNT, UNIX + now)))
             .collect();
         let first = all.first().filter(|f| (f.0, f.2) == (5, AccountStatus::Closed) && all.len() == NODES);
         match first.filter(|first| all.iter().all(|a| a == *first)) {
--- a/crates/sites/tests/joint.rs
+++ b/crates/sites/tests/joint.rs
@@ -10,11 +10,11 @@
 //! at once. What is searched whole is the key and the account each for itself, over all the cores; both together are searched in part and
 //! walked through by chance. A site whose disk is lost comes back under another name, as `docs/design/sites.md` asks for, which has no range of keys.
 
-use shorepath_accounts::admission::{restrictions, rule, AdmissionDecision, CreditBalances, Now};
+use shorepath_accounts::admission::{decide, restrictions, AdmissionDecision, CreditBalances, Now};
 use shorepath_accounts::config::AccountsFile;
-use shorepath_accounts::credit::{parts, Credit, CreditBalance, Note, Part, Share};
-use shorepath_accounts::in_flight::{Key, Taken};
-use shorepath_accounts::registry::Book;
+use shorepath_accounts::credit::{divide, Credit, CreditBalance, CreditRecord, NodeCredit, SiteShare};
+use shorepath_accounts::in_flight::{AcceptedRequests, Key};
+use shorepath_accounts::registry::AccountRegistry;
 use shorepath_accounts::{AccountStatus, Change};
 use shorepath_placements::hash_chain::{encode, next_digest, origin, Piece, Point};
 use shorepath_placements::history::History;
@@ -37,7 +37,7 @@
 const BUDGET: &str = "home:a/n";
 const CLASS: &str = "valve";
 const ACME: &str = "acme";
-const CREDIT: Credit = Credit { whole: 2, reserve: 0, shrink_after: 1_000 };
+const CREDIT: Credit = Credit { total: 2, reserve: 0, shrink_after: 1_000 };
 /// What the authority's files say, one after the other: closing, and named no more.
 const FILES: [Option<AccountStatus>; 2] = [Some(AccountStatus::Closing), None];
 /// The guarded job; others count from 1.
@@ -132,10 +132,10 @@
     /// The last entry of its own log that is on the disk.
     head: Point,
     notified: SiteReport,
-    book: Book,
+    book: AccountRegistry,
     balance: CreditBalance,
-    note: Option<Note>,
-    taken: Taken,
+    note: Option<CreditRecord>,
+    taken: AcceptedRequests,
     /// Jobs that were taken here and have no answer yet, with the number of their placement, which is on the disk.
     running: BTreeMap<u8, u64>,
     /// The guarded job is placed, which is not on the disk yet.
@@ -200,7 +200,7 @@
     size: Size,
     plan: SitesConfig,
     key: String,
-    parts: Vec<Part>,
+    parts: Vec<NodeCredit>,
 }
 
 fn world(fault: Fault, size: Size) -> World {
@@ -208,8 +208,8 @@
     let plan = read("s", text).unwrap();
     let ownership = KeyOwnership::new(0, &plan, &PersistedOwnership::default());
     let key = (0..100).map(|k| format!("k{k}")).find(|k| ownership.home(k) == "a/n").unwrap();
-    let share = || Share { site: String::new(), nodes: 1, weight: None };
-    let parts = parts(&CREDIT, &[share(), share()]).unwrap().concat();
+    let share = || SiteShare { site: String::new(), nodes: 1, weight: None };
+    let parts = divide(&CREDIT, &[share(), share()]).unwrap().concat();
     World { fault, size, plan, key, parts }
 }
 
@@ -245,7 +245,7 @@
 
 impl Site {
     fn now(&self) -> Now {
-        Now { unix: 1, steady: 1, alone_since: self.alone.then_some(0) }
+        Now { unix: 1, steady: 1, unconfirmed_since: self.alone.then_some(0) }
     }
 
     /// Write the next entry of its own log.
@@ -264,7 +264,7 @@
         let guarded = job == GUARDED;
         let key = Some(if guarded { "key".to_string() } else { job.to_string() });
         let class = if guarded { CLASS } else { "free" }.to_string();
-        let (server, standing) = ("s".to_string(), self.book.highest());
+        let (server, standing) = ("s".to_string(), self.book.newest_number());
         let tenant = Some(ACME.to_string());
         let (list, taken) = (1, 1);
         let entry =
@@ -275,32 +275,32 @@
 
     /// Whether a request of the account is taken, and on credit.
     fn take(&mut self, fault: Fault, job: u8) -> Option<bool> {
-        if let Some(note) = self.balance.durable_to().filter(|_| self.alone) {
-            self.balance.wrote(note);
+        if let Some(note) = self.balance.record_to_write().filter(|_| self.alone) {
+            self.balance.record_written(note);
             self.note = Some(note);
         }
         let now = self.now();
-        let admission = rule(&self.book, Some(&mut self.balance), &self.taken, ACME, Some(&name(job)), now);
+        let admission = decide(&self.book, Some(&mut self.balance), &self.taken, ACME, Some(&name(job)), now);
         let on_credit = match admission {
             AdmissionDecision::Refuse(_) => return None,
-            admission => admission == AdmissionDecision::TakeOnCredit,
+            admission => admission == AdmissionDecision::AdmitOnCredit,
         };
         self.begun += u64::from(on_credit);
-        self.taken.take(ACME, Some(&name(job)), 1);
-        if fault == Fault::Dropped && self.book.standing(ACME, 1).rejects_new_work() {
-            self.taken = Taken::new(8, 100);
+        self.taken.record(ACME, Some(&name(job)), 1);
+        if fault == Fault::Dropped && self.book.standing_at(ACME, 1).rejects_new_work() {
+            self.taken = AcceptedRequests::new(8, 100);
         }
         Some(on_credit)
     }
 
-    fn receive(&mut self, fault: Fault, number: u64, what: impl FnOnce(&mut Book)) {
+    fn receive(&mut self, fault: Fault, number: u64, what: impl FnOnce(&mut AccountRegistry)) {
         if fault == Fault::OlderWins {
-            self.book = Book::new();
+            self.book = AccountRegistry::new();
         }
         what(&mut self.book);
         self.number = self.number.max(number);
-        if fault == Fault::Dropped && self.book.standing(ACME, 1).rejects_new_work() {
-            self.taken = Taken::new(8, 100);
+        if fault == Fault::Dropped && self.book.standing_at(ACME, 1).rejects_new_work() {
+            self.taken = AcceptedRequests::new(8, 100);
         }
     }
 }
@@ -332,10 +332,10 @@
             head: origin(&writer),
             writer,
             notified: SiteReport::of(History::new()),
-            book: Book::new(),
-            balance: CreditBalance::restore(part, CREDIT.shrink_after, 1, Some(Note::default())),
-            note: Some(Note::default()),
-            taken: Taken::new(8, 100),
+            book: AccountRegistry::new(),
+            balance: CreditBalance::restore(part, CREDIT.shrink_after, 1, Some(CreditRecord::default())),
+            note: Some(CreditRecord::default()),
+            taken: AcceptedRequests::new(8, 100),
             running: BTreeMap::new(),
             pending: None,
             alone: false,
@@ -395,20 +395,20 @@
         (site.life, site.asked, site.grant, site.pending, site.alone) =
             (life.incarnation, 0, None, None, true);
         if !disk {
-            (site.book, site.number, site.note) = (Book::new(), 0, None);
+            (site.book, site.number, site.note) = (AccountRegistry::new(), 0, None);
             site.running.clear();
             site.notified = SiteReport::of(History::new());
             if self.fault == Fault::LostIsWhole {
-                (site.note, site.kept) = (Some(Note::default()), self.founded());
+                (site.note, site.kept) = (Some(CreditRecord::default()), self.founded());
             } else {
                 (site.renamed, site.kept) = (true, PersistedOwnership::default());
                 site.writer = World::writer(n, 2);
             }
             site.head = origin(&site.writer);
         }
-        let note = if self.fault == Fault::Refill { Some(Note::default()) } else { site.note };
+        let note = if self.fault == Fault::Refill { Some(CreditRecord::default()) } else { site.note };
         site.balance = CreditBalance::restore(self.parts[n], CREDIT.shrink_after, 1, note);
-        site.taken = Taken::new(8, 100);
+        site.taken = AcceptedRequests::new(8, 100);
         let names: Vec<Key> = site.running.keys().map(|job| name(*job)).collect();
         site.taken.restore(names.iter().map(|name| (ACME, name, 0)), 1);
         site.holder = Holder::new(life, 0, TERM);
@@ -456,7 +456,7 @@
         let site = Arc::make_mut(&mut s.sites[n]);
         let may = site.ownership.may_place(&self.key, now, |_| Proof::Unknown);
         let Some(fence) = may.ok().filter(|_| site.notified.known == KeyState::Free) else { return };
-        let rejection = rejection(site.number) && !site.taken.holds(ACME, Some(&name(GUARDED)), 1);
+        let rejection = rejection(site.number) && !site.taken.contains(ACME, Some(&name(GUARDED)), 1);
         if site.take(self.fault, GUARDED).is_none() {
             return;
         }
@@ -482,7 +482,7 @@
             // It surely never ran, and its client is told so.
             let of = site.running.remove(&GUARDED).unwrap();
             site.write(Entry::Ended { of, how: End::NeverRan });
-            site.taken.forget(ACME, Some(&name(GUARDED)));
+            site.taken.remove(ACME, Some(&name(GUARDED)));
         }
     }
 }
@@ -584,7 +584,7 @@
                 s.issued += 1;
                 let number = s.issued;
                 let site = Arc::make_mut(&mut s.sites[n]);
-                site.receive(fault, number as u64, |book| drop(book.learn(&file(number))));
+                site.receive(fault, number as u64, |book| drop(book.add_file(&file(number))));
             }
             Step::Reply(n) => {
                 let (book, number) = (s.sites[n].book.clone(), s.sites[n].number);
@@ -602,7 +602,7 @@
             }
             Step::Confirm(n) => {
                 let site = Arc::make_mut(&mut s.sites[n]);
-                let change = site.book.change(ACME, 1);
+                let change = site.book.change_at(ACME, 1);
                 site.balance.confirmed(&change);
                 (site.alone, site.begun) = (false, 0);
             }
@@ -644,17 +644,17 @@
             Property::always(ONCE, |_, s: &State| s.runs < 2),
             Property::always(ONE_HOME, |w: &World, s: &State| !(w.holds(s, 0) && w.holds(s, 1))),
             Property::always(CREDITED, |w: &World, s: &State| {
-                s.sites.iter().zip(&w.parts).all(|(site, part)| site.begun <= part.whole)
+                s.sites.iter().zip(&w.parts).all(|(site, part)| site.begun <= part.total)
             }),
             Property::always(NOTIFIED_AFTER, |_, s: &State| !s.wrong),
             Property::always(FINISHED, |_, s: &State| {
                 s.sites.iter().all(|site| {
                     let sent = restrictions(&site.book, &mut CreditBalances::new(), site.now())
                         .get(ACME)
-                        .is_none_or(|restriction| restriction.send);
+                        .is_none_or(|restriction| restriction.may_send);
                     let repeat = |job: &u8| {
-                        rule(&site.book, None, &site.taken, ACME, Some(&name(*job)), site.now())
-                            == AdmissionDecision::Take
+                        decide(&site.book, None, &site.taken, ACME, Some(&name(*job)), site.now())
+                            == AdmissionDecision::Admit
                     };
                     sent && site.running.keys().all(repeat)
                 })
@@ -662,7 +662,7 @@
             Property::always(EQUAL, |w: &World, s: &State| w.whole(s)),
             Property::sometimes("an heir places what is proved", |_, s: &State| s.adopted),
             Property::sometimes("all of the credit is used", |_, s: &State| {
-                s.sites.iter().map(|site| site.begun).sum::<u64>() == CREDIT.whole
+                s.sites.iter().map(|site| site.begun).sum::<u64>() == CREDIT.total
             }),
             Property::sometimes("work ends after the closing", |_, s: &State| {
                 let ends = |n: &Arc<Site>| n.number == 1 && n.running.is_empty() && n.head.0 > 1;
--- a/src/net/sites.rs
+++ b/src/net/sites.rs
@@ -26,10 +26,10 @@
 use persistence::uses;
 pub use persistence::Written;
 use shorepath_accounts::admission::{CreditBalances, Now};
-use shorepath_accounts::credit::{CreditBalance, Part as CreditPart};
+use shorepath_accounts::credit::{CreditBalance, NodeCredit};
 use shorepath_accounts::freshness::Confirmation;
 use shorepath_accounts::gossip;
-use shorepath_accounts::in_flight::Taken;
+use shorepath_accounts::in_flight::AcceptedRequests;
 use shorepath_audit::audit_log::ChangeSource;
 use shorepath_audit::version::{ContentHash, Item};
 use shorepath_message_auth::channel::Channel;
@@ -86,7 +86,7 @@
     exchange: Rc<Exchange<Job>>,
     deadlines: Rc<Deadlines>,
     origin: Instant,
-    spread: RefCell<gossip::Spread>,
+    spread: RefCell<gossip::Gossip>,
     site_health: RefCell<SiteHealth>,
     /// Files of sites that were in force, as the disk has it.
     used: RefCell<ConfigHistory>,
@@ -96,7 +96,7 @@
     /// That was told.
     reopens_notified: Cell<bool>,
     line: RefCell<Channel>,
-    taken: RefCell<Taken>,
+    taken: RefCell<AcceptedRequests>,
     balances: RefCell<CreditBalances>,
     confirmation: Cell<Confirmation>,
     placing: Placing,
@@ -225,8 +225,8 @@
         let siting = self.siting.borrow();
         auditing.took(Item::Sites, siting.content, Some(siting.plan.version), why);
         let (spread, content) = (self.spread.borrow(), |n: u64| ContentHash::of_number(n));
-        let book = spread.book();
-        auditing.took(Item::Accounts, content(book.hash()), Some(book.highest()), why);
+        let book = spread.registry();
+        auditing.took(Item::Accounts, content(book.hash()), Some(book.newest_number()), why);
     }
 
     fn now(&self) -> Micros {
@@ -234,7 +234,11 @@
     }
 
     fn times(&self) -> Now {
-        Now { unix: unix(), steady: self.now(), alone_since: self.confirmation.get().alone_since() }
+        Now {
+            unix: unix(),
+            steady: self.now(),
+            unconfirmed_since: self.confirmation.get().unconfirmed_since(),
+        }
     }
 
     fn address(&self) -> Option<SocketAddr> {
@@ -257,7 +261,7 @@
             let mut spread = self.spread.borrow_mut();
             spread.set_peers(newer.plan.nodes().map(|(_, n)| n.number).collect());
             if let Some(accounts_file) = &newer.accounts_file {
-                spread.learn(accounts_file, now);
+                spread.add_file(accounts_file, now);
             }
         }
         if newer.plan.recover != self.siting.borrow().plan.recover {
@@ -269,7 +273,7 @@
         let mut balances = self.balances.borrow_mut();
         balances.retain(|tenant, _| newer.plan.credits.iter().any(|c| c.tenant == *tenant));
         for credit in newer.plan.credits.iter().filter_map(|c| newer.plan.credit_part(&c.tenant, me)) {
-            let part = CreditPart { whole: credit.jobs, reserve: credit.reserve };
+            let part = NodeCredit { total: credit.jobs, reserve: credit.reserve };
             // What a tenant that had none begins with is not known: nothing, until its standing is confirmed.
             let new = || CreditBalance::restore(part, credit.shrink, CHUNK, None);
             balances.entry(credit.tenant).or_insert_with(new).resize(part, credit.shrink);
@@ -372,7 +376,7 @@
     fn pass(&self) {
         let now = self.now();
         self.reopen(now);
-        self.spread.borrow_mut().pass(now);
+        self.spread.borrow_mut().tick(now);
         self.site_health.borrow_mut().tick(now);
         self.seal(now);
         self.lend();
@@ -390,7 +394,7 @@
         }
         let mut confirmation = self.confirmation.get();
         let received = self.site_health.borrow().majority_heard_at(now);
-        if let Some(alone) = confirmation.pass(received, now) {
+        if let Some(alone) = confirmation.update(received, now) {
             match alone {
                 // What is begun from now on without confirmation counts against the credit, wherever that is.
                 true => {
--- a/src/net/sites/accounts.rs
+++ b/src/net/sites/accounts.rs
@@ -2,7 +2,7 @@
 
 use super::persistence::Written;
 use super::{unix, Sites, BOOK, CREDIT_BALANCE};
-use shorepath_accounts::credit::Note;
+use shorepath_accounts::credit::CreditRecord;
 use shorepath_accounts::registry::RegistryUpdate;
 use shorepath_placements::reconcile;
 use shorepath_placements::reconcile::{DebtKind, Decision, Reconciler};
@@ -16,7 +16,7 @@
         let now = self.times();
         for updates in self.spread.borrow_mut().take_updates() {
             match updates {
-                RegistryUpdate::Changed { account, change } => {
+                RegistryUpdate::StandingChanged { account, change } => {
                     info!(
                         "account {account} {:?} number={} from={} reason={:?}",
                         change.standing, change.number, change.from, change.reason
@@ -27,14 +27,14 @@
                     let change = reconcile::StandingChange { number: change.number, from: change.from, takes_new };
                     self.reconcile(self.placing.judge_by(|r| r.change_standing(&account, change)));
                 }
-                RegistryUpdate::Newer { number } => info!("accounts: file {number} holds"),
-                RegistryUpdate::TwoFiles { number } => warn!("accounts: two files of number {number} say different things; the stricter holds for each account until one of a greater number is handed out"),
+                RegistryUpdate::NewFile { number } => info!("accounts: file {number} holds"),
+                RegistryUpdate::ConflictingFiles { number } => warn!("accounts: two files of number {number} say different things; the stricter holds for each account until one of a greater number is handed out"),
                 other => warn!("accounts: {other:?}"),
             }
         }
         {
             let spread = self.spread.borrow();
-            let book = spread.book();
+            let book = spread.registry();
             if book.hash() != self.kept.get() {
                 self.kept.set(book.hash());
                 self.group_commit.commit(vec![Op::remember(BOOK, book)], |done| {
@@ -45,8 +45,8 @@
             }
             let mut balances = self.balances.borrow_mut();
             for (tenant, balance) in balances.iter_mut() {
-                let change = book.change(tenant, now.unix);
-                if now.alone_since.is_none() && balance.note_now() != Note::default() {
+                let change = book.change_at(tenant, now.unix);
+                if now.unconfirmed_since.is_none() && balance.current_record() != CreditRecord::default() {
                     let owed = balance.confirmed(&change);
                     if owed > 0 {
                         warn!("account {tenant}: {owed} jobs were begun after it was closed, and are owed");
@@ -54,8 +54,8 @@
                 }
                 let mut writing = self.writing.borrow_mut();
                 if !self.store.takes() {
-                    balance.failed();
-                } else if let Some(note) = balance.durable_to().filter(|_| !writing.contains(tenant)) {
+                    balance.write_failed();
+                } else if let Some(note) = balance.record_to_write().filter(|_| !writing.contains(tenant)) {
                     writing.push(tenant.clone());
                     let (writes, tenant) = (self.writes.clone(), tenant.clone());
                     self.group_commit.commit(
@@ -89,7 +89,7 @@
                     warn!("account {tenant}: {jobs} jobs were begun above its credit, over all sites");
                     let share = self.credit_share(tenant, *jobs);
                     if let Some(balance) = self.balances.borrow_mut().get_mut(tenant) {
-                        balance.owe(share);
+                        balance.add_debt(share);
                     }
                 }
                 Decision::Standing { tenant, number, awareness, writer, entry } => warn!(
--- a/src/net/sites/admission.rs
+++ b/src/net/sites/admission.rs
@@ -5,7 +5,7 @@
 use crate::net::answers::Keeping;
 use crate::net::exchange::{Attempt, DispatchId, Ran, Recorder, ResponseOutcome, Source};
 use crate::net::Job;
-use shorepath_accounts::admission::{restrictions, why, Refusal};
+use shorepath_accounts::admission::{refusal, restrictions, Refusal};
 use shorepath_accounts::in_flight::Key;
 use shorepath_placements as placements;
 use shorepath_placements::idempotency_index::KeyState;
@@ -59,7 +59,7 @@
         let (id, now) = (&*job.id, self.now());
         let tenant = job.tenant.clone().unwrap_or_default();
         let key = Key::of(job.repeat_key.as_deref(), Some(id));
-        let begun = self.taken.borrow().holds(&tenant, key.as_ref(), now);
+        let begun = self.taken.borrow().contains(&tenant, key.as_ref(), now);
         let guest = self.spillover.guest(&self.site_health.borrow(), class, job);
         let mut rejection = self.rejection_for(class, job.repeat_key.as_deref().unwrap_or(id));
         // Those that are sent away on the way back are told by chance when to come, see [`Mark::extra_field`].
@@ -162,9 +162,9 @@
     pub(super) fn running(&self) {
         let (now, unix) = (self.now(), unix());
         let spread = self.spread.borrow();
-        let book = spread.book();
+        let book = spread.registry();
         let barring: BTreeSet<&str> =
-            book.named().filter(|a| book.standing(a, unix).rejects_new_work()).collect();
+            book.accounts_in_newest_file().filter(|a| book.standing_at(a, unix).rejects_new_work()).collect();
         if barring.is_empty() {
             return;
         }
@@ -173,7 +173,7 @@
             if barring.contains(tenant) && unix - at < TAKEN_FOR {
                 // A log does not say which of both it is.
                 let keys = [Key::Idempotency(key.to_string()), Key::Request(key.to_string())];
-                for key in keys.iter().filter(|k| !taken.holds(tenant, Some(k), now)).collect::<Vec<_>>() {
+                for key in keys.iter().filter(|k| !taken.contains(tenant, Some(k), now)).collect::<Vec<_>>() {
                     taken.restore([(tenant, key, unix - at)], now);
                 }
             }
@@ -183,15 +183,15 @@
     /// Bring the module's parts in line with what may be begun now.
     pub(super) fn hold(&self) {
         let now = self.times();
-        let all = restrictions(self.spread.borrow().book(), &mut self.balances.borrow_mut(), now);
+        let all = restrictions(self.spread.borrow().registry(), &mut self.balances.borrow_mut(), now);
         let mut parts = Vec::new();
         for (tenant, restriction) in all {
             let Some(of) = self.exchange.tenant(&tenant) else { continue };
-            if let Some(units) = restriction.begin {
+            if let Some(units) = restriction.max_new_jobs {
                 let units = units.saturating_add(self.exchange.begun(of));
                 parts.push(QuotaShare { kind: QuotaKind::NewWork(of), units, total: units, window: 0 });
             }
-            if !restriction.send {
+            if !restriction.may_send {
                 parts.push(QuotaShare { kind: QuotaKind::TenantEnabled(of), units: 0, total: 0, window: 0 });
             }
         }
@@ -211,7 +211,7 @@
         let guarded = is_unsafe || self.siting.borrow().plan.guarded_classes.contains(class);
         let tenant = job.tenant.clone();
         let standing =
-            tenant.as_deref().map_or(0, |t| self.spread.borrow().book().change(t, now.unix).number);
+            tenant.as_deref().map_or(0, |t| self.spread.borrow().registry().change_at(t, now.unix).number);
         let key = job.repeat_key.clone().unwrap_or_else(|| job.id.to_string());
         // It may have waited for long since it was taken, and another request for its key with it. A further attempt is made only
         // where the one before surely never ran, or may run again.
@@ -249,7 +249,7 @@
             server: server.to_string(),
             standing,
             taken: now.unix,
-            on_credit: now.alone_since.is_some(),
+            on_credit: now.unconfirmed_since.is_some(),
             list: 0,
             fence,
         };
@@ -300,13 +300,13 @@
             return;
         }
         let now = self.sites.times();
-        if self.new && now.alone_since.is_some() {
-            let number = self.sites.spread.borrow().book().change(&self.tenant, now.unix).number;
+        if self.new && now.unconfirmed_since.is_some() {
+            let number = self.sites.spread.borrow().registry().change_at(&self.tenant, now.unix).number;
             if let Some(balance) = self.sites.balances.borrow_mut().get_mut(&self.tenant) {
                 self.spent = balance.spend(number, now.unix).then_some((number, now.unix));
             }
         }
-        self.sites.taken.borrow_mut().take(&self.tenant, self.key.as_ref(), now.steady);
+        self.sites.taken.borrow_mut().record(&self.tenant, self.key.as_ref(), now.steady);
     }
 
     /// It has its final answer; why, where that is a bar.
@@ -314,11 +314,11 @@
         let now = self.sites.times();
         if matches!(outcome, ResponseOutcome::Shed { .. }) && self.new {
             // Nothing was begun: a repeat of it is new work, too.
-            self.sites.taken.borrow_mut().forget(&self.tenant, self.key.as_ref());
+            self.sites.taken.borrow_mut().remove(&self.tenant, self.key.as_ref());
             if let (Some((number, at)), Some(balance)) =
                 (self.spent, self.sites.balances.borrow_mut().get_mut(&self.tenant))
             {
-                balance.unspend(number, at);
+                balance.refund(number, at);
             }
         }
         if !matches!(outcome, ResponseOutcome::Rejected { .. }) {
@@ -332,7 +332,8 @@
         }
         let spread = self.sites.spread.borrow();
         let balances = self.sites.balances.borrow();
-        let Refusal { why, retry } = why(spread.book(), balances.get(&self.tenant), &self.tenant, now);
+        let Refusal { reason: why, retry } =
+            refusal(spread.registry(), balances.get(&self.tenant), &self.tenant, now);
         Some(Rejection { status: if retry { 503 } else { 403 }, why: why.to_string(), retry })
     }
 }
--- a/src/net/sites/persistence.rs
+++ b/src/net/sites/persistence.rs
@@ -2,7 +2,7 @@
 
 use super::{unix, Sites, BOOK, KEY_OWNERSHIP, USED};
 use crate::net::exchange::{DispatchId, Recorder};
-use shorepath_accounts::credit::Note;
+use shorepath_accounts::credit::CreditRecord;
 use shorepath_placements::log::LogError;
 use shorepath_quota::{Micros, NodeId};
 use shorepath_sites::config::SitesConfig;
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub enum Written {
     /// A note of a tenant's credit.
-    Credit(String, Note, Result<(), Arc<StoreError>>),
+    Credit(String, CreditRecord, Result<(), Arc<StoreError>>),
     /// A placement that had to be there before it is sent.
     Placed(DispatchId, Result<(), LogError>),
     /// Nothing: it may not be placed now.
@@ -176,7 +176,7 @@
         };
         used.record(&self.siting.borrow().plan);
         ops.push(Op::remember(USED, &used));
-        ops.push(Op::remember(BOOK, self.spread.borrow().book()));
+        ops.push(Op::remember(BOOK, self.spread.borrow().registry()));
         // They are written anew with the next pass.
         self.ownership_kept.borrow_mut().0 = PersistedOwnership::default();
         self.reopens.set(None);
@@ -196,13 +196,13 @@
         }
     }
 
-    pub(super) fn wrote(&self, tenant: &str, note: Note, done: Result<(), Arc<StoreError>>) {
+    pub(super) fn wrote(&self, tenant: &str, note: CreditRecord, done: Result<(), Arc<StoreError>>) {
         self.writing.borrow_mut().retain(|t| t != tenant);
         if let Some(balance) = self.balances.borrow_mut().get_mut(tenant) {
             match done {
-                Ok(()) => balance.wrote(note),
+                Ok(()) => balance.record_written(note),
                 Err(e) => {
-                    balance.failed();
+                    balance.write_failed();
                     warn!("account {tenant}: its credit can't be noted: {e}");
                 }
             }
--- a/src/net/sites/startup.rs
+++ b/src/net/sites/startup.rs
@@ -7,10 +7,10 @@
 use crate::net::placing::Placing;
 use crate::net::recovering::{Claimed, Recovering};
 use shorepath_accounts::admission::CreditBalances;
-use shorepath_accounts::credit::{CreditBalance, Note, Part as CreditPart};
+use shorepath_accounts::credit::{CreditBalance, CreditRecord, NodeCredit};
 use shorepath_accounts::gossip;
-use shorepath_accounts::in_flight::{Key, Taken};
-use shorepath_accounts::registry::Book;
+use shorepath_accounts::in_flight::{AcceptedRequests, Key};
+use shorepath_accounts::registry::AccountRegistry;
 use shorepath_quota::{Micros, NodeId};
 use shorepath_sites::config_history::ConfigHistory;
 use shorepath_sites::key_ownership::PersistedOwnership;
@@ -33,7 +33,7 @@
     pub(super) store: Arc<Store>,
     pub(super) group_commit: Arc<GroupCommit>,
     pub(super) used: ConfigHistory,
-    pub(super) spread: gossip::Spread,
+    pub(super) spread: gossip::Gossip,
     pub(super) balances: CreditBalances,
     /// The hash of the accounts that the disk has.
     pub(super) kept: u64,
@@ -56,13 +56,13 @@
     siting.may_hold(&used)?;
     uses(&store, &mut used, &siting.plan);
     let peers = siting.plan.nodes().map(|(_, n)| n.number).collect();
-    let mut spread = gossip::Spread::new(me, peers, chance, now);
-    if let Some(book) = store.fact::<Book>(BOOK).map_err(&unusable)? {
+    let mut spread = gossip::Gossip::new(me, peers, chance, now);
+    if let Some(book) = store.fact::<AccountRegistry>(BOOK).map_err(&unusable)? {
         spread.restore(&book);
     }
-    let kept = spread.book().hash();
+    let kept = spread.registry().hash();
     if let Some(accounts_file) = &siting.accounts_file {
-        spread.learn(accounts_file, now);
+        spread.add_file(accounts_file, now);
     }
     let balances = balances(siting, &store, me).map_err(&unusable)?;
     let ownership_kept =
@@ -76,8 +76,8 @@
 fn balances(siting: &Siting, store: &Store, me: u32) -> Result<CreditBalances, StoreError> {
     let mut balances = CreditBalances::new();
     for credit in siting.plan.credits.iter().filter_map(|c| siting.plan.credit_part(&c.tenant, me)) {
-        let note = store.fact::<Note>(&format!("{CREDIT_BALANCE}{}", credit.tenant))?;
-        let part = CreditPart { whole: credit.jobs, reserve: credit.reserve };
+        let note = store.fact::<CreditRecord>(&format!("{CREDIT_BALANCE}{}", credit.tenant))?;
+        let part = NodeCredit { total: credit.jobs, reserve: credit.reserve };
         balances.insert(credit.tenant, CreditBalance::restore(part, credit.shrink, CHUNK, note));
     }
     Ok(balances)
@@ -133,8 +133,8 @@
 }
 
 /// What was taken lately, by what was placed: nobody knows any more whether a key was an idempotency key or a request's id.
-pub(super) fn taken(placing: &Placing, now: Micros) -> Taken {
-    let mut taken = Taken::new(TAKEN, TAKEN_FOR);
+pub(super) fn taken(placing: &Placing, now: Micros) -> AcceptedRequests {
+    let mut taken = AcceptedRequests::new(TAKEN, TAKEN_FOR);
     placing.taken(unix() - TAKEN_FOR, |tenant, key, at| {
         let keys = [Key::Idempotency(key.to_string()), Key::Request(key.to_string())];
         taken.restore(keys.iter().map(|k| (tenant, k, unix() - at)), now);
--- a/src/net/sites/status.rs
+++ b/src/net/sites/status.rs
@@ -2,7 +2,7 @@
 
 use super::Sites;
 use crate::net::server_table::{LastList, Listing};
-use shorepath_accounts::credit::Note;
+use shorepath_accounts::credit::CreditRecord;
 use shorepath_recovery::phases::Admits;
 use std::rc::Rc;
 
@@ -49,11 +49,11 @@
         }
         text += &self.spillover.state(&self.exchange, self.now());
         let now = self.times();
-        let standing = if now.alone_since.is_some() { "not confirmed" } else { "confirmed" };
+        let standing = if now.unconfirmed_since.is_some() { "not confirmed" } else { "confirmed" };
         let spread = self.spread.borrow();
-        text += &format!("standing {standing} file={}\n", spread.book().highest());
-        for account in spread.book().accounts() {
-            let change = spread.book().change(account, now.unix);
+        text += &format!("standing {standing} file={}\n", spread.registry().newest_number());
+        for account in spread.registry().accounts() {
+            let change = spread.registry().change_at(account, now.unix);
             text += &format!(
                 "account {account} {:?} number={} reason={:?}\n",
                 change.standing, change.number, change.reason
@@ -65,7 +65,7 @@
             text += &key_leases.state();
         }
         for (tenant, balance) in self.balances.borrow().iter() {
-            let Note { spent, debt, .. } = balance.note_now();
+            let CreditRecord { spent, debt, .. } = balance.current_record();
             text += &format!("credit {tenant} left={} spent={spent} debt={debt}\n", balance.left());
         }
         text
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -5,9 +5,9 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use shorepath_accounts::config::AccountsFile;
-use shorepath_accounts::credit::Note;
-use shorepath_accounts::gossip::{self, Telling};
-use shorepath_accounts::registry::Book;
+use shorepath_accounts::credit::CreditRecord;
+use shorepath_accounts::gossip::{self, FileTransfer};
+use shorepath_accounts::registry::AccountRegistry;
 use shorepath_accounts::{AccountStatus, Change};
 use shorepath_audit::audit_log::{self, ChainPoint, ChangeSource, Decision};
 use shorepath_audit::decision_counters::request_tag;
@@ -235,7 +235,7 @@
 }
 
 fn account_messages() -> Vec<gossip::Message> {
-    let telling = Telling { page: (8, 0xabcd), base: (7, 0x1234), of: 2 };
+    let transfer = FileTransfer { file: (8, 0xabcd), base: (7, 0x1234), piece_count: 2 };
     let account_lines = vec![
         gossip::AccountLine {
             account: "acme".into(),
@@ -247,10 +247,10 @@
     ];
     vec![
         gossip::Message::Digest { newest: (8, 0xabcd), hash: 0x77 },
-        gossip::Message::Have { pages: vec![(8, 0xabcd), (7, 0x1234)], ask: true, lacks: None },
-        gossip::Message::Have { pages: vec![], ask: false, lacks: Some((telling, vec![0, 1])) },
-        gossip::Message::Piece { telling, at: 1, two: true, last: true, account_lines },
-        gossip::Message::Other(9),
+        gossip::Message::Have { files: vec![(8, 0xabcd), (7, 0x1234)], wants_reply: true, missing: None },
+        gossip::Message::Have { files: vec![], wants_reply: false, missing: Some((transfer, vec![0, 1])) },
+        gossip::Message::Piece { transfer, index: 1, conflicting: true, last: true, lines: account_lines },
+        gossip::Message::Unknown(9),
     ]
 }
 
@@ -259,8 +259,8 @@
     AccountsFile::new(number, BTreeMap::from([("acme".to_string(), change)]))
 }
 
-fn book() -> Book {
-    let mut book = Book::new();
+fn book() -> AccountRegistry {
+    let mut book = AccountRegistry::new();
     for (number, standing) in [
         (1, AccountStatus::Good),
         (2, AccountStatus::Warned),
@@ -268,10 +268,10 @@
         (4, AccountStatus::Closed),
         (5, AccountStatus::Reopened),
     ] {
-        book.learn(&accounts_file(number, standing));
+        book.add_file(&accounts_file(number, standing));
     }
     // Two files of one number.
-    book.learn(&accounts_file(5, AccountStatus::Closed));
+    book.add_file(&accounts_file(5, AccountStatus::Closed));
     book
 }
 
@@ -285,7 +285,7 @@
     samples.json("book", book());
     samples.computed("hash", book().hash());
     samples.json("decree", accounts_file(4, AccountStatus::Closed));
-    samples.json("note", Note { spent: 3, debt: 2, shrunk: true });
+    samples.json("note", CreditRecord { spent: 3, debt: 2, shrunk: true });
     samples.check("accounts.txt");
 }
 
