--- a/crates/lab/src/sites/node.rs
+++ b/crates/lab/src/sites/node.rs
@@ -174,11 +174,11 @@
         self.seeing.tick(now);
         if now >= self.lends_at {
             self.lends_at = now + LENDS;
-            let classes = [Class { name: "job".to_string(), worth: 1_000 }];
+            let classes = [Class { name: "job".to_string(), value: 1_000 }];
             self.lending.tick(&mut self.seeing, &classes, std::mem::take(outcomes), true, now);
         }
         passed.changed = self.seeing.take_changes();
-        self.confirmation.pass(self.seeing.majority_heard_at(now), now);
+        self.confirmation.pass(self.seeing.majority_contact_at(now), now);
         let alone_since = self.confirmation.alone_since();
         for news in self.spread.take_updates() {
             if let RegistryUpdate::Changed { change, .. } = news {
@@ -234,7 +234,7 @@
 fn lent(lending: &LoadShifting) -> Vec<QuotaShare> {
     let limits = lending.limits();
     let part = |of, units, span| QuotaShare { kind: of, units, total: units, window: span };
-    let guests = limits.guests.iter().flatten().enumerate();
+    let guests = limits.remote.iter().flatten().enumerate();
     let guests = guests
         .map(|(class, units)| part(QuotaKind::RemoteClass(ClassId(class)), *units, limits.unused_lifetime));
     guests.chain(limits.own_site.map(|units| part(QuotaKind::LocalSite, units, 250 * MS))).collect()
--- a/crates/mutants/src/systems/lending.rs
+++ b/crates/mutants/src/systems/lending.rs
@@ -49,7 +49,7 @@
 }
 
 fn classes() -> Vec<Class> {
-    CLASSES.iter().map(|(name, worth, ..)| Class { name: name.to_string(), worth: *worth }).collect()
+    CLASSES.iter().map(|(name, worth, ..)| Class { name: name.to_string(), value: *worth }).collect()
 }
 
 fn number(actor: Actor) -> u32 {
@@ -102,7 +102,7 @@
 
 impl<const TWICE: bool> Node<TWICE> {
     fn look(&mut self, now: Micros) {
-        let Some(guests) = self.lending.limits().guests.clone() else { return };
+        let Some(guests) = self.lending.limits().remote.clone() else { return };
         self.lends = guests.iter().sum();
         self.peak = self.peak.max(self.lends);
         // A node that begins counts what is asked for; until then it takes all for spare.
--- a/crates/mutants/src/systems/seeing.rs
+++ b/crates/mutants/src/systems/seeing.rs
@@ -64,8 +64,8 @@
     fn renewed(&mut self, mut word: Message) -> Message {
         let own = plan().sites.get(self.me / 2).map_or(0, |s| s.number);
         let greatest = self.greatest.entry(word.site).or_default();
-        if ARRIVAL && word.number < *greatest && word.site != own {
-            word.number = *greatest + 1;
+        if ARRIVAL && word.heartbeat < *greatest && word.site != own {
+            word.heartbeat = *greatest + 1;
             // What it echoes is as new as can be: nobody can tell how long it was on its way.
             let newest = self.greatest.get(&own).copied().unwrap_or(0);
             for told in word.others.iter_mut().filter(|t| t.site == own) {
@@ -73,7 +73,7 @@
             }
         }
         let greatest = self.greatest.entry(word.site).or_default();
-        *greatest = word.number.max(*greatest);
+        *greatest = word.heartbeat.max(*greatest);
         word
     }
 
--- a/crates/sites/src/catch_up.rs
+++ b/crates/sites/src/catch_up.rs
@@ -1,12 +1,15 @@
-//! Proving that all that others placed in a range is known here.
+//! Catching up with the placements of earlier lease holders of a key range.
 //!
-//! A node that holds a range which others may have held before asks every other node of the file, after the grant, how far its log goes. What
-//! that one placed in the range it placed under an earlier fence, whose lease had ended before this grant was given; so all of it is at or
-//! before the number that it names. Once the history holds every log that far, it tells of every key of the range that was placed.
+//! A node that is granted a range which others may have held asks every other node of the configuration, after
+//! the grant, for the number of the last entry in its log. Whatever the other node placed in the range was placed
+//! under an earlier fence whose lease had expired before this grant, so it is at or before that number. Once the
+//! replicated history holds every log up to the replied number, it contains every placed key of the range.
 //!
-//! A node of which the history knows several logs, or one with two lines, has lost a disk or was given an older one: what it had placed and
-//! not told nobody can name. It proves nothing, and says nothing where it knows so itself by what its partners kept of it. **What nobody can see** is a disk that was lost before anything on it was told: its
-//! node looks new. So a node whose disk is lost comes back under another name.
+//! A node with several logs in the history, or with a forked log, has lost its disk or runs on an older copy of
+//! it. Some of its placements may be known to nobody, so its reply proves nothing; it sends none if the copies
+//! that its peers keep have already shown it the loss. **Limit:** a disk that was lost before any of its entries
+//! were replicated can't be detected, because its node looks new. A node must therefore get a new name when its
+//! disk is lost.
 
 use crate::config::SitesConfig;
 use crate::key_ownership::Fence;
@@ -15,71 +18,73 @@
 use shorepath_placements::history::History;
 use std::collections::BTreeMap;
 
-/// A question that has no answer is asked again after this.
-const AGAIN: Micros = 300_000;
-/// Whoever is there has answered by then, and told its history.
-const ANSWERS: Micros = 3_000_000;
+/// Delay before an unanswered question is sent again, in microseconds.
+const RETRY_INTERVAL: Micros = 300_000;
+/// Time in which every reachable node replies and replicates its log, in microseconds.
+const REPLY_TIMEOUT: Micros = 3_000_000;
 
-/// One word between nodes.
+/// A message between nodes about the length of their logs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Message {
-    /// How far does your log go?
+    /// Asks for the end of the receiver's log.
     Ask {
-        /// The range.
+        /// The key range, as `SITE/NODE`.
         home: String,
-        /// The first fence of this holding of it.
+        /// The first fence under which the sender has held the range without a gap.
         fence: Fence,
     },
-    /// So far, on the disk.
+    /// Reports the end of the sender's durable log.
     #[serde(rename = "tell")]
     Reply {
-        /// As it was asked.
+        /// The key range of the question.
         home: String,
-        /// As it was asked.
+        /// The fence of the question.
         fence: Fence,
-        /// Which log it is.
+        /// The identifier of the log.
         log: u64,
-        /// The number of its last entry.
+        /// The number of the log's last entry; 0 for an empty log.
         last: u64,
     },
 }
 
-/// Words, and to which nodes.
+/// Messages, each with the number of the node that receives it.
 pub type OutgoingMessages = Vec<(u32, Message)>;
 
-/// What others answered of one holding of a range.
+/// Replies of other nodes for one uninterrupted lease of a range.
 #[derive(Clone, Debug, Default)]
 struct Pending {
     fence: Fence,
-    /// When it was asked for first and last.
-    begun: Option<Micros>,
-    asked: Option<Micros>,
-    notified: BTreeMap<u32, (u64, u64)>,
+    first_asked: Option<Micros>,
+    last_asked: Option<Micros>,
+    /// By node number: the identifier of its log and the number of the last entry.
+    replies: BTreeMap<u32, (u64, u64)>,
 }
 
-/// All ranges of one node that are to be proved.
+/// Key ranges held by one node whose earlier placements are not all known yet.
 #[derive(Clone, Debug, Default)]
 pub struct CatchUp {
     pending: BTreeMap<String, Pending>,
 }
 
-/// Whether the history holds a node's log that far, and no other log of it. A log is its number and its last entry's.
-pub fn has_complete_log(history: &History, site: &str, node: &str, notified: (u64, u64)) -> bool {
+/// Returns whether the history holds a node's log up to the given entry, unforked, and no other log of that node.
+/// `reply` is the identifier of the log and the number of its last entry.
+pub fn has_complete_log(history: &History, site: &str, node: &str, reply: (u64, u64)) -> bool {
     let mut logs = history.writers().filter(|w| w.site == site && w.node == node);
     match (logs.next(), logs.next()) {
-        (None, _) => notified.1 == 0,
+        (None, _) => reply.1 == 0,
         (Some(writer), None) => {
             let heads = history.heads(writer);
-            writer.log == notified.0 && heads.len() <= 1 && heads.first().map_or(0, |h| h.0) >= notified.1
+            writer.log == reply.0 && heads.len() <= 1 && heads.first().map_or(0, |h| h.0) >= reply.1
         }
         _ => false,
     }
 }
 
 impl CatchUp {
-    /// Time has passed: what is to be asked of whom, and which ranges are proved now. `unproven` is what
-    /// [`crate::key_ownership::KeyOwnership::unproven`] gives; of this node its number and its log.
+    /// Returns the questions to send now, and the home and current fence of each range whose earlier placements are
+    /// all known. `unproven` is the result of [`crate::key_ownership::KeyOwnership::unproven`]; `me` and `own` are this
+    /// node's number and the end of its own log.
     pub fn tick(
         &mut self,
         plan: &SitesConfig,
@@ -91,39 +96,40 @@
         self.pending.retain(|home, p| unproven.iter().any(|(h, first, _)| h == home && *first == p.fence));
         let (mut outgoing_messages, mut proved) = (Vec::new(), Vec::new());
         for (home, first, held) in unproven {
-            let new = || Pending { fence: *first, ..Pending::default() };
-            let pending = self.pending.entry(home.clone()).or_insert_with(new);
-            let clear = |(site, node): (&crate::config::Site, &crate::config::Node)| {
-                let notified = pending.notified.get(&node.number).copied();
-                let notified = notified.or_else(|| (node.number == me).then_some(own));
-                notified.is_some_and(|notified| has_complete_log(history, &site.name, &node.name, notified))
+            let new_pending = || Pending { fence: *first, ..Pending::default() };
+            let pending = self.pending.entry(home.clone()).or_insert_with(new_pending);
+            let is_proved = |(site, node): (&crate::config::Site, &crate::config::Node)| {
+                let reply = pending.replies.get(&node.number).copied();
+                let reply = reply.or_else(|| (node.number == me).then_some(own));
+                reply.is_some_and(|reply| has_complete_log(history, &site.name, &node.name, reply))
             };
-            if plan.nodes().all(clear) {
+            if plan.nodes().all(is_proved) {
                 proved.push((home.clone(), *held));
                 continue;
             }
-            if pending.asked.is_none_or(|at| now - at >= AGAIN) {
-                pending.asked = Some(now);
-                pending.begun = pending.begun.or(Some(now));
-                let silent = |n: &u32| *n != me && !pending.notified.contains_key(n);
+            if pending.last_asked.is_none_or(|at| now - at >= RETRY_INTERVAL) {
+                pending.last_asked = Some(now);
+                pending.first_asked = pending.first_asked.or(Some(now));
+                let unanswered = |n: &u32| *n != me && !pending.replies.contains_key(n);
                 let message = Message::Ask { home: home.clone(), fence: *first };
-                outgoing_messages
-                    .extend(plan.nodes().map(|(_, n)| n.number).filter(silent).map(|n| (n, message.clone())));
+                outgoing_messages.extend(
+                    plan.nodes().map(|(_, n)| n.number).filter(unanswered).map(|n| (n, message.clone())),
+                );
             }
         }
         (outgoing_messages, proved)
     }
 
-    /// Whether a range may be proved soon: asking for it again helps then.
+    /// Returns whether replies for a range are still expected, so that a client's retry may succeed.
     pub fn awaits_replies(&self, home: &str, now: Micros) -> bool {
-        let begun = self.pending.get(home).map(|p| p.begun);
-        begun.is_none_or(|at| at.is_none_or(|at| now - at < ANSWERS))
+        let first_asked = self.pending.get(home).map(|p| p.first_asked);
+        first_asked.is_none_or(|at| at.is_none_or(|at| now - at < REPLY_TIMEOUT))
     }
 
-    /// A node has answered.
+    /// Records the reply of a node; one to an earlier lease of the range is ignored.
     pub fn record_reply(&mut self, from: u32, home: &str, fence: Fence, log: u64, last: u64) {
         if let Some(pending) = self.pending.get_mut(home).filter(|p| p.fence == fence) {
-            pending.notified.insert(from, (log, last));
+            pending.replies.insert(from, (log, last));
         }
     }
 }
@@ -136,8 +142,8 @@
 
     const FENCE: Fence = Fence { epoch: 7, number: 3 };
 
-    /// Take one entry of a log of n1 into a history.
-    fn take(history: &mut History, log: u64) {
+    /// Appends the first entry of a log of n1 to a history.
+    fn append(history: &mut History, log: u64) {
         let writer = Writer { site: "b".into(), node: "n1".into(), log };
         let placed = Placement {
             key: Some("k".into()),
@@ -157,9 +163,9 @@
         assert_eq!(history.take(&Piece { writer, after, before, entries: vec![entry], head }), Ok(1));
     }
 
-    /// Proved only by an answer to this holding, once the log is here that far, and with no other log of that node.
+    /// Guards against accepting a reply to an earlier lease, an incomplete log, or a node with two logs.
     #[test]
-    fn a_range_is_proved_by_what_was_told_after_its_grant() {
+    fn a_range_is_proved_only_by_replies_to_its_current_lease() {
         let text = "(sites (version 1) (fleet f) (key k) (site a (node n0 \"127.0.0.1:1\") (bears 1))
                      (site b (node n1 \"127.0.0.1:2\") (bears 1)))";
         let plan = crate::config::read("t", text).unwrap();
@@ -172,16 +178,20 @@
         assert_eq!(pass(&mut proving, &history, 1), (vec![], vec![]), "asked again at once");
         proving.record_reply(other, "a/n0", Fence { number: 2, ..FENCE }, 5, 0);
         assert_eq!(
-            pass(&mut proving, &history, AGAIN),
+            pass(&mut proving, &history, RETRY_INTERVAL),
             (vec![(other, ask)], vec![]),
-            "told of another holding"
+            "the reply belongs to another lease"
         );
         proving.record_reply(other, "a/n0", FENCE, 5, 1);
-        assert_eq!(pass(&mut proving, &history, 3 * AGAIN), (vec![], vec![]), "its log is not here yet");
-        take(&mut history, 5);
+        assert_eq!(
+            pass(&mut proving, &history, 3 * RETRY_INTERVAL),
+            (vec![], vec![]),
+            "its log is not here yet"
+        );
+        append(&mut history, 5);
         let proved = vec![("a/n0".to_string(), Fence { number: 4, ..FENCE })];
-        assert_eq!(pass(&mut proving, &history, 3 * AGAIN).1, proved);
-        take(&mut history, 6);
-        assert_eq!(pass(&mut proving, &history, 3 * AGAIN).1, vec![], "it has lost a disk");
+        assert_eq!(pass(&mut proving, &history, 3 * RETRY_INTERVAL).1, proved);
+        append(&mut history, 6);
+        assert_eq!(pass(&mut proving, &history, 3 * RETRY_INTERVAL).1, vec![], "it has lost a disk");
     }
 }
--- a/crates/sites/src/config.rs
+++ b/crates/sites/src/config.rs
@@ -1,4 +1,5 @@
-//! The operator's file of sites, S-expressions, checked whole: each complaint names its line and column.
+//! The sites file: S-expressions that an operator writes. All its faults are reported together, each with its line
+//! and column.
 //!
 //! ```text
 //! (sites (version 3) (fleet "odense") (key "fleet.key") (accounts "accounts.sexp")
@@ -14,13 +15,14 @@
 //!   (recover (remember 64 MiB) (outlive 5 s)))
 //! ```
 //!
-//! A file of one site is one with `(recover ...)`, see [`crate::recovery_config`].
+//! A file may have a single site if it has a `(recover ...)` clause, see [`crate::recovery_config`].
 //!
-//! `(lost SITE (number N))` is an operator's word that a site is gone. **Its danger**: other sites ask for the leases of that site's
-//! keys at once. If the site does live, it may place its keys until its leases end by its own clock, and places none afterwards, although
-//! nothing is wrong with it: its clients are refused until a file without the line is in service. Two holders at once there can't be;
-//! what the site has placed and could not tell may yet be asked for anew elsewhere, and is answered there as 'may have run'. The file
-//! travels under the fleet's code, so the line can't be forged.
+//! `(lost SITE (number N))` declares that a site is lost. **Risk:** other sites request the leases of the site's keys
+//! at once. If the site is still running, it may place its keys until its leases expire by its own clock, and none
+//! afterwards, even if it is healthy: its clients are rejected until a file without the line is in service. Two
+//! sites never hold a lease at the same time. A request that the site has placed but not replicated may be repeated
+//! at another site, which answers `may have run`. The file is authenticated with the fleet's key, so the line can't
+//! be forged.
 
 use crate::recovery_config::{self, RecoveryConfig};
 use crate::{Micros, SiteState};
@@ -34,185 +36,189 @@
 use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 
+/// Number of microseconds in a day.
 const DAY: Micros = 86_400_000_000;
-/// Sites at most: a word between nodes names all of them and fits into a datagram.
+/// Largest number of sites; a message that names all of them fits into a datagram.
 pub const MAX_SITES: usize = 20;
 
-/// One node, and where datagrams reach it.
+/// A node of a site.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Node {
-    /// Its name, the same in all its lives.
+    /// The node's name, which stays the same over restarts.
     pub name: String,
-    /// The number that stands for the name everywhere, [`NodeId::of`] it.
+    /// The identifier that is derived from the name, see [`NodeId::class_name`].
     pub number: u32,
-    /// Its address.
+    /// The address at which it receives datagrams.
     pub address: SocketAddr,
 }
 
-/// One site.
+/// A site with its nodes and its backend servers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Site {
-    /// Its name.
+    /// The site's name.
     pub name: String,
-    /// The number that stands for the name in words.
+    /// The identifier of the name in messages, derived from it.
     pub number: u32,
-    /// Its nodes, in the file's order.
+    /// The nodes, in the order of the file.
     pub nodes: Vec<Node>,
-    /// Servers whose id begins with one of those are its own.
+    /// Id prefixes of the backend servers that belong to the site.
     pub prefixes: Vec<String>,
-    /// Servers of those zones are its own.
+    /// Zones whose backend servers belong to the site.
     pub zones: Vec<String>,
-    /// What its servers bear when they are warm, in units of work a second.
+    /// Capacity of the site's warm servers, in units of work a second.
     #[serde(rename = "bears")]
     pub capacity: u64,
 }
 
-/// What may be begun for a tenant whose standing can't be confirmed, over all sites together.
+/// Limit on the jobs of a tenant that may start, over all sites together, while its account status can't be
+/// confirmed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Credit {
-    /// The tenant.
+    /// The tenant's name.
     pub tenant: String,
-    /// Jobs.
+    /// Number of jobs that may start.
     pub jobs: u64,
-    /// Jobs of these that are left once a site has been alone for too long.
+    /// Number of these jobs that remain available after [`Credit::shrink`].
     pub reserve: u64,
-    /// After that time alone, in microseconds, only the reserve is left.
+    /// Time for which a site may be isolated before only the reserve remains, in microseconds.
     pub shrink: Micros,
 }
 
-/// An operator's word that a site is lost.
+/// An operator's declaration that a site is lost.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeclaredLoss {
     /// The site's name.
     pub site: String,
-    /// Which loss of it; grows with each that is declared.
+    /// Number of the loss, which increases with each declared loss of the site.
     pub number: u64,
 }
 
-/// How decisions and versions are written down.
+/// Settings of the audit log of decisions and configuration versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Audit {
-    /// The record holds so many bytes at most.
+    /// Largest size of the log, in bytes.
     pub bytes: u64,
-    /// One request in so many is written down with each of its decisions; 0 for none.
+    /// One request in this many is logged with all its decisions; 0 logs none.
     pub one_in: u64,
-    /// Single decisions a second at most.
+    /// Largest number of single decisions that are logged a second.
     pub a_second: u64,
-    /// Between two sums, in microseconds.
+    /// Interval between two summaries, in microseconds.
     pub sum: Micros,
 }
 
-/// The whole file.
+/// The parsed sites file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SitesConfig {
-    /// Which file this is; grows with each that is put into service, see [`crate::config_history`].
+    /// Version of the file, which increases with each one that is put into service, see [`crate::config_history`].
     pub version: u64,
     /// The fleet's name.
     pub fleet: String,
-    /// The file of the fleet's key, as it is written here.
+    /// Path of the file with the fleet's key, relative to this file.
     pub key: String,
-    /// The file of accounts, as it is written here.
+    /// Path of the file with the accounts, relative to this file; `None` without accounts.
     pub accounts: Option<String>,
-    /// A standing is confirmed by what was heard from a majority of sites within this time, in microseconds.
+    /// Time within which messages of a majority of sites confirm the status of accounts, in microseconds.
     pub confirm: Micros,
-    /// A site of which nothing was heard for so long is alone or lost, in microseconds.
+    /// Silence after which a site counts as unreachable or lost, in microseconds.
     pub alone: Micros,
-    /// How long something has to stay as it is before load or keys move because of it, in microseconds.
+    /// Time for which a state must persist before load or keys move because of it, in microseconds.
     pub hold: Micros,
-    /// Placements are dropped once they are that old and all sites have them, in microseconds: longer than a client repeats a request.
+    /// Age after which placements that all sites have are dropped, in microseconds; longer than clients retry.
     pub seal: Micros,
-    /// Placements wait so long for more before they go to the disk and to other nodes together, in microseconds; those that must not
-    /// run twice go to the disk at once.
+    /// Longest wait of a placement for others to be written and replicated together with it, in microseconds; guarded
+    /// placements are written at once.
     pub group: Micros,
-    /// The sites, in the file's order.
+    /// The sites, in the order of the file.
     pub sites: Vec<Site>,
-    /// Credits, each tenant once.
+    /// Credits, at most one for each tenant.
     pub credits: Vec<Credit>,
-    /// What a site lends guests of a class, in hundredths of what it bears; by site, then class.
+    /// Share of its capacity that a site reserves for clients of other sites, in percent; by site, then by class.
     #[serde(rename = "lends")]
-    pub guest_percent: BTreeMap<String, BTreeMap<String, u8>>,
-    /// What a class gets at least of the guest part of its site, in hundredths.
+    pub remote_percent: BTreeMap<String, BTreeMap<String, u8>>,
+    /// Smallest share of a site's spare capacity that a class gets for clients of other sites, in percent; by class.
     #[serde(rename = "least")]
-    pub min_guest_percent: BTreeMap<String, u8>,
-    /// Classes whose keys have one home.
+    pub min_remote_percent: BTreeMap<String, u8>,
+    /// Classes whose idempotency keys are guarded: each key has one owner at a time.
     #[serde(rename = "home")]
     pub guarded_classes: BTreeSet<String>,
-    /// Sites that an operator declares lost.
+    /// Sites that an operator has declared lost.
     pub lost: Vec<DeclaredLoss>,
-    /// How nodes come back from a loss of power, where that is switched on.
+    /// Settings of the recovery from a loss of power; `None` where it is disabled.
     pub recover: Option<RecoveryConfig>,
-    /// Which decision was taken under which version is written down.
+    /// Settings of the audit log; `None` where it is disabled.
     pub audit: Option<Audit>,
 }
 
 impl SitesConfig {
-    /// The site of that name.
+    /// Returns the site with a name.
     pub fn site(&self, name: &str) -> Option<&Site> {
         self.sites.iter().find(|s| s.name == name)
     }
 
-    /// The place of a site in the file's order, by its number in words.
+    /// Returns the index of a site in the file, by its number.
     pub fn site_index(&self, number: u32) -> Option<usize> {
         self.sites.iter().position(|s| s.number == number)
     }
 
-    /// The site of a node, by the node's number.
+    /// Returns the site of a node, by the node's number.
     pub fn site_of_node(&self, node: u32) -> Option<&Site> {
         self.sites.iter().find(|s| s.nodes.iter().any(|n| n.number == node))
     }
 
-    /// All nodes with their sites, in the file's order.
+    /// Returns all nodes with their sites, in the order of the file.
     pub fn nodes(&self) -> impl Iterator<Item = (&Site, &Node)> {
         self.sites.iter().flat_map(|s| s.nodes.iter().map(move |n| (s, n)))
     }
 
-    /// A node by its number.
+    /// Returns a node by its number.
     pub fn node(&self, number: u32) -> Option<&Node> {
         self.nodes().map(|(_, n)| n).find(|n| n.number == number)
     }
 
-    /// A node by its name.
+    /// Returns a node by its name.
     pub fn node_named(&self, name: &str) -> Option<&Node> {
         self.nodes().map(|(_, n)| n).find(|n| n.name == name)
     }
 
-    /// The place of a node among all of them in the file's order, from 0.
+    /// Returns the index of a node among all nodes of the file, by its number.
     pub fn node_index(&self, node: u32) -> Option<usize> {
         self.nodes().position(|(_, n)| n.number == node)
     }
 
-    /// The site of a backend server, by its id and the zone that the list names, if any.
+    /// Returns the site of a backend server, by its id or otherwise by the zone that the server table gives for it.
     pub fn site_of_server(&self, id: &str, zone: Option<&str>) -> Option<&Site> {
         let by_id = |s: &&Site| s.prefixes.iter().any(|p| id.starts_with(p.as_str()));
         let by_zone = |s: &&Site| zone.is_some_and(|z| s.zones.iter().any(|own| own == z));
         self.sites.iter().find(by_id).or_else(|| self.sites.iter().find(by_zone))
     }
 
-    /// The number of the loss that an operator declares of that site, if one does.
+    /// Returns the number of a site's declared loss; `None` where it is not declared lost.
     pub fn declared_lost(&self, site: &str) -> Option<u64> {
         self.lost.iter().find(|d| d.site == site).map(|d| d.number)
     }
 
-    /// One node's part of a tenant's credit. The parts of all nodes add up to the whole exactly.
+    /// Returns one node's share of a tenant's credit; the shares of all nodes add up to it. `None` where the tenant has
+    /// no credit or the file does not name the node.
     pub fn credit_part(&self, tenant: &str, node: u32) -> Option<Credit> {
-        let (place, count) = (self.node_index(node)? as u64, self.nodes().count() as u64);
+        let (index, count) = (self.node_index(node)? as u64, self.nodes().count() as u64);
         let credit = self.credits.iter().find(|c| c.tenant == tenant)?;
-        let part = |whole: u64| whole / count + u64::from(place < whole % count);
+        let part = |total: u64| total / count + u64::from(index < total % count);
         Some(Credit { jobs: part(credit.jobs), reserve: part(credit.reserve), ..credit.clone() })
     }
 
-    /// Where the file of the fleet's key is, seen from the folder of this file.
+    /// Returns the path of the file with the fleet's key, given the folder of the sites file.
     pub fn key_path(&self, folder: &Path) -> PathBuf {
         folder.join(&self.key)
     }
 
-    /// Where the file of accounts is, seen from the folder of this file.
+    /// Returns the path of the file with the accounts, given the folder of the sites file.
     pub fn accounts_path(&self, folder: &Path) -> Option<PathBuf> {
         self.accounts.as_ref().map(|a| folder.join(a))
     }
 
-    /// What stands for all that nodes have to agree on; where its key and accounts lie, and by which address another is reached, may be each
-    /// node's own. The same in all programs: what is added to files later counts only where it is given. Never 0.
+    /// Returns a digest, never 0, of the settings that all nodes must agree on. Paths and addresses are left out, since
+    /// they may differ between nodes. Clauses that later versions of the program add must change the digest only where
+    /// a file has them, so that programs of different versions agree.
     pub fn digest(&self) -> u32 {
         let SitesConfig {
             version,
@@ -222,12 +228,12 @@
             hold,
             seal,
             guarded_classes,
-            min_guest_percent,
-            guest_percent,
+            min_remote_percent,
+            remote_percent,
             ..
         } = self;
         let mut text =
-            format!("{version} {fleet:?} {confirm} {alone} {hold} {seal} {guarded_classes:?} {min_guest_percent:?} {guest_percent:?}");
+            format!("{version} {fleet:?} {confirm} {alone} {hold} {seal} {guarded_classes:?} {min_remote_percent:?} {remote_percent:?}");
         for site in &self.sites {
             let names: Vec<&str> = site.nodes.iter().map(|n| n.name.as_str()).collect();
             let Site { name, capacity, prefixes, zones, .. } = site;
@@ -244,28 +250,29 @@
         (hasher.finish() as u32).max(1)
     }
 
-    /// What the file alone says of a site.
+    /// Returns [`SiteState::Lost`] for a site that is declared lost, otherwise `None`.
     pub fn declared_state(&self, site: &str) -> Option<SiteState> {
         self.declared_lost(site).map(|_| SiteState::Lost)
     }
 }
 
-/// Read the operator's file.
+/// Parses the text of a sites file; `file` is its name in error messages.
 ///
 /// # Errors
-/// All faults of the text, with their places.
+/// All faults of the text, each with its line and column.
 pub fn read(file: &str, text: &str) -> Result<SitesConfig, ParseErrors> {
-    shorepath_sexp::read(file, text, "sites", plan)
+    shorepath_sexp::read(file, text, "sites", parse_config)
 }
 
-/// A whole number that has no usual value; the least one where it is missing or wrong, with a complaint.
-fn needed(form: &Form, list: &'static str, range: RangeInclusive<u64>, text: String) -> u64 {
+/// Parses a required integer. Where it is missing or wrong, reports the fault and returns the smallest number of
+/// the range.
+fn required_number(form: &Form, list: &'static str, range: RangeInclusive<u64>, text: String) -> u64 {
     let least = *range.start();
     let found = form.given(list, |f| {
         let bounds = *range.start() as f64..=*range.end() as f64;
         let n = f.numbers(1, 1, bounds).first().copied().unwrap_or(least as f64);
         if n.fract() != 0.0 {
-            f.complain(format!("({list}) is a whole number, not {n}"));
+            f.complain(format!("({list}) needs an integer, not {n}"));
         }
         Some(n as u64)
     });
@@ -275,112 +282,119 @@
     })
 }
 
-/// What was taken already, over all sites.
+/// Nodes, server prefixes and zones of the sites that are parsed already, for the detection of duplicates.
 #[derive(Default)]
-struct Taken {
+struct UsedNames {
     nodes: Vec<Node>,
     prefixes: Vec<(String, String)>,
     zones: BTreeMap<String, String>,
 }
 
-fn node(form: &Form, taken: &mut Taken) -> Node {
+fn parse_node(form: &Form, used: &mut UsedNames) -> Node {
     let (name, text) = (form.word("a node's name"), form.word("an address with a port, in quotes"));
     form.finish();
     let address: SocketAddr = text.parse().unwrap_or_else(|_| {
-        form.complain(format!("\"{text}\" is no address with a port"));
+        form.complain(format!("\"{text}\" is not an address with a port"));
         SocketAddr::from(([0, 0, 0, 0], 0))
     });
     let node = Node { number: NodeId::of(&name).0, name, address };
-    for other in &taken.nodes {
+    for other in &used.nodes {
         if other.name == node.name {
             form.complain(format!("the node {} is given twice", node.name));
         } else if other.number == node.number {
-            let text = format!("{} and {} have one number; name one otherwise", other.name, node.name);
+            let text = format!("{} and {} get the same number; rename one of them", other.name, node.name);
             form.complain(text);
         } else if other.address == node.address {
             form.complain(format!("{} has the address of {}", node.name, other.name));
         }
     }
-    taken.nodes.push(node.clone());
+    used.nodes.push(node.clone());
     node
 }
 
-fn site(form: &Form, taken: &mut Taken) -> Site {
+fn parse_site(form: &Form, used: &mut UsedNames) -> Site {
     let name = form.word("a site's name");
-    let nodes: Vec<Node> = form.many("node").iter().map(|f| node(f, taken)).collect();
+    let nodes: Vec<Node> = form.many("node").iter().map(|f| parse_node(f, used)).collect();
     if nodes.is_empty() {
         form.complain(format!("the site {name} needs a (node NAME \"ADDRESS\")"));
     }
-    let messages =
-        |list: &'static str| form.given(list, |f| Some(f.words("a word in quotes"))).unwrap_or_default();
-    let (prefixes, zones) = (messages("server-prefix"), messages("zones"));
+    let strings =
+        |list: &'static str| form.given(list, |f| Some(f.words("a string in quotes"))).unwrap_or_default();
+    let (prefixes, zones) = (strings("server-prefix"), strings("zones"));
     for prefix in &prefixes {
         if prefix.is_empty() {
-            form.complain("(server-prefix \"\") would make all servers its own");
+            form.complain("(server-prefix \"\") matches all servers; give a longer prefix");
         }
-        let clash =
+        let overlaps =
             |(p, _): &&(String, String)| p.starts_with(prefix.as_str()) || prefix.starts_with(p.as_str());
-        if let Some((other, whose)) = taken.prefixes.iter().find(clash) {
-            let text = format!("servers with \"{prefix}\" and \"{other}\" of {whose} can't be told apart");
+        if let Some((other, owner)) = used.prefixes.iter().find(overlaps) {
+            let text =
+                format!("the server prefixes \"{prefix}\" and \"{other}\" of {owner} match the same servers");
             form.complain(text);
         }
     }
     for zone in &zones {
-        if let Some(whose) = taken.zones.insert(zone.clone(), name.clone()) {
-            form.complain(format!("the zone \"{zone}\" belongs to {whose}"));
+        if let Some(owner) = used.zones.insert(zone.clone(), name.clone()) {
+            form.complain(format!("the zone \"{zone}\" already belongs to {owner}"));
         }
     }
-    taken.prefixes.extend(prefixes.iter().map(|p| (p.clone(), name.clone())));
-    let text = format!("the site {name} needs (bears UNITS): what its servers do in a second");
-    let capacity = needed(form, "bears", 1..=1_000_000_000, text);
+    used.prefixes.extend(prefixes.iter().map(|p| (p.clone(), name.clone())));
+    let text =
+        format!("the site {name} needs (bears UNITS): the units of work that its servers can do a second");
+    let capacity = required_number(form, "bears", 1..=1_000_000_000, text);
     form.finish();
     Site { number: NodeId::of(&name).0, name, nodes, prefixes, zones, capacity }
 }
 
-/// Whether the file has a site of that name; else a complaint.
-fn known(form: &Form, sites: &[Site], name: &str) -> bool {
-    let there = sites.iter().any(|s| s.name == name);
-    if !there {
+/// Returns whether the file has a site with a name, and reports a fault if not.
+fn check_site(form: &Form, sites: &[Site], name: &str) -> bool {
+    let exists = sites.iter().any(|s| s.name == name);
+    if !exists {
         let all: Vec<&str> = sites.iter().map(|s| s.name.as_str()).collect();
         form.complain(format!("there is no site {name}; known: {}", all.join(", ")));
     }
-    there
+    exists
 }
 
-fn lend(form: &Form, plan: &mut SitesConfig) {
+fn parse_lend(form: &Form, plan: &mut SitesConfig) {
     let name = form.word("a site's name");
     let mut parts = BTreeMap::new();
     for class in form.many("class") {
-        let of = class.word("a class");
-        let part = needed(&class, "part", 1..=100, format!("the class {of} needs (part HUNDREDTHS)")) as u8;
+        let class_name = class.word("a class");
+        let part = required_number(
+            &class,
+            "part",
+            1..=100,
+            format!("the class {class_name} needs (part HUNDREDTHS)"),
+        ) as u8;
         class.finish();
-        if parts.insert(of.clone(), part).is_some() {
-            class.complain(format!("the class {of} is given twice"));
+        if parts.insert(class_name.clone(), part).is_some() {
+            class.complain(format!("the class {class_name} is given twice"));
         }
     }
     form.finish();
     let sum: u32 = parts.values().map(|p| u32::from(*p)).sum();
     if sum > 100 {
-        form.complain(format!("{name} lends {sum} hundredths of what it bears; 100 at most"));
+        form.complain(format!("{name} lends {sum} hundredths of its capacity; 100 at most"));
     }
     if parts.is_empty() {
         form.complain("(lend SITE ...) needs a (class NAME (part HUNDREDTHS))");
     }
-    if known(form, &plan.sites, &name) && plan.guest_percent.insert(name.clone(), parts).is_some() {
-        form.complain(format!("what {name} lends is given twice"));
+    if check_site(form, &plan.sites, &name) && plan.remote_percent.insert(name.clone(), parts).is_some() {
+        form.complain(format!("(lend {name}) is given twice"));
     }
 }
 
-/// Sites: at least two, or one where nodes recover together; none twice, no two with one number.
-fn sites(f: &Form, least: usize) -> Vec<Site> {
+/// Parses the sites, at least `least` of them, and reports duplicate names and numbers.
+fn parse_sites(f: &Form, least: usize) -> Vec<Site> {
     let mut all: Vec<Site> = Vec::new();
-    let mut taken = Taken::default();
+    let mut used = UsedNames::default();
     for form in f.many("site") {
-        let site = site(&form, &mut taken);
+        let site = parse_site(&form, &mut used);
         if let Some(other) = all.iter().find(|s| s.number == site.number) {
             form.complain(match other.name == site.name {
                 true => format!("the site {} is given twice", site.name),
-                false => format!("{} and {} have one number; name one otherwise", other.name, site.name),
+                false => format!("{} and {} get the same number; rename one of them", other.name, site.name),
             });
         }
         all.push(site);
@@ -390,13 +404,13 @@
         n if n < least => {
             f.complain("a file of sites needs two (site NAME ...) at least, or (recover ...) with one")
         }
-        n if n > MAX_SITES => f.complain(format!("{n} sites; {MAX_SITES} at most")),
+        n if n > MAX_SITES => f.complain(format!("{n} sites are given; {MAX_SITES} at most")),
         _ => {}
     }
     all
 }
 
-fn credit(form: &Form) -> Credit {
+fn parse_credit(form: &Form) -> Credit {
     let credit = Credit {
         tenant: form.word("a tenant"),
         jobs: form.count("jobs", 0, 0..=1_000_000_000),
@@ -410,7 +424,7 @@
     credit
 }
 
-fn plan(f: &Form) -> SitesConfig {
+fn parse_config(f: &Form) -> SitesConfig {
     let recover = f.given("recover", |f| Some(recovery_config::parse(f)));
     let least = if recover.is_some() { 1 } else { 2 };
     let path = |name: &'static str| f.given(name, |f| Some(f.word("a path in quotes")));
@@ -424,46 +438,50 @@
         hold: f.time("hold", 10_000_000, 0..=DAY),
         seal: f.time("seal", 900_000_000, 100_000..=DAY),
         group: f.time("group", 50_000, 1_000..=1_000_000),
-        sites: sites(f, least),
+        sites: parse_sites(f, least),
         recover,
         ..SitesConfig::default()
     };
     if plan.fleet.is_empty() {
-        f.complain("a file of sites needs a (fleet \"NAME\"): words of another fleet are dropped");
+        f.complain("a file of sites needs a (fleet \"NAME\"): messages of another fleet are dropped");
     }
     if plan.key.is_empty() {
-        f.complain("a file of sites needs a (key \"FILE\"): words between sites carry a code");
+        f.complain(
+            "a file of sites needs a (key \"FILE\"): messages between sites are authenticated with it",
+        );
     }
     if plan.recover.is_some() && plan.nodes().count() == 1 {
         f.complain(
-            "(recover) needs two nodes at least: one alone can't know whether its disk is its last one",
+            "(recover) needs two nodes at least: a single node can't detect that its disk is an older copy",
         );
     }
     if plan.hold < plan.alone {
-        f.complain("(hold) is shorter than (alone): load would move back and forth with each doubt");
+        f.complain(
+            "(hold) is shorter than (alone): load would move back and forth at each short disturbance",
+        );
     }
     for form in f.many("credit") {
-        let credit = credit(&form);
+        let credit = parse_credit(&form);
         if plan.credits.iter().any(|c| c.tenant == credit.tenant) {
             form.complain(format!("the credit of {} is given twice", credit.tenant));
         }
         plan.credits.push(credit);
     }
-    f.many("lend").iter().for_each(|form| lend(form, &mut plan));
+    f.many("lend").iter().for_each(|form| parse_lend(form, &mut plan));
     for form in f.many("least") {
         let class = form.word("a class");
         let part = form.numbers(1, 1, 1.0..=100.0).first().map_or(0, |n| *n as u8);
         form.finish();
-        if !plan.guest_percent.values().any(|l| l.contains_key(&class)) {
+        if !plan.remote_percent.values().any(|l| l.contains_key(&class)) {
             form.complain(format!("no site lends anything to the class {class}"));
         }
-        if plan.min_guest_percent.insert(class.clone(), part).is_some() {
-            form.complain(format!("the least part of {class} is given twice"));
+        if plan.min_remote_percent.insert(class.clone(), part).is_some() {
+            form.complain(format!("(least {class}) is given twice"));
         }
     }
-    let least: u32 = plan.min_guest_percent.values().map(|p| u32::from(*p)).sum();
+    let least: u32 = plan.min_remote_percent.values().map(|p| u32::from(*p)).sum();
     if least > 100 {
-        f.complain(format!("the least parts of classes are {least} hundredths in all; 100 at most"));
+        f.complain(format!("the parts in (least ...) add up to {least} hundredths; 100 at most"));
     }
     plan.guarded_classes =
         f.given("home", |f| Some(f.words("a class"))).unwrap_or_default().into_iter().collect();
@@ -478,16 +496,17 @@
     });
     for form in f.many("lost") {
         let site = form.word("a site's name");
-        let text = "(lost SITE (number N)) needs its number: which loss of the site it is".to_string();
-        let number = needed(&form, "number", 1..=1_000_000_000, text);
+        let text = "(lost SITE (number N)) needs its number, which grows with each declared loss of the site"
+            .to_string();
+        let number = required_number(&form, "number", 1..=1_000_000_000, text);
         form.finish();
-        if known(&form, &plan.sites, &site) && plan.declared_lost(&site).is_some() {
+        if check_site(&form, &plan.sites, &site) && plan.declared_lost(&site).is_some() {
             form.complain(format!("{site} is declared lost twice"));
         }
         plan.lost.push(DeclaredLoss { site, number });
         let left = plan.sites.iter().filter(|s| plan.declared_lost(&s.name).is_none()).count();
         if left == 0 {
-            form.complain("all sites are declared lost: one at least has to be left");
+            form.complain("all sites are declared lost; leave out at least one");
         }
     }
     plan
--- a/crates/sites/src/config_history.rs
+++ b/crates/sites/src/config_history.rs
@@ -1,19 +1,20 @@
-//! Which files of sites a node has gone by, as its disk remembers: one that is older than the newest of them never holds again, nor does an
-//! older word that a site is lost.
+//! Record of the site configurations that a node has used, kept on its disk, so that an older configuration or an
+//! older declaration of a lost site never takes effect again.
 
 use crate::config::SitesConfig;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The greatest loss that was declared of a site.
+/// The declared loss of a site with the greatest number so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 struct Loss {
     number: u64,
-    /// The newest file still has it.
-    holds: bool,
+    /// The newest configuration still declares it.
+    #[serde(rename = "holds")]
+    in_newest: bool,
 }
 
-/// All that has to be known of earlier files to tell whether one may hold.
+/// What a node remembers of earlier configurations to reject outdated ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ConfigHistory {
     version: u64,
@@ -21,50 +22,50 @@
     lost: BTreeMap<String, Loss>,
 }
 
-/// Why a file may not hold.
+/// Why a configuration may not be put into service.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
 pub enum OldFileError {
-    /// A newer one was in force here.
+    /// This node has used a newer version.
     #[error("it is (version {version}), and this node has gone by version {used}")]
     #[diagnostic(help(
-        "hand out the newest file; to go back to what an older one says, give that a greater (version ...) and hand it to all nodes"
+        "deploy the newest file; to go back to the content of an older one, give it a greater (version ...) and deploy it to all nodes"
     ))]
     Older {
-        /// Its version.
+        /// The version of the rejected configuration.
         version: u64,
-        /// The newest that was in force.
+        /// The newest version that this node has used.
         used: u64,
     },
-    /// Another one of that version was in force here.
+    /// This node has used another configuration with the same version.
     #[error("it is another file than the one of (version {version}) that this node has gone by")]
-    #[diagnostic(help("two files of one version: give the one that is to hold a greater (version ...) and hand it to all nodes"))]
+    #[diagnostic(help("two files have one version: give the intended one a greater (version ...) and deploy it to all nodes"))]
     TwoFiles {
-        /// The version of both.
+        /// The version that both have.
         version: u64,
     },
-    /// A later loss of that site was declared before, or this one was, and was taken out.
+    /// A loss of the site with a greater number was declared before, or this one was declared and withdrawn.
     #[error("it declares {site} lost by number {number}, and number {used} was declared before")]
-    #[diagnostic(help("each loss of a site has a number of its own: give this one a greater (number ...), and the file a greater (version ...)"))]
+    #[diagnostic(help("each loss of a site needs its own number: give this one a greater (number ...) and the file a greater (version ...)"))]
     OlderLoss {
-        /// The site.
+        /// The site's name.
         site: String,
-        /// The number of the line.
+        /// The number of the rejected declaration.
         number: u64,
-        /// The greatest that was in force.
+        /// The greatest number that was declared before.
         used: u64,
     },
 }
 
 impl ConfigHistory {
-    /// The version of the newest file; 0 for none.
+    /// Returns the version of the newest configuration that was used; 0 for none.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Whether a file may hold from now on.
+    /// Checks whether a configuration may be put into service.
     ///
     /// # Errors
-    /// Why not.
+    /// If the configuration or one of its declared losses is outdated.
     pub fn check(&self, plan: &SitesConfig) -> Result<(), OldFileError> {
         let SitesConfig { version, .. } = *plan;
         if version < self.version {
@@ -75,7 +76,7 @@
         }
         for declared in &plan.lost {
             let Some(loss) = self.lost.get(&declared.site) else { continue };
-            if declared.number < loss.number || (declared.number == loss.number && !loss.holds) {
+            if declared.number < loss.number || (declared.number == loss.number && !loss.in_newest) {
                 let (site, number) = (declared.site.clone(), declared.number);
                 return Err(OldFileError::OlderLoss { site, number, used: loss.number });
             }
@@ -83,12 +84,12 @@
         Ok(())
     }
 
-    /// That file, which may hold, does.
+    /// Records that a configuration, which has passed [`ConfigHistory::check`], is in service.
     pub fn record(&mut self, plan: &SitesConfig) {
         (self.version, self.digest) = (plan.version, plan.digest());
-        self.lost.values_mut().for_each(|loss| loss.holds = false);
+        self.lost.values_mut().for_each(|loss| loss.in_newest = false);
         for declared in &plan.lost {
-            self.lost.insert(declared.site.clone(), Loss { number: declared.number, holds: true });
+            self.lost.insert(declared.site.clone(), Loss { number: declared.number, in_newest: true });
         }
     }
 }
@@ -106,7 +107,7 @@
         crate::config::read("t", &text).unwrap()
     }
 
-    /// After files 3 to 5, of which 3 and 4 declared a loss of b and 5 does not.
+    /// Versions 3 and 4 declared losses of b, version 5 declares none.
     #[rstest]
     #[case(4, "", Err(OldFileError::Older { version: 4, used: 5 }))]
     #[case(5, "", Ok(()))]
@@ -116,25 +117,25 @@
     #[case(6, "(lost b (number 7))", Err(OldFileError::OlderLoss { site: "b".into(), number: 7, used: 7 }))]
     #[case(6, "(lost b (number 6))", Err(OldFileError::OlderLoss { site: "b".into(), number: 6, used: 7 }))]
     #[case(6, "(lost a (number 1))", Ok(()))]
-    fn an_older_file_and_an_older_loss_never_hold(
+    fn outdated_configurations_and_losses_are_rejected(
         #[case] version: u64,
         #[case] more: &str,
-        #[case] may: Result<(), OldFileError>,
+        #[case] expected: Result<(), OldFileError>,
     ) {
         let mut used = ConfigHistory::default();
         for (version, more) in [(3, "(lost b (number 6))"), (4, "(lost b (number 7))"), (5, "")] {
             let plan = plan(version, more);
             assert_eq!(used.check(&plan), Ok(()));
             used.record(&plan);
-            // The same file again, a loss that holds among it, is no older one.
+            // The configuration in service is accepted again, together with its declared loss.
             assert_eq!(used.check(&plan), Ok(()));
         }
-        assert_eq!(used.check(&plan(version, more)), may);
+        assert_eq!(used.check(&plan(version, more)), expected);
     }
 
-    /// Where its key and its accounts lie is each node's own.
+    /// Guards against a digest that depends on local paths, which may differ between nodes.
     #[test]
-    fn one_file_is_known_by_what_all_nodes_have_to_agree_on() {
+    fn the_digest_ignores_local_paths() {
         let mut other = plan(1, "(accounts x)");
         other.key = "elsewhere".into();
         assert_eq!(other.digest(), plan(1, "").digest());
--- a/crates/sites/src/health.rs
+++ b/crates/sites/src/health.rs
@@ -1,15 +1,18 @@
-//! Sites as one node sees them: linked, only slow, cut off, or lost.
+//! Failure detection between sites by gossip: one node's view of the other sites.
 //!
-//! Each node tells one node of each other site in turn, and nodes of its own, what it knows of all sites ([`Message`]): how long ago its
-//! site heard another one directly, whether that one hears it, and the newest sign of life of it that anybody has told of. So a cut between
-//! two sites is told from a loss by the word of a third, and a link that works one way by what the other side says it hears.
+//! Each node sends [`Message`]s to one node of each other site in turn and to some nodes of its own site. A message
+//! reports, for every other site, how long ago the sender's site received a message from it directly, how recently
+//! that site had received one in turn, and its newest heartbeat known from any source. Reports of a third site
+//! distinguish a broken link from a lost site, and the echoed ages reveal a link that works in one direction only.
 //!
-//! A sign of life is the number that a site's nodes count up together (a Lamport clock, "Time, clocks, and the ordering of events in a
-//! distributed system", section 2). An old sign that is told around and around refreshes nothing, and each sign keeps its
-//! age. A word echoes a number of the hearer's site, so how long words take there and back is known: a slow link is doubtful, and words
-//! that lay in a buffer while this process stood still make nobody alive.
+//! A heartbeat is a counter that the nodes of a site increase together (a Lamport clock, "Time, clocks, and the
+//! ordering of events in a distributed system", section 2). Gossip carries each value with its age, so repeating an
+//! old value does not make a site look alive. Messages also echo a heartbeat of the receiver's site, from which the
+//! round-trip time follows: a slow link makes a site doubtful, and messages that were buffered while this process
+//! was suspended don't count.
 //!
-//! What is seen is a hint, never a permission: a lost site's keys are its own until their leases have ended.
+//! The resulting states are hints only and grant no right: the keys of a lost site remain its own until their leases
+//! have expired.
 
 use crate::config::SitesConfig;
 use crate::{Micros, SiteState};
@@ -19,42 +22,45 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 
-/// Each other site is told something so often in the time after which it would be alone.
-const NOTIFY_INTERVAL: Micros = 10;
-/// Nodes of one's own site are told this often in it.
-const NOTIFY_OWN: Micros = 20;
-/// A site that is quiet for this part of it is told as often, by the nodes of a site of a few: there, a few words that are lost are all.
-const QUIET: Micros = 5;
-const FEW: usize = 4;
-/// How many of them each time.
-const OWN: usize = 3;
-/// Ages above this are told as this, in milliseconds.
-const OLDEST: u32 = 99_999;
-/// Numbers of one's own site whose times are remembered.
-const REMEMBERED: usize = 256;
-/// A number further ahead than this of what is known is no number, nor is one beyond [`MOST`].
-const AHEAD: u64 = 1 << 32;
-const MOST: u64 = 1 << 53;
-/// Classes whose demand is told at most.
+/// Number of messages to each other site within [`SitesConfig::alone`].
+const REMOTE_MESSAGES: Micros = 10;
+/// Number of rounds of messages to nodes of the own site within [`SitesConfig::alone`].
+const LOCAL_ROUNDS: Micros = 20;
+/// Nodes of a small site also send to another site in each local round once it has been silent for this fraction of
+/// [`SitesConfig::alone`], because so few nodes may lose all their messages to it.
+const QUIET_DIVISOR: Micros = 5;
+/// Largest number of nodes of a small site.
+const SMALL_SITE_NODES: usize = 4;
+/// Number of nodes of the own site that receive a message in each round.
+const LOCAL_FANOUT: usize = 3;
+/// Largest age in messages, in milliseconds; greater ages are sent as this one, which means unknown.
+const MAX_AGE_MS: u32 = 99_999;
+/// Number of heartbeats of the own site whose times are kept, and of reported configuration mismatches.
+const MAX_REMEMBERED: usize = 256;
+/// Largest plausible increase of a known heartbeat; messages with a greater one are rejected.
+const MAX_HEARTBEAT_JUMP: u64 = 1 << 32;
+/// Largest valid heartbeat.
+const MAX_HEARTBEAT: u64 = 1 << 53;
+/// Largest number of classes whose demand a message reports.
 pub const MAX_CLASSES: usize = 6;
 /// Long ago.
 const NEVER: Micros = Micros::MIN / 4;
 
-/// What a node says of one other site, ages in milliseconds. As a list in JSON, to be short.
+/// Report on another site, with ages in milliseconds. It is a list in JSON to keep messages short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "(u32, u64, u32, u64, u32, u32)", into = "(u32, u64, u32, u64, u32, u32)")]
 pub struct SiteReport {
-    /// The site, by the number of its name.
+    /// The number of the reported site.
     pub site: u32,
-    /// Its newest sign of life that the speaker knows of, by anybody; 0 for none.
+    /// Its newest heartbeat known from any source; 0 for none.
     pub heartbeat: u64,
-    /// How old that is.
+    /// Age of [`SiteReport::heartbeat`].
     pub heartbeat_age: u32,
-    /// The newest that the speaker's site heard from it directly; 0 for none.
+    /// Its newest heartbeat that the sender's site received directly; 0 for none.
     pub direct: u64,
-    /// How old that is.
+    /// Age of [`SiteReport::direct`].
     pub direct_age: u32,
-    /// How long ago that site had heard the speaker's directly, by its own word.
+    /// Time since the reported site, by its own report, had received a message from the sender's site.
     pub echo_age: u32,
 }
 
@@ -72,15 +78,15 @@
     }
 }
 
-/// What a node says of its own site's load. As a list in JSON, to be short.
+/// Report on the load of the sender's own site. It is a list in JSON to keep messages short.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "(u8, u64, Vec<(u32, u64)>)", into = "(u8, u64, Vec<(u32, u64)>)")]
 pub struct Load {
-    /// The part of its usual load that the site takes, in hundredths; less than all of it while it returns.
+    /// Share of its load that the site takes, in percent; below 100 while the site is returning.
     pub load_percent: u8,
-    /// What the site's servers bear now, as the speaker sees it, in units a second.
+    /// Current capacity of the site's servers as known to the sender, in units a second.
     pub capacity: u64,
-    /// What clients ask the speaker for, in units a second, by the number of the class's name ([`class_number`]); [`MAX_CLASSES`] at most.
+    /// Demand of the site's clients at the sender, in units a second, by [`class_number`]; [`MAX_CLASSES`] at most.
     pub demand: Vec<(u32, u64)>,
 }
 
@@ -96,721 +102,756 @@
     }
 }
 
-/// What a node says to another one. In JSON unknown fields are passed over; 1,200 bytes hold it at 20 sites.
+/// A gossip message. It takes less than 1,200 bytes for 20 sites; unknown fields in JSON are ignored.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Message {
-    /// The speaker's site, by the number of its name.
+    /// The number of the sender's site.
     #[serde(rename = "s")]
     pub site: u32,
-    /// The newest sign of life of the speaker's site.
+    /// The newest heartbeat of the sender's site.
     #[serde(rename = "n")]
-    pub number: u64,
-    /// The version of the speaker's file.
+    pub heartbeat: u64,
+    /// Version of the sender's configuration.
     #[serde(rename = "v")]
     pub version: u64,
-    /// What stands for that file, [`SitesConfig::digest`]; 0 where the speaker does not say.
+    /// Digest of the sender's configuration, see [`SitesConfig::digest`]; 0 for none.
     #[serde(rename = "d", default)]
     pub digest: u32,
-    /// All other sites.
+    /// Reports on all other sites.
     #[serde(rename = "o")]
     pub others: Vec<SiteReport>,
-    /// What the speaker's site bears and is asked for, where the speaker knows.
+    /// Load of the sender's site, if known.
     #[serde(rename = "l", default)]
     pub load: Option<Load>,
 }
 
-/// Why a word was passed over.
+/// Why a message was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error, miette::Diagnostic)]
 pub enum ReceiveError {
-    /// The speaker is not in the file.
-    #[error("no node of the file has the number {0}")]
-    #[diagnostic(help("put one file of sites into service at all nodes; compare their versions"))]
+    /// The sender is not in the configuration.
+    #[error("no node of the sites file has the number {0}")]
+    #[diagnostic(help("put the same sites file into service at all nodes; compare their versions"))]
     UnknownNode(u32),
-    /// The speaker takes itself for a node of another site.
-    #[error("node {node} says that it is of a site numbered {site}, the file has it elsewhere")]
-    #[diagnostic(help("put one file of sites into service at all nodes; compare their versions"))]
+    /// The sender names another site than the configuration does.
+    #[error("node {node} claims to belong to the site numbered {site}, but the sites file lists it in another site")]
+    #[diagnostic(help("put the same sites file into service at all nodes; compare their versions"))]
     WrongSite {
-        /// The speaker.
+        /// The number of the sender.
         node: u32,
-        /// The site that it names.
+        /// The number of the site that it names.
         site: u32,
     },
-    /// It was said before this process last stood still, or was on the way for far too long.
-    #[error("said long ago: this process stood still, or the word lay somewhere")]
-    #[diagnostic(help("nothing is to be done: newer words follow"))]
+    /// The message was sent before this process was last suspended, or was delayed for too long.
+    #[error("the message is outdated: this process was suspended, or the message was delayed")]
+    #[diagnostic(help("no action is needed: newer messages follow"))]
     Stale,
-    /// A number that can't be reached by counting.
-    #[error("the number {0} is out of reach")]
-    #[diagnostic(help("the speaker is faulty, or not of this fleet: restart it, and check its key"))]
+    /// A heartbeat is implausibly far ahead.
+    #[error("the heartbeat {0} is out of reach")]
+    #[diagnostic(help("the sender is faulty or not part of this fleet: restart it and check its key"))]
     OutOfReach(u64),
 }
 
-/// Why a site is seen otherwise than before.
+/// Why the state of a site has changed. Durations are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StateChangeReason {
-    /// Nothing was heard from it directly for so long, in microseconds.
+    /// No message came from it directly for this long.
     Quiet(Micros),
-    /// It does not hear this site, for so long, in microseconds.
+    /// It has not received messages of this site for this long.
     OneWay(Micros),
-    /// Words take so long there and back, in microseconds.
+    /// The round-trip time.
     Slow(Micros),
-    /// Others hear it, this site doesn't or isn't heard.
-    Cut,
-    /// Nobody has heard of it for so long, in microseconds.
+    /// Other sites reach it, but this one can't exchange messages with it.
+    Unreachable,
+    /// No site has received a heartbeat for this long.
     Silent(Micros),
-    /// An operator declares it lost, by a line of that number.
+    /// An operator has declared it lost, with this number.
     Declared(u64),
-    /// Words go both ways again, for so long, in microseconds.
-    Back(Micros),
-    /// It has taken all of its load.
-    Taken,
-    /// All is as before for long enough.
-    Calm,
+    /// Messages have arrived in both directions for this long.
+    Reachable(Micros),
+    /// The site takes its full load.
+    FullLoad,
+    /// It has been stable for the hold time.
+    Stable,
 }
 
 impl fmt::Display for StateChangeReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let s = |t: &Micros| *t as f64 / 1e6;
         match self {
-            StateChangeReason::Quiet(t) => write!(f, "nothing heard from it for {:.1} s", s(t)),
+            StateChangeReason::Quiet(t) => write!(f, "no message came from it for {:.1} s", s(t)),
             StateChangeReason::OneWay(t) => {
-                write!(f, "heard, but it has not heard this site for {:.1} s", s(t))
+                write!(f, "it has received no message from this site for {:.1} s", s(t))
+            }
+            StateChangeReason::Slow(t) => write!(f, "the round trip takes {:.1} s", s(t)),
+            StateChangeReason::Unreachable => write!(f, "other sites reach it, but this site can't"),
+            StateChangeReason::Silent(t) => write!(f, "no site has received a heartbeat for {:.1} s", s(t)),
+            StateChangeReason::Declared(n) => write!(f, "the sites file declares it lost with number {n}"),
+            StateChangeReason::Reachable(t) => {
+                write!(f, "messages have arrived in both directions for {:.1} s", s(t))
             }
-            StateChangeReason::Slow(t) => write!(f, "words take {:.1} s there and back", s(t)),
-            StateChangeReason::Cut => write!(f, "others hear it, this site can't reach it"),
-            StateChangeReason::Silent(t) => write!(f, "nobody has heard of it for {:.1} s", s(t)),
-            StateChangeReason::Declared(n) => write!(f, "declared lost by line {n} of the operator's file"),
-            StateChangeReason::Back(t) => write!(f, "words have gone both ways for {:.1} s", s(t)),
-            StateChangeReason::Taken => write!(f, "it has taken all of its load"),
-            StateChangeReason::Calm => write!(f, "all is as before"),
+            StateChangeReason::FullLoad => write!(f, "it takes its full load"),
+            StateChangeReason::Stable => write!(f, "it has been stable for the hold time"),
         }
     }
 }
 
-/// A site is seen otherwise than before; one line in the log each.
+/// A change of a site's state, for the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct StateChange {
     /// The site's name.
     pub site: String,
-    /// What it was.
+    /// The previous state.
     pub from: SiteState,
-    /// What it is.
+    /// The new state.
     pub to: SiteState,
-    /// Why.
+    /// Why the state has changed.
     pub reason: StateChangeReason,
 }
 
-/// Another node goes by another file; told once for each file.
+/// Another node uses a newer configuration, or another one of the same version; reported once for each configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ConfigMismatch {
     /// The node's name.
     pub node: String,
-    /// The version of its file: greater than here, or the same.
+    /// Version of its configuration, at least [`ConfigMismatch::own`].
     pub version: u64,
-    /// The version of the file here.
+    /// Version of this node's configuration.
     pub own: u64,
 }
 
-/// What is known of another site, times by one's own clock.
+/// What is known of a site, with times by this node's clock.
 #[derive(Clone, Debug)]
-struct View {
+struct SiteView {
     number: u32,
-    seen: SiteState,
+    state: SiteState,
     since: Micros,
-    /// The newest sign of life, and from when it is.
-    sign: (u64, Micros),
-    /// The newest that one's own site heard directly.
+    /// The newest heartbeat from any source, and its time.
+    heartbeat: (u64, Micros),
+    /// The newest heartbeat that the own site received directly, and its time.
     direct: (u64, Micros),
-    /// When this node last heard any word of it itself.
-    arrived: Micros,
-    /// When it had last heard one's own site, by its own word.
-    back: Micros,
-    /// There and back, and when that was measured.
-    trip: (Micros, Micros),
-    /// Words have gone both ways since then.
-    good: Option<Micros>,
-    /// Somebody has told of it again and again since then.
-    lives: Option<Micros>,
-    /// When it last began to return.
-    returned: Micros,
-    /// Whom to tell next of its nodes.
-    turn: usize,
+    /// When this node last received a message from the site.
+    received_at: Micros,
+    /// When the site, by its own report, last received a message from the own site.
+    echoed_at: Micros,
+    /// Round-trip time, and when it was observed.
+    round_trip: (Micros, Micros),
+    /// Since when messages have arrived in both directions.
+    reachable_since: Option<Micros>,
+    /// Since when recent heartbeats have been known without a gap.
+    alive_since: Option<Micros>,
+    /// When the site last became `Returning`.
+    returning_since: Micros,
+    /// Index of the site's node that received the last message.
+    next_node: usize,
 }
 
-impl View {
-    /// When this site, by this node or another one, last heard it directly.
-    fn received(&self) -> Micros {
-        self.direct.1.max(self.arrived)
+impl SiteView {
+    /// Returns when this node or another one of its site last received a message from the site.
+    fn last_received(&self) -> Micros {
+        self.direct.1.max(self.received_at)
     }
 
-    /// From when its newest sign of life is, by anybody.
-    fn signed(&self) -> Micros {
-        self.sign.1.max(self.received())
+    /// Returns the time of the site's newest heartbeat from any source.
+    fn last_heartbeat(&self) -> Micros {
+        self.heartbeat.1.max(self.last_received())
     }
 }
 
-/// All other sites, as this node sees them.
+/// The states of all sites as seen by one node.
 #[derive(Clone, Debug)]
 pub struct SiteHealth {
     me: u32,
     plan: SitesConfig,
-    /// The place of one's own site in the file.
-    own: usize,
-    views: Vec<View>,
-    luck: Rand32,
-    /// The newest number of one's own site, and when it was counted up, with some before it.
-    number: u64,
-    numbers: VecDeque<(u64, Micros)>,
-    /// When it last did anything; and from when on it has listened without a gap.
-    last: Micros,
-    listens: Micros,
-    /// Until then a word has to echo that number to count: it could have lain in a buffer.
-    woke: (Micros, u64),
-    next_far: Micros,
-    far: usize,
-    next_own: Micros,
-    alone_since: Option<Micros>,
-    /// What nodes, this one too, last said of their site's load, and when.
+    /// Index of the own site in the configuration.
+    own_index: usize,
+    views: Vec<SiteView>,
+    rng: Rand32,
+    /// The newest heartbeat of the own site.
+    heartbeat: u64,
+    /// Recent heartbeats of the own site, with the times at which they became known.
+    heartbeats: VecDeque<(u64, Micros)>,
+    last_active: Micros,
+    /// Since when this process has run without being suspended.
+    running_since: Micros,
+    /// Until this time messages must echo at least this heartbeat, because older ones may have been buffered while the
+    /// process was suspended.
+    resumed: (Micros, u64),
+    next_remote: Micros,
+    next_site: usize,
+    next_local: Micros,
+    isolated_since: Option<Micros>,
+    /// The last reported load by node number, including this node's, with its time.
     loads: BTreeMap<u32, (Load, Micros)>,
-    /// What stands for the file here.
+    /// Digest of this node's configuration.
     digest: u32,
-    /// The newest version of the file that each other node has said it goes by, with what stands for it.
+    /// Version and digest of the newest configuration that each other node has reported.
     versions: BTreeMap<u32, (u64, u32)>,
-    /// Other files that were told of already.
-    differed: BTreeSet<(u64, u32)>,
-    differs: Vec<ConfigMismatch>,
-    out: Vec<(u32, Message)>,
-    changed: Vec<StateChange>,
+    /// Version and digest of the differing configurations that were reported already.
+    reported_configs: BTreeSet<(u64, u32)>,
+    mismatches: Vec<ConfigMismatch>,
+    outgoing: Vec<(u32, Message)>,
+    changes: Vec<StateChange>,
 }
 
-/// The node is in no site of the file.
+/// The configuration does not list the node in any site.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
-#[error("no site of the file has the node numbered {0}")]
-#[diagnostic(help("give this node's name to one (site ... (node NAME \"ADDRESS\")) of the file of sites"))]
+#[error("no site of the sites file has the node numbered {0}")]
+#[diagnostic(help("add this node to one (site ... (node NAME \"ADDRESS\")) of the sites file"))]
 pub struct NoSiteError(pub u32);
 
-/// The number that stands for a class's name in words.
+/// Returns the number that represents a class's name in messages.
 pub fn class_number(name: &str) -> u32 {
     NodeId::of(name).0
 }
 
-fn age(at: Micros, now: Micros) -> u32 {
-    ((now.saturating_sub(at)).max(0) / 1_000).min(Micros::from(OLDEST)) as u32
+fn age_ms(at: Micros, now: Micros) -> u32 {
+    ((now.saturating_sub(at)).max(0) / 1_000).min(Micros::from(MAX_AGE_MS)) as u32
 }
 
-fn from_age(age: u32, now: Micros) -> Micros {
-    if age >= OLDEST {
+fn time_of_age(age_ms: u32, now: Micros) -> Micros {
+    if age_ms >= MAX_AGE_MS {
         NEVER
     } else {
-        now - Micros::from(age) * 1_000
+        now - Micros::from(age_ms) * 1_000
     }
 }
 
 impl SiteHealth {
-    /// A node that begins now, by its number in the file. All others are linked until it has listened for long enough to say otherwise.
+    /// Creates the view of a node that starts now, given its number in the configuration. All sites are linked until they
+    /// have been silent for long enough.
     ///
     /// # Errors
-    /// Where the file does not name the node.
+    /// If the configuration does not list the node.
     pub fn new(me: u32, plan: &SitesConfig, seed: u64, now: Micros) -> Result<SiteHealth, NoSiteError> {
         let mut site_health = SiteHealth {
             me,
             plan: SitesConfig::default(),
-            own: 0,
+            own_index: 0,
             views: Vec::new(),
-            luck: Rand32::new(seed),
-            number: 1,
-            numbers: VecDeque::from([(1, now)]),
-            last: now,
-            listens: now,
-            woke: (NEVER, 0),
-            next_far: now,
-            far: 0,
-            next_own: now,
-            alone_since: None,
+            rng: Rand32::new(seed),
+            heartbeat: 1,
+            heartbeats: VecDeque::from([(1, now)]),
+            last_active: now,
+            running_since: now,
+            resumed: (NEVER, 0),
+            next_remote: now,
+            next_site: 0,
+            next_local: now,
+            isolated_since: None,
             loads: BTreeMap::new(),
             digest: 0,
             versions: BTreeMap::new(),
-            differed: BTreeSet::new(),
-            differs: Vec::new(),
-            out: Vec::new(),
-            changed: Vec::new(),
+            reported_configs: BTreeSet::new(),
+            mismatches: Vec::new(),
+            outgoing: Vec::new(),
+            changes: Vec::new(),
         };
         site_health.update_config(plan, now)?;
         Ok(site_health)
     }
 
-    /// Another file holds. What is known of sites that it still names is kept.
+    /// Applies another configuration. What is known of sites that it still names is kept.
     ///
     /// # Errors
-    /// Where it does not name this node; nothing has changed then.
+    /// If it does not list this node; nothing has changed then.
     pub fn update_config(&mut self, plan: &SitesConfig, now: Micros) -> Result<(), NoSiteError> {
         let own = plan.sites.iter().position(|s| s.nodes.iter().any(|n| n.number == self.me));
         let own = own.ok_or(NoSiteError(self.me))?;
-        let mut before = std::mem::take(&mut self.views);
+        let mut previous = std::mem::take(&mut self.views);
         for site in &plan.sites {
-            let kept = before.iter().position(|v| v.number == site.number).map(|k| before.swap_remove(k));
-            let turn = self.luck.rand_range(0..site.nodes.len().max(1) as u32) as usize;
-            self.views.push(kept.unwrap_or(View {
+            let kept = previous.iter().position(|v| v.number == site.number).map(|k| previous.swap_remove(k));
+            let next_node = self.rng.rand_range(0..site.nodes.len().max(1) as u32) as usize;
+            self.views.push(kept.unwrap_or(SiteView {
                 number: site.number,
-                seen: SiteState::Linked,
+                state: SiteState::Linked,
                 since: now,
-                sign: (0, NEVER),
+                heartbeat: (0, NEVER),
                 direct: (0, NEVER),
-                arrived: NEVER,
-                back: NEVER,
-                trip: (0, NEVER),
-                good: None,
-                lives: None,
-                returned: NEVER,
-                turn,
+                received_at: NEVER,
+                echoed_at: NEVER,
+                round_trip: (0, NEVER),
+                reachable_since: None,
+                alive_since: None,
+                returning_since: NEVER,
+                next_node,
             }));
         }
         self.loads.retain(|node, _| plan.node(*node).is_some());
         self.versions.retain(|node, _| plan.node(*node).is_some());
         (self.plan, self.digest) = (plan.clone(), plan.digest());
-        self.differed.retain(|(version, _)| *version >= plan.version);
-        self.own = own;
-        self.far = own + 1;
+        self.reported_configs.retain(|(version, _)| *version >= plan.version);
+        self.own_index = own;
+        self.next_site = own + 1;
         Ok(())
     }
 
-    fn suspect(&self) -> Micros {
+    /// Silence after which a site is doubtful, in microseconds.
+    fn suspect_time(&self) -> Micros {
         self.plan.alone / 2
     }
 
-    /// Notice that this process stood still: whoever was not heard meanwhile may have spoken.
-    fn wake(&mut self, now: Micros) {
-        let gap = now - self.last;
-        self.last = self.last.max(now);
+    /// Detects that this process was suspended, in which case silence proves nothing about other sites.
+    fn detect_suspension(&mut self, now: Micros) {
+        let gap = now - self.last_active;
+        self.last_active = self.last_active.max(now);
         if gap < self.plan.alone / 4 {
             return;
         }
-        self.listens = now;
-        // Further than all nodes of the site can have counted meanwhile.
-        self.count(self.number + 64 + (gap / 10_000) as u64, now);
-        self.woke = (now + self.plan.alone / 2, self.number);
+        self.running_since = now;
+        // More than all nodes of the site can have counted meanwhile.
+        self.raise_heartbeat(self.heartbeat + 64 + (gap / 10_000) as u64, now);
+        self.resumed = (now + self.plan.alone / 2, self.heartbeat);
     }
 
-    fn count(&mut self, number: u64, now: Micros) {
-        if number > self.number {
-            self.number = number;
-            self.numbers.push_back((number, now));
-            if self.numbers.len() > REMEMBERED {
-                self.numbers.pop_front();
+    /// Raises the heartbeat of the own site to a greater value.
+    fn raise_heartbeat(&mut self, heartbeat: u64, now: Micros) {
+        if heartbeat > self.heartbeat {
+            self.heartbeat = heartbeat;
+            self.heartbeats.push_back((heartbeat, now));
+            if self.heartbeats.len() > MAX_REMEMBERED {
+                self.heartbeats.pop_front();
             }
         }
     }
 
-    /// When a number of one's own site was known here; the oldest remembered time for older ones, now for newer ones.
-    fn knew(&self, number: u64, now: Micros) -> Micros {
-        self.numbers.iter().find(|(n, _)| *n >= number).map_or(now, |(_, at)| *at)
+    /// Returns when a heartbeat of the own site became known: the oldest kept time for older ones, now for newer ones.
+    fn heartbeat_known_at(&self, heartbeat: u64, now: Micros) -> Micros {
+        self.heartbeats.iter().find(|(h, _)| *h >= heartbeat).map_or(now, |(_, at)| *at)
     }
 
-    /// Another node has said something.
+    /// Processes a message of another node.
     ///
     /// # Errors
-    /// Where it was passed over; nothing has changed then.
+    /// If the message is rejected; nothing has changed then.
     pub fn receive(&mut self, from: u32, message: &Message, now: Micros) -> Result<(), ReceiveError> {
-        self.wake(now);
+        self.detect_suspension(now);
         let site = self.plan.site_of_node(from).ok_or(ReceiveError::UnknownNode(from))?;
         if site.number != message.site {
             return Err(ReceiveError::WrongSite { node: from, site: message.site });
         }
-        let place = self.plan.site_index(message.site).ok_or(ReceiveError::UnknownNode(from))?;
-        let me = self.views.get(self.own).map_or(0, |v| v.number);
-        let mate = place == self.own;
-        let about_us = message.others.iter().find(|t| t.site == me).copied();
-        // Words are checked whole before anything of them counts.
-        let reach = |known: u64, number: u64| known > 1 && number > known.saturating_add(AHEAD);
+        let index = self.plan.site_index(message.site).ok_or(ReceiveError::UnknownNode(from))?;
+        let me = self.views.get(self.own_index).map_or(0, |v| v.number);
+        let same_site = index == self.own_index;
+        let own_report = message.others.iter().find(|t| t.site == me).copied();
+        // All of the message is validated before any of it takes effect.
+        let out_of_reach =
+            |known: u64, heartbeat: u64| known > 1 && heartbeat > known.saturating_add(MAX_HEARTBEAT_JUMP);
         for t in &message.others {
             let view = self.views.iter().find(|v| v.number == t.site);
-            let known = if t.site == me { Some(self.number) } else { view.map(|v| v.sign.0) };
-            let greatest = t.heartbeat.max(t.direct);
-            if known.is_some_and(|known| reach(known, greatest)) || greatest > MOST {
-                return Err(ReceiveError::OutOfReach(greatest));
+            let known = if t.site == me { Some(self.heartbeat) } else { view.map(|v| v.heartbeat.0) };
+            let max_heartbeat = t.heartbeat.max(t.direct);
+            if known.is_some_and(|known| out_of_reach(known, max_heartbeat)) || max_heartbeat > MAX_HEARTBEAT
+            {
+                return Err(ReceiveError::OutOfReach(max_heartbeat));
             }
         }
-        let known = if mate { self.number } else { self.views.get(place).map_or(0, |v| v.sign.0) };
-        if reach(known, message.number) || message.number > MOST {
-            return Err(ReceiveError::OutOfReach(message.number));
+        let known =
+            if same_site { self.heartbeat } else { self.views.get(index).map_or(0, |v| v.heartbeat.0) };
+        if out_of_reach(known, message.heartbeat) || message.heartbeat > MAX_HEARTBEAT {
+            return Err(ReceiveError::OutOfReach(message.heartbeat));
         }
-        // What it echoes of one's own site, and how long that was on the way there and back.
-        let echo = if mate { message.number } else { about_us.map_or(0, |t| t.direct) };
-        if now < self.woke.0 && echo < self.woke.1 {
+        // The heartbeat of the own site that the message echoes.
+        let echo = if same_site { message.heartbeat } else { own_report.map_or(0, |t| t.direct) };
+        if now < self.resumed.0 && echo < self.resumed.1 {
             return Err(ReceiveError::Stale);
         }
-        let trip = match about_us.filter(|t| !mate && t.direct > 0 && t.direct_age < OLDEST) {
+        let round_trip = match own_report.filter(|t| !same_site && t.direct > 0 && t.direct_age < MAX_AGE_MS)
+        {
             Some(t) => {
-                let there = Micros::from(t.direct_age) * 1_000;
-                (now - self.knew(t.direct, now) - there).max(0)
+                let delay = Micros::from(t.direct_age) * 1_000;
+                (now - self.heartbeat_known_at(t.direct, now) - delay).max(0)
             }
             None => 0,
         };
-        if trip >= 2 * self.plan.alone {
+        if round_trip >= 2 * self.plan.alone {
             return Err(ReceiveError::Stale);
         }
         let version = self.versions.entry(from).or_default();
         if message.version >= version.0 {
             *version = (message.version, message.digest);
         }
-        self.compare(from, message);
+        self.check_config(from, message);
         if let Some(load) = &message.load {
             self.loads.insert(from, (load.clone(), now));
         }
-        if mate {
-            self.count(message.number, now);
+        if same_site {
+            self.raise_heartbeat(message.heartbeat, now);
         }
-        if let Some(t) = about_us {
-            self.count(t.heartbeat.max(t.direct), now);
+        if let Some(t) = own_report {
+            self.raise_heartbeat(t.heartbeat.max(t.direct), now);
         }
         for t in message.others.iter().filter(|t| t.site != me) {
             let Some(view) = self.views.iter_mut().find(|v| v.number == t.site) else { continue };
-            if t.heartbeat > view.sign.0 {
-                view.sign = (t.heartbeat, view.sign.1.max(from_age(t.heartbeat_age, now)));
+            if t.heartbeat > view.heartbeat.0 {
+                view.heartbeat = (t.heartbeat, view.heartbeat.1.max(time_of_age(t.heartbeat_age, now)));
             }
-            if mate && t.direct > view.direct.0 {
-                view.direct = (t.direct, view.direct.1.max(from_age(t.direct_age, now)));
-                view.back = from_age(t.echo_age, now);
+            if same_site && t.direct > view.direct.0 {
+                view.direct = (t.direct, view.direct.1.max(time_of_age(t.direct_age, now)));
+                view.echoed_at = time_of_age(t.echo_age, now);
             }
         }
-        if let Some(view) = self.views.get_mut(place).filter(|_| !mate) {
-            if message.number > view.sign.0 {
-                view.sign = (message.number, now);
+        if let Some(view) = self.views.get_mut(index).filter(|_| !same_site) {
+            if message.heartbeat > view.heartbeat.0 {
+                view.heartbeat = (message.heartbeat, now);
             }
-            // One that lags behind its site says nothing of when its newest was heard.
-            if message.number > view.direct.0 {
-                view.direct = (message.number, now);
+            // A node that lags behind its site must not refresh the time of a newer heartbeat.
+            if message.heartbeat > view.direct.0 {
+                view.direct = (message.heartbeat, now);
             }
-            view.arrived = now;
-            if let Some(t) = about_us.filter(|t| t.direct > 0) {
-                view.back = view.back.max(from_age(t.direct_age, now));
-                view.trip = (trip, now);
+            view.received_at = now;
+            if let Some(t) = own_report.filter(|t| t.direct > 0) {
+                view.echoed_at = view.echoed_at.max(time_of_age(t.direct_age, now));
+                view.round_trip = (round_trip, now);
             }
         }
         Ok(())
     }
 
-    /// Notice that another node goes by a newer file, or by another one of this version.
-    fn compare(&mut self, from: u32, message: &Message) {
+    /// Records that another node uses a newer configuration or another one of this version.
+    fn check_config(&mut self, from: u32, message: &Message) {
         let (version, own) = (message.version, self.plan.version);
         let other = version > own || (version == own && message.digest != 0 && message.digest != self.digest);
-        // A bound: whoever has the key can name any version.
-        if !other || self.differed.len() >= REMEMBERED || !self.differed.insert((version, message.digest)) {
+        // The bound limits memory, since a faulty node can report any version.
+        if !other
+            || self.reported_configs.len() >= MAX_REMEMBERED
+            || !self.reported_configs.insert((version, message.digest))
+        {
             return;
         }
         let node = self.plan.node(from).map_or(String::new(), |n| n.name.clone());
-        self.differs.push(ConfigMismatch { node, version, own });
+        self.mismatches.push(ConfigMismatch { node, version, own });
     }
 
-    /// Who goes by another file than this node, since this was last asked.
+    /// Returns the configuration mismatches since the last call.
     pub fn take_config_mismatches(&mut self) -> Vec<ConfigMismatch> {
-        std::mem::take(&mut self.differs)
+        std::mem::take(&mut self.mismatches)
     }
 
-    /// Time has passed: look at all sites anew, and speak where it is time to. Call it when [`SiteHealth::due`] says so, at the latest.
+    /// Updates the states of all sites and queues the messages that are due. Must be called at [`SiteHealth::due`] at the
+    /// latest.
     pub fn tick(&mut self, now: Micros) {
-        self.wake(now);
-        self.look(now);
+        self.detect_suspension(now);
+        self.update_states(now);
         let sites = self.plan.sites.len();
-        if now >= self.next_own {
-            self.next_own = now + self.plan.alone / NOTIFY_OWN;
-            self.mint(now);
-            let nodes = self.plan.sites.get(self.own).map_or(0, |s| s.nodes.len());
-            let first = self.luck.rand_range(0..nodes.max(1) as u32) as usize;
-            let mut notified = 0;
+        if now >= self.next_local {
+            self.next_local = now + self.plan.alone / LOCAL_ROUNDS;
+            self.increase_heartbeat(now);
+            let nodes = self.plan.sites.get(self.own_index).map_or(0, |s| s.nodes.len());
+            let first = self.rng.rand_range(0..nodes.max(1) as u32) as usize;
+            let mut sent_to = 0;
             for k in 0..nodes {
                 let at = (first + k) % nodes;
-                let to = self.plan.sites.get(self.own).and_then(|s| s.nodes.get(at)).map(|n| n.number);
-                if let Some(to) = to.filter(|to| *to != self.me && notified < OWN) {
-                    notified += 1;
+                let to = self.plan.sites.get(self.own_index).and_then(|s| s.nodes.get(at)).map(|n| n.number);
+                if let Some(to) = to.filter(|to| *to != self.me && sent_to < LOCAL_FANOUT) {
+                    sent_to += 1;
                     self.send(to, now);
                 }
             }
-            for place in (0..sites).filter(|_| nodes <= FEW) {
-                if self.is_quiet(place, now) {
-                    self.notify_site(place, now);
+            for index in (0..sites).filter(|_| nodes <= SMALL_SITE_NODES) {
+                if self.is_quiet(index, now) {
+                    self.notify_site(index, now);
                 }
             }
         }
-        let step = (self.plan.alone / NOTIFY_INTERVAL / (sites.max(2) as Micros - 1)).max(1);
-        // One that comes late says what is due now, and nothing twice.
-        let mut most = sites.saturating_sub(1);
-        if most == 0 {
-            self.next_far = now + step;
-        }
-        while now >= self.next_far && most > 0 {
-            most -= 1;
-            self.next_far = if most == 0 { now + step } else { self.next_far + step };
-            self.mint(now);
-            if self.far % sites == self.own {
-                self.far += 1;
+        let interval = (self.plan.alone / REMOTE_MESSAGES / (sites.max(2) as Micros - 1)).max(1);
+        // After a late call, each other site gets one message at most.
+        let mut remaining = sites.saturating_sub(1);
+        if remaining == 0 {
+            self.next_remote = now + interval;
+        }
+        while now >= self.next_remote && remaining > 0 {
+            remaining -= 1;
+            self.next_remote = if remaining == 0 { now + interval } else { self.next_remote + interval };
+            self.increase_heartbeat(now);
+            if self.next_site % sites == self.own_index {
+                self.next_site += 1;
             }
-            let place = self.far % sites;
-            self.far = place + 1;
-            self.notify_site(place, now);
+            let index = self.next_site % sites;
+            self.next_site = index + 1;
+            self.notify_site(index, now);
         }
     }
 
-    /// Say something to the next node of a site.
-    fn notify_site(&mut self, place: usize, now: Micros) {
-        let nodes = self.plan.sites.get(place).map(|s| s.nodes.as_slice()).unwrap_or_default();
-        let Some(view) = self.views.get_mut(place) else { return };
-        view.turn = (view.turn + 1) % nodes.len().max(1);
-        if let Some(to) = nodes.get(view.turn).map(|n| n.number) {
+    /// Queues a message to the next node of a site.
+    fn notify_site(&mut self, index: usize, now: Micros) {
+        let nodes = self.plan.sites.get(index).map(|s| s.nodes.as_slice()).unwrap_or_default();
+        let Some(view) = self.views.get_mut(index) else { return };
+        view.next_node = (view.next_node + 1) % nodes.len().max(1);
+        if let Some(to) = nodes.get(view.next_node).map(|n| n.number) {
             self.send(to, now);
         }
     }
 
-    /// Whether another site that was there lately is not heard as usual, or says that it doesn't hear this one.
-    fn is_quiet(&self, place: usize, now: Micros) -> bool {
-        let there = |v: &&View| place != self.own && !matches!(v.seen, SiteState::Alone | SiteState::Lost);
-        let view = self.views.get(place).filter(there);
-        view.is_some_and(|v| self.quiet(v.received().min(v.back), now) >= self.plan.alone / QUIET)
+    /// Returns whether a reachable site has been silent, or has received nothing from this one, for longer than usual.
+    fn is_quiet(&self, index: usize, now: Micros) -> bool {
+        let is_reachable =
+            |v: &&SiteView| index != self.own_index && !matches!(v.state, SiteState::Alone | SiteState::Lost);
+        let view = self.views.get(index).filter(is_reachable);
+        view.is_some_and(|v| {
+            self.silence(v.last_received().min(v.echoed_at), now) >= self.plan.alone / QUIET_DIVISOR
+        })
     }
 
-    /// Count up, unless somebody of this site has just done so.
-    fn mint(&mut self, now: Micros) {
-        let last = self.numbers.back().map_or(NEVER, |(_, at)| *at);
-        if now - last >= self.plan.alone / NOTIFY_OWN * 4 / 5 {
-            self.count(self.number + 1, now);
+    /// Increases the heartbeat of the own site, unless another node of it has just done so.
+    fn increase_heartbeat(&mut self, now: Micros) {
+        let last = self.heartbeats.back().map_or(NEVER, |(_, at)| *at);
+        if now - last >= self.plan.alone / LOCAL_ROUNDS * 4 / 5 {
+            self.raise_heartbeat(self.heartbeat + 1, now);
         }
     }
 
     fn send(&mut self, to: u32, now: Micros) {
-        let own = self.views.get(self.own).map_or(0, |v| v.number);
+        let own = self.views.get(self.own_index).map_or(0, |v| v.number);
         let others = self.views.iter().filter(|v| v.number != own).map(|v| SiteReport {
             site: v.number,
-            heartbeat: v.sign.0,
-            heartbeat_age: age(v.sign.1, now),
+            heartbeat: v.heartbeat.0,
+            heartbeat_age: age_ms(v.heartbeat.1, now),
             direct: v.direct.0,
-            direct_age: age(v.direct.1, now),
-            echo_age: age(v.back, now),
+            direct_age: age_ms(v.direct.1, now),
+            echo_age: age_ms(v.echoed_at, now),
         });
         let (others, load) = (others.collect(), self.loads.get(&self.me).map(|(l, _)| l.clone()));
-        let (number, version, digest) = (self.number, self.plan.version, self.digest);
-        let message = Message { site: own, number, version, digest, others, load };
-        self.out.push((to, message));
+        let (heartbeat, version, digest) = (self.heartbeat, self.plan.version, self.digest);
+        let message = Message { site: own, heartbeat, version, digest, others, load };
+        self.outgoing.push((to, message));
     }
 
-    /// What this node says of its site's load from now on.
+    /// Sets the load that this node reports for its site from now on.
     pub fn report(&mut self, mut load: Load) {
         load.demand.truncate(MAX_CLASSES);
-        self.loads.insert(self.me, (load, self.last));
+        self.loads.insert(self.me, (load, self.last_active));
     }
 
-    /// A site's load by what its nodes last said, also of one that is lost since: demand as if nodes that were not heard of had as much
-    /// as the others, on average. `None` where nothing was said.
+    /// Returns the load of a site by the last reports of its nodes, which may be from before the loss of the site. Nodes
+    /// without a report count with the average demand of the others. `None` without any report.
     pub fn load(&self, site: &str) -> Option<Load> {
         let nodes = &self.plan.site(site)?.nodes;
-        let sent: Vec<&(Load, Micros)> = nodes.iter().filter_map(|n| self.loads.get(&n.number)).collect();
-        let count = u64::try_from(sent.len()).ok().filter(|c| *c > 0)?;
-        // A node that is gone for good would hold its site's return up by what it last said.
-        let late = sent.iter().map(|(_, at)| *at).max().unwrap_or(0) - 2 * self.plan.alone;
+        let reported: Vec<&(Load, Micros)> = nodes.iter().filter_map(|n| self.loads.get(&n.number)).collect();
+        let count = u64::try_from(reported.len()).ok().filter(|c| *c > 0)?;
+        // Old reports are ignored, since the last one of a removed node would otherwise delay the site's return.
+        let oldest = reported.iter().map(|(_, at)| *at).max().unwrap_or(0) - 2 * self.plan.alone;
         let mut demand: BTreeMap<u32, u128> = BTreeMap::new();
-        for (class, units) in sent.iter().flat_map(|(l, _)| &l.demand) {
+        for (class, units) in reported.iter().flat_map(|(l, _)| &l.demand) {
             *demand.entry(*class).or_default() += u128::from(*units);
         }
-        let whole =
+        let estimated_total =
             |sum: u128| u64::try_from(sum * nodes.len() as u128 / u128::from(count)).unwrap_or(u64::MAX);
         Some(Load {
-            load_percent: sent
+            load_percent: reported
                 .iter()
-                .filter(|(_, at)| *at >= late)
+                .filter(|(_, at)| *at >= oldest)
                 .map(|(l, _)| l.load_percent)
                 .min()
                 .unwrap_or(100),
-            capacity: (sent.iter().map(|(l, _)| u128::from(l.capacity)).sum::<u128>() / u128::from(count))
+            capacity: (reported.iter().map(|(l, _)| u128::from(l.capacity)).sum::<u128>() / u128::from(count))
                 as u64,
-            demand: demand.into_iter().map(|(class, sum)| (class, whole(sum))).collect(),
+            demand: demand.into_iter().map(|(class, sum)| (class, estimated_total(sum))).collect(),
         })
     }
 
-    /// What is to be said to which node, since this was last asked.
+    /// Returns the messages queued since the last call, each with the number of its receiver.
     pub fn take_outgoing(&mut self) -> Vec<(u32, Message)> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outgoing)
     }
 
-    /// When [`SiteHealth::pass`] has something to do next.
+    /// Returns when [`SiteHealth::tick`] must be called next.
     pub fn due(&self, now: Micros) -> Micros {
-        self.next_own.min(self.next_far).max(now)
+        self.next_local.min(self.next_remote).max(now)
     }
 
-    fn look(&mut self, now: Micros) {
-        for place in (0..self.views.len()).filter(|p| *p != self.own) {
-            let declared = self.plan.sites.get(place).and_then(|s| self.plan.declared_lost(&s.name));
-            let (to, reason) = match self.views.get(place).and_then(|v| self.next(v, declared, now)) {
-                Some(next) => next,
+    /// Updates the states of all other sites.
+    fn update_states(&mut self, now: Micros) {
+        for index in (0..self.views.len()).filter(|p| *p != self.own_index) {
+            let declared = self.plan.sites.get(index).and_then(|s| self.plan.declared_lost(&s.name));
+            let (to, reason) = match self.views.get(index).and_then(|v| self.next_state(v, declared, now)) {
+                Some(change) => change,
                 None => continue,
             };
-            let name = self.plan.sites.get(place).map_or(String::new(), |s| s.name.clone());
-            if let Some(view) = self.views.get_mut(place) {
-                self.changed.push(StateChange { site: name, from: view.seen, to, reason });
-                (view.seen, view.since) = (to, now);
-                view.returned = if to == SiteState::Returning { now } else { view.returned };
+            let name = self.plan.sites.get(index).map_or(String::new(), |s| s.name.clone());
+            if let Some(view) = self.views.get_mut(index) {
+                self.changes.push(StateChange { site: name, from: view.state, to, reason });
+                (view.state, view.since) = (to, now);
+                view.returning_since = if to == SiteState::Returning { now } else { view.returning_since };
             }
         }
-        for place in 0..self.views.len() {
-            let good = self.views.get(place).is_some_and(|v| self.link(v, now).is_none());
-            let lives = self.views.get(place).is_some_and(|v| self.quiet(v.signed(), now) < self.suspect());
-            if let Some(view) = self.views.get_mut(place) {
-                view.good = if good { view.good.or(Some(now)) } else { None };
-                view.lives = if lives { view.lives.or(Some(now)) } else { None };
+        for index in 0..self.views.len() {
+            let is_linked = self.views.get(index).is_some_and(|v| self.link_fault(v, now).is_none());
+            let is_alive = self
+                .views
+                .get(index)
+                .is_some_and(|v| self.silence(v.last_heartbeat(), now) < self.suspect_time());
+            if let Some(view) = self.views.get_mut(index) {
+                view.reachable_since = if is_linked { view.reachable_since.or(Some(now)) } else { None };
+                view.alive_since = if is_alive { view.alive_since.or(Some(now)) } else { None };
             }
         }
-        let reached = |s: SiteState| !matches!(s, SiteState::Alone | SiteState::Lost);
-        let mut others = self.views.iter().enumerate().filter(|(p, _)| *p != self.own).peekable();
-        let alone = others.peek().is_some() && others.all(|(_, v)| !reached(v.seen));
-        self.alone_since = if alone { self.alone_since.or(Some(now)) } else { None };
+        let is_reachable = |s: SiteState| !matches!(s, SiteState::Alone | SiteState::Lost);
+        let mut others = self.views.iter().enumerate().filter(|(p, _)| *p != self.own_index).peekable();
+        let isolated = others.peek().is_some() && others.all(|(_, v)| !is_reachable(v.state));
+        self.isolated_since = if isolated { self.isolated_since.or(Some(now)) } else { None };
     }
 
-    /// How long ago something was, where this node has listened since.
-    fn quiet(&self, at: Micros, now: Micros) -> Micros {
-        now - at.max(self.listens)
+    /// Returns the time since an event, counting only the time in which this process was not suspended.
+    fn silence(&self, at: Micros, now: Micros) -> Micros {
+        now - at.max(self.running_since)
     }
 
-    /// What is wrong with the link to a site, if anything is.
-    fn link(&self, v: &View, now: Micros) -> Option<StateChangeReason> {
-        let (direct, back) = (self.quiet(v.received(), now), self.quiet(v.back, now));
-        if v.trip.0 >= self.suspect() && now - v.trip.1 < self.suspect() {
-            return Some(StateChangeReason::Slow(v.trip.0));
+    /// Returns what is wrong with the link to a site; `None` if messages arrive in time in both directions.
+    fn link_fault(&self, v: &SiteView, now: Micros) -> Option<StateChangeReason> {
+        let (direct, echo) = (self.silence(v.last_received(), now), self.silence(v.echoed_at, now));
+        if v.round_trip.0 >= self.suspect_time() && now - v.round_trip.1 < self.suspect_time() {
+            return Some(StateChangeReason::Slow(v.round_trip.0));
         }
-        if direct >= self.suspect() {
+        if direct >= self.suspect_time() {
             return Some(StateChangeReason::Quiet(direct));
         }
-        // What the other side hears comes by two words, each of which may be lost: it may be older.
-        (back >= self.plan.alone * 3 / 4).then_some(StateChangeReason::OneWay(back))
+        // An echo needs two messages, each of which may be lost, so it may be older.
+        (echo >= self.plan.alone * 3 / 4).then_some(StateChangeReason::OneWay(echo))
     }
 
-    fn next(&self, v: &View, declared: Option<u64>, now: Micros) -> Option<(SiteState, StateChangeReason)> {
+    fn next_state(
+        &self,
+        v: &SiteView,
+        declared: Option<u64>,
+        now: Micros,
+    ) -> Option<(SiteState, StateChangeReason)> {
         if let Some(number) = declared {
-            return (v.seen != SiteState::Lost)
+            return (v.state != SiteState::Lost)
                 .then_some((SiteState::Lost, StateChangeReason::Declared(number)));
         }
         let alone = self.plan.alone;
-        let sign = self.quiet(v.signed(), now);
-        let received = now - v.trip.1 < self.suspect();
-        let wrong = self.link(v, now);
-        let slow = received && matches!(wrong, Some(StateChangeReason::Slow(_)));
-        let good = v.good.map_or(0, |at| now - at);
-        let worse = |to: SiteState, why: StateChangeReason| (v.seen != to).then_some((to, why));
-        // Words that come late are words: such a site lives, and hears.
-        if !slow && sign >= alone {
-            return worse(SiteState::Lost, StateChangeReason::Silent(sign));
-        }
-        // What the other side hears comes by two words, each of which may be lost: it may be older.
-        let cut = self.quiet(v.received(), now) >= alone || self.quiet(v.back, now) >= alone * 5 / 4;
-        // Somebody must have heard of it lately; else it is about to be taken for lost, and one change is enough. So it is for one
-        // that was lost and is about to be reached.
-        let lives = v.lives.map_or(0, |at| now - at);
-        if !slow && cut && sign < self.suspect() && (v.seen != SiteState::Lost || lives >= self.plan.confirm)
+        let heartbeat_silence = self.silence(v.last_heartbeat(), now);
+        let has_recent_round_trip = now - v.round_trip.1 < self.suspect_time();
+        let fault = self.link_fault(v, now);
+        let slow = has_recent_round_trip && matches!(fault, Some(StateChangeReason::Slow(_)));
+        let reachable_for = v.reachable_since.map_or(0, |at| now - at);
+        let change_to = |to: SiteState, reason: StateChangeReason| (v.state != to).then_some((to, reason));
+        // Late messages still prove that the site is alive and receives messages.
+        if !slow && heartbeat_silence >= alone {
+            return change_to(SiteState::Lost, StateChangeReason::Silent(heartbeat_silence));
+        }
+        // An echo needs two messages, each of which may be lost, so it may be older.
+        let is_unreachable =
+            self.silence(v.last_received(), now) >= alone || self.silence(v.echoed_at, now) >= alone * 5 / 4;
+        // Without a recent heartbeat the site is about to be lost, and a lost site may be about to be reachable again; an
+        // intermediate state would only add a change.
+        let alive_for = v.alive_since.map_or(0, |at| now - at);
+        if !slow
+            && is_unreachable
+            && heartbeat_silence < self.suspect_time()
+            && (v.state != SiteState::Lost || alive_for >= self.plan.confirm)
         {
-            return worse(SiteState::Alone, StateChangeReason::Cut);
+            return change_to(SiteState::Alone, StateChangeReason::Unreachable);
         }
-        match (v.seen, wrong) {
-            (SiteState::Linked, Some(why)) => Some((SiteState::Doubtful, why)),
-            (SiteState::Doubtful, None) if good >= self.plan.confirm => {
-                Some((SiteState::Linked, StateChangeReason::Back(good)))
+        match (v.state, fault) {
+            (SiteState::Linked, Some(reason)) => Some((SiteState::Doubtful, reason)),
+            (SiteState::Doubtful, None) if reachable_for >= self.plan.confirm => {
+                Some((SiteState::Linked, StateChangeReason::Reachable(reachable_for)))
             }
             (SiteState::Alone | SiteState::Lost, None) => {
-                // One that was lost again on its way back has to stay for longer.
-                let again = now - v.returned < 10 * self.plan.hold;
-                let calm = if again { self.plan.hold } else { self.plan.confirm };
-                (good >= calm).then_some((SiteState::Returning, StateChangeReason::Back(good)))
+                // A site that was lost again while returning has to be reachable for longer.
+                let lost_recently = now - v.returning_since < 10 * self.plan.hold;
+                let required = if lost_recently { self.plan.hold } else { self.plan.confirm };
+                (reachable_for >= required)
+                    .then_some((SiteState::Returning, StateChangeReason::Reachable(reachable_for)))
             }
             (SiteState::WholeAgain, None) if now - v.since >= self.plan.hold => {
-                Some((SiteState::Linked, StateChangeReason::Calm))
+                Some((SiteState::Linked, StateChangeReason::Stable))
             }
             _ => None,
         }
     }
 
-    /// A returning site has taken all of its load ([`SiteHealth::load`] says which part it takes), and histories are one.
+    /// Records that a returning site takes its full load (see [`SiteHealth::load`]) and that the histories agree.
     pub fn mark_recovered(&mut self, site: &str, now: Micros) {
-        let place = self.plan.sites.iter().position(|s| s.name == site);
-        let Some(view) = place.and_then(|p| self.views.get_mut(p)) else { return };
-        if view.seen == SiteState::Returning {
-            let from = std::mem::replace(&mut view.seen, SiteState::WholeAgain);
+        let index = self.plan.sites.iter().position(|s| s.name == site);
+        let Some(view) = index.and_then(|p| self.views.get_mut(p)) else { return };
+        if view.state == SiteState::Returning {
+            let from = std::mem::replace(&mut view.state, SiteState::WholeAgain);
             view.since = now;
-            self.changed.push(StateChange {
+            self.changes.push(StateChange {
                 site: site.to_string(),
                 from,
                 to: SiteState::WholeAgain,
-                reason: StateChangeReason::Taken,
+                reason: StateChangeReason::FullLoad,
             });
         }
     }
 
-    /// How a site is seen; one's own is linked. `None` for one that the file doesn't name.
+    /// Returns the state of a site; the own site is linked. `None` for a site that the configuration does not name.
     pub fn state(&self, site: &str) -> Option<SiteState> {
-        let place = self.plan.sites.iter().position(|s| s.name == site)?;
-        self.views.get(place).map(|v| v.seen)
+        let index = self.plan.sites.iter().position(|s| s.name == site)?;
+        self.views.get(index).map(|v| v.state)
     }
 
-    /// All sites with their states and since when they hold, in the file's order.
+    /// Returns all sites with their states and the times of the last changes, in the order of the configuration.
     pub fn states(&self) -> Vec<(String, SiteState, Micros)> {
         let all = self.plan.sites.iter().zip(&self.views);
-        all.map(|(s, v)| (s.name.clone(), v.seen, v.since)).collect()
+        all.map(|(s, v)| (s.name.clone(), v.state, v.since)).collect()
     }
 
-    /// What has changed, since this was last asked.
+    /// Returns the changes of states since the last call.
     pub fn take_changes(&mut self) -> Vec<StateChange> {
-        std::mem::take(&mut self.changed)
+        std::mem::take(&mut self.changes)
     }
 
-    /// Whether no other site can be reached.
+    /// Returns whether no other site can be reached.
     pub fn is_isolated(&self) -> bool {
-        self.alone_since.is_some()
+        self.isolated_since.is_some()
     }
 
-    /// Since when no other site can be reached.
+    /// Returns since when no other site can be reached; `None` if one can.
     pub fn isolated_since(&self) -> Option<Micros> {
-        self.alone_since
+        self.isolated_since
     }
 
-    /// The last moment at which a majority of the sites, this one counted, had been heard; none where that is longer ago than the file's
-    /// time to confirm. What lay in a buffer while this process stood still does not count.
-    pub fn majority_heard_at(&self, now: Micros) -> Option<Micros> {
+    /// Returns the latest time since which messages of a majority of the sites, including this one, have arrived; `None`
+    /// if that is longer ago than [`SitesConfig::confirm`]. Messages that were buffered while this process was suspended
+    /// don't count.
+    pub fn majority_contact_at(&self, now: Micros) -> Option<Micros> {
         let confirm = self.plan.confirm;
-        // Where there is one site there is nobody else to confirm anything.
+        // A single site is a majority by itself.
         if self.plan.sites.len() == 1 {
             return Some(now);
         }
-        let others = self.views.iter().enumerate().filter(|(p, v)| *p != self.own && v.trip.0 < confirm);
-        let mut received: Vec<Micros> = others.map(|(_, v)| v.received()).collect();
-        received.sort_unstable_by(|a, b| b.cmp(a));
-        // A majority without this one.
-        let last = received.get((self.plan.sites.len() / 2).checked_sub(1)?);
+        let others =
+            self.views.iter().enumerate().filter(|(p, v)| *p != self.own_index && v.round_trip.0 < confirm);
+        let mut last_received: Vec<Micros> = others.map(|(_, v)| v.last_received()).collect();
+        last_received.sort_unstable_by(|a, b| b.cmp(a));
+        // The other sites that a majority needs besides this one.
+        let last = last_received.get((self.plan.sites.len() / 2).checked_sub(1)?);
         last.copied().filter(|at| now - at < confirm)
     }
 
-    /// Whether that is within the file's time to confirm.
+    /// Returns whether a majority of the sites has been in contact within [`SitesConfig::confirm`].
     pub fn has_majority_contact(&self, now: Micros) -> bool {
-        self.majority_heard_at(now).is_some()
+        self.majority_contact_at(now).is_some()
     }
 
-    /// Whether every other node of the file has said that it goes by this one: a node with a newer one may take others for homes. Sites that
-    /// an operator declares lost are not waited for. Each node is heard of in turn, so this takes a while in a fleet of many.
+    /// Returns whether every other node has reported that it uses this configuration; a node with another one may assign
+    /// keys to other owners. Sites that are declared lost are ignored. Nodes report in turn, so a large fleet takes a
+    /// while.
     pub fn all_nodes_use_config(&self) -> bool {
-        let same = |notified: &(u64, u32)| {
-            notified.0 == self.plan.version && (notified.1 == 0 || notified.1 == self.digest)
+        let is_same = |reported: &(u64, u32)| {
+            reported.0 == self.plan.version && (reported.1 == 0 || reported.1 == self.digest)
         };
-        let goes = |node: u32| node == self.me || self.versions.get(&node).is_some_and(same);
-        let mut waited = self.plan.nodes().filter(|(s, _)| self.plan.declared_lost(&s.name).is_none());
-        waited.all(|(_, n)| goes(n.number))
+        let uses_config = |node: u32| node == self.me || self.versions.get(&node).is_some_and(is_same);
+        let mut expected = self.plan.nodes().filter(|(s, _)| self.plan.declared_lost(&s.name).is_none());
+        expected.all(|(_, n)| uses_config(n.number))
     }
 
-    /// The file that it goes by.
+    /// Returns the configuration in service.
     pub fn plan(&self) -> &SitesConfig {
         &self.plan
     }
 
-    /// The number of this node.
+    /// Returns the number of this node.
     pub fn me(&self) -> u32 {
         self.me
     }
 
-    /// The name of this node's site.
+    /// Returns the name of this node's site.
     pub fn site(&self) -> &str {
-        self.plan.sites.get(self.own).map_or("", |s| s.name.as_str())
+        self.plan.sites.get(self.own_index).map_or("", |s| s.name.as_str())
     }
 }
--- a/crates/sites/src/key_ownership.rs
+++ b/crates/sites/src/key_ownership.rs
@@ -1,16 +1,19 @@
-//! Each key of a class that must not repeat has one home.
+//! Ownership of guarded idempotency keys: at any time, one node at most may place requests with a given key.
 //!
-//! Keys fall into ranges, one for each node of each site (rendezvous hashing, "Using name-based mappings to increase hit rates", Thaler and
-//! Ravishankar). A range is a budget of one unit, `home:SITE/NODE`, granted by the dividers' agreement: whoever holds it may place the
-//! range's keys, until it ends by its own clock, counted from when it asked. So there is never more than one, whatever anybody sees
-//! or believes; what is seen of sites only says who asks. A grant's epoch and number are the fence.
+//! Keys are divided into ranges, one for each node of each site, by rendezvous hashing ("Using name-based mappings to
+//! increase hit rates", Thaler and Ravishankar). The node of a range is the home of its keys. A range is leased as a
+//! quota budget of one unit, `home:SITE/NODE`, which the quota servers grant by consensus. The holder may place the
+//! range's keys until the lease expires by its own clock, counted from the time of its request, so a range never has
+//! two holders, whatever the nodes believe about each other. The observed states of sites only decide which node
+//! requests the lease. The epoch and number of a grant are its fencing token.
 //!
-//! A file with other nodes moves keys from range to range. A key that it moves is placed nowhere until all nodes go by that file
-//! ([`crate::health::SiteHealth::all_go_by`]); all others go on. A node is taken out of the file only when it has been stopped for longer than a
-//! lease and its longest job, and a node never goes back to an older file.
+//! A configuration with other nodes moves keys between ranges. A moved key is placed nowhere until all nodes use that
+//! configuration (see [`crate::health::SiteHealth::all_nodes_use_config`]); other keys are not affected. A node must
+//! be removed from the configuration only after it has been stopped for longer than a lease and its longest job, and a
+//! node never returns to an older configuration.
 //!
-//! A range that somebody else may have held in between is *adopted*, also by its own node: its keys may have been placed by
-//! others, and are placed here only where the history proves that they were not.
+//! A range that another node may have held in the meantime is *unproven*, also at its home: its keys may have been
+//! placed elsewhere, so a key is placed only if the history proves that it was not.
 
 use crate::config::SitesConfig;
 use crate::{Micros, SiteState};
@@ -20,92 +23,92 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hasher;
 
-/// Under what a key is placed. Of one epoch the greater number is the newer one; what one epoch gave has ended before the next one
-/// gives anything.
+/// Fencing token under which a key is placed. In one epoch a greater number is newer; all leases of an epoch have
+/// expired before the next epoch grants any.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 pub struct Fence {
-    /// Which agreement of dividers gave it, see [`Grant`].
+    /// Epoch of the grant, see [`Grant`].
     pub epoch: u32,
-    /// Its number.
+    /// Number of the grant within the epoch.
     pub number: u64,
 }
 
-/// What the history says of a key.
+/// What the history proves about a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Proof {
-    /// All that may have placed it is known up to the end of its lease, and it was not placed; or it surely never ran.
+    /// The key was not placed, or its job certainly never ran: the logs of all possible placers are complete.
     Clean,
-    /// It was placed.
+    /// The key was placed.
     Placed,
-    /// Something of the history is not here.
+    /// The history is incomplete.
     Unknown,
 }
 
-/// What a node keeps on its disk.
+/// State of the key ownership that a node keeps on its disk.
 #[derive(
     Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 pub struct PersistedOwnership {
-    /// Up to which grants its own log tells all of a range, by the home `SITE/NODE`.
+    /// By home, as `SITE/NODE`: the fence up to which the node's own log contains all placements of the range.
     pub fences: BTreeMap<String, Fence>,
-    /// The numbers of all nodes of the last file that all nodes went by; none where that is not known.
+    /// Numbers of the nodes of the last configuration that all nodes used; empty if unknown.
     #[serde(rename = "nodes")]
     pub settled_nodes: BTreeSet<u32>,
-    /// The numbers of all nodes of the file that this node goes by.
+    /// Numbers of the nodes of the configuration that this node uses.
     #[serde(rename = "by", default)]
     pub current_nodes: BTreeSet<u32>,
 }
 
-/// Why a key is not placed here now.
+/// Why a key can't be placed at this node now.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
 pub enum PlacementError {
-    /// Another node is home to it, or its heir.
+    /// Another node, the home or its successor, is responsible for the key.
     #[error("its home is {home} now")]
-    #[diagnostic(help("ask a node of {home}; the home of a key is the same for all its repeats"))]
+    #[diagnostic(help("send the request to {home}; all repeats of a key have the same home"))]
     Elsewhere {
-        /// `SITE/NODE`.
+        /// The responsible node, as `SITE/NODE`.
         home: String,
     },
-    /// This node should hold it, and has no lease now.
-    #[error("no lease of {home} holds here now")]
-    #[diagnostic(help("ask again later. Where that lasts: no divider that leads is heard, or another node still holds the lease"))]
+    /// This node is responsible for the key but has no valid lease.
+    #[error("this node has no lease of {home} now")]
+    #[diagnostic(help("retry later; if this lasts, check that the leading quota server is reachable and that no other node still holds the lease"))]
     NoLease {
-        /// `SITE/NODE`.
+        /// The home of the key's range, as `SITE/NODE`.
         home: String,
     },
-    /// The file moves the key, and not all nodes are known to go by it.
-    #[error("its home becomes {home}, and not all nodes go by the new file of sites yet")]
+    /// The configuration moves the key, and not all nodes are known to use it.
+    #[error("its home becomes {home}, and not all nodes use the new sites file yet")]
     #[diagnostic(help(
-        "put the file into service at all nodes; a site that is gone for good has to be declared lost"
+        "put the sites file into service at all nodes; declare a permanently lost site as lost"
     ))]
     Moving {
-        /// `SITE/NODE`.
+        /// The home of the key's range, as `SITE/NODE`.
         home: String,
     },
-    /// Another node held the range, and may have placed the key.
+    /// Another node has held the range and may have placed the key.
     #[error(
-        "it may have run: {home} was held elsewhere, and the history does not prove that it was not placed"
+        "it may have run: another node has held {home}, and the history does not prove that the key was not placed"
     )]
     #[diagnostic(help(
-        "don't ask for it again by another key before it is known what became of it; histories are exchanged once the site is back"
+        "don't repeat the request with another key before its outcome is known; histories are exchanged once the site is back"
     ))]
     MayHaveRun {
-        /// `SITE/NODE`.
+        /// The home of the key's range, as `SITE/NODE`.
         home: String,
     },
 }
 
 impl Fence {
-    /// As it stands with a placement: the epoch above, the lower half of the number below.
+    /// Returns the fence as it is stored with a placement: the epoch in the upper and the number in the lower 32 bits.
     pub fn as_u64(self) -> u64 {
         u64::from(self.epoch) << 32 | self.number & u64::from(u32::MAX)
     }
 }
 
 impl PlacementError {
-    /// The home that it names, `SITE/NODE`.
+    /// Returns the home that the error names, as `SITE/NODE`.
     pub fn home(&self) -> &str {
         match self {
             PlacementError::Elsewhere { home }
@@ -115,11 +118,11 @@
         }
     }
 
-    /// What a client is told: a status of HTTP, why in few words, and whether it may do to ask here again. `lives` says whether the node
-    /// that is home can be reached by its clients.
-    pub fn response(&self, lives: bool) -> (u16, String, bool) {
+    /// Returns the response to a client: the HTTP status, a short reason, and whether a retry at this node may succeed.
+    /// `home_is_reachable` is whether clients can reach the home.
+    pub fn response(&self, home_is_reachable: bool) -> (u16, String, bool) {
         match self {
-            PlacementError::Elsewhere { home } if lives => (421, format!("home {home}"), false),
+            PlacementError::Elsewhere { home } if home_is_reachable => (421, format!("home {home}"), false),
             PlacementError::Elsewhere { home } => (503, format!("home {home}"), true),
             PlacementError::NoLease { home } => (503, format!("no lease of {home}"), true),
             PlacementError::Moving { home } => (503, format!("home becomes {home}"), true),
@@ -128,77 +131,80 @@
     }
 }
 
-/// A node that is not heard of, as its own site's or the fleet's members see it.
+/// Sites and nodes that may be unavailable, by site failure detection and fleet membership.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AbsentMembers {
-    /// Sites with how they are seen and since when, by the file's names.
+    /// State of each site and the time of its last change, by site name.
     pub sites: BTreeMap<String, (SiteState, Micros)>,
-    /// Nodes that are gone or have left, by number, with since when.
+    /// Nodes that have failed or left, by number, with the time.
     pub nodes: BTreeMap<u32, Micros>,
 }
 
-/// One range.
+/// A key range, with what this node knows of its lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Range {
-    /// `SITE/NODE`.
+    /// The range's home, as `SITE/NODE`.
     home: String,
+    /// The number of the home.
     number: u32,
-    /// Who asks for it: its own node, then its heirs, by number.
-    order: Vec<u32>,
-    /// Who should hold it now, as this node sees it.
-    heir: Option<u32>,
+    /// Numbers of the nodes that may request it: its home, then its successors.
+    successors: Vec<u32>,
+    /// The first of them that is available, as this node sees it.
+    owner: Option<u32>,
     held: Option<Held>,
-    /// The last grant that was heard of here, in this life or by the disk of an earlier one.
-    last: Option<Fence>,
-    /// Nobody else can have held it up to the last grant but this node, by its own log, or all that others did is known.
-    clean: bool,
+    /// The last grant that this node has received, possibly before a restart.
+    last_fence: Option<Fence>,
+    /// No other node can have held the range up to the last grant, or all placements of other holders are known.
+    proved: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Held {
     fence: Fence,
-    /// Since that grant it was held without a gap.
-    first: Fence,
-    /// By one's own clock.
-    asked: Micros,
-    until: Micros,
+    /// The first grant since which the range has been held without a gap.
+    first_fence: Fence,
+    /// When the lease was requested, by this node's clock.
+    requested_at: Micros,
+    /// When the lease expires, by this node's clock.
+    expires_at: Micros,
 }
 
-/// One node's leases of ranges.
+/// Key ranges and their leases as known to one node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct KeyOwnership {
     me: u32,
     ranges: Vec<Range>,
     classes: BTreeSet<String>,
-    /// The nodes of the file that all went by last; none where that is not known.
-    before: BTreeSet<u32>,
-    /// All nodes go by this file.
+    /// Numbers of the nodes of the last configuration that all nodes used; empty if unknown.
+    settled_nodes: BTreeSet<u32>,
+    /// All nodes use the current configuration.
     settled: bool,
 }
 
-/// The name of the budget of a range.
+/// Returns the name of a range's budget.
 pub fn budget_name(site: &str, node: &str) -> String {
     format!("home:{site}/{node}")
 }
 
-/// Homes of the file without a budget, then budgets of homes that the file does not have; nothing where no budget is a home's.
+/// Compares the budgets of ranges with the configuration. Returns the missing budgets, then those of unknown homes;
+/// both are empty if no budget belongs to a range.
 pub fn mismatched_budgets<'a>(
     plan: &SitesConfig,
     budgets: impl Iterator<Item = &'a str>,
 ) -> (Vec<String>, Vec<String>) {
-    let named = |b: &&str| matches!(Bounds::of(b), Some(Bounds::Home(_)));
-    let given: BTreeSet<String> = budgets.filter(named).map(str::to_string).collect();
+    let is_range = |b: &&str| matches!(Bounds::of(b), Some(Bounds::Home(_)));
+    let budgeted: BTreeSet<String> = budgets.filter(is_range).map(str::to_string).collect();
     let ownership: BTreeSet<String> = plan.nodes().map(|(s, n)| budget_name(&s.name, &n.name)).collect();
-    if given.is_empty() {
+    if budgeted.is_empty() {
         return (Vec::new(), Vec::new());
     }
-    let less = |a: &BTreeSet<String>, b: &BTreeSet<String>| a.difference(b).cloned().collect();
-    (less(&ownership, &given), less(&given, &ownership))
+    let difference = |a: &BTreeSet<String>, b: &BTreeSet<String>| a.difference(b).cloned().collect();
+    (difference(&ownership, &budgeted), difference(&budgeted, &ownership))
 }
 
-/// The heirs of a node's range after itself: the next nodes of its site, then those of the next sites, by the file's order. Ranges of one
-/// site fall to different nodes of the next one.
-fn order(plan: &SitesConfig, site: usize, node: usize) -> Vec<u32> {
+/// Returns the nodes that may hold a node's range, in order of preference: the node itself, the next nodes of its site,
+/// then those of the next sites. Ranges of one site fall to different nodes of the next site.
+fn successors(plan: &SitesConfig, site: usize, node: usize) -> Vec<u32> {
     let count = plan.sites.len();
     let mut all = Vec::new();
     for s in (0..count).map(|k| (site + k) % count.max(1)) {
@@ -208,167 +214,172 @@
     all
 }
 
-/// All ranges of a file. What a range was last held by is on the disk, where it is known.
-fn ranges(plan: &SitesConfig, fences: &BTreeMap<String, Fence>) -> Vec<Range> {
+/// Returns all ranges of a configuration. `fences` are the last known grants from the disk.
+fn build_ranges(plan: &SitesConfig, fences: &BTreeMap<String, Fence>) -> Vec<Range> {
     let mut all = Vec::new();
     for (s, site) in plan.sites.iter().enumerate() {
         for (n, node) in site.nodes.iter().enumerate() {
             let home = format!("{}/{}", site.name, node.name);
-            let last = fences.get(&home).copied();
-            let (order, heir) = (order(plan, s, n), Some(node.number));
+            let last_fence = fences.get(&home).copied();
+            let (successors, owner) = (successors(plan, s, n), Some(node.number));
             all.push(Range {
                 home,
                 number: node.number,
-                order,
-                heir,
+                successors,
+                owner,
                 held: None,
-                last,
-                clean: last.is_some(),
+                last_fence,
+                proved: last_fence.is_some(),
             });
         }
     }
     all
 }
 
-/// How a key is hashed, and how much it weighs at a node.
-fn hashed(key: &str) -> u64 {
+/// Returns the hash of a key.
+fn key_hash(key: &str) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write(key.as_bytes());
     hasher.finish()
 }
 
-fn weight(key: u64, node: u32) -> u64 {
+/// Returns the rendezvous weight of a hashed key at a node.
+fn rendezvous_weight(key: u64, node: u32) -> u64 {
     SipHasher13::new_with_keys(key, u64::from(node)).finish()
 }
 
 impl KeyOwnership {
-    /// A node's, by its number in the file. `kept` is what [`KeyOwnership::kept`] gave, from its disk; nothing for a disk that is empty, older than
-    /// its last life, or another's.
-    pub fn new(me: u32, plan: &SitesConfig, kept: &PersistedOwnership) -> KeyOwnership {
-        let ranges = ranges(plan, &kept.fences);
+    /// Creates the state of a node, given its number. `persisted` is the last result of [`KeyOwnership::persisted`] from its
+    /// disk; the default if the disk is empty, an older copy, or another node's.
+    pub fn new(me: u32, plan: &SitesConfig, persisted: &PersistedOwnership) -> KeyOwnership {
+        let ranges = build_ranges(plan, &persisted.fences);
         let nodes: BTreeSet<u32> = ranges.iter().map(|r| r.number).collect();
-        let between = !kept.current_nodes.is_empty() && kept.current_nodes != nodes;
-        // As with a file that comes while a node runs, see [`KeyOwnership::replan`].
-        let before = if between && kept.settled_nodes != kept.current_nodes {
+        let used_other_config = !persisted.current_nodes.is_empty() && persisted.current_nodes != nodes;
+        // The same rule as in [`KeyOwnership::update_config`].
+        let settled_nodes = if used_other_config && persisted.settled_nodes != persisted.current_nodes {
             BTreeSet::new()
         } else {
-            kept.settled_nodes.clone()
+            persisted.settled_nodes.clone()
         };
-        let settled = before == nodes;
-        KeyOwnership { me, ranges, classes: plan.guarded_classes.clone(), before, settled }
+        let settled = settled_nodes == nodes;
+        KeyOwnership { me, ranges, classes: plan.guarded_classes.clone(), settled_nodes, settled }
     }
 
     fn nodes(&self) -> BTreeSet<u32> {
         self.ranges.iter().map(|r| r.number).collect()
     }
 
-    /// Another file holds. Ranges that it still names go on.
+    /// Applies another configuration. Ranges that it still names keep their leases.
     pub fn update_config(&mut self, plan: &SitesConfig) {
-        let before = self.nodes();
-        let kept = self.persisted().fences;
-        for mut range in std::mem::replace(&mut self.ranges, ranges(plan, &kept)) {
+        let previous_nodes = self.nodes();
+        let fences = self.persisted().fences;
+        for mut range in std::mem::replace(&mut self.ranges, build_ranges(plan, &fences)) {
             if let Some(new) = self.ranges.iter_mut().find(|r| r.home == range.home) {
-                std::mem::swap(&mut range.order, &mut new.order);
+                std::mem::swap(&mut range.successors, &mut new.successors);
                 *new = range;
             }
         }
         self.classes = plan.guarded_classes.clone();
-        if self.nodes() != before {
-            // Others may go by the one in between by now: what they place is not known here.
-            self.before = if self.settled { before } else { BTreeSet::new() };
+        if self.nodes() != previous_nodes {
+            // Other nodes may use a configuration in between by now, so the possible owners of keys are unknown.
+            self.settled_nodes = if self.settled { previous_nodes } else { BTreeSet::new() };
             self.settled = false;
         }
     }
 
-    /// All nodes go by this file now, see [`crate::health::SiteHealth::all_go_by`].
+    /// Records that all nodes use this configuration, see [`crate::health::SiteHealth::all_nodes_use_config`].
     pub fn mark_settled(&mut self) {
-        (self.settled, self.before) = (true, self.nodes());
+        (self.settled, self.settled_nodes) = (true, self.nodes());
     }
 
-    /// Whether keys of that class have one home.
+    /// Returns whether the keys of a class are guarded.
     pub fn is_guarded(&self, class: &str) -> bool {
         self.classes.contains(class)
     }
 
-    /// The range of a key: the node whose hash with the key is greatest.
+    /// Returns the range of a key, which is that of the node with the greatest rendezvous weight.
     fn range(&self, key: &str) -> Option<&Range> {
-        let key = hashed(key);
-        self.ranges.iter().max_by_key(|r| (weight(key, r.number), r.number))
+        let key = key_hash(key);
+        self.ranges.iter().max_by_key(|r| (rendezvous_weight(key, r.number), r.number))
     }
 
-    /// Whether another node may still take itself for the key's home, by another file.
-    fn moves(&self, key: &str, to: u32) -> bool {
-        let key = hashed(key);
-        let from = self.before.iter().copied().max_by_key(|n| (weight(key, *n), *n));
+    /// Returns whether another node may still be the key's home by another configuration.
+    fn is_moving(&self, key: &str, to: u32) -> bool {
+        let key = key_hash(key);
+        let from = self.settled_nodes.iter().copied().max_by_key(|n| (rendezvous_weight(key, *n), *n));
         !self.settled && from != Some(to)
     }
 
-    /// The home of a key, `SITE/NODE`.
+    /// Returns the home of a key, as `SITE/NODE`.
     pub fn home(&self, key: &str) -> &str {
         self.range(key).map_or("", |r| r.home.as_str())
     }
 
-    /// The ranges that this node should hold now, as names of budgets: its own, and those whose own node and nearer heirs are not there. It
-    /// asks for one unit of each, and for nothing of all others, at once: an heir stops as soon as the home is seen again.
-    pub fn claims(&mut self, plan: &SitesConfig, gone: &AbsentMembers, now: Micros) -> Vec<String> {
-        let absent = |node: u32| {
+    /// Returns the budgets of the ranges that this node should hold now: its own, and those whose home and nearer
+    /// successors are unavailable. The node should request one unit of each and release all others at once, so that a
+    /// successor stops as soon as the home is available again.
+    pub fn claims(&mut self, plan: &SitesConfig, absent_members: &AbsentMembers, now: Micros) -> Vec<String> {
+        let is_absent = |node: u32| {
             let Some(site) = plan.site_of_node(node) else { return true };
             if plan.declared_lost(&site.name).is_some() {
                 return true;
             }
-            let seen = gone.sites.get(&site.name);
-            let lost = seen.is_some_and(|(seen, since)| *seen == SiteState::Lost && now - since >= plan.hold);
-            lost || gone.nodes.get(&node).is_some_and(|since| now - since >= plan.hold)
+            let state = absent_members.sites.get(&site.name);
+            let lost =
+                state.is_some_and(|(state, since)| *state == SiteState::Lost && now - since >= plan.hold);
+            lost || absent_members.nodes.get(&node).is_some_and(|since| now - since >= plan.hold)
         };
-        // A site that an operator has declared lost holds nothing, even where it lives and reads the line.
+        // A site that is declared lost holds no range, even if it is running and reads the declaration.
         for range in &mut self.ranges {
-            range.heir = range.order.iter().copied().find(|n| !absent(*n));
+            range.owner = range.successors.iter().copied().find(|n| !is_absent(*n));
         }
-        let mine = |r: &&Range| r.heir == Some(self.me);
-        self.ranges.iter().filter(mine).map(|r| format!("home:{}", r.home)).collect()
+        let is_mine = |r: &&Range| r.owner == Some(self.me);
+        self.ranges.iter().filter(is_mine).map(|r| format!("home:{}", r.home)).collect()
     }
 
-    /// The unit of a range was granted to this life, by an asking at that time on its own clock: the lease counts from there. Whether it
-    /// is gone by from now on.
+    /// Applies a grant of a range. `requested_at` is when this node requested it, from which the lease counts, by the same
+    /// clock as `now`. Returns false for a grant that is outdated, expired, or another node's.
     pub fn apply_grant(
         &mut self,
         budget: &str,
         grant: &Grant,
-        asked: Micros,
+        requested_at: Micros,
         term: LeasePeriod,
         now: Micros,
     ) -> bool {
         let Some(Bounds::Home(home)) = Bounds::of(budget) else { return false };
         let Some(range) = self.ranges.iter_mut().find(|r| r.home == home) else { return false };
         let fence = Fence { epoch: grant.epoch, number: grant.number };
-        let until = asked + LeasePeriod { length: grant.length, ..term }.for_holder();
+        let expires_at = requested_at + LeasePeriod { length: grant.length, ..term }.for_holder();
         if grant.life.node != NodeId(self.me) {
             return false;
         }
-        // One of another epoch is given after all of the last one's has ended.
-        let newer = match range.held {
+        // Another epoch grants only after all leases of the last one have expired.
+        let is_newer = match range.held {
             Some(held) if held.fence.epoch == fence.epoch => fence.number > held.fence.number,
-            Some(held) => now >= held.until,
-            None => range.last.is_none_or(|l| l.epoch != fence.epoch || fence.number > l.number),
+            Some(held) => now >= held.expires_at,
+            None => range.last_fence.is_none_or(|l| l.epoch != fence.epoch || fence.number > l.number),
         };
-        if !newer || now >= until {
+        if !is_newer || now >= expires_at {
             return false;
         }
         if grant.amount == 0 {
             range.held = None;
-            range.last = Some(fence);
+            range.last_fence = Some(fence);
             return true;
         }
-        // Without a gap in time, or in numbers, nobody else can have held it.
-        let on = range.held.is_some_and(|h| now < h.until);
-        let next = range.last.is_some_and(|l| l.epoch == fence.epoch && l.number + 1 == fence.number);
-        range.clean &= on || next;
-        let first = range.held.filter(|_| on).map_or(fence, |h| h.first);
-        (range.held, range.last) = (Some(Held { fence, first, asked, until }), Some(fence));
+        // Without a gap in time or in numbers, no other node can have held the range.
+        let is_continuous = range.held.is_some_and(|h| now < h.expires_at);
+        let has_next_number =
+            range.last_fence.is_some_and(|l| l.epoch == fence.epoch && l.number + 1 == fence.number);
+        range.proved &= is_continuous || has_next_number;
+        let first_fence = range.held.filter(|_| is_continuous).map_or(fence, |h| h.first_fence);
+        (range.held, range.last_fence) =
+            (Some(Held { fence, first_fence, requested_at, expires_at }), Some(fence));
         true
     }
 
-    /// This node goes by no grant of a range any more: it was given back, or taken for another.
+    /// Records that this node no longer holds a range, because its lease was released or revoked.
     pub fn lease_ended(&mut self, budget: &str) {
         let home = match Bounds::of(budget) {
             Some(Bounds::Home(home)) => home,
@@ -377,31 +388,35 @@
         self.ranges.iter_mut().filter(|r| r.home == home).for_each(|r| r.held = None);
     }
 
-    /// The history proves all that others may have placed in a range: it is as if it had been held here all the time.
+    /// Records that all placements of earlier holders of a range are known, under its current fence.
     pub fn mark_proved(&mut self, home: &str, fence: Fence) {
         let held = |r: &&mut Range| r.home == home && r.held.is_some_and(|h| h.fence == fence);
-        self.ranges.iter_mut().filter(held).for_each(|r| r.clean = true);
+        self.ranges.iter_mut().filter(held).for_each(|r| r.proved = true);
     }
 
-    /// Whether what was placed under a fence may still be sent: the key's range was held without a gap since then. A process asks this as
-    /// late as it can, for a write to the disk, a connection or its standing still may have taken longer than the lease.
+    /// Returns whether a key that was placed under a fence may still be sent, because its range has been held without a gap
+    /// since then. It should be checked as late as possible: a disk write, a new connection or a suspension of the
+    /// process may have outlasted the lease.
     pub fn is_still_held(&self, key: &str, fence: Fence, now: Micros) -> bool {
-        let held = self.range(key).and_then(|r| r.held).filter(|h| now < h.until && now >= h.asked);
-        held.is_some_and(|h| h.fence.epoch == fence.epoch && h.first.number <= fence.number)
+        let held =
+            self.range(key).and_then(|r| r.held).filter(|h| now < h.expires_at && now >= h.requested_at);
+        held.is_some_and(|h| h.fence.epoch == fence.epoch && h.first_fence.number <= fence.number)
     }
 
-    /// Ranges that are held now and may have been held by others before: home, the first fence of this holding, and the one of now.
+    /// Returns the ranges that are held now and may have been held by others before, each with its home, the first fence
+    /// since which it has been held without a gap, and the current fence.
     pub fn unproven(&self, now: Micros) -> Vec<(String, Fence, Fence)> {
-        let held = |r: &Range| r.held.filter(|h| !r.clean && now < h.until);
-        let all = self.ranges.iter().filter_map(|r| held(r).map(|h| (r.home.clone(), h.first, h.fence)));
+        let held = |r: &Range| r.held.filter(|h| !r.proved && now < h.expires_at);
+        let all =
+            self.ranges.iter().filter_map(|r| held(r).map(|h| (r.home.clone(), h.first_fence, h.fence)));
         all.collect()
     }
 
-    /// Whether a key may be placed here now, and under which fence, which belongs on the disk with the placement. `history` is asked where
-    /// another node may have placed it. A process that stood still, and wakes, asks this before it acts.
+    /// Returns the fence under which a key may be placed now; it must be stored with the placement. `history` is called if
+    /// another node may have placed the key. A process that was suspended must check this again before it acts.
     ///
     /// # Errors
-    /// Why not.
+    /// If the key must not be placed at this node now.
     pub fn may_place(
         &self,
         key: &str,
@@ -412,38 +427,39 @@
             return Err(PlacementError::NoLease { home: String::new() });
         };
         let home = range.home.clone();
-        // Time since the asking can't be negative, where a clock was set back.
-        let Some(held) = range.held.filter(|h| now < h.until && now >= h.asked) else {
-            let heir = self.ranges.iter().find(|r| Some(r.number) == range.heir && r.number != self.me);
-            return Err(match heir {
-                Some(heir) => PlacementError::Elsewhere { home: heir.home.clone() },
+        // A time before the request means that the clock was set back.
+        let Some(held) = range.held.filter(|h| now < h.expires_at && now >= h.requested_at) else {
+            let owner = self.ranges.iter().find(|r| Some(r.number) == range.owner && r.number != self.me);
+            return Err(match owner {
+                Some(owner) => PlacementError::Elsewhere { home: owner.home.clone() },
                 None => PlacementError::NoLease { home },
             });
         };
-        if self.moves(key, range.number) {
+        if self.is_moving(key, range.number) {
             return Err(PlacementError::Moving { home });
         }
-        match range.clean {
+        match range.proved {
             true => Ok(held.fence),
             false if history(key) == Proof::Clean => Ok(held.fence),
             false => Err(PlacementError::MayHaveRun { home }),
         }
     }
 
-    /// All ranges that are held now: home, fence, until when by one's own clock, and whether others may have placed keys of it.
+    /// Returns the ranges that are held now, each with its home, its fence, when it expires by this node's clock, and
+    /// whether others may have placed keys of it.
     pub fn held(&self, now: Micros) -> Vec<(&str, Fence, Micros, bool)> {
-        let held = |r: &'_ Range| r.held.filter(|h| now < h.until);
+        let held = |r: &'_ Range| r.held.filter(|h| now < h.expires_at);
         self.ranges
             .iter()
-            .filter_map(|r| held(r).map(|h| (r.home.as_str(), h.fence, h.until, !r.clean)))
+            .filter_map(|r| held(r).map(|h| (r.home.as_str(), h.fence, h.expires_at, !r.proved)))
             .collect()
     }
 
-    /// What belongs on the disk: up to which grants this node's own log tells all of each range, by its home. An older one is safe, it only
-    /// makes the history be asked, as long as the log beside it is not older than the node's last placement.
+    /// Returns the state to store on the disk. An older state is safe, since it only causes more checks of the history, as
+    /// long as the log on the same disk contains the node's last placement.
     pub fn persisted(&self) -> PersistedOwnership {
-        let clean = self.ranges.iter().filter(|r| r.clean);
-        let fences = clean.filter_map(|r| Some((r.home.clone(), r.last?))).collect();
-        PersistedOwnership { fences, settled_nodes: self.before.clone(), current_nodes: self.nodes() }
+        let proved = self.ranges.iter().filter(|r| r.proved);
+        let fences = proved.filter_map(|r| Some((r.home.clone(), r.last_fence?))).collect();
+        PersistedOwnership { fences, settled_nodes: self.settled_nodes.clone(), current_nodes: self.nodes() }
     }
 }
--- a/crates/sites/src/lib.rs
+++ b/crates/sites/src/lib.rs
@@ -1,13 +1,17 @@
-//! Sites of a fleet, choices only: no I/O, no clock, no randomness.
+//! Decisions about the sites of a fleet, without I/O, clocks or random sources of their own.
 //!
-//! A site is a named group of nodes, dividers and backend servers with a disk that lasts.
+//! A site is a named group of nodes, quota servers and backend servers, whose nodes have durable disks.
 //!
-//! - [`config`]: what the operators want;
-//! - [`health`]: sites as one node sees them;
-//! - [`load_allocation`]: where the load of a site goes that can't take it, and what is refused first;
-//! - [`recovery_ramp`]: the return of a site's load, in steps;
-//! - [`key_ownership`]: which node may place a key that must not repeat;
-//! - [`config_history`]: which files may hold, after those that did.
+//! - [`config`]: the sites file;
+//! - [`config_history`]: rejection of outdated configurations;
+//! - [`health`]: failure detection between sites;
+//! - [`load_allocation`]: distribution of the load of lost sites, and the order of load shedding;
+//! - [`load_shifting`]: one node's limits for clients of other sites and for its own recovering site;
+//! - [`recovery_ramp`]: gradual return of load to a recovered site;
+//! - [`recovery_config`]: settings of a recovery from a loss of power;
+//! - [`key_ownership`]: which node may place requests with a guarded idempotency key;
+//! - [`catch_up`]: proof that the placements of earlier owners are known;
+//! - [`peer_selection`]: the nodes with which a node exchanges its history.
 
 use serde::{Deserialize, Serialize};
 
@@ -24,20 +28,20 @@
 
 pub use shorepath_types::Micros;
 
-/// Where a site stands, as another one sees it.
+/// State of a site as seen from another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SiteState {
-    /// Words go both ways.
+    /// Messages arrive in both directions.
     Linked,
-    /// Too little was heard of it lately, or only one way.
+    /// Messages are late or missing, or arrive in one direction only.
     Doubtful,
-    /// It lives by somebody's word, but can't be reached.
+    /// Unreachable, but reported alive by a third site.
     Alone,
-    /// Nobody hears of it.
+    /// No site has received a recent heartbeat of it, or an operator has declared it lost.
     Lost,
-    /// It is back, and takes its load in steps.
+    /// Reachable again; its load grows in steps.
     Returning,
-    /// It has taken all of it, and histories are one; a moment later it is linked.
+    /// It takes its full load and the histories agree; it becomes `Linked` after the hold time.
     WholeAgain,
 }
--- a/crates/sites/src/load_allocation.rs
+++ b/crates/sites/src/load_allocation.rs
@@ -1,203 +1,209 @@
-//! Where the load of sites goes that can't take it: a pure function of the operators' file, the sites' states, what each can bear and what
-//! each is asked for. Whoever knows the same plans the same; only whole numbers are used.
+//! Allocation of the load of sites that can't serve it to other sites. The result is a pure function of the
+//! configuration and of the states, capacities and demands of the sites, in integer arithmetic, so all nodes with the
+//! same knowledge compute the same allocation.
 //!
-//! A site lends guests a part of each class that its `(lend ...)` names. That part is theirs although the site's own load may want it, so
-//! its own load never loses more than these parts together. Beyond them guests have what its own load leaves over; its
-//! `(least ...)` keeps a class there from being starved by one that is worth more. Own load and guests together are
-//! never more than the site bears.
+//! A *remote client* is a client of another site, and the site that serves it is its *host*. A host reserves shares of
+//! its capacity for remote clients, by class, in its `(lend ...)` clause, even if its own clients need them; its own
+//! load never loses more than these shares together. Beyond them, remote clients get the capacity that the host's own
+//! load leaves unused, of which `(least ...)` guarantees a class a minimum against more valuable classes. Own and
+//! remote load together never exceed the host's capacity.
 
 use crate::config::SitesConfig;
 use crate::SiteState;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// More units a second than this are taken for this.
-const MOST: u64 = 1 << 50;
+/// Capacities and demands are capped at this many units a second, so that sums don't overflow.
+const MAX_UNITS: u64 = 1 << 50;
 
-/// What is known of one site.
+/// State, capacity and demand of one site.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SiteLoad {
-    /// How it is seen; one's own is linked.
+    /// State of the site; a node sees its own site as linked.
     #[serde(rename = "seen")]
     pub state: SiteState,
-    /// What its servers bear now, in units of work a second.
+    /// Current capacity of its servers, in units of work a second.
     #[serde(rename = "bears")]
     pub capacity: u64,
-    /// What its own clients ask for, in units a second, by class; of a lost site what was last known.
+    /// Demand of its own clients by class, in units a second; the last known demand for a lost site.
     pub demand: BTreeMap<String, u64>,
-    /// The part of its load that it takes itself while it returns, in hundredths.
+    /// Share of its load that it takes itself while it is returning, in percent.
     #[serde(rename = "part")]
     pub load_percent: u8,
 }
 
-/// What a site lends guests of one class.
+/// Capacity of a host for remote clients of one class.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GuestAllocation {
-    /// Units a second, at most.
+pub struct RemoteAllocation {
+    /// Largest rate, in units a second.
     pub rate: u64,
-    /// The same in hundredths of what the site bears, rounded down.
+    /// The same rate in percent of the host's capacity, rounded down.
     #[serde(rename = "part")]
     pub percent: u8,
-    /// To which sites' clients; adds up to the rate.
+    /// The rate divided by the clients' own sites, in units a second.
     #[serde(rename = "to")]
     pub by_site: BTreeMap<String, u64>,
 }
 
-/// What a site lends.
+/// Capacity of a host for remote clients of all classes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostAllocation {
-    /// By class; a class that is not here has nothing.
-    pub classes: BTreeMap<String, GuestAllocation>,
-    /// Units a second that its own load may lose to guests, at most: all else that they have is spare.
+    /// Allocation by class; classes without any are left out.
+    pub classes: BTreeMap<String, RemoteAllocation>,
+    /// Largest rate that the host's own load may lose to remote clients, in units a second; the rest is spare capacity.
     #[serde(rename = "taken")]
     pub displaced: u64,
 }
 
 impl HostAllocation {
-    /// Units a second for guests of all classes.
+    /// Returns the rate for remote clients of all classes together, in units a second.
     pub fn rate(&self) -> u64 {
         self.classes.values().map(|g| g.rate).sum()
     }
 }
 
-/// Where all load goes that its own site can't take.
+/// Allocation of all load that its own site can't serve.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Allocation {
-    /// What each site lends; one that lends nothing now is not here.
+    /// Allocation by host; sites that host nothing now are left out.
     pub hosts: BTreeMap<String, HostAllocation>,
-    /// Units a second that nobody bears, by class.
+    /// Demand that no site can serve, in units a second, by class.
     #[serde(rename = "unborne")]
     pub unserved: BTreeMap<String, u64>,
 }
 
 impl Allocation {
-    /// What a site lends guests of a class, in units a second.
+    /// Returns the rate that a site gives to remote clients of a class, in units a second.
     pub fn rate(&self, site: &str, class: &str) -> u64 {
-        let guests = self.hosts.get(site).and_then(|h| h.classes.get(class));
-        guests.map_or(0, |g| g.rate)
+        let allocation = self.hosts.get(site).and_then(|h| h.classes.get(class));
+        allocation.map_or(0, |a| a.rate)
     }
 }
 
-/// Which of two jobs is refused first where not all can be taken; the lesser one. What was taken already is not among them.
+/// Order of rejection under overload: lesser values are rejected first. Admitted requests are not rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RefusalRank {
-    /// A guest's above its part.
+    /// A remote client's request beyond the rate of its class.
     AboveShare,
-    /// A new job, by its worth for its work, in thousandths.
-    Worth(u64),
-    /// A client's repeat.
+    /// A new request, by its value for each unit of work, in thousandths.
+    Value(u64),
+    /// A request that its client repeats.
     Repeat,
-    /// A further attempt at another server.
+    /// A further attempt at another backend server.
     FurtherAttempt,
-    /// One that must not run twice.
+    /// A request that must not run twice.
     Guarded,
 }
 
-/// What a job is, as far as the order of refusal goes.
+/// The properties of a request that determine its [`RefusalRank`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Job {
-    /// It is a guest's, and its class has used up its rate.
+    /// A remote client has sent it, and its class has used up its rate.
     pub above_share: bool,
-    /// What it is worth for its work, in thousandths.
-    pub worth: u64,
-    /// Its client repeats it.
+    /// Its value for each unit of work, in thousandths.
+    pub value: u64,
+    /// The client repeats the request.
     pub repeat: bool,
-    /// It was tried at a server already.
+    /// A backend server has been tried already.
     pub further_attempt: bool,
-    /// It must not run twice.
+    /// The request must not run twice.
     pub guarded: bool,
 }
 
-/// Where a job stands in the order of refusal.
+/// Returns the place of a request in the order of rejection.
 pub fn refusal_rank(job: Job) -> RefusalRank {
     match job {
         Job { above_share: true, .. } => RefusalRank::AboveShare,
         Job { guarded: true, .. } => RefusalRank::Guarded,
         Job { further_attempt: true, .. } => RefusalRank::FurtherAttempt,
         Job { repeat: true, .. } => RefusalRank::Repeat,
-        Job { worth, .. } => RefusalRank::Worth(worth),
+        Job { value, .. } => RefusalRank::Value(value),
     }
 }
 
-/// A class's least part of what is spare is kept first; the rest goes by worth for its work.
-fn spread(
+/// Divides the spare capacity of a host among classes, in units a second: first the guaranteed minimum of each class,
+/// then the rest by value.
+fn divide_spare(
     spare: u64,
     wanted: &BTreeMap<String, u64>,
     plan: &SitesConfig,
-    worth: &BTreeMap<String, u64>,
+    values: &BTreeMap<String, u64>,
 ) -> BTreeMap<String, u64> {
     let mut left = spare;
-    let mut given = BTreeMap::new();
+    let mut granted = BTreeMap::new();
     for (class, want) in wanted {
-        let least = u64::from(plan.min_guest_percent.get(class).copied().unwrap_or(0));
-        // The least parts are a hundred hundredths at most together.
-        let part = hundredths(spare, least).min(*want).min(left);
+        let minimum = u64::from(plan.min_remote_percent.get(class).copied().unwrap_or(0));
+        // The guaranteed minima add up to 100 percent at most.
+        let part = percent_of(spare, minimum).min(*want).min(left);
         left -= part;
-        given.insert(class.clone(), part);
+        granted.insert(class.clone(), part);
     }
     let mut order: Vec<&String> = wanted.keys().collect();
-    order.sort_by_key(|class| std::cmp::Reverse(worth.get(*class).copied().unwrap_or(0)));
+    order.sort_by_key(|class| std::cmp::Reverse(values.get(*class).copied().unwrap_or(0)));
     for class in order {
-        let (Some(want), Some(part)) = (wanted.get(class), given.get_mut(class)) else { continue };
+        let (Some(want), Some(part)) = (wanted.get(class), granted.get_mut(class)) else { continue };
         let more = (want - *part).min(left);
         left -= more;
         *part += more;
     }
-    given
+    granted
 }
 
-fn hundredths(of: u64, part: u64) -> u64 {
+fn percent_of(of: u64, part: u64) -> u64 {
     (u128::from(of) * u128::from(part) / 100) as u64
 }
 
-/// Split a whole by weights, exactly, in their order.
-fn split(whole: u64, weights: &[u64]) -> Vec<u64> {
+/// Splits a total in proportion to weights; the parts add up to it exactly.
+fn split_by_weight(total: u64, weights: &[u64]) -> Vec<u64> {
     let sum: u128 = weights.iter().map(|w| u128::from(*w)).sum();
-    let (mut before, mut notified) = (0u128, 0u128);
+    let (mut cumulative, mut assigned) = (0u128, 0u128);
     let mut parts = Vec::with_capacity(weights.len());
     for weight in weights {
-        before += u128::from(*weight);
-        let upto = (u128::from(whole) * before).checked_div(sum).unwrap_or(0);
-        parts.push((upto - notified) as u64);
-        notified = upto;
+        cumulative += u128::from(*weight);
+        let assigned_now = (u128::from(total) * cumulative).checked_div(sum).unwrap_or(0);
+        parts.push((assigned_now - assigned) as u64);
+        assigned = assigned_now;
     }
     parts
 }
 
-/// Give what is wanted to places with so much room each, in proportion to the room: none gets more than it has.
-fn place(wanted: u64, capacities: &[u64]) -> Vec<u64> {
+/// Divides a demand among hosts in proportion to their capacities; no host gets more than its capacity.
+fn fill_hosts(wanted: u64, capacities: &[u64]) -> Vec<u64> {
     let all = capacities.iter().fold(0u64, |sum, r| sum.saturating_add(*r));
-    split(wanted.min(all), capacities)
+    split_by_weight(wanted.min(all), capacities)
 }
 
-/// The plan. `worth` is what a class is worth for its work, in thousandths, as the operators' configuration has it; a class that it
-/// does not name is worth nothing. Sites that `now` does not name take no part.
+/// Allocates the load of unavailable sites to the available ones. `values` is the value of each class for a unit of
+/// work, in thousandths; a class that it does not name has none. Sites that `now` does not name are ignored.
 pub fn allocate(
-    file: &SitesConfig,
+    config: &SitesConfig,
     now: &BTreeMap<String, SiteLoad>,
-    worth: &BTreeMap<String, u64>,
+    values: &BTreeMap<String, u64>,
 ) -> Allocation {
-    // Sums of what is said stay whole, whatever is said.
+    // Reported values may be arbitrarily large; the cap keeps sums from overflowing.
     let bounded = |s: &SiteLoad| SiteLoad {
-        capacity: s.capacity.min(MOST),
-        demand: s.demand.iter().map(|(c, d)| (c.clone(), (*d).min(MOST))).collect(),
+        capacity: s.capacity.min(MAX_UNITS),
+        demand: s.demand.iter().map(|(c, d)| (c.clone(), (*d).min(MAX_UNITS))).collect(),
         ..s.clone()
     };
     let now: BTreeMap<&str, SiteLoad> = now.iter().map(|(name, s)| (name.as_str(), bounded(s))).collect();
-    let standing = |name: &str| now.get(name);
+    let load_of = |name: &str| now.get(name);
     let hosts: Vec<(&str, &SiteLoad)> =
-        file.sites.iter().filter_map(|s| Some((s.name.as_str(), standing(&s.name)?))).collect();
-    // Lost sites come first: the clients of one that is only cut off have their own site as well.
+        config.sites.iter().filter_map(|s| Some((s.name.as_str(), load_of(&s.name)?))).collect();
+    // Lost sites come first: clients of an unreachable site may still be served by their own site.
     let mut needs: [Vec<(&str, BTreeMap<String, u64>)>; 2] = Default::default();
     for (name, s) in &hosts {
-        let (tier, missing) = match s.state {
+        let (tier, missing_percent) = match s.state {
             SiteState::Lost => (0, 100),
             SiteState::Returning => (0, 100 - u64::from(s.load_percent.min(100))),
             SiteState::Alone => (1, 100),
             SiteState::Linked | SiteState::Doubtful | SiteState::WholeAgain => continue,
         };
-        let need =
-            s.demand.iter().map(|(class, units)| (class.clone(), hundredths(*units, missing))).collect();
+        let need = s
+            .demand
+            .iter()
+            .map(|(class, units)| (class.clone(), percent_of(*units, missing_percent)))
+            .collect();
         if let Some(all) = needs.get_mut(tier) {
             all.push((name, need));
         }
@@ -215,78 +221,87 @@
                 && s.capacity > 0
         })
         .collect();
-    let lends = |host: &str, class: &str| {
-        file.guest_percent.get(host).and_then(|l| l.get(class)).copied().unwrap_or(0)
+    let reserved_percent = |host: &str, class: &str| {
+        config.remote_percent.get(host).and_then(|l| l.get(class)).copied().unwrap_or(0)
     };
-    // What is lent in any case.
+    // The reserved shares.
     let mut rates: Vec<BTreeMap<String, u64>> = vec![BTreeMap::new(); hosts.len()];
-    let mut open = wanted.clone();
-    for (class, units) in open.iter_mut() {
-        let capacities: Vec<u64> =
-            hosts.iter().map(|(name, s)| hundredths(s.capacity, u64::from(lends(name, class)))).collect();
-        for (rate, part) in rates.iter_mut().zip(place(*units, &capacities)) {
+    let mut unmet = wanted.clone();
+    for (class, units) in unmet.iter_mut() {
+        let capacities: Vec<u64> = hosts
+            .iter()
+            .map(|(name, s)| percent_of(s.capacity, u64::from(reserved_percent(name, class))))
+            .collect();
+        for (rate, part) in rates.iter_mut().zip(fill_hosts(*units, &capacities)) {
             rate.insert(class.clone(), part);
             *units -= part;
         }
     }
-    // What is spare beyond that: of what is still wanted, each site is asked for in proportion to its room.
-    let spares: Vec<u64> = hosts
+    // The spare capacity beyond them: each host takes a part of the remaining demand in proportion to its own.
+    let spare_capacities: Vec<u64> = hosts
         .iter()
         .zip(&rates)
         .map(|((_, s), rate)| {
-            let own = s.demand.values().fold(0u64, |sum, d| sum.saturating_add(*d));
-            s.capacity.saturating_sub(own).saturating_sub(rate.values().sum())
+            let own_demand = s.demand.values().fold(0u64, |sum, d| sum.saturating_add(*d));
+            s.capacity.saturating_sub(own_demand).saturating_sub(rate.values().sum())
         })
         .collect();
     for (k, (name, _)) in hosts.iter().enumerate() {
-        let ask = |class: &String| {
+        let portion = |class: &String| {
             let capacity = |((host, _), spare): (&(&str, &SiteLoad), &u64)| {
-                if lends(host, class) > 0 {
+                if reserved_percent(host, class) > 0 {
                     *spare
                 } else {
                     0
                 }
             };
-            let capacities: Vec<u64> = hosts.iter().zip(&spares).skip(k).map(capacity).collect();
-            place(open.get(class).copied().unwrap_or(0), &capacities).first().copied().unwrap_or(0)
+            let capacities: Vec<u64> = hosts.iter().zip(&spare_capacities).skip(k).map(capacity).collect();
+            fill_hosts(unmet.get(class).copied().unwrap_or(0), &capacities).first().copied().unwrap_or(0)
         };
-        let asked = wanted.keys().filter(|c| lends(name, c) > 0).map(|c| (c.clone(), ask(c))).collect();
-        for (class, part) in spread(spares.get(k).copied().unwrap_or(0), &asked, file, worth) {
+        let requested = wanted
+            .keys()
+            .filter(|c| reserved_percent(name, c) > 0)
+            .map(|c| (c.clone(), portion(c)))
+            .collect();
+        for (class, part) in
+            divide_spare(spare_capacities.get(k).copied().unwrap_or(0), &requested, config, values)
+        {
             if let Some(rate) = rates.get_mut(k) {
                 *rate.entry(class.clone()).or_default() += part;
             }
-            if let Some(units) = open.get_mut(&class) {
+            if let Some(units) = unmet.get_mut(&class) {
                 *units -= part;
             }
         }
     }
-    let mut share = Allocation { unserved: open, ..Allocation::default() };
-    share.unserved.retain(|_, units| *units > 0);
-    // To whom: lost sites first, each class over all sites that lend to it.
+    let mut allocation = Allocation { unserved: unmet, ..Allocation::default() };
+    allocation.unserved.retain(|_, units| *units > 0);
+    // Division of each host's rates among the clients' own sites, lost sites first.
     let mut left = needs;
     for ((name, s), rate) in hosts.iter().zip(rates) {
         let mut hosting = HostAllocation::default();
         for (class, mut units) in rate.into_iter().filter(|(_, units)| *units > 0) {
-            let mut guests = GuestAllocation { rate: units, ..GuestAllocation::default() };
-            guests.percent = (u128::from(units) * 100 / u128::from(s.capacity.max(1))) as u8;
+            let mut allocated = RemoteAllocation { rate: units, ..RemoteAllocation::default() };
+            allocated.percent = (u128::from(units) * 100 / u128::from(s.capacity.max(1))) as u8;
             for tier in &mut left {
                 let capacities: Vec<u64> =
                     tier.iter().map(|(_, need)| need.get(&class).copied().unwrap_or(0)).collect();
-                for ((guest, need), part) in tier.iter_mut().zip(place(units, &capacities)) {
-                    if let Some(open) = need.get_mut(&class).filter(|_| part > 0) {
-                        *open -= part;
+                for ((site, need), part) in tier.iter_mut().zip(fill_hosts(units, &capacities)) {
+                    if let Some(unmet) = need.get_mut(&class).filter(|_| part > 0) {
+                        *unmet -= part;
                         units -= part;
-                        guests.by_site.insert(guest.to_string(), part);
+                        allocated.by_site.insert(site.to_string(), part);
                     }
                 }
             }
-            hosting.classes.insert(class, guests);
+            hosting.classes.insert(class, allocated);
         }
-        let own = s.demand.values().fold(0u64, |sum, d| sum.saturating_add(*d));
-        hosting.displaced = own.saturating_add(hosting.rate()).saturating_sub(s.capacity).min(hosting.rate());
+        let own_demand = s.demand.values().fold(0u64, |sum, d| sum.saturating_add(*d));
+        hosting.displaced =
+            own_demand.saturating_add(hosting.rate()).saturating_sub(s.capacity).min(hosting.rate());
         if !hosting.classes.is_empty() {
-            share.hosts.insert(name.to_string(), hosting);
+            allocation.hosts.insert(name.to_string(), hosting);
         }
     }
-    share
+    allocation
 }
--- a/crates/sites/src/peer_selection.rs
+++ b/crates/sites/src/peer_selection.rs
@@ -1,67 +1,74 @@
-//! With whom a node exchanges histories, so that words a node stay flat in the number of nodes and no loss of a few parts the fleet.
+//! Selection of the peers with which a node exchanges its history. The number of peers does not grow with the size
+//! of a site, and the loss of one node or one site does not partition the rest.
 
 use crate::config::SitesConfig;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Nodes of another site with which each node exchanges.
-const ACROSS: usize = 2;
-/// Nodes of the own site after and before a node, in the file's order, with which it exchanges.
-const BESIDE: usize = 2;
+/// Number of nodes that each node selects in every other site.
+const REMOTE_SUCCESSORS: usize = 2;
+/// Number of nodes that each node selects in its own site, following it in the order of the configuration.
+const LOCAL_SUCCESSORS: usize = 2;
 
-/// The nodes with which that one exchanges histories, by their numbers; who is a partner of another has that one for a partner, too.
+/// Returns the numbers of the peers of a node. The relation is symmetric; a node that the configuration does not
+/// name has no peers.
 pub fn selected_peers(plan: &SitesConfig, me: u32) -> Vec<u32> {
-    let places = places(plan);
+    let positions = positions(plan);
     let Some(own) = plan.node_index(me) else { return Vec::new() };
     let nodes = plan.nodes().map(|(_, n)| n.number).enumerate();
-    nodes.filter(|(other, _)| meet(&places, own, *other)).map(|(_, number)| number).collect()
+    nodes.filter(|(other, _)| are_peers(&positions, own, *other)).map(|(_, number)| number).collect()
 }
 
-/// The partners of a node, each with the nodes, by site and name, whose entries it gets from another one. What a node writes goes out
-/// along a tree of shortest ways that all draw alike, so over each link once; the other links are spare.
+/// Returns the peers of a node by number, each with the writers, by site and node name, whose entries the peer
+/// gets from another node. The entries of a writer spread along a shortest-path tree that all nodes compute alike,
+/// so each node receives them over one link; the other links are redundant.
 pub fn routes(plan: &SitesConfig, me: u32) -> Vec<(u32, BTreeSet<(String, String)>)> {
-    let (places, Some(me)) = (places(plan), plan.node_index(me)) else { return Vec::new() };
-    let count = places.len();
-    let met: Vec<Vec<usize>> =
-        (0..count).map(|a| (0..count).filter(|b| meet(&places, a, *b)).collect()).collect();
-    let own = met.get(me).cloned().unwrap_or_default();
-    let mut spares = vec![BTreeSet::new(); own.len()];
+    let (positions, Some(me)) = (positions(plan), plan.node_index(me)) else { return Vec::new() };
+    let count = positions.len();
+    let neighbours: Vec<Vec<usize>> =
+        (0..count).map(|a| (0..count).filter(|b| are_peers(&positions, a, *b)).collect()).collect();
+    let own = neighbours.get(me).cloned().unwrap_or_default();
+    let mut redundant = vec![BTreeSet::new(); own.len()];
     for (writer, (site, node)) in plan.nodes().enumerate() {
         let mut from: Vec<Option<usize>> = vec![None; count];
-        let mut next = VecDeque::from([writer]);
-        while let Some(node) = next.pop_front() {
-            for other in met.get(node).into_iter().flatten().filter(|other| **other != writer) {
+        let mut queue = VecDeque::from([writer]);
+        while let Some(node) = queue.pop_front() {
+            for other in neighbours.get(node).into_iter().flatten().filter(|other| **other != writer) {
                 if let Some(from @ None) = from.get_mut(*other) {
                     *from = Some(node);
-                    next.push_back(*other);
+                    queue.push_back(*other);
                 }
             }
         }
-        for (peer, spare) in own.iter().zip(&mut spares) {
+        for (peer, redundant_writers) in own.iter().zip(&mut redundant) {
             if from.get(*peer) != Some(&Some(me)) {
-                spare.insert((site.name.clone(), node.name.clone()));
+                redundant_writers.insert((site.name.clone(), node.name.clone()));
             }
         }
     }
     let numbers: Vec<u32> = plan.nodes().map(|(_, n)| n.number).collect();
-    own.iter().filter_map(|k| numbers.get(*k)).copied().zip(spares).collect()
+    own.iter().filter_map(|k| numbers.get(*k)).copied().zip(redundant).collect()
 }
 
-/// Of each node in the file's order its site's place, its own place there, and how many nodes its site has.
-fn places(plan: &SitesConfig) -> Vec<(usize, usize, usize)> {
+/// Returns, for each node in the order of the configuration, the index of its site, its index in the site, and the
+/// number of nodes of the site.
+fn positions(plan: &SitesConfig) -> Vec<(usize, usize, usize)> {
     let sites = plan.sites.iter().enumerate();
     sites.flat_map(|(k, s)| (0..s.nodes.len()).map(move |at| (k, at, s.nodes.len()))).collect()
 }
 
-/// Whether two nodes are partners, by their places.
-fn meet(places: &[(usize, usize, usize)], a: usize, b: usize) -> bool {
-    let (Some(one), Some(other)) = (places.get(a), places.get(b)) else { return false };
-    a != b && (meets(*one, *other) || meets(*other, *one))
+/// Returns whether two nodes, given by their index among all nodes, are peers.
+fn are_peers(positions: &[(usize, usize, usize)], a: usize, b: usize) -> bool {
+    let (Some(first), Some(other)) = (positions.get(a), positions.get(b)) else { return false };
+    a != b && (selects(*first, *other) || selects(*other, *first))
 }
 
-/// Whether one is told by its own place to meet another.
-fn meets((own, at, _): (usize, usize, usize), (far, there, count): (usize, usize, usize)) -> bool {
-    let most = if own == far { BESIDE } else { ACROSS };
-    (0..most).any(|step| (at + step + usize::from(own == far)) % count == there)
+/// Returns whether the node at the first position selects the one at the second position as a peer.
+fn selects(
+    (own, at, _): (usize, usize, usize),
+    (other_site, other_index, count): (usize, usize, usize),
+) -> bool {
+    let selected = if own == other_site { LOCAL_SUCCESSORS } else { REMOTE_SUCCESSORS };
+    (0..selected).any(|step| (at + step + usize::from(own == other_site)) % count == other_index)
 }
 
 #[cfg(test)]
@@ -79,24 +86,24 @@
         crate::config::read("t", &(text + ")")).unwrap()
     }
 
-    /// What each node writes comes to each other one from one partner, and from the writer where that is one.
+    /// Guards against entries that are delivered twice or never.
     #[test]
-    fn what_one_writes_goes_over_one_link_to_each() {
+    fn entries_reach_each_node_over_one_link() {
         for (sites, nodes) in [(2, 1), (3, 2), (4, 40)] {
             let plan = fleet(sites, nodes);
             let count = sites * nodes;
-            let mut gets: BTreeMap<(u32, String), Vec<u32>> = BTreeMap::new();
+            let mut senders: BTreeMap<(u32, String), Vec<u32>> = BTreeMap::new();
             for (_, node) in plan.nodes() {
-                for (peer, spare) in routes(&plan, node.number) {
+                for (peer, redundant_writers) in routes(&plan, node.number) {
                     for (site, writer) in plan.nodes() {
-                        if !spare.contains(&(site.name.clone(), writer.name.clone())) {
-                            gets.entry((peer, writer.name.clone())).or_default().push(node.number);
+                        if !redundant_writers.contains(&(site.name.clone(), writer.name.clone())) {
+                            senders.entry((peer, writer.name.clone())).or_default().push(node.number);
                         }
                     }
                 }
             }
-            assert_eq!(gets.len(), count * (count - 1));
-            for ((to, writer), from) in gets {
+            assert_eq!(senders.len(), count * (count - 1));
+            for ((to, writer), from) in senders {
                 let writer = plan.node_named(&writer).unwrap().number;
                 assert!(
                     from.len() == 1 && (from[0] == writer || !selected_peers(&plan, writer).contains(&to))
@@ -105,24 +112,29 @@
         }
     }
 
-    /// Any one node away, and any one site away, all others still reach each other; nobody has more partners as sites grow.
+    /// Guards against a partition of the rest, and against peer lists that grow with the size of sites.
     #[test]
-    fn no_loss_of_a_node_or_a_site_parts_the_others() {
+    fn losing_one_node_or_site_does_not_partition_the_rest() {
         for (sites, nodes) in [(2, 1), (3, 2), (5, 7), (4, 40)] {
             let plan = fleet(sites, nodes);
             let all: Vec<u32> = plan.nodes().map(|(_, n)| n.number).collect();
             let lost = all.iter().map(|n| BTreeSet::from([*n]));
-            let whole = plan.sites.iter().map(|s| s.nodes.iter().map(|n| n.number).collect());
-            for gone in lost.chain(whole) {
-                let left: Vec<u32> = all.iter().copied().filter(|n| !gone.contains(n)).collect();
-                let mut reached = BTreeSet::from([left[0]]);
-                let mut next = vec![left[0]];
-                while let Some(node) = next.pop() {
-                    let met = selected_peers(&plan, node);
-                    assert!(met.len() <= 2 * BESIDE + 2 * ACROSS * (sites - 1), "{met:?}");
-                    next.extend(met.into_iter().filter(|n| !gone.contains(n) && reached.insert(*n)));
+            let sites_lost = plan.sites.iter().map(|s| s.nodes.iter().map(|n| n.number).collect());
+            for removed in lost.chain(sites_lost) {
+                let remaining: Vec<u32> = all.iter().copied().filter(|n| !removed.contains(n)).collect();
+                let mut reachable = BTreeSet::from([remaining[0]]);
+                let mut queue = vec![remaining[0]];
+                while let Some(node) = queue.pop() {
+                    let neighbours = selected_peers(&plan, node);
+                    assert!(
+                        neighbours.len() <= 2 * LOCAL_SUCCESSORS + 2 * REMOTE_SUCCESSORS * (sites - 1),
+                        "{neighbours:?}"
+                    );
+                    queue.extend(
+                        neighbours.into_iter().filter(|n| !removed.contains(n) && reachable.insert(*n)),
+                    );
                 }
-                assert_eq!(reached.len(), left.len(), "{sites} sites of {nodes}");
+                assert_eq!(reachable.len(), remaining.len(), "{sites} sites of {nodes}");
             }
         }
     }
--- a/crates/sites/src/recovery_ramp.rs
+++ b/crates/sites/src/recovery_ramp.rs
@@ -1,32 +1,33 @@
-//! The return of a site's load: in steps, bounded by what its cold servers bear, each judged by its outcomes before the next one.
+//! Load ramp of a recovering site: the load grows in steps that are bounded by the capacity of its cold servers,
+//! and the outcomes of each step decide about the next one.
 //!
-//! One of these is at each node of the returning site, and tells the others by [`crate::health::Load`] which part it takes; so hosts let go of
-//! what the site takes back, and of nothing sooner.
+//! Each node of the recovering site runs one ramp and reports the share of the load that it takes in
+//! [`crate::health::Load`], so the sites that host its clients release just that share.
 
 use crate::Micros;
 use shorepath_recovery::slow_start;
 pub use shorepath_recovery::slow_start::Pace;
 use std::fmt;
 
-/// How a site takes its load back.
+/// Settings of a load ramp.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RampSettings {
-    /// The part of its load in each step, in hundredths, growing; the last one is all of it.
+    /// Load in each step, in percent of the full load, increasing; the last step is 100.
     pub load_percents: Vec<u8>,
-    /// How long a step lasts at least, in microseconds.
+    /// Shortest duration of a step, in microseconds.
     pub min_duration: Micros,
-    /// Outcomes by which a step is judged, at least.
+    /// Number of outcomes that are needed to judge a step.
     pub min_outcomes: u64,
-    /// A step is good where no more than this many hundredths of its outcomes are failures.
+    /// Largest share of failures in a healthy step, in percent of its outcomes.
     pub max_failed_percent: u8,
-    /// A step without enough outcomes, for want of clients, is over after so long, in microseconds.
+    /// Duration after which a step without enough outcomes ends, in microseconds.
     pub timeout: Micros,
-    /// How its servers warm up.
+    /// Slow start of the site's servers.
     pub pace: Pace,
 }
 
 impl RampSettings {
-    /// A fifth in each step, each a tenth of the warm-up long at least.
+    /// Returns settings with five equal steps, each at least a tenth of the warm-up time long.
     pub fn with_pace(pace: Pace) -> RampSettings {
         let min_duration = (pace.time / 10).max(1);
         RampSettings {
@@ -40,148 +41,162 @@
     }
 }
 
-/// Why a step was left.
+/// Why a step ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StepReason {
-    /// So many were served, so many failed: it can take more.
+    /// Few requests failed: the numbers of those served and failed.
     Healthy(u64, u64),
-    /// Nobody asked for much.
+    /// Too few requests came before the timeout.
     LowTraffic,
-    /// So many were served, so many failed: it takes less.
+    /// Too many requests failed: the numbers of those served and failed.
     Failing(u64, u64),
-    /// It was lost again.
+    /// The site was lost again during the ramp.
     LostAgain,
 }
 
 impl fmt::Display for StepReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            StepReason::Healthy(served, failed) => write!(f, "{served} were served and {failed} failed"),
-            StepReason::LowTraffic => write!(f, "hardly anybody asked"),
+            StepReason::Healthy(served, failed) => {
+                write!(f, "{served} requests were served and {failed} failed")
+            }
+            StepReason::LowTraffic => write!(f, "too few requests to judge the step"),
             StepReason::Failing(served, failed) => {
-                write!(f, "{served} were served, {failed} failed: too many")
+                write!(f, "{served} requests were served and {failed} failed, too many")
             }
-            StepReason::LostAgain => write!(f, "lost again on the way"),
+            StepReason::LostAgain => write!(f, "the site was lost again during the ramp"),
         }
     }
 }
 
-/// A step to another one, for the log.
+/// A change of the allowed load, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct StepChange {
-    /// The part that it took, in hundredths.
+    /// The previous limit, in percent of the full load.
     pub from: u8,
-    /// The part that it may take, in hundredths.
+    /// The new limit, in percent of the full load.
     pub to: u8,
-    /// StepReason.
+    /// Why the previous step ended.
     pub reason: StepReason,
 }
 
-/// A site on its way back.
+/// The load ramp of one recovering site.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecoveryRamp {
-    steps: RampSettings,
-    /// The place of the step; past the last one all is taken.
-    at: usize,
-    since: Micros,
+    settings: RampSettings,
+    /// Index of the current step; past the last one the ramp is complete.
+    step: usize,
+    step_started_at: Micros,
     served: u64,
     failed: u64,
-    /// How often it stepped back lately: steps are held for longer then.
+    /// Number of steps back, up to [`MAX_SETBACKS`]; each one doubles the duration of steps.
     setbacks: u32,
 }
 
-/// Steps are held twice as long for each setback, this often at most.
-const SETBACKS: u32 = 3;
+/// Largest number of setbacks that lengthen the steps.
+const MAX_SETBACKS: u32 = 3;
 
 impl RecoveryRamp {
-    /// One that begins now with its first step. Parts that don't grow, and those over a hundred, are left out.
-    pub fn new(mut steps: RampSettings, now: Micros) -> RecoveryRamp {
-        steps.load_percents.retain(|p| (1..100).contains(p));
-        steps.load_percents.sort_unstable();
-        steps.load_percents.dedup();
-        steps.load_percents.push(100);
-        RecoveryRamp { steps, at: 0, since: now, served: 0, failed: 0, setbacks: 0 }
+    /// Starts a ramp with its first step. Percentages outside 1 to 99 are dropped and the others sorted; 100 is added.
+    pub fn new(mut settings: RampSettings, now: Micros) -> RecoveryRamp {
+        settings.load_percents.retain(|p| (1..100).contains(p));
+        settings.load_percents.sort_unstable();
+        settings.load_percents.dedup();
+        settings.load_percents.push(100);
+        RecoveryRamp { settings, step: 0, step_started_at: now, served: 0, failed: 0, setbacks: 0 }
     }
 
-    /// What became of jobs at the site's servers since this was last told.
+    /// Adds the outcomes of requests at the site's servers since the last call.
     pub fn outcomes(&mut self, served: u64, failed: u64) {
         self.served = self.served.saturating_add(served);
         self.failed = self.failed.saturating_add(failed);
     }
 
-    fn go(&mut self, to: usize, reason: StepReason, now: Micros) -> Option<StepChange> {
+    fn move_to(&mut self, to: usize, reason: StepReason, now: Micros) -> Option<StepChange> {
         let from = self.allowed();
-        (self.at, self.since, self.served, self.failed) = (to, now, 0, 0);
+        (self.step, self.step_started_at, self.served, self.failed) = (to, now, 0, 0);
         Some(StepChange { from, to: self.allowed(), reason })
     }
 
-    /// The part that its step allows, in hundredths.
+    /// Returns the load that the current step allows, in percent.
     fn allowed(&self) -> u8 {
-        self.steps.load_percents.get(self.at).copied().unwrap_or(100)
+        self.settings.load_percents.get(self.step).copied().unwrap_or(100)
     }
 
-    fn least(&self) -> Micros {
-        self.steps.min_duration.saturating_mul(1 << self.setbacks.min(SETBACKS))
+    /// Returns the shortest duration of the current step, in microseconds.
+    fn min_step_duration(&self) -> Micros {
+        self.settings.min_duration.saturating_mul(1 << self.setbacks.min(MAX_SETBACKS))
     }
 
-    fn fails(&self) -> bool {
+    fn is_failing(&self) -> bool {
         let all = u128::from(self.served) + u128::from(self.failed);
-        all >= u128::from(self.steps.min_outcomes)
-            && u128::from(self.failed) * 100 > all * u128::from(self.steps.max_failed_percent)
+        all >= u128::from(self.settings.min_outcomes)
+            && u128::from(self.failed) * 100 > all * u128::from(self.settings.max_failed_percent)
     }
 
-    /// Time has passed. `warm` is the part of what the site's servers do warm that they can do now ([`slow_start::part`]): no step goes beyond it.
-    pub fn tick(&mut self, now: Micros, warm: f64) -> Option<StepChange> {
+    /// Moves to another step if the current one is over. `warm_fraction` is the part of their full capacity, from 0 to 1, that
+    /// the site's servers have now (see [`slow_start::part`]); no step exceeds it.
+    pub fn tick(&mut self, now: Micros, warm_fraction: f64) -> Option<StepChange> {
         if self.is_complete() {
             return None;
         }
-        // What goes wrong is not waited for.
-        if self.fails() {
+        // A failing step ends before its shortest duration.
+        if self.is_failing() {
             let reason = StepReason::Failing(self.served, self.failed);
-            self.setbacks = (self.setbacks + 1).min(SETBACKS);
-            return self.go(self.at.saturating_sub(1), reason, now);
+            self.setbacks = (self.setbacks + 1).min(MAX_SETBACKS);
+            return self.move_to(self.step.saturating_sub(1), reason, now);
         }
-        let time = now - self.since;
-        let enough = self.served.saturating_add(self.failed) >= self.steps.min_outcomes;
-        let next = self.steps.load_percents.get(self.at + 1).copied().unwrap_or(100);
-        // A hair's breadth for what is computed by fractions.
-        if time < self.least() || f64::from(next) > 100.0 * warm + 1e-6 {
+        let elapsed = now - self.step_started_at;
+        let has_enough_outcomes = self.served.saturating_add(self.failed) >= self.settings.min_outcomes;
+        let next = self.settings.load_percents.get(self.step + 1).copied().unwrap_or(100);
+        // The small constant absorbs rounding errors of the fraction.
+        if elapsed < self.min_step_duration() || f64::from(next) > 100.0 * warm_fraction + 1e-6 {
             return None;
         }
-        if enough {
-            return self.go(self.at + 1, StepReason::Healthy(self.served, self.failed), now);
+        if has_enough_outcomes {
+            return self.move_to(self.step + 1, StepReason::Healthy(self.served, self.failed), now);
         }
-        (time >= self.steps.timeout.max(self.least())).then_some(())?;
-        self.go(self.at + 1, StepReason::LowTraffic, now)
+        (elapsed >= self.settings.timeout.max(self.min_step_duration())).then_some(())?;
+        self.move_to(self.step + 1, StepReason::LowTraffic, now)
     }
 
-    /// The site was lost again on its way: a step back, and slower from there.
+    /// Goes one step back and lengthens the following steps, since the site was lost again during the ramp.
     pub fn lost_again(&mut self, now: Micros) -> Option<StepChange> {
-        self.setbacks = (self.setbacks + 1).min(SETBACKS);
-        self.go(self.at.min(self.steps.load_percents.len() - 1).saturating_sub(1), StepReason::LostAgain, now)
+        self.setbacks = (self.setbacks + 1).min(MAX_SETBACKS);
+        self.move_to(
+            self.step.min(self.settings.load_percents.len() - 1).saturating_sub(1),
+            StepReason::LostAgain,
+            now,
+        )
     }
 
-    /// The part of its load that it takes now, in hundredths.
-    pub fn load_percent(&self, warm: f64) -> u8 {
+    /// Returns the load that the site takes now, in percent.
+    pub fn load_percent(&self, warm_fraction: f64) -> u8 {
         if self.is_complete() {
             return 100;
         }
-        self.allowed().min((100.0 * warm.clamp(0.0, 1.0) + 1e-6) as u8)
+        self.allowed().min((100.0 * warm_fraction.clamp(0.0, 1.0) + 1e-6) as u8)
     }
 
-    /// Whether it takes all, and its last step was judged good.
+    /// Returns whether the site takes its full load and its last step was healthy.
     pub fn is_complete(&self) -> bool {
-        self.at >= self.steps.load_percents.len()
+        self.step >= self.settings.load_percents.len()
     }
 
-    /// When a client that is denied is told to come back, in microseconds from now: spread over what is left of the way. `luck` is
-    /// drawn from 0 to 1 by the caller.
-    pub fn retry_after(&self, warm: f64, least: Micros, most: Micros, luck: f64) -> Micros {
-        slow_start::come_back(f64::from(self.load_percent(warm)) / 100.0, self.steps.pace, least, most, luck)
+    /// Returns the delay after which a rejected client should retry, in microseconds, spread over the rest of the ramp.
+    /// `random` is a uniform random number from 0 to 1.
+    pub fn retry_after(&self, warm_fraction: f64, min: Micros, max: Micros, random: f64) -> Micros {
+        slow_start::come_back(
+            f64::from(self.load_percent(warm_fraction)) / 100.0,
+            self.settings.pace,
+            min,
+            max,
+            random,
+        )
     }
 
-    /// When [`RecoveryRamp::pass`] has something to do next, unless outcomes come.
+    /// Returns when the current step may end, unless it fails earlier; `None` once the ramp is complete.
     pub fn due(&self) -> Option<Micros> {
-        (!self.is_complete()).then(|| self.since + self.least())
+        (!self.is_complete()).then(|| self.step_started_at + self.min_step_duration())
     }
 }
