--- a/crates/sites/tests/file.rs
+++ b/crates/sites/tests/file.rs
@@ -32,7 +32,7 @@
     assert_eq!(plan.site_of_server("w-17", None).unwrap().name, "west");
     assert_eq!(plan.site_of_server("x", Some("e2")).unwrap().name, "east");
     assert!(plan.site_of_server("x", Some("w")).is_none());
-    assert_eq!(plan.guest_percent["west"]["sensor-check"], 20);
+    assert_eq!(plan.remote_percent["west"]["sensor-check"], 20);
     assert_eq!(plan.declared_lost("east"), Some(4));
     assert_eq!(plan.key_path(Path::new("/etc/f")), PathBuf::from("/etc/f/fleet.key"));
     assert!(plan.guarded_classes.contains("payout"));
@@ -50,7 +50,7 @@
 #[rstest]
 #[case(r#"(node n1 "127.0.0.1:7901")"#, r#"(node n0 "127.0.0.1:7901")"#, "3:41: the node n0 is given twice")]
 #[case("127.0.0.1:7902", "127.0.0.1:7901", "4:14: n2 has the address of n1")]
-#[case("127.0.0.1:7902", "there", "4:14: \"there\" is no address with a port")]
+#[case("127.0.0.1:7902", "there", "4:14: \"there\" is not an address with a port")]
 #[case("(site east", "(site west", "4:3: the site west is given twice")]
 #[case("(lend west", "(lend wset", "6:3: there is no site wset; known: west, east")]
 #[case("(part 20)", "(part 101)", "6:40: 101 is out of range")]
@@ -60,7 +60,7 @@
 #[case("(lost east (number 4))", "(lost east)", "9:3: (lost SITE (number N)) needs its number")]
 #[case("(lost east", "(lost west (number 1)) (lost east", "9:26: all sites are declared lost")]
 #[case("(lost east", "(lost north", "9:3: there is no site north")]
-#[case("(zones", "(server-prefix \"w-x\") (zones", "4:3: servers with \"w-x\" and \"w-\" of west")]
+#[case("(zones", "(server-prefix \"w-x\") (zones", "4:3: the server prefixes \"w-x\" and \"w-\" of west")]
 #[case(" (bears 300)", "", "4:3: the site east needs (bears UNITS)")]
 #[case("(reserve 10)", "(reserve 101)", "5:3: the reserve of acme is more than its jobs")]
 #[case("(hold 10 s)", "(hold 10 s) (group 2 s)", "(group) lies in 1 ms to 1 s, not 2 s")]
@@ -98,11 +98,11 @@
 
 #[rstest]
 #[case("", "needs two (site NAME ...) at least")]
-#[case("(recover (remember 64))", "3:11: (remember) is a whole number and its unit: B, KiB, MiB, GiB")]
+#[case("(recover (remember 64))", "3:11: (remember) needs an integer and its unit: B, KiB, MiB, GiB")]
 #[case("(recover (remember 64 MB))", "3:11: (remember) needs a unit at its end")]
-#[case("(recover (remember 1.5 MiB))", "1.5 is no whole number for (remember)")]
+#[case("(recover (remember 1.5 MiB))", "(remember) needs an integer, not 1.5")]
 #[case("(recover (remember 1 B))", "(remember) lies in 1024 to")]
-#[case("(recover (remember 1 KiB) (answer 2 KiB))", "3:2: one (answer) may be longer than all")]
+#[case("(recover (remember 1 KiB) (answer 2 KiB))", "3:2: (answer) is larger than (remember)")]
 #[case("(recover (outlive 2 h))", "3:11: (outlive) lies in")]
 #[case("(recover (forget 1 s))", "forget")]
 #[case("(recover) (recover)", "(recover) is given twice")]
--- a/crates/sites/tests/lending.rs
+++ b/crates/sites/tests/lending.rs
@@ -2,7 +2,7 @@
 
 use shorepath_sites::config::{read, SitesConfig};
 use shorepath_sites::health::SiteHealth;
-use shorepath_sites::load_shifting::{guest_site, Class, LoadShifting};
+use shorepath_sites::load_shifting::{remote_site, Class, LoadShifting};
 use shorepath_sites::recovery_ramp::Pace;
 use shorepath_sites::SiteState;
 use std::collections::BTreeMap;
@@ -29,7 +29,7 @@
 
 impl Fleet {
     fn new(lends: &str) -> Fleet {
-        let classes = ["job", "bulk"].map(|name| Class { name: name.to_string(), worth: 1_000 }).to_vec();
+        let classes = ["job", "bulk"].map(|name| Class { name: name.to_string(), value: 1_000 }).to_vec();
         let mut fleet = Fleet { plan: file(lends), now: S, nodes: BTreeMap::new(), classes };
         ["a0", "a1", "b0", "c0"].into_iter().for_each(|node| fleet.start(node));
         fleet
@@ -75,7 +75,7 @@
 
     /// What guests of a class may begin at those nodes together.
     fn shifted(&self, nodes: &[&str], class: usize) -> u64 {
-        let of = |n: &&str| self.nodes[&self.number(n)].1.limits().guests.as_ref().unwrap()[class];
+        let of = |n: &&str| self.nodes[&self.number(n)].1.limits().remote.as_ref().unwrap()[class];
         nodes.iter().map(of).sum()
     }
 }
@@ -160,14 +160,14 @@
 #[test]
 fn only_a_known_other_site_makes_a_guest() {
     let plan = file("");
-    let guest = |named| guest_site(&plan, "a", named);
+    let guest = |named| remote_site(&plan, "a", named);
     assert_eq!(
         [guest(None), guest(Some("a")), guest(Some("x")), guest(Some("b"))],
         [None, None, None, Some("b")]
     );
     let mut fleet = Fleet::new("");
     fleet.pass(S, &[]);
-    assert!(fleet.nodes.values().all(|(_, load_shifting)| load_shifting.limits().guests.is_none()));
+    assert!(fleet.nodes.values().all(|(_, load_shifting)| load_shifting.limits().remote.is_none()));
 }
 
 /// Guards guests at nodes that have few requests a second: what they did not use was kept for a quarter of a second, which is less
@@ -184,7 +184,7 @@
         let number = plan.node_named("a0").unwrap().number;
         let mut site_health = SiteHealth::new(number, &plan, 1, S).unwrap();
         let mut load_shifting = LoadShifting::new(PACE, S);
-        let classes = [Class { name: "job".to_string(), worth: 1_000 }];
+        let classes = [Class { name: "job".to_string(), value: 1_000 }];
         load_shifting.tick(&mut site_health, &classes, (0, 0), true, S);
         load_shifting.limits().unused_lifetime
     };
@@ -203,7 +203,7 @@
         "(sites (fleet \"f\") (key \"k\") (site a (bears 100) {nodes}) (site b (bears 100) (node b0 \"10.0.1.0:1\")))"
     );
     let plan = read("f", &text).unwrap();
-    let classes = [Class { name: "job".to_string(), worth: 1_000 }];
+    let classes = [Class { name: "job".to_string(), value: 1_000 }];
     let (mut notified, mut count) = (0, 0);
     for k in 0..40 {
         let number = plan.node_named(&format!("a{k}")).unwrap().number;
--- a/crates/sites/tests/plan.rs
+++ b/crates/sites/tests/plan.rs
@@ -74,12 +74,12 @@
 
 #[test]
 fn guests_above_their_share_are_refused_first_and_guarded_work_last() {
-    let job = Job { worth: 5, ..Job::default() };
+    let job = Job { value: 5, ..Job::default() };
     let order = [
         Job { above_share: true, guarded: true, ..job },
-        Job { worth: 2, ..job },
+        Job { value: 2, ..job },
         job,
-        Job { repeat: true, worth: 1, ..job },
+        Job { repeat: true, value: 1, ..job },
         Job { further_attempt: true, repeat: true, ..job },
         Job { guarded: true, ..job },
     ];
--- a/crates/sites/tests/sight/main.rs
+++ b/crates/sites/tests/sight/main.rs
@@ -158,7 +158,7 @@
     let load = Some(Load { load_percent: 100, capacity: 1_000_000_000, demand });
     let message = Message {
         site: plan.sites[1].number,
-        number: 999_999_999,
+        heartbeat: 999_999_999,
         version: 1_000_000_000,
         digest: u32::MAX,
         others,
@@ -176,8 +176,8 @@
     assert_eq!(at.receive(number(2), &message, 1), Err(elsewhere));
     at.receive(number(1), &message, 1).unwrap();
     assert_eq!(at.load("s1"), message.load);
-    let far = Message { number: message.number + (1 << 33), ..message };
-    assert_eq!(at.receive(number(1), &far, 2), Err(ReceiveError::OutOfReach(far.number)));
+    let far = Message { heartbeat: message.heartbeat + (1 << 33), ..message };
+    assert_eq!(at.receive(number(1), &far, 2), Err(ReceiveError::OutOfReach(far.heartbeat)));
 }
 
 /// Numbers as they come, and at their edges.
@@ -218,12 +218,12 @@
             let notified = SiteReport { site, heartbeat: v[0], heartbeat_age: age(1), direct: v[2], direct_age: age(3), echo_age: age(4) };
             let load = Some(Load { load_percent: 100, capacity: v[5], demand: vec![(1, v[5]), (1, v[0])] });
             let own = plan.site_of_node(number(from + 1)).unwrap().number;
-            let message = Message { site: own, number: v[5], version: v[1], digest: 0, others: vec![notified, notified], load };
+            let message = Message { site: own, heartbeat: v[5], version: v[1], digest: 0, others: vec![notified, notified], load };
             let _ = at.receive(number(from + 1), &message, now);
             now += S / 3;
             at.tick(now);
             (0..3).for_each(|s| drop(at.load(&format!("s{s}"))));
-            proptest::prop_assert!(at.take_outgoing().iter().all(|(_, w)| w.number <= (1 << 53) + 20));
+            proptest::prop_assert!(at.take_outgoing().iter().all(|(_, w)| w.heartbeat <= (1 << 53) + 20));
         }
     }
 
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -203,11 +203,11 @@
     pub fn strange_in_sites(&self, siting: &Siting) -> Vec<String> {
         let (_, names) = self.setup.to_settings();
         let plan = siting.plan();
-        let spillover = plan.guest_percent.values().flat_map(|l| l.keys());
+        let spillover = plan.remote_percent.values().flat_map(|l| l.keys());
         let classes = plan
             .guarded_classes
             .iter()
-            .chain(plan.min_guest_percent.keys())
+            .chain(plan.min_remote_percent.keys())
             .chain(spillover)
             .map(String::as_str);
         let tenants = plan.credits.iter().map(|c| c.tenant.as_str()).chain(siting.accounts().map(|a| a.0));
--- a/src/net/load_shifting.rs
+++ b/src/net/load_shifting.rs
@@ -9,7 +9,7 @@
 use shorepath_scheduler::ClassId;
 use shorepath_scheduler::{QuotaKind, QuotaShare};
 use shorepath_sites::health::{Message, SiteHealth};
-use shorepath_sites::load_shifting::{guest_site, Class, LoadShifting};
+use shorepath_sites::load_shifting::{remote_site, Class, LoadShifting};
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 use tracing::info;
@@ -38,7 +38,7 @@
 
     /// The site of a request's client, if that is another one; else the request counts as the own site's load.
     pub fn guest(&self, site_health: &SiteHealth, class: ClassId, job: &Job) -> Option<String> {
-        let guest = guest_site(site_health.plan(), site_health.site(), job.home_site.as_deref());
+        let guest = remote_site(site_health.plan(), site_health.site(), job.home_site.as_deref());
         if guest.is_none() {
             self.load_shifting.borrow_mut().record_request(class.0);
         }
@@ -76,7 +76,7 @@
         }
         self.next.set(now + LOOK);
         let classes: Vec<Class> =
-            exchange.classes().into_iter().map(|(name, worth)| Class { name, worth }).collect();
+            exchange.classes().into_iter().map(|(name, value)| Class { name, value }).collect();
         let outcomes = exchange.outcomes();
         let mut load_shifting = self.load_shifting.borrow_mut();
         for moved in load_shifting.tick(site_health, &classes, outcomes, exchange.has_servers(), now) {
@@ -90,7 +90,7 @@
         let load_shifting = self.load_shifting.borrow();
         let limits = load_shifting.limits();
         let part = |of, units, span| QuotaShare { kind: of, units, total: units, window: span };
-        let guests = limits.guests.iter().flatten().enumerate();
+        let guests = limits.remote.iter().flatten().enumerate();
         let guests = guests.map(|(class, units)| {
             part(QuotaKind::RemoteClass(ClassId(class)), *units, limits.unused_lifetime)
         });
@@ -136,7 +136,7 @@
         if let Some(part) = load_shifting.recovery_percent(now) {
             text += &format!("homecoming part={part}\n");
         }
-        let spillover = load_shifting.limits().guests.iter().flatten();
+        let spillover = load_shifting.limits().remote.iter().flatten();
         for ((class, _), rate) in exchange.classes().into_iter().zip(spillover) {
             text += &format!("lends {class} per_s={rate}\n");
         }
--- a/src/net/sites.rs
+++ b/src/net/sites.rs
@@ -390,7 +390,7 @@
             }
         }
         let mut confirmation = self.confirmation.get();
-        let received = self.site_health.borrow().majority_heard_at(now);
+        let received = self.site_health.borrow().majority_contact_at(now);
         if let Some(alone) = confirmation.pass(received, now) {
             match alone {
                 // What is begun from now on without confirmation counts against the credit, wherever that is.
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -292,7 +292,7 @@
     let load = Load { load_percent: 60, capacity: 100, demand: vec![(health::class_number("valve"), 12)] };
     health::Message {
         site: 10,
-        number: 501,
+        heartbeat: 501,
         version: 4,
         digest: 77,
         others: vec![notified],
