--- a/crates/quota/src/allocation.rs
+++ b/crates/quota/src/allocation.rs
@@ -1,127 +1,131 @@
-//! Which node should have how much: max-min fair by demand ("Data Networks", Bertsekas and Gallager, section 6.5.2), whole
-//! units, with a floor for each, and without moving more than is worth it.
+//! Max-min fair allocation of a budget's units by demand ("Data Networks", Bertsekas and Gallager, section 6.5.2), in
+//! integers, with a floor for each claim and a limit on changes.
 
-/// What one node asks for.
+/// The claim of one node to a share of a budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Claim {
-    /// Units that it could use.
+    /// Units that the node could use.
     pub demand: u64,
-    /// Units that it has at least, used or not.
+    /// The smallest share of the node, also where it demands less.
     pub floor: u64,
-    /// Units that it has now.
+    /// Units that the node has now.
     pub held: u64,
 }
 
-/// How much may change from one division to the next.
+/// Limits on the change of shares in one allocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MoveLimits {
-    /// A part stays as it is if it would change by no more than this many hundredths of itself.
+    /// A share is left unchanged if it would change by at most this percentage of itself.
     pub band_percent: u64,
-    /// Units taken from nodes, all together, in one division at most.
-    pub most: u64,
+    /// The most units that one allocation may take from all nodes together.
+    pub max_taken: u64,
 }
 
 impl MoveLimits {
-    /// Whatever is best now.
-    pub const FREE: MoveLimits = MoveLimits { band_percent: 0, most: u64::MAX };
+    /// Allows any change.
+    pub const UNLIMITED: MoveLimits = MoveLimits { band_percent: 0, max_taken: u64::MAX };
 }
 
-/// The floors alone exceed the whole.
+/// The sum of the floors exceeds the total.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the floors are {floors} in all, the whole is {total}")]
+#[error("{floors} units exceed the total of {total}")]
 pub struct FloorsError {
-    /// Their sum.
+    /// The sum of the floors, in units.
     pub floors: u64,
-    /// The whole.
+    /// The units of the budget.
     pub total: u64,
 }
 
-/// The fair parts, in the order of the claims; they add up to the whole exactly. Units that nobody asks for are lent evenly.
-/// `turn` says with whom single units that can't be split begin: let it grow from one division to the next.
+/// Returns the max-min fair shares in the order of the claims. Their sum is `total`: units beyond all demands are distributed
+/// evenly. Units that don't divide evenly go to successive claims, starting from index `rotation` modulo the number of claims;
+/// the caller increases it between allocations so that each claim gets its turn.
 ///
 /// # Errors
-/// Where the floors exceed the whole.
-pub fn max_min_fair(total: u64, claims: &[Claim], turn: u64) -> Result<Vec<u64>, FloorsError> {
+/// The sum of the floors exceeds the total.
+pub fn max_min_fair(total: u64, claims: &[Claim], rotation: u64) -> Result<Vec<u64>, FloorsError> {
     let floors = claims.iter().fold(0u64, |sum, c| sum.saturating_add(c.floor));
     if floors > total {
         return Err(FloorsError { floors, total });
     }
-    let mut parts: Vec<u64> = claims.iter().map(|c| c.floor).collect();
-    // The level to which all rise that ask for so much: the greatest whole one that there is enough for.
-    let at = |level: u64, c: &Claim| c.demand.min(level).max(c.floor);
-    let sum = |level: u64| claims.iter().fold(0u128, |sum, c| sum + u128::from(at(level, c)));
-    let (mut level, mut above) = (0, claims.iter().map(|c| c.demand).max().unwrap_or(0).saturating_add(1));
-    while above - level > 1 {
-        let middle = level + (above - level) / 2;
+    let mut shares: Vec<u64> = claims.iter().map(|c| c.floor).collect();
+    // Binary search for the greatest level such that the total covers all demands capped at it.
+    let share_at = |level: u64, c: &Claim| c.demand.min(level).max(c.floor);
+    let sum = |level: u64| claims.iter().fold(0u128, |sum, c| sum + u128::from(share_at(level, c)));
+    let (mut level, mut upper) = (0, claims.iter().map(|c| c.demand).max().unwrap_or(0).saturating_add(1));
+    while upper - level > 1 {
+        let middle = level + (upper - level) / 2;
         if sum(middle) <= u128::from(total) {
             level = middle;
         } else {
-            above = middle;
+            upper = middle;
         }
     }
-    parts.iter_mut().zip(claims).for_each(|(p, c)| *p = at(level, c));
-    let mut left = total - sum(level) as u64;
-    // Fewer units are left than nodes that would rise further.
-    let open: Vec<usize> = (0..claims.len()).filter(|k| at(level + 1, &claims[*k]) > parts[*k]).collect();
-    if !open.is_empty() {
-        one_each(&mut parts, &open, &mut left, turn);
+    shares.iter_mut().zip(claims).for_each(|(share, c)| *share = share_at(level, c));
+    let mut remaining = total - sum(level) as u64;
+    // The remaining units are fewer than the claims that a level higher by one would increase.
+    let unsatisfied: Vec<usize> =
+        (0..claims.len()).filter(|k| share_at(level + 1, &claims[*k]) > shares[*k]).collect();
+    if !unsatisfied.is_empty() {
+        distribute_units(&mut shares, &unsatisfied, &mut remaining, rotation);
     }
-    if left > 0 && !claims.is_empty() {
+    if remaining > 0 && !claims.is_empty() {
         let all: Vec<usize> = (0..claims.len()).collect();
-        let each = left / claims.len() as u64;
-        parts.iter_mut().for_each(|p| *p += each);
-        left -= each * claims.len() as u64;
-        one_each(&mut parts, &all, &mut left, turn);
+        let per_claim = remaining / claims.len() as u64;
+        shares.iter_mut().for_each(|share| *share += per_claim);
+        remaining -= per_claim * claims.len() as u64;
+        distribute_units(&mut shares, &all, &mut remaining, rotation);
     }
-    Ok(parts)
+    Ok(shares)
 }
 
-/// What is left, one unit to each of these in turn; there are fewer units than nodes.
-fn one_each(parts: &mut [u64], among: &[usize], left: &mut u64, turn: u64) {
+/// Adds one unit each to the shares at the indices `among`, as far as the remaining units reach.
+fn distribute_units(shares: &mut [u64], among: &[usize], remaining: &mut u64, rotation: u64) {
     let count = among.len() as u64;
-    for k in 0..(*left).min(count) {
-        parts[among[((turn + k) % count) as usize]] += 1;
+    for k in 0..(*remaining).min(count) {
+        shares[among[((rotation + k) % count) as usize]] += 1;
     }
-    *left = left.saturating_sub(count);
+    *remaining = remaining.saturating_sub(count);
 }
 
-/// The parts to have next: as [`fair`], but a part that would hardly change stays, and no more is taken from nodes at once
-/// than allowed. They never exceed the whole, and fall short of it only for what may not be moved yet.
+/// Returns the next shares: those of [`max_min_fair`], with changes limited by `moves`. Their sum never exceeds `total`, and
+/// is below it only where the limits keep units from being moved.
 ///
 /// # Errors
-/// Where the floors exceed the whole.
+/// The sum of the floors exceeds the total.
 pub fn rebalance(
     total: u64,
     claims: &[Claim],
-    turn: u64,
+    rotation: u64,
     moves: MoveLimits,
 ) -> Result<Vec<u64>, FloorsError> {
-    let target = max_min_fair(total, claims, turn)?;
-    let band = |c: &Claim| u128::from(c.held) * u128::from(moves.band_percent) / 100;
-    let stays = |c: &Claim, t: u64| c.held >= c.floor && u128::from(c.held.abs_diff(t)) <= band(c);
-    let mut parts: Vec<u64> =
-        claims.iter().zip(&target).map(|(c, t)| if stays(c, *t) { c.held } else { *t }).collect();
-    // Nobody has to give more than may be moved; the largest gap gives first.
-    let mut most = moves.most;
-    let mut giving: Vec<usize> = (0..parts.len()).filter(|k| parts[*k] < claims[*k].held).collect();
-    giving.sort_by_key(|k| (std::cmp::Reverse(claims[*k].held - parts[*k]), *k));
-    for k in giving {
-        let gives = (claims[k].held - parts[k]).min(most);
-        parts[k] = claims[k].held - gives;
-        most -= gives;
+    let target = max_min_fair(total, claims, rotation)?;
+    let tolerance = |c: &Claim| u128::from(c.held) * u128::from(moves.band_percent) / 100;
+    let is_unchanged =
+        |c: &Claim, t: u64| c.held >= c.floor && u128::from(c.held.abs_diff(t)) <= tolerance(c);
+    let mut shares: Vec<u64> =
+        claims.iter().zip(&target).map(|(c, t)| if is_unchanged(c, *t) { c.held } else { *t }).collect();
+    // Shares are reduced in order of the size of the reduction until the allowance is used up.
+    let mut allowance = moves.max_taken;
+    let mut losing: Vec<usize> = (0..shares.len()).filter(|k| shares[*k] < claims[*k].held).collect();
+    losing.sort_by_key(|k| (std::cmp::Reverse(claims[*k].held - shares[*k]), *k));
+    for k in losing {
+        let taken = (claims[k].held - shares[k]).min(allowance);
+        shares[k] = claims[k].held - taken;
+        allowance -= taken;
     }
-    // What was kept by some is missing for others: those above what they have give up their rise, the largest first, and then
-    // whoever was spared goes to the target after all. The whole binds, whatever may be moved.
-    let mut over = parts.iter().fold(0u128, |sum, p| sum + u128::from(*p)).saturating_sub(u128::from(total));
-    for spare in [true, false] {
-        let base = |k: usize| if spare { claims[k].held.max(claims[k].floor) } else { target[k] };
-        let mut above: Vec<usize> = (0..parts.len()).filter(|k| parts[*k] > base(*k)).collect();
-        above.sort_by_key(|k| (std::cmp::Reverse(parts[*k] - base(*k)), *k));
-        for k in above {
-            let cut = u128::from(parts[k] - base(k)).min(over);
-            parts[k] -= cut as u64;
-            over -= cut;
+    // Units that the limits left with their holders may make the sum exceed the total. Increases are reduced first, the
+    // largest ones before others; then shares are reduced to their targets even beyond the limits.
+    let mut excess =
+        shares.iter().fold(0u128, |sum, share| sum + u128::from(*share)).saturating_sub(u128::from(total));
+    for keep_held in [true, false] {
+        let minimum = |k: usize| if keep_held { claims[k].held.max(claims[k].floor) } else { target[k] };
+        let mut reducible: Vec<usize> = (0..shares.len()).filter(|k| shares[*k] > minimum(*k)).collect();
+        reducible.sort_by_key(|k| (std::cmp::Reverse(shares[*k] - minimum(*k)), *k));
+        for k in reducible {
+            let reduction = u128::from(shares[k] - minimum(k)).min(excess);
+            shares[k] -= reduction as u64;
+            excess -= reduction;
         }
     }
-    Ok(parts)
+    Ok(shares)
 }
--- a/crates/quota/src/allocator.rs
+++ b/crates/quota/src/allocator.rs
@@ -1,8 +1,8 @@
-//! One divider: who asks for what, what the fleet is to agree on, and what is said once it has.
+//! An allocator: it collects the claims of nodes, proposes grants to the replicated log, and answers once they are committed.
 //!
-//! All dividers hold the same [`Book`], since entries go into it in the one order in which the fleet agrees on them. The one
-//! that leads hears nodes ask, divides, and proposes; its proposal names the numbers that it builds on, so that one which was
-//! worked out before somebody else's changes nothing, however late it is agreed on.
+//! All allocators apply the same log to a [`ReplicatedState`]. The leader receives claims, allocates shares and proposes
+//! grants. A proposal names the last grant number of each budget that it is based on, so that an outdated proposal has no
+//! effect even if it is committed.
 
 use crate::allocation::{rebalance, Claim, MoveLimits};
 use crate::config::{Budget, BudgetKind, Plan};
@@ -12,35 +12,35 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Proposals follow each other by this much at least where somebody is short.
-const GAP: Micros = 20_000;
-/// And by this much where grants are only renewed.
-const CALM: Micros = 250_000;
-/// Somebody who has more than its part is asked to hurry this often at most.
-const HURRY: Micros = 200_000;
-/// A part that would change by no more than this many hundredths stays as it is.
+/// The shortest time between proposals while a node lacks units, in microseconds.
+const MIN_PROPOSAL_INTERVAL: Micros = 20_000;
+/// The shortest time between proposals that only renew grants, in microseconds.
+const RENEWAL_INTERVAL: Micros = 250_000;
+/// The shortest time between two [`Message::AskAgain`] to one node, in microseconds.
+const ASK_AGAIN_INTERVAL: Micros = 200_000;
+/// Shares that would change by at most this percentage are left unchanged.
 const BAND_PERCENT: u64 = 5;
 
-/// What the fleet agrees on.
+/// An entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
-    /// Another file of the operator's is in force.
+    /// Puts a new version of the configuration in force.
     Plan(Box<Plan>),
-    /// A term has passed since the fleet was founded: no grant of an earlier one can hold any more, and this one gives its own
-    /// from now on, by that number.
+    /// Starts granting with this epoch: since the log was initialized a lease term has passed, so all grants of earlier epochs
+    /// have expired.
     Open(u32),
-    /// All nodes go by that version or a newer one: the reserves of older ones are kept no longer.
+    /// All nodes use this version of the configuration or a newer one, so the reserves of older ones are no longer counted.
     Settled(u64),
-    /// Grants, and for each budget among them the number of the last one that they build on.
+    /// Grants, which take effect only if no other grants of the same budgets were committed since they were computed.
     Grants {
-        /// Budgets, with the numbers of their last grants.
+        /// For each budget the number of the last grant at the time of the proposal.
         base: BTreeMap<String, u64>,
-        /// Budgets, with grants.
+        /// The names of budgets, each with a grant.
         grants: Vec<(String, Grant)>,
     },
 }
 
-/// All that was agreed on, less what has surely ended.
+/// A serializable snapshot of a [`ReplicatedState`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateSnapshot {
     plans: Vec<Plan>,
@@ -48,36 +48,36 @@
     ledgers: BTreeMap<String, (u64, Vec<Grant>)>,
 }
 
-/// What the fleet has agreed on so far.
+/// The state that results from the replicated log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReplicatedState {
-    /// The oldest of which something is still kept first; the last is in force.
+    /// The configuration in force comes last; older ones come first and are kept while their reserves are counted.
     plans: Vec<Plan>,
     epoch: Option<u32>,
-    /// When this divider first knew of a plan.
-    founded: Option<Micros>,
+    /// When this allocator applied the first configuration or restored a snapshot with one.
+    first_plan_at: Option<Micros>,
     ledgers: BTreeMap<String, Ledger>,
 }
 
 impl ReplicatedState {
-    /// The file in force.
+    /// Returns the configuration in force; `None` before the first one is committed.
     pub fn plan(&self) -> Option<&Plan> {
         self.plans.last()
     }
 
-    /// Where the units of a budget are.
+    /// Returns the ledger of a budget; `None` where no configuration has named it.
     pub fn ledger(&self, budget: &str) -> Option<&Ledger> {
         self.ledgers.get(budget)
     }
 
-    /// An entry was agreed on; this divider knows of it now. Whether it changed anything.
+    /// Applies a committed entry and returns whether it changed anything. The terms of its grants count from `now`.
     pub fn apply(&mut self, entry: &Entry, now: Micros) -> bool {
         match entry {
             Entry::Plan(plan) => {
                 if self.plan().is_some_and(|p| p.version >= plan.version) {
                     return false;
                 }
-                self.founded.get_or_insert(now);
+                self.first_plan_at.get_or_insert(now);
                 self.plans.push((**plan).clone());
                 self.resize();
             }
@@ -108,23 +108,24 @@
         true
     }
 
-    /// Bring wholes and reserves in line with the plans kept.
+    /// Updates the ledgers' totals, reserves and epochs from the configurations. A budget counts the greatest reserve of all of
+    /// them.
     fn resize(&mut self) {
         let Some(plan) = self.plans.last() else { return };
         let nodes = self.plans.iter().map(|p| p.nodes).max().unwrap_or(0);
         let names: BTreeSet<&str> =
             self.plans.iter().flat_map(|p| p.budgets.iter().map(|b| b.name.as_str())).collect();
         for name in names {
-            let of = |p: &Plan| p.budgets.iter().find(|b| b.name == *name).cloned();
-            let reserves = self.plans.iter().filter_map(of).map(|b| b.reserve).max().unwrap_or(0);
-            let reserved = u64::from(nodes).saturating_mul(reserves);
-            let now = of(plan);
-            let total = now.as_ref().map_or(0, |b| b.total);
-            let term = now.map(|b| plan.lease_period(&b)).or(self
+            let budget_in = |p: &Plan| p.budgets.iter().find(|b| b.name == *name).cloned();
+            let reserve = self.plans.iter().filter_map(budget_in).map(|b| b.reserve).max().unwrap_or(0);
+            let reserved = u64::from(nodes).saturating_mul(reserve);
+            let current = budget_in(plan);
+            let total = current.as_ref().map_or(0, |b| b.total);
+            let term = current.map(|b| plan.lease_period(&b)).or(self
                 .plans
                 .iter()
                 .rev()
-                .find_map(|p| Some(p.lease_period(&of(p)?))));
+                .find_map(|p| Some(p.lease_period(&budget_in(p)?))));
             let Some(term) = term else { continue };
             let new = || Ledger::new(total, reserved, term);
             let ledger = self.ledgers.entry(name.to_string()).or_insert_with(new);
@@ -133,39 +134,39 @@
         }
     }
 
-    /// All that another divider needs to go on from here.
+    /// Returns a snapshot for [`ReplicatedState::restore`].
     pub fn snapshot(&self) -> StateSnapshot {
         let ledgers = self.ledgers.iter().map(|(name, l)| (name.clone(), l.snapshot())).collect();
         StateSnapshot { plans: self.plans.clone(), epoch: self.epoch, ledgers }
     }
 
-    /// Go on from what another divider kept; all of it counts from now.
-    pub fn restore(kept: &StateSnapshot, now: Micros) -> ReplicatedState {
-        let founded = (!kept.plans.is_empty()).then_some(now);
+    /// Returns the state of a snapshot; the terms of all grants count from `now`.
+    pub fn restore(snapshot: &StateSnapshot, now: Micros) -> ReplicatedState {
+        let first_plan_at = (!snapshot.plans.is_empty()).then_some(now);
         let mut state = ReplicatedState {
-            plans: kept.plans.clone(),
-            epoch: kept.epoch,
-            founded,
+            plans: snapshot.plans.clone(),
+            epoch: snapshot.epoch,
+            first_plan_at,
             ledgers: BTreeMap::new(),
         };
-        // One that only an older plan named is still counted.
+        // Budgets that no configuration names any more may still have outstanding grants.
         state.resize();
-        for (name, kept) in &kept.ledgers {
+        for (name, snapshot) in &snapshot.ledgers {
             let term = LeasePeriod { length: 0, drift_ppm: 0, longest: 0 };
             let ledger = state.ledgers.entry(name.clone()).or_insert_with(|| Ledger::new(0, 0, term));
-            ledger.restore(kept, now);
+            ledger.restore(snapshot, now);
         }
         state
     }
 
-    /// From when on grants of an earlier fleet can't hold any more.
-    fn opens(&self) -> Option<Micros> {
+    /// Returns the time by which all grants of earlier epochs have expired.
+    fn grants_start_at(&self) -> Option<Micros> {
         let longest =
             self.plans.iter().flat_map(|p| p.budgets.iter().map(|b| p.lease_period(b).for_allocator())).max();
-        Some(self.founded? + longest?)
+        Some(self.first_plan_at? + longest?)
     }
 
-    /// Grants that have surely ended are over.
+    /// Drops expired grants from all ledgers.
     fn expire(&mut self, now: Micros) {
         self.ledgers.values_mut().for_each(|l| {
             l.expire(now);
@@ -173,125 +174,128 @@
     }
 }
 
-/// What a life said of a budget, and what it was last granted.
+/// The last claim of a node incarnation to a budget, and its last grant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Claimed {
+struct ClaimState {
     demand: u64,
     used: u64,
     answers: u64,
-    /// Its newest grant by this divider.
+    /// The units of the newest grant since this allocator became the leader.
     granted: u64,
-    /// It has asked, and has had no grant since.
-    owed: bool,
+    /// Whether the last request has had no answer yet.
+    unanswered: bool,
 }
 
+/// A node incarnation that sent requests recently.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Asker {
+struct Requester {
+    /// When the last request arrived.
     received: Micros,
+    /// The version of the configuration that the node uses.
     plan: u64,
-    claims: BTreeMap<String, Claimed>,
-    hurried: Micros,
+    claims: BTreeMap<String, ClaimState>,
+    asked_again_at: Micros,
 }
 
-impl Asker {
-    fn is_owed(&self) -> bool {
-        self.claims.values().any(|c| c.owed)
+impl Requester {
+    fn is_unanswered(&self) -> bool {
+        self.claims.values().any(|c| c.unanswered)
     }
 
     fn is_short(&self) -> bool {
         self.claims.values().any(|c| c.demand > c.granted)
     }
 
-    /// It is owed an answer, and short.
-    fn is_pressed(&self) -> bool {
-        self.is_owed() && self.is_short()
+    /// Returns whether an answer is due to a node that lacks units.
+    fn is_waiting(&self) -> bool {
+        self.is_unanswered() && self.is_short()
     }
 }
 
-/// Something to say to a life.
+/// A message to a node incarnation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
-    /// To whom.
+    /// The incarnation that receives the message.
     pub to: NodeIncarnation,
-    /// What.
+    /// The message to send.
     pub message: Message,
 }
 
-/// One divider.
+/// The decisions of one quota server.
 #[derive(Clone, Debug)]
 pub struct Allocator {
     name: String,
-    /// The operator's file as this divider has it.
-    file: Plan,
+    /// The configuration that this allocator last read, which may not be committed yet.
+    configured_plan: Plan,
     state: ReplicatedState,
-    leads: bool,
-    proposing: bool,
-    askers: BTreeMap<NodeIncarnation, Asker>,
-    proposed: Micros,
-    /// The number of the fleet, should this one found it.
+    is_leader: bool,
+    proposal_pending: bool,
+    requesters: BTreeMap<NodeIncarnation, Requester>,
+    proposed_at: Micros,
+    /// The epoch to propose after the log was initialized.
     epoch: u32,
-    /// The newest version whose reserves had room beside all that was granted.
-    covered: u64,
-    /// Somebody who is short may be owed an answer: not sure before it is looked at, but surely not where this is false.
-    pressed: bool,
+    /// The newest version of the configuration whose reserves fit into the totals beside all grants.
+    covered_version: u64,
+    /// `false` means that no requester is waiting; `true` means that one may be.
+    may_be_waiting: bool,
 }
 
 impl Allocator {
-    /// One of that name, with that file of the operator's; it leads nobody yet. `epoch` is drawn by chance.
-    pub fn new(name: &str, file: Plan, epoch: u32) -> Allocator {
+    /// Returns an allocator that is not the leader. `epoch` is a random number.
+    pub fn new(name: &str, configured_plan: Plan, epoch: u32) -> Allocator {
         Allocator {
             name: name.to_string(),
-            file,
+            configured_plan,
             state: ReplicatedState::default(),
-            leads: false,
-            proposing: false,
-            askers: BTreeMap::new(),
-            proposed: Micros::MIN / 2,
+            is_leader: false,
+            proposal_pending: false,
+            requesters: BTreeMap::new(),
+            proposed_at: Micros::MIN / 2,
             epoch,
-            covered: 0,
-            pressed: false,
+            covered_version: 0,
+            may_be_waiting: false,
         }
     }
 
-    /// What was agreed on.
+    /// Returns the state that results from the replicated log.
     pub fn state(&self) -> &ReplicatedState {
         &self.state
     }
 
-    /// The operator's file has been read again.
-    pub fn set_plan(&mut self, file: Plan) {
-        self.file = file;
+    /// Sets a configuration for the leader to propose; it is ignored unless its version is newer than the committed one.
+    pub fn set_plan(&mut self, configured_plan: Plan) {
+        self.configured_plan = configured_plan;
     }
 
-    /// Go on from a snapshot.
-    pub fn restore(&mut self, kept: &StateSnapshot, now: Micros) {
-        self.state = ReplicatedState::restore(kept, now);
+    /// Replaces the state by a snapshot; the terms of all its grants count from `now`.
+    pub fn restore(&mut self, snapshot: &StateSnapshot, now: Micros) {
+        self.state = ReplicatedState::restore(snapshot, now);
     }
 
-    /// An entry was agreed on. Whether it changed anything.
+    /// See [`ReplicatedState::apply`].
     pub fn apply(&mut self, entry: &Entry, now: Micros) -> bool {
         self.state.apply(entry, now)
     }
 
-    /// It leads from now on, and knows all that was agreed on; or it leads no more.
-    pub fn set_leader(&mut self, leads: bool) {
-        (self.leads, self.proposing) = (leads, false);
-        self.askers.clear();
+    /// Starts or ends leadership. A new leader must have applied all committed entries.
+    pub fn set_leader(&mut self, is_leader: bool) {
+        (self.is_leader, self.proposal_pending) = (is_leader, false);
+        self.requesters.clear();
     }
 
-    /// Whether it leads.
+    /// Returns whether this allocator is the leader.
     pub fn is_leader(&self) -> bool {
-        self.leads
+        self.is_leader
     }
 
-    /// A life that says nothing for that long is thought dead.
-    fn silence(&self) -> Micros {
+    /// Returns the time without a request after which a node incarnation is suspected, in microseconds.
+    fn suspicion_timeout(&self) -> Micros {
         self.state.plan().map_or(0, |p| p.term * 3 / 4)
     }
 
-    /// A node has said something. Words are for the divider that leads: the others say who does.
+    /// Processes a message of a node; ignored unless this allocator is the leader.
     pub fn receive(&mut self, message: &Message, now: Micros) {
-        if !self.leads {
+        if !self.is_leader {
             return;
         }
         match message {
@@ -299,32 +303,32 @@
                 if self.state.plan().is_none_or(|p| p.name_of(holder.node).is_none()) {
                     return;
                 }
-                let asker = self.askers.entry(*holder).or_insert(Asker {
+                let requester = self.requesters.entry(*holder).or_insert(Requester {
                     received: now,
                     plan: *plan,
                     claims: BTreeMap::new(),
-                    hurried: Micros::MIN / 2,
+                    asked_again_at: Micros::MIN / 2,
                 });
-                (asker.received, asker.plan) = (now, *plan);
+                (requester.received, requester.plan) = (now, *plan);
                 let epoch = self.state.epoch;
                 for c in claims {
                     let Some(ledger) = self.state.ledgers.get_mut(&c.budget) else { continue };
                     if Some(c.in_force.0) == epoch {
                         ledger.acknowledge(*holder, c.in_force.1);
                     }
-                    let claimed = asker.claims.entry(c.budget.clone()).or_default();
-                    // What was overtaken on the way tells nothing new.
-                    if c.answers >= claimed.answers {
-                        *claimed = Claimed {
+                    let claim_state = requester.claims.entry(c.budget.clone()).or_default();
+                    // A request that was overtaken by a later one is outdated.
+                    if c.answers >= claim_state.answers {
+                        *claim_state = ClaimState {
                             demand: c.demand,
                             used: c.used,
                             answers: c.answers,
-                            owed: true,
-                            ..*claimed
+                            unanswered: true,
+                            ..*claim_state
                         };
                     }
                 }
-                self.pressed |= asker.is_pressed();
+                self.may_be_waiting |= requester.is_waiting();
             }
             Message::Acknowledge { holder, grants } => {
                 for (name, _, number) in grants.iter().filter(|b| Some(b.1) == self.state.epoch) {
@@ -344,124 +348,131 @@
                         .filter(|_| same)
                         .into_iter()
                         .for_each(|l| l.release(*holder, *number));
-                    // A holder that gives back sends no more askings for that life.
-                    self.askers.get_mut(holder).into_iter().for_each(|a| {
+                    // An incarnation that has released a budget sends no more claims for it.
+                    self.requesters.get_mut(holder).into_iter().for_each(|a| {
                         a.claims.remove(name);
                     });
                 }
-                if self.askers.get(holder).is_some_and(|a| a.claims.is_empty()) {
-                    self.askers.remove(holder);
+                if self.requesters.get(holder).is_some_and(|a| a.claims.is_empty()) {
+                    self.requesters.remove(holder);
                 }
             }
             Message::Grants { .. } | Message::AskAgain { .. } | Message::NotLeader { .. } => {}
         }
     }
 
-    /// A node is known to have left, or to be gone. It frees nothing.
+    /// Suspects all incarnations of a node that has left or is dead. Their grants stay charged until they expire.
     pub fn remove_node(&mut self, node: NodeId) {
-        for holder in self.askers.keys().copied().filter(|l| l.node == node).collect::<Vec<_>>() {
-            self.askers.remove(&holder);
+        for holder in self.requesters.keys().copied().filter(|l| l.node == node).collect::<Vec<_>>() {
+            self.requesters.remove(&holder);
             self.state.ledgers.values_mut().for_each(|l| l.suspect(holder, true));
         }
     }
 
-    fn tidy(&mut self, now: Micros) {
+    /// Drops expired grants and requesters that sent nothing recently, and suspects holders that are not requesters.
+    fn update_suspicions(&mut self, now: Micros) {
         self.state.expire(now);
-        let from = now - self.silence();
-        self.askers.retain(|_, a| a.received >= from);
+        let from = now - self.suspicion_timeout();
+        self.requesters.retain(|_, a| a.received >= from);
         for ledger in self.state.ledgers.values_mut() {
             for holder in ledger.holders().collect::<Vec<_>>() {
-                ledger.suspect(holder, !self.askers.contains_key(&holder));
+                ledger.suspect(holder, !self.requesters.contains_key(&holder));
             }
         }
     }
 
-    /// The part of each life that is heard of, by demand.
-    fn parts(&self, budget: &Budget, now: Micros) -> BTreeMap<NodeIncarnation, u64> {
+    /// Returns the share of each requester of a budget.
+    fn shares(&self, budget: &Budget, now: Micros) -> BTreeMap<NodeIncarnation, u64> {
         let Some(ledger) = self.state.ledgers.get(&budget.name) else { return BTreeMap::new() };
-        let who: Vec<(NodeIncarnation, Claimed)> =
-            self.askers.iter().filter_map(|(l, a)| Some((*l, *a.claims.get(&budget.name)?))).collect();
-        // A home is not shared by demand: its own node has it if it wants it, else who has it keeps it while it wants it. Nobody is lent it,
-        // since who may have held it may have placed its keys.
+        let claimants: Vec<(NodeIncarnation, ClaimState)> =
+            self.requesters.iter().filter_map(|(l, a)| Some((*l, *a.claims.get(&budget.name)?))).collect();
+        // The lease of a key range isn't divided by demand: the range's own node comes first, then the current holder. Nodes that
+        // don't ask for it get nothing, since a node that may have held it may also have placed its keys.
         if let Some(BudgetKind::Home(home)) = BudgetKind::of(&budget.name) {
             let own = home.split_once('/').map(|(_, node)| NodeId::of(node));
             let rank = |l: &NodeIncarnation| (Some(l.node) != own, ledger.charge(*l) == 0, *l);
-            let first = who.iter().filter(|(_, c)| c.demand > 0).map(|(l, _)| *l).min_by_key(rank);
-            return who.into_iter().map(|(l, _)| (l, u64::from(Some(l) == first))).collect();
+            let first = claimants.iter().filter(|(_, c)| c.demand > 0).map(|(l, _)| *l).min_by_key(rank);
+            return claimants.into_iter().map(|(l, _)| (l, u64::from(Some(l) == first))).collect();
         }
-        let claims: Vec<Claim> = who
+        let claims: Vec<Claim> = claimants
             .iter()
             .map(|(holder, c)| Claim {
-                // What its reserve covers it needs no grant for.
+                // Demand that the reserve covers needs no grant.
                 demand: c.demand.saturating_sub(budget.reserve),
                 floor: budget.floor,
                 held: ledger.charge(*holder),
             })
             .collect();
         let total = ledger.divisible();
-        let moves = MoveLimits { band_percent: BAND_PERCENT, most: (budget.total / 2).max(1) };
-        // Single units go round from term to term.
-        let turn = (now / self.state.plan().map_or(1, |p| p.term.max(1))).unsigned_abs();
-        let parts = rebalance(total, &claims, turn, moves).or_else(|_| {
-            // Much is in doubt: nobody has a floor then.
-            let bare: Vec<Claim> = claims.iter().map(|c| Claim { floor: 0, ..*c }).collect();
-            rebalance(total, &bare, turn, moves)
+        let limits = MoveLimits { band_percent: BAND_PERCENT, max_taken: (budget.total / 2).max(1) };
+        // Units that don't divide evenly go to other holders in each term.
+        let rotation = (now / self.state.plan().map_or(1, |p| p.term.max(1))).unsigned_abs();
+        let shares = rebalance(total, &claims, rotation, limits).or_else(|_| {
+            // So much is withheld for suspected holders that the floors don't fit: allocate without floors.
+            let without_floors: Vec<Claim> = claims.iter().map(|c| Claim { floor: 0, ..*c }).collect();
+            rebalance(total, &without_floors, rotation, limits)
         });
-        who.into_iter().map(|(holder, _)| holder).zip(parts.unwrap_or_default()).collect()
+        claimants.into_iter().map(|(holder, _)| holder).zip(shares.unwrap_or_default()).collect()
     }
 
-    /// What the fleet should agree on now, if anything; one proposal at a time, see [`Allocator::settled`].
+    /// Returns the next entry to append to the replicated log, if any. The next one follows only after
+    /// [`Allocator::complete_proposal`].
     pub fn propose(&mut self, now: Micros) -> Option<Entry> {
-        if !self.leads || self.proposing || self.rests(now) {
+        if !self.is_leader || self.proposal_pending || self.is_idle(now) {
             return None;
         }
-        self.tidy(now);
+        self.update_suspicions(now);
         let entry = self.next_entry(now)?;
-        (self.proposing, self.proposed) = (true, now);
+        (self.proposal_pending, self.proposed_at) = (true, now);
         Some(entry)
     }
 
-    /// Whether nothing is to be agreed on for now, whoever has fallen silent. Guards against going through all lives of all budgets at
-    /// every look.
-    fn rests(&self, now: Micros) -> bool {
+    /// Returns whether no proposal can be due yet. Guards against iterating over all holders of all budgets on each call.
+    fn is_idle(&self, now: Micros) -> bool {
         let newest = self.state.plan().map_or(0, |p| p.version);
-        let settled =
-            self.file.version <= newest && self.state.epoch.is_some() && self.state.plans.len() == 1;
-        settled && now < self.proposed + if self.pressed { GAP } else { CALM }
+        let is_settled = self.configured_plan.version <= newest
+            && self.state.epoch.is_some()
+            && self.state.plans.len() == 1;
+        is_settled
+            && now
+                < self.proposed_at
+                    + if self.may_be_waiting { MIN_PROPOSAL_INTERVAL } else { RENEWAL_INTERVAL }
     }
 
     fn next_entry(&mut self, now: Micros) -> Option<Entry> {
         let newest = self.state.plan().map_or(0, |p| p.version);
-        if self.file.version > newest {
-            return Some(Entry::Plan(Box::new(self.file.clone())));
+        if self.configured_plan.version > newest {
+            return Some(Entry::Plan(Box::new(self.configured_plan.clone())));
         }
         if self.state.epoch.is_none() {
-            return (now > self.state.opens()?).then_some(Entry::Open(self.epoch));
+            return (now > self.state.grants_start_at()?).then_some(Entry::Open(self.epoch));
         }
-        if self.state.plans.len() > 1 && self.all_go_by(newest) {
+        if self.state.plans.len() > 1 && self.all_use_version(newest) {
             return Some(Entry::Settled(newest));
         }
-        self.pressed = self.askers.values().any(Asker::is_pressed);
-        let gap = if self.pressed { GAP } else { CALM };
-        if now < self.proposed + gap || !self.askers.values().any(|a| a.is_owed() || a.is_short()) {
+        self.may_be_waiting = self.requesters.values().any(Requester::is_waiting);
+        let interval = if self.may_be_waiting { MIN_PROPOSAL_INTERVAL } else { RENEWAL_INTERVAL };
+        if now < self.proposed_at + interval
+            || !self.requesters.values().any(|a| a.is_unanswered() || a.is_short())
+        {
             return None;
         }
         let (mut base, mut grants) = (BTreeMap::new(), Vec::new());
         for budget in self.state.plan()?.budgets.clone() {
-            let parts = self.parts(&budget, now);
+            let shares = self.shares(&budget, now);
             let Some(mut ledger) = self.state.ledgers.get(&budget.name).cloned() else { continue };
             let before = ledger.last_number();
-            // Who shrinks comes first, then who is owed an answer; whoever is short of its part may have more of an
-            // earlier asking's.
-            let mut order: Vec<NodeIncarnation> = parts.keys().copied().collect();
-            let claimed = |l: &NodeIncarnation| self.askers[l].claims[&budget.name];
-            order.sort_by_cached_key(|l| (parts[l] > ledger.charge(*l), !claimed(l).owed, *l));
+            // Shares that shrink come first, then unanswered requests. A holder below its share may get more for a request that
+            // was answered before.
+            let mut order: Vec<NodeIncarnation> = shares.keys().copied().collect();
+            let claim_of = |l: &NodeIncarnation| self.requesters[l].claims[&budget.name];
+            order.sort_by_cached_key(|l| (shares[l] > ledger.charge(*l), !claim_of(l).unanswered, *l));
             for holder in order {
-                let (c, part) = (claimed(&holder), parts[&holder]);
-                let grant = ledger.offer(holder, part, c.answers);
-                // Nothing at all needs no grant, unless it takes the place of something.
-                let outgoing_messages = grant.amount > 0 || ledger.charge(holder) > 0;
-                if outgoing_messages && (c.owed || grant.amount > c.granted) {
+                let (c, share) = (claim_of(&holder), shares[&holder]);
+                let grant = ledger.offer(holder, share, c.answers);
+                // A grant of 0 units is needed only to replace an earlier grant.
+                let is_needed = grant.amount > 0 || ledger.charge(holder) > 0;
+                if is_needed && (c.unanswered || grant.amount > c.granted) {
                     ledger.record(grant, now);
                     grants.push((budget.name.clone(), grant));
                 }
@@ -471,100 +482,105 @@
             }
         }
         if grants.is_empty() {
-            self.proposed = now;
+            self.proposed_at = now;
             return None;
         }
         Some(Entry::Grants { base, grants })
     }
 
-    /// Whether every node that is listed has said that it goes by that version, in all its lives that are heard of.
-    fn all_go_by(&self, version: u64) -> bool {
+    /// Returns whether every listed node has sent requests, and all its incarnations use this version of the configuration or a
+    /// newer one.
+    fn all_use_version(&self, version: u64) -> bool {
         let Some(plan) = self.state.plan() else { return false };
-        let lives =
-            |node: NodeId| self.askers.iter().filter(move |(l, _)| l.node == node).map(|(_, a)| a.plan);
+        let versions =
+            |node: NodeId| self.requesters.iter().filter(move |(l, _)| l.node == node).map(|(_, a)| a.plan);
         plan.members.iter().all(|p| {
-            let mut all = lives(NodeId::of(&p.name)).peekable();
+            let mut all = versions(NodeId::of(&p.name)).peekable();
             all.peek().is_some() && all.all(|v| v >= version)
         })
     }
 
-    /// What was proposed has been agreed on, and changed something, or not. What is to be said now.
-    pub fn complete_proposal(&mut self, entry: &Entry, agreed: bool, now: Micros) -> Vec<Outgoing> {
-        self.proposing = false;
-        let (Entry::Grants { grants, .. }, true, true) = (entry, agreed, self.leads) else {
+    /// Ends a proposal and returns the messages to send. `changed` is whether the entry was committed and changed the
+    /// state.
+    pub fn complete_proposal(&mut self, entry: &Entry, changed: bool, now: Micros) -> Vec<Outgoing> {
+        self.proposal_pending = false;
+        let (Entry::Grants { grants, .. }, true, true) = (entry, changed, self.is_leader) else {
             return Vec::new();
         };
-        let mut notified: BTreeMap<NodeIncarnation, Vec<BudgetGrant>> = BTreeMap::new();
+        let mut grants_by_holder: BTreeMap<NodeIncarnation, Vec<BudgetGrant>> = BTreeMap::new();
         for (name, grant) in grants {
-            notified.entry(grant.holder).or_default().push(BudgetGrant::of(name, grant));
-            let asker = self.askers.get_mut(&grant.holder);
-            if let Some(c) = asker.and_then(|a| a.claims.get_mut(name)).filter(|c| c.answers == grant.answers)
+            grants_by_holder.entry(grant.holder).or_default().push(BudgetGrant::of(name, grant));
+            let requester = self.requesters.get_mut(&grant.holder);
+            if let Some(c) =
+                requester.and_then(|a| a.claims.get_mut(name)).filter(|c| c.answers == grant.answers)
             {
-                (c.granted, c.owed) = (grant.amount, false);
+                (c.granted, c.unanswered) = (grant.amount, false);
             }
         }
-        self.answers(notified, now)
+        self.build_answers(grants_by_holder, now)
     }
 
-    /// Grants to their lives, a bare answer to who was owed one and had nothing granted, and a call to who has more than its part
-    /// while others are short.
-    fn answers(
+    /// Returns the messages that deliver grants, answers without grants to all other unanswered requests, and requests to ask
+    /// again for holders that have more than their share while others lack units.
+    fn build_answers(
         &mut self,
-        mut notified: BTreeMap<NodeIncarnation, Vec<BudgetGrant>>,
+        mut grants_by_holder: BTreeMap<NodeIncarnation, Vec<BudgetGrant>>,
         now: Micros,
     ) -> Vec<Outgoing> {
-        let plan = self.covered();
-        for (holder, asker) in &mut self.askers {
-            let mut owed = false;
-            for c in asker.claims.values_mut().filter(|c| c.owed) {
-                (c.owed, c.granted, owed) = (false, 0, true);
+        let plan = self.update_covered_version();
+        for (holder, requester) in &mut self.requesters {
+            let mut unanswered = false;
+            for c in requester.claims.values_mut().filter(|c| c.unanswered) {
+                (c.unanswered, c.granted, unanswered) = (false, 0, true);
             }
-            if owed {
-                notified.entry(*holder).or_default();
+            if unanswered {
+                grants_by_holder.entry(*holder).or_default();
             }
         }
-        let mut all: Vec<Outgoing> = notified
+        let mut all: Vec<Outgoing> = grants_by_holder
             .into_iter()
             .map(|(holder, grants)| Outgoing {
                 to: holder,
                 message: Message::Grants { holder, plan, grants },
             })
             .collect();
-        for holder in self.has_too_much(now) {
-            self.askers.get_mut(&holder).into_iter().for_each(|a| a.hurried = now);
+        for holder in self.holders_above_share(now) {
+            self.requesters.get_mut(&holder).into_iter().for_each(|a| a.asked_again_at = now);
             all.push(Outgoing { to: holder, message: Message::AskAgain { holder } });
         }
         all
     }
 
-    /// The version that nodes are told of: a reserve may be used once it has room. One that has grown takes it from parts that were
-    /// granted before, which are used until their holders go by smaller ones (found by mutants).
-    fn covered(&mut self) -> u64 {
+    /// Updates and returns the version of the configuration whose reserves nodes may use. Reserves that were raised may be used
+    /// only after earlier grants have shrunk so far that the reserves fit into the totals.
+    fn update_covered_version(&mut self) -> u64 {
         let Some(plan) = self.state.plan() else { return 0 };
         let debt = |b: &Budget| self.state.ledgers.get(&b.name).map_or(0, |l| l.account().debt);
         if !plan.budgets.iter().any(|b| b.reserve > 0 && debt(b) > 0) {
-            self.covered = plan.version;
+            self.covered_version = plan.version;
         }
-        self.covered
+        self.covered_version
     }
 
-    fn has_too_much(&self, now: Micros) -> BTreeSet<NodeIncarnation> {
+    /// Returns the holders that have more than their share of a budget of which others lack units.
+    fn holders_above_share(&self, now: Micros) -> BTreeSet<NodeIncarnation> {
         let mut found = BTreeSet::new();
         for budget in self.state.plan().map(|p| p.budgets.as_slice()).unwrap_or_default() {
             let Some(ledger) = self.state.ledgers.get(&budget.name) else { continue };
-            let parts = self.parts(budget, now);
-            let granted = |l: &NodeIncarnation| self.askers[l].claims[&budget.name].granted;
-            if !parts.iter().any(|(l, p)| *p > granted(l)) {
+            let shares = self.shares(budget, now);
+            let granted = |l: &NodeIncarnation| self.requesters[l].claims[&budget.name].granted;
+            if !shares.iter().any(|(l, p)| *p > granted(l)) {
                 continue;
             }
-            let much =
-                |l: &NodeIncarnation, p: u64| ledger.charge(*l) > p && now >= self.askers[l].hurried + HURRY;
-            found.extend(parts.iter().filter(|(l, p)| much(l, **p)).map(|(l, _)| *l));
+            let is_above_share = |l: &NodeIncarnation, p: u64| {
+                ledger.charge(*l) > p && now >= self.requesters[l].asked_again_at + ASK_AGAIN_INTERVAL
+            };
+            found.extend(shares.iter().filter(|(l, p)| is_above_share(l, **p)).map(|(l, _)| *l));
         }
         found
     }
 
-    /// Where everything is, for operators; `leader` is who leads by the agreement's word.
+    /// Returns the status for operators; `leader` is the leader's name, if the replicated log knows one.
     pub fn status(&self, leader: Option<String>, now: Micros) -> Status {
         let plan = self.state.plan().cloned().unwrap_or_default();
         let budgets = plan.budgets.iter().filter_map(|b| self.budget_status(b, &plan, now)).collect();
@@ -584,31 +600,32 @@
     fn budget_status(&self, b: &Budget, plan: &Plan, now: Micros) -> Option<BudgetStatus> {
         let ledger = self.state.ledgers.get(&b.name)?;
         let account = ledger.account();
-        let claimed = |l: &NodeIncarnation| {
-            self.askers.get(l).and_then(|a| a.claims.get(&b.name)).copied().unwrap_or_default()
+        let claim_of = |l: &NodeIncarnation| {
+            self.requesters.get(l).and_then(|a| a.claims.get(&b.name)).copied().unwrap_or_default()
         };
-        let mut lives: BTreeSet<NodeIncarnation> = ledger.holders().collect();
-        lives.extend(self.askers.iter().filter(|(_, a)| a.claims.contains_key(&b.name)).map(|(l, _)| *l));
-        let parts: Vec<PartStatus> = lives
+        let mut holders: BTreeSet<NodeIncarnation> = ledger.holders().collect();
+        holders
+            .extend(self.requesters.iter().filter(|(_, a)| a.claims.contains_key(&b.name)).map(|(l, _)| *l));
+        let parts: Vec<PartStatus> = holders
             .iter()
             .map(|l| PartStatus {
                 node: plan.name_of(l.node).map_or_else(|| format!("?{}", l.node.0), str::to_string),
                 incarnation: l.incarnation,
                 amount: ledger.charge(*l),
-                demand: claimed(l).demand,
-                used: claimed(l).used,
+                demand: claim_of(l).demand,
+                used: claim_of(l).used,
                 number: ledger.newest_number(*l),
-                received: self.askers.get(l).map(|a| now - a.received),
+                received: self.requesters.get(l).map(|a| now - a.received),
                 is_suspected: ledger.is_suspected(*l),
             })
             .collect();
-        let beyond = |p: &PartStatus| if p.is_suspected { 0 } else { p.amount.saturating_sub(p.demand) };
+        let surplus_of = |p: &PartStatus| if p.is_suspected { 0 } else { p.amount.saturating_sub(p.demand) };
         Some(BudgetStatus {
             name: b.name.clone(),
             total: account.total,
             reserved: account.reserved,
             granted: account.granted,
-            surplus: parts.iter().map(beyond).sum(),
+            surplus: parts.iter().map(surplus_of).sum(),
             withheld: account.withheld,
             free: account.free,
             debt: account.debt,
--- a/crates/quota/src/client.rs
+++ b/crates/quota/src/client.rs
@@ -1,4 +1,4 @@
-//! One node's side of all budgets: when it asks whom, what it may use now, and what it says as it leaves.
+//! A node's client of the quota servers: its requests, its leases and its demand for each budget.
 
 use crate::config::{Budget, BudgetKind, Per, Plan};
 use crate::lease::Holder;
@@ -6,85 +6,89 @@
 use crate::{Grant, LeasePeriod, Micros, NodeIncarnation};
 use std::collections::BTreeMap;
 
-/// It asks this often in a term at least.
-const ASKS: Micros = 4;
-/// It asks no sooner than this after it has asked, however short it is.
-const SOONEST: Micros = 100_000;
-/// An asking that nobody has answered by then is done again, from the next divider.
-const ANSWER: Micros = 300_000;
-/// An asking is sent on from one divider to another this often at most.
-const SENT_ON: u32 = 2;
-/// What was wanted is a running mean over this.
-const MEMORY: Micros = 1_500_000;
+/// The number of requests per lease term.
+const REQUESTS_PER_TERM: Micros = 4;
+/// The shortest time between requests, in microseconds.
+const MIN_REQUEST_INTERVAL: Micros = 100_000;
+/// The time after which an unanswered request is repeated to the next allocator, in microseconds.
+const ANSWER_TIMEOUT: Micros = 300_000;
+/// The most redirects between allocators that a request follows.
+const MAX_REDIRECTS: u32 = 2;
+/// The time constant of the exponential moving average of the demand, in microseconds.
+const DEMAND_TIME_CONSTANT: Micros = 1_500_000;
 
-/// What a node did with a budget since it last said so.
+/// A node's use of a budget since its last report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Units that were wanted since then; of what is in use at once, the most at any moment.
+    /// The units wanted; for budgets of concurrent use the most at any time.
     pub wanted: u64,
-    /// Units that were used since then; of what is in use at once, those in use.
+    /// The units used; for budgets of concurrent use those in use now.
     pub used: u64,
 }
 
-/// Something to say to a divider.
+/// A message to an allocator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
-    /// Its place in the file.
+    /// The index of the allocator in the configuration.
     pub to: usize,
-    /// What.
+    /// The message to send.
     pub message: Message,
 }
 
+/// A node's lease on one budget and its use.
 #[derive(Clone, Debug)]
 struct Held {
     budget: Budget,
     holder: Holder,
-    /// Wanted since the last asking, and the demand that was told then.
+    /// The use since the last request.
     since: Usage,
-    notified: u64,
-    /// What was wanted lately, by the second or at once.
+    /// The demand in the last request, in units.
+    reported: u64,
+    /// The moving average of the wanted units, per second or at once.
     mean: f64,
-    /// The number of the grant that nothing in use goes beyond any more.
+    /// The epoch and the number of the last grant that the use has not exceeded.
     settled: (u32, u64),
-    /// It has become smaller, which was not told yet.
-    shrinks: bool,
-    /// It was wanted at some time.
-    ever: bool,
+    /// Whether the grant became smaller and this was not acknowledged yet.
+    has_shrunk: bool,
+    /// Whether the node ever demanded units.
+    was_wanted: bool,
 }
 
 impl Held {
-    /// Whether a grant is newly gone by: nothing that was begun under a greater one is in use beyond it. Its number.
+    /// Returns the epoch and the number of the grant in force once the use no longer exceeds it; `None` if they were returned
+    /// before.
     fn settle(&mut self, now: Micros) -> Option<(u32, u64)> {
         let debt = match self.budget.per {
             Per::Second { .. } => 0,
             Per::Moment { .. } => self.holder.debt(self.since.used, now),
         };
         let number = self.holder.in_force();
-        let updates = debt == 0 && number != self.settled;
-        self.settled = if updates { number } else { self.settled };
-        updates.then_some(number)
+        let is_newly_settled = debt == 0 && number != self.settled;
+        self.settled = if is_newly_settled { number } else { self.settled };
+        is_newly_settled.then_some(number)
     }
 
-    /// What was wanted lately, that long after the last asking, and the demand that follows from it: hardly more, since where all
-    /// is wanted room for one is taken from another, and where it isn't room is lent. A jump, up or down, is told at once.
+    /// Returns the updated average of the wanted units and the demand to request, `span` microseconds after the last request.
+    /// The demand is the average rounded up, without a margin: unused units are distributed among the nodes anyway. After a
+    /// jump up or down the average restarts from the new value.
     fn demand(&self, span: Micros) -> (f64, u64) {
-        // A home is wanted or not: a mean of it would keep it for seconds from the node that it belongs to.
+        // A key range is wanted or not; an average would delay its return to its own node by seconds.
         if matches!(BudgetKind::of(&self.budget.name), Some(BudgetKind::Home(_))) {
             return (0.0, self.since.wanted);
         }
-        let span = span.max(SOONEST) as f64;
+        let span = span.max(MIN_REQUEST_INTERVAL) as f64;
         let wanted = match self.budget.per {
             Per::Second { .. } => self.since.wanted as f64 * 1e6 / span,
             Per::Moment { .. } => self.since.wanted as f64,
         };
-        // A home is wanted or not.
+        // A key range is wanted or not.
         if self.is_home() {
             return (wanted, u64::from(wanted > 0.0));
         }
-        let mean = self.mean + (1.0 - (-span / MEMORY as f64).exp()) * (wanted - self.mean);
-        let jumps = wanted > 1.5 * self.mean + 3.0 || wanted < self.mean / 1.5 - 3.0;
-        let mean = if jumps { wanted } else { mean };
-        // What is next to nothing is nothing.
+        let mean = self.mean + (1.0 - (-span / DEMAND_TIME_CONSTANT as f64).exp()) * (wanted - self.mean);
+        let has_jumped = wanted > 1.5 * self.mean + 3.0 || wanted < self.mean / 1.5 - 3.0;
+        let mean = if has_jumped { wanted } else { mean };
+        // An average that has decayed to almost zero counts as zero.
         (mean, if mean < 0.05 { 0 } else { mean.ceil() as u64 })
     }
 
@@ -92,82 +96,82 @@
         matches!(BudgetKind::of(&self.budget.name), Some(BudgetKind::Home(_)))
     }
 
-    /// Use nothing more; what to tell of it, unless something is in use.
+    /// Releases the lease and returns what to report as released, unless units are in use.
     fn release(&mut self) -> Option<(String, u32, u64)> {
         let (epoch, number) = self.holder.release();
-        let busy = matches!(self.budget.per, Per::Moment { .. }) && self.since.used > 0;
-        (number > 0 && !busy).then(|| (self.budget.name.clone(), epoch, number))
+        let is_in_use = matches!(self.budget.per, Per::Moment { .. }) && self.since.used > 0;
+        (number > 0 && !is_in_use).then(|| (self.budget.name.clone(), epoch, number))
     }
 }
 
-/// One life of a node, and what it may use.
+/// The client of one incarnation of a node.
 #[derive(Clone, Debug)]
 pub struct QuotaClient {
     incarnation: NodeIncarnation,
     plan: Plan,
     held: BTreeMap<String, Held>,
-    /// Budgets that a file named no more. One that is named again goes on from here: what was on the way to it meanwhile would
-    /// answer an asking of a count that began anew.
-    gone: BTreeMap<String, Held>,
-    born: Micros,
-    /// It has the node's address, so that the reserve is its own.
-    owns: bool,
-    /// The version that the dividers last named.
-    agreed: Option<u64>,
+    /// Budgets that were removed from the configuration. One that is added again continues its request numbers, so that a
+    /// delayed answer does not match a new request.
+    removed: BTreeMap<String, Held>,
+    started_at: Micros,
+    /// Whether this process owns the node's address and with it the reserves.
+    owns_address: bool,
+    /// The latest version of the configuration that an allocator reported.
+    committed_version: Option<u64>,
     allocator: usize,
-    /// When it last asked, and whether that was answered.
-    asked: Option<Micros>,
+    /// When the last request was sent.
+    asked_at: Option<Micros>,
     answered: bool,
-    hurry: bool,
-    /// How often this asking was sent on to another divider.
-    sent_on: u32,
-    left: bool,
+    ask_now: bool,
+    /// The redirects that the last request has followed.
+    redirects: u32,
+    has_left: bool,
     outgoing: Vec<Outgoing>,
 }
 
 impl QuotaClient {
-    /// One that starts now, with that file. `first` says which divider it asks first.
+    /// Returns a client of a process that starts now. It asks the allocator with index `first`, modulo their number, first.
     pub fn new(incarnation: NodeIncarnation, plan: Plan, first: usize, now: Micros) -> QuotaClient {
         let allocator = first % plan.allocators.len().max(1);
         let mut quota_client = QuotaClient {
             incarnation,
             plan: Plan::default(),
             held: BTreeMap::new(),
-            gone: BTreeMap::new(),
-            born: now,
-            owns: false,
-            agreed: None,
+            removed: BTreeMap::new(),
+            started_at: now,
+            owns_address: false,
+            committed_version: None,
             allocator,
-            asked: None,
+            asked_at: None,
             answered: false,
-            hurry: true,
-            sent_on: 0,
-            left: false,
+            ask_now: true,
+            redirects: 0,
+            has_left: false,
             outgoing: Vec::new(),
         };
         quota_client.replan(plan, now);
         quota_client
     }
 
-    /// Which life it is.
+    /// Returns the incarnation of the node that the client asks for.
     pub fn incarnation(&self) -> NodeIncarnation {
         self.incarnation
     }
 
-    /// The file that it goes by.
+    /// Returns the configuration in use.
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
 
-    /// Another file holds. Grants go on; of a budget that is gone nothing is used any more.
+    /// Replaces the configuration. Leases on budgets that it still has continue; those on others are released.
     pub fn replan(&mut self, plan: Plan, now: Micros) {
-        let gone: Vec<String> =
+        let removed: Vec<String> =
             self.held.keys().filter(|n| plan.budgets.iter().all(|b| b.name != **n)).cloned().collect();
         let mut grants = Vec::new();
-        for (name, mut held) in gone.into_iter().filter_map(|name| self.held.remove_entry(&name)) {
+        for (name, mut held) in removed.into_iter().filter_map(|name| self.held.remove_entry(&name)) {
             grants.extend(held.release());
-            (held.mean, held.notified, held.shrinks, held.since.wanted) = (0.0, 0, false, 0);
-            self.gone.insert(name, held);
+            (held.mean, held.reported, held.has_shrunk, held.since.wanted) = (0.0, 0, false, 0);
+            self.removed.insert(name, held);
         }
         if !grants.is_empty() {
             self.send(Message::Returns { holder: self.incarnation, grants });
@@ -178,13 +182,13 @@
                 budget: budget.clone(),
                 holder: Holder::new(self.incarnation, 0, term),
                 since: Usage::default(),
-                notified: 0,
+                reported: 0,
                 mean: 0.0,
                 settled: (0, 0),
-                shrinks: false,
-                ever: false,
+                has_shrunk: false,
+                was_wanted: false,
             };
-            let before = self.gone.remove(&budget.name);
+            let before = self.removed.remove(&budget.name);
             self.held.entry(budget.name.clone()).or_insert_with(|| before.unwrap_or_else(new));
         }
         self.allocator %= plan.allocators.len().max(1);
@@ -193,33 +197,34 @@
             let Some(budget) = self.plan.budgets.iter().find(|b| b.name == held.budget.name) else {
                 continue;
             };
-            // Until the dividers count another reserve, the lesser one is used.
-            let newer = self.agreed.is_none_or(|v| v >= self.plan.version) || before.version == 0;
+            // Until the allocators count the new reserve, the smaller of the two is used.
+            let newer = self.committed_version.is_none_or(|v| v >= self.plan.version) || before.version == 0;
             let reserve = if newer { budget.reserve } else { budget.reserve.min(held.budget.reserve) };
             held.budget = Budget { reserve, ..budget.clone() };
         }
-        self.hurry = true;
-        self.reserves(now);
+        self.ask_now = true;
+        self.update_reserves(now);
     }
 
-    /// This process has the node's address now, or has it no more.
-    pub fn set_owns_address(&mut self, owns: bool, now: Micros) {
-        self.owns = owns;
-        self.reserves(now);
+    /// Sets whether this process owns the node's address; only its owner may use the reserves.
+    pub fn set_owns_address(&mut self, owns_address: bool, now: Micros) {
+        self.owns_address = owns_address;
+        self.update_reserves(now);
     }
 
-    /// Who may use the reserve: the one process that has the node's address, whose file's reserve is counted; and of what is in
-    /// use at once only when all has ended that an earlier life can have begun.
-    fn reserves(&mut self, now: Micros) {
-        let counted = self.agreed.is_none_or(|v| v >= self.plan.version);
+    /// Updates which reserves may be used: only by the process that owns the node's address, and only once the allocators
+    /// count the reserve of its configuration. Reserves of concurrent use also wait until the jobs of earlier incarnations have
+    /// ended.
+    fn update_reserves(&mut self, now: Micros) {
+        let counted = self.committed_version.is_none_or(|v| v >= self.plan.version);
         for held in self.held.values_mut() {
-            let over = match held.budget.per {
-                Per::Second { .. } => self.born,
+            let earlier_use_ended_at = match held.budget.per {
+                Per::Second { .. } => self.started_at,
                 Per::Moment { .. } => {
-                    self.born + self.plan.lease_period(&held.budget).for_allocator() - self.plan.term
+                    self.started_at + self.plan.lease_period(&held.budget).for_allocator() - self.plan.term
                 }
             };
-            let usable = self.owns && counted && now >= over && !self.left;
+            let usable = self.owns_address && counted && now >= earlier_use_ended_at && !self.has_left;
             held.holder.set_reserve(if usable { held.budget.reserve } else { 0 });
         }
     }
@@ -229,38 +234,38 @@
         self.outgoing.push(Outgoing { to, message });
     }
 
-    /// What is to be said, since this was last asked.
+    /// Takes the messages to send.
     pub fn take_outgoing(&mut self) -> Vec<Outgoing> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// What was done with a budget, since this was last told.
-    pub fn record_usage(&mut self, budget: &str, what: Usage) {
+    /// Adds to the recorded use of a budget; ignored for a budget that is not configured.
+    pub fn record_usage(&mut self, budget: &str, usage: Usage) {
         let Some(held) = self.held.get_mut(budget) else { return };
         let since = &mut held.since;
         match held.budget.per {
             Per::Second { .. } => {
-                since.wanted += what.wanted;
-                since.used += what.used;
+                since.wanted += usage.wanted;
+                since.used += usage.used;
             }
             Per::Moment { .. } => {
-                since.wanted = since.wanted.max(what.wanted);
-                since.used = what.used;
+                since.wanted = since.wanted.max(usage.wanted);
+                since.used = usage.used;
             }
         }
     }
 
-    /// What may be used of a budget now; `None` for one that the file does not name.
+    /// Returns the units of a budget that may be used now; `None` for a budget that is not configured.
     pub fn usable(&self, budget: &str, now: Micros) -> Option<u64> {
         Some(self.held.get(budget)?.holder.usable(now))
     }
 
-    /// Whether a grant of that budget holds now.
+    /// Returns whether a grant of the budget is in force.
     pub fn is_granted(&self, budget: &str, now: Micros) -> bool {
         self.held.get(budget).is_some_and(|h| h.holder.grant(now).is_some())
     }
 
-    /// The grant of that budget that is gone by now, and when it was asked for by one's own clock: its time counts from there.
+    /// Returns the grant of a budget in force and the time of its request by this node's clock, from which its term counts.
     pub fn lease(&self, budget: &str, now: Micros) -> Option<(Grant, Micros)> {
         let held = self.held.get(budget)?;
         let grant = held.holder.grant(now)?;
@@ -269,51 +274,52 @@
         Some((grant, held.holder.expires_at()? - length))
     }
 
-    /// What may be used of every budget now.
+    /// Returns all budgets with the units that may be used now.
     pub fn all_usable(&self, now: Micros) -> Vec<(&Budget, u64)> {
         self.held.values().map(|h| (&h.budget, h.holder.usable(now))).collect()
     }
 
-    fn period(&self) -> Micros {
-        (self.plan.term / ASKS).max(SOONEST)
+    fn request_interval(&self) -> Micros {
+        (self.plan.term / REQUESTS_PER_TERM).max(MIN_REQUEST_INTERVAL)
     }
 
-    /// Whether much more is wanted of some budget than may be used, and than the dividers were told.
+    /// Returns whether the demand for a budget is well above the usable units and the last reported demand.
     fn is_short(&self, now: Micros) -> bool {
-        let span = self.asked.map_or(SOONEST, |at| now - at);
-        let much = |notified: u64| notified.saturating_add(notified / 8 + 2);
-        self.held.values().any(|h| h.demand(span).1 > much(h.holder.usable(now).max(h.notified)))
+        let span = self.asked_at.map_or(MIN_REQUEST_INTERVAL, |at| now - at);
+        let threshold = |reported: u64| reported.saturating_add(reported / 8 + 2);
+        self.held.values().any(|h| h.demand(span).1 > threshold(h.holder.usable(now).max(h.reported)))
     }
 
-    /// Time has passed: ask, if it is time to.
+    /// Advances the client to `now`: updates leases and sends a request if one is due.
     pub fn pass(&mut self, now: Micros) {
-        self.reserves(now);
+        self.update_reserves(now);
         self.settle(now);
-        if self.left || self.plan.allocators.is_empty() {
+        if self.has_left || self.plan.allocators.is_empty() {
             return;
         }
-        let due = match self.asked {
+        let is_due = match self.asked_at {
             None => true,
-            Some(_) if (1..=SENT_ON).contains(&self.sent_on) && self.hurry => true,
-            Some(at) if now < at + SOONEST => false,
-            Some(at) if !self.answered && now >= at + ANSWER => {
+            Some(_) if (1..=MAX_REDIRECTS).contains(&self.redirects) && self.ask_now => true,
+            Some(at) if now < at + MIN_REQUEST_INTERVAL => false,
+            Some(at) if !self.answered && now >= at + ANSWER_TIMEOUT => {
                 self.allocator = (self.allocator + 1) % self.plan.allocators.len();
-                self.sent_on = 0;
+                self.redirects = 0;
                 true
             }
-            Some(at) => self.hurry || now >= at + self.period() || self.is_short(now),
+            Some(at) => self.ask_now || now >= at + self.request_interval() || self.is_short(now),
         };
-        if due {
+        if is_due {
             self.ask(now);
         }
     }
 
-    /// What was given up is free for others as soon as nothing of it is in use: say so at once.
+    /// Acknowledges grants that have become smaller as soon as the use no longer exceeds them, so that the difference can be
+    /// granted to others.
     fn settle(&mut self, now: Micros) {
         let mut grants = Vec::new();
         for (name, held) in &mut self.held {
             let Some((epoch, number)) = held.settle(now) else { continue };
-            if std::mem::take(&mut held.shrinks) {
+            if std::mem::take(&mut held.has_shrunk) {
                 grants.push((name.clone(), epoch, number));
             }
         }
@@ -323,23 +329,23 @@
     }
 
     fn ask(&mut self, now: Micros) {
-        let span = self.asked.map_or(SOONEST, |at| now - at);
+        let span = self.asked_at.map_or(MIN_REQUEST_INTERVAL, |at| now - at);
         let mut claims = Vec::new();
         for (name, held) in &mut self.held {
-            (held.mean, held.notified) = held.demand(span);
-            held.ever |= held.notified > 0;
-            // There is a home for each node of a fleet: those that this one never wanted would fill its words.
-            if !held.ever && held.is_home() {
+            (held.mean, held.reported) = held.demand(span);
+            held.was_wanted |= held.reported > 0;
+            // There is a key range for each node: claims to all of them would fill the datagram.
+            if !held.was_wanted && held.is_home() {
                 continue;
             }
             let used = match held.budget.per {
-                Per::Second { .. } => held.since.used * 1_000_000 / span.max(SOONEST) as u64,
+                Per::Second { .. } => held.since.used * 1_000_000 / span.max(MIN_REQUEST_INTERVAL) as u64,
                 Per::Moment { .. } => held.since.used,
             };
             claims.push(BudgetClaim {
                 budget: name.clone(),
                 answers: held.holder.ask(now),
-                demand: held.notified,
+                demand: held.reported,
                 used,
                 in_force: held.settled,
             });
@@ -348,42 +354,42 @@
                 held.since.used = 0;
             }
         }
-        (self.asked, self.answered, self.hurry) = (Some(now), false, false);
+        (self.asked_at, self.answered, self.ask_now) = (Some(now), false, false);
         self.send(Message::Ask { holder: self.incarnation, plan: self.plan.version, claims });
     }
 
-    /// A divider has said something, the one of that place in the file. Whether what may be used has changed.
+    /// Processes a message of the allocator with index `from` and returns whether the usable units may have changed.
     pub fn receive(&mut self, from: usize, message: &Message, now: Micros) -> bool {
         match message {
-            Message::Grants { holder, plan, grants } if *holder == self.incarnation && !self.left => {
-                (self.answered, self.allocator, self.sent_on) = (true, from, 0);
-                self.agreed = Some(self.agreed.map_or(*plan, |v| v.max(*plan)));
+            Message::Grants { holder, plan, grants } if *holder == self.incarnation && !self.has_left => {
+                (self.answered, self.allocator, self.redirects) = (true, from, 0);
+                self.committed_version = Some(self.committed_version.map_or(*plan, |v| v.max(*plan)));
                 if *plan >= self.plan.version {
                     for held in self.held.values_mut() {
                         let reserve = self.plan.budgets.iter().find(|b| b.name == held.budget.name);
                         reserve.into_iter().for_each(|b| held.budget.reserve = b.reserve);
                     }
                 }
-                self.reserves(now);
+                self.update_reserves(now);
                 for g in grants {
                     let Some(held) = self.held.get_mut(&g.budget) else { continue };
                     let before = held.holder.grant(now).map_or(0, |g| g.amount);
-                    held.shrinks |= held.holder.accept(g.to(*holder), now) && g.amount < before;
+                    held.has_shrunk |= held.holder.accept(g.to(*holder), now) && g.amount < before;
                 }
                 self.settle(now);
                 true
             }
             Message::AskAgain { holder } if *holder == self.incarnation => {
-                self.hurry = true;
+                self.ask_now = true;
                 false
             }
             Message::NotLeader { leader } => {
                 let place = |name: &String| self.plan.allocators.iter().position(|d| d.name == *name);
                 let place =
                     leader.as_ref().and_then(place).filter(|p| *p != self.allocator && !self.answered);
-                // Guards against two dividers that each send it to the other.
-                if let Some(place) = place.filter(|_| self.sent_on < SENT_ON) {
-                    (self.allocator, self.hurry, self.sent_on) = (place, true, self.sent_on + 1);
+                // Guards against two allocators that redirect to each other.
+                if let Some(place) = place.filter(|_| self.redirects < MAX_REDIRECTS) {
+                    (self.allocator, self.ask_now, self.redirects) = (place, true, self.redirects + 1);
                 }
                 false
             }
@@ -391,27 +397,27 @@
         }
     }
 
-    /// Hand everything back that is not in use: nothing begins any more, and nothing is asked for. What is still in use is
-    /// counted until its grant has ended.
+    /// Releases all leases and stops requests. A lease with units in use is not reported as released; the allocators count it
+    /// until it expires.
     pub fn leave(&mut self, now: Micros) {
         let grants: Vec<(String, u32, u64)> = self.held.values_mut().filter_map(Held::release).collect();
-        self.left = true;
-        self.reserves(now);
+        self.has_left = true;
+        self.update_reserves(now);
         if !grants.is_empty() {
             self.send(Message::Returns { holder: self.incarnation, grants });
         }
     }
 
-    /// When [`QuotaClient::pass`] has something to do next, or something may no longer be used.
+    /// Returns when [`QuotaClient::pass`] should be called next: for the next request or when a lease expires.
     pub fn due(&self, now: Micros) -> Micros {
-        let ends = self.held.values().filter_map(|h| h.holder.expires_at()).filter(|at| *at > now);
-        let asks = match self.asked {
+        let expiries = self.held.values().filter_map(|h| h.holder.expires_at()).filter(|at| *at > now);
+        let next_request_at = match self.asked_at {
             None => now,
-            Some(_) if self.sent_on > 0 && self.hurry => now,
-            Some(at) if self.hurry => at + SOONEST,
-            Some(at) if !self.answered => at + ANSWER,
-            Some(at) => at + self.period(),
+            Some(_) if self.redirects > 0 && self.ask_now => now,
+            Some(at) if self.ask_now => at + MIN_REQUEST_INTERVAL,
+            Some(at) if !self.answered => at + ANSWER_TIMEOUT,
+            Some(at) => at + self.request_interval(),
         };
-        ends.chain([asks.max(now + 1_000)]).min().unwrap_or(now + SOONEST)
+        expiries.chain([next_request_at.max(now + 1_000)]).min().unwrap_or(now + MIN_REQUEST_INTERVAL)
     }
 }
--- a/crates/quota/src/config.rs
+++ b/crates/quota/src/config.rs
@@ -1,4 +1,4 @@
-//! The operator's file of budgets, S-expressions, checked whole: each complaint names its line and column.
+//! The configuration file of budgets, in S-expressions. All errors of a file are reported together, with line and column.
 //!
 //! ```text
 //! (budgets
@@ -17,39 +17,39 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-const DAY: Micros = 86_400_000_000;
+const DAY_MICROS: Micros = 86_400_000_000;
 
-/// Dividers at most; more only make agreement slower.
-const ALLOCATORS: usize = 9;
+/// The most allocators of a fleet; more of them only make commits slower.
+const MAX_ALLOCATORS: usize = 9;
 
-/// What a budget bounds, by its name.
+/// What a budget limits, which follows from its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BudgetKind<'a> {
-    /// `quota:TENANT`: requests of that tenant that are sent on, their first attempts.
+    /// `quota:TENANT`: first attempts of the tenant's requests.
     Quota(&'a str),
-    /// `flight:CLASS`: attempts of that class that are out.
+    /// `flight:CLASS`: concurrent attempts of the class.
     Flight(&'a str),
-    /// `home:SITE/NODE`: who may place the keys of that range; one unit, which one node holds.
+    /// `home:SITE/NODE`: placement of the keys of the range that belongs to this node. It has one unit, held by one node.
     Home(&'a str),
-    /// `retries`: attempts beyond the first.
+    /// `retries`: attempts after the first one of a request.
     Retries,
     /// `probes`: probes of backend servers.
     Probes,
-    /// `lists`: calls to discovery.
+    /// `lists`: calls to the discovery service.
     Lists,
-    /// `cold`: of what each backend server that has just started bears from all nodes, in the units of the whole.
+    /// `cold`: the load of each backend server in slow start, from all nodes together.
     Cold,
-    /// `connections`: attempts out at each backend server.
+    /// `connections`: concurrent attempts at each backend server.
     Connections,
 }
 
 impl BudgetKind<'_> {
-    /// What a budget of that name bounds, if it bounds anything.
+    /// Returns the kind of the budget with this name; `None` for a name of no known form.
     pub fn of(name: &str) -> Option<BudgetKind<'_>> {
         Some(match name.split_once(':') {
             Some(("quota", tenant)) if !tenant.is_empty() => BudgetKind::Quota(tenant),
             Some(("flight", class)) if !class.is_empty() => BudgetKind::Flight(class),
-            Some(("home", home)) if is_home(home) => BudgetKind::Home(home),
+            Some(("home", home)) if is_key_range(home) => BudgetKind::Home(home),
             None if name == "retries" => BudgetKind::Retries,
             None if name == "probes" => BudgetKind::Probes,
             None if name == "lists" => BudgetKind::Lists,
@@ -59,154 +59,158 @@
         })
     }
 
-    /// Whether its units are in use for as long as something lasts, and not used up.
-    fn by_moment(self) -> bool {
+    /// Returns whether the budget limits concurrent use, and not use per second.
+    fn is_concurrent(self) -> bool {
         matches!(self, BudgetKind::Flight(_) | BudgetKind::Connections | BudgetKind::Home(_))
     }
 }
 
-/// `SITE/NODE`, both said.
-fn is_home(name: &str) -> bool {
+/// Returns whether the name has the form `SITE/NODE`.
+fn is_key_range(name: &str) -> bool {
     name.split_once('/')
         .is_some_and(|(site, node)| !site.is_empty() && !node.is_empty() && !node.contains('/'))
 }
 
-/// One process of the fleet, and where datagrams reach it.
+/// The name and the address of an allocator or a node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessAddress {
-    /// Its name, the same in all its lives.
+    /// The name, which stays the same across restarts.
     pub name: String,
-    /// Its address; a divider takes connections there, too.
+    /// The address for datagrams; an allocator also accepts TCP connections there.
     pub address: SocketAddr,
 }
 
-/// What a budget's units are counted by.
+/// The way in which the units of a budget are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Per {
-    /// So many a second; unused ones are kept for so long, in microseconds.
+    /// Units used per second.
     Second {
-        /// For how long.
+        /// How long unused units accumulate, in microseconds.
         burst: Micros,
     },
-    /// So many in use at once, each for so long at most, in microseconds.
+    /// Units in use at once.
     Moment {
-        /// For how long.
+        /// The longest time that a unit stays in use, in microseconds.
         longest: Micros,
     },
 }
 
-/// One budget as the operator wants it.
+/// The configuration of one budget.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Budget {
-    /// Its name.
+    /// The name, which determines the [`BudgetKind`].
     pub name: String,
-    /// What its units are counted by.
+    /// How the units are counted.
     pub per: Per,
-    /// Units, over all nodes.
+    /// The units of all nodes together.
     #[serde(rename = "whole")]
     pub total: u64,
-    /// Units that each node has at least while it has a grant.
+    /// The smallest grant of a node, in units.
     pub floor: u64,
-    /// Units that each node may use without a grant; counted inside the whole.
+    /// Units that each node may use without a grant; part of the total.
     pub reserve: u64,
 }
 
-/// All budgets of a fleet.
+/// The configuration of all budgets of a fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Which file this is; grows with each that is put into service.
+    /// The version of the file; a new file needs a greater one.
     pub version: u64,
-    /// Those that divide; empty where only the division is looked at.
+    /// The allocators; empty where only the shares are to be computed.
     #[serde(rename = "dividers")]
     pub allocators: Vec<ProcessAddress>,
-    /// The nodes, where they are listed.
+    /// The listed nodes.
     pub members: Vec<ProcessAddress>,
-    /// Nodes of the fleet, at most.
+    /// The greatest number of nodes of the fleet.
     pub nodes: u32,
-    /// The length of a grant, in microseconds.
+    /// The term of a grant, in microseconds.
     pub term: Micros,
-    /// What a clock gains or loses at most, in millionths.
+    /// The greatest drift of any clock from real time, in millionths.
     pub drift_ppm: u32,
-    /// The budgets.
+    /// The budgets in the order of the file.
     pub budgets: Vec<Budget>,
-    /// The fleet's name, which is under the code of its words. Like the key it is each process's own matter: nothing is agreed on.
+    /// The name of the fleet, which datagrams are authenticated with. Not part of the replicated configuration.
     #[serde(skip)]
     pub fleet: String,
-    /// The file of the keys under which words of nodes and dividers go; none where they carry no code.
+    /// The path of the keys that authenticate datagrams; `None` for no authentication. Not part of the replicated
+    /// configuration.
     #[serde(skip)]
     pub key: Option<PathBuf>,
 }
 
 impl Plan {
-    /// For how long grants of a budget hold.
+    /// Returns how long grants of a budget are valid.
     pub fn lease_period(&self, budget: &Budget) -> LeasePeriod {
         let longest = if let Per::Moment { longest } = budget.per { longest } else { 0 };
         LeasePeriod { length: self.term, drift_ppm: self.drift_ppm, longest }
     }
 
-    /// The name that a number stands for.
+    /// Returns the name of the listed allocator or node with this id.
     pub fn name_of(&self, node: NodeId) -> Option<&str> {
         let all = self.members.iter().chain(&self.allocators);
         all.map(|p| p.name.as_str()).find(|name| NodeId::of(name) == node)
     }
 
-    /// Who is listed at an address.
+    /// Returns the id of the allocator or node that is listed with this address.
     pub fn node_at(&self, address: SocketAddr) -> Option<NodeId> {
         let mut all = self.members.iter().chain(&self.allocators);
         all.find(|p| p.address == address).map(|p| NodeId::of(&p.name))
     }
 
-    /// What floors and reserves of all nodes leave of a budget to be divided by demand.
+    /// Returns the units of a budget that are shared by demand: the total without the floors and reserves of all nodes.
     ///
     /// # Errors
-    /// Where they exceed the whole.
+    /// The floors and reserves exceed the total.
     pub fn shared_units(&self, budget: &Budget) -> Result<u64, FloorsError> {
         let fixed = u64::from(self.nodes).saturating_mul(budget.floor.saturating_add(budget.reserve));
         budget.total.checked_sub(fixed).ok_or(FloorsError { floors: fixed, total: budget.total })
     }
 }
 
-/// Read the operator's file; a key's path is taken from where that file lies.
+/// Parses the text of the configuration file at the path `file`. A relative path of the keys is relative to that file.
 ///
 /// # Errors
-/// All faults of the text, with their places.
+/// All errors of the text, with their lines and columns.
 pub fn read(file: &str, text: &str) -> Result<Plan, ParseErrors> {
     shorepath_sexp::read(file, text, "budgets", |f| plan(f, Path::new(file)))
 }
 
-fn place(form: &Form) -> ProcessAddress {
+fn process_address(form: &Form) -> ProcessAddress {
     let (name, text) = (form.word("a name"), form.word("an address with a port, in quotes"));
     form.finish();
-    let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
+    let unspecified = SocketAddr::from(([0, 0, 0, 0], 0));
     let address = text.parse().unwrap_or_else(|_| {
-        form.complain(format!("\"{text}\" is no address with a port"));
-        nowhere
+        form.complain(format!("\"{text}\" is not an address with a port; write it as \"10.0.0.1:7800\""));
+        unspecified
     });
     ProcessAddress { name, address }
 }
 
-/// All lists of one kind; no two have one name, one number or one address, over all kinds.
-fn places(f: &Form, kind: &'static str, taken: &mut Vec<ProcessAddress>) -> Vec<ProcessAddress> {
+/// Parses all forms of one kind. Names, node ids and addresses must be unique among all forms in `listed`.
+fn process_addresses(f: &Form, kind: &'static str, listed: &mut Vec<ProcessAddress>) -> Vec<ProcessAddress> {
     let mut all = Vec::new();
     for form in f.many(kind) {
-        let place = place(&form);
-        for other in taken.iter() {
-            if other.name == place.name {
-                form.complain(format!("the name {} is given twice", place.name));
-            } else if NodeId::of(&other.name) == NodeId::of(&place.name) {
-                let text = format!("{} and {} have one number; name one otherwise", other.name, place.name);
+        let process_address = process_address(&form);
+        for other in listed.iter() {
+            if other.name == process_address.name {
+                form.complain(format!("the name {} is given twice", process_address.name));
+            } else if NodeId::of(&other.name) == NodeId::of(&process_address.name) {
+                let text = format!(
+                    "{} and {} have the same node id; rename one of them",
+                    other.name, process_address.name
+                );
                 form.complain(text);
-            } else if other.address == place.address {
-                form.complain(format!("{} has the address of {}", place.name, other.name));
+            } else if other.address == process_address.address {
+                form.complain(format!("{} has the same address as {}", process_address.name, other.name));
             }
         }
-        taken.push(place.clone());
-        all.push(place);
+        listed.push(process_address.clone());
+        all.push(process_address);
     }
     all
 }
 
-/// The list in it with that name, which holds a text that is not empty.
+/// Parses the optional form `(name "text")`, whose text must not be empty.
 fn text(f: &Form, name: &'static str) -> Option<String> {
     f.given(name, |form| {
         let text = form.word("a text, in quotes");
@@ -218,53 +222,59 @@
 }
 
 fn plan(f: &Form, file: &Path) -> Plan {
-    const UNITS: std::ops::RangeInclusive<u64> = 0..=1_000_000_000_000;
-    let mut taken = Vec::new();
-    let allocators = places(f, "divider", &mut taken);
-    let members = places(f, "node", &mut taken);
-    if allocators.len() > ALLOCATORS {
-        f.complain(format!("{} dividers; {ALLOCATORS} at most", allocators.len()));
+    const UNIT_RANGE: std::ops::RangeInclusive<u64> = 0..=1_000_000_000_000;
+    let mut listed = Vec::new();
+    let allocators = process_addresses(f, "divider", &mut listed);
+    let members = process_addresses(f, "node", &mut listed);
+    if allocators.len() > MAX_ALLOCATORS {
+        f.complain(format!(
+            "{} (divider ...) are listed; at most {MAX_ALLOCATORS} are supported",
+            allocators.len()
+        ));
     }
     if allocators.is_empty() != members.is_empty() {
-        f.complain("(divider ...) and (node ...) come together: who divides, and among whom");
+        f.complain("(divider ...) and (node ...) need each other: list both or neither");
     }
     let mut plan = Plan {
         version: f.count("version", 1, 1..=1_000_000_000),
         nodes: f.count("nodes", members.len().max(1) as u64, 1..=100_000) as u32,
         allocators,
         members,
-        term: f.time("term", 5_000_000, 100_000..=DAY),
+        term: f.time("term", 5_000_000, 100_000..=DAY_MICROS),
         drift_ppm: f.count("drift-ppm", 500, 0..=100_000) as u32,
         budgets: Vec::new(),
         fleet: text(f, "fleet").unwrap_or_default(),
         key: text(f, "key").map(|key| file.with_file_name(key)),
     };
     if (plan.nodes as usize) < plan.members.len() {
-        f.complain(format!("(nodes {}) is less than the nodes listed", plan.nodes));
+        f.complain(format!(
+            "(nodes {}) is less than the number of listed nodes; raise it or leave it out",
+            plan.nodes
+        ));
     }
     let mut names = BTreeSet::new();
     for form in f.many("budget") {
         let name = form.word("a budget's name");
-        let moment = form.choice("per", "second", &["second", "moment"]) == "moment";
+        let is_concurrent = form.choice("per", "second", &["second", "moment"]) == "moment";
         let budget = Budget {
-            per: match moment {
-                true => Per::Moment { longest: form.time("longest", 0, 0..=DAY) },
-                false => Per::Second { burst: form.time("burst", 100_000, 0..=DAY) },
+            per: match is_concurrent {
+                true => Per::Moment { longest: form.time("longest", 0, 0..=DAY_MICROS) },
+                false => Per::Second { burst: form.time("burst", 100_000, 0..=DAY_MICROS) },
             },
-            total: form.count("whole", 0, UNITS),
-            floor: form.count("floor", 0, UNITS),
-            reserve: form.count("reserve", 0, UNITS),
+            total: form.count("whole", 0, UNIT_RANGE),
+            floor: form.count("floor", 0, UNIT_RANGE),
+            reserve: form.count("reserve", 0, UNIT_RANGE),
             name,
         };
         form.finish();
         match BudgetKind::of(&budget.name) {
             None => form.complain(format!(
-                "{} bounds nothing; known: quota:TENANT, flight:CLASS, home:SITE/NODE, retries, probes, lists, cold, connections",
+                "{} is not the name of a budget; known: quota:TENANT, flight:CLASS, home:SITE/NODE, retries, probes, lists, cold, connections",
                 budget.name
             )),
-            Some(bounds) if bounds.by_moment() != moment => {
-                let per = if moment { "second" } else { "moment" };
-                form.complain(format!("{} is counted (per {per})", budget.name));
+            Some(kind) if kind.is_concurrent() != is_concurrent => {
+                let per = if is_concurrent { "second" } else { "moment" };
+                form.complain(format!("{} has to be counted (per {per})", budget.name));
             }
             Some(_) => {}
         }
@@ -274,16 +284,22 @@
         if budget.total == 0 {
             form.complain(format!("the budget {} needs a (whole UNITS) over 0", budget.name));
         } else if let Err(e) = plan.shared_units(&budget) {
-            let text = format!("{}: floors and reserves of {} nodes: {e}", budget.name, plan.nodes);
+            let text = format!(
+                "{}: floors and reserves of {} nodes: {e}; raise (whole) or lower (floor) or (reserve)",
+                budget.name, plan.nodes
+            );
             form.complain(text);
         }
-        let one = (budget.total, budget.floor, budget.reserve) == (1, 0, 0);
-        if matches!(BudgetKind::of(&budget.name), Some(BudgetKind::Home(_))) && !one {
-            form.complain(format!("{} is held by one node: (whole 1), and no reserve or floor", budget.name));
+        let is_single_unit = (budget.total, budget.floor, budget.reserve) == (1, 0, 0);
+        if matches!(BudgetKind::of(&budget.name), Some(BudgetKind::Home(_))) && !is_single_unit {
+            form.complain(format!(
+                "only one node may hold {}: set (whole 1) and leave out (floor) and (reserve)",
+                budget.name
+            ));
         }
-        if moment && budget.per == (Per::Moment { longest: 0 }) {
+        if is_concurrent && budget.per == (Per::Moment { longest: 0 }) {
             form.complain(format!(
-                "{} needs (longest TIME): what was begun runs on after a grant",
+                "{} needs (longest TIME), the longest time that a unit stays in use",
                 budget.name
             ));
         }
--- a/crates/quota/src/lease.rs
+++ b/crates/quota/src/lease.rs
@@ -1,102 +1,117 @@
-//! What a node may use now, by the grants that it was given.
+//! A node's lease on a share of one budget.
 
 use crate::{Grant, LeasePeriod, Micros, NodeIncarnation};
 use std::collections::VecDeque;
 
-/// Askings that may be out; an answer to an older one is as good as lost.
-const ASKED: usize = 8;
+/// The most requests that wait for an answer; answers to older ones are ignored.
+const MAX_PENDING_REQUESTS: usize = 8;
 
-/// One life's side of a budget.
+/// The lease that one node incarnation holds on a budget.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Holder {
     incarnation: NodeIncarnation,
     term: LeasePeriod,
-    /// What it may use with or without a grant; the operators' file counts that inside the whole. It belongs to the one
-    /// process that has the node's address.
+    /// Units that may be used without a grant. Only the process that owns the node's address has a reserve.
     reserve: u64,
-    asked: VecDeque<(u64, Micros)>,
-    count: u64,
+    /// The numbers and times of the requests that wait for an answer.
+    pending: VecDeque<(u64, Micros)>,
+    request_count: u64,
+    /// The grant in force and when it expires.
     held: Option<(Grant, Micros)>,
-    /// Grants of that fleet up to that number are not used any more, whatever comes.
-    returned: (u32, u64),
+    /// The epoch and the number of the last released grant; it and earlier ones are never used again.
+    released: (u32, u64),
 }
 
 impl Holder {
-    /// One that has only its reserve.
+    /// Returns a lease without a grant: only `reserve` units may be used.
     pub fn new(incarnation: NodeIncarnation, reserve: u64, term: LeasePeriod) -> Holder {
-        Holder { incarnation, term, reserve, asked: VecDeque::new(), count: 0, held: None, returned: (0, 0) }
+        Holder {
+            incarnation,
+            term,
+            reserve,
+            pending: VecDeque::new(),
+            request_count: 0,
+            held: None,
+            released: (0, 0),
+        }
     }
 
-    /// Ask for a grant, now: its time counts from here, so that a grant that was long on the way is short. The number that
-    /// the answer has to name.
+    /// Starts a request and returns its number, which the answer has to carry. The term of the granted lease counts from
+    /// `now`, so a delay of the answer shortens the lease.
     pub fn ask(&mut self, now: Micros) -> u64 {
-        self.count += 1;
-        if self.asked.len() == ASKED {
-            self.asked.pop_front();
+        self.request_count += 1;
+        if self.pending.len() == MAX_PENDING_REQUESTS {
+            self.pending.pop_front();
         }
-        self.asked.push_back((self.count, now));
-        self.count
+        self.pending.push_back((self.request_count, now));
+        self.request_count
     }
 
-    /// A grant has come. Whether it is gone by from now on; one that is for another life, older than what is held, given
-    /// back, or over already, is not.
+    /// Puts a received grant in force and returns `true`, unless it belongs to another incarnation, answers no pending
+    /// request, is older than the grant in force, was released, or has expired.
     pub fn accept(&mut self, grant: Grant, now: Micros) -> bool {
-        let Some(&(_, asked)) = self.asked.iter().find(|(n, _)| *n == grant.answers) else { return false };
-        let until = asked.saturating_add(LeasePeriod { length: grant.length, ..self.term }.for_holder());
-        // Numbers of another fleet have no order beside these; that one gives nothing before all of the last one's has ended.
+        let Some(&(_, requested_at)) = self.pending.iter().find(|(number, _)| *number == grant.answers)
+        else {
+            return false;
+        };
+        let expires_at =
+            requested_at.saturating_add(LeasePeriod { length: grant.length, ..self.term }.for_holder());
+        // Numbers of different epochs can't be compared, but an epoch grants nothing before all grants of the last one expire.
         let newer = match self.held {
             Some((held, _)) if held.epoch == grant.epoch => grant.number > held.number,
-            Some((_, until)) => now >= until,
-            None => grant.epoch != self.returned.0 || grant.number > self.returned.1,
+            Some((_, expires_at)) => now >= expires_at,
+            None => grant.epoch != self.released.0 || grant.number > self.released.1,
         };
-        if grant.holder != self.incarnation || !newer || now >= until {
+        if grant.holder != self.incarnation || !newer || now >= expires_at {
             return false;
         }
-        self.held = Some((grant, until));
+        self.held = Some((grant, expires_at));
         true
     }
 
-    /// Units that may be used now, of a second or at once. A process that stood still, and wakes, asks this before it acts.
+    /// Returns the units that may be used now, per second or at once. Read it before each use, since a process that was paused
+    /// may find its lease expired.
     pub fn usable(&self, now: Micros) -> u64 {
-        // Where the clock was set back the end has not moved: time since the asking can't be negative.
+        // A clock that was set back must not extend the lease: it isn't valid before the time of its request.
         let length = |g: &Grant| LeasePeriod { length: g.length, ..self.term }.for_holder();
-        let holds = |(g, until): &(Grant, Micros)| now < *until && now >= until - length(g);
+        let is_valid = |(g, expires_at): &(Grant, Micros)| now < *expires_at && now >= expires_at - length(g);
         self.held
             .as_ref()
-            .filter(|h| holds(h))
+            .filter(|h| is_valid(h))
             .map_or(self.reserve, |(g, _)| g.amount.saturating_add(self.reserve))
     }
 
-    /// The grant that is gone by, while it holds.
+    /// Returns the grant in force; `None` once it has expired.
     pub fn grant(&self, now: Micros) -> Option<Grant> {
-        self.held.filter(|(_, until)| now < *until).map(|(g, _)| g)
+        self.held.filter(|(_, expires_at)| now < *expires_at).map(|(g, _)| g)
     }
 
-    /// The fleet and the number of the grant that is gone by, or was last; 0 for none. It never goes back to an earlier one.
+    /// Returns the epoch and the number of the last grant that was in force, also after its expiry or release; zeros for none.
+    /// An earlier grant is never put in force again.
     pub fn in_force(&self) -> (u32, u64) {
-        self.held.map_or(self.returned, |(g, _)| (g.epoch, g.number))
+        self.held.map_or(self.released, |(g, _)| (g.epoch, g.number))
     }
 
-    /// Another reserve holds from now on.
+    /// Sets the units that may be used without a grant.
     pub fn set_reserve(&mut self, reserve: u64) {
         self.reserve = reserve;
     }
 
-    /// When it has to have another one.
+    /// Returns when the current grant expires, also after that time; `None` without a grant.
     pub fn expires_at(&self) -> Option<Micros> {
-        self.held.map(|(_, until)| until)
+        self.held.map(|(_, expires_at)| expires_at)
     }
 
-    /// Leave: nothing of any grant is used from now on. The fleet and the number up to which that holds.
+    /// Releases all grants and returns the epoch and the number of the last one; zeros for none.
     pub fn release(&mut self) -> (u32, u64) {
         if let Some((grant, _)) = self.held.take() {
-            self.returned = (grant.epoch, grant.number);
+            self.released = (grant.epoch, grant.number);
         }
-        self.asked.clear();
-        self.returned
+        self.pending.clear();
+        self.released
     }
 
-    /// How much is in use beyond what may be; nothing of it is cut off, and nothing new begins meanwhile.
+    /// Returns the units in use beyond those that may be used. They are left to finish; the caller starts no new use meanwhile.
     pub fn debt(&self, in_use: u64, now: Micros) -> u64 {
         in_use.saturating_sub(self.usable(now))
     }
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -1,195 +1,212 @@
-//! What the divider has granted, and what it may not grant again yet.
+//! An allocator's record of the grants of one budget that have not expired.
 //!
-//! Entries are agreed on by the fleet before they count (how is not this module's concern), so every divider has the same
-//! ledger. Only the times are its own: each counts a grant from the moment at which it knew itself that it was agreed on, which is
-//! later than its holder did; one that begins anew counts all of them from its beginning.
+//! Grants are committed to the replicated log before they are recorded, so all allocators record the same ones. Only expiry
+//! times differ: each allocator counts a grant's term from when it applied the grant, which is later than its holder counts
+//! from. After a restart an allocator counts the terms of all grants from its start.
 
 use crate::{Grant, LeasePeriod, Micros, NodeIncarnation};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// A grant that has to be counted as in use, and when this ends by the allocator's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Out {
+struct OutstandingGrant {
     grant: Grant,
-    until: Micros,
+    expires_at: Micros,
 }
 
-/// Where the units of a budget are.
+/// How the units of a budget are distributed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Account {
-    /// All of them.
+    /// All units of the budget.
     pub total: u64,
-    /// Kept for nodes without a grant.
+    /// Units that nodes may use without a grant.
     pub reserved: u64,
-    /// Taken for used by lives that were heard of lately.
+    /// Units charged to holders that are not suspected.
     pub granted: u64,
-    /// Taken for used by lives that are thought dead, until their grants have surely ended.
+    /// Units charged to suspected holders, until their grants expire.
     pub withheld: u64,
-    /// What can be granted now.
+    /// Units that can be granted now.
     pub free: u64,
-    /// How much more is taken for used than the whole allows, since that was lowered.
+    /// Units charged or reserved beyond the total, after the total was lowered.
     pub debt: u64,
 }
 
-/// One budget's ledger.
+/// The outstanding grants of one budget.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Ledger {
     term: LeasePeriod,
     total: u64,
     reserved: u64,
     epoch: u32,
-    last: u64,
-    out: BTreeMap<NodeIncarnation, Vec<Out>>,
-    /// What all lives together have to be taken to use: a thousand lives are asked for it a thousand times in a division.
+    last_number: u64,
+    outstanding: BTreeMap<NodeIncarnation, Vec<OutstandingGrant>>,
+    /// The sum of [`Ledger::charge`] over all holders, kept up to date because an allocation reads it once per holder.
     charged: u64,
-    dead: BTreeSet<NodeIncarnation>,
+    suspected: BTreeSet<NodeIncarnation>,
 }
 
 impl Ledger {
-    /// Nothing granted yet. `reserved` units are kept for nodes that have no grant, all nodes together; they are counted
-    /// inside the whole.
+    /// Returns a ledger without grants. `reserved` is the part of `total` that all nodes together may use without a grant.
     pub fn new(total: u64, reserved: u64, term: LeasePeriod) -> Ledger {
         Ledger {
             term,
             total,
             reserved: reserved.min(total),
             epoch: 0,
-            last: 0,
-            out: BTreeMap::new(),
+            last_number: 0,
+            outstanding: BTreeMap::new(),
             charged: 0,
-            dead: BTreeSet::new(),
+            suspected: BTreeSet::new(),
         }
     }
 
-    /// What a life has to be taken to use: the greatest of its grants, as it may not have heard of the last one.
+    /// Returns the units that a holder may still be using: its largest outstanding grant, because it may not have received the
+    /// last one.
     pub fn charge(&self, holder: NodeIncarnation) -> u64 {
-        self.out.get(&holder).and_then(|all| all.iter().map(|o| o.grant.amount).max()).unwrap_or(0)
-    }
-
-    /// Change what is out to a life, and the sum with it.
-    fn change(&mut self, holder: NodeIncarnation, change: impl FnOnce(&mut Vec<Out>)) {
-        let greatest = |all: &[Out]| all.iter().map(|o| o.grant.amount).max().unwrap_or(0);
-        let all = self.out.entry(holder).or_default();
-        let before = greatest(all);
-        change(all);
-        let after = greatest(all);
-        if all.is_empty() {
-            self.out.remove(&holder);
-            self.dead.remove(&holder);
+        self.outstanding
+            .get(&holder)
+            .and_then(|grants| grants.iter().map(|outstanding| outstanding.grant.amount).max())
+            .unwrap_or(0)
+    }
+
+    /// Updates the outstanding grants of a holder and the sum of all charges.
+    fn update(&mut self, holder: NodeIncarnation, update: impl FnOnce(&mut Vec<OutstandingGrant>)) {
+        let greatest = |grants: &[OutstandingGrant]| {
+            grants.iter().map(|outstanding| outstanding.grant.amount).max().unwrap_or(0)
+        };
+        let grants = self.outstanding.entry(holder).or_default();
+        let before = greatest(grants);
+        update(grants);
+        let after = greatest(grants);
+        if grants.is_empty() {
+            self.outstanding.remove(&holder);
+            self.suspected.remove(&holder);
         }
         self.charged = self.charged.saturating_sub(before).saturating_add(after);
     }
 
-    /// Where all units are.
+    /// Returns how the units are distributed.
     pub fn account(&self) -> Account {
         let (total, reserved, charged) = (self.total, self.reserved, self.charged);
-        let withheld = self.dead.iter().map(|holder| self.charge(*holder)).sum();
+        let withheld = self.suspected.iter().map(|holder| self.charge(*holder)).sum();
         let used = reserved.saturating_add(charged);
         let granted = charged - withheld;
         let (free, debt) = (total.saturating_sub(used), used.saturating_sub(total));
         Account { total, reserved, granted, withheld, free, debt }
     }
 
-    /// The grant that would give a life so much, or as much of it as the others leave of the whole by all that they have to be
-    /// taken to use. It counts once the fleet has agreed on it, see [`Ledger::enter`].
+    /// Returns the grant that would give a holder `wanted` units, or fewer where the charges of other holders leave less. It
+    /// takes effect once it is committed, see [`Ledger::record`].
     pub fn offer(&self, holder: NodeIncarnation, wanted: u64, answers: u64) -> Grant {
-        // Not what it has itself and what is free: a divider that took over counts grants that are long over, and would give
-        // a life its own old part although another has that by now (found by the model).
+        // The holder's own charge plus the free units would be too much: a new leader still counts expired grants, and units
+        // of an expired grant of this holder may be granted to another one by now.
         let others = self.charged.saturating_sub(self.charge(holder));
         let most = self.total.saturating_sub(self.reserved).saturating_sub(others);
-        let (epoch, number) = (self.epoch, self.last + 1);
+        let (epoch, number) = (self.epoch, self.last_number + 1);
         Grant { holder, epoch, number, amount: wanted.min(most), answers, length: self.term.length }
     }
 
-    /// The fleet has agreed on a grant; this divider knows of it now. One that was agreed on before is entered once.
+    /// Records a committed grant, whose term counts from `now`. A grant that is already recorded is ignored.
     pub fn record(&mut self, grant: Grant, now: Micros) {
-        if grant.number <= self.last {
+        if grant.number <= self.last_number {
             return;
         }
-        self.last = grant.number;
-        let until = now + self.counted(&grant);
-        self.dead.remove(&grant.holder);
-        self.change(grant.holder, |all| all.push(Out { grant, until }));
+        self.last_number = grant.number;
+        let expires_at = now + self.count_duration(&grant);
+        self.suspected.remove(&grant.holder);
+        self.update(grant.holder, |grants| grants.push(OutstandingGrant { grant, expires_at }));
     }
 
-    /// A life has said that it goes by that grant: it never goes back to an earlier one.
+    /// Drops the grants of a holder that are earlier than the one with this number, if that one is outstanding, and ends the
+    /// suspicion of the holder. Called when the holder has put that grant in force.
     pub fn acknowledge(&mut self, holder: NodeIncarnation, number: u64) {
-        if self.out.get(&holder).is_some_and(|all| all.iter().any(|o| o.grant.number == number)) {
-            self.change(holder, |all| all.retain(|o| o.grant.number >= number));
+        if self
+            .outstanding
+            .get(&holder)
+            .is_some_and(|grants| grants.iter().any(|outstanding| outstanding.grant.number == number))
+        {
+            self.update(holder, |grants| grants.retain(|outstanding| outstanding.grant.number >= number));
         }
-        self.dead.remove(&holder);
+        self.suspected.remove(&holder);
     }
 
-    /// A life has said that it uses nothing of that grant any more, nor of earlier ones, and never will.
+    /// Drops the grant with this number and all earlier ones of a holder that has released them.
     pub fn release(&mut self, holder: NodeIncarnation, number: u64) {
-        if self.out.contains_key(&holder) {
-            self.change(holder, |all| all.retain(|o| o.grant.number > number));
+        if self.outstanding.contains_key(&holder) {
+            self.update(holder, |grants| grants.retain(|outstanding| outstanding.grant.number > number));
         }
     }
 
-    /// A life is thought dead, or heard of again. That frees nothing: it may only be cut off.
-    pub fn suspect(&mut self, holder: NodeIncarnation, dead: bool) {
-        if dead && self.out.contains_key(&holder) {
-            self.dead.insert(holder);
+    /// Marks a holder as suspected or not. Its grants stay charged, since it may only be partitioned from the allocator.
+    pub fn suspect(&mut self, holder: NodeIncarnation, suspected: bool) {
+        if suspected && self.outstanding.contains_key(&holder) {
+            self.suspected.insert(holder);
         } else {
-            self.dead.remove(&holder);
+            self.suspected.remove(&holder);
         }
     }
 
-    /// Grants that have surely ended by now are over. When the next one will be.
+    /// Drops the expired grants and returns when the next one expires.
     pub fn expire(&mut self, now: Micros) -> Option<Micros> {
-        let over: Vec<NodeIncarnation> =
-            self.out.iter().filter(|(_, all)| all.iter().any(|o| o.until <= now)).map(|(l, _)| *l).collect();
-        for holder in over {
-            self.change(holder, |all| all.retain(|o| o.until > now));
+        let expired: Vec<NodeIncarnation> = self
+            .outstanding
+            .iter()
+            .filter(|(_, grants)| grants.iter().any(|outstanding| outstanding.expires_at <= now))
+            .map(|(holder, _)| *holder)
+            .collect();
+        for holder in expired {
+            self.update(holder, |grants| grants.retain(|outstanding| outstanding.expires_at > now));
         }
-        self.out.values().flatten().map(|o| o.until).min()
+        self.outstanding.values().flatten().map(|outstanding| outstanding.expires_at).min()
     }
 
-    /// For how long a grant is taken for used, from the moment at which this divider knew of it.
-    fn counted(&self, grant: &Grant) -> Micros {
+    /// Returns how long a grant is charged, counted from when this allocator applied it.
+    fn count_duration(&self, grant: &Grant) -> Micros {
         LeasePeriod { length: grant.length, ..self.term }.for_allocator()
     }
 
-    /// All grants that have to be taken for used, and the number of the last one ever entered: what another divider
-    /// needs to go on from here, see [`Ledger::restore`].
+    /// Returns the number of the last grant and all outstanding grants, for [`Ledger::restore`].
     pub fn snapshot(&self) -> (u64, Vec<Grant>) {
-        (self.last, self.out.values().flatten().map(|o| o.grant).collect())
+        (self.last_number, self.outstanding.values().flatten().map(|outstanding| outstanding.grant).collect())
     }
 
-    /// Go on from what another divider kept. Grants count from now.
-    pub fn restore(&mut self, (last, grants): &(u64, Vec<Grant>), now: Micros) {
-        self.last = *last;
-        self.dead.clear();
-        self.out.clear();
+    /// Replaces all grants by those of a snapshot, whose terms count from `now`.
+    pub fn restore(&mut self, (last_number, grants): &(u64, Vec<Grant>), now: Micros) {
+        self.last_number = *last_number;
+        self.suspected.clear();
+        self.outstanding.clear();
         self.charged = 0;
         for grant in grants {
-            let until = now + self.counted(grant);
-            self.change(grant.holder, |all| all.push(Out { grant: *grant, until }));
+            let expires_at = now + self.count_duration(grant);
+            self.update(grant.holder, |grants| grants.push(OutstandingGrant { grant: *grant, expires_at }));
         }
     }
 
-    /// The fleet that gives from now on.
+    /// Sets the epoch of new grants.
     pub fn set_epoch(&mut self, epoch: u32) {
         self.epoch = epoch;
     }
 
-    /// The number of the last grant entered.
+    /// Returns the number of the last recorded grant; 0 for none.
     pub fn last_number(&self) -> u64 {
-        self.last
+        self.last_number
     }
 
-    /// The greatest number of a life's grants, 0 for none.
+    /// Returns the greatest number of a holder's outstanding grants; 0 for none.
     pub fn newest_number(&self, holder: NodeIncarnation) -> u64 {
-        self.out.get(&holder).and_then(|all| all.iter().map(|o| o.grant.number).max()).unwrap_or(0)
+        self.outstanding
+            .get(&holder)
+            .and_then(|grants| grants.iter().map(|outstanding| outstanding.grant.number).max())
+            .unwrap_or(0)
     }
 
-    /// Whether a life that has to be taken to use something is thought dead.
+    /// Returns whether a holder of outstanding grants is suspected.
     pub fn is_suspected(&self, holder: NodeIncarnation) -> bool {
-        self.dead.contains(&holder)
+        self.suspected.contains(&holder)
     }
 
-    /// The operators' file has another whole, another reserve, or another term. What is granted stays granted, for as long
-    /// as it was granted; what may still be in use after that is taken for the longest that was ever said.
+    /// Applies a changed configuration. Outstanding grants keep their terms; the drift and the time of use after a grant's
+    /// expiry keep the greatest values that were ever configured.
     pub fn resize(&mut self, total: u64, reserved: u64, term: LeasePeriod) {
         (self.total, self.reserved) = (total, reserved.min(total));
         let longest = self.term.longest.max(term.longest);
@@ -197,14 +214,14 @@
         self.term = LeasePeriod { longest, drift_ppm, ..term };
     }
 
-    /// What may be divided among lives that are heard of: the whole less the reserve and what is in doubt.
+    /// Returns the units to divide among holders that are not suspected: the total without reserved and withheld units.
     pub fn divisible(&self) -> u64 {
-        let a = self.account();
-        a.total.saturating_sub(a.reserved).saturating_sub(a.withheld)
+        let account = self.account();
+        account.total.saturating_sub(account.reserved).saturating_sub(account.withheld)
     }
 
-    /// All lives that have to be taken to use something.
+    /// Returns all holders of outstanding grants.
     pub fn holders(&self) -> impl Iterator<Item = NodeIncarnation> + '_ {
-        self.out.keys().copied()
+        self.outstanding.keys().copied()
     }
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,19 +1,19 @@
-//! Fleet-wide budgets, choices only: no I/O, no clock, no randomness.
+//! Fleet-wide budgets, without I/O: callers pass in the time, random numbers and received messages.
 //!
-//! A budget is a named whole: so many units a second, or so many in use at once. A divider grants parts of it to nodes for a
-//! time. What holds at every instant, whatever is lost, late, doubled or cut off: the sum of what all nodes may still use is
-//! at most the whole. It rests on one bound, that no clock gains or loses more than a stated part of real time; clocks need not
-//! agree. The argument is the one of leases ("Leases: an efficient fault-tolerant mechanism for distributed file cache
-//! consistency", Gray and Cheriton, section 2), with the drift on both sides.
+//! A budget is a named total: a rate of units per second, or a number of units in use at once. A quota server (an allocator)
+//! leases shares of it to nodes. At every instant the sum of what all nodes may still use is at most the total, even where
+//! messages are lost, delayed or duplicated, or the network is partitioned. This relies only on a bound of the clocks'
+//! drift: clocks need not be synchronized. The argument is that of leases ("Leases: an efficient fault-tolerant mechanism
+//! for distributed file cache consistency", Gray and Cheriton, section 2), with the drift on both sides.
 //!
-//! - [`config`]: what the operator wants;
-//! - [`allocation`]: which node should have how much;
-//! - [`ledger`]: what the divider has granted and can't grant again yet;
-//! - [`lease`]: what a node may use now;
-//! - [`rate_limiter`]: keeping to a part that is so many a second;
-//! - [`messages`]: what nodes and dividers say to each other;
-//! - [`allocator`]: one divider: who asks for what, what is to be agreed on, and what follows from it;
-//! - [`client`]: one node: when it asks whom, and what it may use of every budget.
+//! - [`config`]: the configuration file of budgets;
+//! - [`allocation`]: max-min fair shares of a total;
+//! - [`ledger`]: an allocator's record of grants that have not expired;
+//! - [`lease`]: a node's lease on a share of one budget;
+//! - [`rate_limiter`]: a token bucket;
+//! - [`messages`]: the messages between nodes and allocators;
+//! - [`allocator`]: an allocator: claims of nodes, proposals to the replicated log, and answers;
+//! - [`client`]: a node's client: its requests, and what it may use of each budget.
 
 pub mod allocation;
 pub mod allocator;
@@ -30,57 +30,58 @@
 
 const MILLION: u32 = 1_000_000;
 
-/// One life of a node: a process from its start to its end. Two processes under one name have different ones.
+/// One incarnation of a node: one run of its process. Two processes with the same node name have different incarnations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeIncarnation {
-    /// The node.
+    /// The id of the node's name.
     pub node: NodeId,
-    /// Which of its lives; drawn at the start, never used twice.
+    /// A random number that the process draws when it starts.
     pub incarnation: u64,
 }
 
-/// For how long grants hold.
+/// How long grants are valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeasePeriod {
-    /// The length of a grant, in microseconds of real time.
+    /// The term of a grant, in microseconds of real time.
     pub length: Micros,
-    /// A clock gains or loses this many millionths of real time at most.
+    /// The greatest drift of any clock from real time, in millionths.
     pub drift_ppm: u32,
-    /// What was begun under a grant may be in use for this long after its end: the longest job, for budgets of what is in use
-    /// at once; 0 for budgets by the second.
+    /// How long a unit that was taken under a grant may stay in use after the grant expires, in microseconds: the longest
+    /// duration of a job for budgets of concurrent use, 0 for budgets per second.
     pub longest: Micros,
 }
 
 impl LeasePeriod {
-    /// How long a holder may begin something under a grant, on its own clock, from the moment at which it asked.
+    /// Returns how long a holder may take units under a grant, in microseconds of its own clock, counted from its request.
     pub fn for_holder(&self) -> Micros {
-        let kept = i128::from(MILLION.saturating_sub(self.drift_ppm));
-        (i128::from(self.length) * kept / i128::from(MILLION)) as Micros
+        let slowest = i128::from(MILLION.saturating_sub(self.drift_ppm));
+        (i128::from(self.length) * slowest / i128::from(MILLION)) as Micros
     }
 
-    /// How long a divider has to take a grant for used, on its own clock, from the moment at which it knew of it.
+    /// Returns how long an allocator must count a grant as in use, in microseconds of its own clock, counted from when the
+    /// grant was applied there.
     pub fn for_allocator(&self) -> Micros {
-        let gained = i128::from(self.length + self.longest) * i128::from(self.drift_ppm);
-        let rounded = (gained + i128::from(MILLION) - 1) / i128::from(MILLION);
-        self.length + self.longest + rounded as Micros
+        let drift = i128::from(self.length + self.longest) * i128::from(self.drift_ppm);
+        let margin = (drift + i128::from(MILLION) - 1) / i128::from(MILLION);
+        self.length + self.longest + margin as Micros
     }
 }
 
-/// A part of a budget, granted to one life of a node. It takes the place of all with lower numbers.
+/// A share of a budget that is leased to one incarnation of a node. It replaces the holder's grants with lower numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Grant {
-    /// Whose.
+    /// The incarnation that may use it.
     #[serde(rename = "life")]
     pub holder: NodeIncarnation,
-    /// Which fleet gave it: drawn anew each time a fleet is founded, which is when its dividers begin with nothing. Numbers of
-    /// different ones have no order; what one gave has ended before the next one gives anything.
+    /// The epoch of the allocators' replicated log: a random number that is drawn when an empty log is initialized. Grant
+    /// numbers of different epochs can't be compared; all grants of one epoch expire before the next one begins.
     pub epoch: u32,
-    /// Its number; grows with each grant of the budget, whoever divides.
+    /// Increases with each grant of the budget within an epoch, also across changes of the leader.
     pub number: u64,
-    /// Units, of a second or in use at once.
+    /// Units per second, or units in use at once.
     pub amount: u64,
-    /// In which the asking was done that this answers, by the holder's own count.
+    /// The number of the holder's request that this grant answers.
     pub answers: u64,
-    /// For how long it holds from that asking on, in microseconds of real time.
+    /// The term, counted from the time of that request, in microseconds of real time.
     pub length: Micros,
 }
--- a/crates/quota/src/messages.rs
+++ b/crates/quota/src/messages.rs
@@ -1,220 +1,222 @@
-//! What nodes and dividers say to each other, one word a datagram. Words are JSON: fields that a program doesn't know are
-//! passed over, so that two versions of it can stand side by side; a word that it doesn't know at all is told as such.
+//! Messages between nodes and allocators, one per datagram, encoded as JSON.
+//!
+//! Unknown fields are ignored, so that different versions of the programs can run together during an upgrade; an unknown
+//! kind of message is an error.
 
 use crate::{Grant, Micros, NodeIncarnation};
 use serde::{Deserialize, Serialize};
 
-/// What a node says of one budget as it asks.
+/// A node's request for a share of one budget.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BudgetClaim {
-    /// The budget.
+    /// The name of the budget.
     #[serde(rename = "b")]
     pub budget: String,
-    /// The number of this asking, by the node's own count.
+    /// The number of this request; each client numbers its requests per budget.
     #[serde(rename = "a")]
     pub answers: u64,
-    /// Units that it could use.
+    /// Units that the node could use.
     #[serde(rename = "d")]
     pub demand: u64,
-    /// Units that it uses, or has in use.
+    /// Units that the node used per second, or has in use.
     #[serde(rename = "u", default)]
     pub used: u64,
-    /// The fleet and the number of the grant that it goes by; 0 for none.
+    /// The epoch and the number of the grant that the node has put in force; zeros for none.
     #[serde(rename = "g", default)]
     pub in_force: (u32, u64),
 }
 
-/// A grant of one budget to the life that is told of it.
+/// A grant of one budget, as it is sent to its holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BudgetGrant {
-    /// The budget.
+    /// The name of the budget.
     #[serde(rename = "b")]
     pub budget: String,
-    /// See [`Grant`].
+    /// See [`Grant::epoch`].
     #[serde(rename = "e")]
     pub epoch: u32,
-    /// See [`Grant`].
+    /// See [`Grant::number`].
     #[serde(rename = "n")]
     pub number: u64,
-    /// See [`Grant`].
+    /// See [`Grant::amount`].
     #[serde(rename = "m")]
     pub amount: u64,
-    /// See [`Grant`].
+    /// See [`Grant::answers`].
     #[serde(rename = "a")]
     pub answers: u64,
-    /// See [`Grant`].
+    /// See [`Grant::length`].
     #[serde(rename = "l")]
     pub length: Micros,
 }
 
 impl BudgetGrant {
-    /// That grant of that budget.
+    /// Returns the form of `grant` that is sent to its holder.
     pub fn of(budget: &str, grant: &Grant) -> BudgetGrant {
         let Grant { epoch, number, amount, answers, length, .. } = *grant;
         BudgetGrant { budget: budget.to_string(), epoch, number, amount, answers, length }
     }
 
-    /// The grant, to the life that was told.
+    /// Returns the grant with its holder, who received it.
     pub fn to(&self, holder: NodeIncarnation) -> Grant {
         let BudgetGrant { epoch, number, amount, answers, length, .. } = *self;
         Grant { holder, epoch, number, amount, answers, length }
     }
 }
 
-/// One word.
+/// A message between a node and an allocator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", tag = "w")]
 pub enum Message {
-    /// A node asks for parts, and says what it has.
+    /// From a node: requests shares of budgets and reports their use.
     Ask {
-        /// Who.
+        /// The incarnation that sends the message.
         #[serde(flatten)]
         holder: NodeIncarnation,
-        /// The version of its file.
+        /// The version of the node's configuration file of budgets.
         plan: u64,
-        /// Budgets.
+        /// One claim for each budget.
         #[serde(rename = "c")]
         claims: Vec<BudgetClaim>,
     },
-    /// A node goes by those grants from now on, and never by earlier ones.
+    /// From a node: it has put these grants in force and never uses earlier ones again.
     #[serde(rename = "goes")]
     Acknowledge {
-        /// Who.
+        /// The incarnation that sends the message.
         #[serde(flatten)]
         holder: NodeIncarnation,
-        /// Budgets, with the fleets and numbers of the grants.
+        /// For each budget its name, and the epoch and the number of the grant.
         #[serde(rename = "by")]
         grants: Vec<(String, u32, u64)>,
     },
-    /// A node uses nothing of those grants any more, nor of earlier ones.
+    /// From a node: it has released these grants and all earlier ones of the same budgets.
     Returns {
-        /// Who.
+        /// The incarnation that sends the message.
         #[serde(flatten)]
         holder: NodeIncarnation,
-        /// Budgets, with the fleets and numbers of the grants.
+        /// For each budget its name, and the epoch and the number of the grant.
         #[serde(rename = "of")]
         grants: Vec<(String, u32, u64)>,
     },
-    /// A divider's answer.
+    /// From the leader: answers [`Message::Ask`].
     Grants {
-        /// The life that it is for.
+        /// The incarnation that receives the grants.
         #[serde(flatten)]
         holder: NodeIncarnation,
-        /// The version of the file that the fleet has agreed on.
+        /// The latest version of the configuration file whose reserves nodes may use.
         plan: u64,
-        /// Budgets; none for what there is nothing of.
+        /// One grant for each budget; budgets of which nothing could be granted are left out.
         #[serde(rename = "g")]
         grants: Vec<BudgetGrant>,
     },
-    /// Somebody else is short of what this node has: ask again now.
+    /// From the leader: the node should ask again now, because it holds more than its share while other nodes lack units.
     #[serde(rename = "hurry")]
     AskAgain {
-        /// The life that is meant.
+        /// The incarnation that should ask.
         #[serde(flatten)]
         holder: NodeIncarnation,
     },
-    /// This divider does not lead; the one named does, as far as it knows.
+    /// From an allocator that is not the leader: answers [`Message::Ask`].
     #[serde(rename = "elsewhere")]
     NotLeader {
-        /// The divider.
+        /// The name of the leader, if the sender knows it.
         leader: Option<String>,
     },
 }
 
-/// Why a datagram is no word.
+/// Reports a datagram that is not a message of this protocol.
 #[derive(Debug, thiserror::Error)]
-#[error("no word: {0}")]
+#[error("the datagram is not a message of the quota protocol: {0}")]
 pub struct MessageError(#[from] serde_json::Error);
 
 impl Message {
-    /// As it is said.
+    /// Encodes the message for a datagram.
     pub fn bytes(&self) -> Vec<u8> {
-        // It holds nothing that JSON can't say.
+        // Serialization can't fail: a message has no map with keys other than strings.
         serde_json::to_vec(self).expect("JSON writes a message")
     }
 
-    /// As it was said.
+    /// Decodes the message of a datagram.
     ///
     /// # Errors
-    /// Where it makes no sense to this program.
+    /// The bytes are not JSON, or of an unknown kind, or lack a field.
     pub fn read(bytes: &[u8]) -> Result<Message, MessageError> {
         Ok(serde_json::from_slice(bytes)?)
     }
 }
 
-/// Where the units of a budget are, for operators.
+/// How the units of a budget are distributed, for operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BudgetStatus {
-    /// Its name.
+    /// The name of the budget.
     pub name: String,
-    /// All units.
+    /// All units of the budget.
     #[serde(rename = "whole")]
     pub total: u64,
-    /// Kept for nodes without a grant.
+    /// Units that nodes may use without a grant.
     pub reserved: u64,
-    /// Granted to lives that were heard of lately.
+    /// Units granted to incarnations that are not suspected.
     pub granted: u64,
-    /// Of these, beyond what they ask for.
+    /// Granted units beyond the demand of their holders.
     #[serde(rename = "lent")]
     pub surplus: u64,
-    /// Held back for lives that are thought dead.
+    /// Units granted to suspected incarnations, until the grants expire.
     #[serde(rename = "in_doubt")]
     pub withheld: u64,
-    /// Free.
+    /// Units that can be granted now.
     pub free: u64,
-    /// Granted beyond the whole, since that was lowered.
+    /// Units granted or reserved beyond the total, after the total was lowered.
     pub debt: u64,
-    /// Used by the nodes' own word.
+    /// Units in use, as nodes report them.
     pub used: u64,
-    /// Grants agreed on so far.
+    /// The number of the last grant of the budget.
     pub number: u64,
-    /// Who has how much.
+    /// The share of each node incarnation.
     pub parts: Vec<PartStatus>,
 }
 
-/// One life's part of a budget.
+/// The share of a budget that one node incarnation holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartStatus {
-    /// The node's name.
+    /// The name of the node, or `?` and its id if the configuration file does not list it.
     pub node: String,
-    /// Which life of it.
+    /// See [`NodeIncarnation::incarnation`].
     pub incarnation: u64,
-    /// Units that it has to be taken to use.
+    /// Units that the node may still be using: the largest of its grants that have not expired.
     pub amount: u64,
-    /// Units that it asks for.
+    /// Units that the node could use.
     pub demand: u64,
-    /// Units that it uses by its own word.
+    /// Units in use, as the node reports them.
     pub used: u64,
-    /// The number of its newest grant.
+    /// The number of the node's newest grant; 0 for none.
     pub number: u64,
-    /// How long ago it was heard of, in microseconds.
+    /// The time since the leader received the node's last request, in microseconds; `None` where it has received none.
     #[serde(rename = "heard")]
     pub received: Option<Micros>,
-    /// It is thought dead.
+    /// Whether the allocator takes the node for dead, because no recent request has arrived.
     #[serde(rename = "doubted")]
     pub is_suspected: bool,
 }
 
-/// A divider's view, for operators.
+/// The state of all budgets as one allocator knows it, for operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Whose view.
+    /// The name of the allocator that reports.
     #[serde(rename = "divider")]
     pub allocator: String,
-    /// Who divides, as far as it knows.
+    /// The name of the leader, if the allocator knows it.
     pub leader: Option<String>,
-    /// The version of the file that was agreed on; 0 for none.
+    /// The version of the committed configuration; 0 for none.
     pub plan: u64,
-    /// The fleet that gives grants; none for a term after one was founded.
+    /// The epoch of the grants; `None` until one lease term has passed after a new replicated log was initialized.
     pub epoch: Option<u32>,
-    /// Versions whose reserves are still kept, because not all nodes have said that they go by a newer one.
+    /// Earlier versions of the configuration whose reserves are still counted, because not all nodes use a newer one.
     pub kept: Vec<u64>,
-    /// The budgets.
+    /// The status of each budget of the committed configuration.
     pub budgets: Vec<BudgetStatus>,
-    /// Who is in the fleet: the name, where it stands, for how long, in microseconds.
+    /// The members of the fleet: name, membership state, and time in that state in microseconds.
     #[serde(default)]
     pub members: Vec<(String, String, Micros)>,
-    /// Datagrams that were dropped because of their codes: why, and how many.
+    /// Datagrams that failed authentication, counted by reason.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub refused: Vec<(String, u64)>,
 }
--- a/crates/quota/src/rate_limiter.rs
+++ b/crates/quota/src/rate_limiter.rs
@@ -1,46 +1,48 @@
-//! Keeping to a part that is so many units a second, in whole numbers: nothing is gained or lost by rounding.
+//! A token bucket in integer arithmetic, without rounding errors.
 
 use crate::Micros;
 
-/// A token bucket whose rate may change at any time. Its tokens are counted in millionths.
+/// A token bucket whose rate may change at any time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TokenBucket {
+    /// The available tokens, in millionths of a token.
     tokens: u128,
-    at: Micros,
-    /// How long unused units are kept, in microseconds of the rate.
+    refilled_at: Micros,
+    /// The capacity, as the time in microseconds in which an empty bucket fills at the current rate.
     burst: Micros,
 }
 
 impl TokenBucket {
-    /// An empty one: a part that was just granted has not been saved up for. `burst` is for how long unused units can still be
-    /// used; over any span all nodes together use at most the whole times the span and the burst, and a unit for each node.
+    /// Returns an empty bucket, because a share that was just granted has no unused units. `burst` is how long unused tokens
+    /// accumulate, in microseconds. Over any span the nodes together use at most the budget's rate times the sum of span and
+    /// burst, plus one unit per node.
     pub fn new(burst: Micros, now: Micros) -> TokenBucket {
-        TokenBucket { tokens: 0, at: now, burst: burst.max(0) }
+        TokenBucket { tokens: 0, refilled_at: now, burst: burst.max(0) }
     }
 
-    /// Bring it up to that time, at the rate that has held since the last time.
+    /// Adds the tokens for the time since the last refill, at the rate of units per second that held since then.
     pub fn refill(&mut self, now: Micros, rate: u64) {
-        let gone = u128::try_from(now - self.at).unwrap_or(0);
-        self.at = self.at.max(now);
-        let most = (u128::from(rate) * self.burst as u128).max(1_000_000 * u128::from(rate.min(1)));
-        self.tokens = (self.tokens + u128::from(rate) * gone).min(most);
+        let elapsed = u128::try_from(now - self.refilled_at).unwrap_or(0);
+        self.refilled_at = self.refilled_at.max(now);
+        let capacity = (u128::from(rate) * self.burst as u128).max(1_000_000 * u128::from(rate.min(1)));
+        self.tokens = (self.tokens + u128::from(rate) * elapsed).min(capacity);
     }
 
-    /// Whether a unit is there, as of the time it was last brought up to.
+    /// Returns whether a token was available at the last refill.
     pub fn has_token(&self) -> bool {
         self.tokens >= 1_000_000
     }
 
-    /// Use a unit, if there is one.
+    /// Takes one token and returns whether one was available.
     pub fn take(&mut self) -> bool {
-        let there = self.has_token();
-        self.tokens -= if there { 1_000_000 } else { 0 };
-        there
+        let available = self.has_token();
+        self.tokens -= if available { 1_000_000 } else { 0 };
+        available
     }
 
-    /// When the next unit will be there, at that rate, from the time it was last brought up to; `None` at a rate of 0.
+    /// Returns when the next token will be available at this rate, in units per second; `None` at a rate of 0.
     pub fn next_token_at(&self, rate: u64) -> Option<Micros> {
         let missing = 1_000_000u128.saturating_sub(self.tokens);
-        (rate > 0).then(|| self.at + missing.div_ceil(u128::from(rate)) as Micros)
+        (rate > 0).then(|| self.refilled_at + missing.div_ceil(u128::from(rate)) as Micros)
     }
 }
--- a/crates/quota/tests/fleet.rs
+++ b/crates/quota/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! One divider and one node's seat, each by itself.
+//! Tests of one allocator or one client, without a network.
 
 use shorepath_quota::allocator::{Allocator, Entry};
 use shorepath_quota::client::{QuotaClient, Usage};
@@ -27,8 +27,8 @@
     Message::Ask { holder: node_incarnation(name), plan, claims: vec![claim] }
 }
 
-/// Have what it proposes agreed on until it proposes nothing more.
-fn agree(allocator: &mut Allocator, now: i64) -> Vec<Entry> {
+/// Commits all proposals of the allocator and returns their entries.
+fn commit_proposals(allocator: &mut Allocator, now: i64) -> Vec<Entry> {
     let mut all = Vec::new();
     while let Some(entry) = allocator.propose(now) {
         let changed = allocator.apply(&entry, now);
@@ -38,63 +38,66 @@
     all
 }
 
-fn opened(file: Plan) -> Allocator {
+fn granting_allocator(file: Plan) -> Allocator {
     let mut allocator = Allocator::new("d0", file, 7);
     allocator.set_leader(true);
-    assert!(matches!(agree(&mut allocator, 0)[..], [Entry::Plan(_)]));
-    assert!(agree(&mut allocator, 6 * S).is_empty(), "an earlier fleet's grants may still hold");
-    assert_eq!(agree(&mut allocator, 8 * S), [Entry::Open(7)]);
+    assert!(matches!(commit_proposals(&mut allocator, 0)[..], [Entry::Plan(_)]));
+    assert!(
+        commit_proposals(&mut allocator, 6 * S).is_empty(),
+        "grants of an earlier epoch may still be valid"
+    );
+    assert_eq!(commit_proposals(&mut allocator, 8 * S), [Entry::Open(7)]);
     allocator
 }
 
 #[test]
-fn reserves_of_an_older_file_are_kept_until_every_node_goes_by_the_newer() {
-    let mut allocator = opened(plan(1, 100, 20));
+fn reserves_of_an_older_version_count_until_every_node_uses_the_newer_one() {
+    let mut allocator = granting_allocator(plan(1, 100, 20));
     let reserved = |d: &Allocator| d.state().ledger("quota:a").unwrap().account().reserved;
     assert_eq!(reserved(&allocator), 40);
     allocator.set_plan(plan(2, 100, 1));
     let mut now = 9 * S;
-    agree(&mut allocator, now);
+    commit_proposals(&mut allocator, now);
     assert_eq!((allocator.state().plan().unwrap().version, reserved(&allocator)), (2, 40));
     for (first, second, wanted) in [(1, 1, 40), (2, 1, 40), (2, 2, 2)] {
         now += S;
         allocator.receive(&ask("n0", first, now as u64, 5), now);
         allocator.receive(&ask("n1", second, now as u64, 5), now);
-        agree(&mut allocator, now);
+        commit_proposals(&mut allocator, now);
         assert_eq!(reserved(&allocator), wanted, "n0 by {first}, n1 by {second}");
     }
-    // A file of an older version, read again by mistake, changes nothing.
+    // A file with an older version has no effect.
     allocator.set_plan(plan(1, 100, 20));
-    agree(&mut allocator, now + S);
+    commit_proposals(&mut allocator, now + S);
     assert_eq!(allocator.state().plan().unwrap().version, 2);
 }
 
-/// What was worked out before somebody else's grants were agreed on changes nothing, however late it is agreed on itself.
+/// Guards against grants that were computed before other grants and committed after them.
 #[test]
-fn a_proposal_that_was_overtaken_changes_nothing() {
-    let mut old = opened(plan(1, 100, 0));
+fn an_outdated_proposal_has_no_effect() {
+    let mut old = granting_allocator(plan(1, 100, 0));
     let mut new = old.clone();
     let now = 9 * S;
     old.receive(&ask("n0", 1, 1, 100), now);
-    let late = old.propose(now).unwrap();
+    let outdated = old.propose(now).unwrap();
     for (name, answers) in [("n1", 1), ("n1", 2)] {
         new.receive(&ask(name, 1, answers, 40), now + answers as i64 * S);
-        assert!(!agree(&mut new, now + answers as i64 * S).is_empty());
+        assert!(!commit_proposals(&mut new, now + answers as i64 * S).is_empty());
     }
     let before = new.state().clone();
-    assert!(!new.apply(&late, now + 4 * S));
+    assert!(!new.apply(&outdated, now + 4 * S));
     assert_eq!(*new.state(), before);
-    assert!(old.apply(&late, now), "in its turn it would have held");
+    assert!(old.apply(&outdated, now), "the proposal is valid without the other grants");
 }
 
-/// A stranger gets nothing, and who left is not divided to.
+/// Guards against grants to unknown nodes and to nodes that have left.
 #[test]
-fn only_those_listed_and_heard_of_are_divided_to() {
-    let mut allocator = opened(plan(1, 100, 0));
+fn only_listed_nodes_with_claims_get_grants() {
+    let mut allocator = granting_allocator(plan(1, 100, 0));
     allocator.receive(&ask("stranger", 1, 1, 50), 9 * S);
     allocator.receive(&ask("n0", 1, 1, 1_000), 9 * S);
     allocator.receive(&ask("n1", 1, 1, 1_000), 9 * S);
-    agree(&mut allocator, 9 * S);
+    commit_proposals(&mut allocator, 9 * S);
     let charge =
         |d: &Allocator, name: &str| d.state().ledger("quota:a").unwrap().charge(node_incarnation(name));
     assert_eq!(
@@ -104,7 +107,7 @@
     let grants = vec![("quota:a".to_string(), 7, 2)];
     allocator.receive(&Message::Returns { holder: node_incarnation("n1"), grants }, 10 * S);
     allocator.receive(&ask("n0", 1, 2, 1_000), 10 * S);
-    agree(&mut allocator, 10 * S);
+    commit_proposals(&mut allocator, 10 * S);
     assert_eq!((charge(&allocator, "n0"), charge(&allocator, "n1")), (100, 0));
     let status = allocator.status(Some("d0".into()), 10 * S);
     assert_eq!((status.budgets[0].granted, status.budgets[0].free), (100, 0));
@@ -123,27 +126,27 @@
 }
 
 #[test]
-fn a_seat_uses_what_it_may_and_says_what_it_gave_up() {
+fn a_client_limits_its_use_and_acknowledges_smaller_grants() {
     let me = node_incarnation("n0");
     let mut quota_client = QuotaClient::new(me, plan(1, 100, 3), 0, 0);
     let usable =
         |s: &QuotaClient, now| (s.usable("quota:a", now).unwrap(), s.usable("flight:v", now).unwrap());
     assert_eq!(usable(&quota_client, 0), (0, 0), "another process has the node's address");
     quota_client.set_owns_address(true, 0);
-    assert_eq!(usable(&quota_client, 0), (3, 0), "an earlier life's jobs may still run");
+    assert_eq!(usable(&quota_client, 0), (3, 0), "jobs of an earlier incarnation may still run");
     quota_client.pass(0);
     let asked = quota_client.take_outgoing();
     assert!(matches!(&asked[..], [s] if s.to == 0 && matches!(s.message, Message::Ask { .. })), "{asked:?}");
     assert!(quota_client.receive(0, &grants(me, 1, 1, 6, 10), 1_000));
     assert_eq!(usable(&quota_client, 3 * S), (9, 6));
     quota_client.pass(3 * S);
-    assert_eq!(usable(&quota_client, 3 * S), (9, 7), "nothing of an earlier life is out any more");
-    // Seven are out as the part shrinks to two: it is gone by once no more than three are.
+    assert_eq!(usable(&quota_client, 3 * S), (9, 7), "jobs of an earlier incarnation have ended");
+    // With seven units in use the grant shrinks to two, plus a reserve of one: it is acknowledged at three units in use.
     quota_client.record_usage("flight:v", Usage { wanted: 7, used: 7 });
     quota_client.pass(3 * S);
     quota_client.take_outgoing();
     quota_client.receive(0, &grants(me, 1, 2, 2, 11), 3 * S + 1_000);
-    let goes = |s: &mut QuotaClient| {
+    let acknowledged = |s: &mut QuotaClient| {
         s.take_outgoing().into_iter().find_map(|s| {
             if let Message::Acknowledge { grants, .. } = s.message {
                 Some(grants)
@@ -152,14 +155,14 @@
             }
         })
     };
-    assert_eq!(goes(&mut quota_client), Some(vec![("quota:a".to_string(), 1, 11)]));
+    assert_eq!(acknowledged(&mut quota_client), Some(vec![("quota:a".to_string(), 1, 11)]));
     assert_eq!(usable(&quota_client, 3 * S + 1_000), (5, 3));
     quota_client.record_usage("flight:v", Usage { wanted: 4, used: 4 });
     quota_client.pass(3 * S + 2_000);
-    assert_eq!(goes(&mut quota_client), None);
+    assert_eq!(acknowledged(&mut quota_client), None);
     quota_client.record_usage("flight:v", Usage { wanted: 3, used: 3 });
     quota_client.pass(3 * S + 3_000);
-    assert_eq!(goes(&mut quota_client), Some(vec![("flight:v".to_string(), 1, 11)]));
+    assert_eq!(acknowledged(&mut quota_client), Some(vec![("flight:v".to_string(), 1, 11)]));
     // It leaves with three out: those are counted until their grant has ended.
     quota_client.leave(4 * S);
     let left = quota_client.take_outgoing();
@@ -172,7 +175,7 @@
 }
 
 #[test]
-fn a_greater_reserve_is_used_once_the_dividers_count_it() {
+fn a_raised_reserve_is_used_once_the_allocators_count_it() {
     let me = node_incarnation("n0");
     let mut quota_client = QuotaClient::new(me, plan(1, 100, 3), 0, 0);
     quota_client.set_owns_address(true, 0);
@@ -182,7 +185,7 @@
     assert_eq!(
         quota_client.usable("quota:a", 2_000),
         Some(5),
-        "what is granted; which reserve is counted is not known"
+        "only the grant, because it is unknown which reserve the allocators count"
     );
     quota_client.pass(S);
     quota_client.receive(0, &grants(me, 1, 2, 5, 2), S);
@@ -192,9 +195,9 @@
     assert_eq!(quota_client.usable("quota:a", 3 * S), Some(14));
 }
 
-/// It goes on to the next divider where one is silent, follows the one that is named, and is not sent to and fro for ever.
+/// Guards against endless redirects between two allocators.
 #[test]
-fn a_seat_finds_the_divider_that_leads() {
+fn a_client_follows_redirects_to_the_leader_a_limited_number_of_times() {
     let mut quota_client = QuotaClient::new(node_incarnation("n0"), plan(1, 100, 3), 0, 0);
     let to = |s: &mut QuotaClient, now| {
         s.pass(now);
@@ -203,28 +206,28 @@
     assert_eq!(to(&mut quota_client, 0), [0]);
     assert_eq!(to(&mut quota_client, 200_000), [0usize; 0], "it waits for an answer");
     assert_eq!(to(&mut quota_client, 300_000), [1]);
-    let elsewhere = |name: &str| Message::NotLeader { leader: Some(name.into()) };
+    let redirect = |name: &str| Message::NotLeader { leader: Some(name.into()) };
     let mut now = 300_000;
     let mut sent = Vec::new();
     for k in 0..20 {
-        quota_client.receive((k + 1) % 2, &elsewhere(["d0", "d1"][k % 2]), now);
+        quota_client.receive((k + 1) % 2, &redirect(["d0", "d1"][k % 2]), now);
         now += 1_000;
         sent.extend(to(&mut quota_client, now));
     }
-    assert_eq!(sent, [0, 1], "twice, and then it waits");
+    assert_eq!(sent, [0, 1], "two redirects, then a wait");
 }
 
-/// Two processes under one name are two lives: both are counted, and both get what is fair.
+/// Guards against counting only one of two processes with the same node name.
 #[test]
-fn two_nodes_with_one_name_are_two_lives() {
-    let mut allocator = opened(plan(1, 100, 0));
-    let twin = NodeIncarnation { incarnation: 2, ..node_incarnation("n0") };
+fn two_processes_with_one_node_name_get_separate_grants() {
+    let mut allocator = granting_allocator(plan(1, 100, 0));
+    let second_process = NodeIncarnation { incarnation: 2, ..node_incarnation("n0") };
     for k in 1..=3 {
         let now = 8 * S + k * S;
         allocator.receive(&ask("n0", 1, k as u64, 1_000), now);
         let Message::Ask { plan, claims, .. } = ask("n0", 1, k as u64, 1_000) else { unreachable!() };
-        allocator.receive(&Message::Ask { holder: twin, plan, claims }, now);
-        for entry in agree(&mut allocator, now) {
+        allocator.receive(&Message::Ask { holder: second_process, plan, claims }, now);
+        for entry in commit_proposals(&mut allocator, now) {
             let Entry::Grants { grants, .. } = entry else { continue };
             for (name, grant) in grants {
                 allocator.receive(
@@ -234,39 +237,39 @@
             }
         }
         let ledger = allocator.state().ledger("quota:a").unwrap();
-        assert!(ledger.charge(node_incarnation("n0")) + ledger.charge(twin) <= 100);
+        assert!(ledger.charge(node_incarnation("n0")) + ledger.charge(second_process) <= 100);
     }
     let ledger = allocator.state().ledger("quota:a").unwrap();
-    assert_eq!((ledger.charge(node_incarnation("n0")), ledger.charge(twin)), (50, 50));
+    assert_eq!((ledger.charge(node_incarnation("n0")), ledger.charge(second_process)), (50, 50));
 }
 
-/// One unit over three hundred nodes is one node's at a time, and another's later.
+/// Guards against a single unit that stays with one of 300 nodes.
 #[test]
-fn a_single_unit_goes_round() {
+fn a_single_unit_rotates_among_nodes() {
     let nodes: String = (0..300).map(|k| format!("(node n{k} \"127.0.0.2:{}\")", k + 1)).collect();
     let text =
         format!("(budgets (term 1 s) (divider d0 \"127.0.0.1:1\") {nodes} (budget quota:a (whole 1)))");
     let mut allocator = Allocator::new("d0", read("b.sexp", &text).unwrap(), 7);
     allocator.set_leader(true);
-    agree(&mut allocator, 0);
-    let (mut now, mut had) = (2 * S, std::collections::BTreeSet::new());
+    commit_proposals(&mut allocator, 0);
+    let (mut now, mut holders) = (2 * S, std::collections::BTreeSet::new());
     for round in 1..=40 {
         for k in 0..300 {
             allocator.receive(&ask(&format!("n{k}"), 1, round, 10), now);
         }
-        agree(&mut allocator, now);
+        commit_proposals(&mut allocator, now);
         let ledger = allocator.state().ledger("quota:a").unwrap();
-        let out: Vec<NodeIncarnation> = ledger.holders().filter(|l| ledger.charge(*l) > 0).collect();
-        assert!(out.len() <= 1, "{out:?}");
-        had.extend(out);
+        let current: Vec<NodeIncarnation> = ledger.holders().filter(|l| ledger.charge(*l) > 0).collect();
+        assert!(current.len() <= 1, "{current:?}");
+        holders.extend(current);
         now += S / 4;
     }
-    assert!(had.len() >= 3, "{had:?}");
+    assert!(holders.len() >= 3, "{holders:?}");
 }
 
-/// What another version of the program says in addition is passed over, and what it leaves out has its usual value.
+/// Unknown fields are ignored, and missing ones get their defaults.
 #[test]
-fn words_of_another_version_are_understood() {
+fn messages_of_other_versions_are_decoded() {
     let newer = r#"{"w":"ask","node":5,"incarnation":9,"plan":3,"zone":"a","c":[{"b":"probes","a":1,"d":2,"u":1,"g":[7,4],"x":true}]}"#;
     let older = r#"{"w":"ask","node":5,"incarnation":9,"plan":3,"c":[{"b":"probes","a":1,"d":2}]}"#;
     let in_force = |text: &str| match Message::read(text.as_bytes()).unwrap() {
@@ -279,9 +282,9 @@
     assert_eq!(Message::read(&message.bytes()).unwrap(), message);
 }
 
-/// A budget that a file leaves out and the next one names again: askings go on counting, and what was on the way is not gone by.
+/// Guards against delayed grants for a budget that was removed and added again.
 #[test]
-fn a_budget_that_comes_back_goes_on_counting() {
+fn a_budget_that_is_added_again_continues_its_request_numbers() {
     let me = node_incarnation("n0");
     let mut quota_client = QuotaClient::new(me, plan(1, 100, 0), 0, 0);
     let asked = |s: &mut QuotaClient, now| {
@@ -299,7 +302,7 @@
     assert_eq!(quota_client.usable("quota:a", S), None);
     quota_client.replan(plan(3, 100, 0), 20 * S);
     assert_eq!(asked(&mut quota_client, 20 * S), Some(2));
-    // Late, of an asking before, and counted from it; then one that was given back.
+    // A delayed grant for an earlier request has expired, and a released grant is not used again.
     quota_client.receive(0, &grants(me, 3, 1, 50, 11), 20 * S + 1_000);
     quota_client.receive(0, &grants(me, 3, 2, 50, 10), 20 * S + 2_000);
     assert_eq!(quota_client.usable("quota:a", 20 * S + 2_000), Some(0));
@@ -307,9 +310,9 @@
     assert_eq!(quota_client.usable("quota:a", 20 * S + 3_000), Some(7));
 }
 
-/// A word that nobody of the fleet said may hold any number: what is used is wrong then, but nothing panics.
+/// Guards against a panic on forged numbers.
 #[test]
-fn the_largest_numbers_in_a_grant_are_borne() {
+fn the_largest_numbers_in_a_grant_cause_no_overflow() {
     let text = "(budgets (term 5 s) (drift-ppm 0) (divider d0 \"127.0.0.1:1\") (node n0 \"127.0.0.1:3\")
                   (budget quota:a (whole 100)))";
     let me = node_incarnation("n0");
@@ -330,58 +333,57 @@
     assert_eq!(quota_client.usable("quota:a", 2 * S), Some(u64::MAX));
 }
 
-/// Nodes are told of a file with a greater reserve once it has room beside what was granted before.
+/// Guards against use of a raised reserve while earlier grants leave no units for it.
 #[test]
-fn a_greater_reserve_waits_for_parts_that_were_granted_before() {
-    let mut allocator = opened(plan(1, 100, 0));
-    let sent = |d: &mut Allocator, now| {
-        let mut notified = Vec::new();
+fn a_raised_reserve_is_announced_once_earlier_grants_have_shrunk() {
+    let mut allocator = granting_allocator(plan(1, 100, 0));
+    let commit_and_collect_answers = |d: &mut Allocator, now| {
+        let mut answers_sent = Vec::new();
         while let Some(entry) = d.propose(now) {
             let changed = d.apply(&entry, now);
             for outgoing in d.complete_proposal(&entry, changed, now) {
                 if let Message::Grants { plan, grants, .. } = outgoing.message {
                     let g = grants.iter().find(|g| g.budget == "quota:a");
-                    notified.push((outgoing.to, plan, g.map(|g| (g.amount, g.number))));
+                    answers_sent.push((outgoing.to, plan, g.map(|g| (g.amount, g.number))));
                 }
             }
         }
-        notified
+        answers_sent
     };
     let ask_both = |d: &mut Allocator, plan, answers, now| {
         ["n0", "n1"].iter().for_each(|n| d.receive(&ask(n, plan, answers, 1_000), now));
-        sent(d, now)
+        commit_and_collect_answers(d, now)
     };
-    let notified = ask_both(&mut allocator, 1, 1, 9 * S);
-    assert!(notified.iter().all(|t| t.1 == 1 && t.2.is_some_and(|g| g.0 == 50)), "{notified:?}");
+    let answers_sent = ask_both(&mut allocator, 1, 1, 9 * S);
+    assert!(answers_sent.iter().all(|t| t.1 == 1 && t.2.is_some_and(|g| g.0 == 50)), "{answers_sent:?}");
     allocator.set_plan(plan(2, 100, 10));
-    assert!(ask_both(&mut allocator, 2, 2, 10 * S).is_empty(), "the file is agreed on first");
-    let notified = ask_both(&mut allocator, 2, 3, 11 * S);
+    assert!(ask_both(&mut allocator, 2, 2, 10 * S).is_empty(), "the configuration is committed first");
+    let answers_sent = ask_both(&mut allocator, 2, 3, 11 * S);
     assert!(
-        notified.len() == 2 && notified.iter().all(|t| t.1 == 1 && t.2.is_some_and(|g| g.0 < 50)),
-        "{notified:?}"
+        answers_sent.len() == 2 && answers_sent.iter().all(|t| t.1 == 1 && t.2.is_some_and(|g| g.0 < 50)),
+        "{answers_sent:?}"
     );
-    for (to, _, g) in notified {
+    for (to, _, g) in answers_sent {
         let grants = vec![("quota:a".to_string(), 7, g.unwrap().1)];
         allocator.receive(&Message::Acknowledge { holder: to, grants }, 11 * S);
     }
-    let notified = ask_both(&mut allocator, 2, 4, 12 * S);
-    assert!(notified.len() == 2 && notified.iter().all(|t| t.1 == 2), "{notified:?}");
+    let answers_sent = ask_both(&mut allocator, 2, 4, 12 * S);
+    assert!(answers_sent.len() == 2 && answers_sent.iter().all(|t| t.1 == 2), "{answers_sent:?}");
 }
 
-/// A home goes to its own node if that wants it, else to whoever has it; to nobody who doesn't. Its seat tells of those alone that it
-/// ever wanted, and tells when the one that it goes by was asked for.
+/// Guards against a key range that goes to a node without demand, or moves between two nodes that both want it.
 #[test]
-fn a_home_is_its_own_nodes_and_swings_between_no_two() {
+fn a_key_range_prefers_its_own_node_and_stays_with_its_holder() {
     let text =
         "(budgets (term 5 s) (divider d0 \"127.0.0.1:1\") (node n0 \"127.0.0.1:3\") (node n1 \"127.0.0.1:4\")
         (node n2 \"127.0.0.1:5\") (budget home:w/n0 (per moment) (whole 1) (longest 1 s)))";
     let file = read("b.sexp", text).unwrap();
     let mut allocator = Allocator::new("d0", file.clone(), 7);
     allocator.set_leader(true);
-    (0..8).for_each(|k| drop(agree(&mut allocator, k * S)));
-    let mut seats = ["n0", "n1", "n2"].map(|n| QuotaClient::new(node_incarnation(n), file.clone(), 0, 0));
+    (0..8).for_each(|k| drop(commit_proposals(&mut allocator, k * S)));
+    let mut clients = ["n0", "n1", "n2"].map(|n| QuotaClient::new(node_incarnation(n), file.clone(), 0, 0));
     let mut round = |now: i64, wants: [u64; 3]| {
-        for (quota_client, wanted) in seats.iter_mut().zip(wants) {
+        for (quota_client, wanted) in clients.iter_mut().zip(wants) {
             quota_client.record_usage("home:w/n0", Usage { wanted, used: 0 });
             quota_client.pass(now);
             quota_client
@@ -393,23 +395,23 @@
             while let Some(entry) = allocator.propose(now) {
                 let changed = allocator.apply(&entry, now);
                 for outgoing in allocator.complete_proposal(&entry, changed, now) {
-                    for quota_client in &mut seats {
+                    for quota_client in &mut clients {
                         quota_client.receive(0, &outgoing.message, now);
                     }
                 }
             }
         }
-        let has =
+        let lease_requested_at =
             |s: &QuotaClient| s.lease("home:w/n0", now).filter(|(g, _)| g.amount > 0).map(|(_, asked)| asked);
-        [has(&seats[0]), has(&seats[1]), has(&seats[2])]
+        [lease_requested_at(&clients[0]), lease_requested_at(&clients[1]), lease_requested_at(&clients[2])]
     };
     let at = |k: i64| 10 * S + k * 2 * S;
-    assert_eq!(round(at(0), [0, 0, 0]), [None; 3], "it is lent to nobody");
+    assert_eq!(round(at(0), [0, 0, 0]), [None; 3], "nobody asks for it");
     assert_eq!(round(at(1), [0, 0, 1]), [None, None, Some(at(1))]);
     for k in 2..10 {
         assert_eq!(round(at(k), [0, 1, 1]), [None, None, Some(at(k))]);
     }
-    // Its own node is back: the one that has it says that it goes by nothing, and then it comes home.
+    // Once its own node asks for it, the holder acknowledges a grant of nothing, then the node gets it.
     round(at(10), [1, 1, 1]);
     assert_eq!(round(at(11), [1, 1, 1]), [Some(at(11)), None, None]);
     assert_eq!(round(at(12), [1, 0, 0]), [Some(at(12)), None, None]);
--- a/crates/quota/tests/model.rs
+++ b/crates/quota/tests/model.rs
@@ -1,6 +1,5 @@
-//! All that two nodes, a divider and the next one can do, in every order, with clocks that are fast, slow and set otherwise,
-//! and messages that are lost, doubled and late: the sum of what may be used never exceeds the whole. The same search finds
-//! each planted fault.
+//! Model check of leases: with two nodes, changes of the leader, drifting clocks and lost, duplicated or delayed messages, the
+//! usable units never exceed the total. The same search must detect each injected fault.
 
 use shorepath_quota::lease::Holder;
 use shorepath_quota::ledger::Ledger;
@@ -8,50 +7,52 @@
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
-/// Two units between two nodes; a grant holds for two ticks, and clocks go at 8, 10 or 12 a tick, which is 10 in truth.
-const WHOLE: u64 = 2;
+/// The units that two nodes share.
+const TOTAL: u64 = 2;
+/// A grant is valid for two ticks of 10 microseconds of real time.
 const TERM: LeasePeriod = LeasePeriod { length: 20, drift_ppm: 200_000, longest: 0 };
-const RATES: [Micros; 2] = [8, 12];
+/// Microseconds per tick of a slow and of a fast clock.
+const CLOCK_RATES: [Micros; 2] = [8, 12];
 const LAST_TICK: Micros = 3;
-/// What each node asks for, one after the other.
-const ASKS: [&[u64]; 2] = [&[WHOLE, 1], &[WHOLE]];
+/// The demands of each node's successive requests.
+const DEMANDS: [&[u64]; 2] = [&[TOTAL, 1], &[TOTAL]];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     None,
-    /// A holder uses a grant for its whole length by its own clock, whatever that is worth.
-    NoMargin,
-    /// A divider that takes over takes all earlier grants for over.
-    EarlyRegrant,
-    /// A divider that was replaced goes on granting.
-    NoFence,
-    /// A life is given what is counted for itself, also where a divider that took over counts more than the whole.
-    OwnCharge,
-    /// A grant that makes a part smaller frees the rest before the holder has said that it goes by it.
-    EarlyShrink,
+    /// A holder uses a grant for its full term by its own clock, without a margin for drift.
+    NoDriftMargin,
+    /// A new leader takes earlier grants for expired.
+    ExpiryAtTakeover,
+    /// A former leader continues to grant.
+    StaleLeaderGrants,
+    /// A holder is offered its own charge plus the free units, even while a new leader counts more than the total.
+    OwnChargePlusFree,
+    /// A smaller grant frees units before the holder has acknowledged it.
+    ShrinkBeforeAcknowledgement,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
     Ask { holder: NodeIncarnation, answers: u64, wanted: u64 },
     Grant(Grant),
-    Taken { holder: NodeIncarnation, number: u64 },
-    Returned { holder: NodeIncarnation, number: u64 },
+    Acknowledge { holder: NodeIncarnation, number: u64 },
+    Release { holder: NodeIncarnation, number: u64 },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     tick: Micros,
-    rates: [Micros; 3],
+    clock_rates: [Micros; 3],
     holders: [Holder; 2],
     asked: [u64; 2],
-    lives: [u64; 2],
+    incarnations: [u64; 2],
     allocator: Ledger,
-    /// One that was replaced, and doesn't know it.
-    replaced: Option<Ledger>,
-    agreed: Vec<Grant>,
-    /// Grants beyond one an asking that may still be given.
-    more: u32,
+    /// A former leader that does not know that it was replaced.
+    former_leader: Option<Ledger>,
+    committed: Vec<Grant>,
+    /// The number of second grants for answered requests that are left.
+    extra_grants: u32,
     messages: BTreeSet<Message>,
 }
 
@@ -62,19 +63,19 @@
     Leave(usize),
     Restart(usize),
     Deliver(Message),
-    /// A life that asked is granted more by the same asking.
-    More(usize),
-    Replace,
-    /// The divider that was replaced wakes, and answers.
-    Wake(Message),
+    /// A node gets a second grant for an answered request.
+    GrantMore(usize),
+    ChangeLeader,
+    /// The former leader answers a request.
+    StaleLeaderAnswers(Message),
 }
 
-struct World(Fault);
+struct LeaseModel(Fault);
 
 impl State {
-    /// The clock of a node, or of the divider: none agrees with another.
-    fn clock(&self, who: usize) -> Micros {
-        1_000 * who as Micros + self.tick * self.rates[who]
+    /// Returns the clock of a node or, with 2, of the allocator. The clocks are not synchronized.
+    fn clock(&self, process: usize) -> Micros {
+        1_000 * process as Micros + self.tick * self.clock_rates[process]
     }
 
     fn usable(&self) -> u64 {
@@ -86,10 +87,10 @@
     NodeIncarnation { node: NodeId(node as u32), incarnation }
 }
 
-impl World {
+impl LeaseModel {
     fn holder_term(&self) -> LeasePeriod {
-        // Without its margin a holder goes by the bare length.
-        if self.0 == Fault::NoMargin {
+        // Without drift in its lease period a holder applies no margin.
+        if self.0 == Fault::NoDriftMargin {
             LeasePeriod { drift_ppm: 0, ..TERM }
         } else {
             TERM
@@ -97,25 +98,25 @@
     }
 }
 
-impl Model for World {
+impl Model for LeaseModel {
     type State = State;
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
         let mut all = Vec::new();
-        for a in RATES {
-            for d in RATES {
+        for a in CLOCK_RATES {
+            for d in CLOCK_RATES {
                 let holders = [0, 1].map(|n| Holder::new(node_incarnation(n, 1), 0, self.holder_term()));
                 all.push(State {
                     tick: 0,
-                    rates: [a, 10, d],
+                    clock_rates: [a, 10, d],
                     holders,
                     asked: [0; 2],
-                    lives: [1; 2],
-                    allocator: Ledger::new(WHOLE, 0, TERM),
-                    replaced: None,
-                    agreed: Vec::new(),
-                    more: u32::from(self.0 == Fault::None),
+                    incarnations: [1; 2],
+                    allocator: Ledger::new(TOTAL, 0, TERM),
+                    former_leader: None,
+                    committed: Vec::new(),
+                    extra_grants: u32::from(self.0 == Fault::None),
                     messages: BTreeSet::new(),
                 });
             }
@@ -127,23 +128,23 @@
         if s.tick < LAST_TICK {
             actions.push(Step::Tick);
         }
-        for (n, asks) in ASKS.iter().enumerate() {
+        for (n, asks) in DEMANDS.iter().enumerate() {
             let next = asks.get(s.asked[n] as usize);
             actions.extend(next.map(|wanted| Step::Ask(n, *wanted)));
             if s.holders[n].expires_at().is_some() && n == 0 {
                 actions.push(Step::Leave(n));
             }
-            if s.lives[n] < 2 && n == 0 {
+            if s.incarnations[n] < 2 && n == 0 {
                 actions.push(Step::Restart(n));
             }
         }
         actions.extend(s.messages.iter().cloned().map(Step::Deliver));
-        actions.extend((0..2).filter(|n| s.asked[*n] > 0 && s.more > 0).map(Step::More));
-        if s.replaced.is_none() {
-            actions.push(Step::Replace);
-        } else if self.0 == Fault::NoFence {
+        actions.extend((0..2).filter(|n| s.asked[*n] > 0 && s.extra_grants > 0).map(Step::GrantMore));
+        if s.former_leader.is_none() {
+            actions.push(Step::ChangeLeader);
+        } else if self.0 == Fault::StaleLeaderGrants {
             let asks = s.messages.iter().filter(|m| matches!(m, Message::Ask { .. }));
-            actions.extend(asks.cloned().map(Step::Wake));
+            actions.extend(asks.cloned().map(Step::StaleLeaderAnswers));
         }
     }
 
@@ -154,46 +155,51 @@
             Step::Ask(n, wanted) => {
                 s.asked[n] += 1;
                 let answers = s.holders[n].ask(s.clock(n));
-                s.messages.insert(Message::Ask { holder: node_incarnation(n, s.lives[n]), answers, wanted });
+                s.messages.insert(Message::Ask {
+                    holder: node_incarnation(n, s.incarnations[n]),
+                    answers,
+                    wanted,
+                });
             }
             Step::Leave(n) => {
                 let (_, number) = s.holders[n].release();
-                s.messages.insert(Message::Returned { holder: node_incarnation(n, s.lives[n]), number });
+                s.messages
+                    .insert(Message::Release { holder: node_incarnation(n, s.incarnations[n]), number });
             }
             Step::Restart(n) => {
-                s.lives[n] += 1;
-                s.holders[n] = Holder::new(node_incarnation(n, s.lives[n]), 0, self.holder_term());
+                s.incarnations[n] += 1;
+                s.holders[n] = Holder::new(node_incarnation(n, s.incarnations[n]), 0, self.holder_term());
             }
-            Step::More(n) => {
+            Step::GrantMore(n) => {
                 let now = s.clock(2);
-                s.more -= 1;
+                s.extra_grants -= 1;
                 s.allocator.expire(now);
-                let answered = s.agreed.iter().rfind(|g| g.holder.node.0 as usize == n)?;
-                let grant = s.allocator.offer(answered.holder, WHOLE, answered.answers);
-                s.agreed.push(grant);
+                let answered = s.committed.iter().rfind(|g| g.holder.node.0 as usize == n)?;
+                let grant = s.allocator.offer(answered.holder, TOTAL, answered.answers);
+                s.committed.push(grant);
                 s.allocator.record(grant, now);
                 s.messages.insert(Message::Grant(grant));
             }
-            Step::Replace => {
+            Step::ChangeLeader => {
                 let now = s.clock(2);
-                let mut next = Ledger::new(WHOLE, 0, TERM);
-                s.agreed.iter().for_each(|g| next.record(*g, now));
-                if self.0 == Fault::EarlyRegrant {
+                let mut next = Ledger::new(TOTAL, 0, TERM);
+                s.committed.iter().for_each(|g| next.record(*g, now));
+                if self.0 == Fault::ExpiryAtTakeover {
                     next.expire(now + 1_000);
                 }
-                let old = std::mem::replace(&mut s.allocator, next);
-                // What it still believes matters only where somebody listens to it.
-                let unheard = Ledger::new(0, 0, TERM);
-                s.replaced = Some(if self.0 == Fault::NoFence { old } else { unheard });
+                let former = std::mem::replace(&mut s.allocator, next);
+                // The former leader's ledger matters only if its grants are delivered; leaving it out keeps the state small.
+                let unused = Ledger::new(0, 0, TERM);
+                s.former_leader = Some(if self.0 == Fault::StaleLeaderGrants { former } else { unused });
             }
-            Step::Wake(message) => {
+            Step::StaleLeaderAnswers(message) => {
                 let now = s.clock(2);
                 let Message::Ask { holder, answers, wanted } = message else { return None };
-                let old = s.replaced.as_mut()?;
-                old.expire(now);
-                let grant = old.offer(holder, wanted, answers);
-                // The fleet would not agree to what one says that it has replaced; here it is not asked.
-                old.record(grant, now);
+                let former = s.former_leader.as_mut()?;
+                former.expire(now);
+                let grant = former.offer(holder, wanted, answers);
+                // The replicated log would reject this grant; the fault delivers it without a commit.
+                former.record(grant, now);
                 s.messages.insert(Message::Grant(grant));
             }
             Step::Deliver(message) => {
@@ -201,17 +207,17 @@
                 match message {
                     Message::Ask { holder, answers, wanted } => {
                         s.allocator.expire(now);
-                        if s.agreed.iter().any(|g| g.holder == holder && g.answers == answers) {
-                            return None; // answered already
+                        if s.committed.iter().any(|g| g.holder == holder && g.answers == answers) {
+                            return None; // already answered
                         }
                         let mut grant = s.allocator.offer(holder, wanted, answers);
-                        if self.0 == Fault::OwnCharge {
+                        if self.0 == Fault::OwnChargePlusFree {
                             grant.amount =
                                 wanted.min(s.allocator.charge(holder) + s.allocator.account().free);
                         }
-                        s.agreed.push(grant);
+                        s.committed.push(grant);
                         s.allocator.record(grant, now);
-                        if self.0 == Fault::EarlyShrink {
+                        if self.0 == Fault::ShrinkBeforeAcknowledgement {
                             s.allocator.acknowledge(holder, grant.number);
                         }
                         s.messages.insert(Message::Grant(grant));
@@ -222,10 +228,11 @@
                         if !s.holders[n].accept(grant, at) {
                             return None;
                         }
-                        s.messages.insert(Message::Taken { holder: grant.holder, number: grant.number });
+                        s.messages
+                            .insert(Message::Acknowledge { holder: grant.holder, number: grant.number });
                     }
-                    Message::Taken { holder, number } => s.allocator.acknowledge(holder, number),
-                    Message::Returned { holder, number } => s.allocator.release(holder, number),
+                    Message::Acknowledge { holder, number } => s.allocator.acknowledge(holder, number),
+                    Message::Release { holder, number } => s.allocator.release(holder, number),
                 }
             }
         }
@@ -234,34 +241,39 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("never above the whole", |_, s: &State| s.usable() <= WHOLE),
-            Property::sometimes("all of it can be used", |_, s: &State| s.usable() == WHOLE),
-            Property::sometimes("what one had another gets", |_, s: &State| {
-                s.lives[0] == 2 && s.holders[1].usable(s.clock(1)) == WHOLE
+            Property::always("usable units never exceed the total", |_, s: &State| s.usable() <= TOTAL),
+            Property::sometimes("all units can be used", |_, s: &State| s.usable() == TOTAL),
+            Property::sometimes("units move to another node", |_, s: &State| {
+                s.incarnations[0] == 2 && s.holders[1].usable(s.clock(1)) == TOTAL
             }),
         ]
     }
 }
 
-/// All states that can be reached, or three million of them, the fewest steps first.
-fn searched(fault: Fault) -> impl Checker<World> {
-    World(fault).checker().threads(2).target_state_count(3_000_000).spawn_bfs().join()
+/// Searches the reachable states breadth-first, up to three million of them.
+fn search_states(fault: Fault) -> impl Checker<LeaseModel> {
+    LeaseModel(fault).checker().threads(2).target_state_count(3_000_000).spawn_bfs().join()
 }
 
 #[test]
-fn the_sum_never_exceeds_the_whole() {
-    let search = searched(Fault::None);
-    search.assert_no_discovery("never above the whole");
-    search.assert_any_discovery("all of it can be used");
-    search.assert_any_discovery("what one had another gets");
+fn usable_units_never_exceed_the_total() {
+    let search = search_states(Fault::None);
+    search.assert_no_discovery("usable units never exceed the total");
+    search.assert_any_discovery("all units can be used");
+    search.assert_any_discovery("units move to another node");
     println!("{} states", search.unique_state_count());
 }
 
 #[test]
-fn each_planted_fault_is_found() {
-    for fault in [Fault::NoMargin, Fault::EarlyRegrant, Fault::NoFence, Fault::EarlyShrink, Fault::OwnCharge]
-    {
-        let search = searched(fault);
-        assert!(search.discovery("never above the whole").is_some(), "{fault:?} was not found");
+fn each_injected_fault_is_detected() {
+    for fault in [
+        Fault::NoDriftMargin,
+        Fault::ExpiryAtTakeover,
+        Fault::StaleLeaderGrants,
+        Fault::ShrinkBeforeAcknowledgement,
+        Fault::OwnChargePlusFree,
+    ] {
+        let search = search_states(fault);
+        assert!(search.discovery("usable units never exceed the total").is_some(), "{fault:?} was not found");
     }
 }
--- a/crates/quota/tests/parts.rs
+++ b/crates/quota/tests/parts.rs
@@ -1,4 +1,4 @@
-//! Ledger, holder and meter, each by itself.
+//! Unit tests of the ledger, the lease holder and the token bucket.
 
 use proptest::prelude::*;
 use shorepath_quota::lease::Holder;
@@ -13,44 +13,47 @@
     NodeIncarnation { node: NodeId(node), incarnation }
 }
 
-/// Grant it, and have it taken.
-fn give(ledger: &mut Ledger, holder: NodeIncarnation, wanted: u64, now: i64) -> Grant {
+/// Records a grant and its acknowledgement.
+fn grant_and_acknowledge(ledger: &mut Ledger, holder: NodeIncarnation, wanted: u64, now: i64) -> Grant {
     let grant = ledger.offer(holder, wanted, 1);
     ledger.record(grant, now);
     ledger.acknowledge(holder, grant.number);
     grant
 }
 
-/// What a dead node had is in doubt until its grant has surely ended, whoever divides by then.
+/// Guards against granting units of a dead node before its grants have expired, also after a change of the leader.
 #[test]
-fn a_dead_nodes_part_is_back_after_its_term_and_no_sooner() {
+fn units_of_a_dead_node_are_withheld_until_its_grant_expires() {
     let mut ledger = Ledger::new(100, 10, TERM);
-    assert_eq!(give(&mut ledger, node_incarnation(0, 1), 60, 0).amount, 60);
-    assert_eq!(give(&mut ledger, node_incarnation(1, 1), 60, 0).amount, 30, "what is left, less the reserve");
+    assert_eq!(grant_and_acknowledge(&mut ledger, node_incarnation(0, 1), 60, 0).amount, 60);
+    assert_eq!(
+        grant_and_acknowledge(&mut ledger, node_incarnation(1, 1), 60, 0).amount,
+        30,
+        "the free units without the reserve"
+    );
     ledger.suspect(node_incarnation(0, 1), true);
     let a = ledger.account();
     assert_eq!((a.total, a.reserved, a.granted, a.withheld, a.free, a.debt), (100, 10, 30, 60, 0, 0));
     assert_eq!(ledger.divisible(), 30);
-    // It restarts three times within its term, and asks anew each time: nothing is there for it.
+    // The node restarts three times within the term: its new incarnations get nothing.
     for incarnation in 2..=4 {
         assert_eq!(ledger.offer(node_incarnation(0, incarnation), 60, 1).amount, 0);
     }
-    // The next divider counts from its own beginning.
-    let kept = ledger.snapshot();
-    ledger.restore(&kept, 5 * S);
+    // A new leader counts the terms from its own start.
+    let snapshot = ledger.snapshot();
+    ledger.restore(&snapshot, 5 * S);
     ledger.expire(15 * S);
     assert_eq!(ledger.account().free, 0);
     ledger.expire(15 * S + 10_001);
     assert_eq!(ledger.account().free, 90);
-    assert_eq!(give(&mut ledger, node_incarnation(0, 4), 90, 16 * S).amount, 90);
+    assert_eq!(grant_and_acknowledge(&mut ledger, node_incarnation(0, 4), 90, 16 * S).amount, 90);
 }
 
-/// A part that shrinks is counted whole until the holder says that it goes by the smaller one, and only then; word of an
-/// earlier grant, doubled and late, changes nothing.
+/// Guards against freeing units by an acknowledgement of an earlier grant that is duplicated or late.
 #[test]
-fn a_smaller_part_counts_once_it_is_taken() {
+fn a_smaller_grant_frees_units_once_it_is_acknowledged() {
     let mut ledger = Ledger::new(10, 0, TERM);
-    let first = give(&mut ledger, node_incarnation(0, 1), 10, 0);
+    let first = grant_and_acknowledge(&mut ledger, node_incarnation(0, 1), 10, 0);
     let second = ledger.offer(node_incarnation(0, 1), 4, 2);
     ledger.record(second, 0);
     assert_eq!(ledger.account().free, 0);
@@ -65,23 +68,26 @@
     assert_eq!((ledger.account().free, ledger.holders().count()), (10, 0));
 }
 
-/// A whole that is lowered while all is in use is a debt: nothing is cut, and nothing is granted until it is paid.
+/// Guards against new grants while outstanding grants exceed a lowered total.
 #[test]
-fn a_lowered_whole_is_a_debt() {
+fn a_lowered_total_is_reported_as_debt() {
     let mut ledger = Ledger::new(10, 0, TERM);
-    give(&mut ledger, node_incarnation(0, 1), 6, 0);
-    give(&mut ledger, node_incarnation(1, 1), 4, 0);
+    grant_and_acknowledge(&mut ledger, node_incarnation(0, 1), 6, 0);
+    grant_and_acknowledge(&mut ledger, node_incarnation(1, 1), 4, 0);
     ledger.resize(5, 0, TERM);
     let a = ledger.account();
     assert_eq!((a.granted, a.free, a.debt), (10, 0, 5));
-    assert_eq!(ledger.offer(node_incarnation(0, 1), 6, 2).amount, 1, "what the other leaves of the whole");
+    assert_eq!(
+        ledger.offer(node_incarnation(0, 1), 6, 2).amount,
+        1,
+        "the units that the other holder leaves"
+    );
     assert_eq!(ledger.offer(node_incarnation(2, 1), 3, 1).amount, 0);
 }
 
-/// A holder goes by its newest grant, from the time of its asking on; it knows after a halt that its time is over, and never
-/// goes back to what it gave back, or to what answers another's asking.
+/// Guards against use of a grant that has expired, was released, or answers no request of this incarnation.
 #[test]
-fn a_holder_goes_by_its_newest_grant_until_it_is_over() {
+fn a_holder_uses_its_newest_grant_until_it_expires() {
     let me = node_incarnation(3, 7);
     let mut holder = Holder::new(me, 2, TERM);
     let length = TERM.length;
@@ -90,36 +96,39 @@
     assert_eq!(holder.usable(100 * S), 2, "the reserve");
     assert!(
         !holder.accept(Grant { holder: node_incarnation(3, 6), ..grant(1, 9, asked) }, 101 * S),
-        "an earlier life's"
+        "of an earlier incarnation"
     );
-    assert!(!holder.accept(grant(1, 9, asked + 1), 101 * S), "answers nothing");
+    assert!(!holder.accept(grant(1, 9, asked + 1), 101 * S), "answers no request");
     assert!(holder.accept(grant(5, 9, asked), 104 * S));
     assert!(!holder.accept(grant(4, 50, asked), 104 * S), "older");
-    let ends = 100 * S + TERM.for_holder();
+    let expires_at = 100 * S + TERM.for_holder();
     assert!(TERM.for_holder() < TERM.length && TERM.length < TERM.for_allocator());
-    assert_eq!((holder.usable(ends - 1), holder.usable(ends), holder.expires_at()), (11, 2, Some(ends)));
-    assert_eq!((holder.debt(12, ends - 1), holder.debt(12, ends)), (1, 10));
-    assert_eq!(holder.usable(99 * S), 2, "a clock that was set back is no reason to use it for longer");
-    let late = holder.ask(100 * S);
-    assert!(!holder.accept(grant(6, 9, late), ends), "it was too long on the way");
-    let again = holder.ask(200 * S);
-    assert!(holder.accept(grant(7, 9, again), 200 * S));
+    assert_eq!(
+        (holder.usable(expires_at - 1), holder.usable(expires_at), holder.expires_at()),
+        (11, 2, Some(expires_at))
+    );
+    assert_eq!((holder.debt(12, expires_at - 1), holder.debt(12, expires_at)), (1, 10));
+    assert_eq!(holder.usable(99 * S), 2, "a clock that is set back must not extend the lease");
+    let late_request = holder.ask(100 * S);
+    assert!(!holder.accept(grant(6, 9, late_request), expires_at), "it arrived after its expiry");
+    let second_request = holder.ask(200 * S);
+    assert!(holder.accept(grant(7, 9, second_request), 200 * S));
     assert_eq!(holder.release(), (0, 7));
-    assert!(!holder.accept(grant(7, 9, again), 200 * S), "given back is given back");
+    assert!(!holder.accept(grant(7, 9, second_request), 200 * S), "a released grant stays released");
     assert_eq!(holder.usable(200 * S), 2);
 }
 
 proptest! {
-    /// Over any span no more than the rate, what was saved, and a unit: whatever the rate does meanwhile.
+    /// Guards against more use than rate and burst allow while the rate changes.
     #[test]
-    fn a_meter_keeps_to_its_rate(steps in proptest::collection::vec((0i64..400_000, 0u64..60), 1..120), burst in 0i64..2_000_000) {
+    fn a_token_bucket_never_exceeds_its_rate(steps in proptest::collection::vec((0i64..400_000, 0u64..60), 1..120), burst in 0i64..2_000_000) {
         let mut bucket = TokenBucket::new(burst, 0);
-        let (mut now, mut used, mut allowed, mut most) = (0, 0u128, 0u128, 0);
+        let (mut now, mut used, mut allowed, mut max_rate) = (0, 0u128, 0u128, 0);
         for (pause, rate) in steps {
             now += pause;
             bucket.refill(now, rate);
             allowed += u128::from(rate) * pause as u128;
-            most = most.max(rate);
+            max_rate = max_rate.max(rate);
             while bucket.take() {
                 used += 1;
             }
@@ -130,9 +139,9 @@
                 prop_assert!(at >= now && (burst < 1_000_000 / rate as i64 || then.take()), "{at} {now}");
             }
         }
-        // After a long rest no more than the burst comes at once.
-        bucket.refill(now + 3_600 * S, most);
+        // After a long pause at most the burst is available at once.
+        bucket.refill(now + 3_600 * S, max_rate);
         let at_once = std::iter::from_fn(|| bucket.take().then_some(())).count() as u128;
-        prop_assert!(at_once * 1_000_000 <= (u128::from(most) * burst as u128).max(1_000_000));
+        prop_assert!(at_once * 1_000_000 <= (u128::from(max_rate) * burst as u128).max(1_000_000));
     }
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,6 +1,6 @@
-//! Time and node ids as all packages use them.
+//! Types for time and node ids that all packages share.
 //!
-//! Packages that decide never read a clock: whoever drives them passes the current time in.
+//! Packages without I/O never read a clock: their callers pass the current time in.
 
 #![warn(
     clippy::cognitive_complexity,
@@ -15,32 +15,33 @@
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// A point in time or a length of time, in microseconds. Which clock counts is documented where it is used.
+/// A point in time or a duration, in microseconds. A function that takes a point in time documents its clock.
 pub type Micros = i64;
 
-/// How a steady clock is wrong on purpose, in tests: its origin and its rate.
+/// An error that tests add to a monotonic clock: an offset and a drift.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClockSkew {
-    /// It starts there, in microseconds.
+    /// The reading of the clock when it starts, in microseconds.
     pub offset: Micros,
-    /// It gains so many millionths.
+    /// How much faster than real time the clock runs, in millionths; negative for a slow clock.
     pub drift_ppm: i64,
 }
 
 impl ClockSkew {
-    /// What it shows when that much time has passed.
+    /// Returns the reading of the clock after `elapsed` microseconds of real time.
     pub fn at(&self, elapsed: Micros) -> Micros {
         let (seconds, rest) = (elapsed / 1_000_000, elapsed % 1_000_000);
         self.offset + elapsed + seconds * self.drift_ppm + rest * self.drift_ppm / 1_000_000
     }
 }
 
-/// A node, by its name: lists of different versions may name nodes in another order.
+/// The id of a node, derived from its name so that it does not depend on the order of nodes in a configuration file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeId(pub u32);
 
 impl NodeId {
-    /// The id that represents a name everywhere; the operators' file must not hold two names with one id.
+    /// Returns the id of the node with this name: 32 bits of its SipHash. Configuration files are rejected where two names
+    /// have the same id.
     pub fn of(name: &str) -> NodeId {
         let mut hasher = SipHasher13::new();
         hasher.write(name.as_bytes());
