--- a/crates/quota/src/allocator.rs
+++ b/crates/quota/src/allocator.rs
@@ -363,7 +363,8 @@
 
     /// Suspects all incarnations of a node that has left or is dead. Their grants stay charged until they expire.
     pub fn remove_node(&mut self, node: NodeId) {
-        for holder in self.requesters.keys().copied().filter(|l| l.node == node).collect::<Vec<_>>() {
+        for holder in self.requesters.keys().copied().filter(|holder| holder.node == node).collect::<Vec<_>>()
+        {
             self.requesters.remove(&holder);
             self.state.ledgers.values_mut().for_each(|l| l.suspect(holder, true));
         }
@@ -373,7 +374,7 @@
     fn update_suspicions(&mut self, now: Micros) {
         self.state.expire(now);
         let from = now - self.suspicion_timeout();
-        self.requesters.retain(|_, a| a.received >= from);
+        self.requesters.retain(|_, requester| requester.received >= from);
         for ledger in self.state.ledgers.values_mut() {
             for holder in ledger.holders().collect::<Vec<_>>() {
                 ledger.suspect(holder, !self.requesters.contains_key(&holder));
@@ -384,15 +385,23 @@
     /// Returns the share of each requester of a budget.
     fn shares(&self, budget: &Budget, now: Micros) -> BTreeMap<NodeIncarnation, u64> {
         let Some(ledger) = self.state.ledgers.get(&budget.name) else { return BTreeMap::new() };
-        let claimants: Vec<(NodeIncarnation, ClaimState)> =
-            self.requesters.iter().filter_map(|(l, a)| Some((*l, *a.claims.get(&budget.name)?))).collect();
+        let claimants: Vec<(NodeIncarnation, ClaimState)> = self
+            .requesters
+            .iter()
+            .filter_map(|(holder, requester)| Some((*holder, *requester.claims.get(&budget.name)?)))
+            .collect();
         // The lease of a key range isn't divided by demand: the range's own node comes first, then the current holder. Nodes that
         // don't ask for it get nothing, since a node that may have held it may also have placed its keys.
         if let Some(BudgetKind::Home(home)) = BudgetKind::of(&budget.name) {
             let own = home.split_once('/').map(|(_, node)| NodeId::of(node));
-            let rank = |l: &NodeIncarnation| (Some(l.node) != own, ledger.charge(*l) == 0, *l);
-            let first = claimants.iter().filter(|(_, c)| c.demand > 0).map(|(l, _)| *l).min_by_key(rank);
-            return claimants.into_iter().map(|(l, _)| (l, u64::from(Some(l) == first))).collect();
+            let rank =
+                |holder: &NodeIncarnation| (Some(holder.node) != own, ledger.charge(*holder) == 0, *holder);
+            let first =
+                claimants.iter().filter(|(_, c)| c.demand > 0).map(|(holder, _)| *holder).min_by_key(rank);
+            return claimants
+                .into_iter()
+                .map(|(holder, _)| (holder, u64::from(Some(holder) == first)))
+                .collect();
         }
         let claims: Vec<Claim> = claimants
             .iter()
@@ -453,7 +462,7 @@
         self.may_be_waiting = self.requesters.values().any(Requester::is_waiting);
         let interval = if self.may_be_waiting { MIN_PROPOSAL_INTERVAL } else { RENEWAL_INTERVAL };
         if now < self.proposed_at + interval
-            || !self.requesters.values().any(|a| a.is_unanswered() || a.is_short())
+            || !self.requesters.values().any(|requester| requester.is_unanswered() || requester.is_short())
         {
             return None;
         }
@@ -465,8 +474,10 @@
             // Shares that shrink come first, then unanswered requests. A holder below its share may get more for a request that
             // was answered before.
             let mut order: Vec<NodeIncarnation> = shares.keys().copied().collect();
-            let claim_of = |l: &NodeIncarnation| self.requesters[l].claims[&budget.name];
-            order.sort_by_cached_key(|l| (shares[l] > ledger.charge(*l), !claim_of(l).unanswered, *l));
+            let claim_of = |holder: &NodeIncarnation| self.requesters[holder].claims[&budget.name];
+            order.sort_by_cached_key(|holder| {
+                (shares[holder] > ledger.charge(*holder), !claim_of(holder).unanswered, *holder)
+            });
             for holder in order {
                 let (c, share) = (claim_of(&holder), shares[&holder]);
                 let grant = ledger.offer(holder, share, c.answers);
@@ -492,8 +503,12 @@
     /// newer one.
     fn all_use_version(&self, version: u64) -> bool {
         let Some(plan) = self.state.plan() else { return false };
-        let versions =
-            |node: NodeId| self.requesters.iter().filter(move |(l, _)| l.node == node).map(|(_, a)| a.plan);
+        let versions = |node: NodeId| {
+            self.requesters
+                .iter()
+                .filter(move |(holder, _)| holder.node == node)
+                .map(|(_, requester)| requester.plan)
+        };
         plan.members.iter().all(|p| {
             let mut all = versions(NodeId::of(&p.name)).peekable();
             all.peek().is_some() && all.all(|v| v >= version)
@@ -511,8 +526,9 @@
         for (name, grant) in grants {
             grants_by_holder.entry(grant.holder).or_default().push(BudgetGrant::of(name, grant));
             let requester = self.requesters.get_mut(&grant.holder);
-            if let Some(c) =
-                requester.and_then(|a| a.claims.get_mut(name)).filter(|c| c.answers == grant.answers)
+            if let Some(c) = requester
+                .and_then(|requester| requester.claims.get_mut(name))
+                .filter(|c| c.answers == grant.answers)
             {
                 (c.granted, c.unanswered) = (grant.amount, false);
             }
@@ -545,7 +561,7 @@
             })
             .collect();
         for holder in self.holders_above_share(now) {
-            self.requesters.get_mut(&holder).into_iter().for_each(|a| a.asked_again_at = now);
+            self.requesters.get_mut(&holder).into_iter().for_each(|requester| requester.asked_again_at = now);
             all.push(Outgoing { to: holder, message: Message::AskAgain { holder } });
         }
         all
@@ -565,17 +581,23 @@
     /// Returns the holders that have more than their share of a budget of which others lack units.
     fn holders_above_share(&self, now: Micros) -> BTreeSet<NodeIncarnation> {
         let mut found = BTreeSet::new();
-        for budget in self.state.plan().map(|p| p.budgets.as_slice()).unwrap_or_default() {
+        for budget in self.state.plan().map(|plan| plan.budgets.as_slice()).unwrap_or_default() {
             let Some(ledger) = self.state.ledgers.get(&budget.name) else { continue };
             let shares = self.shares(budget, now);
-            let granted = |l: &NodeIncarnation| self.requesters[l].claims[&budget.name].granted;
-            if !shares.iter().any(|(l, p)| *p > granted(l)) {
+            let granted = |holder: &NodeIncarnation| self.requesters[holder].claims[&budget.name].granted;
+            if !shares.iter().any(|(holder, share)| *share > granted(holder)) {
                 continue;
             }
-            let is_above_share = |l: &NodeIncarnation, p: u64| {
-                ledger.charge(*l) > p && now >= self.requesters[l].asked_again_at + ASK_AGAIN_INTERVAL
+            let is_above_share = |holder: &NodeIncarnation, share: u64| {
+                ledger.charge(*holder) > share
+                    && now >= self.requesters[holder].asked_again_at + ASK_AGAIN_INTERVAL
             };
-            found.extend(shares.iter().filter(|(l, p)| is_above_share(l, **p)).map(|(l, _)| *l));
+            found.extend(
+                shares
+                    .iter()
+                    .filter(|(holder, share)| is_above_share(holder, **share))
+                    .map(|(holder, _)| *holder),
+            );
         }
         found
     }
@@ -597,31 +619,45 @@
         }
     }
 
-    fn budget_status(&self, b: &Budget, plan: &Plan, now: Micros) -> Option<BudgetStatus> {
-        let ledger = self.state.ledgers.get(&b.name)?;
+    fn budget_status(&self, budget: &Budget, plan: &Plan, now: Micros) -> Option<BudgetStatus> {
+        let ledger = self.state.ledgers.get(&budget.name)?;
         let account = ledger.account();
-        let claim_of = |l: &NodeIncarnation| {
-            self.requesters.get(l).and_then(|a| a.claims.get(&b.name)).copied().unwrap_or_default()
+        let claim_of = |holder: &NodeIncarnation| {
+            self.requesters
+                .get(holder)
+                .and_then(|requester| requester.claims.get(&budget.name))
+                .copied()
+                .unwrap_or_default()
         };
         let mut holders: BTreeSet<NodeIncarnation> = ledger.holders().collect();
-        holders
-            .extend(self.requesters.iter().filter(|(_, a)| a.claims.contains_key(&b.name)).map(|(l, _)| *l));
+        holders.extend(
+            self.requesters
+                .iter()
+                .filter(|(_, requester)| requester.claims.contains_key(&budget.name))
+                .map(|(holder, _)| *holder),
+        );
         let parts: Vec<PartStatus> = holders
             .iter()
-            .map(|l| PartStatus {
-                node: plan.name_of(l.node).map_or_else(|| format!("?{}", l.node.0), str::to_string),
-                incarnation: l.incarnation,
-                amount: ledger.charge(*l),
-                demand: claim_of(l).demand,
-                used: claim_of(l).used,
-                number: ledger.newest_number(*l),
-                received: self.requesters.get(l).map(|a| now - a.received),
-                is_suspected: ledger.is_suspected(*l),
+            .map(|holder| PartStatus {
+                node: plan.name_of(holder.node).map_or_else(|| format!("?{}", holder.node.0), str::to_string),
+                incarnation: holder.incarnation,
+                amount: ledger.charge(*holder),
+                demand: claim_of(holder).demand,
+                used: claim_of(holder).used,
+                number: ledger.newest_number(*holder),
+                received: self.requesters.get(holder).map(|requester| now - requester.received),
+                is_suspected: ledger.is_suspected(*holder),
             })
             .collect();
-        let surplus_of = |p: &PartStatus| if p.is_suspected { 0 } else { p.amount.saturating_sub(p.demand) };
+        let surplus_of = |share: &PartStatus| {
+            if share.is_suspected {
+                0
+            } else {
+                share.amount.saturating_sub(share.demand)
+            }
+        };
         Some(BudgetStatus {
-            name: b.name.clone(),
+            name: budget.name.clone(),
             total: account.total,
             reserved: account.reserved,
             granted: account.granted,
@@ -629,7 +665,7 @@
             withheld: account.withheld,
             free: account.free,
             debt: account.debt,
-            used: parts.iter().map(|p| p.used).sum(),
+            used: parts.iter().map(|share| share.used).sum(),
             number: ledger.last_number(),
             parts,
         })
--- a/crates/quota/src/client.rs
+++ b/crates/quota/src/client.rs
@@ -37,7 +37,7 @@
 
 /// A node's lease on one budget and its use.
 #[derive(Clone, Debug)]
-struct Held {
+struct HeldBudget {
     budget: Budget,
     holder: Holder,
     /// The use since the last request.
@@ -54,7 +54,7 @@
     was_wanted: bool,
 }
 
-impl Held {
+impl HeldBudget {
     /// Returns the epoch and the number of the grant in force once the use no longer exceeds it; `None` if they were returned
     /// before.
     fn settle(&mut self, now: Micros) -> Option<(u32, u64)> {
@@ -82,7 +82,7 @@
             Per::Moment { .. } => self.since.wanted as f64,
         };
         // A key range is wanted or not.
-        if self.is_home() {
+        if self.is_key_range() {
             return (wanted, u64::from(wanted > 0.0));
         }
         let mean = self.mean + (1.0 - (-span / DEMAND_TIME_CONSTANT as f64).exp()) * (wanted - self.mean);
@@ -92,7 +92,7 @@
         (mean, if mean < 0.05 { 0 } else { mean.ceil() as u64 })
     }
 
-    fn is_home(&self) -> bool {
+    fn is_key_range(&self) -> bool {
         matches!(BudgetKind::of(&self.budget.name), Some(BudgetKind::Home(_)))
     }
 
@@ -109,10 +109,10 @@
 pub struct QuotaClient {
     incarnation: NodeIncarnation,
     plan: Plan,
-    held: BTreeMap<String, Held>,
+    held: BTreeMap<String, HeldBudget>,
     /// Budgets that were removed from the configuration. One that is added again continues its request numbers, so that a
     /// delayed answer does not match a new request.
-    removed: BTreeMap<String, Held>,
+    removed: BTreeMap<String, HeldBudget>,
     started_at: Micros,
     /// Whether this process owns the node's address and with it the reserves.
     owns_address: bool,
@@ -178,7 +178,7 @@
         }
         for budget in &plan.budgets {
             let term = plan.lease_period(budget);
-            let new = || Held {
+            let new = || HeldBudget {
                 budget: budget.clone(),
                 holder: Holder::new(self.incarnation, 0, term),
                 since: Usage::default(),
@@ -198,8 +198,10 @@
                 continue;
             };
             // Until the allocators count the new reserve, the smaller of the two is used.
-            let newer = self.committed_version.is_none_or(|v| v >= self.plan.version) || before.version == 0;
-            let reserve = if newer { budget.reserve } else { budget.reserve.min(held.budget.reserve) };
+            let reserve_is_counted =
+                self.committed_version.is_none_or(|v| v >= self.plan.version) || before.version == 0;
+            let reserve =
+                if reserve_is_counted { budget.reserve } else { budget.reserve.min(held.budget.reserve) };
             held.budget = Budget { reserve, ..budget.clone() };
         }
         self.ask_now = true;
@@ -216,7 +218,7 @@
     /// count the reserve of its configuration. Reserves of concurrent use also wait until the jobs of earlier incarnations have
     /// ended.
     fn update_reserves(&mut self, now: Micros) {
-        let counted = self.committed_version.is_none_or(|v| v >= self.plan.version);
+        let reserve_is_counted = self.committed_version.is_none_or(|v| v >= self.plan.version);
         for held in self.held.values_mut() {
             let earlier_use_ended_at = match held.budget.per {
                 Per::Second { .. } => self.started_at,
@@ -224,7 +226,8 @@
                     self.started_at + self.plan.lease_period(&held.budget).for_allocator() - self.plan.term
                 }
             };
-            let usable = self.owns_address && counted && now >= earlier_use_ended_at && !self.has_left;
+            let usable =
+                self.owns_address && reserve_is_counted && now >= earlier_use_ended_at && !self.has_left;
             held.holder.set_reserve(if usable { held.budget.reserve } else { 0 });
         }
     }
@@ -335,7 +338,7 @@
             (held.mean, held.reported) = held.demand(span);
             held.was_wanted |= held.reported > 0;
             // There is a key range for each node: claims to all of them would fill the datagram.
-            if !held.was_wanted && held.is_home() {
+            if !held.was_wanted && held.is_key_range() {
                 continue;
             }
             let used = match held.budget.per {
@@ -384,12 +387,12 @@
                 false
             }
             Message::NotLeader { leader } => {
-                let place = |name: &String| self.plan.allocators.iter().position(|d| d.name == *name);
-                let place =
-                    leader.as_ref().and_then(place).filter(|p| *p != self.allocator && !self.answered);
+                let index_of = |name: &String| self.plan.allocators.iter().position(|d| d.name == *name);
+                let index =
+                    leader.as_ref().and_then(index_of).filter(|p| *p != self.allocator && !self.answered);
                 // Guards against two allocators that redirect to each other.
-                if let Some(place) = place.filter(|_| self.redirects < MAX_REDIRECTS) {
-                    (self.allocator, self.ask_now, self.redirects) = (place, true, self.redirects + 1);
+                if let Some(index) = index.filter(|_| self.redirects < MAX_REDIRECTS) {
+                    (self.allocator, self.ask_now, self.redirects) = (index, true, self.redirects + 1);
                 }
                 false
             }
@@ -400,7 +403,8 @@
     /// Releases all leases and stops requests. A lease with units in use is not reported as released; the allocators count it
     /// until it expires.
     pub fn leave(&mut self, now: Micros) {
-        let grants: Vec<(String, u32, u64)> = self.held.values_mut().filter_map(Held::release).collect();
+        let grants: Vec<(String, u32, u64)> =
+            self.held.values_mut().filter_map(HeldBudget::release).collect();
         self.has_left = true;
         self.update_reserves(now);
         if !grants.is_empty() {
--- a/crates/quota/tests/fleet.rs
+++ b/crates/quota/tests/fleet.rs
@@ -6,7 +6,8 @@
 use shorepath_quota::messages::{BudgetClaim, BudgetGrant, Message};
 use shorepath_quota::{NodeId, NodeIncarnation};
 
-const S: i64 = 1_000_000;
+/// One second, in microseconds.
+const SECOND: i64 = 1_000_000;
 
 fn plan(version: u64, total: u64, reserve: u64) -> Plan {
     let text = format!(
@@ -43,10 +44,10 @@
     allocator.set_leader(true);
     assert!(matches!(commit_proposals(&mut allocator, 0)[..], [Entry::Plan(_)]));
     assert!(
-        commit_proposals(&mut allocator, 6 * S).is_empty(),
+        commit_proposals(&mut allocator, 6 * SECOND).is_empty(),
         "grants of an earlier epoch may still be valid"
     );
-    assert_eq!(commit_proposals(&mut allocator, 8 * S), [Entry::Open(7)]);
+    assert_eq!(commit_proposals(&mut allocator, 8 * SECOND), [Entry::Open(7)]);
     allocator
 }
 
@@ -56,11 +57,11 @@
     let reserved = |d: &Allocator| d.state().ledger("quota:a").unwrap().account().reserved;
     assert_eq!(reserved(&allocator), 40);
     allocator.set_plan(plan(2, 100, 1));
-    let mut now = 9 * S;
+    let mut now = 9 * SECOND;
     commit_proposals(&mut allocator, now);
     assert_eq!((allocator.state().plan().unwrap().version, reserved(&allocator)), (2, 40));
     for (first, second, wanted) in [(1, 1, 40), (2, 1, 40), (2, 2, 2)] {
-        now += S;
+        now += SECOND;
         allocator.receive(&ask("n0", first, now as u64, 5), now);
         allocator.receive(&ask("n1", second, now as u64, 5), now);
         commit_proposals(&mut allocator, now);
@@ -68,7 +69,7 @@
     }
     // A file with an older version has no effect.
     allocator.set_plan(plan(1, 100, 20));
-    commit_proposals(&mut allocator, now + S);
+    commit_proposals(&mut allocator, now + SECOND);
     assert_eq!(allocator.state().plan().unwrap().version, 2);
 }
 
@@ -77,15 +78,15 @@
 fn an_outdated_proposal_has_no_effect() {
     let mut old = granting_allocator(plan(1, 100, 0));
     let mut new = old.clone();
-    let now = 9 * S;
+    let now = 9 * SECOND;
     old.receive(&ask("n0", 1, 1, 100), now);
     let outdated = old.propose(now).unwrap();
     for (name, answers) in [("n1", 1), ("n1", 2)] {
-        new.receive(&ask(name, 1, answers, 40), now + answers as i64 * S);
-        assert!(!commit_proposals(&mut new, now + answers as i64 * S).is_empty());
+        new.receive(&ask(name, 1, answers, 40), now + answers as i64 * SECOND);
+        assert!(!commit_proposals(&mut new, now + answers as i64 * SECOND).is_empty());
     }
     let before = new.state().clone();
-    assert!(!new.apply(&outdated, now + 4 * S));
+    assert!(!new.apply(&outdated, now + 4 * SECOND));
     assert_eq!(*new.state(), before);
     assert!(old.apply(&outdated, now), "the proposal is valid without the other grants");
 }
@@ -94,10 +95,10 @@
 #[test]
 fn only_listed_nodes_with_claims_get_grants() {
     let mut allocator = granting_allocator(plan(1, 100, 0));
-    allocator.receive(&ask("stranger", 1, 1, 50), 9 * S);
-    allocator.receive(&ask("n0", 1, 1, 1_000), 9 * S);
-    allocator.receive(&ask("n1", 1, 1, 1_000), 9 * S);
-    commit_proposals(&mut allocator, 9 * S);
+    allocator.receive(&ask("stranger", 1, 1, 50), 9 * SECOND);
+    allocator.receive(&ask("n0", 1, 1, 1_000), 9 * SECOND);
+    allocator.receive(&ask("n1", 1, 1, 1_000), 9 * SECOND);
+    commit_proposals(&mut allocator, 9 * SECOND);
     let charge =
         |d: &Allocator, name: &str| d.state().ledger("quota:a").unwrap().charge(node_incarnation(name));
     assert_eq!(
@@ -105,11 +106,11 @@
         (0, 50, 50)
     );
     let grants = vec![("quota:a".to_string(), 7, 2)];
-    allocator.receive(&Message::Returns { holder: node_incarnation("n1"), grants }, 10 * S);
-    allocator.receive(&ask("n0", 1, 2, 1_000), 10 * S);
-    commit_proposals(&mut allocator, 10 * S);
+    allocator.receive(&Message::Returns { holder: node_incarnation("n1"), grants }, 10 * SECOND);
+    allocator.receive(&ask("n0", 1, 2, 1_000), 10 * SECOND);
+    commit_proposals(&mut allocator, 10 * SECOND);
     assert_eq!((charge(&allocator, "n0"), charge(&allocator, "n1")), (100, 0));
-    let status = allocator.status(Some("d0".into()), 10 * S);
+    let status = allocator.status(Some("d0".into()), 10 * SECOND);
     assert_eq!((status.budgets[0].granted, status.budgets[0].free), (100, 0));
 }
 
@@ -120,7 +121,7 @@
         number,
         amount,
         answers,
-        length: 5 * S,
+        length: 5 * SECOND,
     };
     Message::Grants { holder: to, plan, grants: vec![g("quota:a"), g("flight:v")] }
 }
@@ -138,14 +139,14 @@
     let asked = quota_client.take_outgoing();
     assert!(matches!(&asked[..], [s] if s.to == 0 && matches!(s.message, Message::Ask { .. })), "{asked:?}");
     assert!(quota_client.receive(0, &grants(me, 1, 1, 6, 10), 1_000));
-    assert_eq!(usable(&quota_client, 3 * S), (9, 6));
-    quota_client.pass(3 * S);
-    assert_eq!(usable(&quota_client, 3 * S), (9, 7), "jobs of an earlier incarnation have ended");
+    assert_eq!(usable(&quota_client, 3 * SECOND), (9, 6));
+    quota_client.pass(3 * SECOND);
+    assert_eq!(usable(&quota_client, 3 * SECOND), (9, 7), "jobs of an earlier incarnation have ended");
     // With seven units in use the grant shrinks to two, plus a reserve of one: it is acknowledged at three units in use.
     quota_client.record_usage("flight:v", Usage { wanted: 7, used: 7 });
-    quota_client.pass(3 * S);
+    quota_client.pass(3 * SECOND);
     quota_client.take_outgoing();
-    quota_client.receive(0, &grants(me, 1, 2, 2, 11), 3 * S + 1_000);
+    quota_client.receive(0, &grants(me, 1, 2, 2, 11), 3 * SECOND + 1_000);
     let acknowledged = |s: &mut QuotaClient| {
         s.take_outgoing().into_iter().find_map(|s| {
             if let Message::Acknowledge { grants, .. } = s.message {
@@ -156,22 +157,22 @@
         })
     };
     assert_eq!(acknowledged(&mut quota_client), Some(vec![("quota:a".to_string(), 1, 11)]));
-    assert_eq!(usable(&quota_client, 3 * S + 1_000), (5, 3));
+    assert_eq!(usable(&quota_client, 3 * SECOND + 1_000), (5, 3));
     quota_client.record_usage("flight:v", Usage { wanted: 4, used: 4 });
-    quota_client.pass(3 * S + 2_000);
+    quota_client.pass(3 * SECOND + 2_000);
     assert_eq!(acknowledged(&mut quota_client), None);
     quota_client.record_usage("flight:v", Usage { wanted: 3, used: 3 });
-    quota_client.pass(3 * S + 3_000);
+    quota_client.pass(3 * SECOND + 3_000);
     assert_eq!(acknowledged(&mut quota_client), Some(vec![("flight:v".to_string(), 1, 11)]));
     // It leaves with three out: those are counted until their grant has ended.
-    quota_client.leave(4 * S);
+    quota_client.leave(4 * SECOND);
     let left = quota_client.take_outgoing();
     assert!(
         matches!(&left[..], [s] if s.message == Message::Returns { holder: me, grants: vec![("quota:a".into(), 1, 11)] }),
         "{left:?}"
     );
-    assert_eq!(usable(&quota_client, 4 * S), (0, 0));
-    assert!(!quota_client.receive(0, &grants(me, 1, 2, 9, 12), 4 * S));
+    assert_eq!(usable(&quota_client, 4 * SECOND), (0, 0));
+    assert!(!quota_client.receive(0, &grants(me, 1, 2, 9, 12), 4 * SECOND));
 }
 
 #[test]
@@ -187,12 +188,12 @@
         Some(5),
         "only the grant, because it is unknown which reserve the allocators count"
     );
-    quota_client.pass(S);
-    quota_client.receive(0, &grants(me, 1, 2, 5, 2), S);
-    assert_eq!(quota_client.usable("quota:a", S), Some(5));
-    quota_client.pass(3 * S);
-    quota_client.receive(0, &grants(me, 2, 3, 5, 3), 3 * S);
-    assert_eq!(quota_client.usable("quota:a", 3 * S), Some(14));
+    quota_client.pass(SECOND);
+    quota_client.receive(0, &grants(me, 1, 2, 5, 2), SECOND);
+    assert_eq!(quota_client.usable("quota:a", SECOND), Some(5));
+    quota_client.pass(3 * SECOND);
+    quota_client.receive(0, &grants(me, 2, 3, 5, 3), 3 * SECOND);
+    assert_eq!(quota_client.usable("quota:a", 3 * SECOND), Some(14));
 }
 
 /// Guards against endless redirects between two allocators.
@@ -223,7 +224,7 @@
     let mut allocator = granting_allocator(plan(1, 100, 0));
     let second_process = NodeIncarnation { incarnation: 2, ..node_incarnation("n0") };
     for k in 1..=3 {
-        let now = 8 * S + k * S;
+        let now = 8 * SECOND + k * SECOND;
         allocator.receive(&ask("n0", 1, k as u64, 1_000), now);
         let Message::Ask { plan, claims, .. } = ask("n0", 1, k as u64, 1_000) else { unreachable!() };
         allocator.receive(&Message::Ask { holder: second_process, plan, claims }, now);
@@ -252,7 +253,7 @@
     let mut allocator = Allocator::new("d0", read("b.sexp", &text).unwrap(), 7);
     allocator.set_leader(true);
     commit_proposals(&mut allocator, 0);
-    let (mut now, mut holders) = (2 * S, std::collections::BTreeSet::new());
+    let (mut now, mut holders) = (2 * SECOND, std::collections::BTreeSet::new());
     for round in 1..=40 {
         for k in 0..300 {
             allocator.receive(&ask(&format!("n{k}"), 1, round, 10), now);
@@ -262,7 +263,7 @@
         let current: Vec<NodeIncarnation> = ledger.holders().filter(|l| ledger.charge(*l) > 0).collect();
         assert!(current.len() <= 1, "{current:?}");
         holders.extend(current);
-        now += S / 4;
+        now += SECOND / 4;
     }
     assert!(holders.len() >= 3, "{holders:?}");
 }
@@ -298,16 +299,16 @@
     assert!(quota_client.receive(0, &grants(me, 1, 1, 6, 10), 1_000));
     let mut without = plan(2, 100, 0);
     without.budgets.retain(|b| b.name != "quota:a");
-    quota_client.replan(without, S);
-    assert_eq!(quota_client.usable("quota:a", S), None);
-    quota_client.replan(plan(3, 100, 0), 20 * S);
-    assert_eq!(asked(&mut quota_client, 20 * S), Some(2));
+    quota_client.replan(without, SECOND);
+    assert_eq!(quota_client.usable("quota:a", SECOND), None);
+    quota_client.replan(plan(3, 100, 0), 20 * SECOND);
+    assert_eq!(asked(&mut quota_client, 20 * SECOND), Some(2));
     // A delayed grant for an earlier request has expired, and a released grant is not used again.
-    quota_client.receive(0, &grants(me, 3, 1, 50, 11), 20 * S + 1_000);
-    quota_client.receive(0, &grants(me, 3, 2, 50, 10), 20 * S + 2_000);
-    assert_eq!(quota_client.usable("quota:a", 20 * S + 2_000), Some(0));
-    quota_client.receive(0, &grants(me, 3, 2, 7, 12), 20 * S + 3_000);
-    assert_eq!(quota_client.usable("quota:a", 20 * S + 3_000), Some(7));
+    quota_client.receive(0, &grants(me, 3, 1, 50, 11), 20 * SECOND + 1_000);
+    quota_client.receive(0, &grants(me, 3, 2, 50, 10), 20 * SECOND + 2_000);
+    assert_eq!(quota_client.usable("quota:a", 20 * SECOND + 2_000), Some(0));
+    quota_client.receive(0, &grants(me, 3, 2, 7, 12), 20 * SECOND + 3_000);
+    assert_eq!(quota_client.usable("quota:a", 20 * SECOND + 3_000), Some(7));
 }
 
 /// Guards against a panic on forged numbers.
@@ -317,8 +318,8 @@
                   (budget quota:a (whole 100)))";
     let me = node_incarnation("n0");
     let mut quota_client = QuotaClient::new(me, read("b.sexp", text).unwrap(), 0, 0);
-    quota_client.set_owns_address(true, S);
-    quota_client.pass(S);
+    quota_client.set_owns_address(true, SECOND);
+    quota_client.pass(SECOND);
     let g = BudgetGrant {
         budget: "quota:a".into(),
         epoch: 1,
@@ -327,10 +328,10 @@
         answers: 1,
         length: i64::MAX,
     };
-    quota_client.receive(0, &Message::Grants { holder: me, plan: u64::MAX, grants: vec![g] }, S);
+    quota_client.receive(0, &Message::Grants { holder: me, plan: u64::MAX, grants: vec![g] }, SECOND);
     quota_client.record_usage("quota:a", Usage { wanted: 9, used: 9 });
-    quota_client.pass(2 * S);
-    assert_eq!(quota_client.usable("quota:a", 2 * S), Some(u64::MAX));
+    quota_client.pass(2 * SECOND);
+    assert_eq!(quota_client.usable("quota:a", 2 * SECOND), Some(u64::MAX));
 }
 
 /// Guards against use of a raised reserve while earlier grants leave no units for it.
@@ -354,20 +355,20 @@
         ["n0", "n1"].iter().for_each(|n| d.receive(&ask(n, plan, answers, 1_000), now));
         commit_and_collect_answers(d, now)
     };
-    let answers_sent = ask_both(&mut allocator, 1, 1, 9 * S);
+    let answers_sent = ask_both(&mut allocator, 1, 1, 9 * SECOND);
     assert!(answers_sent.iter().all(|t| t.1 == 1 && t.2.is_some_and(|g| g.0 == 50)), "{answers_sent:?}");
     allocator.set_plan(plan(2, 100, 10));
-    assert!(ask_both(&mut allocator, 2, 2, 10 * S).is_empty(), "the configuration is committed first");
-    let answers_sent = ask_both(&mut allocator, 2, 3, 11 * S);
+    assert!(ask_both(&mut allocator, 2, 2, 10 * SECOND).is_empty(), "the configuration is committed first");
+    let answers_sent = ask_both(&mut allocator, 2, 3, 11 * SECOND);
     assert!(
         answers_sent.len() == 2 && answers_sent.iter().all(|t| t.1 == 1 && t.2.is_some_and(|g| g.0 < 50)),
         "{answers_sent:?}"
     );
     for (to, _, g) in answers_sent {
         let grants = vec![("quota:a".to_string(), 7, g.unwrap().1)];
-        allocator.receive(&Message::Acknowledge { holder: to, grants }, 11 * S);
+        allocator.receive(&Message::Acknowledge { holder: to, grants }, 11 * SECOND);
     }
-    let answers_sent = ask_both(&mut allocator, 2, 4, 12 * S);
+    let answers_sent = ask_both(&mut allocator, 2, 4, 12 * SECOND);
     assert!(answers_sent.len() == 2 && answers_sent.iter().all(|t| t.1 == 2), "{answers_sent:?}");
 }
 
@@ -380,7 +381,7 @@
     let file = read("b.sexp", text).unwrap();
     let mut allocator = Allocator::new("d0", file.clone(), 7);
     allocator.set_leader(true);
-    (0..8).for_each(|k| drop(commit_proposals(&mut allocator, k * S)));
+    (0..8).for_each(|k| drop(commit_proposals(&mut allocator, k * SECOND)));
     let mut clients = ["n0", "n1", "n2"].map(|n| QuotaClient::new(node_incarnation(n), file.clone(), 0, 0));
     let mut round = |now: i64, wants: [u64; 3]| {
         for (quota_client, wanted) in clients.iter_mut().zip(wants) {
@@ -405,7 +406,7 @@
             |s: &QuotaClient| s.lease("home:w/n0", now).filter(|(g, _)| g.amount > 0).map(|(_, asked)| asked);
         [lease_requested_at(&clients[0]), lease_requested_at(&clients[1]), lease_requested_at(&clients[2])]
     };
-    let at = |k: i64| 10 * S + k * 2 * S;
+    let at = |k: i64| 10 * SECOND + k * 2 * SECOND;
     assert_eq!(round(at(0), [0, 0, 0]), [None; 3], "nobody asks for it");
     assert_eq!(round(at(1), [0, 0, 1]), [None, None, Some(at(1))]);
     for k in 2..10 {
--- a/crates/quota/tests/parts.rs
+++ b/crates/quota/tests/parts.rs
@@ -6,8 +6,9 @@
 use shorepath_quota::rate_limiter::TokenBucket;
 use shorepath_quota::{Grant, LeasePeriod, NodeId, NodeIncarnation};
 
-const S: i64 = 1_000_000;
-const TERM: LeasePeriod = LeasePeriod { length: 10 * S, drift_ppm: 1_000, longest: 0 };
+/// One second, in microseconds.
+const SECOND: i64 = 1_000_000;
+const TERM: LeasePeriod = LeasePeriod { length: 10 * SECOND, drift_ppm: 1_000, longest: 0 };
 
 fn node_incarnation(node: u32, incarnation: u64) -> NodeIncarnation {
     NodeIncarnation { node: NodeId(node), incarnation }
@@ -41,12 +42,12 @@
     }
     // A new leader counts the terms from its own start.
     let snapshot = ledger.snapshot();
-    ledger.restore(&snapshot, 5 * S);
-    ledger.expire(15 * S);
+    ledger.restore(&snapshot, 5 * SECOND);
+    ledger.expire(15 * SECOND);
     assert_eq!(ledger.account().free, 0);
-    ledger.expire(15 * S + 10_001);
+    ledger.expire(15 * SECOND + 10_001);
     assert_eq!(ledger.account().free, 90);
-    assert_eq!(grant_and_acknowledge(&mut ledger, node_incarnation(0, 4), 90, 16 * S).amount, 90);
+    assert_eq!(grant_and_acknowledge(&mut ledger, node_incarnation(0, 4), 90, 16 * SECOND).amount, 90);
 }
 
 /// Guards against freeing units by an acknowledgement of an earlier grant that is duplicated or late.
@@ -62,7 +63,7 @@
     ledger.acknowledge(node_incarnation(0, 1), second.number);
     assert_eq!(ledger.account().free, 6);
     ledger.acknowledge(node_incarnation(0, 1), first.number);
-    ledger.record(first, 3 * S);
+    ledger.record(first, 3 * SECOND);
     assert_eq!(ledger.account().free, 6);
     ledger.release(node_incarnation(0, 1), second.number);
     assert_eq!((ledger.account().free, ledger.holders().count()), (10, 0));
@@ -92,30 +93,30 @@
     let mut holder = Holder::new(me, 2, TERM);
     let length = TERM.length;
     let grant = |number, amount, answers| Grant { holder: me, epoch: 0, number, amount, answers, length };
-    let asked = holder.ask(100 * S);
-    assert_eq!(holder.usable(100 * S), 2, "the reserve");
+    let asked = holder.ask(100 * SECOND);
+    assert_eq!(holder.usable(100 * SECOND), 2, "the reserve");
     assert!(
-        !holder.accept(Grant { holder: node_incarnation(3, 6), ..grant(1, 9, asked) }, 101 * S),
+        !holder.accept(Grant { holder: node_incarnation(3, 6), ..grant(1, 9, asked) }, 101 * SECOND),
         "of an earlier incarnation"
     );
-    assert!(!holder.accept(grant(1, 9, asked + 1), 101 * S), "answers no request");
-    assert!(holder.accept(grant(5, 9, asked), 104 * S));
-    assert!(!holder.accept(grant(4, 50, asked), 104 * S), "older");
-    let expires_at = 100 * S + TERM.for_holder();
+    assert!(!holder.accept(grant(1, 9, asked + 1), 101 * SECOND), "answers no request");
+    assert!(holder.accept(grant(5, 9, asked), 104 * SECOND));
+    assert!(!holder.accept(grant(4, 50, asked), 104 * SECOND), "older");
+    let expires_at = 100 * SECOND + TERM.for_holder();
     assert!(TERM.for_holder() < TERM.length && TERM.length < TERM.for_allocator());
     assert_eq!(
         (holder.usable(expires_at - 1), holder.usable(expires_at), holder.expires_at()),
         (11, 2, Some(expires_at))
     );
     assert_eq!((holder.debt(12, expires_at - 1), holder.debt(12, expires_at)), (1, 10));
-    assert_eq!(holder.usable(99 * S), 2, "a clock that is set back must not extend the lease");
-    let late_request = holder.ask(100 * S);
+    assert_eq!(holder.usable(99 * SECOND), 2, "a clock that is set back must not extend the lease");
+    let late_request = holder.ask(100 * SECOND);
     assert!(!holder.accept(grant(6, 9, late_request), expires_at), "it arrived after its expiry");
-    let second_request = holder.ask(200 * S);
-    assert!(holder.accept(grant(7, 9, second_request), 200 * S));
+    let second_request = holder.ask(200 * SECOND);
+    assert!(holder.accept(grant(7, 9, second_request), 200 * SECOND));
     assert_eq!(holder.release(), (0, 7));
-    assert!(!holder.accept(grant(7, 9, second_request), 200 * S), "a released grant stays released");
-    assert_eq!(holder.usable(200 * S), 2);
+    assert!(!holder.accept(grant(7, 9, second_request), 200 * SECOND), "a released grant stays released");
+    assert_eq!(holder.usable(200 * SECOND), 2);
 }
 
 proptest! {
@@ -140,7 +141,7 @@
             }
         }
         // After a long pause at most the burst is available at once.
-        bucket.refill(now + 3_600 * S, max_rate);
+        bucket.refill(now + 3_600 * SECOND, max_rate);
         let at_once = std::iter::from_fn(|| bucket.take().then_some(())).count() as u128;
         prop_assert!(at_once * 1_000_000 <= (u128::from(max_rate) * burst as u128).max(1_000_000));
     }
