--- a/crates/placements/src/anti_entropy.rs
+++ b/crates/placements/src/anti_entropy.rs
@@ -44,9 +44,9 @@
     /// Returns the last sealed entry of a log; see [`History::sealed`].
     fn sealed(&self, writer: &Writer) -> Point;
     /// Returns guarded keys of the sealed part of a log; see [`History::retained_keys`].
-    fn retained_keys(&self, writer: &Writer, from: u64, most: usize) -> (u64, Vec<RetainedKey>);
+    fn retained_keys(&self, writer: &Writer, from: u64, max_bytes: usize) -> (u64, Vec<RetainedKey>);
     /// Returns entries that are missing at a node which holds `points`; see [`History::missing`].
-    fn missing(&self, writer: &Writer, points: &[Point], most: usize) -> Option<Piece>;
+    fn missing(&self, writer: &Writer, points: &[Point], max_bytes: usize) -> Option<Piece>;
     /// Removes points that are implied by others; see [`History::prune`].
     fn prune(&self, writer: &Writer, points: &mut Vec<Point>);
     /// Visits entries that are missing at a node which holds `points`; see [`History::visit_missing`].
@@ -54,8 +54,8 @@
         &self,
         writer: &Writer,
         points: &[Point],
-        most: usize,
-        reply: &mut dyn FnMut(Point, &[u8]) -> bool,
+        max_bytes: usize,
+        report: &mut dyn FnMut(Point, &[u8]) -> bool,
     ) -> Option<(Point, Point)>;
     /// Returns the digest at an entry of a branch; see [`History::digest_on_branch`].
     fn digest_on_branch(&self, writer: &Writer, point: &Point, number: u64) -> Option<Digest>;
@@ -84,11 +84,11 @@
     fn sealed(&self, writer: &Writer) -> Point {
         History::sealed(self, writer)
     }
-    fn retained_keys(&self, writer: &Writer, from: u64, most: usize) -> (u64, Vec<RetainedKey>) {
-        History::retained_keys(self, writer, from, most)
+    fn retained_keys(&self, writer: &Writer, from: u64, max_bytes: usize) -> (u64, Vec<RetainedKey>) {
+        History::retained_keys(self, writer, from, max_bytes)
     }
-    fn missing(&self, writer: &Writer, points: &[Point], most: usize) -> Option<Piece> {
-        History::missing(self, writer, points, most)
+    fn missing(&self, writer: &Writer, points: &[Point], max_bytes: usize) -> Option<Piece> {
+        History::missing(self, writer, points, max_bytes)
     }
     fn prune(&self, writer: &Writer, points: &mut Vec<Point>) {
         History::prune(self, writer, points);
@@ -97,10 +97,10 @@
         &self,
         writer: &Writer,
         points: &[Point],
-        most: usize,
-        reply: &mut dyn FnMut(Point, &[u8]) -> bool,
+        max_bytes: usize,
+        report: &mut dyn FnMut(Point, &[u8]) -> bool,
     ) -> Option<(Point, Point)> {
-        History::visit_missing(self, writer, points, most, reply)
+        History::visit_missing(self, writer, points, max_bytes, report)
     }
     fn digest_on_branch(&self, writer: &Writer, point: &Point, number: u64) -> Option<Digest> {
         History::digest_on_branch(self, writer, point, number)
@@ -856,8 +856,8 @@
         if peer_log.is_none() && !self.complete {
             return None;
         }
-        // A peer that is ahead most likely holds everything held here; whether it does shows once its entries
-        // have arrived.
+        // A peer that is ahead most likely holds everything held here; whether it does shows once its
+        // entries have arrived.
         if peer_log.and_then(|t| t.ahead).is_some_and(|claim| !claim.given_up) {
             return None;
         }
@@ -938,8 +938,8 @@
         }
     }
 
-    /// Notes that entries of a log arrived from another node. The peer is soon informed, so that it doesn't send
-    /// them again.
+    /// Notes that entries of a log arrived from another node. The next summary informs the peer, so that it
+    /// doesn't send them again.
     pub fn note_update(&mut self, writer: &Writer) {
         self.summaries_due.insert(writer.clone());
     }
--- a/crates/placements/src/history.rs
+++ b/crates/placements/src/history.rs
@@ -86,7 +86,7 @@
     },
 }
 
-/// What is retained of a guarded placement that may have run once its entries are dropped.
+/// What is retained, after its entries are dropped, of a guarded placement that may have run.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RetainedKey {
     /// Name of the request class.
@@ -590,10 +590,10 @@
     /// Inserts a piece whose digests and entries have been verified; see [`History::insert`].
     pub(crate) fn insert_verified(&mut self, piece: &Piece) -> Result<u64, HistoryError> {
         let writer = &piece.writer;
-        let mut fresh = None;
+        let mut new_log = None;
         let log = match self.logs.get_mut(writer) {
             Some(log) => log,
-            None => fresh.insert(Log::new(writer)),
+            None => new_log.insert(Log::new(writer)),
         };
         let (mut at, mut entries) = ((piece.after, piece.before), piece.entries.as_slice());
         while at.0 < log.point.0 {
@@ -615,7 +615,7 @@
             });
         };
         let new = branch.insert(at.0, entries);
-        if let Some(log) = fresh {
+        if let Some(log) = new_log {
             self.logs.insert(writer.clone(), log);
         }
         Ok(new)
@@ -641,9 +641,9 @@
         new
     }
 
-    /// Adopts the seal of another node if it reaches further than the own one. Entries up to it are dropped,
-    /// and so are branches that fork before it, because the other node sealed only what all sites had
-    /// confirmed.
+    /// Adopts the seal of another node if it reaches further than the one held here. Entries up to it are
+    /// dropped, and so are branches that fork before it, because the other node sealed only what all sites
+    /// had confirmed.
     pub fn adopt(&mut self, writer: &Writer, base: &Base) {
         let log = self.logs.entry(writer.clone()).or_insert_with(|| Log::new(writer));
         // Of two seals with the same number and different digests the smaller digest wins, so that the result
--- a/crates/placements/src/log.rs
+++ b/crates/placements/src/log.rs
@@ -636,16 +636,16 @@
     }
 
     /// Numbers the records and adds them to the queued writes.
-    fn queue(&self, kept: &[CopyRecord]) -> MutexGuard<'_, (u64, Vec<Op>)> {
-        let mut held = self.next.lock().unwrap_or_else(PoisonError::into_inner);
-        let (next, ops) = &mut *held;
-        for kept in kept {
-            if let Ok(record) = postcard::to_stdvec(kept) {
-                ops.push(Op::Append(COPIES.into(), *next, record));
+    fn queue(&self, records: &[CopyRecord]) -> MutexGuard<'_, (u64, Vec<Op>)> {
+        let mut queue = self.next.lock().unwrap_or_else(PoisonError::into_inner);
+        let (next, ops) = &mut *queue;
+        for record in records {
+            if let Ok(bytes) = postcard::to_stdvec(record) {
+                ops.push(Op::Append(COPIES.into(), *next, bytes));
                 *next += 1;
             }
         }
-        held
+        queue
     }
 
     fn take_queued(&self) -> Vec<Op> {
@@ -654,10 +654,10 @@
 
     fn commit(
         &self,
-        mut held: MutexGuard<'_, (u64, Vec<Op>)>,
+        mut queue: MutexGuard<'_, (u64, Vec<Op>)>,
         done: impl FnOnce(Result<(), LogError>) + Send + 'static,
     ) {
-        let ops = std::mem::take(&mut held.1);
+        let ops = std::mem::take(&mut queue.1);
         self.group_commit.commit(ops, move |result| done(result.map_err(|e| LogError::from(e.as_ref()))));
     }
 
@@ -711,9 +711,9 @@
         }
         // The history already contains the queued pieces.
         self.take_queued();
-        let mut held = self.queue(&all);
-        let first = held.0 - held.1.len() as u64;
-        held.1.push(Op::Drop(COPIES.into(), first));
-        held
+        let mut queue = self.queue(&all);
+        let first = queue.0 - queue.1.len() as u64;
+        queue.1.push(Op::Drop(COPIES.into(), first));
+        queue
     }
 }
--- a/crates/placements/src/log_recovery.rs
+++ b/crates/placements/src/log_recovery.rs
@@ -185,9 +185,9 @@
         );
         let mut log_recovery = LogRecovery::new(0, 3, [4]);
         let none: [&Exchange; 0] = [];
-        let ask =
+        let decide =
             |recovery: &mut LogRecovery, now| recovery.decide(none.into_iter(), &history, &writer, own, now);
-        assert_eq!(ask(&mut log_recovery, 3), Some(LogOutcome::Continues(false)));
+        assert_eq!(decide(&mut log_recovery, 3), Some(LogOutcome::Continues(false)));
         let mut written = Vec::new();
         let mut write = |recovery: &mut LogRecovery| {
             let mut number = 10;
@@ -216,7 +216,7 @@
             log_recovery.buffer_placement(Timed { at: 11, entry: Entry::Placed(placement.clone()) });
         assert_eq!(buffered, Some(PlacementRef::Buffered(0)));
         assert_eq!(
-            (ask(&mut log_recovery, 12), ask(&mut log_recovery, 13)),
+            (decide(&mut log_recovery, 12), decide(&mut log_recovery, 13)),
             (None, Some(LogOutcome::Continues(false)))
         );
         assert_eq!(write(&mut log_recovery), BTreeMap::from([(0, 13)]));
--- a/crates/placements/src/reconcile.rs
+++ b/crates/placements/src/reconcile.rs
@@ -164,8 +164,8 @@
         /// Idempotency key of the job.
         key: String,
     },
-    /// Two sites used a server at the same time, at least one of them isolated. The speed observed then and its
-    /// cold-start budget of that time must be corrected.
+    /// Two sites used a server at the same time, at least one of them isolated. The speed observed then and
+    /// its cold-start budget of that time must be corrected.
     SharedServer {
         /// Id of the server.
         server: String,
@@ -276,7 +276,7 @@
     fence: u64,
     standing: u64,
     how: Option<End>,
-    /// The decision that the placement may have run was returned.
+    /// A decision that the placement may have run was returned.
     reported: bool,
 }
 
@@ -455,13 +455,13 @@
 
     /// Evaluates up to `max_steps` queued placements again; returns how many it did.
     fn evaluate_queued(&mut self, max_steps: usize) -> usize {
-        let some = max_steps.min(self.to_evaluate.len());
-        for _ in 0..some {
+        let count = max_steps.min(self.to_evaluate.len());
+        for _ in 0..count {
             if let Some((tenant, at)) = self.to_evaluate.pop_front() {
                 self.evaluate(&tenant, at);
             }
         }
-        some
+        count
     }
 
     /// Sets how many jobs a tenant may start without a confirmed standing at all sites together. Only jobs
@@ -484,7 +484,7 @@
 
     /// Performs up to [`Settings::steps_per_slice`] steps: gives up placements that have had no end for too
     /// long at `now` (Unix time in microseconds), evaluates queued placements again, and reads new entries.
-    /// `updates` states whether entries may have arrived since the last slice. Returns the decisions, and
+    /// `updates` is `true` if entries may have arrived since the last slice. Returns the decisions, and
     /// whether there is more to do.
     pub fn slice(
         &mut self,
--- a/crates/placements/tests/exchange.rs
+++ b/crates/placements/tests/exchange.rs
@@ -45,11 +45,11 @@
     fn sealed(&self, writer: &Writer) -> Point {
         self.history.sealed(writer)
     }
-    fn retained_keys(&self, writer: &Writer, from: u64, most: usize) -> (u64, Vec<RetainedKey>) {
-        self.history.retained_keys(writer, from, most)
+    fn retained_keys(&self, writer: &Writer, from: u64, max_bytes: usize) -> (u64, Vec<RetainedKey>) {
+        self.history.retained_keys(writer, from, max_bytes)
     }
-    fn missing(&self, writer: &Writer, points: &[Point], most: usize) -> Option<Piece> {
-        self.history.missing(writer, points, most)
+    fn missing(&self, writer: &Writer, points: &[Point], max_bytes: usize) -> Option<Piece> {
+        self.history.missing(writer, points, max_bytes)
     }
     fn prune(&self, writer: &Writer, points: &mut Vec<Point>) {
         self.history.prune(writer, points);
@@ -58,10 +58,10 @@
         &self,
         writer: &Writer,
         points: &[Point],
-        most: usize,
-        reply: &mut dyn FnMut(Point, &[u8]) -> bool,
+        max_bytes: usize,
+        report: &mut dyn FnMut(Point, &[u8]) -> bool,
     ) -> Option<(Point, Point)> {
-        self.history.visit_missing(writer, points, most, reply)
+        self.history.visit_missing(writer, points, max_bytes, report)
     }
     fn digest_on_branch(&self, writer: &Writer, point: &Point, number: u64) -> Option<Digest> {
         self.history.digest_on_branch(writer, point, number)
