--- a/crates/sites/src/catch_up.rs
+++ b/crates/sites/src/catch_up.rs
@@ -169,29 +169,29 @@
         let text = "(sites (version 1) (fleet f) (key k) (site a (node n0 \"127.0.0.1:1\") (bears 1))
                      (site b (node n1 \"127.0.0.1:2\") (bears 1)))";
         let config = crate::config::read("t", text).unwrap();
-        let (mut history, mut proving) = (History::new(), CatchUp::default());
+        let (mut history, mut catch_up) = (History::new(), CatchUp::default());
         let [me, other] = [0, 1].map(|k| config.nodes().nth(k).unwrap().1.number);
         let unproven = [("a/n0".to_string(), FENCE, Fence { number: 4, ..FENCE })];
-        let pass = |p: &mut CatchUp, h: &History, now| p.tick(&config, (me, (1, 0)), &unproven, h, now);
+        let tick = |p: &mut CatchUp, h: &History, now| p.tick(&config, (me, (1, 0)), &unproven, h, now);
         let ask = Message::Ask { home: "a/n0".into(), fence: FENCE };
-        assert_eq!(pass(&mut proving, &history, 0), (vec![(other, ask.clone())], vec![]));
-        assert_eq!(pass(&mut proving, &history, 1), (vec![], vec![]), "asked again at once");
-        proving.record_reply(other, "a/n0", Fence { number: 2, ..FENCE }, 5, 0);
+        assert_eq!(tick(&mut catch_up, &history, 0), (vec![(other, ask.clone())], vec![]));
+        assert_eq!(tick(&mut catch_up, &history, 1), (vec![], vec![]), "asked again at once");
+        catch_up.record_reply(other, "a/n0", Fence { number: 2, ..FENCE }, 5, 0);
         assert_eq!(
-            pass(&mut proving, &history, RETRY_INTERVAL),
+            tick(&mut catch_up, &history, RETRY_INTERVAL),
             (vec![(other, ask)], vec![]),
             "the reply belongs to another lease"
         );
-        proving.record_reply(other, "a/n0", FENCE, 5, 1);
+        catch_up.record_reply(other, "a/n0", FENCE, 5, 1);
         assert_eq!(
-            pass(&mut proving, &history, 3 * RETRY_INTERVAL),
+            tick(&mut catch_up, &history, 3 * RETRY_INTERVAL),
             (vec![], vec![]),
             "its log is not here yet"
         );
         append(&mut history, 5);
         let proved = vec![("a/n0".to_string(), Fence { number: 4, ..FENCE })];
-        assert_eq!(pass(&mut proving, &history, 3 * RETRY_INTERVAL).1, proved);
+        assert_eq!(tick(&mut catch_up, &history, 3 * RETRY_INTERVAL).1, proved);
         append(&mut history, 6);
-        assert_eq!(pass(&mut proving, &history, 3 * RETRY_INTERVAL).1, vec![], "it has lost a disk");
+        assert_eq!(tick(&mut catch_up, &history, 3 * RETRY_INTERVAL).1, vec![], "it has lost a disk");
     }
 }
--- a/crates/sites/src/config.rs
+++ b/crates/sites/src/config.rs
@@ -46,7 +46,7 @@
 pub struct Node {
     /// The node's name, which stays the same over restarts.
     pub name: String,
-    /// The identifier that is derived from the name, see [`NodeId::class_name`].
+    /// The identifier that is derived from the name, see [`NodeId::of`].
     pub number: u32,
     /// The address at which it receives datagrams.
     pub address: SocketAddr,
--- a/crates/sites/src/health.rs
+++ b/crates/sites/src/health.rs
@@ -43,7 +43,7 @@
 const MAX_HEARTBEAT: u64 = 1 << 53;
 /// Largest number of classes whose demand a message reports.
 pub const MAX_CLASSES: usize = 6;
-/// Long ago.
+/// A time before all events, for those that have not happened.
 const NEVER: Micros = Micros::MIN / 4;
 
 /// Report on another site, with ages in milliseconds. It is a list in JSON to keep messages short.
@@ -317,8 +317,8 @@
 }
 
 impl SiteHealth {
-    /// Creates the view of a node that starts now, given its number in the configuration. All sites are linked until they
-    /// have been silent for long enough.
+    /// Creates the view of a node that starts now, given its number in the configuration. All sites are linked until
+    /// they have been silent for long enough.
     ///
     /// # Errors
     /// If the configuration does not list the node.
@@ -527,8 +527,8 @@
         std::mem::take(&mut self.mismatches)
     }
 
-    /// Updates the states of all sites and queues the messages that are due. Must be called at [`SiteHealth::due`] at the
-    /// latest.
+    /// Updates the states of all sites and queues the messages that are due. Must be called at [`SiteHealth::due`] at
+    /// the latest.
     pub fn tick(&mut self, now: Micros) {
         self.detect_suspension(now);
         self.update_states(now);
@@ -623,8 +623,8 @@
         self.loads.insert(self.me, (load, self.last_active));
     }
 
-    /// Returns the load of a site by the last reports of its nodes, which may be from before the loss of the site. Nodes
-    /// without a report count with the average demand of the others. `None` without any report.
+    /// Returns the load of a site by the last reports of its nodes, which may be from before the loss of the site.
+    /// Nodes without a report count with the average demand of the others. `None` without any report.
     pub fn load(&self, site: &str) -> Option<Load> {
         let nodes = &self.config.site(site)?.nodes;
         let reported: Vec<&(Load, Micros)> = nodes.iter().filter_map(|n| self.loads.get(&n.number)).collect();
@@ -734,8 +734,8 @@
         // An echo needs two messages, each of which may be lost, so it may be older.
         let is_unreachable =
             self.silence(v.last_received(), now) >= alone || self.silence(v.echoed_at, now) >= alone * 5 / 4;
-        // Without a recent heartbeat the site is about to be lost, and a lost site may be about to be reachable again; an
-        // intermediate state would only add a change.
+        // Without a recent heartbeat the site is about to be lost, and a lost site may be about to be reachable again;
+        // an intermediate state would only add a change.
         let alive_for = v.alive_since.map_or(0, |at| now - at);
         if !slow
             && is_unreachable
@@ -806,9 +806,9 @@
         self.isolated_since
     }
 
-    /// Returns the latest time since which messages of a majority of the sites, including this one, have arrived; `None`
-    /// if that is longer ago than [`SitesConfig::confirm`]. Messages that were buffered while this process was suspended
-    /// don't count.
+    /// Returns the latest time since which messages of a majority of the sites, including this one, have arrived;
+    /// `None` if that is longer ago than [`SitesConfig::confirm`]. Messages that were buffered while this process was
+    /// suspended don't count.
     pub fn majority_contact_at(&self, now: Micros) -> Option<Micros> {
         let confirm = self.config.confirm;
         // A single site is a majority by itself.
@@ -829,9 +829,9 @@
         self.majority_contact_at(now).is_some()
     }
 
-    /// Returns whether every other node has reported that it uses this configuration; a node with another one may assign
-    /// keys to other owners. Sites that are declared lost are ignored. Nodes report in turn, so a large fleet takes a
-    /// while.
+    /// Returns whether every other node has reported that it uses this configuration; a node with another one may
+    /// assign keys to other owners. Sites that are declared lost are ignored. Nodes report in turn, so a large fleet
+    /// takes a while.
     pub fn all_nodes_use_config(&self) -> bool {
         let is_same = |reported: &(u64, u32)| {
             reported.0 == self.config.version && (reported.1 == 0 || reported.1 == self.digest)
--- a/crates/sites/src/key_ownership.rs
+++ b/crates/sites/src/key_ownership.rs
@@ -249,8 +249,8 @@
 }
 
 impl KeyOwnership {
-    /// Creates the state of a node, given its number. `persisted` is the last result of [`KeyOwnership::persisted`] from its
-    /// disk; the default if the disk is empty, an older copy, or another node's.
+    /// Creates the state of a node, given its number. `persisted` is the last result of [`KeyOwnership::persisted`]
+    /// from its disk; the default if the disk is empty, an older copy, or another node's.
     pub fn new(me: u32, config: &SitesConfig, persisted: &PersistedOwnership) -> KeyOwnership {
         let ranges = build_ranges(config, &persisted.fences);
         let nodes: BTreeSet<u32> = ranges.iter().map(|r| r.number).collect();
@@ -342,8 +342,8 @@
         self.ranges.iter().filter(is_mine).map(|r| format!("home:{}", r.home)).collect()
     }
 
-    /// Applies a grant of a range. `requested_at` is when this node requested it, from which the lease counts, by the same
-    /// clock as `now`. Returns false for a grant that is outdated, expired, or another node's.
+    /// Applies a grant of a range. `requested_at` is when this node requested it, from which the lease counts, by the
+    /// same clock as `now`. Returns false for a grant that is outdated, expired, or another node's.
     pub fn apply_grant(
         &mut self,
         budget: &str,
@@ -399,17 +399,17 @@
         self.ranges.iter_mut().filter(held).for_each(|r| r.proved = true);
     }
 
-    /// Returns whether a key that was placed under a fence may still be sent, because its range has been held without a gap
-    /// since then. It should be checked as late as possible: a disk write, a new connection or a suspension of the
-    /// process may have outlasted the lease.
+    /// Returns whether a key that was placed under a fence may still be sent, because its range has been held without
+    /// a gap since then. It should be checked as late as possible: a disk write, a new connection or a suspension of
+    /// the process may have outlasted the lease.
     pub fn is_still_held(&self, key: &str, fence: Fence, now: Micros) -> bool {
         let held =
             self.range(key).and_then(|r| r.held).filter(|h| now < h.expires_at && now >= h.requested_at);
         held.is_some_and(|h| h.fence.epoch == fence.epoch && h.first_fence.number <= fence.number)
     }
 
-    /// Returns the ranges that are held now and may have been held by others before, each with its home, the first fence
-    /// since which it has been held without a gap, and the current fence.
+    /// Returns the ranges that are held now and may have been held by others before, each with its home, the first
+    /// fence since which it has been held without a gap, and the current fence.
     pub fn unproven(&self, now: Micros) -> Vec<(String, Fence, Fence)> {
         let held = |r: &Range| r.held.filter(|h| !r.proved && now < h.expires_at);
         let all =
@@ -417,8 +417,9 @@
         all.collect()
     }
 
-    /// Returns the fence under which a key may be placed now; it must be stored with the placement. `history` is called if
-    /// another node may have placed the key. A process that was suspended must check this again before it acts.
+    /// Returns the fence under which a key may be placed now; it must be stored with the placement. `history` is
+    /// called if another node may have placed the key. A process that was suspended must check this again before it
+    /// acts.
     ///
     /// # Errors
     /// If the key must not be placed at this node now.
@@ -460,8 +461,8 @@
             .collect()
     }
 
-    /// Returns the state to store on the disk. An older state is safe, since it only causes more checks of the history, as
-    /// long as the log on the same disk contains the node's last placement.
+    /// Returns the state to store on the disk. An older state is safe, since it only causes more checks of the
+    /// history, as long as the log on the same disk contains the node's last placement.
     pub fn persisted(&self) -> PersistedOwnership {
         let proved = self.ranges.iter().filter(|r| r.proved);
         let fences = proved.filter_map(|r| Some((r.home.clone(), r.last_fence?))).collect();
--- a/crates/sites/src/load_shifting.rs
+++ b/crates/sites/src/load_shifting.rs
@@ -133,9 +133,9 @@
         self.requests.get_mut(class).into_iter().for_each(|n| *n += 1);
     }
 
-    /// Processes a message of another node that [`SiteHealth`] has accepted. A node that has started recently learns from
-    /// it that its site was lost: the newest heartbeat of the site known to others is old, or another node of the site
-    /// is on its ramp. Returns whether the ramp of the own site starts now.
+    /// Processes a message of another node that [`SiteHealth`] has accepted. A node that has started recently learns
+    /// from it that its site was lost: the newest heartbeat of the site known to others is old, or another node of the
+    /// site is on its ramp. Returns whether the ramp of the own site starts now.
     pub fn receive(&mut self, site_health: &SiteHealth, from: u32, message: &Message, now: Micros) -> bool {
         let config = site_health.config();
         if let Some(load) = &message.load {
@@ -204,8 +204,8 @@
     }
 
     /// Updates the ramp with the numbers of served and failed requests since the last call, reports this node's load
-    /// through `site_health`, marks other sites as recovered that take their full load, and computes new limits. Returns
-    /// the steps that the ramp has made.
+    /// through `site_health`, marks other sites as recovered that take their full load, and computes new limits.
+    /// Returns the steps that the ramp has made.
     pub fn tick(
         &mut self,
         site_health: &mut SiteHealth,
@@ -217,7 +217,7 @@
         let mut moved = Vec::new();
         let (warm_fraction, isolated) = (self.warm_fraction(now), site_health.is_isolated());
         if let Some((ramp, _)) = &mut self.ramp {
-            ramp.outcomes(served, failed);
+            ramp.record_outcomes(served, failed);
             if isolated && !self.was_isolated && !ramp.is_complete() {
                 moved.extend(ramp.lost_again(now));
             }
--- a/crates/sites/src/recovery_config.rs
+++ b/crates/sites/src/recovery_config.rs
@@ -17,6 +17,7 @@
 const SIZE_UNITS: [(&str, u64); 4] = [("B", 1), ("KiB", 1 << 10), ("MiB", 1 << 20), ("GiB", 1 << 30)];
 const KIB: u64 = 1 << 10;
 const MIB: u64 = 1 << 20;
+/// Number of microseconds in an hour.
 const HOUR: Micros = 3_600_000_000;
 
 /// Settings of a recovery.
--- a/crates/sites/src/recovery_ramp.rs
+++ b/crates/sites/src/recovery_ramp.rs
@@ -107,7 +107,7 @@
     }
 
     /// Adds the outcomes of requests at the site's servers since the last call.
-    pub fn outcomes(&mut self, served: u64, failed: u64) {
+    pub fn record_outcomes(&mut self, served: u64, failed: u64) {
         self.served = self.served.saturating_add(served);
         self.failed = self.failed.saturating_add(failed);
     }
@@ -134,8 +134,8 @@
             && u128::from(self.failed) * 100 > all * u128::from(self.settings.max_failed_percent)
     }
 
-    /// Moves to another step if the current one is over. `warm_fraction` is the part of their full capacity, from 0 to 1, that
-    /// the site's servers have now (see [`slow_start::part`]); no step exceeds it.
+    /// Moves to another step if the current one is over. `warm_fraction` is the part of their full capacity, from 0 to
+    /// 1, that the site's servers have now (see [`slow_start::part`]); no step exceeds it.
     pub fn tick(&mut self, now: Micros, warm_fraction: f64) -> Option<StepChange> {
         if self.is_complete() {
             return None;
--- a/crates/sites/tests/joint.rs
+++ b/crates/sites/tests/joint.rs
@@ -26,7 +26,7 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-/// A lease lasts for two ticks of 10 units each; clocks advance by 8 to 12 units a tick.
+/// A lease lasts for 20 units, which are two ticks; clocks advance by 8 to 12 units a tick.
 const TERM: LeasePeriod = LeasePeriod { length: 20, drift_ppm: 200_000, longest: 0 };
 /// Budget of the key's range, whose home is in the first site.
 const BUDGET: &str = "home:a/n";
@@ -59,7 +59,7 @@
     SharesOwnLogOnly,
 }
 
-/// Limits of the search.
+/// Numbers that bound the explored states of a model.
 #[derive(Clone, Copy, Debug)]
 struct SearchLimits {
     ticks: Micros,
@@ -271,7 +271,7 @@
     }
 
     /// Returns whether an admitted request of the account uses credit; `None` if it is rejected.
-    fn take(&mut self, fault: Fault, job: u8) -> Option<bool> {
+    fn admit(&mut self, fault: Fault, job: u8) -> Option<bool> {
         if let Some(note) = self.balance.durable_to().filter(|_| self.unconfirmed) {
             self.balance.wrote(note);
             self.note = Some(note);
@@ -439,12 +439,12 @@
         let site = Arc::make_mut(&mut s.sites[n]);
         let unproven = site.ownership.unproven(now);
         let me = (self.life(n, 1).node.0, (site.writer.log, site.head.0));
-        let mut proving = CatchUp::default();
-        for (to, message) in proving.tick(&self.config, me, &unproven, &site.replica.history, 0).0 {
+        let mut catch_up = CatchUp::default();
+        for (to, message) in catch_up.tick(&self.config, me, &unproven, &site.replica.history, 0).0 {
             let Message::Ask { home, fence } = message else { continue };
-            proving.record_reply(to, &home, fence, other.writer.log, other.head.0);
+            catch_up.record_reply(to, &home, fence, other.writer.log, other.head.0);
         }
-        let (_, proved) = proving.tick(&self.config, me, &unproven, &site.replica.history, 0);
+        let (_, proved) = catch_up.tick(&self.config, me, &unproven, &site.replica.history, 0);
         proved.iter().for_each(|(home, fence)| site.ownership.mark_proved(home, *fence));
     }
 
@@ -455,7 +455,7 @@
         let Some(fence) = may.ok().filter(|_| site.replica.known == Known::Free) else { return };
         let must_reject =
             rejects_new_jobs(site.file_number) && !site.taken.holds(ACME, Some(&name(GUARDED)), 1);
-        if site.take(self.fault, GUARDED).is_none() {
+        if site.admit(self.fault, GUARDED).is_none() {
             return;
         }
         s.admitted_wrongly |= must_reject;
@@ -623,7 +623,7 @@
                 let job = s.jobs;
                 let site = Arc::make_mut(&mut s.sites[n]);
                 let must_reject = rejects_new_jobs(site.file_number);
-                if let Some(on_credit) = site.take(fault, job) {
+                if let Some(on_credit) = site.admit(fault, job) {
                     site.placed(job, 0, on_credit);
                     s.admitted_wrongly |= must_reject;
                 }
@@ -683,12 +683,12 @@
 const CONVERGED: &str = "histories and account registries converge";
 const ALWAYS: [&str; 6] = [ONCE, ONE_OWNER, WITHIN_CREDIT, REJECTED_WHEN_CLOSED, RUNNING_CONTINUE, CONVERGED];
 
-/// The key with a partition.
+/// Limits for the key with a partition.
 const KEY_PARTITION: SearchLimits =
     SearchLimits { ticks: 3, max_requests: 1, jobs: 0, files: 0, partitions: 1, crashes: 0, piece: 1 << 16 };
-/// The key with a crash.
+/// Limits for the key with a crash.
 const KEY_CRASH: SearchLimits = SearchLimits { partitions: 0, crashes: 1, ..KEY_PARTITION };
-/// The account with a partition.
+/// Limits for the account with a partition.
 const ACCOUNT: SearchLimits =
     SearchLimits { ticks: 0, max_requests: 0, jobs: 2, files: 2, partitions: 1, crashes: 0, piece: 1 << 16 };
 /// The account with a partition, a crash and one file.
--- a/crates/sites/tests/model.rs
+++ b/crates/sites/tests/model.rs
@@ -10,7 +10,7 @@
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A lease lasts for two ticks of 10 units each; clocks advance by 8 to 12 units a tick.
+/// A lease lasts for 20 units, which are two ticks; clocks advance by 8 to 12 units a tick.
 const TERM: LeasePeriod = LeasePeriod { length: 20, drift_ppm: 200_000, longest: 0 };
 /// Units by which the clocks of sites advance in a tick.
 const RATES: [Micros; 2] = [8, 12];
--- a/crates/sites/tests/plan.rs
+++ b/crates/sites/tests/plan.rs
@@ -114,8 +114,8 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..Default::default() })]
-    /// No host gets more than its reserved and spare capacity, its own load loses no more than the reserved shares, every
-    /// unit serves a demand, and equal inputs give equal results.
+    /// No host gets more than its reserved and spare capacity, its own load loses no more than the reserved shares,
+    /// every unit serves a demand, and equal inputs give equal results.
     #[test]
     fn no_host_gets_more_than_reserved_and_spare_capacity(
         reserved_percents in prop::collection::vec(prop::array::uniform3(1u8..33), 5),
@@ -209,8 +209,8 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..Default::default() })]
-    /// No host exceeds its reserved and spare capacity or serves a class that it does not reserve for, allocations add up
-    /// and don't exceed the demand, and lost sites precede unreachable ones.
+    /// No host exceeds its reserved and spare capacity or serves a class that it does not reserve for, allocations add
+    /// up and don't exceed the demand, and lost sites precede unreachable ones.
     #[test]
     fn allocations_add_up_at_any_number_of_sites((reserved_percents, minima, all) in any_fleet()) {
         let config = fleet_config(&reserved_percents, minima, "");
@@ -265,8 +265,8 @@
         prop_assert_eq!(with, allocate(&config, &less, &class_values()));
     }
 
-    /// At one host with mostly spare capacity, each class gets its guaranteed minimum or all of its demand, whatever the
-    /// values of the others.
+    /// At one host with mostly spare capacity, each class gets its guaranteed minimum or all of its demand, whatever
+    /// the values of the others.
     #[test]
     fn classes_get_their_guaranteed_minimum(
         minima in prop::array::uniform3(0u8..33),
@@ -299,7 +299,7 @@
     let mut ramp = RecoveryRamp::new(RampSettings::with_pace(PACE), 0);
     let (mut parts, mut full_load_at) = (vec![ramp.load_percent(warm_fraction(1))], 0);
     for now in (1..=40).map(|k| k * S) {
-        ramp.outcomes(100, 2);
+        ramp.record_outcomes(100, 2);
         ramp.tick(now, warm_fraction(now));
         assert!(f64::from(ramp.load_percent(warm_fraction(now))) <= 100.0 * warm_fraction(now) + 0.01);
         parts.push(ramp.load_percent(warm_fraction(now)));
@@ -313,12 +313,12 @@
 #[test]
 fn failures_and_a_second_loss_step_back_and_lengthen_steps() {
     let mut ramp = RecoveryRamp::new(RampSettings::with_pace(PACE), 0);
-    ramp.outcomes(100, 0);
+    ramp.record_outcomes(100, 0);
     assert_eq!(ramp.tick(3 * S, 1.0).map(|m| (m.from, m.to)), Some((20, 40)));
-    ramp.outcomes(10, 10);
+    ramp.record_outcomes(10, 10);
     let back = ramp.tick(3 * S + 1, 1.0).unwrap();
     assert_eq!((back.to, back.reason), (20, StepReason::Failing(10, 10)));
-    ramp.outcomes(100, 0);
+    ramp.record_outcomes(100, 0);
     assert!(ramp.tick(6 * S + 1, 1.0).is_none());
     assert_eq!(ramp.tick(9 * S + 1, 1.0).map(|m| m.to), Some(40));
     assert_eq!(ramp.lost_again(10 * S).map(|m| (m.to, m.reason)), Some((20, StepReason::LostAgain)));
--- a/crates/sites/tests/sight/leases.rs
+++ b/crates/sites/tests/sight/leases.rs
@@ -12,7 +12,7 @@
     clients: Vec<QuotaClient>,
     ownership: Vec<KeyOwnership>,
     allocator: Allocator,
-    file: config::Plan,
+    budgets_config: config::Plan,
     /// Sites that can't exchange messages with the quota server.
     partitioned: Vec<bool>,
     key: String,
@@ -32,8 +32,8 @@
                 budget_name(&site.name, &node.name)
             );
         }
-        let file = config::read("b", &(text + ")")).unwrap();
-        let mut allocator = Allocator::new("d", file.clone(), 7);
+        let budgets_config = config::read("b", &(text + ")")).unwrap();
+        let mut allocator = Allocator::new("d", budgets_config.clone(), 7);
         allocator.lead(true);
         let numbers: Vec<u32> = fleet.config.nodes().map(|(_, n)| n.number).collect();
         let ownership: Vec<KeyOwnership> = numbers
@@ -46,7 +46,7 @@
             clients: Vec::new(),
             ownership,
             allocator,
-            file,
+            budgets_config,
             partitioned: vec![false; 3],
             key,
         };
@@ -57,7 +57,7 @@
     fn quota_client(&self, node: u32, incarnation: u64) -> QuotaClient {
         QuotaClient::new(
             NodeIncarnation { node: NodeId(node), incarnation },
-            self.file.clone(),
+            self.budgets_config.clone(),
             0,
             self.fleet.now,
         )
@@ -76,14 +76,15 @@
         let now = self.fleet.now + STEP;
         self.fleet.run(now);
         for k in (0..3).filter(|k| !self.fleet.dead[*k]).collect::<Vec<_>>() {
-            let states = self.fleet.nodes[k].states().into_iter().map(|(s, seen, since)| (s, (seen, since)));
+            let states =
+                self.fleet.nodes[k].states().into_iter().map(|(s, state, since)| (s, (state, since)));
             let absent = AbsentMembers { sites: states.collect(), ..AbsentMembers::default() };
             if self.fleet.nodes[k].all_nodes_use_config() {
                 self.ownership[k].mark_settled();
             }
             let claims = self.ownership[k].claims(&self.fleet.config, &absent, now);
             let quota_client = &mut self.clients[k];
-            for name in self.file.budgets.iter().map(|b| &b.name) {
+            for name in self.budgets_config.budgets.iter().map(|b| &b.name) {
                 quota_client.used(name, Use { wanted: u64::from(claims.contains(name)), used: 0 });
             }
             quota_client.pass(now);
@@ -102,10 +103,16 @@
             }
         }
         for k in (0..3).filter(|k| !self.fleet.dead[*k]) {
-            for b in &self.file.budgets {
+            for b in &self.budgets_config.budgets {
                 match self.clients[k].lease(&b.name, now) {
                     Some((grant, asked)) => {
-                        self.ownership[k].apply_grant(&b.name, &grant, asked, self.file.term_of(b), now);
+                        self.ownership[k].apply_grant(
+                            &b.name,
+                            &grant,
+                            asked,
+                            self.budgets_config.term_of(b),
+                            now,
+                        );
                     }
                     None => self.ownership[k].lease_ended(&b.name),
                 }
--- a/crates/sites/tests/sight/main.rs
+++ b/crates/sites/tests/sight/main.rs
@@ -260,7 +260,8 @@
             proptest::prop_assert!(fleet.nodes[k].has_majority_contact(fleet.now) && !fleet.nodes[k].is_isolated());
             for s in 0..3 {
                 proptest::prop_assert_eq!(fleet.nodes[k].state(&format!("s{s}")), Some(SiteState::Linked));
-                // Each fault causes four changes at most: doubtful, lost or unreachable, the other of these, and returning.
+                // Each fault causes four changes at most: doubtful, lost or unreachable, the other of these, and
+                // returning.
                 proptest::prop_assert!(changes_to(&fleet, k, s).len() <= 4 * faults.len() + 3, "{:?}", fleet.log);
             }
         }
@@ -344,9 +345,9 @@
     fleet.nodes[5].update_config(&other, now).unwrap();
     fleet.run(20 * S);
     assert!((0..6).all(|k| !fleet.nodes[k].all_nodes_use_config()));
-    let report: Vec<_> =
+    let mismatches: Vec<_> =
         fleet.nodes[0].take_config_mismatches().into_iter().map(|d| (d.node, d.version, d.own)).collect();
-    assert!(report.last().is_some_and(|t| (t.1, t.2) == (version, 2)), "{report:?}");
+    assert!(mismatches.last().is_some_and(|m| (m.1, m.2) == (version, 2)), "{mismatches:?}");
     fleet.run(25 * S);
     assert!(fleet.nodes[0].take_config_mismatches().is_empty());
     let now = fleet.now;
