--- a/crates/scheduler/src/request.rs
+++ b/crates/scheduler/src/request.rs
@@ -16,7 +16,7 @@
     pub is_over_share: bool,
     /// Expected work of one slot, in microseconds on a standard core.
     pub work: f64,
-    /// Expected work of all slots together.
+    /// Expected work of all slots together, in microseconds on a standard core.
     pub total_work: f64,
     /// Size for fair queuing: number of slots, multiplied by the work hint if there is one.
     pub size: f64,
--- a/crates/scheduler/src/scheduler/selection.rs
+++ b/crates/scheduler/src/scheduler/selection.rs
@@ -17,7 +17,7 @@
 pub(super) const MIN_LOST_SHARE: f64 = 0.05;
 /// Multiple of an equal share of the attempts in flight that one endpoint may have, if starts are not
 /// reported.
-const UNREPORTED_SLACK: f64 = 4.0;
+const UNREPORTED_SHARE_MULTIPLE: f64 = 4.0;
 /// Factor for the weight of an endpoint where the job would end too late.
 const TOO_SLOW_FACTOR: f64 = 1e-9;
 /// Lower bound of the capacity in an endpoint's weight.
@@ -81,7 +81,7 @@
             max_in_flight: if settings.reports_starts {
                 f64::MAX
             } else {
-                1.0 + UNREPORTED_SLACK * (in_flight + 1.0) / endpoints
+                1.0 + UNREPORTED_SHARE_MULTIPLE * (in_flight + 1.0) / endpoints
             },
             reference_loss: scheduler.lost_share(queue_index).max(MIN_LOST_SHARE),
             local_loss: scheduler.zone_losses.loss(settings.zone),
--- a/src/bin/shorepath-adapter.rs
+++ b/src/bin/shorepath-adapter.rs
@@ -1,4 +1,4 @@
-//! Runs the decision module on the JSON wire: standard input to standard output.
+//! Runs the scheduler on the simulator's JSON wire, with standard input and standard output.
 
 use std::io::{stdin, stdout, BufWriter};
 use std::process::ExitCode;
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,4 +1,5 @@
-//! JSON lines to events and actions to JSON lines. Nothing is decided here.
+//! Translates the JSON lines of the simulator's wire to events, and actions to JSON lines. All decisions are
+//! left to [`Scheduler`].
 
 use serde::{Deserialize, Serialize};
 use shorepath_scheduler::{
@@ -9,7 +10,8 @@
 use std::collections::HashMap;
 use std::io::{BufRead, Write};
 
-/// One incoming line; which fields count depends on `t`.
+/// A line of input. Its fields have their names on the wire, and the type `t` decides which of them are
+/// required.
 #[derive(Deserialize)]
 struct Line {
     t: String,
@@ -38,12 +40,13 @@
     report: Option<Vec<f64>>,
 }
 
+/// An entry of the endpoint list. Its fields have their names on the wire.
 #[derive(Deserialize)]
 struct Item {
     #[serde(default)]
     sku: String,
     worker: String,
-    #[serde(default = "one")]
+    #[serde(default = "default_scale")]
     scale: f64,
     condition: String,
     #[serde(default)]
@@ -54,11 +57,11 @@
     group: i64,
 }
 
-fn one() -> f64 {
+fn default_scale() -> f64 {
     1.0
 }
 
-/// One outgoing line.
+/// A line of output. Its fields have their names on the wire, and those that are `None` are omitted.
 #[derive(Serialize, Default)]
 struct Reply<'a> {
     t: &'a str,
@@ -82,18 +85,20 @@
     messages: Option<&'a str>,
 }
 
+/// A scheduler on the wire, with what is needed to read its lines.
 struct Instance {
-    balancer: Scheduler,
-    names: Catalog,
-    setup: SettingsObject,
+    scheduler: Scheduler,
+    catalog: Catalog,
+    settings_object: SettingsObject,
 }
 
-fn ms(t: Micros) -> f64 {
-    t as f64 / 1000.0
+fn ms_from_micros(micros: Micros) -> f64 {
+    micros as f64 / 1000.0
 }
 
-fn status(number: i64) -> AttemptStatus {
-    match number {
+/// Returns the outcome for a status code of the wire. Unknown codes count as errors.
+fn attempt_status(code: i64) -> AttemptStatus {
+    match code {
         0 => AttemptStatus::Ok,
         8 => AttemptStatus::Overloaded,
         4 => AttemptStatus::Timeout,
@@ -105,44 +110,49 @@
     }
 }
 
-fn need<T>(field: Option<T>, name: &str) -> Result<T, String> {
+/// Returns a required field.
+///
+/// # Errors
+/// A message that names the missing field.
+fn required<T>(field: Option<T>, name: &str) -> Result<T, String> {
     field.ok_or_else(|| format!("field '{name}' is missing"))
 }
 
 impl Instance {
-    fn members(&mut self, items: Vec<Item>) -> Result<Vec<Endpoint>, String> {
+    /// Reads entries of the endpoint list.
+    fn endpoints(&mut self, items: Vec<Item>) -> Result<Vec<Endpoint>, String> {
         let mut list = Vec::with_capacity(items.len());
-        for i in items {
+        for item in items {
             list.push(Endpoint {
-                id: EndpointId(self.names.endpoints.intern(&i.worker)),
-                name_hash: name_hash(&i.worker),
-                kind: KindId(self.names.kinds.intern(&i.sku)),
-                zone: ZoneId(self.names.zones.intern(&i.region_part)),
-                cell: i.group as u32,
-                capacity: i.scale,
-                state: match i.condition.as_str() {
+                id: EndpointId(self.catalog.endpoints.intern(&item.worker)),
+                name_hash: name_hash(&item.worker),
+                kind: KindId(self.catalog.kinds.intern(&item.sku)),
+                zone: ZoneId(self.catalog.zones.intern(&item.region_part)),
+                cell: item.group as u32,
+                capacity: item.scale,
+                state: match item.condition.as_str() {
                     "live" => EndpointState::Live,
                     "quiescing" => EndpointState::Draining,
                     "dead" => EndpointState::Removed,
                     other => return Err(format!("unknown condition '{other}'")),
                 },
-                started_at: micros_from_ms(i.born_ms),
+                started_at: micros_from_ms(item.born_ms),
             });
         }
         Ok(list)
     }
 
-    /// The request that a line brings.
+    /// Reads the request of a `REQUEST` line.
     fn request(&self, line: &Line) -> Result<Request, String> {
-        let service = need(line.service.as_deref(), "service")?;
-        let class = self.names.classes.get(service).ok_or_else(|| format!("unknown service '{service}'"));
+        let service = required(line.service.as_deref(), "service")?;
+        let class = self.catalog.classes.get(service).ok_or_else(|| format!("unknown service '{service}'"));
         let tenant = line.user_group.as_ref().and_then(|v| v.as_str());
         Ok(Request {
-            id: need(line.xid, "xid").map(RequestId)?,
+            id: required(line.xid, "xid").map(RequestId)?,
             class: ClassId(class? as usize),
-            tenant: tenant.and_then(|n| self.names.tenants.get(n)).map(|n| TenantId(n as usize)),
+            tenant: tenant.and_then(|n| self.catalog.tenants.get(n)).map(|n| TenantId(n as usize)),
             key: line.key.as_deref().map(|k| KeyId(name_hash(k))),
-            time_remaining: micros_from_ms(need(line.time_left_ms, "time_left_ms")?),
+            time_remaining: micros_from_ms(required(line.time_left_ms, "time_left_ms")?),
             work_hint: line.hint_ms.filter(|h| *h > 0.0).map(micros_from_ms),
             slots: line.needs.unwrap_or(1.0).max(1.0) as u32,
             is_retry: line.resent,
@@ -151,17 +161,17 @@
         })
     }
 
-    /// The event that a line stands for; `None` for what the module has no use for.
+    /// Reads the event of a line, or returns `None` for a line that the scheduler does not use.
     fn event(&mut self, line: Line) -> Result<Option<Event>, String> {
-        let id = || need(line.xid, "xid").map(RequestId);
-        let attempt = || need(line.seq_no, "seq_no");
+        let id = || required(line.xid, "xid").map(RequestId);
+        let attempt = || required(line.seq_no, "seq_no");
         Ok(Some(match line.t.as_str() {
             "SYNC" => {
-                let form = need(line.form, "form")?;
+                let form = required(line.form, "form")?;
                 if form == "broken" {
                     return Ok(Some(Event::EndpointListFailed));
                 }
-                let list = self.members(need(line.items, "items")?)?;
+                let list = self.endpoints(required(line.items, "items")?)?;
                 match form.as_str() {
                     "whole" | "stale_copy" => Event::EndpointList(list),
                     "patch" => Event::EndpointUpdate(list),
@@ -170,7 +180,7 @@
             }
             "REQUEST" => Event::RequestArrived(self.request(&line)?),
             "ACCEPTED" => Event::StreamStarted { id: id()?, attempt: attempt()? },
-            "NOTE" => match need(line.kind, "kind")? {
+            "NOTE" => match required(line.kind, "kind")? {
                 1 => Event::AttemptStarted { id: id()?, attempt: attempt()? },
                 2 => Event::AttemptProgress {
                     id: id()?,
@@ -182,99 +192,104 @@
             "ATTEMPT_END" => Event::AttemptEnded {
                 id: id()?,
                 attempt: attempt()?,
-                status: status(need(line.status, "status")?),
+                status: attempt_status(required(line.status, "status")?),
                 is_final: line.settled,
             },
             "VANISHED" => Event::ClientLeft(id()?),
             "ELAPSED" => Event::Wake,
             "PONG" => Event::ProbeEnded {
-                endpoint: EndpointId(self.names.endpoints.intern(&need(line.worker, "worker")?)),
-                status: status(need(line.status, "status")?),
-                report: self.setup.load_report_from_row(line.report.as_deref().unwrap_or_default()),
+                endpoint: EndpointId(self.catalog.endpoints.intern(&required(line.worker, "worker")?)),
+                status: attempt_status(required(line.status, "status")?),
+                report: self.settings_object.load_report_from_row(line.report.as_deref().unwrap_or_default()),
             },
-            // Instances have nothing to tell each other.
+            // Schedulers send no datagrams to each other.
             "DATAGRAM" => return Ok(None),
             other => return Err(format!("unknown message '{other}'")),
         }))
     }
 }
 
-fn reply<'a>(action: &Action, name: &'a str, workers: &'a NameTable) -> Reply<'a> {
-    let worker = |w: &EndpointId| workers.name(w.0);
+fn encode_action<'a>(action: &Action, name: &'a str, endpoints: &'a NameTable) -> Reply<'a> {
+    let worker = |endpoint: &EndpointId| endpoints.name(endpoint.0);
     let base = Reply { scheduler: Some(name), ..Reply::default() };
     match action {
-        Action::StartAttempt { id, endpoint: w } => {
-            Reply { t: "TRY", xid: Some(id.0), worker: worker(w), ..base }
+        Action::StartAttempt { id, endpoint } => {
+            Reply { t: "TRY", xid: Some(id.0), worker: worker(endpoint), ..base }
         }
         Action::Shed { id, retry_after } => {
-            Reply { t: "REFUSE", xid: Some(id.0), backoff_ms: retry_after.map(ms), ..base }
+            Reply { t: "REFUSE", xid: Some(id.0), backoff_ms: retry_after.map(ms_from_micros), ..base }
         }
         Action::Reject { id, .. } => Reply { t: "REFUSE", xid: Some(id.0), ..base },
         Action::Fail { id } => Reply { t: "FAIL", xid: Some(id.0), ..base },
         Action::CancelAttempt { id, attempt } => {
             Reply { t: "REVOKE", xid: Some(id.0), seq_no: Some(*attempt), ..base }
         }
-        Action::WakeAfter { delay: after } => {
-            Reply { t: "AFTER", after_ms: Some(ms((*after).max(0))), cookie: Some(0), ..base }
+        Action::WakeAfter { delay } => {
+            Reply { t: "AFTER", after_ms: Some(ms_from_micros((*delay).max(0))), cookie: Some(0), ..base }
         }
-        Action::Probe { endpoint: w } => Reply { t: "INSPECT", worker: worker(w), ..base },
-        Action::CloseIdleConnections { endpoint: w } => Reply { t: "HANG_UP", worker: worker(w), ..base },
+        Action::Probe { endpoint } => Reply { t: "INSPECT", worker: worker(endpoint), ..base },
+        Action::CloseIdleConnections { endpoint } => Reply { t: "HANG_UP", worker: worker(endpoint), ..base },
         Action::Subscribe => Reply { t: "KEEP_INFORMED", active: Some(true), ..base },
     }
 }
 
-/// Serve the wire until the input ends. An error is a plain message on what was malformed.
+/// Runs schedulers on the wire until the input ends.
+///
+/// # Errors
+/// A message with the number of the malformed line and what is wrong with it, or that reading or writing
+/// failed. If a scheduler panics, a `FATAL` line is written as well.
 pub fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), String> {
     let mut instances: HashMap<String, Instance> = HashMap::new();
     let mut now: Micros = 0;
     let mut actions = Vec::new();
-    for (n, text) in input.lines().enumerate() {
-        let text = text.map_err(|e| format!("line {}: {e}", n + 1))?;
+    for (index, text) in input.lines().enumerate() {
+        let text = text.map_err(|e| format!("line {}: {e}", index + 1))?;
         if text.trim().is_empty() {
             continue;
         }
-        let at = |e: String| format!("line {}: {e}", n + 1);
-        let mut line: Line = serde_json::from_str(&text).map_err(|e| at(e.to_string()))?;
+        let with_line = |e: String| format!("line {}: {e}", index + 1);
+        let mut line: Line = serde_json::from_str(&text).map_err(|e| with_line(e.to_string()))?;
         match line.t.as_str() {
-            "FRAME" => now = micros_from_ms(need(line.wall_ms, "wall_ms").map_err(at)?),
+            "FRAME" => now = micros_from_ms(required(line.wall_ms, "wall_ms").map_err(with_line)?),
             "YOUR_TURN" => {
                 write_line(&mut output, &Reply { t: "END", ..Reply::default() })?;
                 output.flush().map_err(|e| e.to_string())?;
             }
             "POWER_ON" => {
-                let name = need(line.scheduler, "scheduler").map_err(at)?;
-                let setup = need(line.setup, "setup").map_err(at)?;
-                let (settings, names) = setup.to_settings();
-                let balancer = Scheduler::new(settings, line.salt.unwrap_or(0));
-                instances.insert(name, Instance { balancer, names, setup });
+                let name = required(line.scheduler, "scheduler").map_err(with_line)?;
+                let settings_object = required(line.setup, "setup").map_err(with_line)?;
+                let (settings, catalog) = settings_object.to_settings();
+                let scheduler = Scheduler::new(settings, line.salt.unwrap_or(0));
+                instances.insert(name, Instance { scheduler, catalog, settings_object });
             }
-            "HALT" => drop(instances.remove(&need(line.scheduler, "scheduler").map_err(at)?)),
+            "HALT" => drop(instances.remove(&required(line.scheduler, "scheduler").map_err(with_line)?)),
             _ => {
-                let name = need(line.scheduler.take(), "scheduler").map_err(at)?;
-                let i = instances
-                    .get_mut(&name)
-                    .ok_or_else(|| at(format!("no scheduler '{name}' has been started")))?;
-                let Some(event) = i.event(line).map_err(at)? else { continue };
-                let step = std::panic::AssertUnwindSafe(|| i.balancer.handle(now, event, &mut actions));
-                if let Err(cause) = std::panic::catch_unwind(step) {
-                    let messages = cause
+                let name = required(line.scheduler.take(), "scheduler").map_err(with_line)?;
+                let instance = instances.get_mut(&name).ok_or_else(|| {
+                    with_line(format!("no scheduler '{name}' is running; send POWER_ON first"))
+                })?;
+                let Some(event) = instance.event(line).map_err(with_line)? else { continue };
+                let handle_event =
+                    std::panic::AssertUnwindSafe(|| instance.scheduler.handle(now, event, &mut actions));
+                if let Err(panic) = std::panic::catch_unwind(handle_event) {
+                    let message = panic
                         .downcast_ref::<String>()
                         .map(String::as_str)
-                        .or(cause.downcast_ref::<&str>().copied())
-                        .unwrap_or("the decision module panicked");
+                        .or(panic.downcast_ref::<&str>().copied())
+                        .unwrap_or("the scheduler panicked");
                     let fatal = Reply {
                         t: "FATAL",
                         scheduler: Some(&name),
-                        messages: Some(messages),
+                        messages: Some(message),
                         ..Reply::default()
                     };
                     write_line(&mut output, &fatal)?;
                     write_line(&mut output, &Reply { t: "END", ..Reply::default() })?;
                     output.flush().map_err(|e| e.to_string())?;
-                    return Err(at(format!("the decision module failed: {messages}")));
+                    return Err(with_line(format!("the scheduler panicked: {message}")));
                 }
                 for action in actions.drain(..) {
-                    write_line(&mut output, &reply(&action, &name, &i.names.endpoints))?;
+                    write_line(&mut output, &encode_action(&action, &name, &instance.catalog.endpoints))?;
                 }
             }
         }
