--- a/crates/sites/tests/plan.rs
+++ b/crates/sites/tests/plan.rs
@@ -290,17 +290,17 @@
 
 const PACE: SlowStart = SlowStart { min_share: 0.2, duration: 30 * S };
 
-fn warm_fraction(now: i64) -> f64 {
+fn warm_fraction_at(now: i64) -> f64 {
     warm_fraction(&[WarmingServer { started: 1, capacity: 1.0 }], PACE, now)
 }
 
 #[test]
 fn a_ramp_never_exceeds_the_capacity_of_cold_servers() {
     let mut ramp = RecoveryRamp::new(RampSettings::with_pace(PACE), 0);
-    let (mut parts, mut full_load_at) = (vec![ramp.load_percent(warm_fraction(1))], 0);
+    let (mut parts, mut full_load_at) = (vec![ramp.load_percent(warm_fraction_at(1))], 0);
     for now in (1..=40).map(|k| k * S) {
         ramp.record_outcomes(100, 2);
-        ramp.tick(now, warm_fraction(now));
+        ramp.tick(now, warm_fraction_at(now));
         assert!(f64::from(ramp.load_percent(warm_fraction(now))) <= 100.0 * warm_fraction(now) + 0.01);
         parts.push(ramp.load_percent(warm_fraction(now)));
         full_load_at = if full_load_at == 0 && ramp.is_complete() { now } else { full_load_at };
