--- a/crates/sites/tests/plan.rs
+++ b/crates/sites/tests/plan.rs
@@ -301,8 +301,8 @@
     for now in (1..=40).map(|k| k * S) {
         ramp.record_outcomes(100, 2);
         ramp.tick(now, warm_fraction_at(now));
-        assert!(f64::from(ramp.load_percent(warm_fraction(now))) <= 100.0 * warm_fraction(now) + 0.01);
-        parts.push(ramp.load_percent(warm_fraction(now)));
+        assert!(f64::from(ramp.load_percent(warm_fraction_at(now))) <= 100.0 * warm_fraction_at(now) + 0.01);
+        parts.push(ramp.load_percent(warm_fraction_at(now)));
         full_load_at = if full_load_at == 0 && ramp.is_complete() { now } else { full_load_at };
     }
     println!("full load after {:.2} of the warm-up", full_load_at as f64 / PACE.duration as f64);
