--- a/crates/accounts/src/admission.rs
+++ b/crates/accounts/src/admission.rs
@@ -1,7 +1,7 @@
-//! What is done with a request of an account, and what the decision module is told of all accounts.
+//! Decides whether a request is admitted by its account, and which restrictions the scheduler must apply to each account.
 //!
-//! Nothing here forgets a job: one that must not repeat, of an account that is closing or closed, whose outcome is unknown stays 'may
-//! have run' where that is kept.
+//! Closing an account doesn't discard its jobs: a job that must not run twice and whose outcome is unknown keeps the state
+//! "may have run" in the placement history.
 
 use crate::credit::CreditBalance;
 use crate::in_flight::{AcceptedRequests, Key};
@@ -10,21 +10,21 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The purses of accounts that have a credit.
+/// The credit balances of the accounts that have a credit, by account.
 pub type CreditBalances = BTreeMap<String, CreditBalance>;
 
-/// When a question is asked, and whether standing can be confirmed then.
+/// The time of a decision, and whether standing can be confirmed at that time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Now {
-    /// Unix time by this node's clock.
+    /// Unix time by this node's clock, in microseconds.
     pub unix: Micros,
-    /// The steady clock.
+    /// Monotonic time in microseconds.
     pub steady: Micros,
-    /// Since when, on the steady clock, standing can't be confirmed; none where it can.
+    /// The monotonic time since which standing can't be confirmed; `None` where it can.
     pub unconfirmed_since: Option<Micros>,
 }
 
-/// Why a request is refused.
+/// The reason for refusing a request.
 #[derive(
     Clone,
     Copy,
@@ -41,75 +41,82 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum RefusalReason {
-    /// Nothing new is taken of its account.
+    /// The account is closing and admits no new work.
     #[error("account closing")]
     #[diagnostic(help(
-        "what was taken is finished; a file of accounts with a greater number opens the account again"
+        "accepted jobs still finish; to reopen the account, submit an accounts file with a greater number"
     ))]
     Closing,
-    /// Nothing of its account runs any more.
+    /// The account is closed, and its accepted jobs are stopped as well.
     #[error("account closed")]
-    #[diagnostic(help("a file of accounts with a greater number opens the account again"))]
+    #[diagnostic(help("to reopen the account, submit an accounts file with a greater number"))]
     Closed,
-    /// Its standing can't be confirmed, and what may be begun without is used up.
+    /// Standing can't be confirmed and this node's credit for the account is spent.
     #[error("standing not confirmed")]
     #[diagnostic(help(
-        "the site is alone and the account's credit here is spent: mend its links, or give it more credit"
+        "this site can't reach enough of the others and has spent its credit for the account: restore the site's links, or raise (credit ...)"
     ))]
     CreditSpent,
-    /// Its standing can't be confirmed, and the disk does not take what would be spent.
+    /// Standing can't be confirmed and the credit to spend can't be recorded on disk.
     #[error("standing not confirmed, disk not written")]
     #[diagnostic(help(
-        "make room on the node's disk, or mend it; credit is spent only after it was noted there"
+        "free space on the node's disk, or repair it; credit is spent only after it was recorded there"
     ))]
-    NoDisk,
+    #[serde(rename = "no-disk")]
+    DiskWriteFailed,
 }
 
-/// A final answer at once.
+/// The answer to a refused request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// The reason that the client is given.
     #[serde(rename = "why")]
     pub reason: RefusalReason,
-    /// It may do to ask again later: `Retry-After` is sent.
+    /// The client may retry later, so the answer has a `Retry-After` field.
     pub retry: bool,
 }
 
 impl Refusal {
     fn of(reason: RefusalReason) -> Refusal {
-        Refusal { reason, retry: matches!(reason, RefusalReason::CreditSpent | RefusalReason::NoDisk) }
+        Refusal {
+            reason,
+            retry: matches!(reason, RefusalReason::CreditSpent | RefusalReason::DiskWriteFailed),
+        }
     }
 }
 
-/// What is done with a request.
+/// The decision on a request, as far as its account is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AdmissionDecision {
-    /// It is taken, as far as its account goes.
+    /// The request is admitted.
     Admit,
-    /// It is taken on unconfirmed standing, and one of the account's credit was spent for it.
+    /// The request is admitted without confirmed standing, and one job of the account's credit was spent for it.
     AdmitOnCredit,
-    /// It is refused.
+    /// The request is refused.
     Refuse(Refusal),
 }
 
-/// Rule on a request. An account without a purse has no bounded credit: it is served on unconfirmed standing as if that were confirmed.
+/// Decides whether to admit a request of `tenant`.
+///
+/// Without a balance the account's credit is unlimited: requests are admitted as if standing were confirmed.
 ///
-/// The caller tells [`AcceptedRequests::take`] of a request that is then taken, and [`CreditBalance::unspend`] of one that is refused for something
-/// else after [`AdmissionDecision::AdmitOnCredit`], with [`AccountRegistry::change`]'s number and the same Unix time.
+/// If the request is then accepted, the caller must call [`AcceptedRequests::record`]. If it is refused for another reason after
+/// [`AdmissionDecision::AdmitOnCredit`], the caller must call [`CreditBalance::refund`] with the number from
+/// [`AccountRegistry::change_at`] and the same Unix time.
 pub fn decide(
-    book: &AccountRegistry,
+    registry: &AccountRegistry,
     balance: Option<&mut CreditBalance>,
-    taken: &AcceptedRequests,
+    accepted: &AcceptedRequests,
     tenant: &str,
     key: Option<&Key>,
     now: Now,
 ) -> AdmissionDecision {
-    let Change { number, standing, .. } = book.change_at(tenant, now.unix);
+    let Change { number, standing, .. } = registry.change_at(tenant, now.unix);
     let refuse = |reason| AdmissionDecision::Refuse(Refusal::of(reason));
     if standing == AccountStatus::Closed {
         return refuse(RefusalReason::Closed);
     }
-    if taken.contains(tenant, key, now.steady) {
+    if accepted.contains(tenant, key, now.steady) {
         return AdmissionDecision::Admit;
     }
     if standing == AccountStatus::Closing {
@@ -123,45 +130,50 @@
     }
     match balance.spend(number, now.unix) {
         true => AdmissionDecision::AdmitOnCredit,
-        false => refuse(RefusalReason::NoDisk),
+        false => refuse(RefusalReason::DiskWriteFailed),
     }
 }
 
-/// Why the decision module has not taken something new of an account, for its client.
-pub fn refusal(book: &AccountRegistry, balance: Option<&CreditBalance>, tenant: &str, now: Now) -> Refusal {
-    Refusal::of(match book.standing_at(tenant, now.unix) {
+/// Returns the answer for a new request that the scheduler didn't accept because of its account's [`Restriction`].
+pub fn refusal(
+    registry: &AccountRegistry,
+    balance: Option<&CreditBalance>,
+    tenant: &str,
+    now: Now,
+) -> Refusal {
+    Refusal::of(match registry.standing_at(tenant, now.unix) {
         AccountStatus::Closed => RefusalReason::Closed,
         AccountStatus::Closing => RefusalReason::Closing,
-        _ if balance.is_some_and(CreditBalance::has_write_failed) => RefusalReason::NoDisk,
+        _ if balance.is_some_and(CreditBalance::has_write_failed) => RefusalReason::DiskWriteFailed,
         _ => RefusalReason::CreditSpent,
     })
 }
 
-/// What the decision module is told of one account.
+/// The limits that the scheduler applies to an account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Restriction {
-    /// Jobs that may still be begun; none where that is not bounded, 0 where nothing new is taken.
+    /// Most new jobs that may start: `None` for no limit, 0 where no new work is admitted.
     pub max_new_jobs: Option<u64>,
-    /// What is held may be sent: what was taken runs on. False where nothing runs any more.
+    /// Accepted jobs may be sent to servers. False where the account is closed.
     pub may_send: bool,
 }
 
-/// What the decision module is told: accounts that aren't named are not bounded.
+/// The restrictions by account. Accounts that are not listed are not restricted.
 pub type Restrictions = BTreeMap<String, Restriction>;
 
-/// The bars of all accounts that are barred or go on credit.
-pub fn restrictions(book: &AccountRegistry, balances: &mut CreditBalances, now: Now) -> Restrictions {
+/// Returns the restrictions of all accounts that are closing, closed or on credit.
+pub fn restrictions(registry: &AccountRegistry, balances: &mut CreditBalances, now: Now) -> Restrictions {
     let mut all = Restrictions::new();
     for (account, balance) in balances.iter_mut() {
         if now.unconfirmed_since.is_some() {
             let left = balance.left_at(now.steady, now.unconfirmed_since);
-            // Where the disk fails, what is begun beyond its note would be begun once more after a restart.
+            // After a failed write, jobs beyond the durable record would not count as spent after a restart.
             let max_new_jobs = Some(if balance.has_write_failed() { balance.durable_left() } else { left });
             all.insert(account.clone(), Restriction { max_new_jobs, may_send: true });
         }
     }
-    for account in book.accounts_in_newest_file() {
-        let standing = book.standing_at(account, now.unix);
+    for account in registry.accounts_in_newest_file() {
+        let standing = registry.standing_at(account, now.unix);
         if standing.rejects_new_work() {
             let restriction =
                 Restriction { max_new_jobs: Some(0), may_send: standing != AccountStatus::Closed };
--- a/crates/accounts/src/config.rs
+++ b/crates/accounts/src/config.rs
@@ -1,4 +1,4 @@
-//! The authority's file of accounts, S-expressions, checked whole: each complaint names its line and column.
+//! Parses the operators' accounts file, an S-expression. Each error names its line and column.
 //!
 //! ```text
 //! (accounts
@@ -7,7 +7,7 @@
 //!   (account fyn (standing warned)))
 //! ```
 //!
-//! A file is a whole: an account that an earlier file named and this one doesn't is good again.
+//! A file is complete: an account that an earlier file lists and this one doesn't is in good standing again.
 
 use crate::registry::digest_of;
 use crate::{AccountStatus, Change, Micros};
@@ -15,56 +15,56 @@
 use shorepath_sexp::{Form, ParseErrors};
 use std::collections::BTreeMap;
 
-/// Accounts that one file may name.
+/// Most accounts that one file may list.
 pub const MAX_ACCOUNTS: usize = 4_096;
-/// The greatest number that a file may have. One that stands higher could hardly be followed by another.
+/// The greatest number of a file. Without a limit, one mistyped number could leave no greater one for the next file.
 pub const MAX_NUMBER: u64 = 1_000_000_000_000;
-/// Bytes of an account's name at most.
+/// Longest account name in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
-/// Bytes of a reason at most.
+/// Longest reason in bytes.
 pub const MAX_REASON_BYTES: usize = 200;
-/// The last time that a file may name, in seconds of Unix time (the year 5138).
+/// Latest Unix time that a file may contain, in seconds (the year 5138).
 const MAX_FROM_SECONDS: u64 = 100_000_000_000;
 
-/// A file that can't be taken.
+/// An accounts file that can't be applied.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
 pub enum FileError {
-    /// Something in it is wrong.
+    /// The text has errors, which are listed with their places.
     #[error("{0}")]
     #[diagnostic(help(
-        "nothing of the file was taken: mend the lines named, give it a code anew, and hand it to any node"
+        "the file was not applied: correct the listed lines, sign it again and submit it to any node"
     ))]
     Invalid(#[from] ParseErrors),
 }
 
-/// What one file of the authority says.
+/// The contents of one accounts file.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AccountsFile {
-    /// Its number; greater ones are newer.
+    /// The number of the file; of two files the one with the greater number is newer.
     pub number: u64,
-    /// Where each account stands that it names.
+    /// The standing of each listed account, by account.
     pub changes: BTreeMap<String, Change>,
-    /// Tells two files of one number from each other (SipHash-1-3 of what they say; no guard against forgery).
+    /// Distinguishes files with the same number (SipHash-1-3 of number and changes, no protection against forgery).
     pub digest: u64,
 }
 
 impl AccountsFile {
-    /// A file of that number that says that.
+    /// Creates a file and computes its digest.
     pub fn new(number: u64, changes: BTreeMap<String, Change>) -> AccountsFile {
         let digest = digest_of(number, &changes);
         AccountsFile { number, changes, digest }
     }
 }
 
-/// Read the authority's file, whose code the caller has verified. `file` is its name, for complaints.
+/// Parses an accounts file whose authentication code the caller has verified. `file` is its name for error messages.
 ///
 /// # Errors
-/// All faults of the text, with their places.
+/// Returns all errors in the text, with their places.
 pub fn read(file: &str, text: &str) -> Result<AccountsFile, FileError> {
     Ok(shorepath_sexp::read(file, text, "accounts", accounts_file)?)
 }
 
-/// The standing of that name.
+/// Returns the standing with this name, or good standing for any other name.
 fn standing(name: &str) -> AccountStatus {
     match name {
         "reopened" => AccountStatus::Reopened,
@@ -75,7 +75,7 @@
     }
 }
 
-/// Unix time in seconds: greater than the times that [`Form::time`] reads.
+/// Reads `(from ...)` as Unix time in seconds, which [`Form::time`] can't represent; 0 where it is missing.
 fn start_time(form: &Form) -> Micros {
     let read = |f: &Form| {
         let parts = f.rest();
@@ -85,7 +85,7 @@
         };
         if seconds.is_none() {
             f.complain(format!(
-                "(from) needs Unix time in whole seconds, 0 to {MAX_FROM_SECONDS}: (from 1764633600 s)"
+                "(from) takes Unix time as an integer of seconds, 0 to {MAX_FROM_SECONDS}, as in (from 1764633600 s)"
             ));
         }
         seconds
@@ -93,14 +93,14 @@
     form.given("from", read).map_or(0, |s| Micros::try_from(s).unwrap_or(0).saturating_mul(1_000_000))
 }
 
-/// Whether words of that fit everywhere.
-pub(crate) fn is_valid_text(text: &str, most: usize) -> bool {
-    text.len() <= most && !text.chars().any(char::is_control)
+/// Whether a text has at most `max_bytes` bytes and no control characters, so that it can be sent, stored and logged.
+pub(crate) fn is_valid_text(text: &str, max_bytes: usize) -> bool {
+    text.len() <= max_bytes && !text.chars().any(char::is_control)
 }
 
 fn accounts_file(f: &Form) -> AccountsFile {
     if f.many("number").is_empty() {
-        f.complain("a file of accounts needs a (number N) that is greater than that of the one before");
+        f.complain("an accounts file needs a (number N) that is greater than the previous file's");
     }
     let number = f.count("number", 0, 1..=MAX_NUMBER);
     let mut changes = BTreeMap::new();
@@ -109,27 +109,29 @@
         let name = form.word("an account's name");
         if !is_valid_text(&name, MAX_NAME_BYTES) || name.is_empty() {
             form.complain(format!(
-                "an account's name has 1 to {MAX_NAME_BYTES} bytes and no control characters"
+                "an account name must have 1 to {MAX_NAME_BYTES} bytes and no control characters"
             ));
         }
         if form.many("standing").is_empty() {
-            form.complain(format!("{name} needs a (standing WORD)"));
+            form.complain(format!("the account {name} has no (standing ...)"));
         }
         let names = ["good", "warned", "closing", "closed", "reopened"];
         let standing = standing(&form.choice("standing", "good", &names));
         let (from, reason) = (start_time(&form), form.text("reason", ""));
         if !is_valid_text(&reason, MAX_REASON_BYTES) {
-            form.complain(format!("a reason has {MAX_REASON_BYTES} bytes at most and no control characters"));
+            form.complain(format!(
+                "a reason may have at most {MAX_REASON_BYTES} bytes and no control characters"
+            ));
         }
         form.finish();
         let line = form.place().line;
         if let Some(first) = lines.insert(name.clone(), line) {
-            form.complain(format!("the account {name} is given twice; first in line {first}"));
+            form.complain(format!("the account {name} is listed twice, first in line {first}"));
         }
         changes.insert(name, Change { number, standing, from, reason });
     }
     if changes.len() > MAX_ACCOUNTS {
-        f.complain(format!("{} accounts; {MAX_ACCOUNTS} at most", changes.len()));
+        f.complain(format!("the file lists {} accounts; at most {MAX_ACCOUNTS} are allowed", changes.len()));
     }
     AccountsFile::new(number, changes)
 }
--- a/crates/accounts/src/credit.rs
+++ b/crates/accounts/src/credit.rs
@@ -1,77 +1,77 @@
-//! What may be begun while standing can't be confirmed: a credit in jobs for each account, divided ahead of time among sites and their
-//! nodes, so that what the business may lose by a partition is bounded and known before.
+//! Credit for new jobs while an account's standing can't be confirmed.
 //!
-//! A node spends its part from a note on its disk, which is written ahead in chunks: what is on the disk is never less than what was spent,
-//! so a restart refills nothing. A node whose disk was lost takes all for spent until standing is confirmed.
+//! The credit, a number of jobs per account, is divided among the sites and their nodes ahead of time. That bounds how many jobs of an
+//! account that has been closed meanwhile can start during a network partition.
+//!
+//! A node spends its part against a record on its disk that is written ahead in chunks. The record never shows less than was
+//! spent, so a restart doesn't restore credit. A node whose disk was lost has no credit until standing is confirmed.
 
 use crate::{Change, Micros};
 use serde::{Deserialize, Serialize};
 
-/// Jobs of an account that may be begun on unconfirmed standing, over all sites.
+/// The number of jobs of an account that all sites together may start while its standing can't be confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Credit {
-    /// All of them, in jobs.
+    /// The credit in jobs, including the reserve.
     #[serde(rename = "whole")]
     pub total: u64,
-    /// Those that are left after a long time alone; counted inside the whole.
+    /// The part in jobs that remains after `shrink_after`.
     pub reserve: u64,
-    /// The time alone after which only the reserve is left.
+    /// Time without confirmation, in microseconds, after which only the reserve remains.
     pub shrink_after: Micros,
 }
 
-/// One site among which a credit is divided.
+/// A site's claim to a part of the credit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SiteShare {
-    /// The site's name.
+    /// The name of the site.
     pub site: String,
-    /// Its nodes.
+    /// The number of nodes of the site.
     pub nodes: u32,
-    /// Its weight; by its nodes where none is given.
+    /// The site's weight; where it is `None`, the number of its nodes is its weight.
     pub weight: Option<u64>,
 }
 
-/// One node's part of a credit, in jobs.
+/// One node's part of an account's credit, in jobs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct NodeCredit {
-    /// All of it.
+    /// The node's credit, including its reserve.
     #[serde(rename = "whole")]
     pub total: u64,
-    /// What is left of it after a long time alone; counted inside the whole.
+    /// What remains of it after [`Credit::shrink_after`].
     pub reserve: u64,
 }
 
-/// A credit that can't be divided.
+/// A credit that can't be divided among the sites.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
 pub enum CreditError {
-    /// The reserve is no part of the whole.
-    #[error("the reserve of {reserve} jobs is more than the whole credit of {total}")]
-    #[diagnostic(help(
-        "the reserve is counted inside the total: raise (credit ...) or lower (reserve ...)"
-    ))]
+    /// The reserve is larger than the credit that it is a part of.
+    #[error("the reserve of {reserve} jobs is more than the credit of {total} jobs")]
+    #[diagnostic(help("the reserve is a part of the credit: raise (credit ...) or lower (reserve ...)"))]
     ReserveExceedsTotal {
-        /// The whole.
+        /// The credit in jobs.
         total: u64,
-        /// The reserve.
+        /// The reserve in jobs.
         reserve: u64,
     },
-    /// There is nobody to have it.
-    #[error("no site with a node and a weight above 0 is there to have the credit of {total} jobs")]
-    #[diagnostic(help("list the sites' nodes, or give one site at least a weight above 0"))]
+    /// No site has a weight above 0.
+    #[error("the credit of {total} jobs can't be divided: no site has a node and a weight above 0")]
+    #[diagnostic(help("list the sites' nodes, or give at least one site a weight above 0"))]
     NoRecipient {
-        /// The whole.
+        /// The credit in jobs.
         total: u64,
     },
-    /// A site has a part and nobody to use it.
-    #[error("the site {site} has a weight and no node")]
-    #[diagnostic(help("list its nodes, or give it the weight 0"))]
+    /// A site with a weight has no node that could use its part.
+    #[error("the site {site} has a weight but no nodes")]
+    #[diagnostic(help("list the site's nodes, or set its weight to 0"))]
     NoNodes {
-        /// The site.
+        /// The name of the site.
         site: String,
     },
 }
 
-/// Whole parts by weight that add up to the whole exactly: the largest remainder (Hamilton's method), of equal ones the first.
-/// All 0 where no weight is above 0.
+/// Divides `total` in proportion to the weights by the largest remainder method (Hamilton's); of equal remainders the first wins.
+/// The result adds up to `total`, or is all 0 where no weight is above 0.
 fn apportion(total: u64, weights: &[u64]) -> Vec<u64> {
     let sum: u128 = weights.iter().map(|w| u128::from(*w)).sum();
     if sum == 0 {
@@ -91,11 +91,12 @@
     parts
 }
 
-/// The parts of all nodes, site by site in the order given, which has to be the same at all. They add up to the whole exactly, and
-/// their reserves to the reserve.
+/// Divides a credit among all nodes, in the order of `sites`, which must be the same on every node.
+///
+/// The nodes' totals add up to the credit, and their reserves to its reserve.
 ///
 /// # Errors
-/// [`CreditError`]: where it can't be divided.
+/// Returns a [`CreditError`] if the reserve exceeds the credit, or if there is no node to assign a part to.
 pub fn divide(credit: &Credit, sites: &[SiteShare]) -> Result<Vec<Vec<NodeCredit>>, CreditError> {
     let Credit { total, reserve, .. } = *credit;
     let rest = total.checked_sub(reserve).ok_or(CreditError::ReserveExceedsTotal { total, reserve })?;
@@ -118,33 +119,36 @@
         .collect())
 }
 
-/// What has to be on the disk of a purse.
+/// What a node stores on its disk about its credit for one account.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CreditRecord {
-    /// Jobs that may have been begun since standing was last confirmed; never less than were.
+    /// Jobs that may have been started since standing was last confirmed; never less than were started.
     pub spent: u64,
-    /// Jobs that turned out to be begun against a standing that was already closed, and are not paid off yet.
+    /// Jobs that turned out to have been started after the account was closed to new work, less what was paid off.
     pub debt: u64,
-    /// The node was alone for so long that only the reserve is left.
+    /// Standing was unconfirmed for so long that only the reserve remains.
     #[serde(default)]
     pub shrunk: bool,
 }
 
-/// Jobs that were begun up to then under what one file said.
+/// Jobs that were started on credit by one time while one accounts file applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Spending {
+    /// Unix time of the last of these jobs; [`Micros::MAX`] where it is not known.
     last: Micros,
     jobs: u64,
+    /// The number of the accounts file, the least one for merged spendings; 0 where it is not known.
     number: u64,
 }
 
-/// Times of begun jobs that are told apart at most; beyond, two neighbours count as one, at the later of their times.
-const MAX_SPENDING_TIMES: usize = 64;
+/// Most [`Spending`]s kept; beyond that, two neighbours are merged and count at the later of their times.
+const MAX_SPENDINGS: usize = 64;
 
-/// One node's part of one account's credit.
+/// One node's balance of one account's credit.
 ///
-/// Spending goes so: while [`CreditBalance::durable_to`] names a note, write it to the disk, one at a time, and say [`CreditBalance::wrote`], or
-/// [`CreditBalance::failed`]; then [`CreditBalance::spend`] before a job is begun, and [`CreditBalance::unspend`] only for one that surely never began.
+/// While [`CreditBalance::record_to_write`] returns a record, the caller writes it to disk, one at a time, and reports the result
+/// with [`CreditBalance::record_written`] or [`CreditBalance::write_failed`]. It calls [`CreditBalance::spend`] before it starts a
+/// job, and [`CreditBalance::refund`] only for a job that certainly didn't start.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CreditBalance {
     part: NodeCredit,
@@ -152,14 +156,16 @@
     chunk: u64,
     current: CreditRecord,
     durable: CreditRecord,
-    /// The disk did not take the last note.
-    write_failed: bool,
+    last_write_failed: bool,
     spendings: Vec<Spending>,
 }
 
 impl CreditBalance {
-    /// The purse of a node that starts, from the note on its disk; none where that was lost, is new, another's, or older than what others
-    /// have heard of this node: all counts as spent until standing is confirmed. `chunk` jobs are written ahead at once: so many a crash may cost.
+    /// Restores the balance of a node that starts from the record on its disk.
+    ///
+    /// `disk` is `None` if the record was lost, belongs to another node, is older than what peers know of this node, or never
+    /// existed: then all credit counts as spent until standing is confirmed. `chunk` is the number of jobs that a record is written
+    /// ahead by, so a crash loses at most that much credit.
     pub fn restore(
         part: NodeCredit,
         shrink_after: Micros,
@@ -174,15 +180,15 @@
             chunk,
             current: disk,
             durable: disk,
-            write_failed: false,
+            last_write_failed: false,
             spendings: Vec::new(),
         };
-        // Nobody knows any more when those were begun, and under which file: they count as the last, under none.
+        // The times and the accounts file of these jobs are lost; the latest time and number 0 let any closing file count them as debt.
         balance.add_spending(disk.spent.min(part.total), 0, Micros::MAX);
         balance
     }
 
-    /// The operators' file gives this node another part. What was spent stays spent.
+    /// Replaces the node's part after a configuration change. Spent credit stays spent.
     pub fn resize(&mut self, part: NodeCredit, shrink_after: Micros) {
         (self.part, self.shrink_after) = (part, shrink_after);
     }
@@ -191,15 +197,15 @@
         if jobs == 0 {
             return;
         }
-        match self.spendings.iter_mut().find(|b| b.last == at && b.number == number) {
+        match self.spendings.iter_mut().find(|spending| spending.last == at && spending.number == number) {
             Some(same) => same.jobs = same.jobs.saturating_add(jobs),
             None => self.spendings.push(Spending { last: at, jobs, number }),
         }
-        if self.spendings.len() > MAX_SPENDING_TIMES {
-            self.spendings.sort_by_key(|b| b.last);
-            // The two neighbours with the fewest jobs become one; those of which no time is known stay apart.
-            let known = self.spendings.iter().zip(self.spendings.iter().skip(1)).enumerate();
-            let pairs = known.filter(|(_, (_, later))| later.last < Micros::MAX);
+        if self.spendings.len() > MAX_SPENDINGS {
+            self.spendings.sort_by_key(|spending| spending.last);
+            // Merges the two neighbours with the fewest jobs. Spendings of unknown time are not merged.
+            let neighbours = self.spendings.iter().zip(self.spendings.iter().skip(1)).enumerate();
+            let pairs = neighbours.filter(|(_, (_, later))| later.last < Micros::MAX);
             let fewest = pairs.min_by_key(|(_, (a, b))| a.jobs.saturating_add(b.jobs)).map(|(k, _)| k);
             if let Some(first) = fewest.map(|k| self.spendings.remove(k)) {
                 if let Some(later) = fewest.and_then(|k| self.spendings.get_mut(k)) {
@@ -210,65 +216,69 @@
         }
     }
 
-    /// Jobs that may still be begun at `now` on the steady clock where standing can't be confirmed since `unconfirmed_since`. A part that has
-    /// shrunk to its reserve stays so until standing is confirmed, also over a restart.
+    /// Returns how many jobs may still start at `now`, in monotonic time, if standing has been unconfirmed since `unconfirmed_since`.
+    ///
+    /// Once the credit has shrunk to its reserve, it stays so until standing is confirmed, also across restarts.
     pub fn left_at(&mut self, now: Micros, unconfirmed_since: Option<Micros>) -> u64 {
-        let long = unconfirmed_since.is_some_and(|since| now.saturating_sub(since) >= self.shrink_after);
-        self.current.shrunk |= long;
+        let expired = unconfirmed_since.is_some_and(|since| now.saturating_sub(since) >= self.shrink_after);
+        self.current.shrunk |= expired;
         self.left()
     }
 
-    /// Jobs that may still be begun, the note on the disk apart.
+    /// Returns how many jobs may still start, regardless of the record on disk.
     pub fn left(&self) -> u64 {
         let part = if self.current.shrunk { self.part.reserve } else { self.part.total };
         part.saturating_sub(self.current.spent).saturating_sub(self.current.debt)
     }
 
-    /// Jobs that may still be begun by what the disk has.
+    /// Returns how many jobs may still start without another write to disk.
     pub fn durable_left(&self) -> u64 {
-        let noted = self.current.debt <= self.durable.debt && (self.durable.shrunk || !self.current.shrunk);
-        if noted {
+        let sufficient =
+            self.current.debt <= self.durable.debt && (self.durable.shrunk || !self.current.shrunk);
+        if sufficient {
             self.durable.spent.saturating_sub(self.current.spent).min(self.left())
         } else {
             0
         }
     }
 
-    /// What has to be on the disk before more is spent; none where enough is. Asked for before the last written one is used up, so that
-    /// nobody waits for the disk.
+    /// Returns the record that must be on disk before more is spent; `None` while the record there suffices.
+    ///
+    /// A record is due before the last one is used up, so that jobs don't wait for the disk.
     pub fn record_to_write(&self) -> Option<CreditRecord> {
         let CreditRecord { spent, debt, shrunk } = self.current;
-        // Never more than the disk has; after a confirmation it may be taken for less.
+        // The durable record is at least this far ahead; after a confirmation it counts as less than the disk really has.
         let ahead = self.durable.spent.saturating_sub(spent);
         let short = ahead <= self.chunk / 2 && ahead < self.left();
         let spent =
             if short { spent.saturating_add(self.chunk.min(self.left())) } else { self.durable.spent };
         let wanted = CreditRecord { spent: spent.max(self.durable.spent), debt, shrunk };
-        // Debts that were paid and a part that is total again may wait for the next note.
-        let grave = debt > self.durable.debt || (shrunk && !self.durable.shrunk);
-        (short || grave).then_some(wanted)
+        // A paid debt, or a return from the reserve to the total credit, can wait for the next record.
+        let urgent = debt > self.durable.debt || (shrunk && !self.durable.shrunk);
+        (short || urgent).then_some(wanted)
     }
 
-    /// That note is on the disk. What was noted there before is void.
-    pub fn record_written(&mut self, note: CreditRecord) {
-        (self.durable, self.write_failed) = (note, false);
+    /// Reports that `record` has replaced the one on disk.
+    pub fn record_written(&mut self, record: CreditRecord) {
+        (self.durable, self.last_write_failed) = (record, false);
     }
 
-    /// The disk did not take a note: nothing is spent beyond the last that it took.
+    /// Reports a failed write. Spending continues only up to the last record that was written.
     pub fn write_failed(&mut self) {
-        self.write_failed = true;
+        self.last_write_failed = true;
     }
 
-    /// Whether the disk did not take the last note.
+    /// Whether the last write of a record failed.
     pub fn has_write_failed(&self) -> bool {
-        self.write_failed
+        self.last_write_failed
     }
 
-    /// Use one for a job that is begun at that Unix time under what the file of that number says; false where none is left, or the
-    /// disk does not have it yet.
+    /// Spends one job that starts at Unix time `now_unix` while the accounts file with this number applies.
+    ///
+    /// Returns false if no credit is left, or if the record on disk doesn't cover the job yet.
     pub fn spend(&mut self, number: u64, now_unix: Micros) -> bool {
-        let disk = self.current.spent < self.durable.spent && self.current.debt <= self.durable.debt;
-        if self.left() == 0 || !disk || (self.current.shrunk && !self.durable.shrunk) {
+        let covered = self.current.spent < self.durable.spent && self.current.debt <= self.durable.debt;
+        if self.left() == 0 || !covered || (self.current.shrunk && !self.durable.shrunk) {
             return false;
         }
         self.current.spent += 1;
@@ -276,44 +286,46 @@
         true
     }
 
-    /// A job for which one was spent surely never began: it was refused for something else.
+    /// Returns the credit for a job that certainly didn't start; `number` and `now_unix` are those passed to [`CreditBalance::spend`].
     pub fn refund(&mut self, number: u64, now_unix: Micros) {
         let same = |b: &&mut Spending| b.jobs > 0 && b.number == number && b.last == now_unix;
-        if let Some(begun) = self.spendings.iter_mut().find(same) {
-            begun.jobs -= 1;
+        if let Some(spending) = self.spendings.iter_mut().find(same) {
+            spending.jobs -= 1;
             self.current.spent = self.current.spent.saturating_sub(1);
         }
     }
 
-    /// Standing is confirmed: it is that. What was spent is given back, but what was begun against a standing that bars new work, as a file
-    /// says that this node was not told of, is owed from now on. Returns how much that is. What was written ahead before
-    /// a restart counts as begun; the histories of placements say it exactly.
+    /// Restores the credit once standing is confirmed, and returns how many jobs are added to the debt.
+    ///
+    /// Those are the jobs that started after `change` closed the account to new work, under an older accounts file. Jobs that were only
+    /// written ahead before a restart count as started; reconciling the placement histories gives the exact number.
     pub fn confirmed(&mut self, change: &Change) -> u64 {
-        let against = |b: &&Spending| {
+        let refused_by_change = |b: &&Spending| {
             change.standing.rejects_new_work() && b.number < change.number && b.last >= change.from
         };
-        let owed = self.spendings.iter().filter(against).fold(0u64, |sum, b| sum.saturating_add(b.jobs));
+        let owed =
+            self.spendings.iter().filter(refused_by_change).fold(0u64, |sum, b| sum.saturating_add(b.jobs));
         self.spendings.clear();
         if self.current.spent > 0 || self.current.shrunk {
-            // The disk has more; what is spent next is noted anew, so that a restart costs a chunk and not all of it.
+            // A lower value forces a new record before the next job, so that a restart loses one chunk instead of all that was spent.
             self.durable.spent = 0;
         }
         self.current = CreditRecord { spent: 0, debt: self.current.debt.saturating_add(owed), shrunk: false };
         owed
     }
 
-    /// Jobs that reconciling histories found to be owed beyond those known here.
+    /// Adds jobs to the debt that reconciling the placement histories found.
     pub fn add_debt(&mut self, jobs: u64) {
         self.current.debt = self.current.debt.saturating_add(jobs);
     }
 
-    /// Pay off `step` jobs of the debt at most; returns what is still owed. Until it is paid, so much less may be begun.
+    /// Pays off at most `step` jobs of the debt and returns the rest. The rest reduces the available credit.
     pub fn pay_debt(&mut self, step: u64) -> u64 {
         self.current.debt = self.current.debt.saturating_sub(step);
         self.current.debt
     }
 
-    /// What was spent and is owed.
+    /// Returns the spent credit and the debt as they are now, which may be ahead of or behind the record on disk.
     pub fn current_record(&self) -> CreditRecord {
         self.current
     }
--- a/crates/accounts/src/freshness.rs
+++ b/crates/accounts/src/freshness.rs
@@ -1,12 +1,12 @@
-//! Since when standing can't be confirmed.
+//! Tracks whether the standing of accounts is confirmed, that is, whether this node can have missed an accounts file.
 
 use crate::Micros;
 
-/// Standing counts as confirmed after links have stood for so long without a gap: what changed meanwhile has come by then, since
-/// a change is everywhere within a second at any size (`docs/sites.md`).
+/// Time in microseconds for which enough other sites must be reachable without a gap before standing counts as confirmed.
+/// Gossip takes less than a second to deliver a change to every node, so any change made before the gap ended has arrived by then.
 pub const CONFIRMATION_DELAY: Micros = 2_000_000;
 
-/// Whether standing is confirmed, by whether the node hears enough of the others. Times are on the steady clock.
+/// Whether standing is confirmed, judged by whether enough other sites are reachable. All times are monotonic, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Confirmation {
     unconfirmed_since: Option<Micros>,
@@ -14,14 +14,15 @@
 }
 
 impl Confirmation {
-    /// Of a node that starts: nothing is confirmed yet.
+    /// Creates the state of a node that starts, with unconfirmed standing.
     pub fn new(now: Micros) -> Confirmation {
         Confirmation { unconfirmed_since: Some(now), linked_since: None }
     }
 
-    /// Time has passed. `heard` is the last moment at which enough of the others had been heard; none where that is too long ago.
-    /// Links count as standing from the first such moment to the last, not on to `now`: what was heard for an instant says nothing of the
-    /// time after it. Whether standing can't be confirmed from now on, where that changed.
+    /// Updates the state and returns `Some(true)` if standing became unconfirmed, `Some(false)` if it became confirmed.
+    ///
+    /// `received` is the last time at which messages from enough other sites had been received, or `None` if that was too long ago.
+    /// Links count as up from the first to the last such time, not until `now`: a message doesn't show that the link is still up.
     pub fn update(&mut self, received: Option<Micros>, now: Micros) -> Option<bool> {
         let Some(received) = received else {
             self.linked_since = None;
@@ -29,16 +30,16 @@
             self.unconfirmed_since.get_or_insert(now);
             return changed.then_some(true);
         };
-        let since = *self.linked_since.get_or_insert(received);
-        let settled =
-            self.unconfirmed_since.is_some() && received.saturating_sub(since) >= CONFIRMATION_DELAY;
-        if settled {
+        let linked_since = *self.linked_since.get_or_insert(received);
+        let confirmed =
+            self.unconfirmed_since.is_some() && received.saturating_sub(linked_since) >= CONFIRMATION_DELAY;
+        if confirmed {
             self.unconfirmed_since = None;
         }
-        settled.then_some(false)
+        confirmed.then_some(false)
     }
 
-    /// Since when standing can't be confirmed; none where it can.
+    /// Returns the time since which standing can't be confirmed; `None` while it is confirmed.
     pub fn unconfirmed_since(&self) -> Option<Micros> {
         self.unconfirmed_since
     }
@@ -49,10 +50,10 @@
     use super::*;
 
     #[test]
-    fn standing_is_confirmed_once_links_have_stood_and_not_before() {
+    fn confirms_standing_after_links_were_up_without_a_gap() {
         let mut c = Confirmation::new(10);
         assert_eq!((c.update(Some(15), 20), c.unconfirmed_since()), (None, Some(10)));
-        assert_eq!(c.update(None, CONFIRMATION_DELAY), None, "a gap begins it anew");
+        assert_eq!(c.update(None, CONFIRMATION_DELAY), None, "a gap restarts the delay");
         let begin = CONFIRMATION_DELAY + 50;
         assert_eq!(c.update(Some(begin), begin), None);
         assert_eq!(c.update(Some(begin + CONFIRMATION_DELAY - 1), begin + 2 * CONFIRMATION_DELAY), None);
@@ -67,9 +68,9 @@
         assert_eq!(c.update(None, 4 * CONFIRMATION_DELAY), None);
     }
 
-    /// Guards the credit: words that came for a moment confirmed standing once they were old enough, and gave all of it back.
+    /// Guards against confirming standing, and restoring all credit, because messages from one short contact have become old enough.
     #[test]
-    fn what_was_heard_for_a_moment_confirms_nothing_however_long_it_counts() {
+    fn a_short_contact_never_confirms_standing() {
         let mut c = Confirmation::new(0);
         for now in (1_000..3 * CONFIRMATION_DELAY).step_by(1_000) {
             assert_eq!(c.update(Some(now.min(CONFIRMATION_DELAY - 1_000)), now), None);
--- a/crates/accounts/src/gossip.rs
+++ b/crates/accounts/src/gossip.rs
@@ -1,10 +1,11 @@
-//! How a file reaches every node, with words per node that don't grow with the fleet: who learns something tells three others at once,
-//! and each tells one other now and then what it knows ("Epidemic algorithms for replicated database maintenance", Demers et
-//! al., 1987: rumours and anti-entropy). Answers bring only what the other missing: the accounts that stand otherwise than in a file that
-//! both have, in pieces that fit a datagram.
+//! Distributes accounts files among all nodes by gossip, with a number of messages per node that doesn't grow with the fleet.
 //!
-//! Words may be lost, doubled, late and out of order. Each is bounded, as is how much is said in a second. Who sent a word,
-//! and that it is believed, is the caller's to say.
+//! A node that learns something sends it to [`FANOUT`] random peers at once (rumour mongering), and every [`DIGEST_INTERVAL`] sends
+//! a digest of its registry to one random peer (anti-entropy); see "Epidemic algorithms for replicated database maintenance", Demers
+//! et al., 1987. Replies carry only what the peer is missing: the accounts whose standing differs from a file that both nodes have,
+//! split into pieces that fit a datagram.
+//!
+//! Messages may be lost, duplicated, delayed and reordered. Their size and their rate are bounded. The caller authenticates them.
 
 use crate::config::{is_valid_text, AccountsFile, MAX_NAME_BYTES, MAX_NUMBER, MAX_REASON_BYTES};
 use crate::registry::{
@@ -17,99 +18,99 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// One other is told what is known this often, in microseconds.
+/// Time between two digests, each sent to one random peer, in microseconds.
 pub const DIGEST_INTERVAL: Micros = 200_000;
-/// Others that are told at once of what was learned.
+/// Random peers that are sent a change as soon as it is learned.
 pub const FANOUT: usize = 3;
-/// A word has this many bytes at most, as postcard or JSON.
+/// Largest encoded message in bytes, as postcard or JSON.
 pub const MAX_MESSAGE_BYTES: usize = 1_200;
-/// Bytes of a piece that are not its lines, as JSON, at most.
+/// Upper bound on the JSON bytes of a [`Message::Piece`] apart from its lines.
 const PIECE_HEADER_BYTES: usize = 420;
-/// Words that are said in a second at most, and at once.
+/// Rate limit for sent messages; also the burst that is allowed after a pause.
 pub const MAX_MESSAGES_PER_SECOND: u32 = 200;
-/// Pieces that one word is answered with at most; the rest is asked for.
+/// Most pieces sent in reply to one message; the peer requests the others.
 const MAX_PIECES_PER_REPLY: usize = 32;
-/// Pieces that are told unasked; where there are more, it is told that there is something.
+/// Most pieces sent without a request; for more, the peer is sent a digest and requests the pieces.
 const MAX_UNSOLICITED_PIECES: usize = 6;
-/// Files that come in pieces at the same time, at most.
+/// Most files that may be partly received at one time.
 const MAX_PARTIAL_FILES: usize = 4;
-/// Pieces that one word asks for.
+/// Most missing pieces that one received message may request.
 const MAX_MISSING_PIECES: usize = 64;
-/// Pieces of one file at most: each account's five lines alone in one.
+/// Most pieces of one file: one line per piece, with a line for each of an account's five standings.
 const MAX_PIECES_PER_FILE: u32 = 5 * MAX_ACCOUNTS_PER_NUMBER as u32;
-/// News that wait to be fetched, at most.
+/// Most [`RegistryUpdate`]s kept until [`Gossip::take_updates`] is called; later ones are dropped and counted.
 const MAX_PENDING_UPDATES: usize = 16_384;
 
-/// Lines of one account in a piece.
+/// One account's standing in a [`Message::Piece`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AccountLine {
-    /// The account.
+    /// The name of the account.
     #[serde(rename = "a")]
     pub account: String,
-    /// Where it stands; none where the file does not name it and the one that both have does.
+    /// The account's standing; `None` removes the account, which the base file lists and the transferred one doesn't.
     #[serde(rename = "s", default)]
     pub standing: Option<AccountStatus>,
-    /// From when on, in Unix time.
+    /// Unix time in microseconds from which the standing applies.
     #[serde(rename = "f", default)]
     pub from: Micros,
-    /// Why.
+    /// The operator's reason for the standing.
     #[serde(rename = "r", default)]
     pub reason: String,
 }
 
-/// Which file is told in pieces, and over which other.
+/// Identifies a file that is sent in pieces, and the base file that the pieces are a difference to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FileTransfer {
-    /// The number and digest of the file.
+    /// The number and digest of the transferred file.
     #[serde(rename = "p")]
     pub file: (u64, u64),
-    /// The number and digest of one that the hearer has: only differences are told. Zeros for none.
+    /// The number and digest of the base file, which the receiver must have; zeros where the complete file is sent.
     #[serde(rename = "b", default)]
     pub base: (u64, u64),
-    /// How many pieces there are.
+    /// The number of pieces that the file is split into.
     #[serde(rename = "o")]
     pub piece_count: u32,
 }
 
-/// One word. Fields that a program doesn't know are passed over, and a word that it doesn't know is [`Message::Unknown`].
+/// A gossip message. Unknown fields are ignored, and a message of an unknown kind is read as [`Message::Unknown`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(from = "Raw", into = "Raw")]
 pub enum Message {
-    /// What the sender knows, in short.
+    /// A summary of the sender's registry.
     Digest {
-        /// The number and digest of its newest file; zeros for none.
+        /// The number and digest of the sender's newest file; zeros where it has none.
         newest: (u64, u64),
-        /// Of its whole registry.
+        /// The hash of the sender's registry, [`AccountRegistry::hash`].
         hash: u64,
     },
-    /// The files that the sender has.
+    /// Lists the files that the sender has.
     Have {
-        /// Numbers and digests.
+        /// The number and digest of each file, newest first.
         files: Vec<(u64, u64)>,
-        /// It wants to hear what the hearer has.
+        /// The sender requests the receiver's list if the receiver is missing one of these files.
         wants_reply: bool,
-        /// A file of which it missing pieces, and which.
+        /// Requests pieces of a partly received file by their indices.
         missing: Option<(FileTransfer, Vec<u32>)>,
     },
-    /// A piece of a file.
+    /// One of the pieces that a file was split into.
     Piece {
-        /// Of which.
+        /// The file that the piece belongs to.
         transfer: FileTransfer,
-        /// Which one, from 0.
+        /// The index of the piece, from 0.
         index: u32,
-        /// There were two files of that number.
+        /// Different files with this number exist.
         conflicting: bool,
-        /// For now it is the last that the sender says.
+        /// No more pieces follow in this reply, so the receiver may request those that it is missing.
         last: bool,
-        /// What it says.
+        /// The entries in this piece.
         lines: Vec<AccountLine>,
     },
-    /// A word of a kind that this program doesn't know.
+    /// A message of an unknown kind, with the number of the kind.
     Unknown(u32),
 }
 
-/// How words are written: one shape for all, so that what is unknown can be passed over, in formats that name fields and in those
-/// that don't.
+/// The encoding of [`Message`]: a single struct for all kinds, so that unknown kinds can be decoded by formats with field names (JSON)
+/// and without them (postcard).
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 struct Raw {
@@ -153,27 +154,27 @@
     }
 }
 
-/// What was heard and said, for the door; all grow only.
+/// Monotonic message counters for the operators' status page.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Counts {
-    /// Words said.
+    /// Messages sent.
     #[serde(rename = "said")]
     pub sent: u64,
-    /// Words heard.
+    /// Messages received.
     #[serde(rename = "heard")]
     pub received: u64,
-    /// Of these, words of a kind that is not known.
+    /// Received messages of an unknown kind.
     pub unknown: u64,
-    /// Of these, words that can't be: too long, numbers out of range, a file that is not what its digest says.
+    /// Received messages that were invalid: sizes or numbers out of range, or contents that don't match the file's digest.
     pub refused: u64,
-    /// Words not said because too many were within the second; the next digest makes up for it.
+    /// Messages not sent because of the rate limit; a later digest makes up for them.
     pub held_back: u64,
-    /// News that nobody fetched in time.
+    /// Registry updates dropped because the caller didn't fetch them in time.
     #[serde(rename = "untold")]
     pub dropped_updates: u64,
 }
 
-/// A file of which not all pieces were heard yet.
+/// A file of which some pieces are still missing.
 #[derive(Clone, Debug, PartialEq)]
 struct PartialFile {
     transfer: FileTransfer,
@@ -182,7 +183,7 @@
     line_count: usize,
 }
 
-/// One node's part in transfer everybody.
+/// The gossip state of one node.
 #[derive(Clone, Debug)]
 pub struct Gossip {
     me: u32,
@@ -194,18 +195,18 @@
     refilled_at: Micros,
     outgoing: VecDeque<(u32, Message)>,
     partials: VecDeque<PartialFile>,
-    /// What was told last, in pieces; many ask for the same.
+    /// The pieces of the file that was sent last, as several peers usually request the same file.
     cached_pieces: Option<(FileTransfer, Arc<[Vec<AccountLine>]>)>,
     updates: Vec<RegistryUpdate>,
     counts: Counts,
 }
 
-/// Bytes of a text as JSON.
+/// Returns the size of `text` in JSON, without the quotes.
 fn json_bytes(text: &str) -> usize {
     text.chars().map(|c| if c == '"' || c == '\\' { 2 } else { c.len_utf8() }).sum()
 }
 
-/// Bytes of a line in a piece at most, in either format.
+/// Returns an upper bound on the encoded size of a line in bytes, for JSON and postcard.
 fn max_line_bytes(line: &AccountLine) -> usize {
     64 + json_bytes(&line.account) + json_bytes(&line.reason)
 }
@@ -223,7 +224,8 @@
     })
 }
 
-/// What tells a file to one who has the base, in pieces; the same at every node.
+/// Splits a file, or its difference to `base`, into pieces. Every node gets the same pieces, so a receiver may combine pieces from
+/// several senders.
 fn split_into_pieces(file: &MergedFile, base: Option<&MergedFile>) -> Vec<Vec<AccountLine>> {
     let lines: Vec<AccountLine> = match base {
         None => all_lines(file).collect(),
@@ -253,13 +255,15 @@
 }
 
 impl Gossip {
-    /// A node that knows nothing yet, with the numbers of all others. `seed` is drawn anew for each life; `now` is on the steady clock.
+    /// Creates the state of a node with an empty registry. `me` and `peers` are node numbers; `me` is removed from the peers.
+    ///
+    /// `seed` must differ between restarts of a node; `now` is monotonic time.
     pub fn new(me: u32, mut peers: Vec<u32>, seed: u64, now: Micros) -> Gossip {
         peers.retain(|p| *p != me);
         peers.sort_unstable();
         peers.dedup();
         let mut random = Rand64::new(u128::from(seed));
-        // Not all at the same time.
+        // A random offset spreads the digests of all nodes over the interval.
         let next_digest = now.saturating_add(random.rand_range(0..DIGEST_INTERVAL as u64) as Micros);
         Gossip {
             me,
@@ -277,7 +281,7 @@
         }
     }
 
-    /// Who else is there from now on.
+    /// Replaces the peers. The node's own number is removed from them.
     pub fn set_peers(&mut self, mut peers: Vec<u32>) {
         peers.retain(|p| *p != self.me);
         peers.sort_unstable();
@@ -285,12 +289,12 @@
         self.peers = peers;
     }
 
-    /// Take in what the disk says, as a node starts; that is no news, and nobody is told at once.
-    pub fn restore(&mut self, book: &AccountRegistry) {
-        drop(self.registry.merge(book));
+    /// Merges the registry read from disk at startup, without reporting updates or sending messages.
+    pub fn restore(&mut self, registry: &AccountRegistry) {
+        drop(self.registry.merge(registry));
     }
 
-    /// A file was handed to this node.
+    /// Adds a verified accounts file that this node received from an operator, and announces it if it changed the registry.
     pub fn add_file(&mut self, accounts_file: &AccountsFile, now: Micros) {
         let before = self.registry.hash();
         let updates = self.registry.add_file(accounts_file);
@@ -310,7 +314,7 @@
         }
     }
 
-    /// Somebody else said that.
+    /// Handles a message from the node with number `from`, which the caller has authenticated. `now` is monotonic time.
     pub fn receive(&mut self, from: u32, message: &Message, now: Micros) {
         self.counts.received = self.counts.received.saturating_add(1);
         let valid = match message {
@@ -333,13 +337,13 @@
             Message::Digest { newest, hash } => self.receive_digest(from, *newest, *hash, now),
             Message::Have { files, wants_reply, missing } => {
                 let mut max_pieces = MAX_PIECES_PER_REPLY;
-                let mut skipped = files.clone();
+                let mut known_or_sent = files.clone();
                 if let Some((transfer, which)) = missing {
                     let sent = self.send_pieces(from, *transfer, which, now);
                     max_pieces = max_pieces.saturating_sub(sent);
-                    skipped.extend((sent > 0).then_some(transfer.file));
+                    known_or_sent.extend((sent > 0).then_some(transfer.file));
                 }
-                self.send_missing(from, files, &skipped, max_pieces, now);
+                self.send_missing(from, files, &known_or_sent, max_pieces, now);
                 if *wants_reply && files.iter().any(|(n, d)| self.registry.is_missing(*n, *d)) {
                     self.send_have(from, false, now);
                 }
@@ -358,16 +362,16 @@
         if hash == self.registry.hash() {
             return;
         }
-        // One that has what this node had before missing only what is newer; otherwise it has to say what it has.
+        // A sender whose newest file is known here, or that has none, needs only newer files; any other has to list its files first.
         let sender_is_behind =
             newest.0 < self.registry.newest_number() && (newest.0 == 0 || self.has(newest));
         let newer: Vec<(u64, u64)> =
             self.registry.file_ids().into_iter().filter(|p| p.0 > newest.0).collect();
-        let piece_count = |pieces: Option<Arc<[Vec<AccountLine>]>>| {
+        let count_or_max = |pieces: Option<Arc<[Vec<AccountLine>]>>| {
             pieces.map_or(MAX_PIECES_PER_REPLY, |pieces| pieces.len())
         };
         let few = newer.len() <= MAX_UNSOLICITED_PIECES
-            && newer.iter().map(|p| piece_count(self.pieces_of(*p, newest))).sum::<usize>()
+            && newer.iter().map(|p| count_or_max(self.pieces_of(*p, newest))).sum::<usize>()
                 <= MAX_UNSOLICITED_PIECES;
         if !sender_is_behind || !few {
             return self.send_have(from, true, now);
@@ -377,26 +381,27 @@
         }
     }
 
-    /// Whether this node has that file.
+    /// Whether the registry has the file with this number and digest.
     fn has(&self, file: (u64, u64)) -> bool {
         self.registry.file(file.0).is_some_and(|p| p.digest == file.1)
     }
 
+    /// Returns the pieces of a file relative to `base`; `None` if this node is missing either file.
     fn pieces_of(&mut self, file: (u64, u64), base: (u64, u64)) -> Option<Arc<[Vec<AccountLine>]>> {
         if let Some((_, pieces)) =
             self.cached_pieces.as_ref().filter(|(t, _)| (t.file, t.base) == (file, base))
         {
             return Some(pieces.clone());
         }
-        let of = |file: (u64, u64)| self.registry.file(file.0).filter(|p| p.digest == file.1);
-        let base_page = if base.0 == 0 { None } else { Some(of(base)?) };
-        let pieces: Arc<[Vec<AccountLine>]> = split_into_pieces(of(file)?, base_page).into();
+        let lookup = |file: (u64, u64)| self.registry.file(file.0).filter(|p| p.digest == file.1);
+        let base_file = if base.0 == 0 { None } else { Some(lookup(base)?) };
+        let pieces: Arc<[Vec<AccountLine>]> = split_into_pieces(lookup(file)?, base_file).into();
         self.cached_pieces =
             Some((FileTransfer { file, base, piece_count: pieces.len() as u32 }, pieces.clone()));
         Some(pieces)
     }
 
-    /// What another missing that has those, the newest first; `told` are those that it has or is told already.
+    /// Sends the files that a peer with the files `theirs` is missing, newest first, except for those in `skipped`.
     fn send_missing(
         &mut self,
         to: u32,
@@ -424,7 +429,7 @@
         }
     }
 
-    /// Tell a file, as much as there is room for; returns how many pieces were said.
+    /// Sends the first `max_pieces` pieces of a file and returns how many there were.
     fn send_file(
         &mut self,
         to: u32,
@@ -471,6 +476,7 @@
         self.send(to, Message::Have { files: self.registry.file_ids(), wants_reply, missing }, now);
     }
 
+    /// Stores a piece, and merges the file into the registry once all of its pieces are here.
     fn receive_piece(
         &mut self,
         from: u32,
@@ -536,7 +542,7 @@
         }
     }
 
-    /// Tell some others at once.
+    /// Sends the file with this number to some random peers, or a digest if the file has too many pieces.
     fn announce(&mut self, number: u64, now: Micros) {
         let listed = self.registry.file_ids();
         let Some(file) = listed.iter().find(|p| p.0 == number).copied() else { return };
@@ -552,7 +558,7 @@
         }
     }
 
-    /// Some others, by chance.
+    /// Returns up to `count` different random peers.
     fn random_peers(&mut self, count: usize) -> Vec<u32> {
         let mut indices = BTreeSet::new();
         let all = self.peers.len() as u64;
@@ -567,7 +573,7 @@
         self.send(to, Message::Digest { newest, hash: self.registry.hash() }, now);
     }
 
-    /// Whether a word may be said now: so many a second, a whole second's at once.
+    /// Refills the token bucket of the rate limit and returns whether a message may be sent.
     fn has_token(&mut self, now: Micros) -> bool {
         let passed = now.saturating_sub(self.refilled_at).clamp(0, 1_000_000);
         let new_tokens = passed as u64 * u64::from(MAX_MESSAGES_PER_SECOND) / 1_000_000;
@@ -588,7 +594,7 @@
         self.outgoing.push_back((to, message));
     }
 
-    /// Time passes: tell one other what is known, when that is due.
+    /// Sends a digest to one random peer if one is due. `now` is monotonic time.
     pub fn tick(&mut self, now: Micros) {
         if now < self.next_digest {
             return;
@@ -599,33 +605,33 @@
         }
     }
 
-    /// How long after `now` [`Gossip::tick`] has to be called at the latest, in microseconds.
+    /// Returns the time after `now`, in microseconds, by which [`Gossip::tick`] must be called.
     pub fn due(&self, now: Micros) -> Micros {
         self.next_digest.saturating_sub(now).max(0)
     }
 
-    /// What is to be said, and to whom. What is not fetched is said later, not lost.
+    /// Drains the queued messages, each with the number of the node to send it to.
     pub fn take_outgoing(&mut self) -> Vec<(u32, Message)> {
         self.outgoing.drain(..).collect()
     }
 
-    /// What is known.
+    /// Returns this node's registry.
     pub fn registry(&self) -> &AccountRegistry {
         &self.registry
     }
 
-    /// What was learned since this was last asked.
+    /// Drains the registry updates since the last call.
     pub fn take_updates(&mut self) -> Vec<RegistryUpdate> {
         std::mem::take(&mut self.updates)
     }
 
-    /// What was heard and said.
+    /// Returns the message counters.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 }
 
-/// Whether a piece can be one that a node says.
+/// Whether the numbers, sizes and texts of a piece are within their bounds.
 fn is_valid_piece(transfer: &FileTransfer, index: u32, lines: &[AccountLine]) -> bool {
     let FileTransfer { file, base, piece_count } = *transfer;
     let numbers_valid = (1..=MAX_NUMBER).contains(&file.0) && base.0 <= MAX_NUMBER && base.0 != file.0;
--- a/crates/accounts/src/in_flight.rs
+++ b/crates/accounts/src/in_flight.rs
@@ -1,37 +1,38 @@
-//! What is running work: what was taken before, known by its tenant and its `Idempotency-Key`, or `Request-Id` where it has none.
+//! Recognizes repeats of accepted requests by their tenant and their `Idempotency-Key`, or `Request-Id` where they have no such key.
 
 use crate::Micros;
 use siphasher::sip128::{Hasher128, SipHasher13};
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::Hash;
 
-/// What a client's repeat of a request is known by.
+/// Identifies a request, so that a client's repeat of it is recognized.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Key {
-    /// Its `Idempotency-Key`.
+    /// The value of the `Idempotency-Key` field.
     Idempotency(String),
-    /// Its `Request-Id`, where it has no `Idempotency-Key`.
+    /// The value of the `Request-Id` field, for a request without an `Idempotency-Key`.
     Request(String),
 }
 
 impl Key {
-    /// The key of a request with these fields; none where it has neither, and then nothing is a repeat of it.
+    /// Returns the key of a request with these fields; `None` if it has neither, so that no request counts as its repeat.
     pub fn of(idempotency_key: Option<&str>, request_id: Option<&str>) -> Option<Key> {
         let request = || request_id.map(|id| Key::Request(id.to_string()));
         idempotency_key.map(|key| Key::Idempotency(key.to_string())).or_else(request)
     }
 }
 
-/// What was taken, remembered in a bounded number of entries of 16 bytes of digest each, for a bounded time.
+/// The requests accepted lately, as 16-byte digests that expire after a time to live.
 ///
-/// Beyond the number the oldest is forgotten: its own attempts go on, but a client's repeat of it counts as new. So the number
-/// is to be what a node takes within the time.
+/// Above the maximum number of entries the oldest is evicted: its job continues, but a client's repeat counts as a new request.
+/// So the maximum must cover the requests that a node accepts within the time to live.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct AcceptedRequests {
     max_entries: usize,
     ttl: Micros,
-    /// When each was taken first, on the steady clock.
+    /// Monotonic time at which each request was last recorded, by digest.
     last_seen: BTreeMap<u128, Micros>,
+    /// Recorded digests, oldest first. An entry whose time differs from that in `last_seen` is outdated.
     order: VecDeque<(Micros, u128)>,
 }
 
@@ -42,7 +43,7 @@
 }
 
 impl AcceptedRequests {
-    /// Nothing was taken yet. At most so many are remembered, each for `age` microseconds since it was taken or repeated.
+    /// Creates an empty set with at least one entry; `ttl` is in microseconds and counts from the last [`AcceptedRequests::record`].
     pub fn new(max_entries: usize, ttl: Micros) -> AcceptedRequests {
         AcceptedRequests {
             max_entries: max_entries.max(1),
@@ -52,29 +53,30 @@
         }
     }
 
-    /// A request was taken, or is repeated by its client while it is remembered. Never call this for one that was refused. `now` is on
-    /// the steady clock.
+    /// Records a request that was accepted, or repeated by its client while it was remembered, at the monotonic time `now`.
+    ///
+    /// Must not be called for refused requests. Requests without a key are ignored.
     pub fn record(&mut self, tenant: &str, key: Option<&Key>, now: Micros) {
         let Some(key) = key else { return };
         let id = digest(tenant, key);
         self.last_seen.insert(id, now);
         self.order.push_back((now, id));
         self.evict(now);
-        // A key that is repeated over and over leaves old places in the order.
+        // Recording one key often leaves many outdated entries in the order.
         if self.order.len() > 2 * self.max_entries {
             let last_seen = &self.last_seen;
             self.order.retain(|(when, id)| last_seen.get(id) == Some(when));
         }
     }
 
-    /// What was remembered as taken was refused after all: a repeat of it is new work.
+    /// Removes a request that was refused after it had been recorded, so that a repeat counts as new.
     pub fn remove(&mut self, tenant: &str, key: Option<&Key>) {
         if let Some(key) = key {
             self.last_seen.remove(&digest(tenant, key));
         }
     }
 
-    /// What was taken before a restart, and how long before `now`: the shell reads it from its log, the oldest first.
+    /// Records requests accepted before a restart, oldest first, each with the time in microseconds since it was accepted.
     pub fn restore<'a>(&mut self, taken: impl IntoIterator<Item = (&'a str, &'a Key, Micros)>, now: Micros) {
         for (tenant, key, ago) in taken {
             self.record(tenant, Some(key), now.saturating_sub(ago.max(0)));
@@ -82,13 +84,13 @@
         self.evict(now);
     }
 
-    /// Whether such a request was taken, and is remembered.
+    /// Whether a request was recorded within the time to live before `now`.
     pub fn contains(&self, tenant: &str, key: Option<&Key>, now: Micros) -> bool {
         let at = key.and_then(|key| self.last_seen.get(&digest(tenant, key)));
         at.is_some_and(|at| now.saturating_sub(*at) <= self.ttl)
     }
 
-    /// Forget what is too old or too much.
+    /// Evicts expired entries, and the oldest ones above the maximum number.
     pub fn evict(&mut self, now: Micros) {
         while let Some((when, id)) = self.order.front().copied() {
             let outdated = self.last_seen.get(&id) != Some(&when);
@@ -102,12 +104,12 @@
         }
     }
 
-    /// How many are remembered.
+    /// Returns the number of remembered requests.
     pub fn len(&self) -> usize {
         self.last_seen.len()
     }
 
-    /// Whether none is.
+    /// Whether no request is remembered.
     pub fn is_empty(&self) -> bool {
         self.last_seen.is_empty()
     }
--- a/crates/accounts/src/lib.rs
+++ b/crates/accounts/src/lib.rs
@@ -1,11 +1,12 @@
-//! Where each account stands with the business, choices only: no I/O, no clock, no randomness.
+//! Account standing: which tenants' work a load balancer admits. No I/O, no clock and no randomness of its own.
 //!
-//! An account is a tenant's standing. New work of one that is closing is refused, its running work is finished. Standings come from
-//! one authority: a signed, numbered file of the operators that any site may be handed. Whether a file or a word is believed is the
-//! caller's to say (`shorepath-message-auth`); here it is text that was verified.
+//! An account is a tenant, and its standing is set by the operators in a signed, numbered accounts file that they submit to any
+//! site. New work of a closing account is refused and its running work finishes. Callers verify files and messages
+//! (`shorepath-message-auth`) before they pass them to this package.
 //!
-//! [`config`] reads the authority's file, [`registry`] joins what is known, [`gossip`] tells it to all nodes, [`in_flight`] knows what was
-//! taken, [`credit`] what may be begun while standing can't be confirmed, and [`admission`] says what is done with a request.
+//! [`config`] parses accounts files, [`registry`] merges them, [`gossip`] distributes them to all nodes, [`freshness`] tracks whether
+//! standing is confirmed, [`in_flight`] recognizes repeats of accepted requests, [`credit`] limits new jobs while standing
+//! is unconfirmed, and [`admission`] decides on requests.
 
 pub mod admission;
 pub mod config;
@@ -19,39 +20,39 @@
 
 pub use shorepath_types::Micros;
 
-/// Where an account stands, from the mildest to the strictest.
+/// The standing of an account, from the mildest to the strictest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum AccountStatus {
-    /// All is well.
+    /// All work is admitted.
     #[default]
     Good,
-    /// It was closing or closed, and is in service again.
+    /// All work is admitted again, after the account was closing or closed.
     Reopened,
-    /// It is served, and told so.
+    /// All work is admitted, and the account is reported as warned.
     Warned,
-    /// Nothing new is taken; all that was taken runs to its one final answer.
+    /// New work is refused; accepted jobs run to their final answers.
     Closing,
-    /// Nothing runs any more.
+    /// New work is refused and accepted jobs are stopped.
     Closed,
 }
 
 impl AccountStatus {
-    /// Nothing new is taken.
+    /// Whether new work is refused.
     pub fn rejects_new_work(self) -> bool {
         self >= AccountStatus::Closing
     }
 }
 
-/// A change of an account's standing, by the authority.
+/// A change of an account's standing by an accounts file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Change {
-    /// The number of the authority's file that brought it; of two the greater one holds, of two with one number the stricter one.
+    /// The number of the file. The greatest number applies; of files with the same number, the one with the stricter standing.
     pub number: u64,
-    /// Where it stands.
+    /// The standing that the change sets.
     pub standing: AccountStatus,
-    /// From when on, in Unix time.
+    /// Unix time in microseconds from which the standing applies.
     pub from: Micros,
-    /// RefusalReason, for people.
+    /// The operator's reason for the change, to be shown to people.
     pub reason: String,
 }
--- a/crates/accounts/src/registry.rs
+++ b/crates/accounts/src/registry.rs
@@ -1,17 +1,17 @@
-//! What is known of all accounts: a join-semilattice, so that order, repetition and partial delivery of files don't matter.
+//! The standing of all accounts, merged from the accounts files that a node knows.
 //!
-//! A file counts when it has arrived whole: only then is it known whom it does not name. The book keeps the [`MAX_FILES`] files of the
-//! greatest numbers. For each account the newest file holds whose time for it has come; one that does not name it says that it is
-//! good again, at once. Two files of one number are joined: at each time the stricter standing that either gives holds, an
-//! account that only one names stands as that one says, and that there were two is part of what is known.
+//! The registry is a join-semilattice, so the order, repetition and partial delivery of files don't matter: it is the union of all
+//! files, reduced to those with the greatest numbers, and within a number to the lines that still have an effect; neither reduction
+//! depends on the order ("Conflict-free Replicated Data Types", Shapiro, Preguiça, Baquero and Zawirski, 2011).
 //!
-//! Why this is a join: the greatest few of a union, by number, and the union of what files of one number say, each without what
-//! another line makes void, don't depend on the order ("Conflict-free Replicated Data Types", Shapiro, Preguiça, Baquero and
-//! Zawirski, 2011).
+//! Only complete files are merged, as accounts are also changed by being left out. The registry keeps the [`MAX_FILES`] files with the
+//! greatest numbers. For each account the newest file whose time for the account has come applies; a file that doesn't list an
+//! account returns it to good standing at once. Different files with one number are joined: at each time the stricter of their standings
+//! applies, an account that only one of them lists has its standing there, and the conflict is recorded.
 //!
-//! Bound: [`MAX_FILES`] files with [`MAX_ACCOUNTS_PER_NUMBER`] accounts each, with at most one line for each of the five standings; a file that has no
-//! rival has one.
-//! What held before a change that lies ahead in each of the last [`MAX_FILES`] files is forgotten: the account is good until then.
+//! Size bound: [`MAX_FILES`] files with [`MAX_ACCOUNTS_PER_NUMBER`] accounts each, and at most one line per account for each of the five
+//! standings; a file without a conflicting one has one line per account. If all kept files change an account's standing only in the
+//! future, an earlier standing is forgotten and the account is good until then.
 
 use crate::config::{AccountsFile, MAX_ACCOUNTS, MAX_NUMBER};
 use crate::{AccountStatus, Change, Micros};
@@ -21,46 +21,46 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 
-/// Files that are kept.
+/// Most files that are kept; the oldest are dropped.
 pub const MAX_FILES: usize = 16;
-/// Accounts of one number at most: those of two full files. Beyond, those whose names come last are left out, and that is told.
+/// Most accounts listed by all files of one number, enough for two full files. The last names in order are dropped and reported.
 pub const MAX_ACCOUNTS_PER_NUMBER: usize = 2 * MAX_ACCOUNTS;
 
-/// What was learned that somebody should be told.
+/// An event that operators or other parts of the node should be notified of.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegistryUpdate {
-    /// A newer file than all before it holds now.
+    /// A file newer than all earlier ones applies.
     NewFile {
-        /// Its number.
+        /// The number of the file.
         number: u64,
     },
-    /// By the newest file an account stands otherwise than by the newest before.
+    /// The newest file gives an account another standing than the newest file before it.
     StandingChanged {
-        /// The account.
+        /// The name of the account.
         account: String,
-        /// How, and from when on.
+        /// The new standing.
         change: Change,
     },
-    /// An older file was learned after a newer one. It changes nothing but what held before changes that lie ahead.
+    /// A file older than the newest one was added. It matters only for accounts whose standing in newer files starts in the future.
     OldFile {
-        /// Its number.
+        /// The number of the added file.
         number: u64,
-        /// The greatest that is known.
+        /// The number of the newest known file.
         newest: u64,
     },
-    /// Two files have one number and say different things. For each account the stricter holds.
+    /// Files with one number have different contents. For each account the stricter standing applies.
     ConflictingFiles {
-        /// The number. A file of a greater number ends it.
+        /// The number of the files. A file with a greater number resolves the conflict.
         number: u64,
     },
-    /// Files of one number name more than [`MAX_ACCOUNTS_PER_NUMBER`] accounts; the last names are left out.
+    /// Files of one number list more than [`MAX_ACCOUNTS_PER_NUMBER`] accounts; the last names in order were dropped.
     TooManyAccounts {
-        /// The number.
+        /// The number of the files.
         number: u64,
     },
 }
 
-/// One line of a file, from the mildest to the one that holds against all.
+/// The standing of an account in a file, ordered by precedence: the greatest line wins.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub(crate) struct Line {
     pub standing: AccountStatus,
@@ -74,26 +74,26 @@
     }
 }
 
-/// What files of one number say.
+/// The joined contents of all files with one number.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct MergedFile {
-    /// Lines of each account, the one that holds against the others first.
+    /// The lines of each account, greatest precedence first.
     pub accounts: BTreeMap<String, Vec<Line>>,
-    /// There were two that said different things.
+    /// Whether files with different contents were joined.
     #[serde(rename = "two")]
     pub conflicting: bool,
-    /// Of all that, for telling pages apart.
+    /// Digest of the number and of the fields above.
     pub digest: u64,
 }
 
-/// Only lines that hold at some time: one is void if a stricter one holds from the same time on, or earlier.
+/// Drops lines without effect: those for which a stricter line starts at the same time or earlier.
 fn prune(lines: &mut Vec<Line>) {
     lines.sort_by(|a, b| b.cmp(a));
-    let mut soonest: Option<Micros> = None;
+    let mut earliest: Option<Micros> = None;
     lines.retain(|line| {
-        let holds = soonest.is_none_or(|soonest| line.from.0 < soonest);
-        soonest = if holds { Some(line.from.0) } else { soonest };
-        holds
+        let effective = earliest.is_none_or(|earliest| line.from.0 < earliest);
+        earliest = if effective { Some(line.from.0) } else { earliest };
+        effective
     });
 }
 
@@ -101,7 +101,7 @@
     SipHasher13::new_with_keys(0x73686f7265706174, 0x6163636f756e7473)
 }
 
-/// The digest of a file that says that.
+/// Returns the digest of a file with this number and these changes.
 pub(crate) fn digest_of(number: u64, changes: &BTreeMap<String, Change>) -> u64 {
     MergedFile::from_changes(number, changes).digest
 }
@@ -122,7 +122,7 @@
         MergedFile::new(number, accounts.collect(), false)
     }
 
-    /// What both say.
+    /// Joins two files of one number. The flag is true if accounts were dropped because there were too many.
     fn join(&self, number: u64, other: &MergedFile) -> (MergedFile, bool) {
         let conflicting = self.conflicting || other.conflicting || self.accounts != other.accounts;
         let mut accounts = self.accounts.clone();
@@ -134,13 +134,13 @@
     }
 }
 
-/// All that is known. Written to a disk as it is; [`AccountRegistry::merge`] what was read into an empty one, which checks it.
+/// The accounts files that a node knows. To load one from disk, [`AccountRegistry::merge`] it into an empty one, which validates it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountRegistry {
     #[serde(rename = "pages")]
     files: BTreeMap<u64, MergedFile>,
     hash: u64,
-    /// Accounts that an earlier file bars and the newest does not name; it is asked for with each request.
+    /// Accounts that an older file closes to new work and the newest file doesn't list; cached for lookups on each request.
     #[serde(skip)]
     reopened: BTreeSet<String>,
 }
@@ -152,12 +152,12 @@
 }
 
 impl AccountRegistry {
-    /// Nothing is known yet: all accounts are good.
+    /// Creates an empty registry, in which all accounts are in good standing.
     pub fn new() -> AccountRegistry {
         AccountRegistry::default()
     }
 
-    /// Take in a file.
+    /// Adds a file and returns what changed.
     pub fn add_file(&mut self, accounts_file: &AccountsFile) -> Vec<RegistryUpdate> {
         let file = MergedFile::from_changes(accounts_file.number, &accounts_file.changes);
         let mut updates = self.merge_file(accounts_file.number, &file);
@@ -168,7 +168,7 @@
         updates
     }
 
-    /// Take in all that another knows.
+    /// Adds all files of another registry and returns what changed.
     pub fn merge(&mut self, other: &AccountRegistry) -> Vec<RegistryUpdate> {
         let files = other.files.iter();
         files
@@ -178,7 +178,7 @@
             .collect()
     }
 
-    /// Take in what files of one number say.
+    /// Joins the contents of files with this number into the registry.
     pub(crate) fn merge_file(&mut self, number: u64, file: &MergedFile) -> Vec<RegistryUpdate> {
         let mut updates = Vec::new();
         if number == 0 || number > MAX_NUMBER || number < self.min_number() {
@@ -196,11 +196,11 @@
         if full {
             updates.push(RegistryUpdate::TooManyAccounts { number });
         }
-        let mut named = BTreeMap::new();
+        let mut changes_before = BTreeMap::new();
         if number >= newest {
-            let others = self.files.get(&newest).into_iter().flat_map(|p| p.accounts.keys());
-            let names: BTreeSet<&String> = others.chain(joined.accounts.keys()).collect();
-            named = names.into_iter().map(|n| (n.clone(), self.final_change(n))).collect();
+            let newest_names = self.files.get(&newest).into_iter().flat_map(|p| p.accounts.keys());
+            let names: BTreeSet<&String> = newest_names.chain(joined.accounts.keys()).collect();
+            changes_before = names.into_iter().map(|n| (n.clone(), self.final_change(n))).collect();
         }
         self.files.insert(number, joined);
         while self.files.len() > MAX_FILES {
@@ -209,38 +209,38 @@
         let mut hasher = hasher();
         self.files.iter().for_each(|(n, p)| (n, p.digest).hash(&mut hasher));
         self.hash = hasher.finish();
-        let rejection = |(account, lines): (&String, &Vec<Line>)| {
+        let if_closed = |(account, lines): (&String, &Vec<Line>)| {
             lines.iter().any(|l| l.standing.rejects_new_work()).then(|| account.clone())
         };
         let newest_accounts = self.files.last_key_value().map(|(_, p)| &p.accounts);
         let earlier = self.files.values().rev().skip(1).flat_map(|p| &p.accounts);
-        let unnamed = earlier.filter(|(a, _)| newest_accounts.is_some_and(|n| !n.contains_key(*a)));
-        self.reopened = unnamed.filter_map(rejection).collect();
+        let unlisted = earlier.filter(|(a, _)| newest_accounts.is_some_and(|n| !n.contains_key(*a)));
+        self.reopened = unlisted.filter_map(if_closed).collect();
         if number > newest {
             updates.push(RegistryUpdate::NewFile { number });
         }
-        for (account, before) in named {
+        for (account, before) in changes_before {
             let change = self.final_change(&account);
-            let what = |c: &Change| (c.standing, c.from, c.reason.clone());
-            if what(&before) != what(&change) {
+            let content = |c: &Change| (c.standing, c.from, c.reason.clone());
+            if content(&before) != content(&change) {
                 updates.push(RegistryUpdate::StandingChanged { account, change });
             }
         }
         updates
     }
 
-    /// The least number that may still be taken in.
+    /// Returns the least number of a file that can still be added.
     fn min_number(&self) -> u64 {
         let full = self.files.len() >= MAX_FILES;
         self.files.first_key_value().filter(|_| full).map_or(1, |(n, _)| *n)
     }
 
-    /// How an account stands once all times have come.
+    /// Returns the standing of an account after all changes that lie in the future.
     fn final_change(&self, account: &str) -> Change {
         self.change_at(account, Micros::MAX)
     }
 
-    /// Where an account stands at that Unix time, since which file, and why.
+    /// Returns the change that determines an account's standing at Unix time `now_unix`; number 0 and good standing if there is none.
     pub fn change_at(&self, account: &str, now_unix: Micros) -> Change {
         for (number, file) in self.files.iter().rev() {
             let Some(lines) = file.accounts.get(account) else {
@@ -258,46 +258,46 @@
         default_change()
     }
 
-    /// Where an account stands that a file does not name.
+    /// Returns the standing of an account that the file with this number doesn't list.
     fn standing_if_unlisted(&self, account: &str, number: u64) -> AccountStatus {
         let mut earlier = self.files.range(..number).filter_map(|(_, p)| p.accounts.get(account)).flatten();
-        let rejection = match number == self.newest_number() {
+        let was_closed = match number == self.newest_number() {
             true => self.reopened.contains(account),
             false => earlier.any(|l| l.standing.rejects_new_work()),
         };
-        match rejection {
+        match was_closed {
             true => AccountStatus::Reopened,
             false => AccountStatus::Good,
         }
     }
 
-    /// Where an account stands at that Unix time.
+    /// Returns the standing of an account at Unix time `now_unix`.
     pub fn standing_at(&self, account: &str, now_unix: Micros) -> AccountStatus {
         self.change_at(account, now_unix).standing
     }
 
-    /// When, in Unix time after `now_unix`, an account may stand otherwise though nothing new is learned; for a timer.
+    /// Returns the earliest Unix time after `now_unix` at which a known change takes effect, for use in a timer.
     pub fn next_change_after(&self, now_unix: Micros) -> Option<Micros> {
         let lines = self.files.values().flat_map(|p| p.accounts.values().flatten());
         lines.map(|l| l.from.0).filter(|from| *from > now_unix).min()
     }
 
-    /// All accounts that some file names.
+    /// Returns the accounts that any known file lists.
     pub fn accounts(&self) -> BTreeSet<&str> {
         self.files.values().flat_map(|p| p.accounts.keys().map(String::as_str)).collect()
     }
 
-    /// Accounts that the newest file names. Only of these some may be barred.
+    /// Returns the accounts that the newest file lists; only these can be closing or closed.
     pub fn accounts_in_newest_file(&self) -> impl Iterator<Item = &str> {
         self.files.last_key_value().into_iter().flat_map(|(_, p)| p.accounts.keys().map(String::as_str))
     }
 
-    /// The number of the newest file; 0 for none.
+    /// Returns the number of the newest file, or 0 if there is none.
     pub fn newest_number(&self) -> u64 {
         self.files.last_key_value().map_or(0, |(n, _)| *n)
     }
 
-    /// Books of one hash say the same (SipHash-1-3; no guard against forgery).
+    /// Returns a hash of the contents; registries with equal hashes are equal (SipHash-1-3, no protection against forgery).
     pub fn hash(&self) -> u64 {
         self.hash
     }
@@ -306,12 +306,12 @@
         self.files.get(&number)
     }
 
-    /// Numbers and digests, the greatest first.
+    /// Returns the number and digest of each file, newest first.
     pub(crate) fn file_ids(&self) -> Vec<(u64, u64)> {
         self.files.iter().rev().map(|(n, p)| (*n, p.digest)).collect()
     }
 
-    /// Whether a file of that number and digest would add something, as far as its digest tells.
+    /// Whether a file with this number could be added and isn't known with this digest.
     pub(crate) fn is_missing(&self, number: u64, digest: u64) -> bool {
         let known = self.file(number).is_some_and(|p| p.digest == digest);
         !known && number >= self.min_number() && number <= MAX_NUMBER
--- a/crates/accounts/tests/credit.rs
+++ b/crates/accounts/tests/credit.rs
@@ -1,4 +1,4 @@
-//! Credit: its parts add up, a restart refills nothing, and what turned out to be against a closed standing is owed.
+//! Credit and admission: parts add up, restarts don't restore credit, and jobs started after an account was closed become debt.
 
 use proptest::prelude::*;
 use shorepath_accounts::admission::{
@@ -20,31 +20,31 @@
     Change { number, standing, from, reason: String::new() }
 }
 
-fn note(spent: u64, debt: u64, shrunk: bool) -> CreditRecord {
+fn record(spent: u64, debt: u64, shrunk: bool) -> CreditRecord {
     CreditRecord { spent, debt, shrunk }
 }
 
 const PART: NodeCredit = NodeCredit { total: 10, reserve: 2 };
 const LONG: i64 = 60_000_000;
 
-/// A purse with nothing spent, whose disk follows at once.
-fn fresh() -> CreditBalance {
+/// Returns an unspent balance whose empty record is on disk.
+fn unspent() -> CreditBalance {
     CreditBalance::restore(PART, LONG, 4, Some(CreditRecord::default()))
 }
 
 fn write(balance: &mut CreditBalance) -> Option<CreditRecord> {
-    let note = balance.record_to_write()?;
-    balance.record_written(note);
-    Some(note)
+    let record = balance.record_to_write()?;
+    balance.record_written(record);
+    Some(record)
 }
 
 proptest! {
     #[test]
-    fn parts_add_up_exactly(
-        total in prop_oneof![0..100u64, any::<u64>()], share_of in 0..=100u64,
+    fn divided_credit_adds_up_to_the_total(
+        total in prop_oneof![0..100u64, any::<u64>()], reserve_percent in 0..=100u64,
         sites in prop::collection::vec((1..9u32, prop::option::of(prop_oneof![0..5u64, any::<u64>()])), 1..9),
     ) {
-        let reserve = (u128::from(total) * u128::from(share_of) / 100) as u64;
+        let reserve = (u128::from(total) * u128::from(reserve_percent) / 100) as u64;
         let sites: Vec<SiteShare> = sites.into_iter().map(|(n, w)| share(n, w)).collect();
         let divided = divide(&Credit { total, reserve, shrink_after: 0 }, &sites);
         if sites.iter().all(|s| s.weight == Some(0)) && total > 0 {
@@ -58,21 +58,21 @@
     }
 
     #[test]
-    fn restarts_refill_nothing(steps in prop::collection::vec(0..4u8, 1..80)) {
-        let (mut balance, mut disk, mut begun) = (fresh(), CreditRecord::default(), 0);
+    fn restarts_do_not_restore_credit(steps in prop::collection::vec(0..4u8, 1..80)) {
+        let (mut balance, mut disk, mut started) = (unspent(), CreditRecord::default(), 0);
         for (now, step) in (0i64..).zip(steps) {
             match step {
-                0 => if let Some(note) = write(&mut balance) { disk = note },
+                0 => if let Some(record) = write(&mut balance) { disk = record },
                 1 => balance = CreditBalance::restore(PART, LONG, 4, Some(disk)),
-                _ => begun += u64::from(balance.spend(1, now)),
+                _ => started += u64::from(balance.spend(1, now)),
             }
         }
-        prop_assert!(begun <= PART.total, "{} begun", begun);
+        prop_assert!(started <= PART.total, "{} started", started);
     }
 }
 
 #[test]
-fn what_can_t_be_divided_is_told() {
+fn indivisible_credit_is_rejected() {
     let credit = Credit { total: 5, reserve: 6, shrink_after: 0 };
     assert_eq!(
         divide(&credit, &[share(1, None)]),
@@ -83,41 +83,49 @@
 }
 
 #[test]
-fn a_part_is_spent_as_far_as_the_disk_knows() {
-    let mut balance = fresh();
-    assert!(!balance.spend(1, 0), "nothing is noted yet");
-    assert_eq!(write(&mut balance), Some(note(4, 0, false)));
+fn spending_is_limited_by_the_durable_record() {
+    let mut balance = unspent();
+    assert!(!balance.spend(1, 0), "no record on disk covers a job yet");
+    assert_eq!(write(&mut balance), Some(record(4, 0, false)));
     assert!(balance.spend(1, 0) && balance.record_to_write().is_none());
-    assert!(balance.spend(1, 0), "the next note is asked for before this one is used up");
-    assert_eq!(balance.record_to_write(), Some(note(6, 0, false)));
+    assert!(balance.spend(1, 0), "the next record is due before this one is used up");
+    assert_eq!(balance.record_to_write(), Some(record(6, 0, false)));
     balance.write_failed();
     assert!(balance.spend(1, 0) && balance.spend(1, 0) && !balance.spend(1, 0) && balance.has_write_failed());
     assert_eq!(balance.left_at(LONG - 1, Some(0)), 6);
-    assert_eq!(balance.left_at(LONG, Some(0)), 0, "four are spent, two are the reserve");
-    assert_eq!(CreditBalance::restore(PART, LONG, 4, None).left(), 0, "a lost disk counts as all spent");
-    let mut shrunk = fresh();
+    assert_eq!(balance.left_at(LONG, Some(0)), 0, "the four spent jobs exceed the reserve of two");
+    assert_eq!(
+        CreditBalance::restore(PART, LONG, 4, None).left(),
+        0,
+        "with a lost disk all credit counts as spent"
+    );
+    let mut shrunk = unspent();
     assert_eq!(shrunk.left_at(LONG, Some(0)), 2);
     let disk = write(&mut shrunk);
-    assert_eq!(CreditBalance::restore(PART, LONG, 4, disk).left(), 0, "written ahead, and shrunk");
+    assert_eq!(
+        CreditBalance::restore(PART, LONG, 4, disk).left(),
+        0,
+        "the jobs written ahead count as spent, and the credit stays shrunk"
+    );
 }
 
 #[test]
-fn what_was_begun_against_a_closed_standing_is_owed_and_paid_in_steps() {
-    let mut balance = fresh();
+fn jobs_started_after_closing_become_debt_that_is_paid_in_steps() {
+    let mut balance = unspent();
     write(&mut balance);
     for at in [5, 10, 15] {
         assert!(balance.spend(1, at));
     }
     let mut good = balance.clone();
     assert_eq!((good.confirmed(&change(2, AccountStatus::Warned, 0)), good.left()), (0, 10));
-    assert!(!good.spend(2, 20), "the disk has to say so first");
-    assert_eq!(write(&mut good), Some(note(4, 0, false)));
+    assert!(!good.spend(2, 20), "a new record must be on disk first");
+    assert_eq!(write(&mut good), Some(record(4, 0, false)));
     assert_eq!((good.confirmed(&change(1, AccountStatus::Closed, 0)), good.record_to_write()), (0, None));
     assert_eq!(balance.confirmed(&change(2, AccountStatus::Closed, 10)), 2);
     assert_eq!(balance.left(), 8);
-    assert_eq!(write(&mut balance), Some(note(4, 2, false)));
+    assert_eq!(write(&mut balance), Some(record(4, 2, false)));
     assert_eq!([balance.pay_debt(1), balance.pay_debt(5), balance.left()], [1, 0, 10]);
-    // Times that can't be told apart any more count as the later one.
+    // Merged spendings count at the later of their times.
     let mut many = CreditBalance::restore(
         NodeCredit { total: 500, reserve: 0 },
         LONG,
@@ -131,97 +139,111 @@
 }
 
 #[test]
-fn rulings_tell_running_work_from_new() {
-    let mut book = AccountRegistry::new();
-    let linked = Now { unix: 0, steady: 0, unconfirmed_since: None };
+fn decisions_distinguish_repeats_from_new_requests() {
+    let mut registry = AccountRegistry::new();
+    let confirmed = Now { unix: 0, steady: 0, unconfirmed_since: None };
     let key = Key::of(Some("k"), Some("r"));
-    let mut taken = AcceptedRequests::new(10, LONG);
-    assert_eq!(decide(&book, None, &taken, "acme", key.as_ref(), linked), AdmissionDecision::Admit);
-    taken.record("acme", key.as_ref(), 0);
+    let mut accepted = AcceptedRequests::new(10, LONG);
+    assert_eq!(decide(&registry, None, &accepted, "acme", key.as_ref(), confirmed), AdmissionDecision::Admit);
+    accepted.record("acme", key.as_ref(), 0);
     let closing = change(1, AccountStatus::Closing, 100);
-    book.add_file(&AccountsFile::new(1, [("acme".to_string(), closing)].into()));
-    let later = Now { unix: 100, ..linked };
+    registry.add_file(&AccountsFile::new(1, [("acme".to_string(), closing)].into()));
+    let later = Now { unix: 100, ..confirmed };
     let refuse = |reason, retry| AdmissionDecision::Refuse(Refusal { reason, retry });
-    let asks = |tenant: &str, key: Option<Key>, now| decide(&book, None, &taken, tenant, key.as_ref(), now);
-    assert_eq!(asks("acme", Key::of(Some("n"), None), linked), AdmissionDecision::Admit, "not yet");
-    assert_eq!(asks("acme", Key::of(Some("k"), Some("other")), later), AdmissionDecision::Admit);
+    let decision =
+        |tenant: &str, key: Option<Key>, now| decide(&registry, None, &accepted, tenant, key.as_ref(), now);
+    assert_eq!(
+        decision("acme", Key::of(Some("n"), None), confirmed),
+        AdmissionDecision::Admit,
+        "the closing starts later"
+    );
+    assert_eq!(decision("acme", Key::of(Some("k"), Some("other")), later), AdmissionDecision::Admit);
     for new in [Key::of(Some("n"), None), Key::of(None, Some("k")), Key::of(Some("r"), None), None] {
-        assert_eq!(asks("acme", new, later), refuse(RefusalReason::Closing, false));
+        assert_eq!(decision("acme", new, later), refuse(RefusalReason::Closing, false));
     }
     let old = Now { steady: LONG + 1, ..later };
-    assert_eq!(asks("acme", Key::of(Some("k"), None), old), refuse(RefusalReason::Closing, false));
-    taken.record("fyn", Key::of(Some("z"), None).as_ref(), 0);
+    assert_eq!(decision("acme", Key::of(Some("k"), None), old), refuse(RefusalReason::Closing, false));
+    accepted.record("fyn", Key::of(Some("z"), None).as_ref(), 0);
     assert_eq!(
-        decide(&book, None, &taken, "acme", Key::of(Some("z"), None).as_ref(), later),
+        decide(&registry, None, &accepted, "acme", Key::of(Some("z"), None).as_ref(), later),
         refuse(RefusalReason::Closing, false)
     );
-    let mut balances = CreditBalances::from([("fyn".to_string(), fresh()), ("acme".to_string(), fresh())]);
-    let alone = Now { unconfirmed_since: Some(0), ..later };
-    let restrictions_alone = restrictions(&book, &mut balances, alone);
-    assert_eq!(restrictions_alone["acme"], Restriction { max_new_jobs: Some(0), may_send: true });
-    assert_eq!(restrictions_alone["fyn"], Restriction { max_new_jobs: Some(10), may_send: true });
-    assert_eq!(restrictions(&book, &mut balances, later).len(), 1, "linked, only the closing one is bounded");
-    let mut fyn = fresh();
+    let mut balances =
+        CreditBalances::from([("fyn".to_string(), unspent()), ("acme".to_string(), unspent())]);
+    let unconfirmed = Now { unconfirmed_since: Some(0), ..later };
+    let unconfirmed_restrictions = restrictions(&registry, &mut balances, unconfirmed);
+    assert_eq!(unconfirmed_restrictions["acme"], Restriction { max_new_jobs: Some(0), may_send: true });
+    assert_eq!(unconfirmed_restrictions["fyn"], Restriction { max_new_jobs: Some(10), may_send: true });
+    assert_eq!(
+        restrictions(&registry, &mut balances, later).len(),
+        1,
+        "with confirmed standing only the closing account is restricted"
+    );
+    let mut fyn = unspent();
     assert_eq!(
-        decide(&book, Some(&mut fyn), &taken, "fyn", None, alone),
-        refuse(RefusalReason::NoDisk, true)
+        decide(&registry, Some(&mut fyn), &accepted, "fyn", None, unconfirmed),
+        refuse(RefusalReason::DiskWriteFailed, true)
     );
     write(&mut fyn);
-    let ruled: Vec<AdmissionDecision> = (0..11)
+    let decisions: Vec<AdmissionDecision> = (0..11)
         .map(|_| {
-            let ruled = decide(&book, Some(&mut fyn), &taken, "fyn", None, alone);
+            let decision = decide(&registry, Some(&mut fyn), &accepted, "fyn", None, unconfirmed);
             write(&mut fyn);
-            ruled
+            decision
         })
         .collect();
-    assert_eq!(ruled[9..], [AdmissionDecision::AdmitOnCredit, refuse(RefusalReason::CreditSpent, true)]);
+    assert_eq!(decisions[9..], [AdmissionDecision::AdmitOnCredit, refuse(RefusalReason::CreditSpent, true)]);
     fyn.refund(1, 100);
-    assert_eq!(decide(&book, Some(&mut fyn), &taken, "fyn", None, alone), AdmissionDecision::AdmitOnCredit);
-    book.add_file(&AccountsFile::new(2, [("acme".to_string(), change(2, AccountStatus::Closed, 0))].into()));
     assert_eq!(
-        decide(&book, None, &taken, "acme", key.as_ref(), later),
+        decide(&registry, Some(&mut fyn), &accepted, "fyn", None, unconfirmed),
+        AdmissionDecision::AdmitOnCredit
+    );
+    registry
+        .add_file(&AccountsFile::new(2, [("acme".to_string(), change(2, AccountStatus::Closed, 0))].into()));
+    assert_eq!(
+        decide(&registry, None, &accepted, "acme", key.as_ref(), later),
         refuse(RefusalReason::Closed, false)
     );
     assert_eq!(
-        restrictions(&book, &mut balances, later)["acme"],
+        restrictions(&registry, &mut balances, later)["acme"],
         Restriction { max_new_jobs: Some(0), may_send: false }
     );
 }
 
 #[test]
-fn what_was_taken_is_bounded_in_number_and_age() {
+fn accepted_requests_are_bounded_in_number_and_age() {
     let key = |k: usize| Key::Request(k.to_string());
-    let mut taken = AcceptedRequests::new(5, 100);
-    (0..1_000).for_each(|k| taken.record("a", Some(&key(k)), 0));
-    assert_eq!(taken.len(), 5);
-    assert!(taken.contains("a", Some(&key(999)), 100) && !taken.contains("a", Some(&key(994)), 0));
-    (0..1_000).for_each(|_| taken.record("a", Some(&key(999)), 50));
-    taken.evict(101);
-    assert_eq!((taken.len(), taken.contains("a", Some(&key(999)), 150)), (1, true));
+    let mut accepted = AcceptedRequests::new(5, 100);
+    (0..1_000).for_each(|k| accepted.record("a", Some(&key(k)), 0));
+    assert_eq!(accepted.len(), 5);
+    assert!(accepted.contains("a", Some(&key(999)), 100) && !accepted.contains("a", Some(&key(994)), 0));
+    (0..1_000).for_each(|_| accepted.record("a", Some(&key(999)), 50));
+    accepted.evict(101);
+    assert_eq!((accepted.len(), accepted.contains("a", Some(&key(999)), 150)), (1, true));
     let mut restored = AcceptedRequests::new(5, 100);
     restored.restore([("a", &key(1), 101), ("a", &key(2), 40)], 1_000);
     assert!(!restored.contains("a", Some(&key(1)), 1_000) && restored.contains("a", Some(&key(2)), 1_060));
 }
 
-/// A node alone whose disk fails begins no more than what was noted there; the rest it may again once a note is written.
+/// Guards against starting more jobs than the record on disk covers while writes to it fail.
 #[test]
-fn a_failing_disk_bounds_what_is_begun_by_its_note() {
-    let mut balances = CreditBalances::from([("acme".to_string(), fresh())]);
+fn failed_writes_limit_new_jobs_to_the_durable_record() {
+    let mut balances = CreditBalances::from([("acme".to_string(), unspent())]);
     let now = Now { unix: 1, steady: 1, unconfirmed_since: Some(0) };
-    let mut after = |change: &dyn Fn(&mut CreditBalance)| {
+    let mut limits_after = |change: &dyn Fn(&mut CreditBalance)| {
         change(balances.get_mut("acme").unwrap());
-        let begin = restrictions(&AccountRegistry::new(), &mut balances, now)["acme"].max_new_jobs;
-        (begin, balances["acme"].left(), balances["acme"].durable_left())
+        let max_new_jobs = restrictions(&AccountRegistry::new(), &mut balances, now)["acme"].max_new_jobs;
+        (max_new_jobs, balances["acme"].left(), balances["acme"].durable_left())
     };
-    let (begin, left, noted) = after(&|_| ());
-    assert!(begin == Some(left) && noted < left);
-    let (begin, ..) = after(&|balance| balance.write_failed());
-    assert_eq!(begin, Some(noted));
-    let (begin, left, noted) = after(&|balance| assert!(write(balance).is_some()));
-    assert!(begin == Some(left) && noted > 0);
-    let (begin, ..) = after(&|balance| {
+    let (max_new_jobs, left, durable_left) = limits_after(&|_| ());
+    assert!(max_new_jobs == Some(left) && durable_left < left);
+    let (max_new_jobs, ..) = limits_after(&|balance| balance.write_failed());
+    assert_eq!(max_new_jobs, Some(durable_left));
+    let (max_new_jobs, left, durable_left) = limits_after(&|balance| assert!(write(balance).is_some()));
+    assert!(max_new_jobs == Some(left) && durable_left > 0);
+    let (max_new_jobs, ..) = limits_after(&|balance| {
         balance.write_failed();
         while balance.spend(1, 1) {}
     });
-    assert_eq!(begin, Some(0));
+    assert_eq!(max_new_jobs, Some(0));
 }
