--- a/tests/node/sites.rs
+++ b/tests/node/sites.rs
@@ -622,7 +622,7 @@
     nodes[2].logs("account acme Closing number=4");
     assert_eq!(refusal(&nodes[2].ask("new-2", "/zone-plan").message()), closing);
     let notified = nodes[0].logs("account acme: work was begun after file");
-    assert!(notified.contains("Good at east/n2"), "{notified}");
+    assert!(notified.contains("Unaware at east/n2"), "{notified}");
     backend.serve("running", "done");
     assert_eq!(running.message().body, "done");
     let begin = Instant::now();
