--- a/crates/accounts/src/admission.rs
+++ b/crates/accounts/src/admission.rs
@@ -57,7 +57,7 @@
         "this site can't reach enough of the others and has spent its credit for the account: restore the site's links, or raise (credit ...)"
     ))]
     CreditSpent,
-    /// Standing can't be confirmed and the credit to spend can't be recorded on disk.
+    /// Standing can't be confirmed and no credit record on disk covers the request.
     #[error("standing not confirmed, disk not written")]
     #[diagnostic(help(
         "free space on the node's disk, or repair it; credit is spent only after it was recorded there"
@@ -163,13 +163,13 @@
 
 /// Returns the restrictions of all accounts that are closing, closed or on credit.
 pub fn restrictions(registry: &AccountRegistry, balances: &mut CreditBalances, now: Now) -> Restrictions {
-    let mut all = Restrictions::new();
+    let mut by_account = Restrictions::new();
     for (account, balance) in balances.iter_mut() {
         if now.unconfirmed_since.is_some() {
             let left = balance.left_at(now.steady, now.unconfirmed_since);
             // After a failed write, jobs beyond the durable record would not count as spent after a restart.
             let max_new_jobs = Some(if balance.has_write_failed() { balance.durable_left() } else { left });
-            all.insert(account.clone(), Restriction { max_new_jobs, may_send: true });
+            by_account.insert(account.clone(), Restriction { max_new_jobs, may_send: true });
         }
     }
     for account in registry.accounts_in_newest_file() {
@@ -177,8 +177,8 @@
         if standing.rejects_new_work() {
             let restriction =
                 Restriction { max_new_jobs: Some(0), may_send: standing != AccountStatus::Closed };
-            all.insert(account.to_string(), restriction);
+            by_account.insert(account.to_string(), restriction);
         }
     }
-    all
+    by_account
 }
--- a/crates/accounts/src/config.rs
+++ b/crates/accounts/src/config.rs
@@ -65,7 +65,7 @@
 }
 
 /// Returns the standing with this name, or good standing for any other name.
-fn standing(name: &str) -> AccountStatus {
+fn standing_named(name: &str) -> AccountStatus {
     match name {
         "reopened" => AccountStatus::Reopened,
         "warned" => AccountStatus::Warned,
@@ -104,7 +104,7 @@
     }
     let number = f.count("number", 0, 1..=MAX_NUMBER);
     let mut changes = BTreeMap::new();
-    let mut lines = BTreeMap::new();
+    let mut first_lines = BTreeMap::new();
     for form in f.many("account") {
         let name = form.word("an account's name");
         if !is_valid_text(&name, MAX_NAME_BYTES) || name.is_empty() {
@@ -115,8 +115,8 @@
         if form.many("standing").is_empty() {
             form.complain(format!("the account {name} has no (standing ...)"));
         }
-        let names = ["good", "warned", "closing", "closed", "reopened"];
-        let standing = standing(&form.choice("standing", "good", &names));
+        let standings = ["good", "warned", "closing", "closed", "reopened"];
+        let standing = standing_named(&form.choice("standing", "good", &standings));
         let (from, reason) = (start_time(&form), form.text("reason", ""));
         if !is_valid_text(&reason, MAX_REASON_BYTES) {
             form.complain(format!(
@@ -125,7 +125,7 @@
         }
         form.finish();
         let line = form.place().line;
-        if let Some(first) = lines.insert(name.clone(), line) {
+        if let Some(first) = first_lines.insert(name.clone(), line) {
             form.complain(format!("the account {name} is listed twice, first in line {first}"));
         }
         changes.insert(name, Change { number, standing, from, reason });
--- a/crates/accounts/src/credit.rs
+++ b/crates/accounts/src/credit.rs
@@ -77,11 +77,11 @@
     if sum == 0 {
         return vec![0; weights.len()];
     }
-    let exact = |w: &u64| u128::from(total) * u128::from(*w);
-    let mut parts: Vec<u64> = weights.iter().map(|w| (exact(w) / sum) as u64).collect();
+    let product = |w: &u64| u128::from(total) * u128::from(*w);
+    let mut parts: Vec<u64> = weights.iter().map(|w| (product(w) / sum) as u64).collect();
     let mut left = total - parts.iter().sum::<u64>();
     let mut order: Vec<usize> = (0..weights.len()).collect();
-    order.sort_by_key(|k| std::cmp::Reverse(weights.get(*k).map_or(0, |w| exact(w) % sum)));
+    order.sort_by_key(|k| std::cmp::Reverse(weights.get(*k).map_or(0, |w| product(w) % sum)));
     for k in order {
         if left > 0 {
             left -= 1;
@@ -108,13 +108,13 @@
         return Err(CreditError::NoRecipient { total });
     }
     let (reserves, rests) = (apportion(reserve, &weights), apportion(rest, &weights));
-    let nodes = |s: &SiteShare, amount| apportion(amount, &vec![1; s.nodes as usize]);
+    let among_nodes = |s: &SiteShare, amount| apportion(amount, &vec![1; s.nodes as usize]);
     Ok(sites
         .iter()
         .zip(reserves.into_iter().zip(rests))
         .map(|(site, (reserve, rest))| {
-            let both = nodes(site, reserve).into_iter().zip(nodes(site, rest));
-            both.map(|(reserve, rest)| NodeCredit { total: reserve + rest, reserve }).collect()
+            let node_parts = among_nodes(site, reserve).into_iter().zip(among_nodes(site, rest));
+            node_parts.map(|(reserve, rest)| NodeCredit { total: reserve + rest, reserve }).collect()
         })
         .collect())
 }
@@ -153,6 +153,7 @@
 pub struct CreditBalance {
     part: NodeCredit,
     shrink_after: Micros,
+    /// Jobs by which a record is written ahead of the spent credit.
     chunk: u64,
     current: CreditRecord,
     durable: CreditRecord,
@@ -249,13 +250,13 @@
         let CreditRecord { spent, debt, shrunk } = self.current;
         // The durable record is at least this far ahead; after a confirmation it counts as less than the disk really has.
         let ahead = self.durable.spent.saturating_sub(spent);
-        let short = ahead <= self.chunk / 2 && ahead < self.left();
+        let running_low = ahead <= self.chunk / 2 && ahead < self.left();
         let spent =
-            if short { spent.saturating_add(self.chunk.min(self.left())) } else { self.durable.spent };
-        let wanted = CreditRecord { spent: spent.max(self.durable.spent), debt, shrunk };
+            if running_low { spent.saturating_add(self.chunk.min(self.left())) } else { self.durable.spent };
+        let record = CreditRecord { spent: spent.max(self.durable.spent), debt, shrunk };
         // A paid debt, or a return from the reserve to the total credit, can wait for the next record.
         let urgent = debt > self.durable.debt || (shrunk && !self.durable.shrunk);
-        (short || urgent).then_some(wanted)
+        (running_low || urgent).then_some(record)
     }
 
     /// Reports that `record` has replaced the one on disk.
--- a/crates/accounts/src/freshness.rs
+++ b/crates/accounts/src/freshness.rs
@@ -51,30 +51,36 @@
 
     #[test]
     fn confirms_standing_after_links_were_up_without_a_gap() {
-        let mut c = Confirmation::new(10);
-        assert_eq!((c.update(Some(15), 20), c.unconfirmed_since()), (None, Some(10)));
-        assert_eq!(c.update(None, CONFIRMATION_DELAY), None, "a gap restarts the delay");
-        let begin = CONFIRMATION_DELAY + 50;
-        assert_eq!(c.update(Some(begin), begin), None);
-        assert_eq!(c.update(Some(begin + CONFIRMATION_DELAY - 1), begin + 2 * CONFIRMATION_DELAY), None);
+        let mut confirmation = Confirmation::new(10);
+        assert_eq!((confirmation.update(Some(15), 20), confirmation.unconfirmed_since()), (None, Some(10)));
+        assert_eq!(confirmation.update(None, CONFIRMATION_DELAY), None, "a gap restarts the delay");
+        let linked_at = CONFIRMATION_DELAY + 50;
+        assert_eq!(confirmation.update(Some(linked_at), linked_at), None);
         assert_eq!(
-            (c.update(Some(begin + CONFIRMATION_DELAY), begin + CONFIRMATION_DELAY), c.unconfirmed_since()),
+            confirmation.update(Some(linked_at + CONFIRMATION_DELAY - 1), linked_at + 2 * CONFIRMATION_DELAY),
+            None
+        );
+        assert_eq!(
+            (
+                confirmation.update(Some(linked_at + CONFIRMATION_DELAY), linked_at + CONFIRMATION_DELAY),
+                confirmation.unconfirmed_since()
+            ),
             (Some(false), None)
         );
         assert_eq!(
-            (c.update(None, 3 * CONFIRMATION_DELAY), c.unconfirmed_since()),
+            (confirmation.update(None, 3 * CONFIRMATION_DELAY), confirmation.unconfirmed_since()),
             (Some(true), Some(3 * CONFIRMATION_DELAY))
         );
-        assert_eq!(c.update(None, 4 * CONFIRMATION_DELAY), None);
+        assert_eq!(confirmation.update(None, 4 * CONFIRMATION_DELAY), None);
     }
 
     /// Guards against confirming standing, and restoring all credit, because messages from one short contact have become old enough.
     #[test]
     fn a_short_contact_never_confirms_standing() {
-        let mut c = Confirmation::new(0);
+        let mut confirmation = Confirmation::new(0);
         for now in (1_000..3 * CONFIRMATION_DELAY).step_by(1_000) {
-            assert_eq!(c.update(Some(now.min(CONFIRMATION_DELAY - 1_000)), now), None);
+            assert_eq!(confirmation.update(Some(now.min(CONFIRMATION_DELAY - 1_000)), now), None);
         }
-        assert_eq!(c.unconfirmed_since(), Some(0));
+        assert_eq!(confirmation.unconfirmed_since(), Some(0));
     }
 }
--- a/crates/accounts/src/gossip.rs
+++ b/crates/accounts/src/gossip.rs
@@ -114,42 +114,57 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 struct Raw {
-    w: u32,
-    n: (u64, u64),
-    h: u64,
-    p: Vec<(u64, u64)>,
-    q: bool,
-    t: FileTransfer,
-    k: Vec<u32>,
-    i: u32,
-    l: Vec<AccountLine>,
+    #[serde(rename = "w")]
+    kind: u32,
+    #[serde(rename = "n")]
+    newest: (u64, u64),
+    /// The hash of a digest; for a piece, 1 if files conflict and 0 otherwise.
+    #[serde(rename = "h")]
+    hash: u64,
+    #[serde(rename = "p")]
+    files: Vec<(u64, u64)>,
+    /// Whether a list of files wants a reply; for a piece, whether it is the last one.
+    #[serde(rename = "q")]
+    flag: bool,
+    #[serde(rename = "t")]
+    transfer: FileTransfer,
+    #[serde(rename = "k")]
+    missing: Vec<u32>,
+    #[serde(rename = "i")]
+    index: u32,
+    #[serde(rename = "l")]
+    lines: Vec<AccountLine>,
 }
 
 impl From<Message> for Raw {
     fn from(message: Message) -> Raw {
         let raw = Raw::default();
         match message {
-            Message::Digest { newest, hash } => Raw { w: 1, n: newest, h: hash, ..raw },
+            Message::Digest { newest, hash } => Raw { kind: 1, newest, hash, ..raw },
             Message::Have { files, wants_reply, missing } => {
-                let (t, k) = missing.unwrap_or_default();
-                Raw { w: 2, p: files, q: wants_reply, t, k, ..raw }
+                let (transfer, missing) = missing.unwrap_or_default();
+                Raw { kind: 2, files, flag: wants_reply, transfer, missing, ..raw }
             }
             Message::Piece { transfer, index, conflicting, last, lines } => {
-                Raw { w: 3, t: transfer, i: index, q: last, h: u64::from(conflicting), l: lines, ..raw }
+                Raw { kind: 3, transfer, index, flag: last, hash: u64::from(conflicting), lines, ..raw }
             }
-            Message::Unknown(w) => Raw { w, ..raw },
+            Message::Unknown(kind) => Raw { kind, ..raw },
         }
     }
 }
 
 impl From<Raw> for Message {
     fn from(raw: Raw) -> Message {
-        let Raw { w, n, h, p, q, t, k, i, l } = raw;
-        match w {
-            1 => Message::Digest { newest: n, hash: h },
-            2 => Message::Have { files: p, wants_reply: q, missing: (!k.is_empty()).then_some((t, k)) },
-            3 => Message::Piece { transfer: t, index: i, conflicting: h != 0, last: q, lines: l },
-            _ => Message::Unknown(w),
+        let Raw { kind, newest, hash, files, flag, transfer, missing, index, lines } = raw;
+        match kind {
+            1 => Message::Digest { newest, hash },
+            2 => Message::Have {
+                files,
+                wants_reply: flag,
+                missing: (!missing.is_empty()).then_some((transfer, missing)),
+            },
+            3 => Message::Piece { transfer, index, conflicting: hash != 0, last: flag, lines },
+            _ => Message::Unknown(kind),
         }
     }
 }
@@ -296,10 +311,10 @@
 
     /// Adds a verified accounts file that this node received from an operator, and announces it if it changed the registry.
     pub fn add_file(&mut self, accounts_file: &AccountsFile, now: Micros) {
-        let before = self.registry.hash();
+        let hash_before = self.registry.hash();
         let updates = self.registry.add_file(accounts_file);
         self.queue_updates(updates);
-        if self.registry.hash() != before {
+        if self.registry.hash() != hash_before {
             self.announce(accounts_file.number, now);
         }
     }
@@ -338,8 +353,8 @@
             Message::Have { files, wants_reply, missing } => {
                 let mut max_pieces = MAX_PIECES_PER_REPLY;
                 let mut known_or_sent = files.clone();
-                if let Some((transfer, which)) = missing {
-                    let sent = self.send_pieces(from, *transfer, which, now);
+                if let Some((transfer, indices)) = missing {
+                    let sent = self.send_pieces(from, *transfer, indices, now);
                     max_pieces = max_pieces.saturating_sub(sent);
                     known_or_sent.extend((sent > 0).then_some(transfer.file));
                 }
@@ -401,20 +416,20 @@
         Some(pieces)
     }
 
-    /// Sends the files that a peer with the files `theirs` is missing, newest first, except for those in `skipped`.
+    /// Sends the files that a peer with the files `peer_files` is missing, newest first, except for those in `skipped`.
     fn send_missing(
         &mut self,
         to: u32,
-        theirs: &[(u64, u64)],
+        peer_files: &[(u64, u64)],
         skipped: &[(u64, u64)],
         mut max_pieces: usize,
         now: Micros,
     ) {
         let min_number =
-            if theirs.len() < MAX_FILES { 0 } else { theirs.iter().map(|p| p.0).min().unwrap_or(0) };
-        let own = self.registry.file_ids();
-        let common: Vec<(u64, u64)> = own.iter().filter(|p| theirs.contains(p)).copied().collect();
-        for file in own.into_iter().filter(|p| p.0 >= min_number && !skipped.contains(p)) {
+            if peer_files.len() < MAX_FILES { 0 } else { peer_files.iter().map(|p| p.0).min().unwrap_or(0) };
+        let own_files = self.registry.file_ids();
+        let common: Vec<(u64, u64)> = own_files.iter().filter(|p| peer_files.contains(p)).copied().collect();
+        for file in own_files.into_iter().filter(|p| p.0 >= min_number && !skipped.contains(p)) {
             let nearest = common.iter().min_by_key(|b| b.0.abs_diff(file.0)).copied();
             if max_pieces == 0 || !self.has_token(now) {
                 return;
@@ -440,28 +455,28 @@
     ) -> usize {
         let Some(pieces) = self.pieces_of(file, base) else { return 0 };
         let transfer = FileTransfer { file, base, piece_count: pieces.len() as u32 };
-        let which: Vec<u32> = (0..transfer.piece_count).take(max_pieces).collect();
-        self.send_pieces(to, transfer, &which, now)
+        let indices: Vec<u32> = (0..transfer.piece_count).take(max_pieces).collect();
+        self.send_pieces(to, transfer, &indices, now)
     }
 
-    fn send_pieces(&mut self, to: u32, transfer: FileTransfer, which: &[u32], now: Micros) -> usize {
+    fn send_pieces(&mut self, to: u32, transfer: FileTransfer, indices: &[u32], now: Micros) -> usize {
         let all = self.pieces_of(transfer.file, transfer.base).unwrap_or_default();
         if all.len() != transfer.piece_count as usize {
             return 0;
         }
         let conflicting = self.registry.file(transfer.file.0).is_some_and(|p| p.conflicting);
-        let which: Vec<u32> = which
+        let indices: Vec<u32> = indices
             .iter()
             .copied()
             .filter(|index| *index < transfer.piece_count)
             .take(MAX_PIECES_PER_REPLY)
             .collect();
-        for index in &which {
+        for index in &indices {
             let lines = all.get(*index as usize).cloned().unwrap_or_default();
-            let last = which.last() == Some(index);
+            let last = indices.last() == Some(index);
             self.send(to, Message::Piece { transfer, index: *index, conflicting, last, lines }, now);
         }
-        which.len()
+        indices.len()
     }
 
     fn send_have(&mut self, to: u32, wants_reply: bool, now: Micros) {
@@ -520,10 +535,10 @@
             Some(file) if base.0 != 0 => file.accounts.clone(),
             _ => BTreeMap::new(),
         };
-        let all: Vec<&AccountLine> = partial.received.values().flatten().collect();
-        let named: BTreeSet<&str> = all.iter().map(|t| t.account.as_str()).collect();
-        accounts.retain(|a, _| !named.contains(a.as_str()));
-        for line in all {
+        let received_lines: Vec<&AccountLine> = partial.received.values().flatten().collect();
+        let listed: BTreeSet<&str> = received_lines.iter().map(|t| t.account.as_str()).collect();
+        accounts.retain(|a, _| !listed.contains(a.as_str()));
+        for line in received_lines {
             if let Some(standing) = line.standing {
                 let entry = Line { standing, from: Reverse(line.from), reason: line.reason.clone() };
                 accounts.entry(line.account.clone()).or_default().push(entry);
@@ -534,19 +549,19 @@
             self.counts.refused = self.counts.refused.saturating_add(1);
             return;
         }
-        let before = self.registry.hash();
+        let hash_before = self.registry.hash();
         let updates = self.registry.merge_file(number, &file);
         self.queue_updates(updates);
-        if self.registry.hash() != before {
+        if self.registry.hash() != hash_before {
             self.announce(number, now);
         }
     }
 
     /// Sends the file with this number to some random peers, or a digest if the file has too many pieces.
     fn announce(&mut self, number: u64, now: Micros) {
-        let listed = self.registry.file_ids();
-        let Some(file) = listed.iter().find(|p| p.0 == number).copied() else { return };
-        let base = listed.iter().find(|p| p.0 < number).copied().unwrap_or_default();
+        let file_ids = self.registry.file_ids();
+        let Some(file) = file_ids.iter().find(|p| p.0 == number).copied() else { return };
+        let base = file_ids.iter().find(|p| p.0 < number).copied().unwrap_or_default();
         let short_enough =
             self.pieces_of(file, base).is_some_and(|pieces| pieces.len() <= MAX_UNSOLICITED_PIECES);
         for to in self.random_peers(FANOUT) {
