--- a/crates/quota/src/messages.rs
+++ b/crates/quota/src/messages.rs
@@ -72,7 +72,7 @@
         /// The incarnation that sends the message.
         #[serde(flatten)]
         holder: NodeIncarnation,
-        /// The version of the node's configuration file of budgets.
+        /// The version of the node's configuration of budgets.
         plan: u64,
         /// One claim for each budget.
         #[serde(rename = "c")]
@@ -97,14 +97,14 @@
         #[serde(rename = "of")]
         grants: Vec<(String, u32, u64)>,
     },
-    /// From the leader: answers [`Message::Ask`].
+    /// From the leader: answers [`Message::Ask`] with the node's new grants.
     Grants {
         /// The incarnation that receives the grants.
         #[serde(flatten)]
         holder: NodeIncarnation,
         /// The latest version of the configuration file whose reserves nodes may use.
         plan: u64,
-        /// One grant for each budget; budgets of which nothing could be granted are left out.
+        /// The new grants. A budget without a new grant is left out.
         #[serde(rename = "g")]
         grants: Vec<BudgetGrant>,
     },
@@ -115,7 +115,7 @@
         #[serde(flatten)]
         holder: NodeIncarnation,
     },
-    /// From an allocator that is not the leader: answers [`Message::Ask`].
+    /// From an allocator that is not the leader: answers [`Message::Ask`] with the leader's name.
     #[serde(rename = "elsewhere")]
     NotLeader {
         /// The name of the leader, if the sender knows it.
@@ -132,7 +132,7 @@
     /// Encodes the message for a datagram.
     pub fn bytes(&self) -> Vec<u8> {
         // Serialization can't fail: a message has no map with keys other than strings.
-        serde_json::to_vec(self).expect("JSON writes a message")
+        serde_json::to_vec(self).expect("a message can be encoded as JSON")
     }
 
     /// Decodes the message of a datagram.
