--- a/crates/quota-server/tests/processes.rs
+++ b/crates/quota-server/tests/processes.rs
@@ -53,9 +53,9 @@
 }
 
 /// Returns the channel of the simulated node with this incarnation and these keys.
-fn node_channel(holder: u64, keys: &[&str]) -> Channel {
+fn node_channel(incarnation: u64, keys: &[&str]) -> Channel {
     let key_lines: Vec<String> = keys.iter().map(|k| k.repeat(32)).collect();
-    Channel::new(NodeId::of("n0").0, holder, "tidal", Keys::read(&key_lines.join("\n")).ok().as_ref())
+    Channel::new(NodeId::of("n0").0, incarnation, "tidal", Keys::read(&key_lines.join("\n")).ok().as_ref())
 }
 
 impl Fleet {
