--- a/crates/scheduler/tests/cold.rs
+++ b/crates/scheduler/tests/cold.rs
@@ -53,12 +53,12 @@
     Short,
 }
 
-fn set(schedulers: u32, warming: Warming, works: Works) -> Settings {
-    let class = |work: Micros| ClassSettings {
+fn slow_start_settings(schedulers: u32, warming: Warming, works: Works) -> Settings {
+    let class_of_work = |work: Micros| ClassSettings {
         // An unhinted job is held to be three quarters of this until one has ended.
         latency_objective: work * 4 / 3,
         late_fraction: 0.5,
-        ..class(Idempotency::Idempotent)
+        ..class_settings(Idempotency::Idempotent)
     };
     let [low, high] = if let Works::Classes = works { [WORK / 2, WORK * 3 / 2] } else { [WORK, WORK] };
     let (cold_share, cold_time, fall_time) = match warming {
@@ -70,7 +70,7 @@
         schedulers,
         rank: Some(0),
         capacity_includes_speed: true,
-        classes: vec![class(low), class(high)],
+        classes: vec![class_of_work(low), class_of_work(high)],
         slow_start_min_share: cold_share,
         slow_start_duration: cold_time,
         overload_window: fall_time,
@@ -79,10 +79,10 @@
 }
 
 /// How many requests of mean work the settings allow the worker within the time in which it falls.
-fn allowed(set: &Settings, at: Micros) -> f64 {
-    let age = ((at - TOLD) as f64 / set.slow_start_duration as f64).min(1.0);
-    let part = set.slow_start_min_share + (1.0 - set.slow_start_min_share) * age;
-    set.overload_multiple * part * set.overload_window as f64 / WORK as f64
+fn allowed(settings: &Settings, at: Micros) -> f64 {
+    let age = ((at - TOLD) as f64 / settings.slow_start_duration as f64).min(1.0);
+    let part = settings.slow_start_min_share + (1.0 - settings.slow_start_min_share) * age;
+    settings.overload_multiple * part * settings.overload_window as f64 / WORK as f64
 }
 
 /// Something that happens to a scheduler.
@@ -94,7 +94,7 @@
 }
 
 /// What one scheduler sends to the cold worker: when, and how much work.
-fn sent(set: &Settings, seed: u64, works: Works, before: Before, burst: Micros) -> Vec<(Micros, f64)> {
+fn sent(settings: &Settings, seed: u64, works: Works, before: Before, burst: Micros) -> Vec<(Micros, f64)> {
     let mut rng = oorandom::Rand64::new(u128::from(seed) + 1_000_000);
     let mut agenda: BTreeMap<(Micros, u64), Step> = BTreeMap::new();
     let mut count = 1;
@@ -134,49 +134,49 @@
     agenda.insert((TOLD, 0), Step::Told);
     agenda.insert((burst, 1), Step::Drains);
     // Some know their numbers, others don't.
-    let rank = set.rank.map(|_| (seed % 1_000) as u32);
-    let balancer = Scheduler::new(Settings { rank, ..set.clone() }, seed);
-    let mut rig = Rig { balancer, now: 0, wakes: vec![] };
-    let cores = if let Before::Weighed = before { 0.4 * f64::from(set.schedulers) } else { 1.0 };
-    let warm = Endpoint { capacity: cores, ..member(1) };
+    let rank = settings.rank.map(|_| (seed % 1_000) as u32);
+    let scheduler = Scheduler::new(Settings { rank, ..settings.clone() }, seed);
+    let mut harness = Harness { scheduler, now: 0, wake_ups: vec![] };
+    let cores = if let Before::Weighed = before { 0.4 * f64::from(settings.schedulers) } else { 1.0 };
+    let warm = Endpoint { capacity: cores, ..live_endpoint(1) };
     let elsewhere = matches!(before, Before::Elsewhere | Before::Weighed);
-    rig.event(Event::EndpointList(if elsewhere { vec![warm.clone()] } else { vec![] }));
+    harness.handle(Event::EndpointList(if elsewhere { vec![warm.clone()] } else { vec![] }));
     let (mut sent, mut open, mut number) = (Vec::new(), BTreeMap::new(), 1_000);
     while let Some((&(at, _), _)) = agenda.first_key_value() {
-        let at = rig.wakes.iter().copied().min().map_or(at, |wake| at.min(wake));
-        let mut actions = rig.pass(at - rig.now);
+        let at = harness.wake_ups.iter().copied().min().map_or(at, |wake| at.min(wake));
+        let mut actions = harness.advance(at - harness.now);
         while agenda.first_key_value().is_some_and(|((due, _), _)| *due <= at) {
             let ((_, id), event) = agenda.pop_first().unwrap();
             actions.extend(match event {
                 Step::Told => {
-                    let cold = Endpoint { started_at: TOLD, capacity: 1.0, ..member(0) };
+                    let cold = Endpoint { started_at: TOLD, capacity: 1.0, ..live_endpoint(0) };
                     let busy = matches!(before, Before::Weighed)
                         .then(|| Endpoint { capacity: 0.1 * cores, ..warm.clone() });
-                    rig.event(Event::EndpointUpdate(busy.into_iter().chain([cold]).collect()))
+                    harness.handle(Event::EndpointUpdate(busy.into_iter().chain([cold]).collect()))
                 }
                 Step::Drains if elsewhere => {
                     let gone = Endpoint { state: EndpointState::Draining, ..warm.clone() };
-                    rig.event(Event::EndpointUpdate(vec![gone]))
+                    harness.handle(Event::EndpointUpdate(vec![gone]))
                 }
                 Step::Drains => vec![],
                 Step::Asked(work, hint, class) => {
                     open.insert(id, work);
-                    rig.event(Event::RequestArrived(Request { work_hint: hint, ..request(id, class) }))
+                    harness.handle(Event::RequestArrived(Request { work_hint: hint, ..request(id, class) }))
                 }
-                Step::Ended(id, attempt) => rig.ended(id, attempt, AttemptStatus::Ok),
+                Step::Ended(id, attempt) => harness.attempt_ended(id, attempt, AttemptStatus::Ok),
             });
         }
         // A request is sent but once here: each attempt is answered.
         while !actions.is_empty() {
             let mut more = Vec::new();
-            for (id, worker) in sends(&actions) {
+            for (id, endpoint) in new_attempts(&actions) {
                 let work: Micros = open.remove(&id).expect("sent twice");
-                if worker == 0 {
-                    sent.push((rig.now, work as f64 / WORK as f64));
+                if endpoint == 0 {
+                    sent.push((harness.now, work as f64 / WORK as f64));
                 }
-                more.extend(rig.started(id));
+                more.extend(harness.attempt_started(id));
                 number += 1;
-                agenda.insert((rig.now + work, number), Step::Ended(id, 0));
+                agenda.insert((harness.now + work, number), Step::Ended(id, 0));
             }
             actions = more;
         }
@@ -186,22 +186,22 @@
 
 /// How much over what it bears a worker is sent at the worst while it is cold, and how much of what is allowed in the time of
 /// the burst.
-fn burst(set: &Settings, seed: u64, works: Works, before: Before, age: Micros) -> (f64, f64) {
+fn burst(settings: &Settings, seed: u64, works: Works, before: Before, age: Micros) -> (f64, f64) {
     let at = TOLD + age;
-    let of = |n: u32| sent(set, seed * 1_000 + u64::from(n), works, before, at);
-    let mut all: Vec<(Micros, f64)> = (0..set.schedulers).flat_map(of).collect();
+    let of = |n: u32| sent(settings, seed * 1_000 + u64::from(n), works, before, at);
+    let mut all: Vec<(Micros, f64)> = (0..settings.schedulers).flat_map(of).collect();
     all.sort_by_key(|s| s.0);
     let load = |end: Micros| -> f64 {
-        all.iter().filter(|s| s.0 > end - set.overload_window && s.0 <= end).map(|s| s.1).sum()
+        all.iter().filter(|s| s.0 > end - settings.overload_window && s.0 <= end).map(|s| s.1).sum()
     };
     let over = |end: Micros| {
-        let n = allowed(set, end);
+        let n = allowed(settings, end);
         load(end) - (n + 2.0 * n.sqrt() + 2.0)
     };
-    let cold = all.iter().filter(|s| s.0 < TOLD + set.slow_start_duration);
+    let cold = all.iter().filter(|s| s.0 < TOLD + settings.slow_start_duration);
     let worst = cold.map(|s| over(s.0)).fold(f64::MIN, f64::max);
-    let end = at + set.overload_window - 1;
-    (worst, load(end) / allowed(set, end))
+    let end = at + settings.overload_window - 1;
+    (worst, load(end) / allowed(settings, end))
 }
 
 /// No burst fells the worker. What nodes have saved while they were quiet must not come to more than that in its sum.
@@ -211,13 +211,15 @@
     for (warming, works) in
         [Warming::Fast, Warming::Slow, Warming::Short].iter().flat_map(|w| kinds.map(|k| (*w, k)))
     {
-        let set = set(schedulers, warming, works);
-        let ages = AGES.map(|age| (age * set.overload_window as f64) as Micros);
+        let settings = slow_start_settings(schedulers, warming, works);
+        let ages = AGES.map(|age| (age * settings.overload_window as f64) as Micros);
         // Once it is warm nothing fells it.
-        for age in ages.into_iter().filter(|age| age + set.overload_window <= set.slow_start_duration) {
+        for age in
+            ages.into_iter().filter(|age| age + settings.overload_window <= settings.slow_start_duration)
+        {
             let (mut here, mut worst, mut used) = (0, f64::MIN, 0.0);
             for seed in 0..SEEDS {
-                let (over, load) = burst(&set, seed, works, before, age);
+                let (over, load) = burst(&settings, seed, works, before, age);
                 here += u32::from(over > 0.0);
                 worst = worst.max(over);
                 used += load / SEEDS as f64;
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -1,29 +1,31 @@
-//! Scripted events for the tests of the decision module.
+//! Settings, events and a harness for the scheduler's tests.
 #![allow(dead_code)] // each test file uses a part
 
 use shorepath_scheduler::Scheduler;
 use shorepath_scheduler::*;
 
+/// A millisecond, in microseconds.
 pub const MS: Micros = 1_000;
+/// A second, in microseconds.
 pub const S: Micros = 1_000_000;
 
-/// A class wanted within 100 ms, given up after 5 s.
-pub fn class(effect: Idempotency) -> ClassSettings {
+/// Returns a class with a latency objective of 100 ms and a deadline of 5 s.
+pub fn class_settings(idempotency: Idempotency) -> ClassSettings {
     ClassSettings {
         latency_objective: 100 * MS,
         work_factor: 2.0,
         deadline: 5 * S,
-        idempotency: effect,
+        idempotency,
         ..ClassSettings::default()
     }
 }
 
-/// Class 0 is safe, class 1 unsafe; no tenants; starts are told.
+/// Returns settings without tenants. Class 0 is idempotent and class 1 is not; endpoints report starts.
 pub fn settings() -> Settings {
     Settings {
         schedulers: 2,
         tick: MS,
-        classes: vec![class(Idempotency::Idempotent), class(Idempotency::NonIdempotent)],
+        classes: vec![class_settings(Idempotency::Idempotent), class_settings(Idempotency::NonIdempotent)],
         over_share_fraction: 0.1,
         reports_starts: true,
         can_cancel: true,
@@ -37,7 +39,8 @@
     }
 }
 
-pub fn member(n: u32) -> Endpoint {
+/// Returns a live endpoint of four cores in zone 0 that started long ago.
+pub fn live_endpoint(n: u32) -> Endpoint {
     Endpoint {
         id: EndpointId(n),
         name_hash: u64::from(n),
@@ -50,6 +53,7 @@
     }
 }
 
+/// Returns a first try with neither tenant, key nor work hint.
 pub fn request(id: u64, class: usize) -> Request {
     Request {
         id: RequestId(id),
@@ -65,76 +69,78 @@
     }
 }
 
-/// A module with the actions of its last event.
-pub struct Rig {
-    pub balancer: Scheduler,
+/// A scheduler with a simulated clock. Its methods return the actions that the events lead to.
+pub struct Harness {
+    pub scheduler: Scheduler,
     pub now: Micros,
-    /// When the module asked to be woken.
-    pub wakes: Vec<Micros>,
+    /// The times of the wake-ups that the scheduler has asked for.
+    pub wake_ups: Vec<Micros>,
 }
 
-impl Rig {
-    pub fn new(settings: Settings, workers: u32) -> Rig {
-        let mut rig = Rig { balancer: Scheduler::new(settings, 1), now: S, wakes: vec![] };
-        rig.event(Event::EndpointList((0..workers).map(member).collect()));
-        rig
+impl Harness {
+    /// Returns a harness whose endpoint list has this many live endpoints, numbered from 0.
+    pub fn new(settings: Settings, endpoints: u32) -> Harness {
+        let mut harness = Harness { scheduler: Scheduler::new(settings, 1), now: S, wake_ups: vec![] };
+        harness.handle(Event::EndpointList((0..endpoints).map(live_endpoint).collect()));
+        harness
     }
 
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.balancer.handle(self.now, event, &mut out);
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.scheduler.handle(self.now, event, &mut actions);
         let now = self.now;
-        let wake =
-            |a: &Action| if let Action::WakeAfter { delay: after } = a { Some(now + after) } else { None };
-        self.wakes.extend(out.iter().filter_map(wake));
-        out
+        let wake_up = |a: &Action| if let Action::WakeAfter { delay } = a { Some(now + delay) } else { None };
+        self.wake_ups.extend(actions.iter().filter_map(wake_up));
+        actions
     }
 
-    /// Let time pass and wake the module, each time that it asked for it.
-    pub fn pass(&mut self, time: Micros) -> Vec<Action> {
-        let (end, mut out) = (self.now + time, Vec::new());
-        while let Some(at) = self.wakes.iter().copied().filter(|&at| at <= end).min() {
-            self.wakes.retain(|&w| w > at);
+    /// Advances the clock and delivers each wake-up that is due, and one more at the end.
+    pub fn advance(&mut self, duration: Micros) -> Vec<Action> {
+        let (end, mut actions) = (self.now + duration, Vec::new());
+        while let Some(at) = self.wake_ups.iter().copied().filter(|&at| at <= end).min() {
+            self.wake_ups.retain(|&w| w > at);
             self.now = self.now.max(at);
-            out.extend(self.event(Event::Wake));
+            actions.extend(self.handle(Event::Wake));
         }
         self.now = end;
-        out.extend(self.event(Event::Wake));
-        out
+        actions.extend(self.handle(Event::Wake));
+        actions
     }
 
-    /// Stand still for a time: no event is handed in, and no wake-up.
-    pub fn stand(&mut self, time: Micros) {
-        self.now += time;
+    /// Advances the clock without any event or wake-up, as when the process is stopped.
+    pub fn advance_without_events(&mut self, duration: Micros) {
+        self.now += duration;
     }
 
-    pub fn ask(&mut self, id: u64, class: usize) -> Vec<Action> {
-        self.event(Event::RequestArrived(request(id, class)))
+    pub fn request_arrived(&mut self, id: u64, class: usize) -> Vec<Action> {
+        self.handle(Event::RequestArrived(request(id, class)))
     }
 
-    pub fn started(&mut self, id: u64) -> Vec<Action> {
-        self.event(Event::AttemptStarted { id: RequestId(id), attempt: 0 })
+    /// Reports the start of a request's first attempt.
+    pub fn attempt_started(&mut self, id: u64) -> Vec<Action> {
+        self.handle(Event::AttemptStarted { id: RequestId(id), attempt: 0 })
     }
 
-    pub fn ended(&mut self, id: u64, attempt: u32, status: AttemptStatus) -> Vec<Action> {
-        let settled = status == AttemptStatus::Ok;
-        self.event(Event::AttemptEnded { id: RequestId(id), attempt, status, is_final: settled })
+    /// Reports the end of an attempt, which is final if its status is `Ok`.
+    pub fn attempt_ended(&mut self, id: u64, attempt: u32, status: AttemptStatus) -> Vec<Action> {
+        let is_final = status == AttemptStatus::Ok;
+        self.handle(Event::AttemptEnded { id: RequestId(id), attempt, status, is_final })
     }
 }
 
-/// Where each send among these actions goes.
-pub fn sends(actions: &[Action]) -> Vec<(u64, u32)> {
-    let send = |a: &Action| match a {
-        Action::StartAttempt { id, endpoint: worker } => Some((id.0, worker.0)),
+/// Returns the request and the endpoint of each attempt that the actions start.
+pub fn new_attempts(actions: &[Action]) -> Vec<(u64, u32)> {
+    let new_attempt = |a: &Action| match a {
+        Action::StartAttempt { id, endpoint } => Some((id.0, endpoint.0)),
         _ => None,
     };
-    actions.iter().filter_map(send).collect()
+    actions.iter().filter_map(new_attempt).collect()
 }
 
-pub fn refused(actions: &[Action], id: u64) -> bool {
+pub fn is_shed(actions: &[Action], id: u64) -> bool {
     actions.iter().any(|a| matches!(a, Action::Shed { id: i, .. } if i.0 == id))
 }
 
-pub fn failed(actions: &[Action], id: u64) -> bool {
+pub fn is_failed(actions: &[Action], id: u64) -> bool {
     actions.contains(&Action::Fail { id: RequestId(id) })
 }
--- a/crates/scheduler/tests/random.rs
+++ b/crates/scheduler/tests/random.rs
@@ -15,30 +15,30 @@
 
 fn run(seed: u64) {
     let mut rng = oorandom::Rand64::new(seed as u128);
-    let mut set = settings();
+    let mut settings = settings();
     // Few workers among many schedulers: they are probed.
-    set.probing = seed.is_multiple_of(2);
-    set.schedulers = if set.probing { 12 } else { 2 };
-    set.reports_starts = !seed.is_multiple_of(3);
-    set.overloaded_may_have_run = seed % 4 > 1;
+    settings.probing = seed.is_multiple_of(2);
+    settings.schedulers = if settings.probing { 12 } else { 2 };
+    settings.reports_starts = !seed.is_multiple_of(3);
+    settings.overloaded_may_have_run = seed % 4 > 1;
     let tenant = TenantSettings { share: 0.5, quota_per_second: 20.0 };
-    set.tenants = vec![tenant.clone(), tenant];
+    settings.tenants = vec![tenant.clone(), tenant];
     let keyed = Idempotency::Keyed { scope: DedupScope::Zone, window: S };
-    set.classes.push(class(keyed));
+    settings.classes.push(class_settings(keyed));
     if seed % 3 == 1 {
-        set.retry_budget = Some(RetryBudget { window: S, min_retries: 1.0, ratio: 0.1 });
+        settings.retry_budget = Some(RetryBudget { window: S, min_retries: 1.0, ratio: 0.1 });
     }
-    set.only_draining_excludes = seed % 5 > 2;
+    settings.only_draining_excludes = seed % 5 > 2;
     let (mut taken, mut extras): (Vec<Micros>, Vec<Micros>) = (vec![], vec![]);
     let slack = 20 * MS;
-    let mut balancer = Scheduler::new(set.clone(), seed);
-    let mut workers: Vec<Endpoint> =
-        (0..6).map(|n| Endpoint { zone: ZoneId(n % 2), cell: n / 3, ..member(n) }).collect();
+    let mut scheduler = Scheduler::new(settings.clone(), seed);
+    let mut endpoints: Vec<Endpoint> =
+        (0..6).map(|n| Endpoint { zone: ZoneId(n % 2), cell: n / 3, ..live_endpoint(n) }).collect();
     let mut told: BTreeMap<u32, Micros> = BTreeMap::new();
     let mut known: BTreeMap<u64, Known> = BTreeMap::new();
     let mut cold: BTreeMap<u32, Vec<Micros>> = BTreeMap::new();
     let (mut now, mut wake, mut next) = (S, Micros::MAX, 0u64);
-    let mut events = vec![Event::EndpointList(workers.clone())];
+    let mut events = vec![Event::EndpointList(endpoints.clone())];
     let mut probed: Vec<(Micros, u32)> = vec![];
     let mut probes = 0;
     for step in 0..30_000 {
@@ -65,14 +65,14 @@
             let standing = [EndpointState::Live, EndpointState::Draining, EndpointState::Removed]
                 [rng.rand_range(0..3) as usize];
             if standing == EndpointState::Live {
-                workers[n].started_at = now;
+                endpoints[n].started_at = now;
                 told.remove(&(n as u32));
                 cold.remove(&(n as u32));
-            } else if standing == EndpointState::Draining || !set.only_draining_excludes {
+            } else if standing == EndpointState::Draining || !settings.only_draining_excludes {
                 told.entry(n as u32).or_insert(now);
             }
-            workers[n].state = standing;
-            events.push(Event::EndpointUpdate(vec![workers[n].clone()]));
+            endpoints[n].state = standing;
+            events.push(Event::EndpointUpdate(vec![endpoints[n].clone()]));
         }
         for (&id, k) in known.iter_mut() {
             for (attempt, a) in k.attempts.iter_mut().enumerate().filter(|(_, a)| a.1) {
@@ -97,7 +97,7 @@
                 };
                 a.1 = false;
                 a.2 = match status {
-                    AttemptStatus::Overloaded => set.overloaded_may_have_run,
+                    AttemptStatus::Overloaded => settings.overloaded_may_have_run,
                     _ => !matches!(status, AttemptStatus::ConnectFailed | AttemptStatus::NotSent),
                 };
                 k.over |= status == AttemptStatus::Ok;
@@ -111,7 +111,7 @@
             }
         }
         while let Some(k) = probed.iter().position(|p| p.0 <= now) {
-            let (worker, held) = (EndpointId(probed.swap_remove(k).1), rng.rand_range(0..6) as f64);
+            let (endpoint, held) = (EndpointId(probed.swap_remove(k).1), rng.rand_range(0..6) as f64);
             let all = [
                 AttemptStatus::Ok,
                 AttemptStatus::Ok,
@@ -122,20 +122,20 @@
             ];
             let status = all[rng.rand_range(0..6) as usize];
             let report = LoadReport { free_slots: Some((2.0 - held).max(0.0)), in_flight: Some(held) };
-            events.push(Event::ProbeEnded { endpoint: worker, status, report });
+            events.push(Event::ProbeEnded { endpoint, status, report });
         }
         let mut actions = Vec::new();
         for event in events.drain(..) {
-            balancer.handle(now, event, &mut actions);
+            scheduler.handle(now, event, &mut actions);
         }
         for action in actions {
             match action {
-                Action::StartAttempt { id, endpoint: worker } => {
+                Action::StartAttempt { id, endpoint } => {
                     let k = known.get_mut(&id.0).unwrap();
                     assert!(!k.over, "sent after the end");
                     assert!(k.attempts.iter().all(|a| !a.1), "two attempts at once");
-                    assert!((k.attempts.len() as u32) < set.max_attempts);
-                    if let Some(r) = set.retry_budget.filter(|_| !k.attempts.is_empty()) {
+                    assert!((k.attempts.len() as u32) < settings.max_attempts);
+                    if let Some(r) = settings.retry_budget.filter(|_| !k.attempts.is_empty()) {
                         extras.push(now);
                         let asked = taken.iter().filter(|&&at| at > now - r.window).count() as f64;
                         let further = extras.iter().filter(|&&at| at >= now - r.window).count() as f64;
@@ -145,27 +145,28 @@
                         );
                     }
                     if let Some(first) = k.attempts.iter().find(|a| a.2) {
-                        match set.classes[k.class].idempotency {
+                        match settings.classes[k.class].idempotency {
                             Idempotency::Idempotent => {}
                             Idempotency::NonIdempotent => {
                                 panic!("an unsafe request that may have run was sent again")
                             }
                             Idempotency::Keyed { window: memory, .. } => {
-                                assert!(now <= first.3 + memory && first.0 % 2 == worker.0 % 2);
+                                assert!(now <= first.3 + memory && first.0 % 2 == endpoint.0 % 2);
                             }
                         }
                     }
-                    if let Some(&at) = told.get(&worker.0) {
-                        assert!(now <= at + set.drain_grace, "sent to a leaving worker");
+                    if let Some(&at) = told.get(&endpoint.0) {
+                        assert!(now <= at + settings.drain_grace, "sent to a leaving worker");
                     }
-                    k.attempts.push((worker.0, true, false, now));
-                    let born = workers[worker.0 as usize].started_at;
-                    if born > 0 && now < born + set.slow_start_duration {
-                        let sent = cold.entry(worker.0).or_default();
+                    k.attempts.push((endpoint.0, true, false, now));
+                    let born = endpoints[endpoint.0 as usize].started_at;
+                    if born > 0 && now < born + settings.slow_start_duration {
+                        let sent = cold.entry(endpoint.0).or_default();
                         sent.push(now);
-                        let window = sent.iter().filter(|&&at| at > now - set.overload_window).count();
-                        let age = (now - born) as f64 / set.slow_start_duration as f64;
-                        let part = set.slow_start_min_share + (1.0 - set.slow_start_min_share) * age;
+                        let window = sent.iter().filter(|&&at| at > now - settings.overload_window).count();
+                        let age = (now - born) as f64 / settings.slow_start_duration as f64;
+                        let part =
+                            settings.slow_start_min_share + (1.0 - settings.slow_start_min_share) * age;
                         // A job ends after 33 ms in the mean, so 4 cores do 120 a second: our half of the limit.
                         let limit = 3.0 * 120.0 * part * 1.5 / 2.0;
                         assert!(window as f64 <= limit, "{window} sends to a cold worker, {limit}");
@@ -191,10 +192,10 @@
                     }
                 }
                 Action::WakeAfter { delay: after } => wake = wake.min(now + after.max(MS)),
-                Action::Probe { endpoint: worker } => {
-                    let told = told.get(&worker.0).is_none_or(|at| now <= at + set.drain_grace);
+                Action::Probe { endpoint } => {
+                    let told = told.get(&endpoint.0).is_none_or(|at| now <= at + settings.drain_grace);
                     assert!(told, "probed a leaving worker");
-                    probed.push((now + rng.rand_range(1..60) as Micros * MS, worker.0));
+                    probed.push((now + rng.rand_range(1..60) as Micros * MS, endpoint.0));
                     probes += 1;
                 }
                 Action::CloseIdleConnections { .. } | Action::Subscribe => {}
@@ -206,7 +207,7 @@
         });
     }
     assert!(known.values().all(|k| k.over), "left without an answer");
-    assert!(next > 3_000 && (probes > 200) == set.probing, "{next} requests, {probes} probes");
+    assert!(next > 3_000 && (probes > 200) == settings.probing, "{next} requests, {probes} probes");
 }
 
 #[test]
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -1,562 +1,589 @@
-//! The four rules and the answers to failures, one scripted test each.
+//! Scripted tests of retries, drains, slow start and outlier detection: what is started where, shed or failed.
 
 mod common;
 use common::*;
 use shorepath_scheduler::*;
 
 #[test]
-fn held_requests_are_refused_before_they_are_hopeless() {
-    let mut rig = Rig::new(settings(), 2);
-    // The window is two at the start.
-    assert_eq!(sends(&rig.ask(1, 1)).len(), 1);
-    assert_eq!(sends(&rig.ask(2, 1)).len(), 1);
-    rig.event(Event::AttemptStarted { id: RequestId(1), attempt: 0 });
-    rig.ended(1, 0, AttemptStatus::Error);
-    rig.ask(3, 1);
-    assert!(sends(&rig.ask(4, 1)).is_empty(), "one unstarted job of ours a worker, at most");
-    // Work is taken to be 75 ms at first: due at 250 ms, hopeless at 175 ms.
-    assert!(!refused(&rig.pass(99 * MS), 4));
-    rig.stand(77 * MS); // not woken when the others are stuck, which would make room
-    assert!(refused(&rig.event(Event::Wake), 4));
+fn queued_requests_are_shed_before_they_would_end_late() {
+    let mut harness = Harness::new(settings(), 2);
+    // The concurrency limit is two at first.
+    assert_eq!(new_attempts(&harness.request_arrived(1, 1)).len(), 1);
+    assert_eq!(new_attempts(&harness.request_arrived(2, 1)).len(), 1);
+    harness.handle(Event::AttemptStarted { id: RequestId(1), attempt: 0 });
+    harness.attempt_ended(1, 0, AttemptStatus::Error);
+    harness.request_arrived(3, 1);
+    assert!(
+        new_attempts(&harness.request_arrived(4, 1)).is_empty(),
+        "at most one unstarted request for each endpoint"
+    );
+    // The assumed work is 75 ms, so the request is due at 250 ms and is late if it starts after 175 ms.
+    assert!(!is_shed(&harness.advance(99 * MS), 4));
+    // A wake-up before this time would cancel the stuck attempts, which frees a slot.
+    harness.advance_without_events(77 * MS);
+    assert!(is_shed(&harness.handle(Event::Wake), 4));
 }
 
 #[test]
-fn unsafe_that_may_have_run_is_neither_sent_again_nor_refused() {
+fn non_idempotent_request_that_may_have_run_fails_without_a_retry() {
     for status in
         [AttemptStatus::Error, AttemptStatus::Reset, AttemptStatus::Timeout, AttemptStatus::Cancelled]
     {
-        let mut rig = Rig::new(settings(), 3);
-        rig.ask(1, 1);
-        let actions = rig.ended(1, 0, status);
-        assert!(failed(&actions, 1), "{status:?}");
-        assert!(sends(&actions).is_empty(), "{status:?}");
+        let mut harness = Harness::new(settings(), 3);
+        harness.request_arrived(1, 1);
+        let actions = harness.attempt_ended(1, 0, status);
+        assert!(is_failed(&actions, 1), "{status:?}");
+        assert!(new_attempts(&actions).is_empty(), "{status:?}");
     }
 }
 
-/// Where workers may turn away what they had begun, 'full' proves nothing.
+/// `Overloaded` allows a retry of a non-idempotent request only where the endpoints reject before they start.
 #[test]
-fn full_is_a_proof_only_where_the_setting_says_so() {
-    for (begun, class_of) in [(false, 0), (false, 1), (false, 2), (true, 0), (true, 1), (true, 2)] {
-        let mut set = settings();
-        set.overloaded_may_have_run = begun;
-        set.classes.push(class(Idempotency::Keyed { scope: DedupScope::Zone, window: S }));
-        let mut rig = Rig::new(set, 0);
-        let zoned = |n: u32| Endpoint { zone: ZoneId(n), ..member(n) };
-        rig.event(Event::EndpointList((0..2).map(zoned).collect()));
-        let first = sends(&rig.ask(1, class_of))[0].1;
-        let after = rig.ended(1, 0, AttemptStatus::Overloaded);
-        let elsewhere = sends(&after).iter().any(|s| s.1 != first);
-        match class_of {
-            0 => assert!(elsewhere, "a safe one may always go on"),
-            1 => assert!(elsewhere != begun && failed(&after, 1) == begun && !refused(&after, 1)),
-            _ => assert_eq!(elsewhere, !begun, "a keyed one stays in its zone"),
+fn overloaded_proves_not_run_only_if_the_settings_state_it() {
+    for (may_have_run, class) in [(false, 0), (false, 1), (false, 2), (true, 0), (true, 1), (true, 2)] {
+        let mut settings = settings();
+        settings.overloaded_may_have_run = may_have_run;
+        settings.classes.push(class_settings(Idempotency::Keyed { scope: DedupScope::Zone, window: S }));
+        let mut harness = Harness::new(settings, 0);
+        let zoned = |n: u32| Endpoint { zone: ZoneId(n), ..live_endpoint(n) };
+        harness.handle(Event::EndpointList((0..2).map(zoned).collect()));
+        let first = new_attempts(&harness.request_arrived(1, class))[0].1;
+        let actions = harness.attempt_ended(1, 0, AttemptStatus::Overloaded);
+        let elsewhere = new_attempts(&actions).iter().any(|s| s.1 != first);
+        match class {
+            0 => assert!(elsewhere, "an idempotent request may always be retried"),
+            1 => assert!(
+                elsewhere != may_have_run && is_failed(&actions, 1) == may_have_run && !is_shed(&actions, 1)
+            ),
+            _ => assert_eq!(elsewhere, !may_have_run, "a keyed request that may have run stays in its zone"),
         }
     }
 }
 
 #[test]
-fn unsafe_that_never_ran_is_sent_elsewhere() {
+fn non_idempotent_request_that_never_ran_is_retried_elsewhere() {
     for status in [AttemptStatus::Overloaded, AttemptStatus::ConnectFailed] {
-        let mut rig = Rig::new(settings(), 3);
-        let first = sends(&rig.ask(1, 1))[0].1;
-        let again = sends(&rig.ended(1, 0, status));
+        let mut harness = Harness::new(settings(), 3);
+        let first = new_attempts(&harness.request_arrived(1, 1))[0].1;
+        let again = new_attempts(&harness.attempt_ended(1, 0, status));
         assert_eq!(again.len(), 1, "{status:?}");
         assert_ne!(again[0].1, first, "{status:?}");
     }
 }
 
 #[test]
-fn attempts_are_limited_and_the_last_gives_an_answer() {
-    let mut rig = Rig::new(settings(), 5);
-    rig.ask(1, 1);
-    assert_eq!(sends(&rig.ended(1, 0, AttemptStatus::Overloaded)).len(), 1);
-    assert_eq!(sends(&rig.ended(1, 1, AttemptStatus::Overloaded)).len(), 1);
-    let last = rig.ended(1, 2, AttemptStatus::Overloaded);
-    assert!(sends(&last).is_empty() && refused(&last, 1));
+fn request_is_shed_after_its_last_attempt() {
+    let mut harness = Harness::new(settings(), 5);
+    harness.request_arrived(1, 1);
+    assert_eq!(new_attempts(&harness.attempt_ended(1, 0, AttemptStatus::Overloaded)).len(), 1);
+    assert_eq!(new_attempts(&harness.attempt_ended(1, 1, AttemptStatus::Overloaded)).len(), 1);
+    let last = harness.attempt_ended(1, 2, AttemptStatus::Overloaded);
+    assert!(new_attempts(&last).is_empty() && is_shed(&last, 1));
 }
 
 #[test]
-fn keyed_is_repeated_only_in_its_scope_and_memory() {
-    for (scope, cell, late, expect) in [
+fn keyed_request_is_retried_only_within_its_scope_and_window() {
+    for (scope, cell, after_window, is_retried) in [
         (DedupScope::Cell, 0, false, true),
         (DedupScope::Cell, 1, false, false),
         (DedupScope::All, 1, false, true),
         (DedupScope::All, 1, true, false),
     ] {
-        let mut set = settings();
-        set.classes[0].idempotency = Idempotency::Keyed { scope, window: 150 * MS };
-        set.reports_starts = false;
-        let mut rig = Rig::new(set, 1);
-        rig.ask(1, 0);
-        let second = Endpoint { cell, ..member(1) };
-        rig.event(Event::EndpointUpdate(vec![
+        let mut settings = settings();
+        settings.classes[0].idempotency = Idempotency::Keyed { scope, window: 150 * MS };
+        settings.reports_starts = false;
+        let mut harness = Harness::new(settings, 1);
+        harness.request_arrived(1, 0);
+        let second = Endpoint { cell, ..live_endpoint(1) };
+        harness.handle(Event::EndpointUpdate(vec![
             second,
-            Endpoint { state: EndpointState::Draining, ..member(0) },
+            Endpoint { state: EndpointState::Draining, ..live_endpoint(0) },
         ]));
-        rig.now += if late { 151 * MS } else { 20 * MS };
-        let actions = rig.ended(1, 0, AttemptStatus::Reset);
-        assert_eq!(!sends(&actions).is_empty(), expect, "{scope:?} {cell} {late}");
-        if late {
-            assert!(refused(&actions, 1)); // every worker drops repeats, so a refusal is harmless
+        harness.now += if after_window { 151 * MS } else { 20 * MS };
+        let actions = harness.attempt_ended(1, 0, AttemptStatus::Reset);
+        assert_eq!(
+            !new_attempts(&actions).is_empty(),
+            is_retried,
+            "{scope:?}, cell {cell}, after window: {after_window}"
+        );
+        if after_window {
+            assert!(is_shed(&actions, 1)); // all endpoints drop repeats, so the client may safely retry
         }
     }
 }
 
 #[test]
-fn nothing_goes_to_draining_or_missing_workers() {
-    let mut rig = Rig::new(settings(), 2);
-    rig.event(Event::EndpointUpdate(vec![Endpoint { state: EndpointState::Draining, ..member(0) }]));
-    assert_eq!(sends(&rig.ask(1, 0)), [(1, 1)]);
-    rig.event(Event::EndpointList(vec![]));
-    assert!(sends(&rig.ask(2, 0)).is_empty());
-    // An empty list is no reason to lose the request: it goes out when a worker appears.
-    assert_eq!(sends(&rig.event(Event::EndpointUpdate(vec![member(3)]))), [(2, 3)]);
+fn draining_and_unlisted_endpoints_get_no_attempts() {
+    let mut harness = Harness::new(settings(), 2);
+    harness
+        .handle(Event::EndpointUpdate(vec![Endpoint { state: EndpointState::Draining, ..live_endpoint(0) }]));
+    assert_eq!(new_attempts(&harness.request_arrived(1, 0)), [(1, 1)]);
+    harness.handle(Event::EndpointList(vec![]));
+    assert!(new_attempts(&harness.request_arrived(2, 0)).is_empty());
+    // With an empty list the request stays queued until an endpoint appears.
+    assert_eq!(new_attempts(&harness.handle(Event::EndpointUpdate(vec![live_endpoint(3)]))), [(2, 3)]);
 }
 
 #[test]
-fn cold_worker_gets_no_more_than_its_part() {
-    let whole = sent_to_a_cold_worker(1);
-    // 1.5 s of half our part of the limit at 20 to 35% of four cores, 100 ms a job:
-    // under 3 x 4 cores x 0.2, shared by two, which is 1.8 s.
-    assert!((10..=18).contains(&whole), "{whole}");
-    // Two processes that are one scheduler share that part.
-    let half = sent_to_a_cold_worker(2);
-    assert!(half >= 1 && half * 3 < whole * 2, "{half} of {whole}");
+fn endpoint_in_slow_start_gets_no_more_than_its_share() {
+    let one_process = attempts_in_slow_start(1);
+    // At the start the endpoint has a fifth of its capacity. This scheduler's half of the overload limit is
+    // 3 x 1.5 s x 4 cores x 0.2 / 2, which is 1.8 s of work or 18 requests of 100 ms.
+    assert!((10..=18).contains(&one_process), "{one_process}");
+    // Two processes of one scheduler, as during a hot restart, divide its share.
+    let one_of_two = attempts_in_slow_start(2);
+    assert!(one_of_two >= 1 && one_of_two * 3 < one_process * 2, "{one_of_two} of {one_process}");
 }
 
-fn sent_to_a_cold_worker(parts: u32) -> u32 {
-    let mut rig = Rig::new(settings(), 0);
-    let settings = Settings { processes: parts, ..settings() };
-    rig.event(Event::Reconfigure(Box::new(Reconfiguration { settings, reassigned: vec![] })));
-    rig.event(Event::EndpointList(vec![Endpoint { started_at: rig.now, ..member(0) }]));
+/// Returns how many requests a scheduler, divided over `processes`, sends to an endpoint that has just started.
+fn attempts_in_slow_start(processes: u32) -> u32 {
+    let mut harness = Harness::new(settings(), 0);
+    let settings = Settings { processes, ..settings() };
+    harness.handle(Event::Reconfigure(Box::new(Reconfiguration { settings, reassigned: vec![] })));
+    harness.handle(Event::EndpointList(vec![Endpoint { started_at: harness.now, ..live_endpoint(0) }]));
     let mut sent = 0;
     for id in 0..300 {
-        rig.now += 5 * MS;
-        let job = Request { work_hint: Some(100 * MS), ..request(id, 0) };
-        for (id, _) in sends(&rig.event(Event::RequestArrived(job))) {
+        harness.now += 5 * MS;
+        let hinted = Request { work_hint: Some(100 * MS), ..request(id, 0) };
+        for (id, _) in new_attempts(&harness.handle(Event::RequestArrived(hinted))) {
             sent += 1;
-            rig.started(id);
-            rig.now += MS;
-            rig.ended(id, 0, AttemptStatus::Ok);
+            harness.attempt_started(id);
+            harness.now += MS;
+            harness.attempt_ended(id, 0, AttemptStatus::Ok);
         }
     }
     sent
 }
 
 #[test]
-fn a_worker_that_starts_nothing_is_left_for_others() {
-    let mut set = settings();
-    set.classes[0].late_fraction = 0.3;
-    let mut rig = Rig::new(set, 2);
-    let hung = sends(&rig.ask(1, 0))[0].1;
-    // Not at once: a worker that is only busy would still run it.
-    assert!(!rig.pass(1_200 * MS).contains(&Action::CancelAttempt { id: RequestId(1), attempt: 0 }));
-    let actions = rig.pass(100 * MS);
+fn attempt_at_an_endpoint_that_starts_nothing_is_retried_elsewhere() {
+    let mut settings = settings();
+    settings.classes[0].late_fraction = 0.3;
+    let mut harness = Harness::new(settings, 2);
+    let silent = new_attempts(&harness.request_arrived(1, 0))[0].1;
+    // Not yet: an endpoint that is only busy may still start it.
+    assert!(!harness.advance(1_200 * MS).contains(&Action::CancelAttempt { id: RequestId(1), attempt: 0 }));
+    let actions = harness.advance(100 * MS);
     assert!(actions.contains(&Action::CancelAttempt { id: RequestId(1), attempt: 0 }));
-    let again = sends(&rig.ended(1, 0, AttemptStatus::Cancelled));
-    assert_eq!(again, [(1, 1 - hung)]);
-    rig.event(Event::AttemptStarted { id: RequestId(1), attempt: 1 });
-    // Suspected: unsafe jobs go to the other worker for twice the longest aim.
+    let again = new_attempts(&harness.attempt_ended(1, 0, AttemptStatus::Cancelled));
+    assert_eq!(again, [(1, 1 - silent)]);
+    harness.handle(Event::AttemptStarted { id: RequestId(1), attempt: 1 });
+    // The suspected endpoint gets no non-idempotent requests for twice the longest latency objective.
     for id in 2..5 {
-        rig.now += 60 * MS;
-        for (id, worker) in sends(&rig.ask(id, 1)) {
-            assert_eq!(worker, 1 - hung);
-            rig.started(id);
-            rig.ended(id, 0, AttemptStatus::Ok);
+        harness.now += 60 * MS;
+        for (id, endpoint) in new_attempts(&harness.request_arrived(id, 1)) {
+            assert_eq!(endpoint, 1 - silent);
+            harness.attempt_started(id);
+            harness.attempt_ended(id, 0, AttemptStatus::Ok);
         }
     }
 }
 
 #[test]
-fn a_stuck_job_does_not_fill_the_window() {
-    let mut rig = Rig::new(settings(), 4);
-    // Two unsafe jobs start and go silent; the window at the start is two.
+fn stuck_attempts_do_not_use_up_the_concurrency_limit() {
+    let mut harness = Harness::new(settings(), 4);
+    // Two non-idempotent attempts start and never end; the concurrency limit is two at first.
     for id in [1, 2] {
-        assert_eq!(sends(&rig.ask(id, 1)).len(), 1);
-        rig.now += MS;
-        rig.started(id);
+        assert_eq!(new_attempts(&harness.request_arrived(id, 1)).len(), 1);
+        harness.now += MS;
+        harness.attempt_started(id);
     }
-    rig.pass(S);
+    harness.advance(S);
     for id in 3..7 {
-        assert_eq!(sends(&rig.ask(id, 1)).len(), 1);
-        rig.now += MS;
-        rig.started(id);
-        rig.ended(id, 0, AttemptStatus::Ok);
+        assert_eq!(new_attempts(&harness.request_arrived(id, 1)).len(), 1);
+        harness.now += MS;
+        harness.attempt_started(id);
+        harness.attempt_ended(id, 0, AttemptStatus::Ok);
     }
 }
 
 #[test]
-fn with_all_workers_in_doubt_work_still_goes_out() {
-    let mut set = settings();
-    set.max_attempts = 0;
-    let mut rig = Rig::new(set, 2);
-    rig.ask(1, 1);
-    rig.ended(1, 0, AttemptStatus::ConnectFailed);
-    let third = sends(&rig.ended(1, 1, AttemptStatus::ConnectFailed));
+fn requests_are_sent_even_if_all_endpoints_are_suspected() {
+    let mut settings = settings();
+    settings.max_attempts = 0;
+    let mut harness = Harness::new(settings, 2);
+    harness.request_arrived(1, 1);
+    harness.attempt_ended(1, 0, AttemptStatus::ConnectFailed);
+    let third = new_attempts(&harness.attempt_ended(1, 1, AttemptStatus::ConnectFailed));
     assert_eq!(third.len(), 1);
 }
 
 #[test]
-fn events_for_what_is_over_are_harmless() {
-    let mut rig = Rig::new(settings(), 1);
-    rig.ask(1, 0);
-    rig.ended(1, 0, AttemptStatus::Ok);
-    assert!(sends(&rig.ended(1, 0, AttemptStatus::Error)).is_empty());
-    rig.event(Event::ClientLeft(RequestId(1)));
-    rig.event(Event::AttemptStarted { id: RequestId(9), attempt: 4 });
-    rig.event(Event::ClientLeft(RequestId(9)));
-    assert_eq!(sends(&rig.ask(2, 0)).len(), 1);
+fn events_of_requests_that_are_over_are_ignored() {
+    let mut harness = Harness::new(settings(), 1);
+    harness.request_arrived(1, 0);
+    harness.attempt_ended(1, 0, AttemptStatus::Ok);
+    assert!(new_attempts(&harness.attempt_ended(1, 0, AttemptStatus::Error)).is_empty());
+    harness.handle(Event::ClientLeft(RequestId(1)));
+    harness.handle(Event::AttemptStarted { id: RequestId(9), attempt: 4 });
+    harness.handle(Event::ClientLeft(RequestId(9)));
+    assert_eq!(new_attempts(&harness.request_arrived(2, 0)).len(), 1);
 }
 
 #[test]
 fn empty_settings_do_not_panic() {
-    let mut rig = Rig::new(Settings::default(), 2);
-    assert!(refused(&rig.ask(1, 0), 1)); // a class that the settings do not know
-    let set = Settings { classes: vec![ClassSettings::default()], ..Settings::default() };
-    let mut rig = Rig::new(set, 2);
-    rig.ask(1, 0);
-    rig.pass(10 * S);
+    let mut harness = Harness::new(Settings::default(), 2);
+    assert!(is_shed(&harness.request_arrived(1, 0), 1)); // a class that the settings lack
+    let settings = Settings { classes: vec![ClassSettings::default()], ..Settings::default() };
+    let mut harness = Harness::new(settings, 2);
+    harness.request_arrived(1, 0);
+    harness.advance(10 * S);
 }
 
 #[test]
-fn an_asked_list_is_subscribed_to_again_after_failure() {
-    let mut set = settings();
-    set.must_subscribe = true;
-    let mut rig = Rig { balancer: shorepath_scheduler::Scheduler::new(set, 1), now: S, wakes: vec![] };
-    assert!(rig.event(Event::EndpointList(vec![member(0)])).contains(&Action::Subscribe));
-    rig.event(Event::EndpointListFailed);
-    assert!(rig.pass(S).contains(&Action::Subscribe));
+fn endpoint_list_is_subscribed_to_again_after_a_failure() {
+    let mut settings = settings();
+    settings.must_subscribe = true;
+    let mut harness =
+        Harness { scheduler: shorepath_scheduler::Scheduler::new(settings, 1), now: S, wake_ups: vec![] };
+    assert!(harness.handle(Event::EndpointList(vec![live_endpoint(0)])).contains(&Action::Subscribe));
+    harness.handle(Event::EndpointListFailed);
+    assert!(harness.advance(S).contains(&Action::Subscribe));
 }
 
 #[test]
-fn a_worker_that_fails_fast_is_not_the_idlest() {
-    let mut rig = Rig::new(settings(), 2);
-    let bad = sends(&rig.ask(1, 1))[0].1;
-    rig.started(1);
-    rig.ended(1, 0, AttemptStatus::Error);
-    // A start there proves nothing; unsafe jobs leave it alone for twice the longest aim.
+fn endpoint_that_fails_fast_attracts_no_requests() {
+    let mut harness = Harness::new(settings(), 2);
+    let bad = new_attempts(&harness.request_arrived(1, 1))[0].1;
+    harness.attempt_started(1);
+    harness.attempt_ended(1, 0, AttemptStatus::Error);
+    // The reported start clears no suspicion: non-idempotent requests avoid the endpoint for twice the
+    // longest latency objective.
     for id in 2..8 {
-        for (id, worker) in sends(&rig.ask(id, 1)) {
-            assert_ne!(worker, bad);
-            rig.started(id);
-            rig.ended(id, 0, AttemptStatus::Ok);
+        for (id, endpoint) in new_attempts(&harness.request_arrived(id, 1)) {
+            assert_ne!(endpoint, bad);
+            harness.attempt_started(id);
+            harness.attempt_ended(id, 0, AttemptStatus::Ok);
         }
-        rig.now += 25 * MS;
+        harness.now += 25 * MS;
     }
 }
 
 #[test]
-fn a_hinted_job_short_of_time_avoids_a_slow_worker() {
-    let mut rig = Rig::new(settings(), 2);
-    // Worker 0 turns out three times slower than worker 1.
+fn hinted_request_with_little_time_avoids_a_slow_endpoint() {
+    let mut harness = Harness::new(settings(), 2);
+    // Endpoint 0 is three times slower than endpoint 1.
     for id in 0..60 {
-        for (id, worker) in
-            sends(&rig.event(Event::RequestArrived(Request { work_hint: Some(20 * MS), ..request(id, 0) })))
-        {
-            rig.started(id);
-            rig.now += if worker == 0 { 60 * MS } else { 20 * MS };
-            rig.ended(id, 0, AttemptStatus::Ok);
+        for (id, endpoint) in new_attempts(
+            &harness.handle(Event::RequestArrived(Request { work_hint: Some(20 * MS), ..request(id, 0) })),
+        ) {
+            harness.attempt_started(id);
+            harness.now += if endpoint == 0 { 60 * MS } else { 20 * MS };
+            harness.attempt_ended(id, 0, AttemptStatus::Ok);
         }
     }
-    // A repeat that has 160 ms left of 300 ms cannot take 3 x 100 ms.
+    // A retry with 160 ms left of 300 ms has no time for 3 x 100 ms.
     let mut slow = 0;
     for id in 100..140 {
         let late = Request { work_hint: Some(100 * MS), is_retry: true, ..request(id, 0) };
-        let actions = rig.event(Event::RequestArrived(Request { time_remaining: 5 * S - 140 * MS, ..late }));
-        let on_slow = sends(&actions).iter().filter(|s| s.1 == 0).count();
+        let actions =
+            harness.handle(Event::RequestArrived(Request { time_remaining: 5 * S - 140 * MS, ..late }));
+        let on_slow = new_attempts(&actions).iter().filter(|s| s.1 == 0).count();
         slow += on_slow;
-        rig.started(id);
-        rig.now += if on_slow > 0 { 300 * MS } else { 100 * MS };
-        rig.ended(id, 0, AttemptStatus::Ok);
+        harness.attempt_started(id);
+        harness.now += if on_slow > 0 { 300 * MS } else { 100 * MS };
+        harness.attempt_ended(id, 0, AttemptStatus::Ok);
     }
-    // Drawn by capacity it would get ten of these; it is left to the few draws that name it alone.
+    // By capacity it would get ten of these; it gets only those whose random choices name no other endpoint.
     assert!(slow <= 6, "{slow}");
 }
 
 #[test]
-fn a_window_that_holds_jobs_longer_than_workers_do_widens() {
-    let mut set = settings();
-    set.classes[0].work_factor = 0.0;
-    set.classes[0].latency_objective = 320 * MS;
-    let mut rig = Rig::new(set, 8);
+fn concurrency_limit_grows_if_requests_wait_longer_for_it_than_for_starts() {
+    let mut settings = settings();
+    settings.classes[0].work_factor = 0.0;
+    settings.classes[0].latency_objective = 320 * MS;
+    let mut harness = Harness::new(settings, 8);
     let mut next = 0;
-    let mut out = Vec::new();
+    let mut waiting = Vec::new();
     let mut most = 0;
-    // Every start waits 60 ms or more, an eighth of the aim is 40 ms; more is asked for than fits.
+    // Each start takes 60 ms or more, an eighth of the latency objective is 40 ms, and the load exceeds the
+    // concurrency limit.
     for step in 0..100 {
         let mut actions = Vec::new();
-        for (id, _) in std::mem::take(&mut out) {
-            actions.extend(rig.started(id));
-            rig.now += MS;
-            actions.extend(rig.ended(id, 0, AttemptStatus::Ok));
+        for (id, _) in std::mem::take(&mut waiting) {
+            actions.extend(harness.attempt_started(id));
+            harness.now += MS;
+            actions.extend(harness.attempt_ended(id, 0, AttemptStatus::Ok));
         }
         for _ in 0..if step < 2 { 8 } else { 4 } {
-            actions.extend(rig.ask(next, 0));
+            actions.extend(harness.request_arrived(next, 0));
             next += 1;
         }
-        out = sends(&actions);
-        most = most.max(out.len());
-        rig.now += 60 * MS;
+        waiting = new_attempts(&actions);
+        most = most.max(waiting.len());
+        harness.now += 60 * MS;
     }
-    assert!(most >= 4, "{most} at once; the window began at two");
+    assert!(most >= 4, "{most} at once; the concurrency limit was two at first");
 }
 
-/// Fails without the return of unsafe jobs: no safe class is ever asked for here.
+/// Guards against an endpoint that stays suspected forever because no idempotent request tries it again.
 #[test]
-fn unsafe_jobs_try_a_suspected_worker_again_where_no_safe_one_does() {
-    let mut rig = Rig::new(settings(), 2);
-    let bad = sends(&rig.ask(1, 1))[0].1;
-    rig.ended(1, 0, AttemptStatus::Reset);
-    rig.now += S;
-    let met: Vec<u32> = (2..12)
+fn non_idempotent_requests_try_a_suspected_endpoint_if_there_are_no_others() {
+    let mut harness = Harness::new(settings(), 2);
+    let bad = new_attempts(&harness.request_arrived(1, 1))[0].1;
+    harness.attempt_ended(1, 0, AttemptStatus::Reset);
+    harness.now += S;
+    let endpoints: Vec<u32> = (2..12)
         .flat_map(|id| {
-            let sent = sends(&rig.ask(id, 1));
-            rig.started(id);
-            rig.ended(id, 0, AttemptStatus::Ok);
+            let sent = new_attempts(&harness.request_arrived(id, 1));
+            harness.attempt_started(id);
+            harness.attempt_ended(id, 0, AttemptStatus::Ok);
             sent
         })
         .map(|s| s.1)
         .collect();
-    assert!(met.contains(&bad));
+    assert!(endpoints.contains(&bad));
 }
 
-/// Fails without the narrow judgement: the worker as a whole would be left, or used for all.
+/// Guards against suspecting an endpoint for all classes when it fails only one.
 #[test]
-fn a_class_that_fails_on_a_worker_is_left_alone_there_and_others_are_not() {
-    let mut rig = Rig::new(settings(), 1);
-    rig.event(Event::EndpointUpdate(vec![Endpoint { zone: ZoneId(1), ..member(1) }]));
-    // Worker 0 answers errors to class 1 and serves class 0.
-    assert_eq!(sends(&rig.ask(1, 1)), [(1, 0)]);
-    rig.ended(1, 0, AttemptStatus::Error);
-    rig.now += 110 * MS;
+fn endpoint_that_fails_one_class_still_serves_others() {
+    let mut harness = Harness::new(settings(), 1);
+    harness.handle(Event::EndpointUpdate(vec![Endpoint { zone: ZoneId(1), ..live_endpoint(1) }]));
+    // Endpoint 0 fails class 1 and serves class 0.
+    assert_eq!(new_attempts(&harness.request_arrived(1, 1)), [(1, 0)]);
+    harness.attempt_ended(1, 0, AttemptStatus::Error);
+    harness.now += 110 * MS;
     for id in 2..6 {
-        let sent = sends(&rig.ask(id, 0));
-        rig.started(id);
-        rig.ended(id, 0, AttemptStatus::Ok);
+        let sent = new_attempts(&harness.request_arrived(id, 0));
+        harness.attempt_started(id);
+        harness.attempt_ended(id, 0, AttemptStatus::Ok);
         if id > 2 {
-            assert_eq!(sent, [(id, 0)], "class 0 goes on there");
+            assert_eq!(sent, [(id, 0)], "class 0 stays at endpoint 0");
         }
     }
-    assert_eq!(sends(&rig.ask(7, 1)), [(7, 1)], "class 1 goes elsewhere");
+    assert_eq!(new_attempts(&harness.request_arrived(7, 1)), [(7, 1)], "class 1 avoids endpoint 0");
 }
 
-/// Fails without the judgement of groups: each worker of the zone would cost a job of its own.
+/// Guards against losing a request at each endpoint of a zone that is unreachable as a whole.
 #[test]
-fn a_zone_out_of_reach_is_left_as_one_and_returned_to() {
-    let mut rig = Rig::new(settings(), 0);
-    let zoned = |n: u32| Endpoint { zone: ZoneId(1 + n / 10), ..member(n) };
-    rig.event(Event::EndpointList((0..20).map(zoned).collect()));
+fn unreachable_zone_is_suspected_as_a_whole_and_used_again_later() {
+    let mut harness = Harness::new(settings(), 0);
+    let zoned = |n: u32| Endpoint { zone: ZoneId(1 + n / 10), ..live_endpoint(n) };
+    harness.handle(Event::EndpointList((0..20).map(zoned).collect()));
     let mut lost = 0;
     for id in 0..200 {
-        let healed = id >= 100;
-        if let Some(&(_, worker)) = sends(&rig.ask(id, 0)).first() {
-            let cut = worker < 10 && !healed;
-            lost += u32::from(cut);
-            if cut {
-                let again = sends(&rig.ended(id, 0, AttemptStatus::ConnectFailed));
+        let is_reachable = id >= 100;
+        if let Some(&(_, endpoint)) = new_attempts(&harness.request_arrived(id, 0)).first() {
+            let is_lost = endpoint < 10 && !is_reachable;
+            lost += u32::from(is_lost);
+            if is_lost {
+                let again = new_attempts(&harness.attempt_ended(id, 0, AttemptStatus::ConnectFailed));
                 for (id, _) in again {
-                    rig.ended(id, 1, AttemptStatus::Ok);
+                    harness.attempt_ended(id, 1, AttemptStatus::Ok);
                 }
             } else {
-                rig.started(id);
-                rig.ended(id, 0, AttemptStatus::Ok);
+                harness.attempt_started(id);
+                harness.attempt_ended(id, 0, AttemptStatus::Ok);
             }
         }
-        rig.pass(5 * MS);
+        harness.advance(5 * MS);
     }
-    assert!(lost <= 6, "{lost} jobs found out about one zone");
-    rig.now += 6 * S;
+    assert!(lost <= 6, "{lost} attempts failed in one zone");
+    harness.now += 6 * S;
     let draining = |n: u32| Endpoint { state: EndpointState::Draining, ..zoned(n) };
-    rig.event(Event::EndpointUpdate((10..20).map(draining).collect()));
-    let back = (300..400).filter(|&id| {
-        let sent = sends(&rig.ask(id, 0));
-        rig.started(id);
-        rig.ended(id, 0, AttemptStatus::Ok);
+    harness.handle(Event::EndpointUpdate((10..20).map(draining).collect()));
+    let sent_to_zone = (300..400).filter(|&id| {
+        let sent = new_attempts(&harness.request_arrived(id, 0));
+        harness.attempt_started(id);
+        harness.attempt_ended(id, 0, AttemptStatus::Ok);
         sent.iter().any(|s| s.1 < 10)
     });
-    assert!(back.count() > 20);
+    assert!(sent_to_zone.count() > 20);
 }
 
-/// Where all starts are slow a second attempt only lengthens the queues. Fails with the plain aim.
+/// Guards against retries that only lengthen the queues where all endpoints start slowly.
 #[test]
-fn a_slow_start_is_no_fault_where_all_start_slowly() {
-    let mut rig = Rig::new(settings(), 4);
+fn slowly_started_attempts_are_not_cancelled_if_all_starts_are_slow() {
+    let mut harness = Harness::new(settings(), 4);
     let mut cancelled = 0;
     for id in 0..60 {
-        rig.ask(id, 0);
-        let actions = rig.pass(95 * MS);
+        harness.request_arrived(id, 0);
+        let actions = harness.advance(95 * MS);
         cancelled += actions.iter().filter(|a| matches!(a, Action::CancelAttempt { .. })).count();
-        rig.started(id);
-        rig.ended(id, 0, AttemptStatus::Ok);
+        harness.attempt_started(id);
+        harness.attempt_ended(id, 0, AttemptStatus::Ok);
     }
-    rig.ask(100, 0);
-    let patient = rig.pass(200 * MS);
+    harness.request_arrived(100, 0);
+    let after_slow_start = harness.advance(200 * MS);
     assert_eq!(cancelled, 0);
-    assert!(!patient.contains(&Action::CancelAttempt { id: RequestId(100), attempt: 0 }));
-    let silent = rig.pass(1_100 * MS);
-    assert!(silent.contains(&Action::CancelAttempt { id: RequestId(100), attempt: 0 }));
+    assert!(!after_slow_start.contains(&Action::CancelAttempt { id: RequestId(100), attempt: 0 }));
+    let after_silence = harness.advance(1_100 * MS);
+    assert!(after_silence.contains(&Action::CancelAttempt { id: RequestId(100), attempt: 0 }));
 }
 
-/// A worker that resets connections which have been idle is not ill: jobs go on there, on new ones.
+/// Guards against suspecting an endpoint that only resets idle connections.
 #[test]
-fn resets_on_idle_connections_are_learned_and_blame_no_worker() {
-    let mut rig = Rig::new(settings(), 1);
+fn resets_of_idle_connections_close_them_and_do_not_suspect_the_endpoint() {
+    let mut harness = Harness::new(settings(), 1);
     let (mut lost, mut open) = (0, false);
     for id in 0..40 {
-        rig.now += 200 * MS;
-        let actions = rig.ask(id, 1);
-        assert_eq!(sends(&actions).len(), 1, "request {id} goes out at once");
+        harness.now += 200 * MS;
+        let actions = harness.request_arrived(id, 1);
+        assert_eq!(new_attempts(&actions).len(), 1, "request {id} is sent at once");
         open &= !actions.contains(&Action::CloseIdleConnections { endpoint: EndpointId(0) });
         if std::mem::replace(&mut open, true) {
             lost += 1;
-            assert!(failed(&rig.ended(id, 0, AttemptStatus::Reset), id));
+            assert!(is_failed(&harness.attempt_ended(id, 0, AttemptStatus::Reset), id));
             open = false;
         } else {
-            rig.started(id);
-            rig.ended(id, 0, AttemptStatus::Ok);
+            harness.attempt_started(id);
+            harness.attempt_ended(id, 0, AttemptStatus::Ok);
         }
     }
     assert!(lost <= 6, "{lost} lost");
 }
 
-/// What the backend closes is no longer held to be idle, or new connections would be judged by its age.
+/// Guards against judging new connections by the idle time of closed ones.
 #[test]
-fn closed_connections_are_not_idle() {
-    let mut rig = Rig::new(settings(), 1);
+fn connections_closed_by_the_endpoint_are_no_longer_idle() {
+    let mut harness = Harness::new(settings(), 1);
     for id in 0..20 {
-        rig.now += S;
-        assert!(!rig.ask(id, 1).contains(&Action::CloseIdleConnections { endpoint: EndpointId(0) }));
+        harness.now += S;
+        assert!(!harness
+            .request_arrived(id, 1)
+            .contains(&Action::CloseIdleConnections { endpoint: EndpointId(0) }));
         if id % 2 == 0 {
-            rig.started(id);
-            rig.ended(id, 0, AttemptStatus::Ok);
-            rig.event(Event::IdleConnectionClosed { endpoint: EndpointId(0), position: 0 });
+            harness.attempt_started(id);
+            harness.attempt_ended(id, 0, AttemptStatus::Ok);
+            harness.handle(Event::IdleConnectionClosed { endpoint: EndpointId(0), position: 0 });
         } else {
-            rig.ended(id, 0, AttemptStatus::Reset);
+            harness.attempt_ended(id, 0, AttemptStatus::Reset);
         }
     }
 }
 
-/// Fails without the learned age: every send after a second's rest would be lost.
+/// Guards against losing each request that is sent on a connection which was dropped while idle.
 #[test]
-fn idle_connections_that_get_dropped_are_closed_before_use() {
-    let mut rig = Rig::new(settings(), 1);
+fn idle_connections_old_enough_to_be_dropped_are_closed_before_use() {
+    let mut harness = Harness::new(settings(), 1);
     let (mut lost, mut closed, mut open) = (0, 0, false);
     for id in 0..20 {
-        rig.now += S;
-        let actions = rig.ask(id, 0);
+        harness.now += S;
+        let actions = harness.request_arrived(id, 0);
         if actions.contains(&Action::CloseIdleConnections { endpoint: EndpointId(0) }) {
             closed += 1;
             open = false;
         }
         if open {
-            // The connection was dropped unseen: no start, no answer.
+            // The connection was dropped without notice, so neither a start nor an answer arrives.
             lost += 1;
-            rig.pass(150 * MS);
-            open = !sends(&rig.ended(id, 0, AttemptStatus::Cancelled)).is_empty();
+            harness.advance(150 * MS);
+            open = !new_attempts(&harness.attempt_ended(id, 0, AttemptStatus::Cancelled)).is_empty();
             if open {
-                rig.ended(id, 1, AttemptStatus::Ok);
+                harness.attempt_ended(id, 1, AttemptStatus::Ok);
             }
         } else {
-            rig.started(id);
-            rig.ended(id, 0, AttemptStatus::Ok);
+            harness.attempt_started(id);
+            harness.attempt_ended(id, 0, AttemptStatus::Ok);
             open = true;
         }
     }
     assert!(lost <= 5 && closed > 10, "{lost} lost, {closed} closed");
-    // The evidence lapses, and a connection that holds is kept.
-    rig.now += 20 * S;
+    // Old losses are forgotten, and connections that last are kept.
+    harness.now += 20 * S;
     for id in 30..40 {
-        rig.now += S;
-        assert!(!rig.ask(id, 0).contains(&Action::CloseIdleConnections { endpoint: EndpointId(0) }));
-        rig.started(id);
-        rig.ended(id, 0, AttemptStatus::Ok);
+        harness.now += S;
+        assert!(!harness
+            .request_arrived(id, 0)
+            .contains(&Action::CloseIdleConnections { endpoint: EndpointId(0) }));
+        harness.attempt_started(id);
+        harness.attempt_ended(id, 0, AttemptStatus::Ok);
     }
 }
 
-fn of_tenant(id: u64, class: usize, tenant: usize) -> Event {
+fn tenant_request(id: u64, class: usize, tenant: usize) -> Event {
     Event::RequestArrived(Request { tenant: Some(TenantId(tenant)), ..request(id, class) })
 }
 
-/// Fails with fulls judged by worker alone.
+/// Guards against suspecting an endpoint for all tenants when it throttles only one.
 #[test]
-fn a_throttled_tenant_goes_elsewhere_and_others_stay() {
-    let mut set = settings();
+fn throttled_tenant_is_sent_elsewhere_and_others_stay() {
+    let mut settings = settings();
     let tenant = TenantSettings { share: 0.5, quota_per_second: 0.0 };
-    (set.tenants, set.cross_zone_cost) = (vec![tenant.clone(), tenant], 0.1);
-    let mut rig = Rig::new(set, 1);
-    rig.event(Event::EndpointUpdate(vec![Endpoint { zone: ZoneId(1), ..member(1) }]));
-    let (mut fulls, mut here) = (0, 0);
+    (settings.tenants, settings.cross_zone_cost) = (vec![tenant.clone(), tenant], 0.1);
+    let mut harness = Harness::new(settings, 1);
+    harness.handle(Event::EndpointUpdate(vec![Endpoint { zone: ZoneId(1), ..live_endpoint(1) }]));
+    let (mut overloaded, mut served) = (0, 0);
     for id in 0..100 {
         let tenant = (id % 2) as usize;
-        for (id, worker) in sends(&rig.event(of_tenant(id, 0, tenant))) {
-            if worker == 0 && tenant == 1 {
-                fulls += 1;
-                for (id, _) in sends(&rig.ended(id, 0, AttemptStatus::Overloaded)) {
-                    rig.ended(id, 1, AttemptStatus::Ok);
+        for (id, endpoint) in new_attempts(&harness.handle(tenant_request(id, 0, tenant))) {
+            if endpoint == 0 && tenant == 1 {
+                overloaded += 1;
+                for (id, _) in new_attempts(&harness.attempt_ended(id, 0, AttemptStatus::Overloaded)) {
+                    harness.attempt_ended(id, 1, AttemptStatus::Ok);
                 }
             } else {
-                here += u32::from(worker == 0);
-                rig.started(id);
-                rig.ended(id, 0, AttemptStatus::Ok);
+                served += u32::from(endpoint == 0);
+                harness.attempt_started(id);
+                harness.attempt_ended(id, 0, AttemptStatus::Ok);
             }
         }
-        rig.pass(60 * MS);
+        harness.advance(60 * MS);
     }
-    assert!(fulls <= 12 && here >= 40, "{fulls} turned away, {here} of the other served here");
+    assert!(
+        overloaded <= 12 && served >= 40,
+        "{overloaded} rejected for tenant 1, {served} served for tenant 0"
+    );
 }
 
-/// A hundred schedulers that would all send to one cold worker keep within what it can take, and make use
-/// of it: their budget follows the capacity that the list tells.
+/// Guards against a hundred schedulers that together overload an endpoint in slow start, or that leave most of
+/// its listed capacity unused.
 #[test]
-fn all_schedulers_together_fill_a_cold_worker_and_do_not_fell_it() {
-    let set = Settings { schedulers: 100, capacity_includes_speed: true, ..settings() };
+fn schedulers_together_use_an_endpoint_in_slow_start_without_overloading_it() {
+    let settings = Settings { schedulers: 100, capacity_includes_speed: true, ..settings() };
     let started = S;
     let mut sent: Vec<Micros> = Vec::new();
     for seed in 0..100 {
-        let mut rig =
-            Rig { balancer: shorepath_scheduler::Scheduler::new(set.clone(), seed), now: S, wakes: vec![] };
-        rig.event(Event::EndpointList(vec![Endpoint { started_at: started, ..member(0) }]));
+        let mut harness = Harness {
+            scheduler: shorepath_scheduler::Scheduler::new(settings.clone(), seed),
+            now: S,
+            wake_ups: vec![],
+        };
+        harness.handle(Event::EndpointList(vec![Endpoint { started_at: started, ..live_endpoint(0) }]));
         for id in 0..110 {
-            let mut out = sends(&rig.ask(id, 0));
-            out.extend(sends(&rig.pass(75 * MS)));
-            sent.extend(out.iter().map(|_| rig.now));
-            out.iter().for_each(|s| drop(rig.started(s.0)));
-            rig.now += 75 * MS;
-            out.iter().for_each(|s| drop(rig.ended(s.0, 0, AttemptStatus::Ok)));
+            let mut attempts = new_attempts(&harness.request_arrived(id, 0));
+            attempts.extend(new_attempts(&harness.advance(75 * MS)));
+            sent.extend(attempts.iter().map(|_| harness.now));
+            attempts.iter().for_each(|s| drop(harness.attempt_started(s.0)));
+            harness.now += 75 * MS;
+            attempts.iter().for_each(|s| drop(harness.attempt_ended(s.0, 0, AttemptStatus::Ok)));
         }
     }
-    // An unhinted job is held to be 75 ms of work until one has ended; four cores.
+    // The assumed work of a request without a hint is 75 ms; the endpoint has four cores.
     let (work, cores) = (75_000.0, 4.0);
-    let most = |from: Micros| {
-        let part = 0.2 + 0.8 * (from - started) as f64 / (10 * S) as f64;
-        let window = sent.iter().filter(|&&at| at >= from && at < from + set.overload_window).count() as f64;
-        window * work / (part * cores * set.overload_window as f64)
+    let load = |from: Micros| {
+        let share = 0.2 + 0.8 * (from - started) as f64 / (10 * S) as f64;
+        let attempts =
+            sent.iter().filter(|&&at| at >= from && at < from + settings.overload_window).count() as f64;
+        attempts * work / (share * cores * settings.overload_window as f64)
     };
-    let loads: Vec<f64> = (2..16).map(|k| most(started + k * S / 2)).collect();
-    assert!(loads.iter().all(|load| *load < set.overload_multiple), "{loads:?}");
+    let loads: Vec<f64> = (2..16).map(|k| load(started + k * S / 2)).collect();
+    assert!(loads.iter().all(|load| *load < settings.overload_multiple), "{loads:?}");
     assert!(loads.iter().sum::<f64>() / loads.len() as f64 > 0.7, "{loads:?}");
 }
 
-/// A cold worker bears half the multiple that fells it of what the rules promise by its age, not just
-/// that promise: at a fifth of its capacity and a multiple of 4 it gets about 0.4 of a warm one's share.
+/// An endpoint in slow start gets half of what overloads it: with a fifth of its capacity and an overload
+/// multiple of 4, that is 0.4 of the share of a warm endpoint.
 #[test]
-fn a_cold_worker_bears_half_the_multiple_of_its_promised_part() {
-    let set = Settings { overload_multiple: 4.0, ..settings() };
-    let mut rig = Rig::new(set, 2);
-    rig.event(Event::EndpointUpdate(vec![Endpoint { started_at: rig.now, ..member(2) }]));
-    let (mut to, mut out) = ([0u32; 3], Vec::<(Micros, u64)>::new());
+fn endpoint_in_slow_start_gets_half_the_overload_multiple_of_its_share() {
+    let settings = Settings { overload_multiple: 4.0, ..settings() };
+    let mut harness = Harness::new(settings, 2);
+    harness.handle(Event::EndpointUpdate(vec![Endpoint { started_at: harness.now, ..live_endpoint(2) }]));
+    let (mut attempts, mut running) = ([0u32; 3], Vec::<(Micros, u64)>::new());
     for id in 0..600 {
-        rig.now += 2 * MS;
-        let mut actions = rig.ask(id, 0);
-        while out.first().is_some_and(|o| o.0 <= rig.now) {
-            actions.extend(rig.ended(out.remove(0).1, 0, AttemptStatus::Ok));
+        harness.now += 2 * MS;
+        let mut actions = harness.request_arrived(id, 0);
+        while running.first().is_some_and(|o| o.0 <= harness.now) {
+            actions.extend(harness.attempt_ended(running.remove(0).1, 0, AttemptStatus::Ok));
         }
-        for (id, worker) in sends(&actions) {
-            to[worker as usize] += 1;
-            rig.started(id);
-            out.push((rig.now + 5 * MS, id));
+        for (id, endpoint) in new_attempts(&actions) {
+            attempts[endpoint as usize] += 1;
+            harness.attempt_started(id);
+            running.push((harness.now + 5 * MS, id));
         }
     }
-    let part = to[2] as f64 / (to[0] + to[1]) as f64 * 2.0;
-    assert!((0.3..0.6).contains(&part), "{to:?}: {part}");
+    let share = attempts[2] as f64 / (attempts[0] + attempts[1]) as f64 * 2.0;
+    assert!((0.3..0.6).contains(&share), "{attempts:?}: {share}");
 }
