--- a/crates/scheduler/tests/further.rs
+++ b/crates/scheduler/tests/further.rs
@@ -1,45 +1,47 @@
-//! The ration of further attempts, removal without a drain, and troubles whose cause is not the
-//! worker; each test fails without what it names.
+//! Tests of retry budgets, removal without a drain, failures that are not the endpoint's fault, and learned
+//! waits, work and concurrency limits.
 
 mod common;
 use common::*;
 use shorepath_scheduler::*;
 
-/// Exact sliding window: at each further attempt those of the span, this one counted, keep to it.
+/// Guards against retries beyond the budget in any sliding window that ends at a retry.
 #[test]
-fn further_attempts_stay_within_their_ration() {
-    for (free, share) in [(2.0, 0.05), (0.0, 0.0), (3.0, 0.0), (0.0, 0.5)] {
+fn retries_stay_within_the_retry_budget() {
+    for (min_retries, ratio) in [(2.0, 0.05), (0.0, 0.0), (3.0, 0.0), (0.0, 0.5)] {
         let mut settings = settings();
-        settings.retry_budget = Some(RetryBudget { window: 2 * S, min_retries: free, ratio: share });
+        settings.retry_budget = Some(RetryBudget { window: 2 * S, min_retries, ratio });
         let mut harness = Harness::new(settings, 40);
-        let (mut taken, mut extras) = (Vec::new(), Vec::new());
+        let (mut arrivals, mut retries) = (Vec::new(), Vec::new());
         for id in 0..600 {
             harness.advance(if id % 100 < 50 { 2 * MS } else { 30 * MS });
-            taken.push(harness.now);
+            arrivals.push(harness.now);
             for (id, _) in new_attempts(&harness.request_arrived(id, 0)) {
                 let status = if id % 3 == 0 { AttemptStatus::Error } else { AttemptStatus::Overloaded };
                 let actions = harness.attempt_ended(id, 0, status);
-                // Answered in the same event where there is none left.
+                // Without a retry left, the request is answered in the same event.
                 assert!(
-                    is_shed(&actions, id) || new_attempts(&actions).iter().any(|s| s.0 == id) || free > 0.0
+                    is_shed(&actions, id)
+                        || new_attempts(&actions).iter().any(|s| s.0 == id)
+                        || min_retries > 0.0
                 );
                 for (id, _) in new_attempts(&actions).into_iter().filter(|s| s.0 == id) {
-                    extras.push(harness.now);
-                    let asked = taken.iter().filter(|&&at| at > harness.now - 2 * S).count() as f64;
-                    let further = extras.iter().filter(|&&at| at >= harness.now - 2 * S).count() as f64;
-                    assert!(further <= free + share * asked, "{further} of {asked}");
+                    retries.push(harness.now);
+                    let requests = arrivals.iter().filter(|&&at| at > harness.now - 2 * S).count() as f64;
+                    let used = retries.iter().filter(|&&at| at >= harness.now - 2 * S).count() as f64;
+                    assert!(used <= min_retries + ratio * requests, "{used} retries for {requests} requests");
                     harness.attempt_started(id);
                     harness.attempt_ended(id, 1, AttemptStatus::Ok);
                 }
             }
         }
-        assert_eq!(extras.is_empty(), free + share == 0.0);
+        assert_eq!(retries.is_empty(), min_retries + ratio == 0.0);
     }
 }
 
-/// Out of the ration a request is answered in the event that shows it, not at its deadline.
+/// Guards against requests that wait for their deadline once the retry budget is used up.
 #[test]
-fn a_request_beyond_the_ration_is_answered_at_once() {
+fn request_without_a_retry_left_is_answered_at_once() {
     let mut settings = settings();
     settings.retry_budget = Some(RetryBudget { window: S, min_retries: 0.0, ratio: 0.0 });
     let mut harness = Harness::new(settings, 3);
@@ -49,30 +51,30 @@
     assert!(is_failed(&harness.attempt_ended(2, 0, AttemptStatus::Error), 2));
 }
 
-/// What no worker can use fails at the second worker and puts nothing in doubt.
+/// Guards against suspecting endpoints for requests that no endpoint can use.
 #[test]
-fn rejected_requests_fail_and_leave_their_class_and_workers_alone() {
+fn bad_requests_fail_at_the_second_endpoint_and_suspect_none() {
     let mut harness = Harness::new(settings(), 6);
     for id in 0..60 {
         harness.advance(50 * MS);
-        assert_eq!(new_attempts(&harness.request_arrived(id, 0)).len(), 1, "request {id} goes out at once");
+        assert_eq!(new_attempts(&harness.request_arrived(id, 0)).len(), 1, "request {id} is sent at once");
         if id % 3 == 2 {
             harness.attempt_started(id);
             harness.attempt_ended(id, 0, AttemptStatus::Ok);
             continue;
         }
         let again = harness.attempt_ended(id, 0, AttemptStatus::BadRequest);
-        assert_eq!(new_attempts(&again).len(), 1, "once more");
+        assert_eq!(new_attempts(&again).len(), 1, "request {id} is retried once");
         assert!(is_failed(&harness.attempt_ended(id, 1, AttemptStatus::BadRequest), id));
     }
-    // Where it must not run twice the first one is final.
+    // A non-idempotent request fails at once.
     harness.request_arrived(100, 1);
     assert!(is_failed(&harness.attempt_ended(100, 0, AttemptStatus::BadRequest), 100));
 }
 
-/// A worker that rejects what others then serve is left alone, as one that fails.
+/// Guards against requests that are sent again and again to an endpoint that wrongly calls them bad.
 #[test]
-fn a_worker_that_rejects_what_others_serve_is_to_blame() {
+fn endpoint_is_suspected_if_others_serve_the_requests_that_it_calls_bad() {
     let mut harness = Harness::new(settings(), 4);
     let mut rejections = 0;
     for id in 0..100 {
@@ -93,26 +95,30 @@
 }
 
 #[test]
-fn a_worker_gone_without_a_drain_is_in_doubt_where_only_draining_binds() {
-    for binds in [true, false] {
+fn endpoint_removed_without_a_drain_is_suspected_if_only_draining_excludes() {
+    for removal_excludes in [true, false] {
         let mut settings = settings();
-        settings.only_draining_excludes = !binds;
+        settings.only_draining_excludes = !removal_excludes;
         let mut harness = Harness::new(settings, 2);
-        let gone = |n: u32| Endpoint { state: EndpointState::Removed, ..live_endpoint(n) };
-        // One drains, then both leave the list, one named and one left out.
+        let removed = |n: u32| Endpoint { state: EndpointState::Removed, ..live_endpoint(n) };
+        // Endpoint 0 drains. Then both are removed: 0 by an update and 1 by a list without it.
         harness.handle(Event::EndpointUpdate(vec![Endpoint {
             state: EndpointState::Draining,
             ..live_endpoint(0)
         }]));
-        harness.handle(Event::EndpointUpdate(vec![gone(0)]));
+        harness.handle(Event::EndpointUpdate(vec![removed(0)]));
         harness.handle(Event::EndpointList(vec![]));
         let sent = new_attempts(&harness.request_arrived(1, 0));
-        assert_eq!(sent, if binds { vec![] } else { vec![(1, 1)] }, "never the one that drained");
-        if !binds {
+        assert_eq!(
+            sent,
+            if removal_excludes { vec![] } else { vec![(1, 1)] },
+            "the drained endpoint gets nothing"
+        );
+        if !removal_excludes {
             harness.attempt_started(1);
             harness.attempt_ended(1, 0, AttemptStatus::Ok);
             harness.handle(Event::EndpointUpdate(vec![live_endpoint(2)]));
-            let met = |harness: &mut Harness, ids: std::ops::Range<u64>| {
+            let sent_to_removed = |harness: &mut Harness, ids: std::ops::Range<u64>| {
                 ids.flat_map(|id| {
                     let sent = new_attempts(&harness.request_arrived(id, 1));
                     harness.attempt_started(id);
@@ -122,49 +128,53 @@
                 .filter(|s| s.1 == 1)
                 .count()
             };
-            assert!(met(&mut harness, 2..40) > 0, "it served, so it is in use again");
-            // Silent for the longest deadline it is dropped when the list next changes.
+            assert!(
+                sent_to_removed(&mut harness, 2..40) > 0,
+                "it is used again once it has served a request"
+            );
+            // Without a success for the longest deadline it is dropped at the next change of the list.
             harness.advance(6 * S);
             harness.handle(Event::EndpointUpdate(vec![live_endpoint(3)]));
-            assert_eq!(met(&mut harness, 50..90), 0);
+            assert_eq!(sent_to_removed(&mut harness, 50..90), 0);
         }
     }
 }
 
-/// Two schedulers that know the same workers by other numbers send each job of a key to the same one, and to the same next one
-/// while that turns jobs away; keys spread over all. Guards sites whose workers fetch what a key names with the first job of it.
+/// Guards against schedulers that send a key to different endpoints, where each would have to load the key's data.
+/// The two schedulers number the endpoints in opposite order.
 #[test]
-fn jobs_of_a_key_go_to_the_same_worker_from_all_schedulers() {
-    const WORKERS: u32 = 8;
-    let harness = |turned: bool, seed: u64| {
+fn schedulers_agree_on_the_endpoints_of_a_key() {
+    const ENDPOINTS: u32 = 8;
+    let numbered = |is_reversed: bool, seed: u64| {
         let mut harness = Harness {
             scheduler: shorepath_scheduler::Scheduler::new(settings(), seed),
             ..Harness::new(settings(), 0)
         };
-        let number = |n: u32| if turned { WORKERS - 1 - n } else { n };
-        let list = (0..WORKERS).map(|n| Endpoint { id: EndpointId(number(n)), ..live_endpoint(n) }).collect();
+        let number = |n: u32| if is_reversed { ENDPOINTS - 1 - n } else { n };
+        let list =
+            (0..ENDPOINTS).map(|n| Endpoint { id: EndpointId(number(n)), ..live_endpoint(n) }).collect();
         harness.handle(Event::EndpointList(list));
         harness
     };
-    let (mut one, mut other) = (harness(false, 1), harness(true, 2));
-    let place = |harness: &mut Harness, turned: bool, id: u64, key: u64| {
+    let (mut one, mut other) = (numbered(false, 1), numbered(true, 2));
+    let place = |harness: &mut Harness, is_reversed: bool, id: u64, key: u64| {
         let sent = new_attempts(&harness.handle(Event::RequestArrived(keyed(id, key))));
         let [(_, endpoint)] = sent[..] else { panic!("{sent:?}") };
-        if turned {
-            WORKERS - 1 - endpoint
+        if is_reversed {
+            ENDPOINTS - 1 - endpoint
         } else {
             endpoint
         }
     };
-    let mut met = std::collections::BTreeSet::new();
+    let mut used = std::collections::BTreeSet::new();
     for key in 0..100 {
         let first = place(&mut one, false, 2 * key, key);
         assert_eq!(place(&mut other, true, 2 * key, key), first, "key {key}");
-        met.insert(first);
+        used.insert(first);
         let seconds: Vec<u32> = [(&mut one, false), (&mut other, true)]
-            .map(|(harness, turned)| {
+            .map(|(harness, is_reversed)| {
                 harness.attempt_ended(2 * key, 0, AttemptStatus::Overloaded);
-                let second = place(harness, turned, 2 * key + 1, key);
+                let second = place(harness, is_reversed, 2 * key + 1, key);
                 harness.handle(Event::ClientLeft(RequestId(2 * key)));
                 harness.attempt_ended(2 * key, 1, AttemptStatus::NotSent);
                 harness.attempt_ended(2 * key + 1, 0, AttemptStatus::Ok);
@@ -174,45 +184,47 @@
             .into();
         assert!(seconds[0] == seconds[1] && seconds[0] != first, "key {key}: {first}, then {seconds:?}");
     }
-    assert_eq!(met.len(), WORKERS as usize);
+    assert_eq!(used.len(), ENDPOINTS as usize);
 }
 
 fn keyed(id: u64, key: u64) -> Request {
     Request { key: Some(KeyId(key)), ..request(id, 0) }
 }
 
-/// Requests of one key fail wherever they go, the others are served: it is the key that waits.
+/// Guards against suspecting endpoints for requests of one key that fail at all of them.
 #[test]
-fn a_key_that_fails_everywhere_is_at_fault_and_not_the_workers() {
-    for (status, heals) in [(AttemptStatus::Error, false), (AttemptStatus::Reset, true)] {
+fn key_that_fails_everywhere_is_suspected_and_no_endpoint() {
+    for (status, recovers) in [(AttemptStatus::Error, false), (AttemptStatus::Reset, true)] {
         let mut harness = Harness::new(settings(), 8);
-        let (mut met, mut failed, mut turned_away) = (0, 0, 0);
+        let (mut attempts, mut failed, mut shed) = (0, 0, 0);
         for id in 0..4_000u64 {
-            let bad = id % 4 == 0;
-            let actions = harness.handle(Event::RequestArrived(keyed(id, if bad { 1 } else { 2 + id % 50 })));
-            assert!(bad || !is_shed(&actions, id), "request {id} of a good key");
-            turned_away += u32::from(bad && is_shed(&actions, id));
+            let has_bad_key = id % 4 == 0;
+            let actions =
+                harness.handle(Event::RequestArrived(keyed(id, if has_bad_key { 1 } else { 2 + id % 50 })));
+            assert!(has_bad_key || !is_shed(&actions, id), "request {id} of a good key is shed");
+            shed += u32::from(has_bad_key && is_shed(&actions, id));
             let mut sent: Vec<u64> = new_attempts(&actions).iter().map(|s| s.0).collect();
             let mut attempt = 0;
             while let Some(id) = sent.pop() {
-                met += u32::from(bad);
-                let ill = bad && !(heals && id > 2_000);
-                failed += u32::from(ill);
+                attempts += u32::from(has_bad_key);
+                let fails = has_bad_key && !(recovers && id > 2_000);
+                failed += u32::from(fails);
                 harness.handle(Event::AttemptStarted { id: RequestId(id), attempt });
-                let after = harness.attempt_ended(id, attempt, if ill { status } else { AttemptStatus::Ok });
+                let after =
+                    harness.attempt_ended(id, attempt, if fails { status } else { AttemptStatus::Ok });
                 sent.extend(new_attempts(&after).iter().map(|s| s.0));
                 attempt += 1;
             }
             harness.advance(5 * MS);
         }
-        assert!(failed < 30, "{failed} of a thousand met a worker and failed");
-        assert!(turned_away > 300 && (!heals || met > 400), "{turned_away} and {met}");
+        assert!(failed < 30, "{failed} attempts for a thousand requests of the bad key failed");
+        assert!(shed > 300 && (!recovers || attempts > 400), "{shed} shed, {attempts} attempts");
     }
 }
 
-/// A worker that fails one in three of each key's requests does not put the keys in doubt.
+/// Guards against suspecting keys when one of three endpoints fails the requests of each key.
 #[test]
-fn a_popular_key_is_not_at_fault_for_a_bad_worker() {
+fn keys_are_not_suspected_for_a_failing_endpoint() {
     let mut harness = Harness::new(settings(), 3);
     let mut served = 0;
     for id in 0..900u64 {
@@ -230,9 +242,9 @@
     assert_eq!(served, 900);
 }
 
-/// A few clients that leave don't have the others refused while all workers are busy.
+/// Guards against shedding other clients' queued requests because a few clients left.
 #[test]
-fn a_few_clients_that_leave_do_not_shorten_what_others_are_held() {
+fn few_clients_that_leave_do_not_shorten_the_queueing_of_others() {
     let mut harness = Harness::new(settings(), 2);
     for id in 0..200 {
         harness.request_arrived(id, 0);
@@ -243,140 +255,144 @@
         harness.attempt_ended(id, 0, AttemptStatus::Ok);
         harness.advance(20 * MS);
     }
-    // None of these has started, so the last ones are held.
+    // None of these attempts starts, so the last requests are queued.
     for id in 1000..1006 {
         assert!(!is_shed(&harness.request_arrived(id, 0), id), "request {id}");
     }
 }
 
-/// Where clients leave early, what cannot start in their time is refused while they are there.
+/// Guards against queueing requests until after their clients usually leave.
 #[test]
-fn a_job_is_held_no_longer_than_clients_stay() {
-    let held = |leave: bool| {
+fn request_is_queued_no_longer_than_clients_stay() {
+    let stays_queued = |clients_leave: bool| {
         let mut harness = Harness::new(settings(), 40);
         for id in 0..200 {
             harness.request_arrived(id, 0);
             harness.attempt_started(id);
             harness.advance(60 * MS);
-            if leave {
+            if clients_leave {
                 harness.handle(Event::ClientLeft(RequestId(id)));
             }
             harness.attempt_ended(id, 0, AttemptStatus::Ok);
         }
-        // Nothing can be sent: all leave the list, so what comes is held.
+        // With an empty list nothing can be sent, so the next request is queued.
         harness.handle(Event::EndpointList(vec![]));
         let mut actions = harness.request_arrived(1_000, 0);
         actions.extend(harness.advance(30 * MS));
         !is_shed(&actions, 1_000)
     };
-    assert!(held(false) && !held(true));
+    assert!(stays_queued(false) && !stays_queued(true));
 }
 
-/// After a standstill a start that comes with the late wake-up counts before anything is stuck.
+/// Guards against cancelling attempts whose starts were only delivered late because this process had stopped.
 #[test]
-fn a_standstill_is_no_evidence() {
-    for start_comes in [true, false] {
+fn pause_of_the_process_does_not_cancel_started_attempts() {
+    for has_started in [true, false] {
         let mut harness = Harness::new(settings(), 2);
         harness.request_arrived(1, 0);
         harness.advance_without_events(2 * S);
-        // The batch that comes after it: first the wake-up, then what came meanwhile.
+        // The wake-up is delivered before the events that arrived during the pause.
         let mut actions = harness.handle(Event::Wake);
-        if start_comes {
+        if has_started {
             actions.extend(harness.attempt_started(1));
         }
         assert!(!actions.iter().any(|a| matches!(a, Action::CancelAttempt { .. })));
         let later = harness.advance(2 * MS);
         let cancelled = later.contains(&Action::CancelAttempt { id: RequestId(1), attempt: 0 });
-        assert_eq!(cancelled, !start_comes);
+        assert_eq!(cancelled, !has_started);
     }
 }
 
-/// Without messages the part of a quota is even, not the whole, and more where most tenants ask more.
+/// Without quota shares a scheduler takes an even share of a quota, and more if the median tenant's demand is higher.
 #[test]
-fn without_messages_the_part_of_a_quota_is_even_or_the_middle_tenants() {
-    let good = |busy: bool| {
+fn share_of_a_quota_without_messages_is_even_or_the_median_tenants_share() {
+    let accepted = |others_are_busy: bool| {
         let mut settings = settings();
         let tenant = TenantSettings { share: 0.3, quota_per_second: 400.0 };
         (settings.tenants, settings.schedulers, settings.over_share_fraction) = (vec![tenant; 3], 20, 0.05);
         let mut harness = Harness::new(settings, 1);
-        let of = |id, t| Event::RequestArrived(Request { tenant: Some(TenantId(t)), ..request(id, 0) });
-        // The other two ask 200 a second each of this one scheduler, or two.
+        let tenant_request =
+            |id, t| Event::RequestArrived(Request { tenant: Some(TenantId(t)), ..request(id, 0) });
+        // The other two tenants send 200 requests a second each to this scheduler alone, or 4.
         for id in 0..2_000 {
-            if busy || id % 100 < 2 {
-                for (id, _) in new_attempts(&harness.handle(of(id, 1 + (id % 2) as usize))) {
+            if others_are_busy || id % 100 < 2 {
+                for (id, _) in new_attempts(&harness.handle(tenant_request(id, 1 + (id % 2) as usize))) {
                     harness.attempt_started(id);
                     harness.attempt_ended(id, 0, AttemptStatus::Ok);
                 }
             }
             harness.advance(2_500);
         }
-        // Then the first asks 200 at once.
-        (10_000..10_200).filter(|&id| !is_shed(&harness.handle(of(id, 0)), id)).count()
+        // Then the first tenant sends 200 at once.
+        (10_000..10_200).filter(|&id| !is_shed(&harness.handle(tenant_request(id, 0)), id)).count()
     };
-    assert!(good(false) < 10 && good(true) > 30, "{} and {}", good(false), good(true));
+    assert!(accepted(false) < 10 && accepted(true) > 30, "{} and {}", accepted(false), accepted(true));
 }
 
-/// A quota counts requests. Guards against a few long jobs that look like a flood of their tenant.
+/// Guards against shedding a few long requests as if they exceeded the quota, which counts requests.
 #[test]
-fn long_jobs_within_a_quota_are_no_flood() {
-    let refusals = |jobs: u64| {
+fn long_requests_within_a_quota_are_not_shed() {
+    let shed = |long_requests: u64| {
         let mut settings = settings();
         (settings.schedulers, settings.over_share_fraction) = (1, 0.05);
         settings.tenants = vec![TenantSettings { share: 1.0, quota_per_second: 4.0 }];
         let mut harness = Harness::new(settings, 1);
-        let of =
+        let tenant_request =
             |id: u64, hint| Request { tenant: Some(TenantId(0)), work_hint: Some(hint), ..request(id, 0) };
-        // Short ones are usual here, and one keeps the window full from then on.
+        // Learns that requests are short; a long one then uses up the concurrency limit.
         for id in 0..40 {
-            harness.handle(Event::RequestArrived(of(id, 20 * MS)));
+            harness.handle(Event::RequestArrived(tenant_request(id, 20 * MS)));
             harness.attempt_started(id);
             harness.attempt_ended(id, 0, AttemptStatus::Ok);
             harness.advance(500 * MS);
         }
-        harness.handle(Event::RequestArrived(of(100, S)));
-        (200..200 + jobs).filter(|&id| is_shed(&harness.handle(Event::RequestArrived(of(id, S))), id)).count()
+        harness.handle(Event::RequestArrived(tenant_request(100, S)));
+        (200..200 + long_requests)
+            .filter(|&id| is_shed(&harness.handle(Event::RequestArrived(tenant_request(id, S))), id))
+            .count()
     };
-    assert_eq!((refusals(4), refusals(10) > 3), (0, true));
+    assert_eq!((shed(4), shed(10) > 3), (0, true));
 }
 
-/// One start that came too late does not have what goes beyond a share refused while there is room; two do.
+/// Guards against shedding requests beyond a tenant's share after a single late start.
 #[test]
-fn one_late_start_is_no_evidence_against_forgiving() {
-    let refusals = |late: u64| {
+fn requests_beyond_a_share_are_shed_after_several_late_starts_only() {
+    let shed = |late: u64| {
         let mut settings = settings();
         (settings.schedulers, settings.over_share_fraction) = (1, 0.05);
         settings.tenants = vec![TenantSettings { share: 1.0, quota_per_second: 1.0 }];
         let mut harness = Harness::new(settings, 4);
-        let of = |id| Event::RequestArrived(Request { tenant: Some(TenantId(0)), ..request(id, 0) });
+        let tenant_request =
+            |id| Event::RequestArrived(Request { tenant: Some(TenantId(0)), ..request(id, 0) });
         for id in 0..late {
-            harness.handle(of(id));
+            harness.handle(tenant_request(id));
             harness.advance(180 * MS);
             harness.attempt_started(id);
             harness.attempt_ended(id, 0, AttemptStatus::Ok);
         }
         let mut count = 0;
         for id in 100..120 {
-            let out = harness.handle(of(id));
-            count += usize::from(is_shed(&out, id));
-            for (id, _) in new_attempts(&out) {
+            let actions = harness.handle(tenant_request(id));
+            count += usize::from(is_shed(&actions, id));
+            for (id, _) in new_attempts(&actions) {
                 harness.attempt_ended(id, 0, AttemptStatus::Ok);
             }
         }
         count
     };
-    assert_eq!(refusals(1), 0);
-    assert!(refusals(4) > 3, "{}", refusals(4));
+    assert_eq!(shed(1), 0);
+    assert!(shed(4) > 3, "{}", shed(4));
 }
 
-/// Of two classes that wait, the one that is worth more for its work leaves first, though its jobs may take as
-/// long to come; where worth counts by work, a long class is not held back for being long.
+/// Guards against starting a class of lower priority weight per work first, and against holding back a class for
+/// its long work where its weight counts per unit of work.
 #[test]
-fn what_is_worth_more_for_its_work_leaves_first() {
-    let first = |worths: [f64; 2], by_work: bool| {
+fn class_with_more_weight_per_work_starts_first() {
+    let first = |weights: [f64; 2], by_work: bool| {
         let mut settings = settings();
         (settings.schedulers, settings.weight_by_work) = (1, by_work);
-        for (class, worth) in settings.classes.iter_mut().zip(worths) {
-            (class.priority_weight, class.deadline) = (worth, 20 * S);
+        for (class, weight) in settings.classes.iter_mut().zip(weights) {
+            (class.priority_weight, class.deadline) = (weight, 20 * S);
         }
         settings.classes[0].latency_objective = 200 * MS;
         let mut harness = Harness::new(settings, 1);
@@ -384,27 +400,27 @@
         for class in [0, 1] {
             assert!(new_attempts(&harness.request_arrived(2 + class as u64, class)).is_empty());
         }
-        let out = [harness.attempt_started(0), harness.attempt_ended(0, 0, AttemptStatus::Ok)].concat();
-        new_attempts(&out)[0].0 - 2
+        let actions = [harness.attempt_started(0), harness.attempt_ended(0, 0, AttemptStatus::Ok)].concat();
+        new_attempts(&actions)[0].0 - 2
     };
-    // By its aim the second class comes first, unless the first is worth much more.
+    // The second class has the shorter latency objective and starts first, unless the first weighs much more.
     assert_eq!((first([1.0, 1.0], true), first([50.0, 1.0], true)), (1, 0));
-    assert_eq!(first([0.0, 0.0], true), 1, "where no worth is told");
-    // Twice as long a job is worth less for its work unless worth counts by work.
+    assert_eq!(first([0.0, 0.0], true), 1, "without priority weights");
+    // A request of twice the work has less weight per work, unless the weight counts per unit of work.
     assert_eq!((first([8.0, 1.5], true), first([4.5, 4.5], false)), (0, 1));
 }
 
-/// A job of four slots spends four times what one of one slot does of a cold worker's part.
+/// Guards against overloading an endpoint in slow start with requests of several slots.
 #[test]
-fn a_cold_worker_is_sent_fewer_jobs_of_several_slots() {
+fn endpoint_in_slow_start_gets_fewer_requests_of_several_slots() {
     let sent = |slots: u32| {
         let mut harness = Harness::new(settings(), 0);
         harness.handle(Event::EndpointList(vec![Endpoint { started_at: harness.now, ..live_endpoint(0) }]));
         let mut sent = 0;
         for id in 0..300 {
             harness.now += 5 * MS;
-            let job = Request { work_hint: Some(40 * MS), slots, ..request(id, 0) };
-            for (id, _) in new_attempts(&harness.handle(Event::RequestArrived(job))) {
+            let hinted = Request { work_hint: Some(40 * MS), slots, ..request(id, 0) };
+            for (id, _) in new_attempts(&harness.handle(Event::RequestArrived(hinted))) {
                 sent += 1;
                 harness.attempt_started(id);
                 harness.attempt_ended(id, 0, AttemptStatus::Ok);
@@ -413,14 +429,14 @@
         sent
     };
     let (one, four) = (sent(1), sent(4));
-    assert!(four >= 1 && four * 2 < one, "{four} against {one}");
+    assert!(four >= 1 && four * 2 < one, "{four} requests of four slots, {one} of one slot");
 }
 
-/// A long job goes to a warm worker that is busy sooner than to a cold one, which two such jobs would fell; a short
-/// one goes there.
+/// Guards against overloading an endpoint in slow start with two long requests. Short ones may go there, and long
+/// ones go to warm endpoints even if these are busy.
 #[test]
-fn long_jobs_are_kept_from_cold_workers() {
-    let cold_gets = |hint: Micros| {
+fn long_requests_are_not_sent_to_endpoints_in_slow_start() {
+    let sent_to_cold = |hint: Micros| {
         let mut settings = settings();
         settings.classes[0] =
             ClassSettings { latency_objective: 20 * S, deadline: 60 * S, ..settings.classes[0].clone() };
@@ -429,22 +445,25 @@
         harness.advance(1_500 * MS);
         let mut to_cold = 0;
         for id in 0..20 {
-            let job = Request { work_hint: Some(hint), time_remaining: 60 * S, ..request(id, 0) };
-            for (id, endpoint) in new_attempts(&harness.handle(Event::RequestArrived(job))) {
+            let hinted = Request { work_hint: Some(hint), time_remaining: 60 * S, ..request(id, 0) };
+            for (id, endpoint) in new_attempts(&harness.handle(Event::RequestArrived(hinted))) {
                 to_cold += u32::from(endpoint == 2);
                 harness.attempt_started(id);
             }
         }
         to_cold
     };
-    assert!(cold_gets(10 * MS) > 0, "short ones");
-    assert_eq!(cold_gets(4 * S), 0, "0.33 of four cores for 1.5 s is 2 s, half of what fells it");
+    assert!(sent_to_cold(10 * MS) > 0, "short requests are sent there");
+    assert_eq!(
+        sent_to_cold(4 * S),
+        0,
+        "0.33 of four cores for 1.5 s is 2 s of work, and twice that overloads it"
+    );
 }
 
-/// What a class's jobs take is learned from their hints, too.
 #[test]
 fn the_work_of_a_class_is_learned_from_hints() {
-    // Of two classes that were thought to take as long, the one with the longer jobs is worth less for its work.
+    // The classes start with the same assumed work. Hints show that class 0 is longer, so it has less weight per work.
     let mut settings = settings();
     (settings.schedulers, settings.classes[0].priority_weight, settings.classes[1].priority_weight) =
         (1, 1.0, 1.0);
@@ -458,21 +477,25 @@
     }
     harness.handle(hinted(100, 0, 30 * MS));
     (101..103).for_each(|id| drop(harness.handle(hinted(id, (id - 101) as usize, 30 * MS))));
-    let out = [harness.attempt_started(100), harness.attempt_ended(100, 0, AttemptStatus::Ok)].concat();
-    assert_eq!(new_attempts(&out)[0].0, 102, "the class of short jobs leaves first though it came later");
+    let actions = [harness.attempt_started(100), harness.attempt_ended(100, 0, AttemptStatus::Ok)].concat();
+    assert_eq!(
+        new_attempts(&actions)[0].0,
+        102,
+        "the class of short requests starts first although it arrived later"
+    );
 }
 
-/// The window starts at our part of one job a worker, not at two.
+/// Guards against a slow ramp-up where each scheduler has many endpoints.
 #[test]
-fn the_first_window_is_the_part_of_one_job_a_worker() {
+fn first_concurrency_limit_is_the_schedulers_share_of_one_request_per_endpoint() {
     let mut harness = Harness::new(settings(), 40); // two schedulers
     let sent: usize = (0..60).map(|id| new_attempts(&harness.request_arrived(id, 0)).len()).sum();
     assert_eq!(sent, 20);
 }
 
-/// A refusal tells when tokens come back, not one fixed figure.
+/// Guards against a fixed retry-after that ignores when tokens are available again.
 #[test]
-fn advice_grows_with_what_is_ahead() {
+fn retry_after_grows_with_the_queue() {
     let mut settings = settings();
     (settings.sends_retry_after, settings.max_retry_after, settings.over_share_fraction) = (true, 3 * S, 0.9);
     settings.schedulers = 1;
@@ -480,46 +503,48 @@
     let mut harness = Harness::new(settings, 1);
     let mut advice = Vec::new();
     for id in 0..60 {
-        let of = Request { tenant: Some(TenantId(0)), ..request(id, 0) };
-        advice.extend(harness.handle(Event::RequestArrived(of)).into_iter().filter_map(|a| match a {
-            Action::Shed { retry_after, .. } => retry_after,
-            _ => None,
-        }));
+        let from_tenant = Request { tenant: Some(TenantId(0)), ..request(id, 0) };
+        advice.extend(harness.handle(Event::RequestArrived(from_tenant)).into_iter().filter_map(
+            |a| match a {
+                Action::Shed { retry_after, .. } => retry_after,
+                _ => None,
+            },
+        ));
     }
     assert!(!advice.is_empty() && advice.iter().all(|&a| (100 * MS..=3 * S).contains(&a)), "{advice:?}");
     assert!(advice.iter().any(|&a| a > 150 * MS), "{advice:?}");
 }
 
-/// Of two other zones the one whose way loses attempts is crossed to less.
+/// Guards against sending as much to a zone that loses attempts as to one that doesn't.
 #[test]
-fn a_lossy_way_is_dearer_than_a_sound_one() {
+fn zone_that_loses_attempts_gets_fewer_requests() {
     let mut settings = settings();
     (settings.cross_zone_cost, settings.max_attempts) = (0.03, 1);
     let mut harness = Harness::new(settings, 0);
-    // None at home, one in each of two other zones; one way loses every third attempt.
+    // The scheduler's zone has no endpoint, two others have one each. Zone 2 loses every third attempt.
     harness.handle(Event::EndpointList(
         (0..2).map(|n| Endpoint { zone: ZoneId(1 + n), ..live_endpoint(n) }).collect(),
     ));
-    let (mut lossy, mut sound) = (0, 0);
+    let (mut lossy, mut healthy) = (0, 0);
     for id in 0..1_500u64 {
         for (id, endpoint) in new_attempts(&harness.request_arrived(id, 0)) {
             let counted = id >= 500;
             lossy += u32::from(counted && endpoint == 1);
-            sound += u32::from(counted && endpoint == 0);
+            healthy += u32::from(counted && endpoint == 0);
             harness.attempt_started(id);
             let lost = endpoint == 1 && id % 3 == 0;
             harness.attempt_ended(id, 0, if lost { AttemptStatus::Timeout } else { AttemptStatus::Ok });
         }
         harness.advance(10 * MS);
-        harness.advance(200 * MS); // what was in doubt may be used again
+        harness.advance(200 * MS); // suspicions end
     }
-    assert!(lossy * 2 < sound, "{lossy} over the lossy way, {sound} over the sound one");
+    assert!(lossy * 2 < healthy, "{lossy} to the lossy zone, {healthy} to the healthy one");
 }
 
-/// Held jobs are refused once what starts take now no longer fits either.
+/// Guards against queueing requests that are too late to start once the usual wait for a start is added.
 #[test]
-fn a_held_job_is_refused_when_the_usual_wait_no_longer_fits() {
-    let refused_after = |wait: Micros| {
+fn queued_request_is_shed_when_the_usual_start_wait_no_longer_fits() {
+    let shed_after_ms = |wait: Micros| {
         let mut harness = Harness::new(settings(), 40);
         for id in 0..100 {
             harness.request_arrived(id, 0);
@@ -532,27 +557,27 @@
         harness.request_arrived(1_000, 0);
         (0..60).find(|_| is_shed(&harness.advance(5 * MS), 1_000)).map(|n| n * 5)
     };
-    let (quick, slow) = (refused_after(0).unwrap(), refused_after(60 * MS).unwrap());
+    let (quick, slow) = (shed_after_ms(0).unwrap(), shed_after_ms(60 * MS).unwrap());
     assert!(slow + 50 <= quick, "after {slow} and {quick} ms");
 }
 
-/// Where starts are never told, a worker is not taken for one that has not started our last job.
+/// Guards against sending one request at a time to endpoints that never report starts.
 #[test]
-fn where_starts_are_not_told_a_worker_holds_a_few_jobs() {
-    for (tells_start, sent) in [(false, 2), (true, 1)] {
+fn endpoint_without_start_reports_gets_several_requests() {
+    for (reports_starts, sent) in [(false, 2), (true, 1)] {
         let mut settings = settings();
-        settings.reports_starts = tells_start;
+        settings.reports_starts = reports_starts;
         let mut harness = Harness::new(settings, 1);
         let all: usize = (0..2).map(|id| new_attempts(&harness.request_arrived(id, 0)).len()).sum();
         assert_eq!(all, sent);
     }
 }
 
-/// One late start does not leave the window to grow by one a round for good.
+/// Guards against a concurrency limit that grows by one per round forever after a single late start.
 #[test]
-fn the_window_doubles_again_while_little_strains_it() {
+fn concurrency_limit_doubles_again_after_a_late_start() {
     let mut settings = settings();
-    settings.schedulers = 100; // so that the first window is two
+    settings.schedulers = 100; // so that the first concurrency limit is two
     let mut harness = Harness::new(settings, 60);
     harness.request_arrived(0, 0);
     harness.advance(90 * MS);
@@ -560,14 +585,14 @@
     harness.attempt_ended(0, 0, AttemptStatus::Ok);
     let (mut next, mut most) = (1, 0);
     for _ in 0..4 {
-        let (mut out, mut running) = (Vec::new(), Vec::new());
+        let (mut unstarted, mut running) = (Vec::new(), Vec::new());
         for _ in 0..60 {
-            out.extend(new_attempts(&harness.request_arrived(next, 0)));
+            unstarted.extend(new_attempts(&harness.request_arrived(next, 0)));
             next += 1;
         }
-        while let Some((id, _)) = out.pop() {
+        while let Some((id, _)) = unstarted.pop() {
             running.push(id);
-            out.extend(new_attempts(&harness.attempt_started(id)));
+            unstarted.extend(new_attempts(&harness.attempt_started(id)));
         }
         most = running.len();
         harness.advance(MS);
@@ -581,15 +606,15 @@
     assert!(most > 40, "{most} of 60 at once in the fourth round");
 }
 
-/// A job goes where the last start did not have to wait.
+/// Guards against sending the next request to the endpoint whose last start had to wait.
 #[test]
-fn the_wait_of_the_last_start_counts_as_others_jobs() {
+fn wait_of_the_last_start_counts_as_load() {
     let mut harness = Harness::new(settings(), 2);
-    let (mut slow, mut back, mut all) = (0, 0, 0);
+    let (mut slow, mut repeated, mut all) = (0, 0, 0);
     for id in 0..600 {
         for (id, endpoint) in new_attempts(&harness.request_arrived(id, 0)) {
             let waits = endpoint == 0 && id % 2 == 0;
-            back += u32::from(slow > 0 && endpoint == 0);
+            repeated += u32::from(slow > 0 && endpoint == 0);
             slow = u32::from(waits);
             all += slow;
             harness.advance(if waits { 90 * MS } else { 0 });
@@ -600,22 +625,26 @@
             harness.advance(200 * MS);
         }
     }
-    // Of three draws among two all fall on it once in eight; without it counted it is one in two.
-    assert!(all > 40 && back * 3 < all, "{back} of {all} sent again at once to where a start had waited");
+    // Three random choices among two endpoints all name it in one of eight cases. Without counting the wait it
+    // would be one in two.
+    assert!(
+        all > 40 && repeated * 3 < all,
+        "{repeated} of {all} were sent to the endpoint whose last start had waited"
+    );
 }
 
-/// Where further attempts are rationed, fulls lose requests, and excess is not forgiven for them.
+/// Guards against requests beyond a share that are sent to overloaded endpoints when no retry is left to save others.
 #[test]
-fn the_share_lost_counts_the_ration() {
-    let sent = |ration: Option<RetryBudget>| {
+fn fewer_requests_beyond_a_share_are_sent_without_a_retry_budget() {
+    let sent = |retry_budget: Option<RetryBudget>| {
         let mut settings = settings();
-        settings.retry_budget = ration;
+        settings.retry_budget = retry_budget;
         settings.tenants = vec![TenantSettings { share: 1.0, quota_per_second: 0.2 }];
         let mut harness = Harness::new(settings, 4);
         let mut sent = 0;
         for id in 0..300 {
-            let of = Request { tenant: Some(TenantId(0)), ..request(id, 0) };
-            for (id, _) in new_attempts(&harness.handle(Event::RequestArrived(of))) {
+            let from_tenant = Request { tenant: Some(TenantId(0)), ..request(id, 0) };
+            for (id, _) in new_attempts(&harness.handle(Event::RequestArrived(from_tenant))) {
                 sent += 1;
                 harness.attempt_started(id);
                 let status = if sent % 3 == 0 { AttemptStatus::Overloaded } else { AttemptStatus::Ok };
@@ -628,40 +657,41 @@
         }
         sent
     };
-    let (free, rationed) = (sent(None), sent(Some(RetryBudget { window: S, min_retries: 0.0, ratio: 0.0 })));
-    assert!(rationed * 2 < free, "{rationed} and {free}");
+    let (unlimited, limited) =
+        (sent(None), sent(Some(RetryBudget { window: S, min_retries: 0.0, ratio: 0.0 })));
+    assert!(limited * 2 < unlimited, "{limited} and {unlimited}");
 }
 
-/// Of two other zones the one over whose way starts take longer is crossed to less.
+/// Guards against sending as much to a zone whose starts take long as to a quicker one.
 #[test]
-fn a_slow_way_is_dearer_than_a_quick_one() {
+fn zone_with_slow_starts_gets_fewer_requests() {
     let mut settings = settings();
     settings.cross_zone_cost = 0.03;
     let mut harness = Harness::new(settings, 0);
     harness.handle(Event::EndpointList(
         (0..2).map(|n| Endpoint { zone: ZoneId(1 + n), ..live_endpoint(n) }).collect(),
     ));
-    let mut met = [0, 0];
+    let mut attempts = [0, 0];
     for id in 0..1_000u64 {
         for (id, endpoint) in new_attempts(&harness.request_arrived(id, 0)) {
-            met[endpoint as usize] += u32::from(id >= 300);
+            attempts[endpoint as usize] += u32::from(id >= 300);
             harness.advance(if endpoint == 1 { 80 * MS } else { 5 * MS });
             harness.attempt_started(id);
             harness.attempt_ended(id, 0, AttemptStatus::Ok);
         }
         harness.advance(200 * MS);
     }
-    assert!(met[1] * 2 < met[0], "{met:?}");
+    assert!(attempts[1] * 2 < attempts[0], "{attempts:?}");
 }
 
-/// A whole list that names a worker again is no reason to doubt it.
+/// Guards against suspecting endpoints that a new full list still contains.
 #[test]
-fn a_whole_list_puts_none_in_doubt_that_it_names() {
+fn full_list_does_not_suspect_the_endpoints_in_it() {
     let mut settings = settings();
     settings.only_draining_excludes = true;
     let mut harness = Harness::new(settings, 1);
     harness.handle(Event::EndpointList(vec![live_endpoint(0)]));
-    // Were the own zone's worker in doubt, the other would be taken.
+    // If endpoint 0 were suspected, the one in the other zone would be used.
     harness.handle(Event::EndpointUpdate(vec![Endpoint { zone: ZoneId(1), ..live_endpoint(1) }]));
     for id in 0..20 {
         assert_eq!(new_attempts(&harness.request_arrived(id, 0)), [(id, 0)]);
@@ -670,33 +700,33 @@
     }
 }
 
-/// A server that runs many of our jobs gets a quarter as many before the last has started, or a start's round trip
-/// would bound what it is sent; one that runs few gets them one by one, as it may have no room for a second.
+/// Guards against a throughput bounded by the round trip of each start. An endpoint may have a quarter as many
+/// unstarted requests as it runs, and one more.
 #[test]
-fn one_that_runs_many_of_ours_gets_several_at_a_time() {
+fn endpoint_that_runs_many_requests_may_have_several_unstarted_ones() {
     let mut harness = Harness::new(settings(), 1);
-    let mut waiting: Vec<u64> = Vec::new();
+    let mut unstarted: Vec<u64> = Vec::new();
     for id in 1..=80 {
-        waiting.extend(new_attempts(&harness.request_arrived(id, 0)).iter().map(|s| s.0));
+        unstarted.extend(new_attempts(&harness.request_arrived(id, 0)).iter().map(|s| s.0));
     }
-    assert_eq!(waiting.len(), 1, "none has started yet");
+    assert_eq!(unstarted.len(), 1, "none has started yet");
     let mut running: Vec<u64> = Vec::new();
     let mut most = 0;
-    // The window grows with what starts in time; then some end, and others take their places.
+    // The concurrency limit grows with timely starts; then each attempt that ends is replaced.
     for step in 0..60 {
         let more = if step < 24 || step % 2 == 0 {
-            running.push(waiting.remove(0));
+            running.push(unstarted.remove(0));
             harness.attempt_started(running[running.len() - 1])
         } else {
             let id = running.remove(0);
             harness.attempt_ended(id, 0, AttemptStatus::Ok)
         };
-        waiting.extend(new_attempts(&more).iter().map(|s| s.0));
-        let on_their_way = waiting.len();
-        assert!(on_their_way <= running.len() / 4 + 1, "{on_their_way} with {} running", running.len());
-        most = most.max(on_their_way);
+        unstarted.extend(new_attempts(&more).iter().map(|s| s.0));
+        let count = unstarted.len();
+        assert!(count <= running.len() / 4 + 1, "{count} unstarted with {} running", running.len());
+        most = most.max(count);
     }
-    assert!(most >= 4, "{most} on their way at most");
-    // 'Full' stops it, whatever runs there.
-    assert!(new_attempts(&harness.attempt_ended(waiting[0], 0, AttemptStatus::Overloaded)).is_empty());
+    assert!(most >= 4, "at most {most} unstarted");
+    // An endpoint that answers `Overloaded` gets no more, however many it runs.
+    assert!(new_attempts(&harness.attempt_ended(unstarted[0], 0, AttemptStatus::Overloaded)).is_empty());
 }
--- a/crates/scheduler/tests/parts.rs
+++ b/crates/scheduler/tests/parts.rs
@@ -1,5 +1,5 @@
-//! Parts of budgets that all schedulers share bind whatever else is so: idle workers, forgiveness, retries, attempts of which
-//! nothing is heard.
+//! Tests of quota shares: a scheduler stays within its shares even while endpoints are idle, over retries and for
+//! attempts whose outcome is unknown.
 
 mod common;
 use common::*;
@@ -7,35 +7,36 @@
 use shorepath_scheduler::{QuotaKind, QuotaShare, QuotaUsage};
 use std::collections::BTreeSet;
 
-fn part(of: QuotaKind, units: u64, span: Micros) -> QuotaShare {
-    QuotaShare { kind: of, units, total: 100, window: span }
+fn share(kind: QuotaKind, units: u64, window: Micros) -> QuotaShare {
+    QuotaShare { kind, units, total: 100, window }
 }
 
-fn quota(units: u64) -> QuotaShare {
-    part(QuotaKind::TenantRate(TenantId(0)), units, 200 * MS)
+fn tenant_rate(units: u64) -> QuotaShare {
+    share(QuotaKind::TenantRate(TenantId(0)), units, 200 * MS)
 }
 
-/// One tenant with a large quota, as its settings have it.
-fn with_tenant() -> Settings {
+/// Returns settings of one tenant whose own quota is large.
+fn tenant_settings() -> Settings {
     let mut settings = settings();
     settings.tenants = vec![TenantSettings { share: 1.0, quota_per_second: 1_000.0 }];
     (settings.sends_retry_after, settings.max_retry_after) = (true, 2 * S);
     settings
 }
 
-fn of_tenant(id: u64) -> Request {
+fn tenant_request(id: u64) -> Request {
     Request { tenant: Some(TenantId(0)), ..request(id, 0) }
 }
 
-/// Let time pass in steps, at each of which one comes; what is sent is served at once. When each was sent, and the refused.
+/// Sends one request in each step; an attempt is served at once. Returns the time of each attempt and the requests
+/// that were shed.
 fn flood(harness: &mut Harness, ids: std::ops::Range<u64>, step: Micros) -> (Vec<Micros>, Vec<u64>) {
-    let (mut sent, mut denied) = (Vec::new(), Vec::new());
+    let (mut sent, mut shed) = (Vec::new(), Vec::new());
     for id in ids {
-        let mut out = harness.advance(step);
-        out.extend(harness.handle(Event::RequestArrived(of_tenant(id))));
-        while !out.is_empty() {
+        let mut actions = harness.advance(step);
+        actions.extend(harness.handle(Event::RequestArrived(tenant_request(id))));
+        while !actions.is_empty() {
             let mut more = Vec::new();
-            for action in out {
+            for action in actions {
                 match action {
                     Action::StartAttempt { id, .. } => {
                         sent.push(harness.now);
@@ -44,98 +45,106 @@
                     }
                     Action::Shed { id, retry_after } => {
                         assert!(retry_after.is_some_and(|t| t > 0));
-                        denied.push(id.0);
+                        shed.push(id.0);
                     }
                     _ => {}
                 }
             }
-            out = more;
+            actions = more;
         }
     }
-    (sent, denied)
+    (sent, shed)
 }
 
-fn most_in(sent: &[Micros], span: Micros) -> usize {
-    sent.iter().map(|a| sent.iter().filter(|b| (*a..a + span).contains(b)).count()).max().unwrap_or(0)
+/// Returns the largest number of the times within one window.
+fn most_in(times: &[Micros], window: Micros) -> usize {
+    times.iter().map(|a| times.iter().filter(|b| (*a..a + window).contains(b)).count()).max().unwrap_or(0)
 }
 
 #[test]
-fn a_quota_part_binds_while_workers_are_idle_and_whenever_it_changes() {
-    let mut harness = Harness::new(with_tenant(), 20);
-    let (free, denied) = flood(&mut harness, 0..500, 5 * MS);
-    assert_eq!((free.len(), denied.len()), (500, 0), "nothing is bounded");
-    harness.handle(Event::QuotaShares(vec![quota(50)]));
+fn quota_share_limits_requests_while_endpoints_are_idle_and_after_each_change() {
+    let mut harness = Harness::new(tenant_settings(), 20);
+    let (unlimited, shed) = flood(&mut harness, 0..500, 5 * MS);
+    assert_eq!((unlimited.len(), shed.len()), (500, 0), "without a share there is no limit");
+    harness.handle(Event::QuotaShares(vec![tenant_rate(50)]));
     harness.scheduler.take_quota_usage(harness.now);
-    let (sent, denied) = flood(&mut harness, 1_000..2_000, 5 * MS);
+    let (sent, shed) = flood(&mut harness, 1_000..2_000, 5 * MS);
     assert!(most_in(&sent, S) <= 61, "{}", most_in(&sent, S));
-    assert!((240..=265).contains(&sent.len()) && denied.len() > 600, "{} {}", sent.len(), denied.len());
+    assert!((240..=265).contains(&sent.len()) && shed.len() > 600, "{} {}", sent.len(), shed.len());
     let used = harness.scheduler.take_quota_usage(harness.now);
-    assert_eq!(used, [(quota(0).kind, QuotaUsage { demand: 1_000, used: sent.len() as u64 })]);
-    // Less from now on, and nothing at all; what is held by then is answered, not kept.
+    assert_eq!(used, [(tenant_rate(0).kind, QuotaUsage { demand: 1_000, used: sent.len() as u64 })]);
+    // A smaller share, then none. Queued requests are answered as well.
     for (units, most) in [(10, 60), (0, 1)] {
-        harness.handle(Event::QuotaShares(vec![quota(units)]));
+        harness.handle(Event::QuotaShares(vec![tenant_rate(units)]));
         let from = 10_000 * (units + 1);
-        let (sent, denied) = flood(&mut harness, from..from + 1_000, 5 * MS);
-        assert!(sent.len() <= most, "{} of {units} a second", sent.len());
-        assert!(sent.len() + denied.len() > 900, "{} {}", sent.len(), denied.len());
+        let (sent, shed) = flood(&mut harness, from..from + 1_000, 5 * MS);
+        assert!(sent.len() <= most, "{} sent with a share of {units}", sent.len());
+        assert!(sent.len() + shed.len() > 900, "{} {}", sent.len(), shed.len());
     }
     harness.handle(Event::QuotaShares(Vec::new()));
     assert!(flood(&mut harness, 90_000..90_100, 5 * MS).0.len() >= 100);
 }
 
-/// A class's part of what is out at once: what is unheard of counts for as long as it may run; nothing is cut when it shrinks.
+/// An attempt whose connection broke counts for as long as it may run, and a smaller share cancels nothing.
 #[test]
-fn attempts_out_keep_to_their_part() {
+fn attempts_in_flight_stay_within_their_share() {
     let mut harness = Harness::new(settings(), 20);
-    let flights =
-        |units| Event::QuotaShares(vec![part(QuotaKind::ClassConcurrency(ClassId(1)), units, 3 * S)]);
-    harness.handle(flights(3));
-    let mut out: BTreeSet<u64> = BTreeSet::new();
+    let concurrency =
+        |units| Event::QuotaShares(vec![share(QuotaKind::ClassConcurrency(ClassId(1)), units, 3 * S)]);
+    harness.handle(concurrency(3));
+    let mut in_flight: BTreeSet<u64> = BTreeSet::new();
     for id in 0..5 {
-        out.extend(new_attempts(&harness.request_arrived(id, 1)).iter().map(|s| s.0));
+        in_flight.extend(new_attempts(&harness.request_arrived(id, 1)).iter().map(|s| s.0));
     }
-    assert_eq!(out.len(), 3);
-    assert_eq!(new_attempts(&harness.request_arrived(50, 0)).len(), 1, "other classes are free");
-    out.iter().for_each(|id| drop(harness.attempt_started(*id)));
+    assert_eq!(in_flight.len(), 3);
+    assert_eq!(new_attempts(&harness.request_arrived(50, 0)).len(), 1, "other classes are not limited");
+    in_flight.iter().for_each(|id| drop(harness.attempt_started(*id)));
     let mut next = harness.attempt_ended(0, 0, AttemptStatus::Ok);
     next.extend(harness.advance(30 * MS));
     assert_eq!(new_attempts(&next).len(), 1);
-    // One whose connection broke may still run.
-    let lost = harness.now;
+    // The attempt whose connection broke may still run.
+    let broken_at = harness.now;
     harness.attempt_ended(1, 0, AttemptStatus::Reset);
     assert!(new_attempts(&harness.advance(40 * MS)).is_empty());
     assert_eq!(harness.scheduler.take_quota_usage(harness.now)[0].1.used, 3);
-    harness.handle(flights(1));
-    assert!(harness.scheduler.take_quota_usage(harness.now)[0].1.used == 3, "nothing is cut");
-    harness.handle(flights(3));
-    harness.advance(lost + 3 * S - harness.now);
+    harness.handle(concurrency(1));
+    assert!(
+        harness.scheduler.take_quota_usage(harness.now)[0].1.used == 3,
+        "a smaller share cancels nothing"
+    );
+    harness.handle(concurrency(3));
+    harness.advance(broken_at + 3 * S - harness.now);
     harness.request_arrived(60, 1);
-    assert_eq!(harness.scheduler.take_quota_usage(harness.now)[0].1.used, 3, "it counts no more");
+    assert_eq!(
+        harness.scheduler.take_quota_usage(harness.now)[0].1.used,
+        3,
+        "the lost attempt no longer counts"
+    );
 }
 
 #[test]
-fn retries_and_connections_keep_to_their_parts() {
+fn retries_and_connections_stay_within_their_shares() {
     let mut long_objective = settings();
     long_objective.classes[0].latency_objective = 2 * S;
     let mut harness = Harness::new(long_objective, 8);
-    harness.handle(Event::QuotaShares(vec![part(QuotaKind::Retries, 2, 0)]));
+    harness.handle(Event::QuotaShares(vec![share(QuotaKind::Retries, 2, 0)]));
     harness.advance(2 * S);
-    let mut again = Vec::new();
+    let mut retries = Vec::new();
     for id in 0..6 {
         harness.request_arrived(id, 0);
-        again.extend(
+        retries.extend(
             new_attempts(&harness.attempt_ended(id, 0, AttemptStatus::Overloaded))
                 .iter()
                 .filter(|s| s.0 == id)
                 .map(|_| harness.now),
         );
     }
-    assert_eq!(again.len(), 1, "one was saved up");
+    assert_eq!(retries.len(), 1, "one retry was saved up");
     let later = new_attempts(&harness.advance(900 * MS));
     assert!((1..=2).contains(&later.len()), "{later:?}");
-    // One at each of eight workers, and no more whatever comes.
+    // One connection to each of eight endpoints, however many requests arrive.
     let mut harness = Harness::new(settings(), 8);
-    harness.handle(Event::QuotaShares(vec![part(QuotaKind::Connections, 1, 0)]));
+    harness.handle(Event::QuotaShares(vec![share(QuotaKind::Connections, 1, 0)]));
     let mut where_to = Vec::new();
     for id in 0..30 {
         where_to.extend(new_attempts(&harness.request_arrived(id, 0)).iter().map(|s| s.1));
@@ -145,20 +154,20 @@
     assert!(where_to.len() == distinct.len() && !where_to.is_empty(), "{where_to:?}");
 }
 
-/// Of what a cold worker bears exactly the part that was given is used.
+/// Guards against ignoring the share of the capacity of endpoints in slow start.
 #[test]
-fn cold_workers_are_sent_the_part_that_was_given() {
+fn endpoints_in_slow_start_are_sent_the_schedulers_share() {
     let sent = |units: Option<u64>| {
         let mut harness = Harness::new(settings(), 0);
         harness.handle(Event::EndpointList(vec![Endpoint { started_at: harness.now, ..live_endpoint(1) }]));
         harness.handle(Event::QuotaShares(
-            units.map(|u| part(QuotaKind::SlowStart, u, 0)).into_iter().collect(),
+            units.map(|u| share(QuotaKind::SlowStart, u, 0)).into_iter().collect(),
         ));
         let mut count = 0;
         for id in 0..400 {
-            let mut out = harness.advance(5 * MS);
-            out.extend(harness.request_arrived(id, 0));
-            for (id, _) in new_attempts(&out) {
+            let mut actions = harness.advance(5 * MS);
+            actions.extend(harness.request_arrived(id, 0));
+            for (id, _) in new_attempts(&actions) {
                 count += 1;
                 harness.attempt_started(id);
                 harness.attempt_ended(id, 0, AttemptStatus::Ok);
@@ -170,198 +179,213 @@
     assert!(none <= 2 && few < many / 3 && few > 2, "{none} {few} {many} {}", sent(None));
 }
 
-/// Probes go out by their part as time passes, from an empty meter on, and what could not be had is told as wanted.
+/// Probes start without saved-up units, and those beyond the share are reported as demand.
 #[test]
-fn probes_keep_to_their_part_and_are_made() {
+fn probes_use_their_share_and_no_more() {
     let probed = |units: Option<u64>| {
         let mut settings = settings();
         (settings.probing, settings.schedulers) = (true, 50);
         let mut harness = Harness::new(settings, 10);
         harness.handle(Event::QuotaShares(
-            units.map(|u| part(QuotaKind::Probes, u, 100 * MS)).into_iter().collect(),
+            units.map(|u| share(QuotaKind::Probes, u, 100 * MS)).into_iter().collect(),
         ));
         let mut count = 0;
         for id in 0..400 {
-            let mut out = harness.advance(10 * MS);
-            out.extend(harness.request_arrived(id, 0));
-            let probes: Vec<EndpointId> = out
+            let mut actions = harness.advance(10 * MS);
+            actions.extend(harness.request_arrived(id, 0));
+            let probes: Vec<EndpointId> = actions
                 .iter()
                 .filter_map(|a| if let Action::Probe { endpoint } = a { Some(*endpoint) } else { None })
                 .collect();
             count += probes.len();
             for endpoint in probes {
                 let report = LoadReport { free_slots: Some(2.0), in_flight: Some(0.0) };
-                out.extend(harness.handle(Event::ProbeEnded { endpoint, status: AttemptStatus::Ok, report }));
+                actions.extend(harness.handle(Event::ProbeEnded {
+                    endpoint,
+                    status: AttemptStatus::Ok,
+                    report,
+                }));
             }
-            for (id, _) in new_attempts(&out) {
+            for (id, _) in new_attempts(&actions) {
                 harness.attempt_started(id);
                 harness.attempt_ended(id, 0, AttemptStatus::Ok);
             }
         }
         (count, harness.scheduler.take_quota_usage(harness.now).first().map_or(0, |u| u.1.demand))
     };
-    let (free, (few, wanted)) = (probed(None).0, probed(Some(20)));
-    assert!((60..=82).contains(&few) && free > 2 * few, "{few} of {free}");
-    assert!(wanted > few as u64, "{wanted}");
+    let (unlimited, (limited, demand)) = (probed(None).0, probed(Some(20)));
+    assert!((60..=82).contains(&limited) && unlimited > 2 * limited, "{limited} of {unlimited}");
+    assert!(demand > limited as u64, "{demand}");
     assert_eq!(probed(Some(0)).0, 0);
 }
 
-fn bars(actions: &[Action], id: u64) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Reject { id: barred, .. } if barred.0 == id))
+fn is_rejected(actions: &[Action], id: u64) -> bool {
+    actions.iter().any(|a| matches!(a, Action::Reject { id: rejected, .. } if rejected.0 == id))
 }
 
-/// Of a tenant that may take two more in all, the third is barred, and repeats of what was taken are not; what was taken runs on
-/// when nothing more may be taken, and what was never sent is given back.
+/// Guards against rejecting repeats of accepted work, and against counting requests that were never sent as new work.
 #[test]
-fn new_work_of_a_closing_tenant_is_barred_and_its_running_work_is_finished() {
-    let mut harness = Harness::new(with_tenant(), 6);
-    let new = |units| Event::QuotaShares(vec![part(QuotaKind::NewWork(TenantId(0)), units, S)]);
-    harness.handle(new(2));
+fn new_work_beyond_its_share_is_rejected_and_accepted_work_is_finished() {
+    let mut harness = Harness::new(tenant_settings(), 6);
+    let new_work = |units| Event::QuotaShares(vec![share(QuotaKind::NewWork(TenantId(0)), units, S)]);
+    harness.handle(new_work(2));
     for id in 0..2 {
-        assert!(new_attempts(&harness.handle(Event::RequestArrived(of_tenant(id)))).len() == 1, "{id}");
+        assert!(new_attempts(&harness.handle(Event::RequestArrived(tenant_request(id)))).len() == 1, "{id}");
     }
-    assert!(bars(&harness.handle(Event::RequestArrived(of_tenant(2))), 2));
+    assert!(is_rejected(&harness.handle(Event::RequestArrived(tenant_request(2))), 2));
     assert_eq!(harness.scheduler.take_quota_usage(harness.now)[0].1.used, 2);
-    harness.handle(new(0));
-    let again = Request { work_state: WorkState::InProgress, ..of_tenant(3) };
-    assert!(!bars(&harness.handle(Event::RequestArrived(again)), 3));
-    // The safe one that never ran is tried again although nothing new is taken.
+    harness.handle(new_work(0));
+    let repeat = Request { work_state: WorkState::InProgress, ..tenant_request(3) };
+    assert!(!is_rejected(&harness.handle(Event::RequestArrived(repeat)), 3));
+    // A request that never ran is retried although no new work is accepted.
     assert_eq!(new_attempts(&harness.attempt_ended(0, 0, AttemptStatus::ConnectFailed)).len(), 1);
-    let elsewhere = Request { work_state: WorkState::Misdirected, ..request(4, 0) };
-    assert!(bars(&harness.handle(Event::RequestArrived(elsewhere)), 4));
-    // Another tenant's, and one of none, are not touched.
-    assert!(!bars(&harness.handle(Event::RequestArrived(request(5, 0))), 5));
-    // One that is held, and whose client leaves before it was sent, was not begun.
-    harness.handle(new(3));
+    let misdirected = Request { work_state: WorkState::Misdirected, ..request(4, 0) };
+    assert!(is_rejected(&harness.handle(Event::RequestArrived(misdirected)), 4));
+    // A request without a tenant is not limited.
+    assert!(!is_rejected(&harness.handle(Event::RequestArrived(request(5, 0))), 5));
+    // A queued request whose client leaves before it was sent does not count.
+    harness.handle(new_work(3));
     harness.handle(Event::EndpointList(Vec::new()));
-    harness.handle(Event::RequestArrived(of_tenant(6)));
+    harness.handle(Event::RequestArrived(tenant_request(6)));
     harness.handle(Event::ClientLeft(RequestId(6)));
-    assert!(!bars(&harness.handle(Event::RequestArrived(of_tenant(7))), 7));
+    assert!(!is_rejected(&harness.handle(Event::RequestArrived(tenant_request(7))), 7));
 }
 
-/// Where nothing of a tenant may run, what is held is answered and no further attempt is made; others' work goes on.
+/// Guards against retries of a tenant that has been disabled, and against limiting others with it.
 #[test]
-fn nothing_more_is_sent_of_a_tenant_that_is_closed() {
-    let mut harness = Harness::new(with_tenant(), 2);
-    let first = new_attempts(&harness.handle(Event::RequestArrived(of_tenant(0))));
+fn disabled_tenant_gets_no_more_attempts() {
+    let mut harness = Harness::new(tenant_settings(), 2);
+    let first = new_attempts(&harness.handle(Event::RequestArrived(tenant_request(0))));
     assert_eq!(first.len(), 1);
-    harness.handle(Event::QuotaShares(vec![part(QuotaKind::TenantEnabled(TenantId(0)), 0, S)]));
-    let out = harness.attempt_ended(0, 0, AttemptStatus::ConnectFailed);
-    assert!(is_shed(&out, 0) && new_attempts(&out).is_empty(), "{out:?}");
+    harness.handle(Event::QuotaShares(vec![share(QuotaKind::TenantEnabled(TenantId(0)), 0, S)]));
+    let actions = harness.attempt_ended(0, 0, AttemptStatus::ConnectFailed);
+    assert!(is_shed(&actions, 0) && new_attempts(&actions).is_empty(), "{actions:?}");
     assert_eq!(new_attempts(&harness.handle(Event::RequestArrived(request(1, 0)))).len(), 1);
 }
 
-fn guest(id: u64) -> Request {
+fn remote_request(id: u64) -> Request {
     Request { is_remote: true, ..request(id, 0) }
 }
 
-/// Guests have their part of their class and no more, also where it has been idle for long and whether or not they repeat; one beyond it
-/// is barred at once, and what was taken is not touched. Home load is never barred for them.
+/// Guards against remote requests that exceed their share after an idle time or as repeats, and against rejecting
+/// local requests for them.
 #[test]
-fn guests_have_their_part_and_home_load_has_all_else() {
+fn remote_requests_stay_within_their_share_and_local_ones_are_not_limited() {
     let mut harness = Harness::new(settings(), 40);
-    let guests = |units| part(QuotaKind::RemoteClass(ClassId(0)), units, 200 * MS);
-    harness.handle(Event::QuotaShares(vec![guests(20)]));
+    let remote_class = |units| share(QuotaKind::RemoteClass(ClassId(0)), units, 200 * MS);
+    harness.handle(Event::QuotaShares(vec![remote_class(20)]));
     harness.advance(10 * S);
-    let (mut taken, mut barred) = (Vec::new(), 0);
+    let (mut accepted, mut rejected) = (Vec::new(), 0);
     for id in 0..4_000 {
         harness.advance(MS);
-        let is_guest = id % 2 == 0;
-        let asked = if is_guest {
-            Request { work_state: WorkState::InProgress, ..guest(id) }
+        let is_remote = id % 2 == 0;
+        let arriving = if is_remote {
+            Request { work_state: WorkState::InProgress, ..remote_request(id) }
         } else {
             request(id, 0)
         };
-        let out = harness.handle(Event::RequestArrived(asked));
-        let of = Some(QuotaKind::RemoteClass(ClassId(0)));
-        match out.contains(&Action::Reject { id: RequestId(id), quota: of }) {
-            true => barred += 1,
-            false if is_guest => taken.push(harness.now),
-            false => assert_eq!(new_attempts(&out).len(), 1, "home request {id}: {out:?}"),
+        let actions = harness.handle(Event::RequestArrived(arriving));
+        let quota = Some(QuotaKind::RemoteClass(ClassId(0)));
+        match actions.contains(&Action::Reject { id: RequestId(id), quota }) {
+            true => rejected += 1,
+            false if is_remote => accepted.push(harness.now),
+            false => assert_eq!(new_attempts(&actions).len(), 1, "local request {id}: {actions:?}"),
         }
-        for (id, _) in new_attempts(&out) {
+        for (id, _) in new_attempts(&actions) {
             harness.attempt_ended(id, 0, AttemptStatus::Ok);
         }
     }
-    assert!((80..=85).contains(&taken.len()) && most_in(&taken, S) <= 25, "{}", taken.len());
-    assert_eq!(taken.len() + barred, 2_000);
-    harness.handle(Event::QuotaShares(vec![guests(0)]));
-    assert!(bars(&harness.handle(Event::RequestArrived(guest(5_000))), 5_000), "nothing is lent");
+    assert!((80..=85).contains(&accepted.len()) && most_in(&accepted, S) <= 25, "{}", accepted.len());
+    assert_eq!(accepted.len() + rejected, 2_000);
+    harness.handle(Event::QuotaShares(vec![remote_class(0)]));
+    assert!(
+        is_rejected(&harness.handle(Event::RequestArrived(remote_request(5_000))), 5_000),
+        "a share of 0 rejects all"
+    );
     harness.handle(Event::QuotaShares(Vec::new()));
-    assert!(!bars(&harness.handle(Event::RequestArrived(guest(5_001))), 5_001), "nothing is bounded");
+    assert!(
+        !is_rejected(&harness.handle(Event::RequestArrived(remote_request(5_001))), 5_001),
+        "without a share there is no limit"
+    );
 }
 
-/// A site that takes its load back takes no more of its own clients than its step, and that is no guests' part. A barred request counts
-/// nothing against its tenant's new work.
+/// Guards against limiting remote requests by the share of the local site, and against counting requests that one
+/// share rejects against another.
 #[test]
-fn a_returning_site_takes_its_own_load_by_its_step() {
-    let mut harness = Harness::new(with_tenant(), 20);
-    let new = part(QuotaKind::NewWork(TenantId(0)), 3, S);
-    harness.handle(Event::QuotaShares(vec![part(QuotaKind::LocalSite, 10, 200 * MS), new]));
-    let out = harness.handle(Event::RequestArrived(of_tenant(0)));
-    assert!(out.contains(&Action::Reject { id: RequestId(0), quota: Some(QuotaKind::LocalSite) }), "{out:?}");
-    assert!(!bars(&harness.handle(Event::RequestArrived(guest(1))), 1));
+fn local_requests_stay_within_the_share_of_their_site() {
+    let mut harness = Harness::new(tenant_settings(), 20);
+    let new_work = share(QuotaKind::NewWork(TenantId(0)), 3, S);
+    harness.handle(Event::QuotaShares(vec![share(QuotaKind::LocalSite, 10, 200 * MS), new_work]));
+    let actions = harness.handle(Event::RequestArrived(tenant_request(0)));
+    assert!(
+        actions.contains(&Action::Reject { id: RequestId(0), quota: Some(QuotaKind::LocalSite) }),
+        "{actions:?}"
+    );
+    assert!(!is_rejected(&harness.handle(Event::RequestArrived(remote_request(1))), 1));
     for id in 2..5 {
         harness.advance(S);
-        assert!(!bars(&harness.handle(Event::RequestArrived(of_tenant(id))), id));
+        assert!(!is_rejected(&harness.handle(Event::RequestArrived(tenant_request(id))), id));
     }
     harness.advance(S);
-    let out = harness.handle(Event::RequestArrived(of_tenant(6)));
+    let actions = harness.handle(Event::RequestArrived(tenant_request(6)));
+    assert!(
+        actions.contains(&Action::Reject { id: RequestId(6), quota: Some(QuotaKind::NewWork(TenantId(0))) }),
+        "{actions:?}"
+    );
     assert!(
-        out.contains(&Action::Reject { id: RequestId(6), quota: Some(QuotaKind::NewWork(TenantId(0))) }),
-        "{out:?}"
+        !is_rejected(&harness.handle(Event::RequestArrived(request(7, 0))), 7),
+        "the rejected request used no unit of the site's share"
     );
-    assert!(!bars(&harness.handle(Event::RequestArrived(request(7, 0))), 7), "the unit was not used");
 }
 
-/// Twenty workers of one slot and 50 ms a job bear 400 a second; home load asks for 380 of them, guests for 1,200. How many of each are
-/// served in 10 s where guests have that part.
-fn contended(part_of_guests: Option<u64>) -> (usize, usize) {
+/// Runs twenty endpoints, which together serve 400 requests a second, for 10 s under 380 local and 1,140 remote requests
+/// a second. Returns how many local and remote ones are served with this share of remote requests.
+fn served_under_overload(remote_share: Option<u64>) -> (usize, usize) {
     const WORK: Micros = 50 * MS;
     let mut harness = Harness::new(settings(), 20);
-    let held = part_of_guests.map(|units| part(QuotaKind::RemoteClass(ClassId(0)), units, 200 * MS));
-    harness.handle(Event::QuotaShares(held.into_iter().collect()));
+    let shares = remote_share.map(|units| share(QuotaKind::RemoteClass(ClassId(0)), units, 200 * MS));
+    harness.handle(Event::QuotaShares(shares.into_iter().collect()));
     let (mut free_at, mut due, mut served) = ([0; 20], Vec::new(), (0, 0));
-    let (mut id, begin) = (0, harness.now);
-    while harness.now < begin + 10 * S {
-        let mut out = harness.advance(MS);
+    let (mut id, start) = (0, harness.now);
+    while harness.now < start + 10 * S {
+        let mut actions = harness.advance(MS);
         let now = harness.now;
         let (ready, later) =
             std::mem::take(&mut due).into_iter().partition(|d: &(Micros, u64, bool)| d.0 <= now);
         due = later;
-        for (_, id, ends) in ready as Vec<(Micros, u64, bool)> {
-            if ends {
+        for (_, id, has_ended) in ready as Vec<(Micros, u64, bool)> {
+            if has_ended {
                 *(if id % 4 == 0 { &mut served.0 } else { &mut served.1 }) += 1;
-                out.extend(harness.attempt_ended(id, 0, AttemptStatus::Ok));
+                actions.extend(harness.attempt_ended(id, 0, AttemptStatus::Ok));
             } else {
-                out.extend(harness.attempt_started(id));
+                actions.extend(harness.attempt_started(id));
             }
         }
-        // Of each four one is home load: 380 and 1,140 a second.
-        while id < ((now - begin) * 1_520 / S) as u64 {
+        // One request of four is local: 380 local and 1,140 remote ones a second.
+        while id < ((now - start) * 1_520 / S) as u64 {
             id += 1;
-            let asked = Request { is_remote: id % 4 != 0, time_remaining: S, ..request(id, 0) };
-            out.extend(harness.handle(Event::RequestArrived(asked)));
+            let arriving = Request { is_remote: id % 4 != 0, time_remaining: S, ..request(id, 0) };
+            actions.extend(harness.handle(Event::RequestArrived(arriving)));
         }
-        for (id, endpoint) in new_attempts(&out) {
+        for (id, endpoint) in new_attempts(&actions) {
             let free = &mut free_at[endpoint as usize];
-            let start = now.max(*free);
-            *free = start + WORK;
-            due.extend([(start, id, false), (start + WORK, id, true)]);
+            let starts_at = now.max(*free);
+            *free = starts_at + WORK;
+            due.extend([(starts_at, id, false), (starts_at + WORK, id, true)]);
         }
     }
     served
 }
 
-/// Where the workers are full, home load loses what is lent to guests and no more; without a bound guests take most of it.
+/// Guards against overload in which remote requests take more capacity from local ones than their share.
 #[test]
-fn home_load_loses_no_more_than_what_is_lent() {
-    let (alone, none) = contended(Some(0));
-    let (home, guests) = contended(Some(80));
-    let (flooded, _) = contended(None);
-    assert_eq!(none, 0);
-    assert!(alone > 3_500, "{alone} of 3,800");
-    assert!(guests > 400, "{guests} guests");
-    assert!(home + 80 * 10 >= alone, "{home} of {alone} with {guests} guests");
-    assert!(flooded * 2 < alone, "{flooded} of {alone} without a bound");
+fn local_requests_lose_no_more_than_the_share_of_remote_ones() {
+    let (local_alone, no_remote) = served_under_overload(Some(0));
+    let (local, remote) = served_under_overload(Some(80));
+    let (local_unlimited, _) = served_under_overload(None);
+    assert_eq!(no_remote, 0);
+    assert!(local_alone > 3_500, "{local_alone} of 3,800 local requests");
+    assert!(remote > 400, "{remote} remote requests");
+    assert!(local + 80 * 10 >= local_alone, "{local} of {local_alone} local, {remote} remote requests");
+    assert!(local_unlimited * 2 < local_alone, "{local_unlimited} of {local_alone} without a limit");
 }
