--- a/crates/scheduler/tests/rfq.rs
+++ b/crates/scheduler/tests/rfq.rs
@@ -1,11 +1,12 @@
-//! Each step of RFQ with numbers worked by hand. One worker that tells no start is the paper's
-//! server: it gets one job at a time.
+//! Tests of Redemptive Fair Queuing with hand-computed tags. The starts at the single endpoint are not reported, so
+//! it gets one request at a time, like the server of the paper.
 
 mod common;
 use common::*;
 use shorepath_scheduler::*;
 
-/// Two tenants of 50 requests a second each; requests wanted within 100 ms.
+/// Returns settings of two tenants with 50 requests a second each. The latency objective is 1 s in class 0 and
+/// 100 ms in class 1.
 fn two_tenants() -> Settings {
     let tenant = TenantSettings { share: 0.5, quota_per_second: 50.0 };
     let mut settings = settings();
@@ -17,114 +18,115 @@
     settings
 }
 
-fn of(tenant: usize, id: u64, class: usize) -> Event {
+fn tenant_request(tenant: usize, id: u64, class: usize) -> Event {
     Event::RequestArrived(Request { tenant: Some(TenantId(tenant)), ..request(id, class) })
 }
 
-/// Serve what is out, one job at a time, and list the order of release.
-fn drain(harness: &mut Harness, mut out: u64) -> Vec<u64> {
-    let mut order = vec![out];
+/// Serves one request after another, from the given one on, until the queue is empty. Returns their order.
+fn serve_all(harness: &mut Harness, mut running: u64) -> Vec<u64> {
+    let mut order = vec![running];
     loop {
         harness.now += MS;
-        let actions = harness.attempt_ended(out, 0, AttemptStatus::Ok);
+        let actions = harness.attempt_ended(running, 0, AttemptStatus::Ok);
         match new_attempts(&actions).first() {
-            Some(&(id, _)) => out = id,
+            Some(&(id, _)) => running = id,
             None => return order,
         }
-        order.push(out);
+        order.push(running);
     }
 }
 
 #[test]
-fn least_finish_tag_leaves_first() {
+fn request_with_the_least_finish_tag_starts_first() {
     let mut harness = Harness::new(two_tenants(), 1);
-    harness.handle(of(0, 1, 0));
-    harness.handle(of(0, 2, 0)); // F = now + 1000 ms
+    harness.handle(tenant_request(0, 1, 0));
+    harness.handle(tenant_request(0, 2, 0)); // finish tag: now + 1000 ms
     harness.now += MS;
-    harness.handle(of(1, 3, 1)); // F = now + 1 ms + 100 ms
-    assert_eq!(drain(&mut harness, 1), [1, 3, 2]);
+    harness.handle(tenant_request(1, 3, 1)); // finish tag: now + 1 ms + 100 ms
+    assert_eq!(serve_all(&mut harness, 1), [1, 3, 2]);
 }
 
 #[test]
 fn requests_beyond_the_bucket_wait_for_tokens() {
-    // Both classes want 1000 and 100 ms, 550 ms in the mean: sigma is 50/s x 0.55 s = 27.5.
+    // The mean latency objective is 550 ms, so the bucket's depth (sigma) is 50/s x 0.55 s = 27.5.
     let mut harness = Harness::new(two_tenants(), 1);
     for id in 0..29 {
-        harness.handle(of(0, id, 1));
+        harness.handle(tenant_request(0, id, 1));
     }
-    // 27 were good; the 28th had half a token: S = now + 0.5 / 50 s, the 29th S = MaxS + 20 ms.
+    // 27 requests found a token. The 28th found half a token, so its start tag is now + 0.5 / 50 s. The 29th has
+    // the largest start tag so far plus 20 ms.
     harness.now += MS;
-    harness.handle(of(1, 100, 1));
-    let order = drain(&mut harness, 0);
-    let at = |id| order.iter().position(|&o| o == id);
+    harness.handle(tenant_request(1, 100, 1));
+    let order = serve_all(&mut harness, 0);
+    let position = |id| order.iter().position(|&o| o == id);
     assert_eq!(&order[..27], (0..27).collect::<Vec<_>>());
-    // The other tenant's good request came later but goes before the bad ones.
-    assert_eq!((at(100), at(27), at(28)), (Some(27), Some(28), Some(29)));
+    // The other tenant's request has a token and starts before the two without, although it arrived later.
+    assert_eq!((position(100), position(27), position(28)), (Some(27), Some(28), Some(29)));
 }
 
 #[test]
-fn a_sync_point_lets_bad_requests_use_spare_capacity() {
+fn synchronization_point_lets_requests_without_tokens_use_spare_capacity() {
     let mut harness = Harness::new(two_tenants(), 1);
-    // Far beyond the bucket, but nothing else is held: each leaves at once.
+    // Far more requests than tokens, but no other request is queued, so each starts at once.
     for id in 0..100 {
         harness.now += MS;
-        assert_eq!(new_attempts(&harness.handle(of(0, id, 1))).len(), 1, "{id}");
+        assert_eq!(new_attempts(&harness.handle(tenant_request(0, id, 1))).len(), 1, "{id}");
         harness.attempt_ended(id, 0, AttemptStatus::Ok);
     }
 }
 
-/// Example 1 of the paper, its first two seconds at an even pace: who used spare capacity while
-/// the other was idle is not starved when the other comes back.
+/// Guards against starving a tenant that used spare capacity once the other tenant returns, as in example 1 of the
+/// paper.
 #[test]
-fn use_of_spare_capacity_is_forgiven() {
+fn tenant_is_not_starved_for_its_use_of_spare_capacity() {
     let mut harness = Harness::new(two_tenants(), 1);
     let start = harness.now;
-    let (mut busy, mut done_at) = (None, 0);
-    let mut asked = std::collections::BTreeMap::new();
-    let (mut served, mut longest) = (0, 0);
+    let (mut running, mut done_at) = (None, 0);
+    let mut arrivals = std::collections::BTreeMap::new();
+    let (mut served, mut longest_wait) = (0, 0);
     for step in 0..1500u64 {
         harness.now = start + step as i64 * 2 * MS;
         let mut actions = Vec::new();
-        if let Some(id) = busy.filter(|_| done_at <= harness.now) {
-            busy = None;
+        if let Some(id) = running.filter(|_| done_at <= harness.now) {
+            running = None;
             actions.extend(harness.attempt_ended(id, 0, AttemptStatus::Ok));
         }
         // Tenant 0: 100/s for two seconds, then 50/s. Tenant 1: a burst at 2 s, then 50/s.
-        let every = if step < 1000 { 5 } else { 10 };
-        if step % every == 0 {
-            asked.insert(step, harness.now);
-            actions.extend(harness.handle(of(0, step, 1)));
+        let steps_per_request = if step < 1000 { 5 } else { 10 };
+        if step % steps_per_request == 0 {
+            arrivals.insert(step, harness.now);
+            actions.extend(harness.handle(tenant_request(0, step, 1)));
         }
         let burst = if step == 1000 { 50 } else { u64::from(step > 1000 && step % 10 == 5) };
         for n in 0..burst {
-            actions.extend(harness.handle(of(1, 10_000 + 100 * step + n, 1)));
+            actions.extend(harness.handle(tenant_request(1, 10_000 + 100 * step + n, 1)));
         }
         for (id, _) in new_attempts(&actions) {
-            (busy, done_at) = (Some(id), harness.now + 10 * MS);
-            if let (true, Some(at)) = (step >= 1000, asked.get(&id)) {
+            (running, done_at) = (Some(id), harness.now + 10 * MS);
+            if let (true, Some(at)) = (step >= 1000, arrivals.get(&id)) {
                 served += 1;
-                longest = longest.max(harness.now - at);
+                longest_wait = longest_wait.max(harness.now - at);
             }
         }
     }
-    assert!(served >= 40, "{served} of the 50 it asked for in the third second");
-    assert!(longest <= 100 * MS, "{longest}");
+    assert!(served >= 40, "{served} of 50 requests of the third second were served");
+    assert!(longest_wait <= 100 * MS, "{longest_wait}");
 }
 
 #[test]
-fn a_flood_is_refused_and_takes_no_tokens() {
+fn shed_requests_take_no_tokens() {
     let mut settings = two_tenants();
-    settings.over_share_fraction = 0.05; // beyond its share it waits 0.05 x 550 ms at most
+    settings.over_share_fraction = 0.05; // waits 0.05 x 550 ms at most beyond its share
     let mut harness = Harness::new(settings, 1);
-    let mut turned_away = 0;
+    let mut shed = 0;
     for id in 0..200 {
-        turned_away += usize::from(is_shed(&harness.handle(of(0, id, 1)), id));
+        shed += usize::from(is_shed(&harness.handle(tenant_request(0, id, 1)), id));
     }
-    // 27 good ones, one at 10 ms; the next would lie at 30 ms.
-    assert_eq!(turned_away, 200 - 28);
-    // The refused ones spent nothing: two seconds on, the bucket is as full as ever.
-    drain(&mut harness, 0);
+    // 27 requests have a token and one waits 10 ms for one; the next would wait 30 ms.
+    assert_eq!(shed, 200 - 28);
+    // Two seconds later the bucket is full again.
+    serve_all(&mut harness, 0);
     harness.now += 2 * S;
-    harness.handle(of(1, 1000, 1));
-    assert!(!is_shed(&harness.handle(of(0, 1001, 1)), 1001));
+    harness.handle(tenant_request(1, 1000, 1));
+    assert!(!is_shed(&harness.handle(tenant_request(0, 1001, 1)), 1001));
 }
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -356,9 +356,9 @@
     assert_eq!(new_attempts(&harness.request_arrived(7, 1)), [(7, 1)], "class 1 avoids endpoint 0");
 }
 
-/// Guards against losing a request at each endpoint of a zone that is unreachable as a whole.
+/// Guards against losing a request at each endpoint of an unreachable zone.
 #[test]
-fn unreachable_zone_is_suspected_as_a_whole_and_used_again_later() {
+fn unreachable_zone_is_avoided_and_used_again_later() {
     let mut harness = Harness::new(settings(), 0);
     let zoned = |n: u32| Endpoint { zone: ZoneId(1 + n / 10), ..live_endpoint(n) };
     harness.handle(Event::EndpointList((0..20).map(zoned).collect()));
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,11 +1,12 @@
-//! The limits of a node and what follows from them.
+//! Tests of the limits that a node derives from its memory and its sockets.
 
 use shorepath::net::admin::CALLERS;
 use shorepath::net::config::{Limits, OWN_SOCKETS};
 
-/// Clients may use a third of the descriptors for their requests, whatever the memory.
+/// Guards against accepting requests that find no socket for a dispatch: more than a third of the sockets are for
+/// clients, and as many for dispatches.
 #[test]
-fn all_requests_of_usual_clients_have_a_connection_and_a_dispatch() {
+fn clients_and_dispatches_each_have_a_third_of_the_sockets() {
     for (memory_mb, sockets) in [(16, 128), (24, 192), (32, 256), (32, 1024), (48, 384), (192, 1024)] {
         let limits = Limits { memory_mb, sockets };
         assert!(limits.connections(1) * 3 > sockets);
