--- a/crates/scheduler/tests/cold.rs
+++ b/crates/scheduler/tests/cold.rs
@@ -1,5 +1,5 @@
-//! Guards against overload of one endpoint in slow start by twenty or thirty schedulers that do not coordinate. All
-//! learn of its start at the same time, and all get a burst of requests at the same time.
+//! Guards against overload of one endpoint in slow start by twenty or thirty schedulers that do not
+//! coordinate. All learn of its start at the same time, and all get a burst of requests at the same time.
 
 mod common;
 use common::*;
@@ -34,20 +34,22 @@
     None,
     /// A request about every five seconds, for the endpoint in slow start.
     Light,
-    /// A request about every five seconds from 10 s earlier on, also for a warm endpoint that drains at the burst.
+    /// A request about every five seconds from 10 s earlier on, also for a warm endpoint that drains at the
+    /// burst.
     DrainingEndpoint,
-    /// Four requests a second from 5 s before the start on, also for a warm endpoint of many cores, whose listed
-    /// capacity falls to a tenth at the start.
+    /// Four requests a second from 5 s before the start on, also for a warm endpoint of many cores, whose
+    /// listed capacity falls to a tenth at the start.
     LoweredCapacity,
 }
 
 /// How the endpoint's capacity grows in slow start.
 #[derive(Clone, Copy, Debug)]
 enum SlowStart {
-    /// From a tenth of one core, for 10 s. At first 6 requests of mean work within the overload window overload it.
+    /// From a tenth of one core, for 10 s. At first 6 requests of mean work within the overload window
+    /// overload it.
     Fast,
-    /// From a quarter of one core, for 40 s. At first 7.5 requests of mean work within the overload window overload it,
-    /// and fewer than 14 after ten seconds.
+    /// From a quarter of one core, for 40 s. At first 7.5 requests of mean work within the overload window
+    /// overload it, and fewer than 14 after ten seconds.
     Slow,
     /// From a tenth of one core, for 6 s, with an overload window as long as four requests of mean work.
     Short,
@@ -96,9 +98,9 @@
     AttemptEnded(u64, u32),
 }
 
-/// Runs one scheduler. Returns the time and the relative work of each request that it sends to the endpoint in slow
-/// start.
-fn sent(
+/// Runs one scheduler. Returns the time and the relative work of each request that it sends to the endpoint
+/// in slow start.
+fn run_scheduler(
     settings: &Settings,
     seed: u64,
     pattern: WorkPattern,
@@ -200,9 +202,9 @@
     sent
 }
 
-/// Returns the largest excess over the endpoint's capacity and a tolerance during slow start, in requests of mean
-/// work, and the used fraction of its capacity in the overload window after the burst.
-fn burst(
+/// Returns the largest excess over the endpoint's capacity and a tolerance during slow start, in requests of
+/// mean work, and the used fraction of its capacity in the overload window after the burst.
+fn run_burst(
     settings: &Settings,
     seed: u64,
     pattern: WorkPattern,
@@ -210,7 +212,7 @@
     age: Micros,
 ) -> (f64, f64) {
     let at = STARTED_AT + age;
-    let sent_by = |n: u32| sent(settings, seed * 1_000 + u64::from(n), pattern, earlier_load, at);
+    let sent_by = |n: u32| run_scheduler(settings, seed * 1_000 + u64::from(n), pattern, earlier_load, at);
     let mut attempts: Vec<(Micros, f64)> = (0..settings.schedulers).flat_map(sent_by).collect();
     attempts.sort_by_key(|s| s.0);
     let load = |end: Micros| -> f64 {
@@ -226,7 +228,8 @@
     (worst, load(end) / capacity(settings, end))
 }
 
-/// Asserts that no burst overloads the endpoint, even with what the schedulers were allowed to save up before it.
+/// Asserts that no burst overloads the endpoint, even with what the schedulers were allowed to save up before
+/// it.
 fn assert_no_overload(schedulers: u32, earlier_load: EarlierLoad) {
     let (mut overloads, mut bursts, mut lines) = (0, 0, Vec::new());
     let patterns =
@@ -242,7 +245,7 @@
         {
             let (mut overloaded, mut worst, mut used) = (0, f64::MIN, 0.0);
             for seed in 0..SEEDS {
-                let (excess, load) = burst(&settings, seed, pattern, earlier_load, age);
+                let (excess, load) = run_burst(&settings, seed, pattern, earlier_load, age);
                 overloaded += u32::from(excess > 0.0);
                 worst = worst.max(excess);
                 used += load / SEEDS as f64;
--- a/crates/scheduler/tests/departures.rs
+++ b/crates/scheduler/tests/departures.rs
@@ -65,7 +65,7 @@
 
 /// Guards against judging the age of a retry by its time left where clients give up early.
 #[test]
-fn retry_of_a_client_with_short_timeouts_is_not_shed_as_old() {
+fn retry_of_a_client_with_short_timeouts_is_not_treated_as_old() {
     for has_short_timeouts in [true, false] {
         let mut harness = Harness::new(settings(), 2);
         let time_remaining = if has_short_timeouts { 400 * MS } else { 5 * S };
@@ -209,8 +209,8 @@
     harness.handle(Event::ProbeEnded { endpoint: EndpointId(endpoint), status: AttemptStatus::Ok, report })
 }
 
-/// Runs the two rounds of probes for a request. All endpoints report no free slot and the given number of requests
-/// in flight. Returns the probed endpoints and the actions after the last report.
+/// Runs the two rounds of probes for a request. All endpoints report no free slot and the given number of
+/// requests in flight. Returns the probed endpoints and the actions after the last report.
 fn two_busy_rounds(harness: &mut Harness, in_flight: [f64; 4]) -> (Vec<u32>, Vec<Action>) {
     let mut probed = new_probes(&harness.request_arrived(1, 0));
     probe_ended(harness, probed[0], 0.0, in_flight[0]);
--- a/crates/scheduler/tests/further.rs
+++ b/crates/scheduler/tests/further.rs
@@ -76,12 +76,12 @@
 #[test]
 fn endpoint_is_suspected_if_others_serve_the_requests_that_it_calls_bad() {
     let mut harness = Harness::new(settings(), 4);
-    let mut rejections = 0;
+    let mut bad_requests = 0;
     for id in 0..100 {
         harness.advance(50 * MS);
         let (mut sent, mut attempt) = (new_attempts(&harness.request_arrived(id, 0)), 0);
         while sent[0].1 == 0 {
-            rejections += 1;
+            bad_requests += 1;
             let actions = harness.attempt_ended(id, attempt, AttemptStatus::BadRequest);
             if is_failed(&actions, id) {
                 break;
@@ -91,7 +91,7 @@
         harness.attempt_started(id);
         harness.attempt_ended(id, attempt, AttemptStatus::Ok);
     }
-    assert!((1..15).contains(&rejections), "{rejections}");
+    assert!((1..15).contains(&bad_requests), "{bad_requests}");
 }
 
 #[test]
@@ -140,8 +140,8 @@
     }
 }
 
-/// Guards against schedulers that send a key to different endpoints, where each would have to load the key's data.
-/// The two schedulers number the endpoints in opposite order.
+/// Guards against schedulers that send a key to different endpoints, where each would have to load the key's
+/// data. The two schedulers number the endpoints in opposite order.
 #[test]
 fn schedulers_agree_on_the_endpoints_of_a_key() {
     const ENDPOINTS: u32 = 8;
@@ -303,7 +303,8 @@
     }
 }
 
-/// Without quota shares a scheduler takes an even share of a quota, and more if the median tenant's demand is higher.
+/// Without quota shares a scheduler takes an even share of a quota, and more if the median tenant's demand is
+/// higher.
 #[test]
 fn share_of_a_quota_without_messages_is_even_or_the_median_tenants_share() {
     let accepted = |others_are_busy: bool| {
@@ -384,8 +385,8 @@
     assert!(shed(4) > 3, "{}", shed(4));
 }
 
-/// Guards against starting a class of lower priority weight per work first, and against holding back a class for
-/// its long work where its weight counts per unit of work.
+/// Guards against starting a class of lower priority weight per work first, and against holding back a class
+/// for its long work where its weight counts per unit of work.
 #[test]
 fn class_with_more_weight_per_work_starts_first() {
     let first = |weights: [f64; 2], by_work: bool| {
@@ -432,8 +433,8 @@
     assert!(four >= 1 && four * 2 < one, "{four} requests of four slots, {one} of one slot");
 }
 
-/// Guards against overloading an endpoint in slow start with two long requests. Short ones may go there, and long
-/// ones go to warm endpoints even if these are busy.
+/// Guards against overloading an endpoint in slow start with two long requests. Short ones may go there, and
+/// long ones go to warm endpoints even if these are busy.
 #[test]
 fn long_requests_are_not_sent_to_endpoints_in_slow_start() {
     let sent_to_cold = |hint: Micros| {
@@ -454,16 +455,13 @@
         to_cold
     };
     assert!(sent_to_cold(10 * MS) > 0, "short requests are sent there");
-    assert_eq!(
-        sent_to_cold(4 * S),
-        0,
-        "0.33 of four cores for 1.5 s is 2 s of work, and twice that overloads it"
-    );
+    assert_eq!(sent_to_cold(4 * S), 0, "requests of 4 s are too long for an endpoint in slow start");
 }
 
 #[test]
-fn the_work_of_a_class_is_learned_from_hints() {
-    // The classes start with the same assumed work. Hints show that class 0 is longer, so it has less weight per work.
+fn work_of_a_class_is_learned_from_hints() {
+    // The classes start with the same assumed work. Hints show that class 0 is longer, so it has less weight
+    // per work.
     let mut settings = settings();
     (settings.schedulers, settings.classes[0].priority_weight, settings.classes[1].priority_weight) =
         (1, 1.0, 1.0);
@@ -485,7 +483,7 @@
     );
 }
 
-/// Guards against a slow ramp-up where each scheduler has many endpoints.
+/// Guards against a first concurrency limit that ignores the number of endpoints.
 #[test]
 fn first_concurrency_limit_is_the_schedulers_share_of_one_request_per_endpoint() {
     let mut harness = Harness::new(settings(), 40); // two schedulers
@@ -501,18 +499,21 @@
     settings.schedulers = 1;
     settings.tenants = vec![TenantSettings { share: 1.0, quota_per_second: 5.0 }];
     let mut harness = Harness::new(settings, 1);
-    let mut advice = Vec::new();
+    let mut retry_afters = Vec::new();
     for id in 0..60 {
         let from_tenant = Request { tenant: Some(TenantId(0)), ..request(id, 0) };
-        advice.extend(harness.handle(Event::RequestArrived(from_tenant)).into_iter().filter_map(
-            |a| match a {
+        retry_afters.extend(harness.handle(Event::RequestArrived(from_tenant)).into_iter().filter_map(|a| {
+            match a {
                 Action::Shed { retry_after, .. } => retry_after,
                 _ => None,
-            },
-        ));
+            }
+        }));
     }
-    assert!(!advice.is_empty() && advice.iter().all(|&a| (100 * MS..=3 * S).contains(&a)), "{advice:?}");
-    assert!(advice.iter().any(|&a| a > 150 * MS), "{advice:?}");
+    assert!(
+        !retry_afters.is_empty() && retry_afters.iter().all(|&a| (100 * MS..=3 * S).contains(&a)),
+        "{retry_afters:?}"
+    );
+    assert!(retry_afters.iter().any(|&a| a > 150 * MS), "{retry_afters:?}");
 }
 
 /// Guards against sending as much to a zone that loses attempts as to one that doesn't.
@@ -625,15 +626,16 @@
             harness.advance(200 * MS);
         }
     }
-    // Three random choices among two endpoints all name it in one of eight cases. Without counting the wait it
-    // would be one in two.
+    // Three random choices among two endpoints all name it in one of eight cases. Without counting the wait
+    // it would be one in two.
     assert!(
         all > 40 && repeated * 3 < all,
         "{repeated} of {all} were sent to the endpoint whose last start had waited"
     );
 }
 
-/// Guards against requests beyond a share that are sent to overloaded endpoints when no retry is left to save others.
+/// Guards against requests beyond a share that are sent to overloaded endpoints when no retry is left to save
+/// others.
 #[test]
 fn fewer_requests_beyond_a_share_are_sent_without_a_retry_budget() {
     let sent = |retry_budget: Option<RetryBudget>| {
@@ -700,8 +702,8 @@
     }
 }
 
-/// Guards against a throughput bounded by the round trip of each start. An endpoint may have a quarter as many
-/// unstarted requests as it runs, and one more.
+/// Guards against a throughput bounded by the round trip of each start. An endpoint may have a quarter as
+/// many unstarted requests as it runs, and one more.
 #[test]
 fn endpoint_that_runs_many_requests_may_have_several_unstarted_ones() {
     let mut harness = Harness::new(settings(), 1);
--- a/crates/scheduler/tests/parts.rs
+++ b/crates/scheduler/tests/parts.rs
@@ -1,5 +1,5 @@
-//! Tests of quota shares: a scheduler stays within its shares even while endpoints are idle, over retries and for
-//! attempts whose outcome is unknown.
+//! Tests of quota shares: a scheduler stays within its shares even while endpoints are idle, over retries and
+//! for attempts whose outcome is unknown.
 
 mod common;
 use common::*;
@@ -27,9 +27,9 @@
     Request { tenant: Some(TenantId(0)), ..request(id, 0) }
 }
 
-/// Sends one request in each step; an attempt is served at once. Returns the time of each attempt and the requests
-/// that were shed.
-fn flood(harness: &mut Harness, ids: std::ops::Range<u64>, step: Micros) -> (Vec<Micros>, Vec<u64>) {
+/// Sends one request in each step; an attempt is served at once. Returns the time of each attempt and the
+/// requests that were shed.
+fn run_load(harness: &mut Harness, ids: std::ops::Range<u64>, step: Micros) -> (Vec<Micros>, Vec<u64>) {
     let (mut sent, mut shed) = (Vec::new(), Vec::new());
     for id in ids {
         let mut actions = harness.advance(step);
@@ -64,11 +64,11 @@
 #[test]
 fn quota_share_limits_requests_while_endpoints_are_idle_and_after_each_change() {
     let mut harness = Harness::new(tenant_settings(), 20);
-    let (unlimited, shed) = flood(&mut harness, 0..500, 5 * MS);
+    let (unlimited, shed) = run_load(&mut harness, 0..500, 5 * MS);
     assert_eq!((unlimited.len(), shed.len()), (500, 0), "without a share there is no limit");
     harness.handle(Event::QuotaShares(vec![tenant_rate(50)]));
     harness.scheduler.take_quota_usage(harness.now);
-    let (sent, shed) = flood(&mut harness, 1_000..2_000, 5 * MS);
+    let (sent, shed) = run_load(&mut harness, 1_000..2_000, 5 * MS);
     assert!(most_in(&sent, S) <= 61, "{}", most_in(&sent, S));
     assert!((240..=265).contains(&sent.len()) && shed.len() > 600, "{} {}", sent.len(), shed.len());
     let used = harness.scheduler.take_quota_usage(harness.now);
@@ -77,12 +77,12 @@
     for (units, most) in [(10, 60), (0, 1)] {
         harness.handle(Event::QuotaShares(vec![tenant_rate(units)]));
         let from = 10_000 * (units + 1);
-        let (sent, shed) = flood(&mut harness, from..from + 1_000, 5 * MS);
+        let (sent, shed) = run_load(&mut harness, from..from + 1_000, 5 * MS);
         assert!(sent.len() <= most, "{} sent with a share of {units}", sent.len());
         assert!(sent.len() + shed.len() > 900, "{} {}", sent.len(), shed.len());
     }
     harness.handle(Event::QuotaShares(Vec::new()));
-    assert!(flood(&mut harness, 90_000..90_100, 5 * MS).0.len() >= 100);
+    assert!(run_load(&mut harness, 90_000..90_100, 5 * MS).0.len() >= 100);
 }
 
 /// An attempt whose connection broke counts for as long as it may run, and a smaller share cancels nothing.
@@ -223,7 +223,8 @@
     actions.iter().any(|a| matches!(a, Action::Reject { id: rejected, .. } if rejected.0 == id))
 }
 
-/// Guards against rejecting repeats of accepted work, and against counting requests that were never sent as new work.
+/// Guards against rejecting repeats of accepted work, and against counting requests that were never sent as
+/// new work.
 #[test]
 fn new_work_beyond_its_share_is_rejected_and_accepted_work_is_finished() {
     let mut harness = Harness::new(tenant_settings(), 6);
@@ -267,8 +268,8 @@
     Request { is_remote: true, ..request(id, 0) }
 }
 
-/// Guards against remote requests that exceed their share after an idle time or as repeats, and against rejecting
-/// local requests for them.
+/// Guards against remote requests that exceed their share after an idle time or as repeats, and against
+/// rejecting local requests for them.
 #[test]
 fn remote_requests_stay_within_their_share_and_local_ones_are_not_limited() {
     let mut harness = Harness::new(settings(), 40);
@@ -309,8 +310,8 @@
     );
 }
 
-/// Guards against limiting remote requests by the share of the local site, and against counting requests that one
-/// share rejects against another.
+/// Guards against limiting remote requests by the share of the local site, and against counting requests that
+/// one share rejects against another.
 #[test]
 fn local_requests_stay_within_the_share_of_their_site() {
     let mut harness = Harness::new(tenant_settings(), 20);
@@ -338,8 +339,9 @@
     );
 }
 
-/// Runs twenty endpoints, which together serve 400 requests a second, for 10 s under 380 local and 1,140 remote requests
-/// a second. Returns how many local and remote ones are served with this share of remote requests.
+/// Runs twenty endpoints, which together serve 400 requests a second, for 10 s under 380 local and 1,140
+/// remote requests a second. Returns how many local and remote ones are served with this share of remote
+/// requests.
 fn served_under_overload(remote_share: Option<u64>) -> (usize, usize) {
     const WORK: Micros = 50 * MS;
     let mut harness = Harness::new(settings(), 20);
--- a/crates/scheduler/tests/policy_files.rs
+++ b/crates/scheduler/tests/policy_files.rs
@@ -1,5 +1,5 @@
-//! Tests of the source files with scheduling decisions: `policy` in `deploy/balancer.toml` lists all of them, and none
-//! does I/O, reads a clock or seeds its own random numbers.
+//! Tests of the source files with scheduling decisions: `policy` in `deploy/balancer.toml` lists all of them,
+//! and none does I/O, reads a clock or seeds its own random numbers.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -15,7 +15,8 @@
     "settings.rs",
     "settings_object.rs",
 ];
-/// Names that files with decisions may not use. Their random numbers come from the generator that the caller seeds.
+/// Names that files with decisions may not use. Their random numbers come from the generator that the caller
+/// seeds.
 const FORBIDDEN: &[&str] = &[
     "std::env",
     "std::fs",
--- a/crates/scheduler/tests/random.rs
+++ b/crates/scheduler/tests/random.rs
@@ -1,5 +1,5 @@
-//! Random event sequences with fixed seeds. Each action is checked against idempotency, the retry budget, the drain
-//! grace, the overload limit of slow start, and the deadline by which each request is answered once.
+//! Random event sequences with fixed seeds. Each action is checked against idempotency, the retry budget, the
+//! drain grace, the overload limit of slow start, and the deadline by which each request is answered once.
 
 mod common;
 use common::*;
@@ -78,13 +78,13 @@
             events.push(Event::EndpointUpdate(vec![endpoints[n].clone()]));
         }
         for (&id, tracked) in requests.iter_mut() {
-            for (attempt, a) in tracked.attempts.iter_mut().enumerate().filter(|(_, a)| a.1) {
-                let is_stuck = a.0 == 5 && step < 15_000;
+            for (number, attempt) in tracked.attempts.iter_mut().enumerate().filter(|(_, a)| a.1) {
+                let is_stuck = attempt.0 == 5 && step < 15_000;
                 let status = if now >= tracked.deadline {
                     AttemptStatus::Timeout
                 } else if is_stuck || rng.rand_float() > 0.03 {
                     if !is_stuck && rng.rand_float() < 0.05 {
-                        events.push(Event::AttemptStarted { id: RequestId(id), attempt: attempt as u32 });
+                        events.push(Event::AttemptStarted { id: RequestId(id), attempt: number as u32 });
                     }
                     continue;
                 } else {
@@ -98,8 +98,8 @@
                     ];
                     statuses[rng.rand_range(0..6) as usize]
                 };
-                a.1 = false;
-                a.2 = match status {
+                attempt.1 = false;
+                attempt.2 = match status {
                     AttemptStatus::Overloaded => settings.overloaded_may_have_run,
                     _ => !matches!(status, AttemptStatus::ConnectFailed | AttemptStatus::NotSent),
                 };
@@ -107,7 +107,7 @@
                 let is_final = tracked.is_over;
                 events.push(Event::AttemptEnded {
                     id: RequestId(id),
-                    attempt: attempt as u32,
+                    attempt: number as u32,
                     status,
                     is_final,
                 });
@@ -195,9 +195,9 @@
                 Action::CancelAttempt { id, attempt } => {
                     assert!(!requests[&id.0].is_over, "attempt cancelled after the request was answered");
                     let tracked = requests.get_mut(&id.0).unwrap();
-                    let a = &mut tracked.attempts[attempt as usize];
-                    if a.1 {
-                        (a.1, a.2) = (false, true);
+                    let cancelled = &mut tracked.attempts[attempt as usize];
+                    if cancelled.1 {
+                        (cancelled.1, cancelled.2) = (false, true);
                         let (status, is_final) = (AttemptStatus::Cancelled, tracked.is_over);
                         events.push(Event::AttemptEnded { id, attempt, status, is_final });
                     }
--- a/crates/scheduler/tests/rfq.rs
+++ b/crates/scheduler/tests/rfq.rs
@@ -1,12 +1,12 @@
-//! Tests of Redemptive Fair Queuing with hand-computed tags. The starts at the single endpoint are not reported, so
-//! it gets one request at a time, like the server of the paper.
+//! Tests of Redemptive Fair Queuing with hand-computed tags. The starts at the single endpoint are not
+//! reported, so it gets one request at a time, like the server of the paper.
 
 mod common;
 use common::*;
 use shorepath_scheduler::*;
 
-/// Returns settings of two tenants with 50 requests a second each. The latency objective is 1 s in class 0 and
-/// 100 ms in class 1.
+/// Returns settings of two tenants with 50 requests a second each. The latency objective is 1 s in class 0
+/// and 100 ms in class 1.
 fn two_tenants() -> Settings {
     let tenant = TenantSettings { share: 0.5, quota_per_second: 50.0 };
     let mut settings = settings();
@@ -53,8 +53,8 @@
     for id in 0..29 {
         harness.handle(tenant_request(0, id, 1));
     }
-    // 27 requests found a token. The 28th found half a token, so its start tag is now + 0.5 / 50 s. The 29th has
-    // the largest start tag so far plus 20 ms.
+    // 27 requests found a token. The 28th found half a token, so its start tag is now + 0.5 / 50 s. The 29th
+    // has the largest start tag so far plus 20 ms.
     harness.now += MS;
     harness.handle(tenant_request(1, 100, 1));
     let order = serve_all(&mut harness, 0);
@@ -75,8 +75,8 @@
     }
 }
 
-/// Guards against starving a tenant that used spare capacity once the other tenant returns, as in example 1 of the
-/// paper.
+/// Guards against starving a tenant that used spare capacity once the other tenant returns, as in example 1
+/// of the paper.
 #[test]
 fn tenant_is_not_starved_for_its_use_of_spare_capacity() {
     let mut harness = Harness::new(two_tenants(), 1);
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -1,4 +1,5 @@
-//! Scripted tests of retries, drains, slow start and outlier detection: what is started where, shed or failed.
+//! Scripted tests of retries, drains, slow start and outlier detection: what is started where, shed or
+//! failed.
 
 mod common;
 use common::*;
@@ -135,7 +136,8 @@
     assert!(one_of_two >= 1 && one_of_two * 3 < one_process * 2, "{one_of_two} of {one_process}");
 }
 
-/// Returns how many requests a scheduler, divided over `processes`, sends to an endpoint that has just started.
+/// Returns how many requests a scheduler, divided over `processes`, sends to an endpoint that has just
+/// started.
 fn attempts_in_slow_start(processes: u32) -> u32 {
     let mut harness = Harness::new(settings(), 0);
     let settings = Settings { processes, ..settings() };
@@ -417,16 +419,16 @@
 #[test]
 fn resets_of_idle_connections_close_them_and_do_not_suspect_the_endpoint() {
     let mut harness = Harness::new(settings(), 1);
-    let (mut lost, mut open) = (0, false);
+    let (mut lost, mut has_idle_connection) = (0, false);
     for id in 0..40 {
         harness.now += 200 * MS;
         let actions = harness.request_arrived(id, 1);
         assert_eq!(new_attempts(&actions).len(), 1, "request {id} is sent at once");
-        open &= !actions.contains(&Action::CloseIdleConnections { endpoint: EndpointId(0) });
-        if std::mem::replace(&mut open, true) {
+        has_idle_connection &= !actions.contains(&Action::CloseIdleConnections { endpoint: EndpointId(0) });
+        if std::mem::replace(&mut has_idle_connection, true) {
             lost += 1;
             assert!(is_failed(&harness.attempt_ended(id, 0, AttemptStatus::Reset), id));
-            open = false;
+            has_idle_connection = false;
         } else {
             harness.attempt_started(id);
             harness.attempt_ended(id, 0, AttemptStatus::Ok);
@@ -458,26 +460,27 @@
 #[test]
 fn idle_connections_old_enough_to_be_dropped_are_closed_before_use() {
     let mut harness = Harness::new(settings(), 1);
-    let (mut lost, mut closed, mut open) = (0, 0, false);
+    let (mut lost, mut closed, mut has_idle_connection) = (0, 0, false);
     for id in 0..20 {
         harness.now += S;
         let actions = harness.request_arrived(id, 0);
         if actions.contains(&Action::CloseIdleConnections { endpoint: EndpointId(0) }) {
             closed += 1;
-            open = false;
+            has_idle_connection = false;
         }
-        if open {
+        if has_idle_connection {
             // The connection was dropped without notice, so neither a start nor an answer arrives.
             lost += 1;
             harness.advance(150 * MS);
-            open = !new_attempts(&harness.attempt_ended(id, 0, AttemptStatus::Cancelled)).is_empty();
-            if open {
+            has_idle_connection =
+                !new_attempts(&harness.attempt_ended(id, 0, AttemptStatus::Cancelled)).is_empty();
+            if has_idle_connection {
                 harness.attempt_ended(id, 1, AttemptStatus::Ok);
             }
         } else {
             harness.attempt_started(id);
             harness.attempt_ended(id, 0, AttemptStatus::Ok);
-            open = true;
+            has_idle_connection = true;
         }
     }
     assert!(lost <= 5 && closed > 10, "{lost} lost, {closed} closed");
@@ -528,12 +531,12 @@
     );
 }
 
-/// Guards against a hundred schedulers that together overload an endpoint in slow start, or that leave most of
-/// its listed capacity unused.
+/// Guards against a hundred schedulers that together overload an endpoint in slow start, or that leave most
+/// of its listed capacity unused.
 #[test]
 fn schedulers_together_use_an_endpoint_in_slow_start_without_overloading_it() {
     let settings = Settings { schedulers: 100, capacity_includes_speed: true, ..settings() };
-    let started = S;
+    let started_at = S;
     let mut sent: Vec<Micros> = Vec::new();
     for seed in 0..100 {
         let mut harness = Harness {
@@ -541,7 +544,7 @@
             now: S,
             wake_ups: vec![],
         };
-        harness.handle(Event::EndpointList(vec![Endpoint { started_at: started, ..live_endpoint(0) }]));
+        harness.handle(Event::EndpointList(vec![Endpoint { started_at, ..live_endpoint(0) }]));
         for id in 0..110 {
             let mut attempts = new_attempts(&harness.request_arrived(id, 0));
             attempts.extend(new_attempts(&harness.advance(75 * MS)));
@@ -554,18 +557,18 @@
     // The assumed work of a request without a hint is 75 ms; the endpoint has four cores.
     let (work, cores) = (75_000.0, 4.0);
     let load = |from: Micros| {
-        let share = 0.2 + 0.8 * (from - started) as f64 / (10 * S) as f64;
+        let share = 0.2 + 0.8 * (from - started_at) as f64 / (10 * S) as f64;
         let attempts =
             sent.iter().filter(|&&at| at >= from && at < from + settings.overload_window).count() as f64;
         attempts * work / (share * cores * settings.overload_window as f64)
     };
-    let loads: Vec<f64> = (2..16).map(|k| load(started + k * S / 2)).collect();
+    let loads: Vec<f64> = (2..16).map(|k| load(started_at + k * S / 2)).collect();
     assert!(loads.iter().all(|load| *load < settings.overload_multiple), "{loads:?}");
     assert!(loads.iter().sum::<f64>() / loads.len() as f64 > 0.7, "{loads:?}");
 }
 
-/// An endpoint in slow start gets half of what overloads it: with a fifth of its capacity and an overload
-/// multiple of 4, that is 0.4 of the share of a warm endpoint.
+/// Guards against using less than half of what would overload an endpoint in slow start: with a fifth of its
+/// capacity and an overload multiple of 4, that is 0.4 of the share of a warm endpoint.
 #[test]
 fn endpoint_in_slow_start_gets_half_the_overload_multiple_of_its_share() {
     let settings = Settings { overload_multiple: 4.0, ..settings() };
--- a/crates/scheduler/tests/settings_object.rs
+++ b/crates/scheduler/tests/settings_object.rs
@@ -12,7 +12,8 @@
     object(json!({"classes": classes.iter().map(class).collect::<Vec<_>>()}))
 }
 
-/// Guards against a node that probes, or spreads out its polls, as one of many although no number of nodes is set.
+/// Guards against a node that probes, or spreads out its polls, as one of many although no number of nodes is
+/// set.
 #[test]
 fn settings_without_a_number_of_nodes_mean_one_node() {
     let one = object(json!({"discovery": "on_request"}));
@@ -37,8 +38,8 @@
     assert_eq!(with_x0("free memory").load_report_from_row(&[1.0, 0.0, 3.0]).free_slots, None);
 }
 
-/// Guards against changing the rules of running requests by a reload, and against class ids that grow with each
-/// reload.
+/// Guards against changing the rules of running requests by a reload, and against class ids that grow with
+/// each reload.
 #[test]
 fn class_ids_keep_their_rules_while_used_and_are_reused_afterwards() {
     let (mut settings, mut catalog) = classes(&[("a", "free"), ("b", "free")]).to_settings();
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -71,7 +71,8 @@
     }
 }
 
-/// Guards against dropping the settings of the retry budget, or requests with a key. A missing number counts as 0.
+/// Guards against dropping the settings of the retry budget, or requests with a key. A missing number counts
+/// as 0.
 #[test]
 fn retry_budget_limits_retries_of_requests_with_keys() {
     let two_endpoints = SYNC.replace(
