--- a/crates/accounts/src/config.rs
+++ b/crates/accounts/src/config.rs
@@ -84,7 +84,7 @@
             _ => None,
         };
         if seconds.is_none() {
-            f.complain(format!(
+            f.add_error(format!(
                 "(from) needs Unix time in whole seconds, 0 to {MAX_FROM_SECONDS}: (from 1764633600 s)"
             ));
         }
@@ -100,36 +100,38 @@
 
 fn accounts_file(f: &Form) -> AccountsFile {
     if f.many("number").is_empty() {
-        f.complain("a file of accounts needs a (number N) that is greater than that of the one before");
+        f.add_error("a file of accounts needs a (number N) that is greater than that of the one before");
     }
     let number = f.count("number", 0, 1..=MAX_NUMBER);
     let mut changes = BTreeMap::new();
     let mut lines = BTreeMap::new();
     for form in f.many("account") {
-        let name = form.word("an account's name");
+        let name = form.symbol("an account's name");
         if !is_valid_text(&name, MAX_NAME_BYTES) || name.is_empty() {
-            form.complain(format!(
+            form.add_error(format!(
                 "an account's name has 1 to {MAX_NAME_BYTES} bytes and no control characters"
             ));
         }
         if form.many("standing").is_empty() {
-            form.complain(format!("{name} needs a (standing WORD)"));
+            form.add_error(format!("{name} needs a (standing WORD)"));
         }
         let names = ["good", "warned", "closing", "closed", "reopened"];
         let standing = standing(&form.choice("standing", "good", &names));
         let (from, reason) = (start_time(&form), form.text("reason", ""));
         if !is_valid_text(&reason, MAX_REASON_BYTES) {
-            form.complain(format!("a reason has {MAX_REASON_BYTES} bytes at most and no control characters"));
+            form.add_error(format!(
+                "a reason has {MAX_REASON_BYTES} bytes at most and no control characters"
+            ));
         }
         form.finish();
         let line = form.place().line;
         if let Some(first) = lines.insert(name.clone(), line) {
-            form.complain(format!("the account {name} is given twice; first in line {first}"));
+            form.add_error(format!("the account {name} is given twice; first in line {first}"));
         }
         changes.insert(name, Change { number, standing, from, reason });
     }
     if changes.len() > MAX_ACCOUNTS {
-        f.complain(format!("{} accounts; {MAX_ACCOUNTS} at most", changes.len()));
+        f.add_error(format!("{} accounts; {MAX_ACCOUNTS} at most", changes.len()));
     }
     AccountsFile::new(number, changes)
 }
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -83,12 +83,12 @@
 }
 
 fn vary(f: &Form) -> Vary {
-    let inner = f.given("of", |f| Some(f.words("a list's name")));
-    let path = inner.unwrap_or_else(|| path_of(&f.word("what is varied")));
+    let inner = f.given("of", |f| Some(f.symbols("a list's name")));
+    let path = inner.unwrap_or_else(|| path_of(&f.symbol("what is varied")));
     let values = match f.given("over", |f| Some(f.rest())) {
         Some(values) if !values.is_empty() => values,
         _ => {
-            f.complain("(vary ...) needs (over VALUE ...)");
+            f.add_error("(vary ...) needs (over VALUE ...)");
             vec![]
         }
     };
@@ -136,8 +136,11 @@
     pub fn read(path: &Path) -> Result<Experiment, ExperimentError> {
         let text = load(path)?;
         let read = shorepath_sexp::read(&path.display().to_string(), &text, "experiment", |f| {
-            let sets =
-                f.many("set").iter().map(|f| (path_of(&f.word("what is set")), f.rest())).collect::<Vec<_>>();
+            let sets = f
+                .many("set")
+                .iter()
+                .map(|f| (path_of(&f.symbol("what is set")), f.rest()))
+                .collect::<Vec<_>>();
             let experiment = Experiment {
                 name: f.text("name", "unnamed"),
                 scenario: PathBuf::from(f.text("scenario", "")),
@@ -145,13 +148,13 @@
                 vary: f.many("vary").iter().map(vary).collect(),
                 replications: f.count("replications", 1, 1..=10_000),
                 seed: f.count("seed", 1, 0..=1_000_000_000),
-                show: f.given("show", |f| Some(f.words("a figure's name"))).unwrap_or_default(),
+                show: f.given("show", |f| Some(f.symbols("a figure's name"))).unwrap_or_default(),
             };
             for name in experiment.show.iter().filter(|n| !FIGURES.contains(&n.as_str())) {
-                f.complain(format!("{name} is no figure; known: {}", FIGURES.join(", ")));
+                f.add_error(format!("{name} is no figure; known: {}", FIGURES.join(", ")));
             }
             if experiment.scenario.as_os_str().is_empty() {
-                f.complain("an experiment needs (scenario FILE)");
+                f.add_error("an experiment needs (scenario FILE)");
             }
             (experiment, sets)
         })?;
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -320,9 +320,9 @@
 }
 
 fn name_of(f: &Form, what: &str, taken: &[String]) -> String {
-    let name = f.word(what);
+    let name = f.symbol(what);
     if taken.contains(&name) {
-        f.complain(format!("{name} is named twice"));
+        f.add_error(format!("{name} is named twice"));
     }
     name
 }
@@ -352,7 +352,7 @@
         effect: effect(f),
     };
     if class.slots.iter().sum::<f64>() <= 0.0 {
-        f.complain(format!("{} has no share of slots over 0", class.name));
+        f.add_error(format!("{} has no share of slots over 0", class.name));
     }
     f.finish();
     class
@@ -424,10 +424,10 @@
 }
 
 fn fault(f: &Form, zones: &[String], tenants: &[String], classes: &[String]) -> Fault {
-    let word = f.word("a trouble's name");
+    let word = f.symbol("a trouble's name");
     let known = TROUBLES.iter().find(|t| t.0 == word);
     if known.is_none() {
-        f.complain(format!("{word} is no trouble; known: {}", TROUBLES.map(|t| t.0).join(", ")));
+        f.add_error(format!("{word} is no trouble; known: {}", TROUBLES.map(|t| t.0).join(", ")));
     }
     let &(_, trouble, usual) = known.unwrap_or(&TROUBLES[0]);
     let sizes = match trouble {
@@ -448,7 +448,7 @@
         class: place(f, "class", classes),
     };
     if trouble == Trouble::ZoneLoss && fault.zone.is_none() {
-        f.complain("a zone-loss needs (zone NAME)");
+        f.add_error("a zone-loss needs (zone NAME)");
     }
     f.finish();
     fault
@@ -488,7 +488,7 @@
 }
 
 fn scenario(f: &Form) -> Scenario {
-    let zones = f.given("zones", |f| Some(f.words("a zone's name"))).filter(|z| !z.is_empty());
+    let zones = f.given("zones", |f| Some(f.symbols("a zone's name"))).filter(|z| !z.is_empty());
     let zones = zones.unwrap_or_else(|| vec!["home".to_string()]);
     let (mut classes, mut class_names) = (Vec::new(), Vec::new());
     for form in f.many("class") {
@@ -496,7 +496,7 @@
         class_names = classes.iter().map(|c: &Class| c.name.clone()).collect();
     }
     if classes.iter().map(|c| c.share).sum::<f64>() <= 0.0 {
-        f.complain("a scenario needs a (class NAME ...) with a share over 0");
+        f.add_error("a scenario needs a (class NAME ...) with a share over 0");
     }
     let (mut tenants, mut tenant_names) = (Vec::new(), Vec::new());
     for form in f.many("tenant") {
@@ -508,7 +508,7 @@
         tenant_names.push("all".to_string());
     }
     if tenants.iter().map(|t| t.traffic).sum::<f64>() <= 0.0 {
-        f.complain("a scenario needs a tenant with traffic over 0");
+        f.add_error("a scenario needs a tenant with traffic over 0");
     }
     let (mut rate, mut cv, mut steps, mut bursts) = (10.0, 1.0, Vec::new(), Vec::new());
     part(f, "arrivals", (), |f| {
--- a/crates/lab/src/sites/file.rs
+++ b/crates/lab/src/sites/file.rs
@@ -167,7 +167,7 @@
     let at = f.time("at", 0, 0..=LONGEST);
     let back = f.time("back", Micros::MAX, 0..=LONGEST);
     if back <= at {
-        f.complain("it ends before it begins");
+        f.add_error("it ends before it begins");
     }
     f.finish();
     Event { what, site, at, back }
@@ -193,7 +193,7 @@
     for (k, e) in all.iter().enumerate() {
         let same = |o: &Event| o.what == What::Lose && o.site == e.site && o.at <= e.back;
         if e.what == What::Lose && all[k + 1..].iter().any(same) {
-            f.complain(format!("the site {} is lost again before it is back", e.site));
+            f.add_error(format!("the site {} is lost again before it is back", e.site));
         }
     }
     all
@@ -206,7 +206,7 @@
         shrink: f.time("shrink", 30 * S, 0..=LONGEST),
     };
     if credit.reserve > credit.jobs {
-        f.complain("the reserve is more than the jobs");
+        f.add_error("the reserve is more than the jobs");
     }
     credit
 }
@@ -246,10 +246,10 @@
         events: events(f, sites),
     };
     if scenario.nodes < sites {
-        f.complain(format!("{} nodes for {sites} sites: each needs one", scenario.nodes));
+        f.add_error(format!("{} nodes for {sites} sites: each needs one", scenario.nodes));
     }
     if scenario.lent == 0 && scenario.events.iter().any(|e| e.what == What::Lose) {
-        f.complain("a site is lost and none lends anything: (lent HUNDREDTHS)");
+        f.add_error("a site is lost and none lends anything: (lent HUNDREDTHS)");
     }
     scenario
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -43,7 +43,7 @@
 /// this covers a clock that was set back by twelve days at once; one set back further is declared dead and adds it again.
 const INCARNATION_STEP: u64 = 1 << 40;
 /// The largest datagram, in bytes.
-pub const LARGEST: usize = 1_200;
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 
 /// One incarnation of a member, as it identifies itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -90,7 +90,7 @@
     /// Its incarnation.
     pub peer: Peer,
     /// Its state.
-    pub standing: MemberState,
+    pub state: MemberState,
     /// Since when, on the caller's clock.
     pub since: Micros,
 }
@@ -198,7 +198,7 @@
     let size = NonZeroU32::new(size).unwrap_or(NonZeroU32::MIN);
     let two = NonZeroUsize::MIN.saturating_add(1);
     Config {
-        max_packet_size: NonZeroUsize::new(LARGEST).unwrap_or(two),
+        max_packet_size: NonZeroUsize::new(MAX_DATAGRAM_BYTES).unwrap_or(two),
         periodic_announce_to_down_members: Some(PeriodicParams {
             frequency: ANNOUNCE_TO_DOWN_INTERVAL,
             num_members: two,
@@ -246,7 +246,7 @@
     }
 
     /// Time has passed. After a stall the member catches up with its timers in their order.
-    pub fn pass(&mut self, now: Micros) {
+    pub fn advance(&mut self, now: Micros) {
         if self.has_left {
             return;
         }
@@ -296,7 +296,7 @@
     }
 
     /// What the caller is to do, since this was last called.
-    pub fn effects(&mut self) -> Vec<Effect> {
+    pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
@@ -306,8 +306,8 @@
     }
 
     /// The state of a member, if it was ever known.
-    pub fn standing(&self, node: u32) -> Option<MemberState> {
-        self.known.get(&node).map(|member| member.standing)
+    pub fn state(&self, node: u32) -> Option<MemberState> {
+        self.known.get(&node).map(|member| member.state)
     }
 
     fn call(
@@ -333,10 +333,10 @@
         let others = self.swim.iter_membership_state().filter(|member| member.id().node != me);
         let states: Vec<(Peer, MemberState)> =
             others.map(|member| (*member.id(), self.state_of(*member.id(), member.state()))).collect();
-        for (peer, standing) in states {
+        for (peer, state) in states {
             let known = self.known.get(&peer.node);
-            if known.is_none_or(|known| known.peer != peer || known.standing != standing) {
-                let member = Member { peer, standing, since: now };
+            if known.is_none_or(|known| known.peer != peer || known.state != state) {
+                let member = Member { peer, state, since: now };
                 self.known.insert(peer.node, member);
                 self.effects.push(Effect::Changed(member));
             }
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -49,7 +49,7 @@
     }
 
     fn settle(&mut self, from: u32) {
-        for effect in self.members.get_mut(&from).map(Membership::effects).unwrap_or_default() {
+        for effect in self.members.get_mut(&from).map(Membership::take_effects).unwrap_or_default() {
             let Effect::Outgoing { to, bytes } = effect else { continue };
             let apart = self.cut.is_some_and(|c| (from < c) != (to < c));
             self.sent += 1;
@@ -80,7 +80,7 @@
             for node in self.members.keys().copied().collect::<Vec<_>>() {
                 if !self.halted.contains(&node) {
                     let now = self.now;
-                    self.members.get_mut(&node).into_iter().for_each(|m| m.pass(now));
+                    self.members.get_mut(&node).into_iter().for_each(|m| m.advance(now));
                     self.settle(node);
                 }
             }
@@ -88,9 +88,9 @@
     }
 
     /// How many members hold that one for that, and how many there are to do so.
-    fn hold(&self, node: u32, standing: MemberState) -> (usize, usize) {
+    fn hold(&self, node: u32, state: MemberState) -> (usize, usize) {
         let others = || self.members.iter().filter(|(n, _)| **n != node);
-        (others().filter(|(_, m)| m.standing(node) == Some(standing)).count(), others().count())
+        (others().filter(|(_, m)| m.state(node) == Some(state)).count(), others().count())
     }
 
     /// Run until that holds; whether it did in that time.
--- a/crates/message-auth/src/channel.rs
+++ b/crates/message-auth/src/channel.rs
@@ -1,12 +1,12 @@
 //! A process's datagrams, under a code where the operators name a key, and as they are where they don't.
 
 use crate::keyring::Keys;
-use crate::signed_message::{Opener, Refused, Sealer};
+use crate::signed_message::{Signer, Verifier, VerifyError};
 use std::collections::BTreeMap;
 
 /// Lives of a sender that are heard at once: a process that was replaced goes on for as long as its work lasts, and so may the one
 /// before it.
-pub const LIVES: usize = 4;
+pub const MAX_INCARNATIONS: usize = 4;
 
 /// A datagram that is taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -14,14 +14,14 @@
     /// Who says it, where a code proves that.
     pub sender: Option<u32>,
     /// What is said.
-    pub sent: &'a [u8],
+    pub body: &'a [u8],
 }
 
 /// A datagram that is not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Dropped {
     /// Why.
-    pub refused: Refused,
+    pub refused: VerifyError,
     /// It is to be told: once for each reason and sender.
     pub first: bool,
 }
@@ -31,38 +31,38 @@
 pub struct Channel {
     sender: u32,
     fleet: String,
-    coded: Option<(Sealer, Opener)>,
+    coded: Option<(Signer, Verifier)>,
 }
 
 impl Channel {
     /// For the sender of that number. Without keys nothing is sealed and everything is taken, byte for byte. For lives see
-    /// [`Sealer::new`].
-    pub fn new(sender: u32, life: u64, fleet: &str, keys: Option<&Keys>) -> Channel {
+    /// [`Signer::new`].
+    pub fn new(sender: u32, incarnation: u64, fleet: &str, keys: Option<&Keys>) -> Channel {
         let mut line = Channel { sender, fleet: fleet.to_string(), coded: None };
-        line.set(life, fleet, keys);
+        line.reconfigure(incarnation, fleet, keys);
         line
     }
 
     /// Go by these from now on. While the fleet's name stays, what was heard stays heard; else a new life begins, which is that one.
-    pub fn set(&mut self, life: u64, fleet: &str, keys: Option<&Keys>) {
+    pub fn reconfigure(&mut self, incarnation: u64, fleet: &str, keys: Option<&Keys>) {
         match (&mut self.coded, keys) {
             (_, None) => self.coded = None,
-            (Some((sealer, opener)), Some(keys)) if self.fleet == fleet => {
-                sealer.rekey(keys);
-                opener.rekey(keys);
+            (Some((signer, verifier)), Some(keys)) if self.fleet == fleet => {
+                signer.rekey(keys);
+                verifier.rekey(keys);
             }
             (_, Some(keys)) => {
-                let opener = Opener::new(fleet, keys).lives(LIVES);
-                self.coded = Some((Sealer::new(fleet, self.sender, life, keys), opener));
+                let verifier = Verifier::new(fleet, keys).max_incarnations(MAX_INCARNATIONS);
+                self.coded = Some((Signer::new(fleet, self.sender, incarnation, keys), verifier));
             }
         }
         self.fleet = fleet.to_string();
     }
 
     /// The datagram that says it.
-    pub fn seal(&mut self, sent: Vec<u8>) -> Vec<u8> {
+    pub fn sign(&mut self, sent: Vec<u8>) -> Vec<u8> {
         match &mut self.coded {
-            Some((sealer, _)) => sealer.seal(&sent),
+            Some((signer, _)) => signer.sign(&sent),
             None => sent,
         }
     }
@@ -71,16 +71,16 @@
     ///
     /// # Errors
     /// Why it has to be dropped.
-    pub fn open<'a>(&mut self, bytes: &'a [u8], seems: u32) -> Result<Received<'a>, Dropped> {
-        let Some((_, opener)) = &mut self.coded else { return Ok(Received { sender: None, sent: bytes }) };
-        match opener.open(bytes) {
-            Ok(opened) => Ok(Received { sender: Some(opened.sender), sent: opened.body }),
-            Err(refused) => Err(Dropped { refused, first: opener.first(refused, seems) }),
+    pub fn verify<'a>(&mut self, bytes: &'a [u8], seems: u32) -> Result<Received<'a>, Dropped> {
+        let Some((_, verifier)) = &mut self.coded else { return Ok(Received { sender: None, body: bytes }) };
+        match verifier.verify(bytes) {
+            Ok(opened) => Ok(Received { sender: Some(opened.sender), body: opened.body }),
+            Err(refused) => Err(Dropped { refused, first: verifier.is_first(refused, seems) }),
         }
     }
 
     /// How many were dropped, by reason.
-    pub fn counts(&self) -> BTreeMap<Refused, u64> {
-        self.coded.as_ref().map(|(_, opener)| opener.counts().clone()).unwrap_or_default()
+    pub fn counts(&self) -> BTreeMap<VerifyError, u64> {
+        self.coded.as_ref().map(|(_, verifier)| verifier.counts().clone()).unwrap_or_default()
     }
 }
--- a/crates/message-auth/src/keyring.rs
+++ b/crates/message-auth/src/keyring.rs
@@ -15,9 +15,9 @@
 use thiserror::Error;
 
 /// A key is at least that long, in bytes: as long as what SHA-256 gives (RFC 2104, section 3).
-pub const SHORTEST: usize = 32;
+pub const MIN_KEY_BYTES: usize = 32;
 /// Keys that are believed at once.
-pub const AT_ONCE: usize = 2;
+pub const MAX_KEYS: usize = 2;
 
 pub(crate) type Code = Hmac<Sha256>;
 
@@ -33,32 +33,32 @@
     #[diagnostic(help(
         "a key is one line of hex, as `openssl rand -hex 32` prints it; '#' begins a comment"
     ))]
-    NoHex {
+    NotHex {
         /// The line, from 1.
         line: usize,
     },
     /// A key can be guessed.
-    #[error("line {line}: a key of {bytes} bytes; {SHORTEST} at least")]
+    #[error("line {line}: a key of {bytes} bytes; {MIN_KEY_BYTES} at least")]
     #[diagnostic(help("make a key with `openssl rand -hex 32`"))]
-    Short {
+    TooShort {
         /// The line, from 1.
         line: usize,
         /// Its bytes.
         bytes: usize,
     },
     /// There are more than two.
-    #[error("line {line}: a third key; {AT_ONCE} at most")]
+    #[error("line {line}: a third key; {MAX_KEYS} at most")]
     #[diagnostic(help(
         "take out the oldest: two are believed while they are changed, the first one is sealed with"
     ))]
-    Many {
+    TooMany {
         /// The line of the first that is too many, from 1.
         line: usize,
     },
     /// Others may read or write the file.
     #[error("its mode is {mode:04o}: others may read or change it")]
     #[diagnostic(help("chmod 0600 the file; if others may have read it, make a new key"))]
-    Mode {
+    FileMode {
         /// The mode's lowest bits.
         mode: u32,
     },
@@ -66,17 +66,17 @@
 
 /// Why a file's code is not believed.
 #[derive(Clone, Copy, Debug, Diagnostic, Error, PartialEq, Eq)]
-pub enum FileCodeError {
+pub enum FileMacError {
     /// What should be its code is none.
     #[error("this is no code of a file")]
     #[diagnostic(help("make it with `openssl dgst -sha256 -mac HMAC -macopt hexkey:KEY FILE`: 64 hex digits, alone or after a '='"))]
-    NoCode,
+    Malformed,
     /// It is the code of something else, or under another key.
     #[error("the code is not the one of this file under this fleet's keys")]
     #[diagnostic(help(
         "sign the file anew after its last change, with the key in the first line of the file of keys"
     ))]
-    Wrong,
+    Mismatch,
 }
 
 /// The keys of a fleet, the newest first. It is never printed.
@@ -105,15 +105,15 @@
             if digits.is_empty() {
                 continue;
             }
-            let key = hex::decode(digits).map_err(|_| KeysError::NoHex { line: line_number })?;
-            if key.len() < SHORTEST {
-                return Err(KeysError::Short { line: line_number, bytes: key.len() });
+            let key = hex::decode(digits).map_err(|_| KeysError::NotHex { line: line_number })?;
+            if key.len() < MIN_KEY_BYTES {
+                return Err(KeysError::TooShort { line: line_number, bytes: key.len() });
             }
-            if all.len() == AT_ONCE {
-                return Err(KeysError::Many { line: line_number });
+            if all.len() == MAX_KEYS {
+                return Err(KeysError::TooMany { line: line_number });
             }
             // HMAC takes keys of any length.
-            all.push(Code::new_from_slice(&key).map_err(|_| KeysError::NoHex { line: line_number })?);
+            all.push(Code::new_from_slice(&key).map_err(|_| KeysError::NotHex { line: line_number })?);
         }
         if all.is_empty() {
             return Err(KeysError::Empty);
@@ -125,10 +125,10 @@
     ///
     /// # Errors
     /// Its group or others may do anything with it.
-    pub fn mode(mode: u32) -> Result<(), KeysError> {
+    pub fn check_file_mode(mode: u32) -> Result<(), KeysError> {
         match mode & 0o077 {
             0 => Ok(()),
-            _ => Err(KeysError::Mode { mode: mode & 0o7777 }),
+            _ => Err(KeysError::FileMode { mode: mode & 0o7777 }),
         }
     }
 
@@ -138,14 +138,14 @@
     }
 
     /// The code of these bytes under the newest key: HMAC-SHA256, as `openssl dgst -sha256 -mac HMAC` makes it.
-    pub fn code(&self, bytes: &[u8]) -> [u8; 32] {
+    pub fn mac(&self, bytes: &[u8]) -> [u8; 32] {
         // There is always one; were there none, its code would be believed by nobody.
         let Some(code) = self.codes().next() else { return [0; 32] };
         code.chain_update(bytes).finalize().into_bytes().into()
     }
 
     /// Whether that is the code of these bytes under one of the keys; it takes the same time wherever they differ.
-    pub fn is_code(&self, bytes: &[u8], code: &[u8]) -> bool {
+    pub fn verify_mac(&self, bytes: &[u8], code: &[u8]) -> bool {
         self.codes().any(|own| own.chain_update(bytes).verify_slice(code).is_ok())
     }
 
@@ -153,15 +153,15 @@
     ///
     /// # Errors
     /// The text holds no code, or the one of something else.
-    pub fn verify_file(&self, bytes: &[u8], text: &str) -> Result<(), FileCodeError> {
+    pub fn verify_file(&self, bytes: &[u8], text: &str) -> Result<(), FileMacError> {
         let digits = text.rsplit('=').next().unwrap_or_default().trim();
-        let code = hex::decode(digits).map_err(|_| FileCodeError::NoCode)?;
+        let code = hex::decode(digits).map_err(|_| FileMacError::Malformed)?;
         if code.len() != 32 {
-            return Err(FileCodeError::NoCode);
+            return Err(FileMacError::Malformed);
         }
-        match self.is_code(bytes, &code) {
+        match self.verify_mac(bytes, &code) {
             true => Ok(()),
-            false => Err(FileCodeError::Wrong),
+            false => Err(FileMacError::Mismatch),
         }
     }
 }
--- a/crates/mutants/src/systems/members.rs
+++ b/crates/mutants/src/systems/members.rs
@@ -21,7 +21,7 @@
     }
 
     fn pass(&mut self, now: Micros) {
-        self.0.pass(now);
+        self.0.advance(now);
     }
 
     fn due(&self) -> Option<Micros> {
@@ -30,7 +30,7 @@
 
     fn says(&mut self) -> Vec<(Actor, Vec<u8>)> {
         let said = |e| if let Effect::Outgoing { to, bytes } = e { Some((to as Actor, bytes)) } else { None };
-        self.0.effects().into_iter().filter_map(said).collect()
+        self.0.take_effects().into_iter().filter_map(said).collect()
     }
 }
 
@@ -79,7 +79,7 @@
     fn settled(parts: &[Option<Member>], _: Micros) -> Result<(), Broken> {
         for (actor, member) in parts.iter().enumerate().filter_map(|(a, m)| Some((a, m.as_ref()?))) {
             for other in (0..MEMBERS).filter(|o| *o != actor) {
-                let standing = member.0.standing(other as u32);
+                let standing = member.0.state(other as u32);
                 // The network goes on losing words: a suspicion may stand at any moment, and is contradicted or becomes Gone.
                 if !matches!(standing, Some(MemberState::Alive | MemberState::Suspect)) {
                     return Err(Broken::new(
--- a/crates/placements/src/log.rs
+++ b/crates/placements/src/log.rs
@@ -125,7 +125,7 @@
 
 fn fact_op(name: &str, what: &impl Serialize) -> Result<Op, LogError> {
     let text = serde_json::to_vec(what).map_err(|e| LogError::Store(e.to_string()))?;
-    Ok(Op::Remember(name.to_string(), text))
+    Ok(Op::SetFact(name.to_string(), text))
 }
 
 #[derive(Debug)]
@@ -236,7 +236,7 @@
                 let base = hash_chain::origin(&writer);
                 let identity = Identity { writer, base, retired: Vec::new() };
                 // On a full disk the identity is written with the first commit that succeeds.
-                if store.takes() {
+                if store.accepts_commits() {
                     store.commit(&[fact_op(IDENTITY, &identity)?])?;
                 }
                 identity
@@ -252,7 +252,7 @@
                 Entry::Placed(placement) => drop(open.insert(number, placement)),
                 Entry::Ended { of, .. } => drop(open.remove(&of)),
             })?;
-        let failed = (!store.takes()).then_some(LogError::Full);
+        let failed = (!store.accepts_commits()).then_some(LogError::Full);
         let (pending, recent) = (Vec::new(), (head, VecDeque::new()));
         let state = State {
             identity,
@@ -331,7 +331,7 @@
         let mut ops = std::mem::take(&mut state.pending);
         let (upto, count) = (state.head, ops.len() as u64);
         if count > 0 {
-            ops.push(Op::Remember(last_number_fact(&state.identity.writer), upto.0.to_string().into_bytes()));
+            ops.push(Op::SetFact(last_number_fact(&state.identity.writer), upto.0.to_string().into_bytes()));
         }
         ops.extend(extra);
         let (shared, log, generation) = (self.state.clone(), state.identity.writer.log, state.generation);
--- a/crates/placements/tests/log.rs
+++ b/crates/placements/tests/log.rs
@@ -19,7 +19,7 @@
 }
 
 fn open_disk(disk: &FaultyDisk) -> Result<Disk, StoreError> {
-    let store = Arc::new(Store::on(disk.clone(), 1 << 20)?);
+    let store = Arc::new(Store::with_backend(disk.clone(), 1 << 20)?);
     let group_commit = Arc::new(GroupCommit::new(store.clone()).unwrap());
     Ok(Disk { store, group_commit })
 }
--- a/crates/quota-server/src/main.rs
+++ b/crates/quota-server/src/main.rs
@@ -47,7 +47,8 @@
     let name = path.display();
     let with_path = |e: std::io::Error| format!("{name}: {e}");
     let mut file = std::fs::File::open(path).map_err(with_path)?;
-    Keys::mode(file.metadata().map_err(with_path)?.mode()).map_err(|e| format!("{name}: {}", advice(&e)))?;
+    Keys::check_file_mode(file.metadata().map_err(with_path)?.mode())
+        .map_err(|e| format!("{name}: {}", advice(&e)))?;
     let mut text = String::new();
     file.read_to_string(&mut text).map_err(with_path)?;
     Keys::read(&text).map_err(|e| format!("{name}: {}", advice(&e)))
--- a/crates/quota-server/src/server.rs
+++ b/crates/quota-server/src/server.rs
@@ -101,7 +101,7 @@
 
     /// Sends a datagram. Errors are ignored, since the protocols repeat lost messages.
     async fn send(&self, socket: &UdpSocket, sent: Vec<u8>, to: SocketAddr) {
-        let datagram = self.channel.borrow_mut().seal(sent);
+        let datagram = self.channel.borrow_mut().sign(sent);
         let _ = socket.send_to(&datagram, to).await;
     }
 
@@ -181,7 +181,7 @@
             Some(()) = hangup.recv() => match reload() {
                 Some((newer, keys)) => {
                     info!("budgets file read again: version {}", newer.version);
-                    shared.channel.borrow_mut().set(unix_time(), &newer.fleet, keys.as_ref());
+                    shared.channel.borrow_mut().reconfigure(unix_time(), &newer.fleet, keys.as_ref());
                     shared.caller.set_addresses(&newer);
                     shared.allocator().set_plan(newer.clone());
                     shared.plan.replace(newer);
@@ -215,7 +215,7 @@
             }
             _ = proposal_check.tick() => {
                 let now = clock.now();
-                shared.membership.borrow_mut().pass(now);
+                shared.membership.borrow_mut().advance(now);
                 send_membership(&shared, &socket).await;
                 let Some((id, raft)) = shared.raft() else { continue };
                 let leader_term = {
@@ -300,7 +300,7 @@
 }
 
 async fn send_membership(shared: &Shared, socket: &UdpSocket) {
-    let effects = shared.membership.borrow_mut().effects();
+    let effects = shared.membership.borrow_mut().take_effects();
     for effect in effects {
         match effect {
             Effect::Outgoing { to, bytes } => {
@@ -316,8 +316,8 @@
             Effect::Changed(member) => {
                 let plan = shared.plan.borrow();
                 let node = NodeId(member.peer.node);
-                info!("member {} is {:?}", plan.name_of(node).unwrap_or("?"), member.standing);
-                if matches!(member.standing, MemberState::Left | MemberState::Gone) {
+                info!("member {} is {:?}", plan.name_of(node).unwrap_or("?"), member.state);
+                if matches!(member.state, MemberState::Left | MemberState::Gone) {
                     shared.allocator().remove_node(node);
                 }
             }
@@ -333,9 +333,9 @@
     addresses: &mut HashMap<NodeIncarnation, SocketAddr>,
 ) {
     let claimed_sender = shared.plan.borrow().node_at(from).map_or(0, |n| n.0);
-    let opened = shared.channel.borrow_mut().open(bytes, claimed_sender);
+    let opened = shared.channel.borrow_mut().verify(bytes, claimed_sender);
     let (sender, bytes) = match opened {
-        Ok(received) => (received.sender, received.sent),
+        Ok(received) => (received.sender, received.body),
         Err(Dropped { refused, first }) => {
             if first {
                 warn!(
@@ -443,7 +443,7 @@
             status.members = members
                 .members()
                 .map(|m| {
-                    let standing = format!("{:?}", m.standing).to_lowercase();
+                    let standing = format!("{:?}", m.state).to_lowercase();
                     (named(m.peer.node), standing, now - m.since)
                 })
                 .collect();
--- a/crates/quota-server/tests/processes.rs
+++ b/crates/quota-server/tests/processes.rs
@@ -187,15 +187,15 @@
                 in_force,
             };
             let ask = Message::Ask { holder: self.holder, plan: 1, claims: vec![claim] };
-            let ask = self.channel.seal(ask.bytes());
+            let ask = self.channel.sign(ask.bytes());
             for allocator in &self.plan.allocators {
                 let _ = self.socket.send_to(&ask, allocator.address);
             }
             let mut buffer = [0; 2_000];
             while let Ok((n, _)) = self.socket.recv_from(&mut buffer) {
                 // Other datagrams come from the membership protocol and from allocators that are not the leader.
-                let Ok(received) = self.channel.open(&buffer[..n], 0) else { continue };
-                if let Ok(Message::Grants { grants, .. }) = Message::read(received.sent) {
+                let Ok(received) = self.channel.verify(&buffer[..n], 0) else { continue };
+                if let Ok(Message::Grants { grants, .. }) = Message::read(received.body) {
                     if let Some(grant) =
                         grants.into_iter().find(|g| g.answers == self.request_count && g.amount > 0)
                     {
@@ -314,12 +314,12 @@
         holder: NodeIncarnation { node: NodeId::of("n1"), incarnation: 1 },
         grants: Vec::new(),
     };
-    let foreign = fleet.channel.seal(foreign_release.bytes());
+    let foreign = fleet.channel.sign(foreign_release.bytes());
     let mut forged = node_channel(9, &[OTHER_KEY_BYTE]);
     let before = fleet.request_grant(30, (first.epoch, first.number));
     fleet.socket.send_to(&foreign, allocator).unwrap();
     for _ in 0..2 {
-        for message in [&release, &forged.seal(release.clone()), &foreign] {
+        for message in [&release, &forged.sign(release.clone()), &foreign] {
             fleet.socket.send_to(message, allocator).unwrap();
         }
     }
--- a/crates/quota/src/config.rs
+++ b/crates/quota/src/config.rs
@@ -176,11 +176,11 @@
 }
 
 fn process_address(form: &Form) -> ProcessAddress {
-    let (name, text) = (form.word("a name"), form.word("an address with a port, in quotes"));
+    let (name, text) = (form.symbol("a name"), form.symbol("an address with a port, in quotes"));
     form.finish();
     let unspecified = SocketAddr::from(([0, 0, 0, 0], 0));
     let address = text.parse().unwrap_or_else(|_| {
-        form.complain(format!("\"{text}\" is not an address with a port; write it as \"10.0.0.1:7800\""));
+        form.add_error(format!("\"{text}\" is not an address with a port; write it as \"10.0.0.1:7800\""));
         unspecified
     });
     ProcessAddress { name, address }
@@ -193,15 +193,15 @@
         let process_address = process_address(&form);
         for other in listed.iter() {
             if other.name == process_address.name {
-                form.complain(format!("the name {} is given twice", process_address.name));
+                form.add_error(format!("the name {} is given twice", process_address.name));
             } else if NodeId::of(&other.name) == NodeId::of(&process_address.name) {
                 let text = format!(
                     "{} and {} have the same node id; rename one of them",
                     other.name, process_address.name
                 );
-                form.complain(text);
+                form.add_error(text);
             } else if other.address == process_address.address {
-                form.complain(format!("{} has the same address as {}", process_address.name, other.name));
+                form.add_error(format!("{} has the same address as {}", process_address.name, other.name));
             }
         }
         listed.push(process_address.clone());
@@ -213,9 +213,9 @@
 /// Parses the optional form `(name "text")`, whose text must not be empty.
 fn text(f: &Form, name: &'static str) -> Option<String> {
     f.given(name, |form| {
-        let text = form.word("a text, in quotes");
+        let text = form.symbol("a text, in quotes");
         if text.is_empty() {
-            form.complain(format!("({name}) needs a text in quotes"));
+            form.add_error(format!("({name}) needs a text in quotes"));
         }
         Some(text)
     })
@@ -227,13 +227,13 @@
     let allocators = process_addresses(f, "divider", &mut listed);
     let members = process_addresses(f, "node", &mut listed);
     if allocators.len() > MAX_ALLOCATORS {
-        f.complain(format!(
+        f.add_error(format!(
             "{} (divider ...) are listed; at most {MAX_ALLOCATORS} are supported",
             allocators.len()
         ));
     }
     if allocators.is_empty() != members.is_empty() {
-        f.complain("(divider ...) and (node ...) need each other: list both or neither");
+        f.add_error("(divider ...) and (node ...) need each other: list both or neither");
     }
     let mut plan = Plan {
         version: f.count("version", 1, 1..=1_000_000_000),
@@ -247,14 +247,14 @@
         key: text(f, "key").map(|key| file.with_file_name(key)),
     };
     if (plan.nodes as usize) < plan.members.len() {
-        f.complain(format!(
+        f.add_error(format!(
             "(nodes {}) is less than the number of listed nodes; raise it or leave it out",
             plan.nodes
         ));
     }
     let mut names = BTreeSet::new();
     for form in f.many("budget") {
-        let name = form.word("a budget's name");
+        let name = form.symbol("a budget's name");
         let is_concurrent = form.choice("per", "second", &["second", "moment"]) == "moment";
         let budget = Budget {
             per: match is_concurrent {
@@ -268,37 +268,37 @@
         };
         form.finish();
         match BudgetKind::of(&budget.name) {
-            None => form.complain(format!(
+            None => form.add_error(format!(
                 "{} is not the name of a budget; known: quota:TENANT, flight:CLASS, home:SITE/NODE, retries, probes, lists, cold, connections",
                 budget.name
             )),
             Some(kind) if kind.is_concurrent() != is_concurrent => {
                 let per = if is_concurrent { "second" } else { "moment" };
-                form.complain(format!("{} has to be counted (per {per})", budget.name));
+                form.add_error(format!("{} has to be counted (per {per})", budget.name));
             }
             Some(_) => {}
         }
         if !names.insert(budget.name.clone()) {
-            form.complain(format!("the budget {} is given twice", budget.name));
+            form.add_error(format!("the budget {} is given twice", budget.name));
         }
         if budget.total == 0 {
-            form.complain(format!("the budget {} needs a (whole UNITS) over 0", budget.name));
+            form.add_error(format!("the budget {} needs a (whole UNITS) over 0", budget.name));
         } else if let Err(e) = plan.shared_units(&budget) {
             let text = format!(
                 "{}: floors and reserves of {} nodes: {e}; raise (whole) or lower (floor) or (reserve)",
                 budget.name, plan.nodes
             );
-            form.complain(text);
+            form.add_error(text);
         }
         let is_single_unit = (budget.total, budget.floor, budget.reserve) == (1, 0, 0);
         if matches!(BudgetKind::of(&budget.name), Some(BudgetKind::Home(_))) && !is_single_unit {
-            form.complain(format!(
+            form.add_error(format!(
                 "only one node may hold {}: set (whole 1) and leave out (floor) and (reserve)",
                 budget.name
             ));
         }
         if is_concurrent && budget.per == (Per::Moment { longest: 0 }) {
-            form.complain(format!(
+            form.add_error(format!(
                 "{} needs (longest TIME), the longest time that a unit stays in use",
                 budget.name
             ));
@@ -306,7 +306,7 @@
         plan.budgets.push(budget);
     }
     if plan.budgets.is_empty() {
-        f.complain("a file of budgets needs a (budget NAME ...)");
+        f.add_error("a file of budgets needs a (budget NAME ...)");
     }
     plan
 }
--- a/crates/rig/src/measure.rs
+++ b/crates/rig/src/measure.rs
@@ -369,7 +369,7 @@
 
     fn accounts(&self, node: usize, text: &str) -> Done<()> {
         let keys = Keys::read(KEY).map_err(std::io::Error::other)?;
-        let code: String = keys.code(text.as_bytes()).iter().map(|b| format!("{b:02x}")).collect();
+        let code: String = keys.mac(text.as_bytes()).iter().map(|b| format!("{b:02x}")).collect();
         std::fs::write(self.folder(node).join("accounts.sexp.hmac"), code)?;
         Ok(std::fs::write(self.folder(node).join("accounts.sexp"), text)?)
     }
--- a/crates/rig/src/script.rs
+++ b/crates/rig/src/script.rs
@@ -482,10 +482,10 @@
 fn act(name: &str, f: &Form, (nodes, servers, dividers, sites): (u32, u32, u32, u32)) -> Act {
     let one = |name: &'static str, of: u32| f.count(name, 0, 0..=u64::from(of.max(1) - 1)) as u32;
     if sites == 0 && ACTS[21..].contains(&name) {
-        f.complain(format!("({name}) needs (sites N)"));
+        f.add_error(format!("({name}) needs (sites N)"));
     }
     if dividers == 0 && ACTS[13..21].contains(&name) {
-        f.complain(format!("({name}) needs (dividers N)"));
+        f.add_error(format!("({name}) needs (dividers N)"));
     }
     let length = || f.time("for", 1_000_000, TIMES);
     match name {
@@ -563,7 +563,7 @@
         "change" => {
             let (from, to) = (one("from", nodes), one("to", nodes));
             if from == to {
-                f.complain("a node says nothing to itself");
+                f.add_error("a node says nothing to itself");
             }
             let how = How::of(&f.choice("how", "drop", &How::NAMES));
             Act::Change { from, to, number: f.count("number", 1, 1..=1_000_000), how }
@@ -580,7 +580,7 @@
     let dividers = f.count("dividers", 0, 0..=9) as u32;
     let sites = f.count("sites", 0, 0..=9) as u32;
     if sites == 1 || (sites > 1 && !(nodes.is_multiple_of(sites) && servers.is_multiple_of(sites))) {
-        f.complain(format!("{sites} sites need as many nodes and servers each, and two are the least"));
+        f.add_error(format!("{sites} sites need as many nodes and servers each, and two are the least"));
     }
     let mut events = Vec::new();
     for form in f.many("at") {
@@ -593,7 +593,7 @@
             })
             .collect();
         if found.is_empty() {
-            form.complain(format!("nothing is done at that time; known: {}", ACTS.join(", ")));
+            form.add_error(format!("nothing is done at that time; known: {}", ACTS.join(", ")));
         }
         events.extend(found);
         form.finish();
--- a/crates/rig/src/sites.rs
+++ b/crates/rig/src/sites.rs
@@ -171,7 +171,7 @@
     /// Write a node's file of accounts with its code: first that, since a node reads both.
     fn sign(&self, node: u32, text: &str) -> std::io::Result<()> {
         let keys = Keys::read(KEY).map_err(std::io::Error::other)?;
-        let code: String = keys.code(text.as_bytes()).iter().map(|b| format!("{b:02x}")).collect();
+        let code: String = keys.mac(text.as_bytes()).iter().map(|b| format!("{b:02x}")).collect();
         let folder = &self.folders[node as usize];
         std::fs::write(folder.join("accounts.sexp.hmac"), code)?;
         std::fs::write(folder.join("accounts.sexp"), text)
--- a/crates/sexp/src/lib.rs
+++ b/crates/sexp/src/lib.rs
@@ -99,13 +99,13 @@
         }
         Some(form) => {
             if let Some(form) = form {
-                form.complain(format!("({}) stands where ({head} ...) is needed", form.head));
+                form.add_error(format!("({}) stands where ({head} ...) is needed", form.head));
             }
             None
         }
     };
     for form in forms.flatten() {
-        form.complain(format!("a second list; the file holds one, ({head} ...)"));
+        form.add_error(format!("a second list; the file holds one, ({head} ...)"));
     }
     let list = notes.into_inner();
     match built {
@@ -144,13 +144,13 @@
 }
 
 /// A time in the greatest unit that leaves it a whole number.
-pub fn span(micros: i64) -> String {
+pub fn format_duration(micros: i64) -> String {
     let whole = |u: &&(&str, f64)| micros != 0 && micros as f64 % u.1 == 0.0;
     let (name, size) = UNITS.iter().rev().find(whole).unwrap_or(&UNITS[0]);
     format!("{} {name}", micros as f64 / size)
 }
 
-fn word_of(value: &Value) -> Option<&str> {
+fn symbol_text(value: &Value) -> Option<&str> {
     value.as_symbol().or(value.as_str())
 }
 
@@ -166,7 +166,7 @@
             return bad("is no list of the form (word ...)");
         }
         let mut items: Vec<Ref> = datum.list_iter().into_iter().flatten().collect();
-        let Some(head) = items.first().and_then(|i| word_of(i.value())).map(str::to_string) else {
+        let Some(head) = items.first().and_then(|i| symbol_text(i.value())).map(str::to_string) else {
             return bad("does not begin with a word");
         };
         let items = items.drain(1..).map(|i| (i, Cell::new(false))).collect();
@@ -184,18 +184,18 @@
     }
 
     /// Note a fault of the whole list.
-    pub fn complain(&self, text: impl Into<String>) {
-        self.complain_at(self.place, text);
+    pub fn add_error(&self, text: impl Into<String>) {
+        self.add_error_at(self.place, text);
     }
 
-    fn complain_at(&self, place: Place, text: impl Into<String>) {
+    fn add_error_at(&self, place: Place, text: impl Into<String>) {
         self.notes.borrow_mut().push(ParseError { place, text: text.into() });
     }
 
     /// The lists in it that begin with that word.
     pub fn many(&self, name: &'static str) -> Vec<Form<'a>> {
         self.asked.borrow_mut().push(name);
-        let here = |value: &Value| value.as_pair().and_then(|(car, _)| word_of(car)) == Some(name);
+        let here = |value: &Value| value.as_pair().and_then(|(car, _)| symbol_text(car)) == Some(name);
         let found = self.items.iter().filter(|(i, _)| here(i.value()));
         found
             .filter_map(|(item, used)| {
@@ -210,7 +210,7 @@
         let mut found = self.many(name).into_iter();
         let first = found.next()?;
         if let Some(again) = found.next() {
-            again.complain(format!("({name}) is given twice; first in line {}", first.place.line));
+            again.add_error(format!("({name}) is given twice; first in line {}", first.place.line));
         }
         Some(first)
     }
@@ -225,27 +225,27 @@
     }
 
     /// Its next own word, or the usual one with a complaint where there is none.
-    pub fn word(&self, what: &str) -> String {
+    pub fn symbol(&self, what: &str) -> String {
         match self.next() {
-            Some(item) => match word_of(item.value()) {
+            Some(item) => match symbol_text(item.value()) {
                 Some(word) => word.to_string(),
                 None => {
-                    self.complain_at(place(item), format!("{} is no word for {what}", show(item.value())));
+                    self.add_error_at(place(item), format!("{} is no word for {what}", show(item.value())));
                     String::new()
                 }
             },
             None => {
-                self.complain(format!("({}) needs {what}", self.head));
+                self.add_error(format!("({}) needs {what}", self.head));
                 String::new()
             }
         }
     }
 
     /// All its own words that are left.
-    pub fn words(&self, what: &str) -> Vec<String> {
+    pub fn symbols(&self, what: &str) -> Vec<String> {
         let mut all = Vec::new();
         while self.items.iter().any(|(i, used)| !used.get() && !i.value().is_list()) {
-            all.push(self.word(what));
+            all.push(self.symbol(what));
         }
         all
     }
@@ -253,17 +253,17 @@
     /// Its next own number, in the range.
     fn amount(&self, what: &str, range: &RangeInclusive<f64>) -> Option<f64> {
         let Some(item) = self.next() else {
-            self.complain(format!("({}) needs {what}", self.head));
+            self.add_error(format!("({}) needs {what}", self.head));
             return None;
         };
         let Some(number) = item.value().as_f64().filter(|n| n.is_finite() && n.abs() <= MOST) else {
-            self.complain_at(place(item), format!("{} is no number for {what}", show(item.value())));
+            self.add_error_at(place(item), format!("{} is no number for {what}", show(item.value())));
             return None;
         };
         if !range.contains(&number) {
             let text =
                 format!("{number} is out of range: {what} lies in {} to {}", range.start(), range.end());
-            self.complain_at(place(item), text);
+            self.add_error_at(place(item), text);
             return None;
         }
         Some(number)
@@ -289,7 +289,7 @@
         let (count, what) = (self.left(), format!("({})", self.head));
         if count < least || count > most {
             let wanted = if least == most { format!("{least}") } else { format!("{least} to {most}") };
-            self.complain(format!("{what} needs {wanted} figures and has {count}"));
+            self.add_error(format!("{what} needs {wanted} figures and has {count}"));
         }
         (0..count).filter_map(|_| self.amount(&what, &range)).collect()
     }
@@ -298,10 +298,10 @@
     pub fn times(&self, least: usize, most: usize, range: RangeInclusive<i64>) -> Vec<i64> {
         let names = || UNITS.map(|u| u.0).join(", ");
         let last = self.items.iter().rev().find(|(i, used)| !used.get() && !i.value().is_list());
-        let unit = last.and_then(|(i, _)| word_of(i.value()));
+        let unit = last.and_then(|(i, _)| symbol_text(i.value()));
         let Some(&(_, unit)) = UNITS.iter().find(|u| Some(u.0) == unit) else {
             let at = last.map_or(self.place, |(i, _)| place(i));
-            self.complain_at(at, format!("({}) needs a unit of time at its end: {}", self.head, names()));
+            self.add_error_at(at, format!("({}) needs a unit of time at its end: {}", self.head, names()));
             self.items.iter().for_each(|(_, used)| used.set(true));
             return Vec::new();
         };
@@ -311,9 +311,9 @@
         let found = self.numbers(least, most, 0.0..=MOST / unit);
         let micros: Vec<i64> = found.iter().map(|n| (n * unit).round() as i64).collect();
         for t in micros.iter().filter(|t| !range.contains(t)) {
-            let (low, high) = (span(*range.start()), span(*range.end()));
-            let text = format!("({}) lies in {low} to {high}, not {}", self.head, span(*t));
-            self.complain(text);
+            let (low, high) = (format_duration(*range.start()), format_duration(*range.end()));
+            let text = format!("({}) lies in {low} to {high}, not {}", self.head, format_duration(*t));
+            self.add_error(text);
         }
         micros
     }
@@ -328,7 +328,7 @@
         let found = self.given(name, |f| {
             let n = f.numbers(1, 1, *range.start() as f64..=*range.end() as f64).first().copied()?;
             if n.fract() != 0.0 {
-                f.complain(format!("({name}) is a whole number, not {n}"));
+                f.add_error(format!("({name}) is a whole number, not {n}"));
             }
             Some(n as u64)
         });
@@ -363,7 +363,7 @@
     fn ends<T: PartialOrd + Copy + fmt::Display>(&self, found: &[T]) -> Option<(T, T)> {
         let (low, high) = (*found.first()?, *found.last()?);
         if low > high {
-            self.complain(format!("({}) begins above its end", self.head));
+            self.add_error(format!("({}) begins above its end", self.head));
         }
         Some((low, high))
     }
@@ -371,9 +371,9 @@
     /// The word of the list in it with that name, one of those.
     pub fn choice(&self, name: &'static str, usual: &str, among: &[&str]) -> String {
         let found = self.given(name, |f| {
-            let (at, word) = (f.items.first().map_or(f.place, |i| place(&i.0)), f.word("a word"));
+            let (at, word) = (f.items.first().map_or(f.place, |i| place(&i.0)), f.symbol("a word"));
             if !word.is_empty() && !among.contains(&word.as_str()) {
-                f.complain_at(at, unknown(&word, &format!("({name})"), among));
+                f.add_error_at(at, unknown(&word, &format!("({name})"), among));
             }
             Some(word)
         });
@@ -382,7 +382,7 @@
 
     /// The text of the list in it with that name.
     pub fn text(&self, name: &'static str, usual: &str) -> String {
-        self.given(name, |f| Some(f.word("a word"))).unwrap_or_else(|| usual.to_string())
+        self.given(name, |f| Some(f.symbol("a word"))).unwrap_or_else(|| usual.to_string())
     }
 
     /// Whether the list in it with that name says `yes`.
@@ -402,11 +402,11 @@
     pub fn finish(&self) {
         let asked = self.asked.borrow();
         for (item, _) in self.items.iter().filter(|(_, used)| !used.get()) {
-            let text = match item.value().as_pair().and_then(|(car, _)| word_of(car)) {
+            let text = match item.value().as_pair().and_then(|(car, _)| symbol_text(car)) {
                 Some(word) => unknown(word, &format!("({})", self.head), &asked),
                 None => format!("{} is too much for ({})", show(item.value()), self.head),
             };
-            self.complain_at(place(item), text);
+            self.add_error_at(place(item), text);
         }
     }
 }
--- a/crates/sexp/tests/complaints.rs
+++ b/crates/sexp/tests/complaints.rs
@@ -22,7 +22,7 @@
         faults: faults
             .iter()
             .map(|f| {
-                let read = (f.word("a name"), f.number("part", 1.0, 0.0..=1.0));
+                let read = (f.symbol("a name"), f.number("part", 1.0, 0.0..=1.0));
                 f.finish();
                 read
             })
--- a/crates/sites/src/config.rs
+++ b/crates/sites/src/config.rs
@@ -272,12 +272,12 @@
         let bounds = *range.start() as f64..=*range.end() as f64;
         let n = f.numbers(1, 1, bounds).first().copied().unwrap_or(least as f64);
         if n.fract() != 0.0 {
-            f.complain(format!("({list}) needs an integer, not {n}"));
+            f.add_error(format!("({list}) needs an integer, not {n}"));
         }
         Some(n as u64)
     });
     found.unwrap_or_else(|| {
-        form.complain(text);
+        form.add_error(text);
         least
     })
 }
@@ -291,21 +291,21 @@
 }
 
 fn parse_node(form: &Form, used: &mut UsedNames) -> Node {
-    let (name, text) = (form.word("a node's name"), form.word("an address with a port, in quotes"));
+    let (name, text) = (form.symbol("a node's name"), form.symbol("an address with a port, in quotes"));
     form.finish();
     let address: SocketAddr = text.parse().unwrap_or_else(|_| {
-        form.complain(format!("\"{text}\" is not an address with a port"));
+        form.add_error(format!("\"{text}\" is not an address with a port"));
         SocketAddr::from(([0, 0, 0, 0], 0))
     });
     let node = Node { number: NodeId::of(&name).0, name, address };
     for other in &used.nodes {
         if other.name == node.name {
-            form.complain(format!("the node {} is given twice", node.name));
+            form.add_error(format!("the node {} is given twice", node.name));
         } else if other.number == node.number {
             let text = format!("{} and {} get the same number; rename one of them", other.name, node.name);
-            form.complain(text);
+            form.add_error(text);
         } else if other.address == node.address {
-            form.complain(format!("{} has the address of {}", node.name, other.name));
+            form.add_error(format!("{} has the address of {}", node.name, other.name));
         }
     }
     used.nodes.push(node.clone());
@@ -313,29 +313,29 @@
 }
 
 fn parse_site(form: &Form, used: &mut UsedNames) -> Site {
-    let name = form.word("a site's name");
+    let name = form.symbol("a site's name");
     let nodes: Vec<Node> = form.many("node").iter().map(|f| parse_node(f, used)).collect();
     if nodes.is_empty() {
-        form.complain(format!("the site {name} needs a (node NAME \"ADDRESS\")"));
+        form.add_error(format!("the site {name} needs a (node NAME \"ADDRESS\")"));
     }
     let strings =
-        |list: &'static str| form.given(list, |f| Some(f.words("a string in quotes"))).unwrap_or_default();
+        |list: &'static str| form.given(list, |f| Some(f.symbols("a string in quotes"))).unwrap_or_default();
     let (prefixes, zones) = (strings("server-prefix"), strings("zones"));
     for prefix in &prefixes {
         if prefix.is_empty() {
-            form.complain("(server-prefix \"\") matches all servers; give a longer prefix");
+            form.add_error("(server-prefix \"\") matches all servers; give a longer prefix");
         }
         let overlaps =
             |(p, _): &&(String, String)| p.starts_with(prefix.as_str()) || prefix.starts_with(p.as_str());
         if let Some((other, owner)) = used.prefixes.iter().find(overlaps) {
             let text =
                 format!("the server prefixes \"{prefix}\" and \"{other}\" of {owner} match the same servers");
-            form.complain(text);
+            form.add_error(text);
         }
     }
     for zone in &zones {
         if let Some(owner) = used.zones.insert(zone.clone(), name.clone()) {
-            form.complain(format!("the zone \"{zone}\" already belongs to {owner}"));
+            form.add_error(format!("the zone \"{zone}\" already belongs to {owner}"));
         }
     }
     used.prefixes.extend(prefixes.iter().map(|p| (p.clone(), name.clone())));
@@ -351,16 +351,16 @@
     let exists = sites.iter().any(|s| s.name == name);
     if !exists {
         let all: Vec<&str> = sites.iter().map(|s| s.name.as_str()).collect();
-        form.complain(format!("there is no site {name}; known: {}", all.join(", ")));
+        form.add_error(format!("there is no site {name}; known: {}", all.join(", ")));
     }
     exists
 }
 
 fn parse_lend(form: &Form, config: &mut SitesConfig) {
-    let name = form.word("a site's name");
+    let name = form.symbol("a site's name");
     let mut parts = BTreeMap::new();
     for class in form.many("class") {
-        let class_name = class.word("a class");
+        let class_name = class.symbol("a class");
         let part = required_number(
             &class,
             "part",
@@ -369,19 +369,19 @@
         ) as u8;
         class.finish();
         if parts.insert(class_name.clone(), part).is_some() {
-            class.complain(format!("the class {class_name} is given twice"));
+            class.add_error(format!("the class {class_name} is given twice"));
         }
     }
     form.finish();
     let sum: u32 = parts.values().map(|p| u32::from(*p)).sum();
     if sum > 100 {
-        form.complain(format!("{name} lends {sum} hundredths of its capacity; 100 at most"));
+        form.add_error(format!("{name} lends {sum} hundredths of its capacity; 100 at most"));
     }
     if parts.is_empty() {
-        form.complain("(lend SITE ...) needs a (class NAME (part HUNDREDTHS))");
+        form.add_error("(lend SITE ...) needs a (class NAME (part HUNDREDTHS))");
     }
     if check_site(form, &config.sites, &name) && config.remote_percent.insert(name.clone(), parts).is_some() {
-        form.complain(format!("(lend {name}) is given twice"));
+        form.add_error(format!("(lend {name}) is given twice"));
     }
 }
 
@@ -392,7 +392,7 @@
     for form in f.many("site") {
         let site = parse_site(&form, &mut used);
         if let Some(other) = all.iter().find(|s| s.number == site.number) {
-            form.complain(match other.name == site.name {
+            form.add_error(match other.name == site.name {
                 true => format!("the site {} is given twice", site.name),
                 false => format!("{} and {} get the same number; rename one of them", other.name, site.name),
             });
@@ -400,11 +400,11 @@
         all.push(site);
     }
     match all.len() {
-        0 => f.complain("a file of sites needs two (site NAME ...) at least, or one with (recover ...)"),
+        0 => f.add_error("a file of sites needs two (site NAME ...) at least, or one with (recover ...)"),
         n if n < least => {
-            f.complain("a file of sites needs two (site NAME ...) at least, or (recover ...) with one")
+            f.add_error("a file of sites needs two (site NAME ...) at least, or (recover ...) with one")
         }
-        n if n > MAX_SITES => f.complain(format!("{n} sites are given; {MAX_SITES} at most")),
+        n if n > MAX_SITES => f.add_error(format!("{n} sites are given; {MAX_SITES} at most")),
         _ => {}
     }
     all
@@ -412,14 +412,14 @@
 
 fn parse_credit(form: &Form) -> Credit {
     let credit = Credit {
-        tenant: form.word("a tenant"),
+        tenant: form.symbol("a tenant"),
         jobs: form.count("jobs", 0, 0..=1_000_000_000),
         reserve: form.count("reserve", 0, 0..=1_000_000_000),
         shrink: form.time("shrink", 30_000_000, 0..=DAY),
     };
     form.finish();
     if credit.reserve > credit.jobs {
-        form.complain(format!("the reserve of {} is more than its jobs", credit.tenant));
+        form.add_error(format!("the reserve of {} is more than its jobs", credit.tenant));
     }
     credit
 }
@@ -427,10 +427,10 @@
 fn parse_config(f: &Form) -> SitesConfig {
     let recover = f.given("recover", |f| Some(recovery_config::parse(f)));
     let least = if recover.is_some() { 1 } else { 2 };
-    let path = |name: &'static str| f.given(name, |f| Some(f.word("a path in quotes")));
+    let path = |name: &'static str| f.given(name, |f| Some(f.symbol("a path in quotes")));
     let mut config = SitesConfig {
         version: f.count("version", 1, 1..=1_000_000_000),
-        fleet: f.given("fleet", |f| Some(f.word("a name in quotes"))).unwrap_or_default(),
+        fleet: f.given("fleet", |f| Some(f.symbol("a name in quotes"))).unwrap_or_default(),
         key: path("key").unwrap_or_default(),
         accounts: path("accounts"),
         confirm: f.time("confirm", 3_000_000, 200_000..=DAY),
@@ -443,48 +443,48 @@
         ..SitesConfig::default()
     };
     if config.fleet.is_empty() {
-        f.complain("a file of sites needs a (fleet \"NAME\"): messages of another fleet are dropped");
+        f.add_error("a file of sites needs a (fleet \"NAME\"): messages of another fleet are dropped");
     }
     if config.key.is_empty() {
-        f.complain(
+        f.add_error(
             "a file of sites needs a (key \"FILE\"): messages between sites are authenticated with it",
         );
     }
     if config.recover.is_some() && config.nodes().count() == 1 {
-        f.complain(
+        f.add_error(
             "(recover) needs two nodes at least: a single node can't detect that its disk is an older copy",
         );
     }
     if config.hold < config.alone {
-        f.complain(
+        f.add_error(
             "(hold) is shorter than (alone): load would move back and forth at each short disturbance",
         );
     }
     for form in f.many("credit") {
         let credit = parse_credit(&form);
         if config.credits.iter().any(|c| c.tenant == credit.tenant) {
-            form.complain(format!("the credit of {} is given twice", credit.tenant));
+            form.add_error(format!("the credit of {} is given twice", credit.tenant));
         }
         config.credits.push(credit);
     }
     f.many("lend").iter().for_each(|form| parse_lend(form, &mut config));
     for form in f.many("least") {
-        let class = form.word("a class");
+        let class = form.symbol("a class");
         let part = form.numbers(1, 1, 1.0..=100.0).first().map_or(0, |n| *n as u8);
         form.finish();
         if !config.remote_percent.values().any(|l| l.contains_key(&class)) {
-            form.complain(format!("no site lends anything to the class {class}"));
+            form.add_error(format!("no site lends anything to the class {class}"));
         }
         if config.min_remote_percent.insert(class.clone(), part).is_some() {
-            form.complain(format!("(least {class}) is given twice"));
+            form.add_error(format!("(least {class}) is given twice"));
         }
     }
     let least: u32 = config.min_remote_percent.values().map(|p| u32::from(*p)).sum();
     if least > 100 {
-        f.complain(format!("the parts in (least ...) add up to {least} hundredths; 100 at most"));
+        f.add_error(format!("the parts in (least ...) add up to {least} hundredths; 100 at most"));
     }
     config.guarded_classes =
-        f.given("home", |f| Some(f.words("a class"))).unwrap_or_default().into_iter().collect();
+        f.given("home", |f| Some(f.symbols("a class"))).unwrap_or_default().into_iter().collect();
     config.audit = f.given("audit", |f| {
         let audit = Audit {
             bytes: f.count("bytes", 16 << 20, 64 << 10..=1 << 30),
@@ -495,18 +495,18 @@
         Some(audit)
     });
     for form in f.many("lost") {
-        let site = form.word("a site's name");
+        let site = form.symbol("a site's name");
         let text = "(lost SITE (number N)) needs its number, which grows with each declared loss of the site"
             .to_string();
         let number = required_number(&form, "number", 1..=1_000_000_000, text);
         form.finish();
         if check_site(&form, &config.sites, &site) && config.declared_lost(&site).is_some() {
-            form.complain(format!("{site} is declared lost twice"));
+            form.add_error(format!("{site} is declared lost twice"));
         }
         config.lost.push(DeclaredLoss { site, number });
         let left = config.sites.iter().filter(|s| config.declared_lost(&s.name).is_none()).count();
         if left == 0 {
-            form.complain("all sites are declared lost; leave out at least one");
+            form.add_error("all sites are declared lost; leave out at least one");
         }
     }
     config
--- a/crates/sites/src/recovery_config.rs
+++ b/crates/sites/src/recovery_config.rs
@@ -53,19 +53,19 @@
         let written = f.rest();
         let units = || SIZE_UNITS.map(|u| u.0).join(", ");
         let [number, unit] = written.as_slice() else {
-            f.complain(format!("({name}) needs an integer and its unit: {}", units()));
+            f.add_error(format!("({name}) needs an integer and its unit: {}", units()));
             return None;
         };
         let Some((_, unit)) = SIZE_UNITS.iter().find(|u| u.0 == unit) else {
-            f.complain(format!("({name}) needs a unit at its end: {}", units()));
+            f.add_error(format!("({name}) needs a unit at its end: {}", units()));
             return None;
         };
         let Some(bytes) = number.parse::<u64>().ok().and_then(|n| n.checked_mul(*unit)) else {
-            f.complain(format!("({name}) needs an integer, not {number}"));
+            f.add_error(format!("({name}) needs an integer, not {number}"));
             return None;
         };
         if !range.contains(&bytes) {
-            f.complain(format!("({name}) lies in {} to {} bytes, not {bytes}", range.start(), range.end()));
+            f.add_error(format!("({name}) lies in {} to {} bytes, not {bytes}", range.start(), range.end()));
         }
         Some(bytes)
     });
@@ -82,7 +82,7 @@
         catch_up: form.time("catch-up", 2_000_000, 100_000..=HOUR),
     };
     if recover.answer > recover.remember {
-        form.complain("(answer) is larger than (remember): one response would not fit");
+        form.add_error("(answer) is larger than (remember): one response would not fit");
     }
     recover
 }
--- a/crates/store/examples/cost.rs
+++ b/crates/store/examples/cost.rs
@@ -15,7 +15,7 @@
         epoch: 7,
         at: 1_764_600_000_000_000 + k as i64,
     };
-    Op::Intend(format!("{k:016x}"), intent)
+    Op::AddIntent(format!("{k:016x}"), intent)
 }
 
 fn at(sorted: &[f64], part: f64) -> f64 {
@@ -35,7 +35,7 @@
             let (reply, at) = (reply.clone(), Instant::now());
             id += 1;
             // A client's intent, and the end of an earlier one.
-            let ops = vec![intent(id), Op::Settle(format!("{:016x}", id - id.min(200)))];
+            let ops = vec![intent(id), Op::RemoveIntent(format!("{:016x}", id - id.min(200)))];
             group_commit.commit(ops, move |done| {
                 let _ = reply.send((done.is_ok(), at.elapsed().as_secs_f64() * 1e3));
             });
--- a/crates/store/src/group_commit.rs
+++ b/crates/store/src/group_commit.rs
@@ -79,7 +79,7 @@
         // Its thread ends before this only by a panic.
         if let Some(Err(unsent)) = asked {
             let (Ask::Commit(_, done) | Ask::Reopen(done) | Ask::Resume(_, done)) = unsent.0;
-            done(Err(Arc::new(StoreError::Unsure)));
+            done(Err(Arc::new(StoreError::ReopenRequired)));
         }
     }
 
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -41,7 +41,7 @@
 /// The name of the file in the store's folder.
 pub const FILE: &str = "kept.redb";
 /// Its name while it is made.
-pub const DRAFT: &str = "kept.new";
+pub const TEMPORARY_FILE: &str = "kept.new";
 
 /// Why a store can't be used.
 #[derive(Debug, thiserror::Error)]
@@ -69,7 +69,7 @@
     Disk(String),
     /// An earlier commit failed: what the disk holds is not known until it is opened again.
     #[error("an earlier write failed; it has to be opened again")]
-    Unsure,
+    ReopenRequired,
 }
 
 fn of_io(e: &std::io::Error) -> StoreError {
@@ -135,13 +135,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Op {
     /// That request is about to be sent.
-    Intend(String, Intent),
+    AddIntent(String, Intent),
     /// What became of it is known: it is not open any more.
-    Settle(String),
+    RemoveIntent(String),
     /// That request has its final answer.
     Answer(String, Answer),
     /// Remember that under that name; nothing is kept of what was there.
-    Remember(String, Vec<u8>),
+    SetFact(String, Vec<u8>),
     /// Keep that record in that journal under that number; whoever writes the journal counts, and a record of that number gives way.
     Append(String, u64, Vec<u8>),
     /// Nothing of that journal below that number is needed any more.
@@ -153,9 +153,9 @@
     ///
     /// # Panics
     /// JSON can't write the value. It can write structs, strings, numbers and maps with keys that are one of these.
-    pub fn remember<T: Serialize>(name: impl Into<String>, value: &T) -> Op {
+    pub fn set_fact<T: Serialize>(name: impl Into<String>, value: &T) -> Op {
         let json = serde_json::to_vec(value).expect("JSON writes structs, strings, numbers and maps");
-        Op::Remember(name.into(), json)
+        Op::SetFact(name.into(), json)
     }
 }
 
@@ -228,7 +228,7 @@
 
 impl Store {
     /// The one in that folder, made where there is none; answers hold `most` bytes at most. On a full disk it can be read as it is, and takes
-    /// nothing ([`Store::takes`]) before [`Store::reopen`].
+    /// nothing ([`Store::accepts_commits`]) before [`Store::reopen`].
     ///
     /// # Errors
     /// Another process has it, another version wrote it, it is damaged, or the disk fails otherwise.
@@ -270,7 +270,7 @@
     /// # Errors
     /// As [`Store::open`], or the disk is still full; it can be read as before, and tried again.
     pub fn reopen(&self) -> Result<(), StoreError> {
-        let Some(folder) = &self.folder else { return Err(StoreError::Unsure) };
+        let Some(folder) = &self.folder else { return Err(StoreError::ReopenRequired) };
         let mut held = self.database.write().unwrap_or_else(PoisonError::into_inner);
         self.unsure.store(true, Ordering::Release);
         // Closed first: nobody may have it twice.
@@ -297,13 +297,13 @@
     }
 
     /// Whether it takes commits: none has failed, and the disk was not full as it was opened.
-    pub fn takes(&self) -> bool {
+    pub fn accepts_commits(&self) -> bool {
         !self.unsure.load(Ordering::Acquire)
     }
 
     /// Make an empty one beside its place, whole, and put it there: one that was cut off while it was made has never been.
     fn make(folder: &Path, file: &Path, most: u64) -> Result<(), StoreError> {
-        let draft = folder.join(DRAFT);
+        let draft = folder.join(TEMPORARY_FILE);
         match std::fs::remove_file(&draft) {
             Err(e) if e.kind() != std::io::ErrorKind::NotFound => return Err(of_io(&e)),
             _ => {}
@@ -317,7 +317,7 @@
     ///
     /// # Errors
     /// See [`Store::open`].
-    pub fn on(disk: impl StorageBackend, most: u64) -> Result<Store, StoreError> {
+    pub fn with_backend(disk: impl StorageBackend, most: u64) -> Result<Store, StoreError> {
         Store::checked(Builder::new().create_with_backend(disk)?, most)
     }
 
@@ -328,7 +328,7 @@
         let store = Store { database: RwLock::new(Some(database)), folder: None, most, held, unsure };
         store.held.store(store.count()?, Ordering::Release);
         match store.fact::<u32>("format")? {
-            None => store.commit(&[Op::Remember("format".into(), FORMAT.to_string().into_bytes())])?,
+            None => store.commit(&[Op::SetFact("format".into(), FORMAT.to_string().into_bytes())])?,
             Some(FORMAT) => {}
             Some(found) => return Err(StoreError::Format { found }),
         }
@@ -341,14 +341,14 @@
     /// It could not be written. Whether it is on the disk is not known then, and nothing more is taken.
     pub fn commit(&self, ops: &[Op]) -> Result<(), StoreError> {
         if self.unsure.load(Ordering::Acquire) {
-            return Err(StoreError::Unsure);
+            return Err(StoreError::ReopenRequired);
         }
         self.write(ops).inspect_err(|_| self.unsure.store(true, Ordering::Release))
     }
 
     fn reading(&self) -> Result<ReadTransaction, StoreError> {
         let held = self.database.read().unwrap_or_else(PoisonError::into_inner);
-        Ok(held.as_ref().ok_or(StoreError::Unsure)?.begin_read()?)
+        Ok(held.as_ref().ok_or(StoreError::ReopenRequired)?.begin_read()?)
     }
 
     /// What answers hold.
@@ -368,18 +368,18 @@
     fn write(&self, ops: &[Op]) -> Result<(), StoreError> {
         let mut held = self.held.load(Ordering::Acquire);
         let database = self.database.read().unwrap_or_else(PoisonError::into_inner);
-        let write = database.as_ref().ok_or(StoreError::Unsure)?.begin_write()?;
+        let write = database.as_ref().ok_or(StoreError::ReopenRequired)?.begin_write()?;
         {
             let (mut intents, mut facts, mut answers, mut given, mut journals) =
                 (None, None, None, None, None);
             for op in ops {
                 match op {
-                    Op::Intend(id, intent) => {
+                    Op::AddIntent(id, intent) => {
                         let intents = table(&mut intents, &write, INTENTS)?;
                         intents.insert(id.as_str(), sealed(intent)?.as_slice())?;
                     }
-                    Op::Settle(id) => drop(table(&mut intents, &write, INTENTS)?.remove(id.as_str())?),
-                    Op::Remember(name, bytes) => {
+                    Op::RemoveIntent(id) => drop(table(&mut intents, &write, INTENTS)?.remove(id.as_str())?),
+                    Op::SetFact(name, bytes) => {
                         let sum = crc32fast::hash(bytes).to_be_bytes();
                         let facts = table(&mut facts, &write, FACTS)?;
                         facts.insert(name.as_str(), [&sum, bytes.as_slice()].concat().as_slice())?;
--- a/crates/store/tests/faults.rs
+++ b/crates/store/tests/faults.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use shorepath_store::fault_injection::FaultyDisk;
 use shorepath_store::group_commit::GroupCommit;
-use shorepath_store::{Answer, Intent, Op, Store, StoreError, DRAFT, FILE};
+use shorepath_store::{Answer, Intent, Op, Store, StoreError, FILE, TEMPORARY_FILE};
 use std::collections::BTreeMap;
 use std::sync::mpsc::channel;
 use std::sync::Arc;
@@ -40,12 +40,12 @@
     fn take(&mut self, ops: &[Op]) {
         for op in ops {
             match op.clone() {
-                Op::Intend(id, intent) => drop(self.intents.insert(id, intent)),
-                Op::Settle(id) => drop(self.intents.remove(&id)),
+                Op::AddIntent(id, intent) => drop(self.intents.insert(id, intent)),
+                Op::RemoveIntent(id) => drop(self.intents.remove(&id)),
                 Op::Answer(id, answer) => drop(self.answers.insert(id, answer)),
                 Op::Append(_, number, record) => drop(self.journal.insert(number, record)),
                 Op::Drop(_, below) => self.journal = self.journal.split_off(&below),
-                Op::Remember(_, bytes) => self.step = String::from_utf8(bytes).unwrap().parse().ok(),
+                Op::SetFact(_, bytes) => self.step = String::from_utf8(bytes).unwrap().parse().ok(),
             }
         }
     }
@@ -62,10 +62,12 @@
 
 /// Commit number `k`: a few things that belong together.
 fn ops(k: u64) -> Vec<Op> {
-    let mut all =
-        vec![Op::Remember("step".into(), k.to_string().into_bytes()), Op::Intend(format!("r{k}"), intent(k))];
+    let mut all = vec![
+        Op::SetFact("step".into(), k.to_string().into_bytes()),
+        Op::AddIntent(format!("r{k}"), intent(k)),
+    ];
     if k >= 2 {
-        all.push(Op::Settle(format!("r{}", k - 2)));
+        all.push(Op::RemoveIntent(format!("r{}", k - 2)));
         all.push(Op::Answer(format!("r{}", k - 2), answer(k)));
     }
     all.extend((0..3).map(|i| Op::Append("log".into(), k * 3 + i, vec![k as u8; 30])));
@@ -79,13 +81,16 @@
 /// a store: one on a disk of its own is made in place, which one in a folder is not.
 fn work(disk: &FaultyDisk, commits: u64) -> Option<(Overlay, Option<Overlay>)> {
     let mut overlay = Overlay::default();
-    let store = Store::on(disk.clone(), MOST).ok()?;
+    let store = Store::with_backend(disk.clone(), MOST).ok()?;
     for k in 0..commits {
         let ops = ops(k);
         let mut next = overlay.clone();
         next.take(&ops);
         if store.commit(&ops).is_err() {
-            assert!(matches!(store.commit(&[]), Err(StoreError::Unsure)), "after a failure nothing is taken");
+            assert!(
+                matches!(store.commit(&[]), Err(StoreError::ReopenRequired)),
+                "after a failure nothing is taken"
+            );
             return Some((overlay, Some(next)));
         }
         overlay = next;
@@ -108,7 +113,8 @@
         let Some((sure, maybe)) = work(&disk, COMMITS) else { continue };
         for seed in 0..12 {
             let found = disk.after_power_loss(seed * 1_000 + cut);
-            let store = Store::on(found, MOST).unwrap_or_else(|e| panic!("cut {cut}, seed {seed}: {e}"));
+            let store =
+                Store::with_backend(found, MOST).unwrap_or_else(|e| panic!("cut {cut}, seed {seed}: {e}"));
             let held = Overlay::of(&store).unwrap();
             assert!(
                 held == sure || maybe.as_ref() == Some(&held),
@@ -131,7 +137,7 @@
         disk.fail_sync(number);
         let Some((sure, maybe)) = work(&disk, 8) else { continue };
         for seed in 0..6 {
-            let store = Store::on(disk.after_power_loss(seed), MOST).unwrap();
+            let store = Store::with_backend(disk.after_power_loss(seed), MOST).unwrap();
             let held = Overlay::of(&store).unwrap();
             assert!(held == sure || maybe.as_ref() == Some(&held), "sync {number}, seed {seed}");
         }
@@ -141,12 +147,12 @@
 #[test]
 fn a_full_disk_is_told_as_such_and_loses_nothing() {
     let disk = FaultyDisk::new();
-    let store = Store::on(disk.clone(), MOST).unwrap();
+    let store = Store::with_backend(disk.clone(), MOST).unwrap();
     disk.set_capacity(disk.image().len() as u64);
     let mut sure = Overlay::default();
     let mut k = 0;
     let error = loop {
-        let ops: Vec<Op> = (0..40).map(|i| Op::Intend(format!("r{k}-{i}"), intent(k))).collect();
+        let ops: Vec<Op> = (0..40).map(|i| Op::AddIntent(format!("r{k}-{i}"), intent(k))).collect();
         match store.commit(&ops) {
             Ok(()) => sure.take(&ops),
             Err(e) => break e,
@@ -155,7 +161,7 @@
     };
     assert!(matches!(error, StoreError::Full), "{error}");
     drop(store);
-    let again = Store::on(disk.after_power_loss(3), MOST).unwrap();
+    let again = Store::with_backend(disk.after_power_loss(3), MOST).unwrap();
     assert_eq!(Overlay::of(&again).unwrap().intents.len(), sure.intents.len());
 }
 
@@ -173,7 +179,8 @@
     let places = held.iter().step_by(step).map(|b| b + 3).chain((0..300).map(|k| k * (bits / 300) + 5));
     for bit in places {
         let flipped = disk.flipped(bit);
-        let read = std::panic::catch_unwind(|| Store::on(flipped, MOST).and_then(|s| Overlay::of(&s)));
+        let read =
+            std::panic::catch_unwind(|| Store::with_backend(flipped, MOST).and_then(|s| Overlay::of(&s)));
         match read {
             Ok(Ok(held)) => {
                 assert_eq!(held, sure, "bit {bit} changed what is kept, unseen");
@@ -191,11 +198,11 @@
 #[test]
 fn a_store_is_there_whole_or_not_at_all() {
     let dir = tempfile::tempdir().unwrap();
-    std::fs::write(dir.path().join(DRAFT), b"half of a header").unwrap();
+    std::fs::write(dir.path().join(TEMPORARY_FILE), b"half of a header").unwrap();
     let store = Store::open(dir.path(), MOST).unwrap();
     store.commit(&ops(0)).unwrap();
     drop(store);
-    assert!(!dir.path().join(DRAFT).exists());
+    assert!(!dir.path().join(TEMPORARY_FILE).exists());
     assert_eq!(Store::open(dir.path(), MOST).unwrap().stats().unwrap().intents, 1);
 }
 
@@ -210,7 +217,7 @@
     match how {
         "locked" => assert!(matches!(Store::open(dir.path(), MOST), Err(StoreError::Locked))),
         "format" => {
-            store.commit(&[Op::Remember("format".into(), b"99".to_vec())]).unwrap();
+            store.commit(&[Op::SetFact("format".into(), b"99".to_vec())]).unwrap();
             drop(store);
             assert!(matches!(Store::open(dir.path(), MOST), Err(StoreError::Format { found: 99 })));
         }
@@ -228,7 +235,7 @@
     /// The oldest answers give way, and no more than has to.
     #[test]
     fn answers_keep_to_their_memory(sizes in proptest::collection::vec(1usize..400, 1..60)) {
-        let store = Store::on(FaultyDisk::new(), 4_000).unwrap();
+        let store = Store::with_backend(FaultyDisk::new(), 4_000).unwrap();
         for (k, size) in sizes.iter().enumerate() {
             let answer = Answer { status: 200, body: vec![1; *size], at: k as i64 };
             store.commit(&[Op::Answer(format!("{k:03}"), answer)]).unwrap();
@@ -243,7 +250,7 @@
 /// A journal is read by range, in bounded pieces, apart from the others.
 #[test]
 fn a_journal_is_read_by_range_and_dropped_from_below() {
-    let store = Store::on(FaultyDisk::new(), MOST).unwrap();
+    let store = Store::with_backend(FaultyDisk::new(), MOST).unwrap();
     assert!(store.journal("a", 0, 100).unwrap().is_empty());
     assert_eq!(store.journal_ends("a").unwrap(), None);
     let ops: Vec<Op> =
@@ -265,13 +272,13 @@
 #[test]
 fn a_keeper_commits_in_groups() {
     let disk = FaultyDisk::new();
-    let store = Arc::new(Store::on(disk.clone(), MOST).unwrap());
+    let store = Arc::new(Store::with_backend(disk.clone(), MOST).unwrap());
     let before = disk.syncs();
     let group_commit = GroupCommit::new(store.clone()).unwrap();
     let (reply, notified) = channel();
     for k in 0..1_000 {
         let reply = reply.clone();
-        group_commit.commit(vec![Op::Intend(format!("r{k}"), intent(k))], move |done| {
+        group_commit.commit(vec![Op::AddIntent(format!("r{k}"), intent(k))], move |done| {
             reply.send((k, done.is_ok())).unwrap()
         });
     }
@@ -293,7 +300,7 @@
 #[test]
 fn a_store_that_failed_goes_on_after_it_was_opened_again() {
     let folder = tempfile::tempdir().unwrap();
-    let step = |n: u64| vec![Op::Remember("step".into(), n.to_string().into_bytes())];
+    let step = |n: u64| vec![Op::SetFact("step".into(), n.to_string().into_bytes())];
     let store = Arc::new(Store::open(folder.path(), MOST).unwrap());
     let group_commit = GroupCommit::new(store.clone()).unwrap();
     let (reply, notified) = channel();
@@ -302,12 +309,12 @@
         group_commit.commit(ops, move |done| reply.send(done.is_ok()).unwrap());
     };
     ask(step(1));
-    assert!(notified.recv().unwrap() && store.takes());
+    assert!(notified.recv().unwrap() && store.accepts_commits());
     let again = reply.clone();
     group_commit.reopen(move |done| again.send(done.is_ok()).unwrap());
     ask(step(2));
     assert!(notified.recv().unwrap(), "it was opened again");
-    assert!(!notified.recv().unwrap() && !store.takes(), "nobody has told it to go on");
+    assert!(!notified.recv().unwrap() && !store.accepts_commits(), "nobody has told it to go on");
     assert_eq!(store.fact::<u64>("step").unwrap(), Some(1));
     let again = reply.clone();
     group_commit.resume(step(3), move |done| again.send(done.is_ok()).unwrap());
--- a/src/net/auditing.rs
+++ b/src/net/auditing.rs
@@ -305,7 +305,7 @@
             ops.push(Op::Drop(name, dropped.number + 1));
         }
         let kept = Kept { life: self.life.get(), base: self.record.borrow().base(), head: writing.head };
-        ops.push(Op::remember(KEPT, &kept));
+        ops.push(Op::set_fact(KEPT, &kept));
         let (failed, on_disk, head) = (self.failed.clone(), self.on_disk.clone(), writing.head);
         self.group_commit.commit(ops, move |done| match done {
             Ok(()) => *on_disk.lock().unwrap_or_else(PoisonError::into_inner) = Some(head),
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -164,7 +164,7 @@
         }
         let version = newer.plan.version;
         self.log_rejected();
-        self.line.borrow_mut().set(unix(), &newer.plan.fleet, newer.keys.as_ref());
+        self.line.borrow_mut().reconfigure(unix(), &newer.plan.fleet, newer.keys.as_ref());
         self.quota_client.borrow_mut().replan(newer.plan.clone(), self.now());
         self.leased();
         self.sharing.replace(newer);
@@ -280,7 +280,7 @@
         self.quota_client.borrow_mut().pass(now);
         self.leased();
         if owns {
-            self.members.borrow_mut().pass(now);
+            self.members.borrow_mut().advance(now);
         }
         self.hold(now);
         self.speak(line, owns).await;
@@ -327,7 +327,7 @@
 
     async fn speak(&self, line: &UdpSocket, owns: bool) {
         let (outgoing_messages, effects) =
-            (self.quota_client.borrow_mut().take_outgoing(), self.members.borrow_mut().effects());
+            (self.quota_client.borrow_mut().take_outgoing(), self.members.borrow_mut().take_effects());
         if outgoing_messages.is_empty() && effects.is_empty() {
             return;
         }
@@ -335,7 +335,7 @@
         for outgoing in outgoing_messages {
             if let Some(allocator) = plan.allocators.get(outgoing.to) {
                 // Lost is lost: it asks again.
-                let datagram = self.line.borrow_mut().seal(outgoing.message.bytes());
+                let datagram = self.line.borrow_mut().sign(outgoing.message.bytes());
                 let _ = line.send_to(&datagram, allocator.address).await;
             }
         }
@@ -345,16 +345,16 @@
                     let mut all = plan.allocators.iter().chain(&plan.members);
                     if let Some(place) = all.find(|p| NodeId::of(&p.name).0 == to) {
                         let sent = [&[MEMBERS], bytes.as_slice()].concat();
-                        let datagram = self.line.borrow_mut().seal(sent);
+                        let datagram = self.line.borrow_mut().sign(sent);
                         let _ = line.send_to(&datagram, place.address).await;
                     }
                 }
                 Effect::Outgoing { .. } => {}
                 Effect::Changed(m) => {
-                    let gone = matches!(m.standing, MemberState::Gone | MemberState::Left);
+                    let gone = matches!(m.state, MemberState::Gone | MemberState::Left);
                     self.key_leases.borrow().iter().for_each(|h| h.member(NodeId(m.peer.node), gone));
                     let name = plan.name_of(NodeId(m.peer.node)).unwrap_or("?");
-                    info!("member {name} {:?} incarnation={}", m.standing, m.peer.incarnation);
+                    info!("member {name} {:?} incarnation={}", m.state, m.peer.incarnation);
                 }
             }
         }
@@ -363,9 +363,9 @@
     fn receive(&self, bytes: &[u8], from: SocketAddr) {
         let now = self.now();
         let seems = self.sharing.borrow().plan.node_at(from).map_or(0, |n| n.0);
-        let opened = self.line.borrow_mut().open(bytes, seems);
+        let opened = self.line.borrow_mut().verify(bytes, seems);
         let (sender, bytes) = match opened {
-            Ok(received) => (received.sender, received.sent),
+            Ok(received) => (received.sender, received.body),
             Err(Dropped { refused, first }) => {
                 if first {
                     warn!("from {from}: {}; told once, counted from now on", advice(&refused));
--- a/src/net/fleet/config.rs
+++ b/src/net/fleet/config.rs
@@ -71,7 +71,7 @@
     let unreadable = |source| SharingError::Unreadable { path: path.to_path_buf(), source };
     let wrong = |source| SharingError::Keys { path: path.to_path_buf(), source };
     let mut file = std::fs::File::open(path).map_err(unreadable)?;
-    Keys::mode(file.metadata().map_err(unreadable)?.mode()).map_err(wrong)?;
+    Keys::check_file_mode(file.metadata().map_err(unreadable)?.mode()).map_err(wrong)?;
     let mut text = String::new();
     file.read_to_string(&mut text).map_err(unreadable)?;
     Keys::read(&text).map_err(wrong)
--- a/src/net/recovering.rs
+++ b/src/net/recovering.rs
@@ -129,7 +129,7 @@
         own.boots += 1;
         // Guards against serving nothing where there is no room: what may be repeated needs no disk. A start that is not counted could not
         // be told from the one before, so what must not run twice waits.
-        let counted = store.commit(&[Op::remember(IDENTITY, &own), Op::remember(WRITTEN, &unix)]);
+        let counted = store.commit(&[Op::set_fact(IDENTITY, &own), Op::set_fact(WRITTEN, &unix)]);
         if let Err(e) = &counted {
             warn!("recovery: this start can't be written down, guarded work waits for another one: {e}");
         }
@@ -223,7 +223,7 @@
     /// Have on the disk whether it can be acted by: one that was not stays so over a restart.
     fn keep_own(&self, whole: bool) {
         let own = Own { node: self.name.clone(), disk: self.me.disk, boots: self.me.boots, whole };
-        self.group_commit.commit(vec![Op::remember(IDENTITY, &own)], |done| {
+        self.group_commit.commit(vec![Op::set_fact(IDENTITY, &own)], |done| {
             if let Err(e) = done {
                 warn!("recovery: whether the disk is whole is not on it: {e}");
             }
@@ -274,10 +274,10 @@
         }
         if now >= self.marks_at.get() {
             self.marks_at.set(now + MARKS);
-            let mut ops = vec![Op::remember(WRITTEN, &unix)];
+            let mut ops = vec![Op::set_fact(WRITTEN, &unix)];
             if let Some(list) = self.list.take_updates() {
-                ops.push(Op::remember(LIST_AT, &unix));
-                ops.extend(list.map(|list| Op::remember(LIST, &list)));
+                ops.push(Op::set_fact(LIST_AT, &unix));
+                ops.extend(list.map(|list| Op::set_fact(LIST, &list)));
             }
             let (marked, has_list) = (self.marked.clone(), ops.len() > 1);
             self.group_commit.commit(ops, move |done| match done {
@@ -316,7 +316,7 @@
             }
             _ if claims => {
                 let claims = self.claims.clone();
-                self.group_commit.commit(vec![Op::remember(format!("{PEER}{from}"), &life)], move |done| {
+                self.group_commit.commit(vec![Op::set_fact(format!("{PEER}{from}"), &life)], move |done| {
                     // Nobody hears it where the node ends.
                     let _ = claims.send(Claimed { node: from, life, done });
                 });
--- a/src/net/sites.rs
+++ b/src/net/sites.rs
@@ -282,7 +282,7 @@
         if let Some(key_leases) = &self.key_leases {
             key_leases.replan(&newer.plan);
         }
-        self.line.borrow_mut().set(unix() as u64, &newer.plan.fleet, Some(&newer.keys));
+        self.line.borrow_mut().reconfigure(unix() as u64, &newer.plan.fleet, Some(&newer.keys));
         let version = newer.plan.version;
         self.siting.replace(newer);
         self.meet(now);
--- a/src/net/sites/accounts.rs
+++ b/src/net/sites/accounts.rs
@@ -37,7 +37,7 @@
             let book = spread.registry();
             if book.hash() != self.kept.get() {
                 self.kept.set(book.hash());
-                self.group_commit.commit(vec![Op::remember(BOOK, book)], |done| {
+                self.group_commit.commit(vec![Op::set_fact(BOOK, book)], |done| {
                     if let Err(e) = done {
                         warn!("accounts: what is known is not on the disk: {e}");
                     }
@@ -53,13 +53,13 @@
                     }
                 }
                 let mut writing = self.writing.borrow_mut();
-                if !self.store.takes() {
+                if !self.store.accepts_commits() {
                     balance.write_failed();
                 } else if let Some(note) = balance.record_to_write().filter(|_| !writing.contains(tenant)) {
                     writing.push(tenant.clone());
                     let (writes, tenant) = (self.writes.clone(), tenant.clone());
                     self.group_commit.commit(
-                        vec![Op::remember(format!("{CREDIT_BALANCE}{tenant}"), &note)],
+                        vec![Op::set_fact(format!("{CREDIT_BALANCE}{tenant}"), &note)],
                         move |done| {
                             // Nobody hears it where the node ends.
                             let _ = writes.send(Written::Credit(tenant, note, done));
--- a/src/net/sites/config.rs
+++ b/src/net/sites/config.rs
@@ -4,7 +4,7 @@
 use shorepath_accounts::config::AccountsFile;
 use shorepath_accounts::{config as accounts, Change};
 use shorepath_audit::version::ContentHash;
-use shorepath_message_auth::keyring::{FileCodeError, Keys, KeysError};
+use shorepath_message_auth::keyring::{FileMacError, Keys, KeysError};
 use shorepath_placements::log::LogError;
 use shorepath_quota::{ClockSkew, Micros};
 use shorepath_sites::config::SitesConfig;
@@ -62,7 +62,7 @@
         /// The file whose code it is.
         path: PathBuf,
         /// Why.
-        source: FileCodeError,
+        source: FileMacError,
     },
     /// The file does not list this node.
     #[error("{}: {name} is no (node ...) of a site; list it, or name the node otherwise", path.display())]
@@ -141,7 +141,7 @@
         let unusable = |source| SitingError::Keys { path: key.clone(), source };
         let mode = std::fs::metadata(&key).map(|m| m.permissions().mode());
         let mode = mode.map_err(|source| SitingError::Unreadable { path: key.clone(), source })?;
-        Keys::mode(mode).map_err(unusable)?;
+        Keys::check_file_mode(mode).map_err(unusable)?;
         let keys = Keys::read(&text(&key)?).map_err(unusable)?;
         // Whoever may declare a site lost may have others adopt its keys.
         if !plan.lost.is_empty() {
--- a/src/net/sites/persistence.rs
+++ b/src/net/sites/persistence.rs
@@ -43,7 +43,7 @@
     if *used == before {
         return;
     }
-    if let Err(e) = store.commit(&[Op::remember(USED, used)]) {
+    if let Err(e) = store.commit(&[Op::set_fact(USED, used)]) {
         warn!("sites: that file {} holds is not on the disk, so an older one would be taken after a restart: {e}", plan.version);
     }
 }
@@ -113,10 +113,10 @@
         key_leases.report();
         let kept = key_leases.kept();
         let mut on_disk = self.ownership_kept.borrow_mut();
-        if kept != on_disk.0 && !on_disk.1 && self.store.takes() {
+        if kept != on_disk.0 && !on_disk.1 && self.store.accepts_commits() {
             on_disk.1 = true;
             let writes = self.writes.clone();
-            self.group_commit.commit(vec![Op::remember(KEY_OWNERSHIP, &kept)], move |done| {
+            self.group_commit.commit(vec![Op::set_fact(KEY_OWNERSHIP, &kept)], move |done| {
                 // Nobody hears it where the node ends.
                 let _ = writes.send(Written::KeyOwnership(kept, done));
             });
@@ -142,7 +142,7 @@
 
     /// See whether a disk that takes nothing does so again.
     pub(super) fn reopen(&self, now: Micros) {
-        if self.store.takes() || self.reopens.get().is_none_or(|at| now < at) {
+        if self.store.accepts_commits() || self.reopens.get().is_none_or(|at| now < at) {
             return;
         }
         if !self.reopens_notified.replace(true) {
@@ -175,8 +175,8 @@
             }
         };
         used.record(&self.siting.borrow().plan);
-        ops.push(Op::remember(USED, &used));
-        ops.push(Op::remember(BOOK, self.spread.borrow().registry()));
+        ops.push(Op::set_fact(USED, &used));
+        ops.push(Op::set_fact(BOOK, self.spread.borrow().registry()));
         // They are written anew with the next pass.
         self.ownership_kept.borrow_mut().0 = PersistedOwnership::default();
         self.reopens.set(None);
--- a/src/net/sites/startup.rs
+++ b/src/net/sites/startup.rs
@@ -112,7 +112,7 @@
 ) -> Result<Option<Rc<Auditing>>, SitingError> {
     let Some(audit) = siting.plan.audit else { return Ok(None) };
     let mut key = [0; 16];
-    key.copy_from_slice(&siting.keys.code(b"audit")[..16]);
+    key.copy_from_slice(&siting.keys.mac(b"audit")[..16]);
     let node = (name, NodeId::of(name).0, chance);
     let auditing = Auditing::open(disk.clone(), audit, node, key).map_err(unusable(siting))?;
     auditing.meet(&siting.plan.nodes().map(|(_, n)| n.number).collect::<Vec<_>>());
--- a/src/net/sites/transport.rs
+++ b/src/net/sites/transport.rs
@@ -88,7 +88,7 @@
         let audit = audit.map(|(to, message)| (to, [&[AUDIT], message.as_slice()].concat()));
         for (to, message) in text.chain(placements).chain(audit).collect::<Vec<_>>() {
             let Some(address) = self.siting.borrow().plan.node(to).map(|n| n.address) else { continue };
-            let message = self.line.borrow_mut().seal(message);
+            let message = self.line.borrow_mut().sign(message);
             // Lost is lost: it is said again.
             let _ = socket.send_to(&message, address).await;
         }
@@ -102,8 +102,8 @@
             known.unwrap_or(0)
         };
         let mut line = self.line.borrow_mut();
-        let (sender, message) = match line.open(bytes, seems) {
-            Ok(Received { sender: Some(sender), sent }) => (sender, sent),
+        let (sender, message) = match line.verify(bytes, seems) {
+            Ok(Received { sender: Some(sender), body }) => (sender, body),
             Ok(_) => return false,
             Err(Dropped { refused, first }) => {
                 if first {
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -215,12 +215,12 @@
         let now = step * 100_000;
         let mut sent = Vec::new();
         for member in &mut members {
-            member.pass(now);
+            member.advance(now);
             if step == 35 && member.me().node == 3 {
                 member.leave(now);
             }
             let from = member.me().node;
-            for effect in member.effects() {
+            for effect in member.take_effects() {
                 if let Effect::Outgoing { to, bytes } = effect {
                     sent.push((from, to, bytes));
                 }
@@ -584,19 +584,19 @@
     let mut samples = Samples::default();
     let mut sender = line(7, &keys);
     for (kind, body) in bodies {
-        let plain = Channel::new(7, 1, "tidal", None).seal(body.clone());
+        let plain = Channel::new(7, 1, "tidal", None).sign(body.clone());
         assert_eq!(plain, body, "without a key datagrams go as they are");
-        let sealed = sender.seal(body.clone());
+        let sealed = sender.sign(body.clone());
         let (keys, other) = (keys.clone(), other.clone());
         samples.add(kind, hex(&sealed), move |golden| {
             let golden = unhex(golden);
             let mut receiver = line(8, &keys);
-            let opened = receiver.open(&golden, 0).unwrap();
-            assert_eq!((opened.sender, opened.sent), (Some(7), body.as_slice()));
-            assert!(line(8, &other).open(&golden, 0).is_err(), "another key");
+            let opened = receiver.verify(&golden, 0).unwrap();
+            assert_eq!((opened.sender, opened.body), (Some(7), body.as_slice()));
+            assert!(line(8, &other).verify(&golden, 0).is_err(), "another key");
             let mut changed = golden.clone();
             changed[40] ^= 1;
-            assert!(line(8, &keys).open(&changed, 0).is_err(), "a changed byte");
+            assert!(line(8, &keys).verify(&changed, 0).is_err(), "a changed byte");
         });
     }
     samples.check("datagrams.txt");
--- a/tests/golden/site_datagrams.rs
+++ b/tests/golden/site_datagrams.rs
@@ -33,14 +33,14 @@
     }
 
     fn send(&mut self, body: &[u8]) {
-        let datagram = self.line.seal(body.to_vec());
+        let datagram = self.line.sign(body.to_vec());
         self.socket.send_to(&datagram, self.to).unwrap();
     }
 
     fn receive(&mut self) -> Vec<u8> {
         let mut buffer = [0; 4_000];
         let (n, _) = self.socket.recv_from(&mut buffer).unwrap();
-        self.line.open(&buffer[..n], 0).unwrap().sent.to_vec()
+        self.line.verify(&buffer[..n], 0).unwrap().body.to_vec()
     }
 
     /// Send a message until one in JSON of that kind comes for which something is found: datagrams may be lost, above all those
@@ -139,7 +139,7 @@
             for number in 5.. {
                 let health =
                     format!(r#"{{"seeing":{{"s":{site},"n":{number},"v":9,"d":7,"o":[],"l":null}}}}"#);
-                socket.send_to(&channel.seal(health.into_bytes()), to).unwrap();
+                socket.send_to(&channel.sign(health.into_bytes()), to).unwrap();
                 // Nobody answers there: a pause.
                 let _ = socket.recv(&mut [0; 1]);
                 if is_logged.load(Ordering::Relaxed) {
--- a/tests/node/audit.rs
+++ b/tests/node/audit.rs
@@ -82,7 +82,7 @@
     node.signal(Signal::KILL);
     node.exit();
 
-    let key = Keys::read(KEY).unwrap().code(b"audit");
+    let key = Keys::read(KEY).unwrap().mac(b"audit");
     let key: [u8; 16] = key[..16].try_into().unwrap();
     let (mut vectors, mut vector, mut decided) = (BTreeMap::new(), VersionVector::default(), Vec::new());
     let (mut number, mut summed) = (0, 0);
--- a/tests/node/fleet.rs
+++ b/tests/node/fleet.rs
@@ -63,8 +63,8 @@
             let (n, from) = self.socket.recv_from(&mut buffer).unwrap();
             // The membership speaks, too.
             let mut line = self.line.borrow_mut();
-            let Ok(received) = line.open(&buffer[..n], 0) else { continue };
-            if let Some(found) = Message::read(received.sent).ok().and_then(&read) {
+            let Ok(received) = line.verify(&buffer[..n], 0) else { continue };
+            if let Some(found) = Message::read(received.body).ok().and_then(&read) {
                 return (found, from);
             }
         }
@@ -105,7 +105,7 @@
             length: 1_000_000,
         };
         let message = Message::Grants { holder: life, plan, grants: vec![grant] };
-        let datagram = self.line.borrow_mut().seal(message.bytes());
+        let datagram = self.line.borrow_mut().sign(message.bytes());
         self.socket.send_to(&datagram, from).unwrap();
         (life, datagram, from)
     }
@@ -208,7 +208,7 @@
     };
     let message = Message::Grants { holder: life, plan: 1, grants: vec![grant] }.bytes();
     for _ in 0..2 {
-        let (stranger, earlier) = (coded(9, "5c").seal(message.clone()), received.clone());
+        let (stranger, earlier) = (coded(9, "5c").sign(message.clone()), received.clone());
         for datagram in [&message, &stranger, &earlier] {
             allocator.socket.send_to(datagram, to).unwrap();
         }
@@ -234,7 +234,7 @@
     }
     // The node says what it says under the new key, and believes both.
     let both = Keys::read(&["5c", "4b"].map(|k| k.repeat(32)).join("\n")).unwrap();
-    allocator.line.borrow_mut().set(2, "tidal", Some(&both));
+    allocator.line.borrow_mut().reconfigure(2, "tidal", Some(&both));
     allocator.grant(37);
     in_force(&allocator, 4);
     allocator.line.replace(coded(3, "4b"));
--- a/tests/support/allocator.rs
+++ b/tests/support/allocator.rs
@@ -25,7 +25,7 @@
         let now = |begin: Instant| begin.elapsed().as_micros() as i64;
         if let Ok((n, sender)) = socket.recv_from(&mut buffer) {
             let message =
-                line.open(&buffer[..n], 0).ok().and_then(|received| Message::read(received.sent).ok());
+                line.verify(&buffer[..n], 0).ok().and_then(|received| Message::read(received.body).ok());
             if let Some(message) = message.filter(|_| !silent.load(Ordering::Relaxed)) {
                 if let Message::Ask { holder: life, .. } = &message {
                     from.insert(*life, sender);
@@ -37,7 +37,7 @@
         let agreed = allocator.apply(&entry, now(begin));
         for outgoing in allocator.complete_proposal(&entry, agreed, now(begin)) {
             if let Some(to) = from.get(&outgoing.to).filter(|_| !silent.load(Ordering::Relaxed)) {
-                let _ = socket.send_to(&line.seal(outgoing.message.bytes()), to);
+                let _ = socket.send_to(&line.sign(outgoing.message.bytes()), to);
             }
         }
     }
--- a/tests/support/site_files.rs
+++ b/tests/support/site_files.rs
@@ -101,7 +101,7 @@
 
 /// Write the code of a file beside it.
 pub fn sign(path: &Path, text: &str) {
-    let code = Keys::read(KEY).unwrap().code(text.as_bytes());
+    let code = Keys::read(KEY).unwrap().mac(text.as_bytes());
     let hex: String = code.iter().map(|b| format!("{b:02x}")).collect();
     std::fs::write(path.with_extension("sexp.hmac"), hex).unwrap();
 }
