--- a/crates/message-auth/benches/envelope.rs
+++ b/crates/message-auth/benches/signed_message.rs
@@ -1,4 +1,4 @@
-//! What an envelope costs a word of 300 bytes: sealed, and opened by one who believes one key, or two of which it is the second.
+//! Benchmarks the signing and verification of messages with bodies of 300 bytes, with one or two accepted keys.
 //!
 //!     cargo bench -p shorepath-message-auth
 
@@ -7,13 +7,13 @@
 use shorepath_message_auth::signed_message::{Signer, Verifier};
 use std::hint::black_box;
 
-fn envelope(c: &mut Criterion) {
+fn sign_and_verify(c: &mut Criterion) {
     let (new, old) = ("01".repeat(32), "02".repeat(32));
     let (Ok(one), Ok(two)) = (Keys::read(&new), Keys::read(&format!("{old}\n{new}"))) else { return };
     let body = [b'x'; 300];
     let mut signer = Signer::new("tidal", 7, 1, &one);
-    c.bench_function("seal", |b| b.iter(|| signer.sign(black_box(&body))));
-    for (name, keys) in [("seal and open", &one), ("seal and open by the second key", &two)] {
+    c.bench_function("sign", |b| b.iter(|| signer.sign(black_box(&body))));
+    for (name, keys) in [("sign and verify", &one), ("sign and verify with the second key", &two)] {
         let mut verifier = Verifier::new("tidal", keys);
         c.bench_function(name, |b| {
             b.iter(|| {
@@ -27,8 +27,10 @@
     if let Some(last) = forged.last_mut() {
         *last ^= 1;
     }
-    c.bench_function("a forged one", |b| b.iter(|| assert!(verifier.verify(black_box(&forged)).is_err())));
+    c.bench_function("reject a forged message", |b| {
+        b.iter(|| assert!(verifier.verify(black_box(&forged)).is_err()))
+    });
 }
 
-criterion_group!(benches, envelope);
+criterion_group!(benches, sign_and_verify);
 criterion_main!(benches);
--- a/crates/message-auth/src/channel.rs
+++ b/crates/message-auth/src/channel.rs
@@ -1,86 +1,90 @@
-//! A process's datagrams, under a code where the operators name a key, and as they are where they don't.
+//! The datagrams that a process sends and receives: signed if the operators configure a key, otherwise unchanged.
 
 use crate::keyring::Keys;
 use crate::signed_message::{Signer, Verifier, VerifyError};
 use std::collections::BTreeMap;
 
-/// Lives of a sender that are heard at once: a process that was replaced goes on for as long as its work lasts, and so may the one
-/// before it.
+/// Maximum number of incarnations of a sender that are accepted at once: a replaced process runs until its work is done, and so may
+/// the process before it.
 pub const MAX_INCARNATIONS: usize = 4;
 
-/// A datagram that is taken.
+/// A received datagram that is accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Received<'a> {
-    /// Who says it, where a code proves that.
+    /// The verified number of the sender, or `None` without keys.
     pub sender: Option<u32>,
-    /// What is said.
+    /// The content of the datagram, without its signature.
     pub body: &'a [u8],
 }
 
-/// A datagram that is not.
+/// A received datagram that was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Dropped {
-    /// Why.
+    /// The reason of the rejection.
     pub refused: VerifyError,
-    /// It is to be told: once for each reason and sender.
+    /// Whether this is the first rejection for this reason and sender, which has to be logged.
     pub first: bool,
 }
 
-/// Both ways of one process's datagrams.
+/// Signs the outgoing and verifies the incoming datagrams of a process.
 #[derive(Debug)]
 pub struct Channel {
     sender: u32,
     fleet: String,
-    coded: Option<(Signer, Verifier)>,
+    signing: Option<(Signer, Verifier)>,
 }
 
 impl Channel {
-    /// For the sender of that number. Without keys nothing is sealed and everything is taken, byte for byte. For lives see
+    /// Creates the channel of a sender. Without keys, datagrams are neither signed nor verified. For `incarnation` see
     /// [`Signer::new`].
     pub fn new(sender: u32, incarnation: u64, fleet: &str, keys: Option<&Keys>) -> Channel {
-        let mut line = Channel { sender, fleet: fleet.to_string(), coded: None };
-        line.reconfigure(incarnation, fleet, keys);
-        line
+        let mut channel = Channel { sender, fleet: fleet.to_string(), signing: None };
+        channel.reconfigure(incarnation, fleet, keys);
+        channel
     }
 
-    /// Go by these from now on. While the fleet's name stays, what was heard stays heard; else a new life begins, which is that one.
+    /// Replaces the keys and the fleet's name. If only the keys change, sequence numbers and anti-replay windows continue; if the name
+    /// changes, or there were no keys before, they restart under this incarnation.
     pub fn reconfigure(&mut self, incarnation: u64, fleet: &str, keys: Option<&Keys>) {
-        match (&mut self.coded, keys) {
-            (_, None) => self.coded = None,
+        match (&mut self.signing, keys) {
+            (_, None) => self.signing = None,
             (Some((signer, verifier)), Some(keys)) if self.fleet == fleet => {
                 signer.rekey(keys);
                 verifier.rekey(keys);
             }
             (_, Some(keys)) => {
                 let verifier = Verifier::new(fleet, keys).max_incarnations(MAX_INCARNATIONS);
-                self.coded = Some((Signer::new(fleet, self.sender, incarnation, keys), verifier));
+                self.signing = Some((Signer::new(fleet, self.sender, incarnation, keys), verifier));
             }
         }
         self.fleet = fleet.to_string();
     }
 
-    /// The datagram that says it.
-    pub fn sign(&mut self, sent: Vec<u8>) -> Vec<u8> {
-        match &mut self.coded {
-            Some((signer, _)) => signer.sign(&sent),
-            None => sent,
+    /// Returns the datagram for a body, signed if there are keys.
+    pub fn sign(&mut self, body: Vec<u8>) -> Vec<u8> {
+        match &mut self.signing {
+            Some((signer, _)) => signer.sign(&body),
+            None => body,
         }
     }
 
-    /// What a datagram says. `seems` is who it comes from by its address, 0 for strangers.
+    /// Verifies a received datagram. `claimed_sender` is the sender by the datagram's address, 0 if unknown; rejections are logged
+    /// under it.
     ///
     /// # Errors
-    /// Why it has to be dropped.
-    pub fn verify<'a>(&mut self, bytes: &'a [u8], seems: u32) -> Result<Received<'a>, Dropped> {
-        let Some((_, verifier)) = &mut self.coded else { return Ok(Received { sender: None, body: bytes }) };
+    /// The datagram is not valid and has to be dropped.
+    pub fn verify<'a>(&mut self, bytes: &'a [u8], claimed_sender: u32) -> Result<Received<'a>, Dropped> {
+        let Some((_, verifier)) = &mut self.signing else {
+            return Ok(Received { sender: None, body: bytes });
+        };
         match verifier.verify(bytes) {
-            Ok(opened) => Ok(Received { sender: Some(opened.sender), body: opened.body }),
-            Err(refused) => Err(Dropped { refused, first: verifier.is_first(refused, seems) }),
+            Ok(message) => Ok(Received { sender: Some(message.sender), body: message.body }),
+            Err(refused) => Err(Dropped { refused, first: verifier.is_first(refused, claimed_sender) }),
         }
     }
 
-    /// How many were dropped, by reason.
+    /// Returns the number of rejected datagrams by reason. Empty without keys.
     pub fn counts(&self) -> BTreeMap<VerifyError, u64> {
-        self.coded.as_ref().map(|(_, verifier)| verifier.counts().clone()).unwrap_or_default()
+        self.signing.as_ref().map(|(_, verifier)| verifier.counts().clone()).unwrap_or_default()
     }
 }
--- a/crates/message-auth/src/keyring.rs
+++ b/crates/message-auth/src/keyring.rs
@@ -1,12 +1,12 @@
-//! The keys of a fleet: one, or two while they are changed.
+//! The keys of a fleet: one, or two while keys are rotated.
 //!
 //! ```text
 //! # 32 bytes: openssl rand -hex 32
 //! 9f6b...e1
 //! ```
 //!
-//! A change that loses no word: the new key goes into every file as the second line, then every process is told to read it
-//! (SIGHUP); the new key is made the first line and read; the old one is taken out and read.
+//! To rotate a key without losing messages: add the new key as the second line of every key file and send SIGHUP to every process,
+//! which reloads the file. Then move the new key to the first line and reload, and finally remove the old key and reload.
 
 use hmac::{Hmac, KeyInit, Mac};
 use miette::Diagnostic;
@@ -14,93 +14,94 @@
 use std::fmt;
 use thiserror::Error;
 
-/// A key is at least that long, in bytes: as long as what SHA-256 gives (RFC 2104, section 3).
+/// Minimum length of a key, in bytes: the output length of SHA-256 (RFC 2104, section 3).
 pub const MIN_KEY_BYTES: usize = 32;
-/// Keys that are believed at once.
+/// Maximum number of keys that are accepted at once.
 pub const MAX_KEYS: usize = 2;
 
-pub(crate) type Code = Hmac<Sha256>;
+pub(crate) type HmacSha256 = Hmac<Sha256>;
 
-/// Why keys can't be used. No text of it holds any part of a key.
+/// Why a key file was rejected. Error messages never contain a part of a key.
 #[derive(Clone, Copy, Debug, Diagnostic, Error, PartialEq, Eq)]
 pub enum KeysError {
-    /// There is no key.
-    #[error("there is no key")]
+    /// The file has no key.
+    #[error("the key file has no key")]
     #[diagnostic(help("write one line of hex into the file, as `openssl rand -hex 32` prints it"))]
     Empty,
-    /// A line is no key.
-    #[error("line {line}: no pairs of hex digits")]
+    /// A line is not valid hexadecimal.
+    #[error("line {line}: the key is not valid hexadecimal")]
     #[diagnostic(help(
         "a key is one line of hex, as `openssl rand -hex 32` prints it; '#' begins a comment"
     ))]
     NotHex {
-        /// The line, from 1.
+        /// Number of the line, from 1.
         line: usize,
     },
-    /// A key can be guessed.
-    #[error("line {line}: a key of {bytes} bytes; {MIN_KEY_BYTES} at least")]
+    /// A key is shorter than [`MIN_KEY_BYTES`].
+    #[error("line {line}: the key has {bytes} bytes; at least {MIN_KEY_BYTES} are required")]
     #[diagnostic(help("make a key with `openssl rand -hex 32`"))]
     TooShort {
-        /// The line, from 1.
+        /// Number of the line, from 1.
         line: usize,
-        /// Its bytes.
+        /// Length of the key, in bytes.
         bytes: usize,
     },
-    /// There are more than two.
-    #[error("line {line}: a third key; {MAX_KEYS} at most")]
+    /// The file has more than [`MAX_KEYS`] keys.
+    #[error("line {line}: there are too many keys; at most {MAX_KEYS} are allowed")]
     #[diagnostic(help(
-        "take out the oldest: two are believed while they are changed, the first one is sealed with"
+        "remove the oldest key; two keys are accepted while keys are rotated, and the first one signs"
     ))]
     TooMany {
-        /// The line of the first that is too many, from 1.
+        /// Number of the line of the first excess key, from 1.
         line: usize,
     },
-    /// Others may read or write the file.
+    /// Other users may read or write the file.
     #[error("its mode is {mode:04o}: others may read or change it")]
     #[diagnostic(help("chmod 0600 the file; if others may have read it, make a new key"))]
     FileMode {
-        /// The mode's lowest bits.
+        /// Permission bits of the file, without the file type.
         mode: u32,
     },
 }
 
-/// Why a file's code is not believed.
+/// Why the MAC of a file was rejected.
 #[derive(Clone, Copy, Debug, Diagnostic, Error, PartialEq, Eq)]
 pub enum FileMacError {
-    /// What should be its code is none.
-    #[error("this is no code of a file")]
+    /// The text is not a MAC in hexadecimal.
+    #[error("this is not the authentication code of a file")]
     #[diagnostic(help("make it with `openssl dgst -sha256 -mac HMAC -macopt hexkey:KEY FILE`: 64 hex digits, alone or after a '='"))]
     Malformed,
-    /// It is the code of something else, or under another key.
-    #[error("the code is not the one of this file under this fleet's keys")]
+    /// The MAC belongs to another content, or was made with another key.
+    #[error("the authentication code does not match this file under the fleet's keys")]
     #[diagnostic(help(
-        "sign the file anew after its last change, with the key in the first line of the file of keys"
+        "sign the file again after its last change, with the key in the first line of the key file"
     ))]
     Mismatch,
 }
 
-/// The keys of a fleet, the newest first. It is never printed.
+/// The keys of a fleet, the newest first. Its `Debug` output has only the number of keys.
 #[derive(Clone)]
 pub struct Keys {
-    /// One or two.
-    all: Vec<Code>,
+    /// The HMAC state of each key, at least one and at most [`MAX_KEYS`].
+    macs: Vec<HmacSha256>,
 }
 
 impl fmt::Debug for Keys {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "Keys({})", self.all.len())
+        write!(f, "Keys({})", self.macs.len())
     }
 }
 
 impl Keys {
-    /// Read a file of keys: one or two lines of hex, the newest first; blank lines and what follows a '#' are left out.
+    /// Parses the text of a key file: one or two lines of hexadecimal digits, the newest key first. Blank lines and comments after a
+    /// '#' are skipped.
     ///
     /// # Errors
-    /// The first line that is no key, is too short or is one too many; a file without any.
+    /// The first line with an invalid, short or excess key, or a file without a key.
     pub fn read(text: &str) -> Result<Keys, KeysError> {
-        let mut all = Vec::new();
-        for (at, line) in text.lines().enumerate() {
-            let line_number = at + 1;
+        let mut macs = Vec::new();
+        for (index, line) in text.lines().enumerate() {
+            let line_number = index + 1;
             let digits = line.split('#').next().unwrap_or_default().trim();
             if digits.is_empty() {
                 continue;
@@ -109,22 +110,22 @@
             if key.len() < MIN_KEY_BYTES {
                 return Err(KeysError::TooShort { line: line_number, bytes: key.len() });
             }
-            if all.len() == MAX_KEYS {
+            if macs.len() == MAX_KEYS {
                 return Err(KeysError::TooMany { line: line_number });
             }
-            // HMAC takes keys of any length.
-            all.push(Code::new_from_slice(&key).map_err(|_| KeysError::NotHex { line: line_number })?);
+            // HMAC accepts keys of any length, so this can't fail.
+            macs.push(HmacSha256::new_from_slice(&key).map_err(|_| KeysError::NotHex { line: line_number })?);
         }
-        if all.is_empty() {
+        if macs.is_empty() {
             return Err(KeysError::Empty);
         }
-        Ok(Keys { all })
+        Ok(Keys { macs })
     }
 
-    /// Whether a file of keys may have that mode, as the system tells it (bits of its kind are left out).
+    /// Checks the permissions of a key file; `mode` is `st_mode` and may contain the file type.
     ///
     /// # Errors
-    /// Its group or others may do anything with it.
+    /// The group or other users have any permission.
     pub fn check_file_mode(mode: u32) -> Result<(), KeysError> {
         match mode & 0o077 {
             0 => Ok(()),
@@ -132,34 +133,34 @@
         }
     }
 
-    /// The newest first, each ready to take bytes.
-    pub(crate) fn codes(&self) -> impl Iterator<Item = Code> + '_ {
-        self.all.iter().cloned()
+    /// Returns a fresh HMAC state for each key, the newest key first.
+    pub(crate) fn macs(&self) -> impl Iterator<Item = HmacSha256> + '_ {
+        self.macs.iter().cloned()
     }
 
-    /// The code of these bytes under the newest key: HMAC-SHA256, as `openssl dgst -sha256 -mac HMAC` makes it.
+    /// Returns the HMAC-SHA256 of these bytes under the newest key, as `openssl dgst -sha256 -mac HMAC` computes it.
     pub fn mac(&self, bytes: &[u8]) -> [u8; 32] {
-        // There is always one; were there none, its code would be believed by nobody.
-        let Some(code) = self.codes().next() else { return [0; 32] };
-        code.chain_update(bytes).finalize().into_bytes().into()
+        // There is always a key. Without one no receiver would accept the result.
+        let Some(state) = self.macs().next() else { return [0; 32] };
+        state.chain_update(bytes).finalize().into_bytes().into()
     }
 
-    /// Whether that is the code of these bytes under one of the keys; it takes the same time wherever they differ.
-    pub fn verify_mac(&self, bytes: &[u8], code: &[u8]) -> bool {
-        self.codes().any(|own| own.chain_update(bytes).verify_slice(code).is_ok())
+    /// Returns whether `mac` is the HMAC-SHA256 of these bytes under one of the keys, in constant time.
+    pub fn verify_mac(&self, bytes: &[u8], mac: &[u8]) -> bool {
+        self.macs().any(|state| state.chain_update(bytes).verify_slice(mac).is_ok())
     }
 
-    /// Whether a text holds the code of a file's bytes: 64 hex digits, alone or as openssl prints it (`HMAC-SHA2-256(file)= hex`).
+    /// Verifies the MAC of a file: `text` has 64 hexadecimal digits, alone or as openssl prints them (`HMAC-SHA2-256(file)= hex`).
     ///
     /// # Errors
-    /// The text holds no code, or the one of something else.
+    /// The text has no MAC, or one that is not valid for these bytes.
     pub fn verify_file(&self, bytes: &[u8], text: &str) -> Result<(), FileMacError> {
         let digits = text.rsplit('=').next().unwrap_or_default().trim();
-        let code = hex::decode(digits).map_err(|_| FileMacError::Malformed)?;
-        if code.len() != 32 {
+        let mac = hex::decode(digits).map_err(|_| FileMacError::Malformed)?;
+        if mac.len() != 32 {
             return Err(FileMacError::Malformed);
         }
-        match self.verify_mac(bytes, &code) {
+        match self.verify_mac(bytes, &mac) {
             true => Ok(()),
             false => Err(FileMacError::Mismatch),
         }
--- a/crates/message-auth/src/lib.rs
+++ b/crates/message-auth/src/lib.rs
@@ -1,11 +1,12 @@
-//! A code on each word between processes, and on each file of the operators that goes from site to site: no I/O, no clock.
+//! Authentication of messages between processes, and of operators' files that are copied between sites. Without I/O and clocks.
 //!
-//! Whoever has the key may close an account or adopt a key by a word, so each word carries a code (HMAC, RFC 2104, over SHA-256) with
-//! its sender, the sender's life and its number. One without a code, of another fleet or heard before is dropped and counted.
+//! A message can close an account or transfer the ownership of a key, so each message carries a message authentication code (MAC,
+//! HMAC of RFC 2104 with SHA-256) over its body, sender, incarnation and sequence number. Messages without a valid MAC, of another
+//! fleet or received before are dropped and counted.
 //!
-//! - [`keyring`]: the keys of a fleet, and the codes of files;
-//! - [`signed_message`]: words under a code;
-//! - [`channel`]: both ways of a process's datagrams, with or without.
+//! - [`keyring`]: the keys of a fleet, and the MACs of files;
+//! - [`signed_message`]: signs and verifies messages;
+//! - [`channel`]: the datagrams of a process, signed or not.
 
 pub mod channel;
 pub mod keyring;
@@ -13,7 +14,7 @@
 
 use miette::Diagnostic;
 
-/// An error in one line, with what an operator can do.
+/// Returns an error and its help text, which describes what an operator can do, in one line.
 pub fn advice(error: &dyn Diagnostic) -> String {
     match error.help() {
         Some(help) => format!("{error}; {help}"),
--- a/crates/message-auth/src/signed_message.rs
+++ b/crates/message-auth/src/signed_message.rs
@@ -1,28 +1,28 @@
-//! Words under a code.
+//! Signed messages: a body with its sender, incarnation and sequence number under a message authentication code (MAC).
 //!
-//! A word is, in bytes, numbers with the highest byte first:
+//! The layout in bytes; integers are big-endian:
 //!
-//! | bytes | what |
+//! | bytes | content |
 //! |---|---|
 //! | 1 | [`VERSION`] |
-//! | 8 | the fleet: the first bytes of its name's SHA-256 |
-//! | 4 | the sender's number |
-//! | 8 | the sender's life |
-//! | 8 | the word's number in this life, from 1 |
+//! | 8 | the fleet: the first bytes of the SHA-256 of its name |
+//! | 4 | the number of the sender |
+//! | 8 | the incarnation of the sender |
+//! | 8 | the sequence number of the message in this incarnation, from 1 |
 //! | any | the body |
-//! | 16 | the code: the first half of HMAC-SHA256 over the version, the fleet's name with its length, and all of the above |
+//! | 16 | the MAC: the first half of HMAC-SHA256 over the version, the length and the name of the fleet, and all fields above |
 //!
-//! Half of the code is kept: RFC 2104, section 5, asks for at least half and 80 bits. Who tries codes has no key to try them on at home, and
-//! one chance in 2^128 for each word.
+//! The MAC is truncated to half of its length; RFC 2104, section 5, asks for at least half of it and 80 bits. A forged message is
+//! accepted with a probability of 2^-128.
 //!
-//! What a word's code does not say is to whom it goes and when: whoever holds the network may hand it late, or to another process of the fleet,
-//! once each. And a process that was just started has heard nothing, so all that was said before to it, in the lives that it knows of, may be
-//! handed to it once more. Nothing is asked of the sender to rule that out (a challenge would cost a round before the first word). So
-//! **what is said under an envelope has to bear being heard late, again and elsewhere**: it is a join (accounts, placements, the states of sites)
-//! or is numbered by its own authority and meant for one life (grants of budgets, membership's incarnations, keys that are adopted). It
-//! must not be a command such as "one more".
+//! A MAC proves neither the receiver of a message nor the time at which it was sent. An attacker who controls the network may
+//! deliver a message late, and once to each other process of the fleet. A process that has just started has no record of received
+//! messages, so earlier messages can be replayed to it once. A challenge would prevent this at the cost of one round trip before
+//! the first message. Instead, **the receiver of a message must tolerate late, repeated and misdirected delivery**: the message is
+//! merged by a join (accounts, placements, states of sites), or it carries a number of its own authority and belongs to one
+//! incarnation (grants of budgets, incarnations of members, adopted keys). It must not be a relative command such as an increment.
 
-use crate::keyring::{Code, Keys};
+use crate::keyring::{HmacSha256, Keys};
 use hmac::Mac;
 use miette::Diagnostic;
 use sha2::{Digest, Sha256};
@@ -30,310 +30,331 @@
 use std::fmt;
 use thiserror::Error;
 
-/// The first byte of each word. No UTF-8 text holds it: a word is never taken for a file under the same key, nor the other way round.
+/// First byte of each signed message. UTF-8 text never contains it, so the MAC of a message is never valid for a text file under the
+/// same key, nor the reverse.
 pub const VERSION: u8 = 0xF8;
-/// Bytes before the body.
+/// Length of the fields before the body, in bytes.
 pub const HEADER_BYTES: usize = 29;
-/// Bytes of the code after it.
+/// Length of the MAC after the body, in bytes.
 pub const MAC_BYTES: usize = 16;
-/// What an envelope adds to a body, in bytes.
+/// Difference between the lengths of a signed message and its body, in bytes.
 pub const OVERHEAD_BYTES: usize = HEADER_BYTES + MAC_BYTES;
-/// Numbers below the highest one heard that are still taken, each once (the window of RFC 4303, section 3.4.3).
+/// Size of the anti-replay window (RFC 4303, section 3.4.3), in messages: sequence numbers that are at least this far below the
+/// highest received one are rejected.
 pub const REPLAY_WINDOW: u64 = 1024;
-/// Senders that are remembered, at most; each needs some 200 bytes. Only those with a key count.
+/// Default maximum number of senders with an anti-replay window; each takes about 200 bytes of memory.
 pub const MAX_SENDERS: usize = 65_536;
-/// Senders that are told of for one reason, at most.
+/// Maximum number of senders that are logged for each reason.
 const MAX_LOGGED_SENDERS: usize = 256;
 
-/// Why a word is not believed.
+/// Why a message was rejected.
 #[derive(Clone, Copy, Debug, Diagnostic, Error, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum VerifyError {
-    /// There is no room for head and code.
-    #[error("a word too short for a code")]
+    /// The message is shorter than its header and its MAC.
+    #[error("message is too short to hold an authentication code")]
     #[diagnostic(help(
-        "see that its sender reads a file that names the key, and that nothing cuts datagrams on the way"
+        "check that the configuration of the sender names the key, and that the network does not truncate datagrams"
     ))]
     TooShort,
-    /// It begins otherwise.
-    #[error("a word without a code, or of another version")]
+    /// The first byte is not [`VERSION`].
+    #[error("message has no authentication code, or is of another version")]
     #[diagnostic(help(
-        "give its sender the key, or bring it to this program's version; until then it is not heard"
+        "give the sender the key, or upgrade it to the version of this program; until then its messages are dropped"
     ))]
     UnknownVersion,
-    /// It is meant for another fleet.
-    #[error("a word of another fleet")]
+    /// The message belongs to another fleet.
+    #[error("message belongs to another fleet")]
     #[diagnostic(help(
-        "see that its sender's file lists this fleet's addresses, and that both files name the fleet alike"
+        "check that the configuration of the sender lists the addresses of this fleet, and that both configurations have the same name of the fleet"
     ))]
     OtherFleet,
-    /// The code is not of this word under a key that is believed.
-    #[error("a word under another key, or changed on its way")]
+    /// The MAC is not valid under any of the keys.
+    #[error("message was signed with another key, or was changed in transit")]
     #[diagnostic(help(
-        "compare the sender's file of keys with this one's; while keys are changed each file holds both"
+        "compare the key file of the sender with the one of this process; while keys are rotated, each file has to hold both keys"
     ))]
-    WrongCode,
-    /// The sender has begun a newer life.
-    #[error("a word of a incarnation that its sender has left behind")]
+    WrongMac,
+    /// The sender has a newer incarnation.
+    #[error("message is from an earlier incarnation of its sender")]
     #[diagnostic(help(
-        "if the sender runs now, its clock was set back before it was started: set it right and start it again, or start this process again; if two processes run under one name, end one; otherwise somebody plays old words again"
+        "if the sender is running, its clock was set back before it started: correct the clock and restart the sender, or restart this process; if two processes run under one name, stop one of them; otherwise somebody replays old messages"
     ))]
     OldIncarnation,
-    /// Its number was heard.
-    #[error("a word that was heard before")]
-    #[diagnostic(help("a few are datagrams that the network doubled; many: somebody plays words again"))]
+    /// The sequence number was received before.
+    #[error("message was received before")]
+    #[diagnostic(help(
+        "a few are datagrams that the network duplicated; many mean that somebody replays messages"
+    ))]
     Replayed,
-    /// Its number is so far back that it can't be told whether it was heard.
-    #[error("a word too far behind the newest of its sender")]
-    #[diagnostic(help("a few are datagrams that came late; many: look for a way with a long queue, or somebody who plays words again"))]
+    /// The sequence number is below the anti-replay window, so the message may be a replay.
+    #[error("message is too far behind the newest one of its sender")]
+    #[diagnostic(help("a few are delayed datagrams; if there are many, look for a network path with a long queue, or for somebody who replays messages"))]
     TooOld,
-    /// So many others are remembered that it could not be told from a repeated one later.
-    #[error("a word of one sender too many")]
-    #[diagnostic(help("start this process again to forget senders that are no more; if they come back, somebody with the key makes them up: change the key"))]
+    /// There is no capacity for an anti-replay window of another sender.
+    #[error("message is from a new sender, and the limit of senders is reached")]
+    #[diagnostic(help("restart this process to forget senders that no longer exist; if the limit is reached again, somebody who has the key invents senders: change the key"))]
     TooManySenders,
 }
 
-/// The states of the code that a fleet's name leads to, the newest key first.
-fn begun(fleet: &str, keys: &Keys) -> Vec<Code> {
+/// Returns the HMAC state of each key after the fields that all messages of a fleet share, the newest key first.
+fn keyed_macs(fleet: &str, keys: &Keys) -> Vec<HmacSha256> {
     let length = (fleet.len() as u64).to_be_bytes();
-    keys.codes().map(|c| c.chain_update([VERSION]).chain_update(length).chain_update(fleet)).collect()
+    keys.macs().map(|mac| mac.chain_update([VERSION]).chain_update(length).chain_update(fleet)).collect()
 }
 
-fn short(fleet: &str) -> [u8; 8] {
-    let whole: [u8; 32] = Sha256::digest(fleet.as_bytes()).into();
-    std::array::from_fn(|i| whole.get(i).copied().unwrap_or_default())
+/// Returns the first bytes of the SHA-256 of a fleet's name.
+fn fleet_id(fleet: &str) -> [u8; 8] {
+    let digest: [u8; 32] = Sha256::digest(fleet.as_bytes()).into();
+    std::array::from_fn(|i| digest.get(i).copied().unwrap_or_default())
 }
 
-/// Puts words under a code, for one life of one sender.
+/// Signs the messages of one incarnation of a sender.
 #[derive(Clone)]
 pub struct Signer {
     fleet: String,
-    short: [u8; 8],
+    fleet_id: [u8; 8],
     sender: u32,
     incarnation: u64,
-    number: u64,
-    codes: Vec<Code>,
+    sequence_number: u64,
+    macs: Vec<HmacSha256>,
 }
 
 impl fmt::Debug for Signer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Signer { fleet, sender, incarnation, number, .. } = self;
-        write!(f, "Signer({fleet:?} {sender}/{incarnation}/{number})")
+        let Signer { fleet, sender, incarnation, sequence_number, .. } = self;
+        write!(f, "Signer({fleet:?} {sender}/{incarnation}/{sequence_number})")
     }
 }
 
 impl Signer {
-    /// For the sender of that number. Its lives have to grow: Unix microseconds at its start will do. After a clock was set back, words of
-    /// the next start are refused as [`VerifyError::OldIncarnation`] where the earlier life was heard, until the clock has caught up at a start.
+    /// Creates a signer for an incarnation of a sender. Incarnations have to increase; the start time in Unix microseconds does. After
+    /// a clock was set back, receivers that saw the earlier incarnation reject messages as [`VerifyError::OldIncarnation`] until the
+    /// process starts with a later time.
     pub fn new(fleet: &str, sender: u32, incarnation: u64, keys: &Keys) -> Signer {
-        let codes = begun(fleet, keys);
-        Signer { fleet: fleet.to_string(), short: short(fleet), sender, incarnation, number: 0, codes }
+        let macs = keyed_macs(fleet, keys);
+        Signer {
+            fleet: fleet.to_string(),
+            fleet_id: fleet_id(fleet),
+            sender,
+            incarnation,
+            sequence_number: 0,
+            macs,
+        }
     }
 
-    /// Seal with the first of these from now on. Life and numbers go on.
+    /// Signs with the first of these keys from now on. The incarnation stays, and sequence numbers continue.
     pub fn rekey(&mut self, keys: &Keys) {
-        self.codes = begun(&self.fleet, keys);
+        self.macs = keyed_macs(&self.fleet, keys);
     }
 
-    /// The word with that body. Each has a number of its own, so what is said to several may be sealed once.
+    /// Returns the signed message for a body. Each call uses the next sequence number; the result may be sent to several receivers.
     pub fn sign(&mut self, body: &[u8]) -> Vec<u8> {
-        self.number = self.number.saturating_add(1);
+        self.sequence_number = self.sequence_number.saturating_add(1);
         let mut message = Vec::with_capacity(body.len() + OVERHEAD_BYTES);
         message.push(VERSION);
-        message.extend_from_slice(&self.short);
+        message.extend_from_slice(&self.fleet_id);
         message.extend_from_slice(&self.sender.to_be_bytes());
         message.extend_from_slice(&self.incarnation.to_be_bytes());
-        message.extend_from_slice(&self.number.to_be_bytes());
+        message.extend_from_slice(&self.sequence_number.to_be_bytes());
         message.extend_from_slice(body);
-        if let Some(code) = self.codes.first() {
-            let whole = code.clone().chain_update(&message).finalize().into_bytes();
-            message.extend(whole.iter().take(MAC_BYTES));
+        if let Some(mac) = self.macs.first() {
+            let digest = mac.clone().chain_update(&message).finalize().into_bytes();
+            message.extend(digest.iter().take(MAC_BYTES));
         }
         message
     }
 }
 
-/// A word that is believed.
+/// A message whose MAC and sequence number are valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VerifiedMessage<'a> {
-    /// Who says it.
+    /// The number of the sender.
     pub sender: u32,
-    /// In which life.
+    /// The incarnation of the sender.
     pub incarnation: u64,
-    /// Its number in that life.
-    pub number: u64,
-    /// What is said.
+    /// The sequence number in this incarnation, from 1.
+    pub sequence_number: u64,
+    /// The content that the sender signed.
     pub body: &'a [u8],
 }
 
-/// Which numbers of a life were heard: the highest one, and those within [`REPLAY_WINDOW`] below it, a bit each at its number modulo the window.
+/// The anti-replay window of an incarnation: the highest received sequence number, and one bit for each of the [`REPLAY_WINDOW`]
+/// numbers up to it, at the number modulo the window.
 #[derive(Clone, Debug)]
-struct Received {
+struct ReplayWindow {
     incarnation: u64,
     highest: u64,
     bits: [u64; (REPLAY_WINDOW / 64) as usize],
 }
 
-impl Received {
-    fn new(incarnation: u64, number: u64) -> Received {
-        let mut received =
-            Received { incarnation, highest: number, bits: [0; (REPLAY_WINDOW / 64) as usize] };
-        received.mark(number, true);
-        received
+impl ReplayWindow {
+    fn new(incarnation: u64, sequence_number: u64) -> ReplayWindow {
+        let mut window =
+            ReplayWindow { incarnation, highest: sequence_number, bits: [0; (REPLAY_WINDOW / 64) as usize] };
+        window.mark(sequence_number, true);
+        window
     }
 
-    fn mark(&mut self, number: u64, received: bool) {
-        let (at, bit) = ((number % REPLAY_WINDOW / 64) as usize, 1 << (number % 64));
-        if let Some(bits) = self.bits.get_mut(at) {
+    fn mark(&mut self, sequence_number: u64, received: bool) {
+        let (index, bit) = ((sequence_number % REPLAY_WINDOW / 64) as usize, 1 << (sequence_number % 64));
+        if let Some(bits) = self.bits.get_mut(index) {
             *bits = if received { *bits | bit } else { *bits & !bit };
         }
     }
 
-    fn has(&self, number: u64) -> bool {
+    fn contains(&self, sequence_number: u64) -> bool {
         self.bits
-            .get((number % REPLAY_WINDOW / 64) as usize)
-            .is_none_or(|bits| bits & (1 << (number % 64)) != 0)
+            .get((sequence_number % REPLAY_WINDOW / 64) as usize)
+            .is_none_or(|bits| bits & (1 << (sequence_number % 64)) != 0)
     }
 
-    fn receive(&mut self, number: u64) -> Result<(), VerifyError> {
-        if number > self.highest {
-            if number - self.highest >= REPLAY_WINDOW {
+    fn accept(&mut self, sequence_number: u64) -> Result<(), VerifyError> {
+        if sequence_number > self.highest {
+            if sequence_number - self.highest >= REPLAY_WINDOW {
                 self.bits = [0; (REPLAY_WINDOW / 64) as usize];
             } else {
-                (self.highest + 1..number).for_each(|skipped| self.mark(skipped, false));
+                (self.highest + 1..sequence_number).for_each(|skipped| self.mark(skipped, false));
             }
-            self.highest = number;
-        } else if self.highest - number >= REPLAY_WINDOW {
+            self.highest = sequence_number;
+        } else if self.highest - sequence_number >= REPLAY_WINDOW {
             return Err(VerifyError::TooOld);
-        } else if self.has(number) {
+        } else if self.contains(sequence_number) {
             return Err(VerifyError::Replayed);
         }
-        self.mark(number, true);
+        self.mark(sequence_number, true);
         Ok(())
     }
 }
 
-/// Believes words that have a code, each once.
+/// Verifies signed messages and accepts each of them once.
 #[derive(Clone)]
 pub struct Verifier {
     fleet: String,
-    short: [u8; 8],
-    codes: Vec<Code>,
-    /// The newest lives of each sender, the newest last.
-    senders: BTreeMap<u32, Vec<Received>>,
-    /// Lives of a sender that are remembered.
+    fleet_id: [u8; 8],
+    macs: Vec<HmacSha256>,
+    /// The anti-replay windows of each sender, in ascending order of incarnations.
+    senders: BTreeMap<u32, Vec<ReplayWindow>>,
+    /// Maximum number of incarnations of a sender that are accepted at once.
     max_incarnations: usize,
-    /// Senders that are remembered.
-    bound: usize,
+    /// Maximum number of senders with anti-replay windows.
+    max_senders: usize,
     counts: BTreeMap<VerifyError, u64>,
-    notified: BTreeMap<VerifyError, BTreeSet<u32>>,
+    logged: BTreeMap<VerifyError, BTreeSet<u32>>,
 }
 
 impl fmt::Debug for Verifier {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "Verifier({:?}, {} senders, refused {:?})", self.fleet, self.senders.len(), self.counts)
+        write!(f, "Verifier({:?}, {} senders, rejected {:?})", self.fleet, self.senders.len(), self.counts)
     }
 }
 
 impl Verifier {
-    /// For words of that fleet. It remembers [`MAX_SENDERS`] and one life of each.
+    /// Creates a verifier for the messages of a fleet. It accepts [`MAX_SENDERS`] senders and one incarnation of each.
     pub fn new(fleet: &str, keys: &Keys) -> Verifier {
         Verifier {
             fleet: fleet.to_string(),
-            short: short(fleet),
-            codes: begun(fleet, keys),
+            fleet_id: fleet_id(fleet),
+            macs: keyed_macs(fleet, keys),
             senders: BTreeMap::new(),
             max_incarnations: 1,
-            bound: MAX_SENDERS,
+            max_senders: MAX_SENDERS,
             counts: BTreeMap::new(),
-            notified: BTreeMap::new(),
+            logged: BTreeMap::new(),
         }
     }
 
-    /// Hear that many lives of each sender at once, its newest ones: 2 where a process goes on for a while beside the one that takes its place.
-    /// Each has numbers of its own, so nothing is heard twice by that.
+    /// Sets the maximum number of incarnations of each sender that are accepted at once; the newest ones are kept. Two allow a process
+    /// to go on for a while beside its replacement. Each incarnation has an anti-replay window of its own.
     #[must_use]
     pub fn max_incarnations(self, max_incarnations: usize) -> Verifier {
         Verifier { max_incarnations: max_incarnations.max(1), ..self }
     }
 
-    /// Remember that many senders; words of others are refused as [`VerifyError::TooManySenders`].
+    /// Sets the maximum number of senders. Messages of others are rejected as [`VerifyError::TooManySenders`].
     #[must_use]
-    pub fn max_senders(self, bound: usize) -> Verifier {
-        Verifier { bound, ..self }
+    pub fn max_senders(self, max_senders: usize) -> Verifier {
+        Verifier { max_senders, ..self }
     }
 
-    /// Believe these from now on. What was heard stays heard; what was told may be told again.
+    /// Accepts these keys from now on. The anti-replay windows stay, and rejected messages are logged once more.
     pub fn rekey(&mut self, keys: &Keys) {
-        self.codes = begun(&self.fleet, keys);
-        self.notified.clear();
+        self.macs = keyed_macs(&self.fleet, keys);
+        self.logged.clear();
     }
 
-    /// What a word says, if it is believed. One that isn't changes nothing but the counts.
+    /// Verifies a signed message. A rejected message changes only the counts.
     ///
     /// # Errors
-    /// Why it has to be dropped.
+    /// The MAC is not valid, or the message may be a replay; it has to be dropped.
     pub fn verify<'a>(&mut self, bytes: &'a [u8]) -> Result<VerifiedMessage<'a>, VerifyError> {
-        let opened = self.believe(bytes).and_then(|message| self.receive(&message).map(|()| message));
-        if let Err(refused) = opened {
+        let verified =
+            self.authenticate(bytes).and_then(|message| self.check_replay(&message).map(|()| message));
+        if let Err(refused) = verified {
             *self.counts.entry(refused).or_default() += 1;
         }
-        opened
+        verified
     }
 
-    fn believe<'a>(&self, bytes: &'a [u8]) -> Result<VerifiedMessage<'a>, VerifyError> {
-        // The version first: a short word of an earlier program is told as what it is.
+    fn authenticate<'a>(&self, bytes: &'a [u8]) -> Result<VerifiedMessage<'a>, VerifyError> {
+        // The version is checked first, so that a short message of an earlier program version is reported as such.
         let (version, rest) = bytes.split_first().ok_or(VerifyError::TooShort)?;
         if *version != VERSION {
             return Err(VerifyError::UnknownVersion);
         }
-        let (sent, code) = bytes.split_last_chunk::<MAC_BYTES>().ok_or(VerifyError::TooShort)?;
+        let (signed, mac) = bytes.split_last_chunk::<MAC_BYTES>().ok_or(VerifyError::TooShort)?;
         let (fleet, rest) = rest.split_first_chunk::<8>().ok_or(VerifyError::TooShort)?;
         let (sender, rest) = rest.split_first_chunk::<4>().ok_or(VerifyError::TooShort)?;
         let (incarnation, rest) = rest.split_first_chunk::<8>().ok_or(VerifyError::TooShort)?;
-        let (number, rest) = rest.split_first_chunk::<8>().ok_or(VerifyError::TooShort)?;
+        let (sequence_number, rest) = rest.split_first_chunk::<8>().ok_or(VerifyError::TooShort)?;
         let (body, _) = rest.split_last_chunk::<MAC_BYTES>().ok_or(VerifyError::TooShort)?;
-        if *fleet != self.short {
+        if *fleet != self.fleet_id {
             return Err(VerifyError::OtherFleet);
         }
-        let is = |own: &Code| own.clone().chain_update(sent).verify_truncated_left(code).is_ok();
-        if !self.codes.iter().any(is) {
-            return Err(VerifyError::WrongCode);
+        let matches =
+            |state: &HmacSha256| state.clone().chain_update(signed).verify_truncated_left(mac).is_ok();
+        if !self.macs.iter().any(matches) {
+            return Err(VerifyError::WrongMac);
         }
         let (sender, incarnation) = (u32::from_be_bytes(*sender), u64::from_be_bytes(*incarnation));
-        Ok(VerifiedMessage { sender, incarnation, number: u64::from_be_bytes(*number), body })
+        Ok(VerifiedMessage {
+            sender,
+            incarnation,
+            sequence_number: u64::from_be_bytes(*sequence_number),
+            body,
+        })
     }
 
-    fn receive(&mut self, message: &VerifiedMessage<'_>) -> Result<(), VerifyError> {
-        let crowded = self.senders.len() >= self.bound;
-        if crowded && !self.senders.contains_key(&message.sender) {
+    fn check_replay(&mut self, message: &VerifiedMessage<'_>) -> Result<(), VerifyError> {
+        let is_full = self.senders.len() >= self.max_senders;
+        if is_full && !self.senders.contains_key(&message.sender) {
             return Err(VerifyError::TooManySenders);
         }
-        let known = self.senders.entry(message.sender).or_default();
-        match known.binary_search_by_key(&message.incarnation, |received| received.incarnation) {
-            Ok(at) => known
-                .get_mut(at)
-                .map_or(Err(VerifyError::OldIncarnation), |received| received.receive(message.number)),
-            // Older than all that are remembered, and there is no room for more.
-            Err(0) if known.len() >= self.max_incarnations => Err(VerifyError::OldIncarnation),
-            Err(at) => {
-                known.insert(at, Received::new(message.incarnation, message.number));
-                if known.len() > self.max_incarnations {
-                    known.remove(0);
+        let windows = self.senders.entry(message.sender).or_default();
+        match windows.binary_search_by_key(&message.incarnation, |window| window.incarnation) {
+            Ok(index) => windows
+                .get_mut(index)
+                .map_or(Err(VerifyError::OldIncarnation), |window| window.accept(message.sequence_number)),
+            // Older than all accepted incarnations, whose maximum number is reached.
+            Err(0) if windows.len() >= self.max_incarnations => Err(VerifyError::OldIncarnation),
+            Err(index) => {
+                windows.insert(index, ReplayWindow::new(message.incarnation, message.sequence_number));
+                if windows.len() > self.max_incarnations {
+                    windows.remove(0);
                 }
                 Ok(())
             }
         }
     }
 
-    /// How many words were refused, by reason.
+    /// Returns the number of rejected messages by reason.
     pub fn counts(&self) -> &BTreeMap<VerifyError, u64> {
         &self.counts
     }
 
-    /// Whether nobody was told yet of that reason with that sender: so a log has one line for each. The sender is who it seems to be, 0
-    /// for strangers: a word that isn't believed proves none. For one reason 256 are told of; the others are counted alone.
+    /// Returns whether a rejection for this reason is the first one of a sender, so that each is logged once. `sender` is the claimed
+    /// sender, 0 if unknown. Returns `false` once 256 senders were logged for a reason.
     pub fn is_first(&mut self, reason: VerifyError, sender: u32) -> bool {
-        let notified = self.notified.entry(reason).or_default();
-        notified.len() < MAX_LOGGED_SENDERS && notified.insert(sender)
+        let logged = self.logged.entry(reason).or_default();
+        logged.len() < MAX_LOGGED_SENDERS && logged.insert(sender)
     }
 }
