--- a/crates/accounts/src/config.rs
+++ b/crates/accounts/src/config.rs
@@ -84,7 +84,7 @@
             _ => None,
         };
         if seconds.is_none() {
-            f.complain(format!(
+            f.add_error(format!(
                 "(from) takes Unix time as an integer of seconds, 0 to {MAX_FROM_SECONDS}, as in (from 1764633600 s)"
             ));
         }
@@ -100,38 +100,38 @@
 
 fn accounts_file(f: &Form) -> AccountsFile {
     if f.many("number").is_empty() {
-        f.complain("an accounts file needs a (number N) that is greater than the previous file's");
+        f.add_error("an accounts file needs a (number N) that is greater than the previous file's");
     }
     let number = f.count("number", 0, 1..=MAX_NUMBER);
     let mut changes = BTreeMap::new();
     let mut first_lines = BTreeMap::new();
     for form in f.many("account") {
-        let name = form.word("an account's name");
+        let name = form.symbol("an account's name");
         if !is_valid_text(&name, MAX_NAME_BYTES) || name.is_empty() {
-            form.complain(format!(
+            form.add_error(format!(
                 "an account name must have 1 to {MAX_NAME_BYTES} bytes and no control characters"
             ));
         }
         if form.many("standing").is_empty() {
-            form.complain(format!("the account {name} has no (standing ...)"));
+            form.add_error(format!("the account {name} has no (standing ...)"));
         }
         let standings = ["good", "warned", "closing", "closed", "reopened"];
         let standing = standing_named(&form.choice("standing", "good", &standings));
         let (from, reason) = (start_time(&form), form.text("reason", ""));
         if !is_valid_text(&reason, MAX_REASON_BYTES) {
-            form.complain(format!(
+            form.add_error(format!(
                 "a reason may have at most {MAX_REASON_BYTES} bytes and no control characters"
             ));
         }
         form.finish();
         let line = form.place().line;
         if let Some(first) = first_lines.insert(name.clone(), line) {
-            form.complain(format!("the account {name} is listed twice, first in line {first}"));
+            form.add_error(format!("the account {name} is listed twice, first in line {first}"));
         }
         changes.insert(name, Change { number, standing, from, reason });
     }
     if changes.len() > MAX_ACCOUNTS {
-        f.complain(format!("the file lists {} accounts; at most {MAX_ACCOUNTS} are allowed", changes.len()));
+        f.add_error(format!("the file lists {} accounts; at most {MAX_ACCOUNTS} are allowed", changes.len()));
     }
     AccountsFile::new(number, changes)
 }
