--- a/src/main.rs
+++ b/src/main.rs
@@ -4,9 +4,9 @@
 
 use bpaf::Bpaf;
 use shorepath::net::config::{Config, ConfigError};
-use shorepath::net::fleet::Sharing;
-use shorepath::net::sites::{Siting, SitingError};
-use shorepath::net::{Handing, Startup};
+use shorepath::net::fleet::FleetSettings;
+use shorepath::net::sites::{SitesError, SitesSettings};
+use shorepath::net::{HandoverMode, Startup};
 use shorepath_quota::config as budgets;
 use shorepath_quota::ClockSkew;
 use std::path::{Path, PathBuf};
@@ -123,10 +123,10 @@
     let path = options.config.ok_or(ConfigError::Unnamed)?;
     let config = read(Some(&path))?;
     let skew = options.skew;
-    let sharing = options.budgets.map(|file| Sharing::read(file, &config.name, skew)).transpose()?;
+    let sharing = options.budgets.map(|file| FleetSettings::read(file, &config.name, skew)).transpose()?;
     let siting = match (options.sites, options.state) {
-        (Some(file), Some(state)) => Some(Siting::read(file, state, &config.name, skew)?),
-        (Some(_), None) => return Err(SitingError::Stateless.into()),
+        (Some(file), Some(state)) => Some(SitesSettings::read(file, state, &config.name, skew)?),
+        (Some(_), None) => return Err(SitesError::Stateless.into()),
         (None, _) => None,
     };
     let level = if options.verbose { Level::DEBUG } else { Level::INFO };
@@ -141,7 +141,7 @@
         .with_writer(writer)
         .with_target(false)
         .init();
-    let handing = if options.no_handover { Handing::Off } else { Handing::On };
+    let handing = if options.no_handover { HandoverMode::Off } else { HandoverMode::On };
     let again = move || Config::read_again(&path, variable);
     shorepath::net::serve(startup, config, handing, sharing, siting, again)?;
     Ok(())
@@ -175,31 +175,31 @@
     Ok(())
 }
 
-fn check_sites(file: PathBuf, config: &Config) -> Result<Siting, Failure> {
-    let siting = Siting::read(file, PathBuf::new(), &config.name, ClockSkew::default())?;
+fn check_sites(file: PathBuf, config: &Config) -> Result<SitesSettings, Failure> {
+    let siting = SitesSettings::read(file, PathBuf::new(), &config.name, ClockSkew::default())?;
     let strange = config.strange_in_sites(&siting);
     if !strange.is_empty() {
         return Err(format!("the settings know nothing of {}", strange.join(", ")).into());
     }
-    for site in &siting.plan().sites {
+    for site in &siting.config().sites {
         println!("{}: {} nodes, bears {} a second", site.name, site.nodes.len(), site.capacity);
     }
-    for (account, change) in siting.accounts() {
+    for (account, change) in siting.account_changes() {
         println!("{account}: {:?} by file {}", change.standing, change.number);
     }
     Ok(siting)
 }
 
 /// Whether the quotas of a file of budgets fit the settings and the sites.
-fn check_quotas(file: PathBuf, config: &Config, siting: Option<&Siting>) -> Result<(), Failure> {
-    let sharing = Sharing::read(file, &config.name, ClockSkew::default())?;
+fn check_quotas(file: PathBuf, config: &Config, siting: Option<&SitesSettings>) -> Result<(), Failure> {
+    let sharing = FleetSettings::read(file, &config.name, ClockSkew::default())?;
     let strange = config.strangers(&sharing.plan);
     if !strange.is_empty() {
         return Err(format!("nothing here is bounded by {}", strange.join(", ")).into());
     }
     let Some(siting) = siting else { return Ok(()) };
     let names = sharing.plan.budgets.iter().map(|b| b.name.as_str());
-    let (missing, strange) = shorepath_sites::key_ownership::mismatched_budgets(siting.plan(), names);
+    let (missing, strange) = shorepath_sites::key_ownership::mismatched_budgets(siting.config(), names);
     if !missing.is_empty() {
         return Err(format!("no budget for {}: nobody would place their keys", missing.join(", ")).into());
     }
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -142,7 +142,7 @@
 
     /// What may be served on the way back from a loss of power, where there is one.
     fn returns(&self) -> Option<(Admits, Option<&'static str>)> {
-        self.sites.as_ref().and_then(|s| s.returns())
+        self.sites.as_ref().and_then(|s| s.recovery_admission())
     }
 
     /// Whether the node takes clients.
@@ -170,7 +170,7 @@
         let method = match path {
             "/ops/readiness" => "GET",
             "/ops/sites" if self.sites.is_some() => "GET",
-            "/ops/audit" if self.sites.as_ref().is_some_and(|s| s.auditing().is_some()) => "GET",
+            "/ops/audit" if self.sites.as_ref().is_some_and(|s| s.audit_recorder().is_some()) => "GET",
             "/ops/recovery" if self.returns().is_some() => "GET",
             "/ops/recovery/release" if self.returns().is_some() => "POST",
             "/ops/drain/start" | "/ops/drain/stop" => "POST",
@@ -182,15 +182,15 @@
         match path {
             "/ops/readiness" => self.readiness(),
             "/ops/sites" => {
-                let state = self.sites.as_ref().map(|s| s.state()).unwrap_or_default();
+                let state = self.sites.as_ref().map(|s| s.status()).unwrap_or_default();
                 Answer::text(200, &state, true)
             }
             "/ops/audit" => {
-                let state = self.sites.as_ref().and_then(|s| s.audited()).unwrap_or_default();
+                let state = self.sites.as_ref().and_then(|s| s.audit_status()).unwrap_or_default();
                 Answer::text(200, &state, true)
             }
             "/ops/recovery" => {
-                let state = self.sites.as_ref().and_then(|s| s.recovery()).unwrap_or_default();
+                let state = self.sites.as_ref().and_then(|s| s.recovery_status()).unwrap_or_default();
                 Answer::text(200, &state, true)
             }
             "/ops/recovery/release" => match self.sites.as_ref().map(|s| s.release()) {
--- a/src/net/answers.rs
+++ b/src/net/answers.rs
@@ -27,11 +27,11 @@
 
 /// An answer on its way to the disk.
 #[derive(Debug)]
-pub struct Keeping(oneshot::Receiver<()>);
+pub struct PendingAnswer(oneshot::Receiver<()>);
 
-impl Keeping {
+impl PendingAnswer {
     /// Ready once it is there, or for good is not, or after a time; the client's own is up then.
-    pub async fn done(self, deadlines: &Rc<Deadlines>, up: Instant) {
+    pub async fn stored(self, deadlines: &Rc<Deadlines>, up: Instant) {
         tokio::select! {
             biased;
             _ = self.0 => {}
@@ -52,7 +52,7 @@
     }
 
     /// The status and the body that were given, where they are still kept.
-    pub fn given(&self, class: &str, tenant: Option<&str>, key: &str) -> Option<(u16, Vec<u8>)> {
+    pub fn get(&self, class: &str, tenant: Option<&str>, key: &str) -> Option<(u16, Vec<u8>)> {
         match self.store.answer(&name(class, tenant, key)) {
             Ok(found) => found.map(|a| (a.status, a.body)),
             Err(e) => {
@@ -63,12 +63,12 @@
     }
 
     /// Keep that one, given at a Unix time; nothing of one that is too long. The first one for a key stays.
-    pub fn keep(
+    pub fn put(
         &self,
         (class, tenant, key): (&str, Option<&str>, &str),
         (status, body): (u16, &[u8]),
         at: Micros,
-    ) -> Option<Keeping> {
+    ) -> Option<PendingAnswer> {
         if body.len() as u64 > self.longest {
             return None;
         }
@@ -81,6 +81,6 @@
             // Its client may have gone.
             let _ = done.send(());
         });
-        Some(Keeping(kept))
+        Some(PendingAnswer(kept))
     }
 }
--- a/src/net/auditing.rs
+++ b/src/net/auditing.rs
@@ -42,7 +42,7 @@
 
 /// The node's record.
 #[derive(Debug)]
-pub struct Auditing {
+pub struct AuditRecorder {
     node: String,
     life: Cell<u64>,
     /// What the record may hold, in bytes.
@@ -69,7 +69,7 @@
 }
 
 /// What stands for the program that runs.
-pub fn program() -> ContentHash {
+pub fn program_hash() -> ContentHash {
     match std::fs::read("/proc/self/exe") {
         Ok(bytes) => ContentHash::of(&bytes),
         Err(_) => ContentHash::of(env!("CARGO_PKG_VERSION").as_bytes()),
@@ -125,14 +125,14 @@
     Ok((AuditLog::open(kept.base, &entries, most)?, vector, since))
 }
 
-impl Auditing {
+impl AuditRecorder {
     /// The record in that store, founded where there is none or where it is not what was written; `key` is the fleet's, for the sample.
     pub fn open(
         (store, group_commit): (Arc<Store>, Arc<GroupCommit>),
         audit: Audit,
         (node, me, chance): (&str, u32, u64),
         key: [u8; 16],
-    ) -> Result<Rc<Auditing>, StoreError> {
+    ) -> Result<Rc<AuditRecorder>, StoreError> {
         let founded = || AuditLog::open(ChainPoint::origin(node, chance), &[], audit.bytes);
         let mut broken = None;
         let (life, record, vector, since) = match store.fact::<Kept>(KEPT)? {
@@ -155,7 +155,7 @@
         let sampling =
             Sampling { one_in: audit.one_in, max_per_second: audit.a_second, summary_interval: audit.sum };
         let meter = DecisionCounters::new(sampling, key, record.vector_number(), 0);
-        Ok(Rc::new(Auditing {
+        Ok(Rc::new(AuditRecorder {
             node: node.to_string(),
             life: Cell::new(life),
             most: audit.bytes,
@@ -191,7 +191,7 @@
     }
 
     /// That version is in force from now on.
-    pub fn took(&self, item: Item, content: ContentHash, number: Option<u64>, why: ChangeSource) {
+    pub fn record_version(&self, item: Item, content: ContentHash, number: Option<u64>, why: ChangeSource) {
         let Some(taken) = self.vector.borrow_mut().set(item, content, number) else { return };
         self.since.borrow_mut().insert(item, unix());
         if !self.begun.get() {
@@ -202,8 +202,8 @@
         self.note(Entry::VersionChanged { change: taken, source: why });
     }
 
-    /// The process begins, steered by what was [`Auditing::took`] so far.
-    pub fn begin(&self) {
+    /// The process begins, steered by what was [`AuditRecorder::record_version`] so far.
+    pub fn start(&self) {
         self.begun.set(true);
         let sums = self.meter.borrow_mut().set_vector(self.record.borrow().vector_number() + 1);
         sums.into_iter().for_each(|entry| self.note(entry));
@@ -290,7 +290,7 @@
             Err(e) => return warn!("audit: {e}"),
         }
         self.life.set(another);
-        self.begin();
+        self.start();
     }
 
     /// Have on the disk what is to be written down by now.
@@ -318,7 +318,7 @@
     }
 
     /// For operators: a line for the record, one for each version in force, and one for each node that was heard of, by its name.
-    pub fn state(&self, name: impl Fn(u32) -> String) -> String {
+    pub fn status(&self, name: impl Fn(u32) -> String) -> String {
         let (record, vector) = (self.record.borrow(), self.vector.borrow());
         let (base, head) = (record.base(), record.head());
         let mut text = format!(
@@ -364,7 +364,7 @@
     }
 }
 
-impl Auditor<Job> for Auditing {
+impl Auditor<Job> for AuditRecorder {
     fn dispatched(&self, attempt: Attempt<'_>, first: bool, job: &Job) {
         let reason = if first { "dispatched" } else { "dispatched again" };
         self.decided(attempt.class, Some(attempt.server), reason, false, job);
@@ -375,6 +375,6 @@
     }
 
     fn listed(&self, revision: u64) {
-        self.took(Item::List, ContentHash::of_number(revision), None, ChangeSource::Discovery);
+        self.record_version(Item::List, ContentHash::of_number(revision), None, ChangeSource::Discovery);
     }
 }
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -1,7 +1,7 @@
 //! What the node is told as it starts: a JSON file, and variables that take its place.
 
 use super::server_table::{EntryError, Listing};
-use super::sites::Siting;
+use super::sites::SitesSettings;
 use serde::Deserialize;
 use serde_json::Value;
 use shorepath_audit::version::ContentHash;
@@ -200,9 +200,9 @@
     }
 
     /// The tenants and classes that the file of sites names, or the one of accounts, and the settings don't.
-    pub fn strange_in_sites(&self, siting: &Siting) -> Vec<String> {
+    pub fn strange_in_sites(&self, siting: &SitesSettings) -> Vec<String> {
         let (_, names) = self.setup.to_settings();
-        let plan = siting.plan();
+        let plan = siting.config();
         let spillover = plan.remote_percent.values().flat_map(|l| l.keys());
         let classes = plan
             .guarded_classes
@@ -210,7 +210,8 @@
             .chain(plan.min_remote_percent.keys())
             .chain(spillover)
             .map(String::as_str);
-        let tenants = plan.credits.iter().map(|c| c.tenant.as_str()).chain(siting.accounts().map(|a| a.0));
+        let tenants =
+            plan.credits.iter().map(|c| c.tenant.as_str()).chain(siting.account_changes().map(|a| a.0));
         let strange = classes.filter(|c| names.classes.get(c).is_none());
         let strange = strange.chain(tenants.filter(|t| names.tenants.get(t).is_none()));
         strange.map(str::to_string).collect::<BTreeSet<_>>().into_iter().collect()
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -10,8 +10,8 @@
 use super::frontend::Frontend;
 use super::key_leases::KeyLeases;
 use super::Job;
-pub use config::{Sharing, SharingError};
-pub use list_calls::ListCalls;
+pub use config::{FleetError, FleetSettings};
+pub use list_calls::DiscoveryCallLimit;
 use shorepath_audit::version::ContentHash;
 use shorepath_membership::{Effect, MemberState, Membership, Peer};
 use shorepath_message_auth::advice;
@@ -50,11 +50,11 @@
 #[derive(Debug)]
 pub struct Fleet {
     name: String,
-    sharing: RefCell<Sharing>,
+    sharing: RefCell<FleetSettings>,
     exchange: Rc<Exchange<Job>>,
     frontend: Rc<Frontend>,
     deadlines: Rc<Deadlines>,
-    lists: Rc<ListCalls>,
+    lists: Rc<DiscoveryCallLimit>,
     origin: Instant,
     quota_client: RefCell<QuotaClient>,
     members: RefCell<Membership>,
@@ -75,13 +75,13 @@
     /// Take part as the node of that name.
     pub fn new(
         name: &str,
-        sharing: Sharing,
+        sharing: FleetSettings,
         exchange: Rc<Exchange<Job>>,
         frontend: Rc<Frontend>,
         deadlines: Rc<Deadlines>,
-        lists: Rc<ListCalls>,
-    ) -> Result<Rc<Self>, SharingError> {
-        let chance = getrandom::u64().map_err(SharingError::Chance)?;
+        lists: Rc<DiscoveryCallLimit>,
+    ) -> Result<Rc<Self>, FleetError> {
+        let chance = getrandom::u64().map_err(FleetError::Chance)?;
         let node = NodeId::of(name);
         let now = sharing.skew.at(0);
         let life = NodeIncarnation { node, incarnation: chance };
@@ -130,7 +130,7 @@
     }
 
     /// Leases of ranges of keys follow from its budgets from now on.
-    pub fn home(&self, key_leases: Rc<KeyLeases>) {
+    pub fn set_key_leases(&self, key_leases: Rc<KeyLeases>) {
         self.key_leases.replace(Some(key_leases));
     }
 
@@ -153,14 +153,14 @@
     }
 
     /// Read the operator's file again. One that can't be used changes nothing.
-    pub fn reload(&self) -> Result<u64, SharingError> {
+    pub fn reload(&self) -> Result<u64, FleetError> {
         let (path, skew) = {
             let sharing = self.sharing.borrow();
             (sharing.path.clone(), sharing.skew)
         };
-        let newer = Sharing::read(path, &self.name, skew)?;
+        let newer = FleetSettings::read(path, &self.name, skew)?;
         if newer.plan.drift_ppm != self.sharing.borrow().plan.drift_ppm {
-            return Err(SharingError::Drift { path: newer.path });
+            return Err(FleetError::Drift { path: newer.path });
         }
         let version = newer.plan.version;
         self.log_rejected();
@@ -179,7 +179,7 @@
     }
 
     /// Take part for as long as the node runs.
-    pub async fn follow(self: Rc<Self>) {
+    pub async fn run(self: Rc<Self>) {
         let mut socket: Option<UdpSocket> = None;
         let (mut owns, mut tried) = (false, None::<Instant>);
         let mut buffer = vec![0; LARGEST];
--- a/src/net/fleet/config.rs
+++ b/src/net/fleet/config.rs
@@ -12,7 +12,7 @@
 
 /// What the node is told of the fleet.
 #[derive(Clone, Debug)]
-pub struct Sharing {
+pub struct FleetSettings {
     /// The operator's file.
     pub path: PathBuf,
     /// As it was read.
@@ -27,7 +27,7 @@
 
 /// Why a node can't take part.
 #[derive(Debug, Error)]
-pub enum SharingError {
+pub enum FleetError {
     /// The file can't be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
@@ -67,9 +67,9 @@
 }
 
 /// The keys in a file that is its owner's alone.
-pub(super) fn keys(path: &Path) -> Result<Keys, SharingError> {
-    let unreadable = |source| SharingError::Unreadable { path: path.to_path_buf(), source };
-    let wrong = |source| SharingError::Keys { path: path.to_path_buf(), source };
+pub(super) fn keys(path: &Path) -> Result<Keys, FleetError> {
+    let unreadable = |source| FleetError::Unreadable { path: path.to_path_buf(), source };
+    let wrong = |source| FleetError::Keys { path: path.to_path_buf(), source };
     let mut file = std::fs::File::open(path).map_err(unreadable)?;
     Keys::mode(file.metadata().map_err(unreadable)?.mode()).map_err(wrong)?;
     let mut text = String::new();
@@ -77,18 +77,18 @@
     Keys::read(&text).map_err(wrong)
 }
 
-impl Sharing {
+impl FleetSettings {
     /// Read the file, in which a node of that name has to be listed.
-    pub fn read(path: PathBuf, name: &str, skew: ClockSkew) -> Result<Sharing, SharingError> {
+    pub fn read(path: PathBuf, name: &str, skew: ClockSkew) -> Result<FleetSettings, FleetError> {
         let text = match std::fs::read_to_string(&path) {
             Ok(text) => text,
-            Err(source) => return Err(SharingError::Unreadable { path, source }),
+            Err(source) => return Err(FleetError::Unreadable { path, source }),
         };
         let plan = shorepath_quota::config::read(&path.display().to_string(), &text)?;
         if plan.members.iter().all(|m| m.name != name) {
-            return Err(SharingError::Unlisted { path, name: name.to_string() });
+            return Err(FleetError::Unlisted { path, name: name.to_string() });
         }
         let keys = plan.key.as_deref().map(keys).transpose()?;
-        Ok(Sharing { path, plan, content: ContentHash::of(text.as_bytes()), keys, skew })
+        Ok(FleetSettings { path, plan, content: ContentHash::of(text.as_bytes()), keys, skew })
     }
 }
--- a/src/net/fleet/list_calls.rs
+++ b/src/net/fleet/list_calls.rs
@@ -13,7 +13,7 @@
 
 /// The part of the fleet's calls to discovery that this node may make; none where that is not bounded.
 #[derive(Debug, Default)]
-pub struct ListCalls {
+pub struct DiscoveryCallLimit {
     pub(super) part: RefCell<Option<(TokenBucket, u64)>>,
     pub(super) origin: Cell<Option<Instant>>,
     pub(super) wanted: Cell<u64>,
@@ -38,7 +38,7 @@
     }
 }
 
-impl ListCalls {
+impl DiscoveryCallLimit {
     pub(super) fn now(&self) -> Micros {
         let origin = self.origin.get().unwrap_or_else(Instant::now);
         self.origin.set(Some(origin));
@@ -58,7 +58,7 @@
     }
 
     /// Ready once a call may be made.
-    pub async fn take(&self, deadlines: &Rc<Deadlines>) {
+    pub async fn acquire(&self, deadlines: &Rc<Deadlines>) {
         self.wanted.set(self.wanted.get() + 1);
         let _waits = Waiting::one(&self.waiting);
         loop {
--- a/src/net/frontend/connection.rs
+++ b/src/net/frontend/connection.rs
@@ -7,7 +7,7 @@
 use crate::net::codec::{Answer, FrontendCodec, Incoming, ReadError, Request};
 use crate::net::exchange::{ResponseOutcome, Ticket};
 use crate::net::pool::Ahead;
-use crate::net::sites::Mark;
+use crate::net::sites::RequestAdmission;
 use crate::net::{turn, Job};
 use futures_util::FutureExt;
 use std::io::ErrorKind;
@@ -45,7 +45,7 @@
 pub(super) enum Reply {
     Now(Answer),
     /// Its answer is to come; and what its account is told of it, where there are accounts.
-    Later(Ticket<Job>, Option<Mark>),
+    Later(Ticket<Job>, Option<RequestAdmission>),
     /// Nothing: the job was not taken, as its client has gone.
     Gone,
 }
@@ -161,18 +161,18 @@
                     };
                     match outcome {
                         Some(outcome) => {
-                            let notifies = mark.as_ref().and_then(|mark| mark.extra_field(&outcome));
+                            let notifies = mark.as_ref().and_then(|mark| mark.response_field(&outcome));
                             let mut keeping = None;
                             if let Some(mark) = mark.as_ref() {
                                 keeping = match &outcome {
-                                    ResponseOutcome::Served(body) => mark.keeps(200, body),
-                                    ResponseOutcome::Failed => mark.keeps(502, b"failed\n"),
+                                    ResponseOutcome::Served(body) => mark.store_answer(200, body),
+                                    ResponseOutcome::Failed => mark.store_answer(502, b"failed\n"),
                                     ResponseOutcome::Shed { .. } | ResponseOutcome::Rejected { .. } => None,
                                 };
                             }
-                            let rejection = mark.and_then(|mark| mark.over(&outcome));
+                            let rejection = mark.and_then(|mark| mark.finish(&outcome));
                             if let Some(keeping) = keeping {
-                                keeping.done(&self.deadlines, ticket.overdue()).await;
+                                keeping.stored(&self.deadlines, ticket.overdue()).await;
                             }
                             answer_to(outcome, rejection, notifies, |wait| self.exchange.advice(wait))
                         }
@@ -350,7 +350,7 @@
                 }
                 let mut mark = None;
                 if let Some(sites) = &*self.sites.borrow() {
-                    if let Some((status, body)) = sites.answered(ask.class, &job) {
+                    if let Some((status, body)) = sites.stored_answer(ask.class, &job) {
                         let fields = String::new();
                         return Reply::Now(Answer::Full {
                             status,
@@ -360,12 +360,12 @@
                             head_only: false,
                         });
                     }
-                    (ask.entry, mark) = sites.mark(ask.class, &job);
-                    ask.guest = mark.as_ref().is_some_and(Mark::is_guest);
+                    (ask.entry, mark) = sites.admit(ask.class, &job);
+                    ask.guest = mark.as_ref().is_some_and(RequestAdmission::is_remote);
                 }
                 let ticket = self.exchange.take(ask, job);
                 if let Some(mark) = &mut mark {
-                    mark.asked(ticket.is_answered());
+                    mark.record_submitted(ticket.is_answered());
                 }
                 Reply::Later(ticket, mark)
             }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -33,19 +33,19 @@
 
 /// What a process is handed by the one that it follows: the socket at which clients connect, and the
 /// link to that process.
-pub type Inheritance = (std::net::TcpListener, std::os::unix::net::UnixStream);
+pub type InheritedSockets = (std::net::TcpListener, std::os::unix::net::UnixStream);
 
 /// Where the process that serves clients at that address is to be found by the next one; `None` if
 /// every process has an address of its own.
-fn meeting_place(listen: SocketAddr, handing: Handing) -> Option<PathBuf> {
-    let on = handing == Handing::On && listen.port() != 0;
+fn meeting_place(listen: SocketAddr, handing: HandoverMode) -> Option<PathBuf> {
+    let on = handing == HandoverMode::On && listen.port() != 0;
     on.then(|| std::env::temp_dir().join(format!("shorepath-{listen}.sock")))
 }
 
 /// Whether processes at one address hand the listening socket on to each other, by a Unix socket
 /// in `TMPDIR`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Handing {
+pub enum HandoverMode {
     /// A new process takes the socket of the one that serves, and hands it to the next.
     On,
     /// No Unix socket at all: where those are refused or nobody comes to them; a new process at a
@@ -55,30 +55,30 @@
 
 /// Who serves at an address.
 #[derive(Debug)]
-pub enum Found {
+pub enum PreviousProcess {
     /// A process that has handed its listening socket over.
-    Serving(Inheritance),
+    Serving(InheritedSockets),
     /// A process that has just ended, or ended long ago and left its name: the address may not be free yet.
     Ended,
     /// Nobody, or a process that hands nothing over.
-    Nobody,
+    Absent,
 }
 
 /// Be handed the listening socket, if there is a process that serves at that address.
-pub fn inherit(listen: SocketAddr, handing: Handing) -> Found {
-    let Some(place) = meeting_place(listen, handing) else { return Found::Nobody };
+pub fn inherit(listen: SocketAddr, handing: HandoverMode) -> PreviousProcess {
+    let Some(place) = meeting_place(listen, handing) else { return PreviousProcess::Absent };
     let link = match std::os::unix::net::UnixStream::connect(place) {
         Ok(link) => link,
-        Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => return Found::Ended,
-        Err(_) => return Found::Nobody,
+        Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => return PreviousProcess::Ended,
+        Err(_) => return PreviousProcess::Absent,
     };
     match receive(&link, listen) {
-        Ok(listener) => Found::Serving((listener, link)),
+        Ok(listener) => PreviousProcess::Serving((listener, link)),
         Err(e) => {
             warn!("the serving process hands nothing over: {e}");
             match e.kind() {
-                io::ErrorKind::ConnectionReset | io::ErrorKind::UnexpectedEof => Found::Ended,
-                _ => Found::Nobody,
+                io::ErrorKind::ConnectionReset | io::ErrorKind::UnexpectedEof => PreviousProcess::Ended,
+                _ => PreviousProcess::Absent,
             }
         }
     }
@@ -151,7 +151,7 @@
     pub fn new(
         frontend: Rc<Frontend>,
         deadlines: Rc<Deadlines>,
-        (listen, handing): (SocketAddr, Handing),
+        (listen, handing): (SocketAddr, HandoverMode),
         listener: Weak<TcpListener>,
         share: S,
     ) -> Self {
@@ -160,7 +160,7 @@
 
     /// Follow the process that has handed its socket over, if one has, and then hand it to the next,
     /// for as long as this one runs.
-    pub async fn follow(self, before: Option<std::os::unix::net::UnixStream>) {
+    pub async fn run(self, before: Option<std::os::unix::net::UnixStream>) {
         if let Some(link) = before {
             self.succeed(link).await;
         }
--- a/src/net/key_leases.rs
+++ b/src/net/key_leases.rs
@@ -217,7 +217,7 @@
     }
 
     /// For operators: a line for each range that is held.
-    pub fn state(&self) -> String {
+    pub fn status(&self) -> String {
         let (ownership, now) = (self.ownership.borrow(), self.now());
         let line = |(home, fence, until, adopted): (&str, Fence, Micros, bool)| {
             let (Fence { epoch, number }, left) = (fence, (until - now) / 1_000);
--- a/src/net/load_shifting.rs
+++ b/src/net/load_shifting.rs
@@ -110,7 +110,7 @@
 
     /// A field that an answer has, with its time: when a client that was not taken may come back, and that a guest's own site takes it
     /// again. Spread, so that clients do not come together.
-    pub fn extra_field(
+    pub fn response_field(
         &self,
         site_health: &SiteHealth,
         guest: Option<&str>,
@@ -131,7 +131,7 @@
     }
 
     /// For operators, a line each.
-    pub fn state(&self, exchange: &Exchange<Job>, now: Micros) -> String {
+    pub fn status(&self, exchange: &Exchange<Job>, now: Micros) -> String {
         let (load_shifting, mut text) = (self.load_shifting.borrow(), String::new());
         if let Some(part) = load_shifting.recovery_percent(now) {
             text += &format!("homecoming part={part}\n");
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -30,15 +30,15 @@
 use config::{Config, ConfigError};
 use deadlines::Deadlines;
 use exchange::Exchange;
-use fleet::{Fleet, ListCalls, Sharing, SharingError};
+use fleet::{DiscoveryCallLimit, Fleet, FleetError, FleetSettings};
 use frontend::{Claim, Frontend};
-pub use handover::Handing;
-use handover::{Found, Handover};
+pub use handover::HandoverMode;
+use handover::{Handover, PreviousProcess};
 use pool::{Buffer, Pool};
 use server_table::ServerTable;
 use shorepath_audit::audit_log::ChangeSource;
 use shorepath_audit::version::Item;
-use sites::{Sites, Siting, SitingError};
+use sites::{Sites, SitesError, SitesSettings};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -93,10 +93,10 @@
     Part(&'static str),
     /// The node can't take part in its fleet.
     #[error("{0}")]
-    Fleet(#[from] SharingError),
+    Fleet(#[from] FleetError),
     /// The node can't take part in its sites.
     #[error("{0}")]
-    Sites(#[from] SitingError),
+    Sites(#[from] SitesError),
     /// The system gave no runtime or no signals.
     #[error("can't start: {0}")]
     Start(#[from] std::io::Error),
@@ -143,9 +143,9 @@
 pub fn serve(
     startup: Startup,
     config: Config,
-    handing: Handing,
-    sharing: Option<Sharing>,
-    siting: Option<Siting>,
+    handing: HandoverMode,
+    sharing: Option<FleetSettings>,
+    siting: Option<SitesSettings>,
     again: impl Fn() -> Result<Config, ConfigError> + 'static,
 ) -> Result<(), ServeError> {
     let Startup { runtime, signals } = startup;
@@ -176,9 +176,14 @@
             match fleet.reload() {
                 Ok(version) => {
                     info!("file of budgets read again: version {version}");
-                    if let Some(auditing) = self.sites.as_ref().and_then(|s| s.auditing()) {
+                    if let Some(auditing) = self.sites.as_ref().and_then(|s| s.audit_recorder()) {
                         let (version, content) = fleet.version();
-                        auditing.took(Item::Budgets, content, Some(version), ChangeSource::Operator);
+                        auditing.record_version(
+                            Item::Budgets,
+                            content,
+                            Some(version),
+                            ChangeSource::Operator,
+                        );
                     }
                 }
                 Err(e) => warn!("the old file of budgets stays: {e}"),
@@ -199,8 +204,8 @@
         if renewed.is_reconfigured {
             info!("new settings hold");
             self.exchange.reconfigure(self.config.setup.clone());
-            if let Some(auditing) = self.sites.as_ref().and_then(|s| s.auditing()) {
-                auditing.took(Item::Settings, self.config.settings, None, ChangeSource::Operator);
+            if let Some(auditing) = self.sites.as_ref().and_then(|s| s.audit_recorder()) {
+                auditing.record_version(Item::Settings, self.config.settings, None, ChangeSource::Operator);
             }
             self.backend.bound(Bounds::of(&self.config, self.exchange.parts()));
         }
@@ -235,20 +240,20 @@
 async fn run(
     signals: Signals,
     mut config: Config,
-    handing: Handing,
-    sharing: Option<Sharing>,
-    siting: Option<Siting>,
+    handing: HandoverMode,
+    sharing: Option<FleetSettings>,
+    siting: Option<SitesSettings>,
     again: impl Fn() -> Result<Config, ConfigError> + 'static,
 ) -> Result<(), ServeError> {
     // A process that replaces another has a door of its own, or nobody could ask it whether it is ready.
     // Guards deployments without doors, which may refuse Unix sockets, against being handed one.
     // Nor can two processes share what a site keeps on its disk.
-    let handing = if config.mgmt.is_some() && siting.is_none() { handing } else { Handing::Off };
+    let handing = if config.mgmt.is_some() && siting.is_none() { handing } else { HandoverMode::Off };
     let Signals { mut hangup, mut terminate, mut interrupt } = signals;
     let (listener, before) = match handover::inherit(config.listen, handing) {
-        Found::Serving((listener, link)) => (TcpListener::from_std(listener)?, Some(link)),
-        Found::Ended => (listen_after(config.listen).await?, None),
-        Found::Nobody => (listen(config.listen).await?, None),
+        PreviousProcess::Serving((listener, link)) => (TcpListener::from_std(listener)?, Some(link)),
+        PreviousProcess::Ended => (listen_after(config.listen).await?, None),
+        PreviousProcess::Absent => (listen(config.listen).await?, None),
     };
     let listener = Rc::new(listener);
     let address = listener.local_addr()?;
@@ -265,7 +270,7 @@
     let backend = Backend::new(exchange.clone(), deadlines.clone(), pool.clone(), Bounds::of(&config, 1));
     let (discovery, notified) = watch::channel(config.discovery);
     let backoff = Backoff::new(config.seed, config.setup.polling_nodes(), Instant::now());
-    let lists = Rc::new(ListCalls::default());
+    let lists = Rc::new(DiscoveryCallLimit::default());
     let limits = config.limits;
     // Its own: what clients hold of the node's buffers must not keep a list out.
     let of_lists = Rc::new(Pool::new(limits.messages()));
@@ -301,16 +306,16 @@
                 Sites::new(&config.name, siting, exchange.clone(), deadlines, fleet.as_deref())?;
             frontend.among(sites.clone());
             exchange.record(sites.clone());
-            if let Some((last, kept)) = sites.list() {
+            if let Some((last, kept)) = sites.last_list() {
                 table.keep(last, kept.filter(|_| config.known.is_empty()));
             }
-            if let Some(auditing) = sites.auditing() {
-                auditing.took(Item::Program, auditing::program(), None, ChangeSource::Start);
-                auditing.took(Item::Settings, config.settings, None, ChangeSource::Start);
+            if let Some(auditing) = sites.audit_recorder() {
+                auditing.record_version(Item::Program, auditing::program_hash(), None, ChangeSource::Start);
+                auditing.record_version(Item::Settings, config.settings, None, ChangeSource::Start);
                 if let Some((version, content)) = fleet.as_ref().map(|f| f.version()) {
-                    auditing.took(Item::Budgets, content, Some(version), ChangeSource::Start);
+                    auditing.record_version(Item::Budgets, content, Some(version), ChangeSource::Start);
                 }
-                auditing.begin();
+                auditing.start();
                 exchange.audit(auditing.clone());
             }
             Some((sites, written))
@@ -342,7 +347,7 @@
             frontend.accept(listener).await
         }
     });
-    let handover = spawn_local(handover.follow(before));
+    let handover = spawn_local(handover.run(before));
     let admin = spawn_local({
         let admin =
             AdminServer::new(frontend.clone(), deadlines.clone(), sites.as_ref().map(|s| s.0.clone()));
@@ -357,7 +362,7 @@
         warn!("the system allows {most} descriptors, fewer than 'limits.sockets': the node keeps to these");
     }
     info!("{} serves on {address}", config.name);
-    let takes_part = fleet.clone().map(|fleet| spawn_local(fleet.follow()));
+    let takes_part = fleet.clone().map(|fleet| spawn_local(fleet.run()));
     let takes_part = async {
         match takes_part {
             Some(part) => drop(part.await),
@@ -365,7 +370,7 @@
         }
     };
     let read_again = sites.as_ref().map(|s| s.0.clone());
-    let among_sites = sites.map(|(sites, written)| spawn_local(sites.follow(written)));
+    let among_sites = sites.map(|(sites, written)| spawn_local(sites.run(written)));
     let among_sites = async {
         match among_sites {
             Some(part) => drop(part.await),
--- a/src/net/placing.rs
+++ b/src/net/placing.rs
@@ -5,7 +5,7 @@
 mod startup;
 
 use super::exchange::{DispatchId, Ran};
-use super::sites::Written;
+use super::sites::DiskEvent;
 use shorepath_placements::anti_entropy::Exchange;
 use shorepath_placements::history::History;
 use shorepath_placements::idempotency_index::{IdempotencyIndex, KeyState};
@@ -29,7 +29,7 @@
 
 /// The log of this node, what is known of others', and of keys.
 #[derive(Debug)]
-pub struct Placing {
+pub struct Placements {
     log: Log,
     copies: Copies,
     history: RefCell<History>,
@@ -60,7 +60,7 @@
     shows: Cell<bool>,
     /// The last own entry that was shown.
     shown: Cell<u64>,
-    writes: mpsc::UnboundedSender<Written>,
+    writes: mpsc::UnboundedSender<DiskEvent>,
 }
 
 /// What is new of a log is known of keys, too.
@@ -77,9 +77,9 @@
     }
 }
 
-impl Placing {
+impl Placements {
     /// Open the log of the node of that name and site; a new one gets the number `drawn`, which is this life's as well. What was on its
-    /// way when the last process ended may have run. For `group` see [`Placing::meet`].
+    /// way when the last process ended may have run. For `group` see [`Placements::meet`].
     ///
     /// # Errors
     /// The log is another node's, is damaged, or its disk fails.
@@ -88,8 +88,8 @@
         group_commit: Arc<GroupCommit>,
         (site, node): (&str, &str),
         (drawn, now, group): (u64, Micros, Micros),
-        writes: mpsc::UnboundedSender<Written>,
-    ) -> Result<Placing, LogError> {
+        writes: mpsc::UnboundedSender<DiskEvent>,
+    ) -> Result<Placements, LogError> {
         let log = Log::open(store.clone(), group_commit.clone(), site, node, drawn)?;
         let mut history = History::new();
         let copies = Copies::restore(&store, group_commit, &mut history)?;
@@ -102,7 +102,7 @@
                 open.len()
             );
         }
-        let placing = Placing {
+        let placing = Placements {
             log,
             copies,
             history: RefCell::new(history),
@@ -199,7 +199,7 @@
         }
     }
 
-    /// When [`Placing::pass`] is wanted at the latest.
+    /// When [`Placements::pass`] is wanted at the latest.
     pub fn due(&self, now: Micros) -> Option<Micros> {
         let waits = self.waits.get() || self.log.durable().0 > self.shown.get();
         let goes = (waits && !self.flushes.get()).then_some(self.next.get());
@@ -207,7 +207,7 @@
         self.exchanges.borrow().values().map(Exchange::due).chain(goes).chain(shows).min()
     }
 
-    /// When [`Placing::reconcile`] is wanted.
+    /// When [`Placements::reconcile`] is wanted.
     pub fn more(&self) -> Option<Micros> {
         self.more.get()
     }
@@ -297,20 +297,20 @@
             return true;
         }
         if !self.asked() {
-            let _ = self.writes.send(Written::Refused(id, "partners were not asked yet".to_string()));
+            let _ = self.writes.send(DiskEvent::Refused(id, "partners were not asked yet".to_string()));
             return false;
         }
         let writes = self.writes.clone();
         let appended = self.log.append(&timed, move |done| {
             // Nobody hears it where the node ends.
-            let _ = writes.send(Written::Placed(id, done.map(|_| ())));
+            let _ = writes.send(DiskEvent::Placed(id, done.map(|_| ())));
         });
         match appended {
             Ok(number) => {
                 self.keys.borrow_mut().apply_entry(&self.log.writer(), number, &timed.entry);
                 self.out.borrow_mut().insert(id, PlacementRef::Written(number));
             }
-            Err(e) => drop(self.writes.send(Written::Placed(id, Err(e)))),
+            Err(e) => drop(self.writes.send(DiskEvent::Placed(id, Err(e)))),
         }
         false
     }
@@ -356,12 +356,12 @@
                 warn!("placements: {e}");
             }
             // Nobody hears it where the node ends.
-            let _ = writes.send(Written::Flushed);
+            let _ = writes.send(DiskEvent::Flushed);
         });
     }
 
     /// For operators: the log's last entry, how many keys are remembered, what went unrecorded, and what stands for all that is known.
-    pub fn state(&self) -> String {
+    pub fn status(&self) -> String {
         let (last, keys) = (self.log.durable().0, self.keys.borrow().len());
         let history = self.history.borrow();
         let all: u64 = history.latest_points().values().map(|point| point.0).sum();
--- a/src/net/placing/exchange.rs
+++ b/src/net/placing/exchange.rs
@@ -1,6 +1,6 @@
 //! What peers and this node exchange of their logs.
 
-use super::{feed, Placing};
+use super::{feed, Placements};
 use shorepath_placements::anti_entropy::{Exchange, Message, Settings};
 use shorepath_placements::log::LogError;
 use shorepath_quota::Micros;
@@ -10,7 +10,7 @@
 /// Words of that many bytes together go in one datagram, each after its length.
 const TOGETHER: usize = 1_200;
 
-impl Placing {
+impl Placements {
     /// Exchange with these from now on; each gets from another what the nodes beside it write, by site and name. What is to be written and
     /// shown waits for what comes in so long.
     pub fn meet(&self, peers: Vec<(u32, BTreeSet<(String, String)>)>, group: Micros, now: Micros) {
--- a/src/net/placing/startup.rs
+++ b/src/net/placing/startup.rs
@@ -1,6 +1,6 @@
 //! The start of a log: what peers know of it, and what they are asked before anything is written.
 
-use super::Placing;
+use super::Placements;
 use shorepath_placements::anti_entropy::Exchange;
 use shorepath_placements::log::LogError;
 use shorepath_placements::log_recovery::{LogOutcome, PlacementRef};
@@ -9,7 +9,7 @@
 use shorepath_store::Op;
 use tracing::{info, warn};
 
-impl Placing {
+impl Placements {
     /// See what partners say of this node's own log before anything is written to it: where they know more of it than the disk does,
     /// an older disk was put back.
     pub(super) fn ask(&self, writer: &Writer, now: Micros) {
--- a/src/net/recovering.rs
+++ b/src/net/recovering.rs
@@ -47,7 +47,7 @@
 
 /// What the steps go by beside the disk and the peers.
 #[derive(Clone, Copy, Debug)]
-pub struct Facts {
+pub struct RecoveryInputs {
     /// There are servers to send to.
     pub servers: bool,
     /// Partners have said what they know of this node's own log, as far as is waited for.
@@ -62,7 +62,7 @@
 
 /// Another node's life that this one was asked to remember.
 #[derive(Debug)]
-pub struct Claimed {
+pub struct SavedIncarnation {
     node: u32,
     life: DiskIncarnation,
     done: Result<(), Arc<StoreError>>,
@@ -70,7 +70,7 @@
 
 /// A node on its way back.
 #[derive(Debug)]
-pub struct Recovering {
+pub struct NodeRecovery {
     name: String,
     me: DiskIncarnation,
     back: RefCell<Recovery>,
@@ -94,7 +94,7 @@
     /// All lost power; unknown until peers have answered.
     all_lost: Cell<Option<bool>>,
     group_commit: Arc<GroupCommit>,
-    claims: mpsc::UnboundedSender<Claimed>,
+    claims: mpsc::UnboundedSender<SavedIncarnation>,
     /// Discovery's list as it stands, and how old the one is that the disk had and this life began with.
     list: Rc<LastList>,
     begins_with: Cell<Option<Micros>>,
@@ -102,7 +102,7 @@
     marked: Arc<AtomicBool>,
 }
 
-impl Recovering {
+impl NodeRecovery {
     /// Begin with what that store holds of the node of that name; a process's number is `drawn` by chance, and a new disk's as well. What
     /// the disk has written of other nodes is told to them; what it has done is told by `claims`.
     ///
@@ -113,8 +113,8 @@
         clause: &RecoveryConfig,
         (store, group_commit): (&Store, Arc<GroupCommit>),
         (drawn, now, unix): (u64, Micros, Micros),
-        claims: mpsc::UnboundedSender<Claimed>,
-    ) -> Result<Recovering, StoreError> {
+        claims: mpsc::UnboundedSender<SavedIncarnation>,
+    ) -> Result<NodeRecovery, StoreError> {
         let before = store.fact::<Own>(IDENTITY)?;
         let written = store.fact::<Micros>(WRITTEN)?;
         let mut own =
@@ -136,7 +136,7 @@
         let me = DiskIncarnation { disk: own.disk, boots: own.boots, process: drawn };
         let mut back = Recovery::new(clause.limits(), now);
         let moved = back.observe(Observation::DiskRead(disk), now);
-        let recovering = Recovering {
+        let recovering = NodeRecovery {
             name: name.to_string(),
             me,
             back: RefCell::new(back),
@@ -230,7 +230,7 @@
         });
     }
 
-    fn judge(&self, facts: Facts, now: Micros) {
+    fn judge(&self, facts: RecoveryInputs, now: Micros) {
         if self.excused.get() || !self.counted {
             return;
         }
@@ -255,7 +255,7 @@
     }
 
     /// Time has passed, or something has changed. Whether it is known from now on that all have lost power.
-    pub fn pass(&self, facts: Facts, now: Micros, unix: Micros) -> bool {
+    pub fn pass(&self, facts: RecoveryInputs, now: Micros, unix: Micros) -> bool {
         self.judge(facts, now);
         if facts.complete && self.peers.borrow().all_confirmed() {
             self.learn(Observation::PeersReplied, now);
@@ -318,7 +318,7 @@
                 let claims = self.claims.clone();
                 self.group_commit.commit(vec![Op::remember(format!("{PEER}{from}"), &life)], move |done| {
                     // Nobody hears it where the node ends.
-                    let _ = claims.send(Claimed { node: from, life, done });
+                    let _ = claims.send(SavedIncarnation { node: from, life, done });
                 });
                 return;
             }
@@ -328,8 +328,8 @@
     }
 
     /// The disk has another node's life, or not.
-    pub fn claimed(&self, claimed: Claimed, now: Micros) {
-        let Claimed { node, life, done } = claimed;
+    pub fn claimed(&self, claimed: SavedIncarnation, now: Micros) {
+        let SavedIncarnation { node, life, done } = claimed;
         match done {
             Ok(()) => drop(self.lives.borrow_mut().insert(node, (life, Some(now)))),
             Err(e) => warn!("recovery: another node's life is not on the disk: {e}"),
@@ -404,7 +404,7 @@
     }
 
     /// For operators, a line each; `name` tells a node's name by its number.
-    pub fn state(&self, name: impl Fn(u32) -> String, now: Micros) -> String {
+    pub fn status(&self, name: impl Fn(u32) -> String, now: Micros) -> String {
         let (step, admits) = (self.back.borrow().phase(), self.admits());
         let mut text =
             format!("step \"{step}\" for_ms={} admits={admits:?}\n", (now - self.since.get()) / 1_000);
--- a/src/net/server_table.rs
+++ b/src/net/server_table.rs
@@ -5,7 +5,7 @@
 use super::codec::{ClientCodec, Outgoing, Piece, ReadError};
 use super::deadlines::Deadlines;
 use super::exchange::{Exchange, Server};
-use super::fleet::ListCalls;
+use super::fleet::DiscoveryCallLimit;
 use super::objects::Objects;
 use super::pool::Pool;
 use super::{turn, Job};
@@ -163,7 +163,7 @@
     pool: Rc<Pool>,
     discovery: watch::Receiver<SocketAddr>,
     backoff: Backoff,
-    calls: Rc<ListCalls>,
+    calls: Rc<DiscoveryCallLimit>,
     /// Where the list as it stands is noted, if it is kept.
     last: Option<Rc<LastList>>,
     /// It has begun with one that was kept.
@@ -194,7 +194,7 @@
         pool: Rc<Pool>,
         discovery: watch::Receiver<SocketAddr>,
         backoff: Backoff,
-        calls: Rc<ListCalls>,
+        calls: Rc<DiscoveryCallLimit>,
     ) -> Self {
         ServerTable { exchange, deadlines, pool, discovery, backoff, calls, last: None, begins: false }
     }
@@ -278,7 +278,7 @@
     }
 
     async fn watch(&self, discovery: SocketAddr, held: &mut Held) -> CloseReason {
-        self.calls.take(&self.deadlines).await;
+        self.calls.acquire(&self.deadlines).await;
         held.begun = Some(Instant::now());
         let stream = tokio::select! {
             biased;
--- a/src/net/sites.rs
+++ b/src/net/sites.rs
@@ -11,20 +11,20 @@
 mod transport;
 
 use super::answers::Answers;
-use super::auditing::Auditing;
+use super::auditing::AuditRecorder;
 use super::deadlines::Deadlines;
 use super::exchange::Exchange;
 use super::fleet::Fleet;
 use super::key_leases::KeyLeases;
 use super::load_shifting::Spillover;
-use super::placing::Placing;
-use super::recovering::{Claimed, Facts, Recovering};
+use super::placing::Placements;
+use super::recovering::{NodeRecovery, RecoveryInputs, SavedIncarnation};
 use super::server_table::Listing;
 use super::Job;
-pub use admission::{Mark, Rejection};
-pub use config::{Siting, SitingError};
+pub use admission::{Rejection, RequestAdmission};
+pub use config::{SitesError, SitesSettings};
 use persistence::uses;
-pub use persistence::Written;
+pub use persistence::DiskEvent;
 use shorepath_accounts::admission::{CreditBalances, Now};
 use shorepath_accounts::credit::{CreditBalance, NodeCredit};
 use shorepath_accounts::freshness::Confirmation;
@@ -82,7 +82,7 @@
 #[derive(Debug)]
 pub struct Sites {
     name: String,
-    siting: RefCell<Siting>,
+    siting: RefCell<SitesSettings>,
     exchange: Rc<Exchange<Job>>,
     deadlines: Rc<Deadlines>,
     origin: Instant,
@@ -99,9 +99,9 @@
     taken: RefCell<AcceptedRequests>,
     balances: RefCell<CreditBalances>,
     confirmation: Cell<Confirmation>,
-    placing: Placing,
+    placing: Placements,
     /// What is written down of versions and decisions, where the file says so.
-    auditing: Option<Rc<Auditing>>,
+    auditing: Option<Rc<AuditRecorder>>,
     /// Who is home to keys, where the fleet's budgets say.
     key_leases: Option<Rc<KeyLeases>>,
     /// What the disk has of homes, what is on its way there, and what is to be said of them.
@@ -112,7 +112,7 @@
     sealed_at: Cell<Micros>,
     chance: RefCell<oorandom::Rand64>,
     group_commit: Arc<GroupCommit>,
-    writes: mpsc::UnboundedSender<Written>,
+    writes: mpsc::UnboundedSender<DiskEvent>,
     /// Purses of which a note is on its way to the disk.
     writing: RefCell<Vec<String>>,
     /// What the disk had of the book when it was last written.
@@ -124,8 +124,8 @@
     /// There is something new to say.
     woken: Notify,
     /// The way back from a loss of power, and what the disk has done of it.
-    recovering: Option<Recovering>,
-    claimed: RefCell<Option<mpsc::UnboundedReceiver<Claimed>>>,
+    recovering: Option<NodeRecovery>,
+    claimed: RefCell<Option<mpsc::UnboundedReceiver<SavedIncarnation>>>,
     /// The list that the disk has, to begin with.
     last_list: RefCell<Option<Listing>>,
     /// Final answers that are kept, where the way back is switched on.
@@ -137,20 +137,20 @@
 }
 
 impl Sites {
-    /// Take part as the node of that name; and what tells of its disk, for [`Sites::follow`].
+    /// Take part as the node of that name; and what tells of its disk, for [`Sites::run`].
     pub fn new(
         name: &str,
-        siting: Siting,
+        siting: SitesSettings,
         exchange: Rc<Exchange<Job>>,
         deadlines: Rc<Deadlines>,
         fleet: Option<&Fleet>,
-    ) -> Result<(Rc<Self>, mpsc::UnboundedReceiver<Written>), SitingError> {
+    ) -> Result<(Rc<Self>, mpsc::UnboundedReceiver<DiskEvent>), SitesError> {
         let Opened { chance, now, store, group_commit, used, spread, balances, kept, ownership_kept } =
             startup::open(name, &siting)?;
         let me = NodeId::of(name).0;
         let key_leases = fleet.filter(|f| f.has_ownership_quotas()).map(|fleet| {
             let key_leases = Rc::new(KeyLeases::new(me, &siting.plan, &ownership_kept, fleet.clock()));
-            fleet.home(key_leases.clone());
+            fleet.set_key_leases(key_leases.clone());
             key_leases
         });
         let site_health = SiteHealth::new(me, &siting.plan, chance, now)?;
@@ -216,17 +216,17 @@
     }
 
     /// What is written down of versions and decisions, where the file says so.
-    pub fn auditing(&self) -> Option<&Rc<Auditing>> {
+    pub fn audit_recorder(&self) -> Option<&Rc<AuditRecorder>> {
         self.auditing.as_ref()
     }
 
     fn audit(&self, why: ChangeSource) {
         let Some(auditing) = &self.auditing else { return };
         let siting = self.siting.borrow();
-        auditing.took(Item::Sites, siting.content, Some(siting.plan.version), why);
+        auditing.record_version(Item::Sites, siting.content, Some(siting.plan.version), why);
         let (spread, content) = (self.spread.borrow(), |n: u64| ContentHash::of_number(n));
         let book = spread.registry();
-        auditing.took(Item::Accounts, content(book.hash()), Some(book.newest_number()), why);
+        auditing.record_version(Item::Accounts, content(book.hash()), Some(book.newest_number()), why);
     }
 
     fn now(&self) -> Micros {
@@ -246,12 +246,12 @@
     }
 
     /// Read the files again. Ones that can't be used change nothing.
-    pub fn reload(&self) -> Result<u64, SitingError> {
+    pub fn reload(&self) -> Result<u64, SitesError> {
         let (path, state, skew) = {
             let siting = self.siting.borrow();
             (siting.path.clone(), siting.state.clone(), siting.skew)
         };
-        let newer = Siting::read(path, state, &self.name, skew)?;
+        let newer = SitesSettings::read(path, state, &self.name, skew)?;
         newer.may_hold(&self.used.borrow())?;
         let now = self.now();
         let me = NodeId::of(&self.name).0;
@@ -303,7 +303,7 @@
     }
 
     /// Take part for as long as the node runs.
-    pub async fn follow(self: Rc<Self>, mut written: mpsc::UnboundedReceiver<Written>) {
+    pub async fn run(self: Rc<Self>, mut written: mpsc::UnboundedReceiver<DiskEvent>) {
         let mut buffer = vec![0; LARGEST];
         // Taken once: nobody else follows.
         let mut claimed = self.claimed.take().unwrap_or_else(|| mpsc::unbounded_channel().1);
@@ -419,7 +419,7 @@
     /// Go on with the way back.
     fn recover(&self, now: Micros) {
         let Some(recovering) = &self.recovering else { return };
-        let facts = Facts {
+        let facts = RecoveryInputs {
             servers: self.exchange.has_servers(),
             asked: self.placing.asked(),
             complete: self.placing.complete(),
--- a/src/net/sites/accounts.rs
+++ b/src/net/sites/accounts.rs
@@ -1,6 +1,6 @@
 //! Accounts and credit: what follows from files of accounts and from what all sites have placed.
 
-use super::persistence::Written;
+use super::persistence::DiskEvent;
 use super::{unix, Sites, BOOK, CREDIT_BALANCE};
 use shorepath_accounts::credit::CreditRecord;
 use shorepath_accounts::registry::RegistryUpdate;
@@ -62,7 +62,7 @@
                         vec![Op::remember(format!("{CREDIT_BALANCE}{tenant}"), &note)],
                         move |done| {
                             // Nobody hears it where the node ends.
-                            let _ = writes.send(Written::Credit(tenant, note, done));
+                            let _ = writes.send(DiskEvent::Credit(tenant, note, done));
                         },
                     );
                 }
--- a/src/net/sites/admission.rs
+++ b/src/net/sites/admission.rs
@@ -1,8 +1,8 @@
 //! Whether a request is accepted, as far as its account, its site and its key go, and what becomes of it.
 
-use super::persistence::Written;
+use super::persistence::DiskEvent;
 use super::{unix, Sites, TAKEN_FOR};
-use crate::net::answers::Keeping;
+use crate::net::answers::PendingAnswer;
 use crate::net::exchange::{Attempt, DispatchId, Ran, Recorder, ResponseOutcome, Source};
 use crate::net::Job;
 use shorepath_accounts::admission::{refusal, restrictions, Refusal};
@@ -24,7 +24,7 @@
 
 /// A request as far as its account goes.
 #[derive(Debug)]
-pub struct Mark {
+pub struct RequestAdmission {
     pub(super) sites: Rc<Sites>,
     pub(super) tenant: String,
     pub(super) key: Option<Key>,
@@ -55,14 +55,14 @@
 
 impl Sites {
     /// What a request is to the work of its account, before it is taken.
-    pub fn mark(self: &Rc<Self>, class: ClassId, job: &Job) -> (WorkState, Option<Mark>) {
+    pub fn admit(self: &Rc<Self>, class: ClassId, job: &Job) -> (WorkState, Option<RequestAdmission>) {
         let (id, now) = (&*job.id, self.now());
         let tenant = job.tenant.clone().unwrap_or_default();
         let key = Key::of(job.repeat_key.as_deref(), Some(id));
         let begun = self.taken.borrow().contains(&tenant, key.as_ref(), now);
         let guest = self.spillover.guest(&self.site_health.borrow(), class, job);
         let mut rejection = self.rejection_for(class, job.repeat_key.as_deref().unwrap_or(id));
-        // Those that are sent away on the way back are told by chance when to come, see [`Mark::extra_field`].
+        // Those that are sent away on the way back are told by chance when to come, see [`RequestAdmission::response_field`].
         let waits = self.recovering.as_ref().is_some_and(|r| r.admits() != Admits::All);
         let again = rejection.as_mut().filter(|b| waits && b.retry);
         let recovers = again.is_some();
@@ -77,7 +77,7 @@
             .map(|_| (self.exchange.class_name(class), job.repeat_key.as_deref().unwrap_or(id).to_string()));
         (
             entry,
-            Some(Mark {
+            Some(RequestAdmission {
                 sites: self.clone(),
                 tenant,
                 key,
@@ -98,14 +98,14 @@
     }
 
     /// The final answer that a job's key was given here, by its status and body, where that is kept: it stays the one.
-    pub fn answered(&self, class: ClassId, job: &Job) -> Option<(u16, Vec<u8>)> {
+    pub fn stored_answer(&self, class: ClassId, job: &Job) -> Option<(u16, Vec<u8>)> {
         let answers = self.answers.as_ref().filter(|_| self.is_guarded(class))?;
         let (name, key) = (self.exchange.class_name(class), job.repeat_key.as_deref().unwrap_or(&job.id));
         // Most have never been placed, and the disk need not be asked.
         if self.placing.known(&name, key) == KeyState::Free {
             return None;
         }
-        answers.given(&name, job.tenant.as_deref(), key)
+        answers.get(&name, job.tenant.as_deref(), key)
     }
 
     /// Why a request is not to be taken, if it is not: the node is on its way back, or it must not run twice and may.
@@ -217,14 +217,14 @@
         // where the one before surely never ran, or may run again.
         if guarded && id.attempt == 0 && self.placing.known(class, &key) != KeyState::Free {
             // Nobody hears it where the node ends.
-            let _ = self.writes.send(Written::Refused(id, "its key was placed meanwhile".to_string()));
+            let _ = self.writes.send(DiskEvent::Refused(id, "its key was placed meanwhile".to_string()));
             return false;
         }
         if guarded && self.recovering.as_ref().is_some_and(|r| r.admits() != Admits::All) {
             // Nobody hears it where the node ends.
             let _ = self
                 .writes
-                .send(Written::Refused(id, "the node is back among those that recover".to_string()));
+                .send(DiskEvent::Refused(id, "the node is back among those that recover".to_string()));
             return false;
         }
         let fence = match &self.key_leases {
@@ -235,7 +235,7 @@
                 }
                 Err((refused, _)) => {
                     // Nobody hears it where the node ends.
-                    let _ = self.writes.send(Written::Refused(id, refused.to_string()));
+                    let _ = self.writes.send(DiskEvent::Refused(id, refused.to_string()));
                     return false;
                 }
             },
@@ -268,34 +268,34 @@
     }
 }
 
-impl Mark {
+impl RequestAdmission {
     /// Whether its client belongs to another site.
-    pub fn is_guest(&self) -> bool {
+    pub fn is_remote(&self) -> bool {
         self.guest.is_some()
     }
 
     /// A field that its answer has besides, with its time.
-    pub fn extra_field(&self, outcome: &ResponseOutcome) -> Option<(&'static str, Duration)> {
+    pub fn response_field(&self, outcome: &ResponseOutcome) -> Option<(&'static str, Duration)> {
         let Sites { spillover, site_health, .. } = &*self.sites;
         if self.recovers {
             return Some(("Retry-After", spillover.after(self.sites.now())));
         }
-        spillover.extra_field(&site_health.borrow(), self.guest.as_deref(), outcome, self.sites.now())
+        spillover.response_field(&site_health.borrow(), self.guest.as_deref(), outcome, self.sites.now())
     }
 
     /// Its final answer is on its way to the disk, where it has to be before the client has it: of what was sent to a server, and must
     /// not run twice.
-    pub fn keeps(&self, status: u16, body: &[u8]) -> Option<Keeping> {
+    pub fn store_answer(&self, status: u16, body: &[u8]) -> Option<PendingAnswer> {
         let ((class, key), answers) = (self.guards.as_ref()?, self.sites.answers.as_ref()?);
         if self.rejection.is_some() || self.sites.placing.known(class, key) == KeyState::Free {
             return None;
         }
         let tenant = Some(self.tenant.as_str()).filter(|t| !t.is_empty());
-        answers.keep((class, tenant, key), (status, body), unix())
+        answers.put((class, tenant, key), (status, body), unix())
     }
 
     /// The request was handed to the module; `barred` where it was turned away at once.
-    pub fn asked(&mut self, rejection: bool) {
+    pub fn record_submitted(&mut self, rejection: bool) {
         if rejection {
             return;
         }
@@ -310,7 +310,7 @@
     }
 
     /// It has its final answer; why, where that is a bar.
-    pub fn over(self, outcome: &ResponseOutcome) -> Option<Rejection> {
+    pub fn finish(self, outcome: &ResponseOutcome) -> Option<Rejection> {
         let now = self.sites.times();
         if matches!(outcome, ResponseOutcome::Shed { .. }) && self.new {
             // Nothing was begun: a repeat of it is new work, too.
--- a/src/net/sites/config.rs
+++ b/src/net/sites/config.rs
@@ -17,7 +17,7 @@
 
 /// What the node is told of sites.
 #[derive(Debug)]
-pub struct Siting {
+pub struct SitesSettings {
     /// The operator's file.
     pub(super) path: PathBuf,
     /// The folder on a disk that lasts.
@@ -33,7 +33,7 @@
 
 /// Why a node can't take part.
 #[derive(Debug, Error)]
-pub enum SitingError {
+pub enum SitesError {
     /// A file can't be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
@@ -107,16 +107,16 @@
     },
 }
 
-pub(super) fn text(path: &Path) -> Result<String, SitingError> {
+pub(super) fn text(path: &Path) -> Result<String, SitesError> {
     std::fs::read_to_string(path)
-        .map_err(|source| SitingError::Unreadable { path: path.to_path_buf(), source })
+        .map_err(|source| SitesError::Unreadable { path: path.to_path_buf(), source })
 }
 
 /// A file whose detached code, in the file beside it, has to be the fleet's.
-pub(super) fn signed(path: &Path, keys: &Keys) -> Result<String, SitingError> {
+pub(super) fn signed(path: &Path, keys: &Keys) -> Result<String, SitesError> {
     let held = text(path)?;
     let code = text(&beside(path))?;
-    let wrong = |source| SitingError::Code { path: path.to_path_buf(), source };
+    let wrong = |source| SitesError::Code { path: path.to_path_buf(), source };
     keys.verify_file(held.as_bytes(), &code).map_err(wrong)?;
     Ok(held)
 }
@@ -128,19 +128,24 @@
     PathBuf::from(name)
 }
 
-impl Siting {
+impl SitesSettings {
     /// Read the file of sites, in which a node of that name has to be listed, with the keys and the accounts that it names.
-    pub fn read(path: PathBuf, state: PathBuf, name: &str, skew: ClockSkew) -> Result<Siting, SitingError> {
+    pub fn read(
+        path: PathBuf,
+        state: PathBuf,
+        name: &str,
+        skew: ClockSkew,
+    ) -> Result<SitesSettings, SitesError> {
         let folder = path.parent().unwrap_or(Path::new("")).to_path_buf();
         let text_of_file = text(&path)?;
         let plan = shorepath_sites::config::read(&path.display().to_string(), &text_of_file)?;
         if plan.node_named(name).is_none() {
-            return Err(SitingError::Unlisted { path, name: name.to_string() });
+            return Err(SitesError::Unlisted { path, name: name.to_string() });
         }
         let key = plan.key_path(&folder);
-        let unusable = |source| SitingError::Keys { path: key.clone(), source };
+        let unusable = |source| SitesError::Keys { path: key.clone(), source };
         let mode = std::fs::metadata(&key).map(|m| m.permissions().mode());
-        let mode = mode.map_err(|source| SitingError::Unreadable { path: key.clone(), source })?;
+        let mode = mode.map_err(|source| SitesError::Unreadable { path: key.clone(), source })?;
         Keys::mode(mode).map_err(unusable)?;
         let keys = Keys::read(&text(&key)?).map_err(unusable)?;
         // Whoever may declare a site lost may have others adopt its keys.
@@ -152,7 +157,7 @@
             None => None,
         };
         let content = ContentHash::of(text_of_file.as_bytes());
-        Ok(Siting { path, state, plan, content, keys, accounts_file, skew })
+        Ok(SitesSettings { path, state, plan, content, keys, accounts_file, skew })
     }
 
     /// Unix time by the node's clock.
@@ -161,17 +166,17 @@
     }
 
     /// The file of sites.
-    pub fn plan(&self) -> &SitesConfig {
+    pub fn config(&self) -> &SitesConfig {
         &self.plan
     }
 
     /// Whether it may hold after those that were in force here.
-    pub(super) fn may_hold(&self, used: &ConfigHistory) -> Result<(), SitingError> {
-        used.check(&self.plan).map_err(|source| SitingError::Old { path: self.path.clone(), source })
+    pub(super) fn may_hold(&self, used: &ConfigHistory) -> Result<(), SitesError> {
+        used.check(&self.plan).map_err(|source| SitesError::Old { path: self.path.clone(), source })
     }
 
     /// Where the accounts stand that the authority's file names.
-    pub fn accounts(&self) -> impl Iterator<Item = (&str, &Change)> {
+    pub fn account_changes(&self) -> impl Iterator<Item = (&str, &Change)> {
         self.accounts_file.iter().flat_map(|d| &d.changes).map(|(name, change)| (name.as_str(), change))
     }
 }
--- a/src/net/sites/persistence.rs
+++ b/src/net/sites/persistence.rs
@@ -19,7 +19,7 @@
 
 /// What the disk has done.
 #[derive(Debug)]
-pub enum Written {
+pub enum DiskEvent {
     /// A note of a tenant's credit.
     Credit(String, CreditRecord, Result<(), Arc<StoreError>>),
     /// A placement that had to be there before it is sent.
@@ -50,24 +50,24 @@
 
 impl Sites {
     /// The disk has done something; whether the rest is to be looked at again.
-    pub(super) fn on_written(&self, written: Written) -> bool {
+    pub(super) fn on_written(&self, written: DiskEvent) -> bool {
         match written {
-            Written::Credit(tenant, note, done) => {
+            DiskEvent::Credit(tenant, note, done) => {
                 self.wrote(&tenant, note, done);
                 return true;
             }
-            Written::KeyOwnership(kept, done) => {
+            DiskEvent::KeyOwnership(kept, done) => {
                 self.on_ownership_written(kept, done);
                 return true;
             }
-            Written::Flushed => self.placing.flushed(),
-            Written::Placed(id, done) => self.on_placement_written(id, done),
-            Written::Refused(id, why) => {
+            DiskEvent::Flushed => self.placing.flushed(),
+            DiskEvent::Placed(id, done) => self.on_placement_written(id, done),
+            DiskEvent::Refused(id, why) => {
                 info!("a guarded job is denied: {why}");
                 self.exchange.recorded(id, false);
             }
-            Written::Reopened(done) => self.reopened(done),
-            Written::Resumed(done) => self.resumed(done),
+            DiskEvent::Reopened(done) => self.reopened(done),
+            DiskEvent::Resumed(done) => self.resumed(done),
         }
         false
     }
@@ -118,7 +118,7 @@
             let writes = self.writes.clone();
             self.group_commit.commit(vec![Op::remember(KEY_OWNERSHIP, &kept)], move |done| {
                 // Nobody hears it where the node ends.
-                let _ = writes.send(Written::KeyOwnership(kept, done));
+                let _ = writes.send(DiskEvent::KeyOwnership(kept, done));
             });
         }
     }
@@ -151,7 +151,7 @@
         self.reopens.set(None);
         let writes = self.writes.clone();
         // Nobody hears it where the node ends.
-        self.group_commit.reopen(move |done| drop(writes.send(Written::Reopened(done))));
+        self.group_commit.reopen(move |done| drop(writes.send(DiskEvent::Reopened(done))));
     }
 
     /// The store was opened again, and takes nothing yet: go on from what the disk has, and write first what has to be there.
@@ -182,7 +182,7 @@
         self.reopens.set(None);
         let writes = self.writes.clone();
         // Nobody hears it where the node ends.
-        self.group_commit.resume(ops, move |done| drop(writes.send(Written::Resumed(done))));
+        self.group_commit.resume(ops, move |done| drop(writes.send(DiskEvent::Resumed(done))));
     }
 
     pub(super) fn resumed(&self, done: Result<(), Arc<StoreError>>) {
--- a/src/net/sites/startup.rs
+++ b/src/net/sites/startup.rs
@@ -1,11 +1,11 @@
 //! What a node of sites begins with: its disk, and what the disk holds of accounts, keys, placements and recovery.
 
-use super::config::{Siting, SitingError};
-use super::persistence::{uses, Written};
+use super::config::{SitesError, SitesSettings};
+use super::persistence::{uses, DiskEvent};
 use super::{unix, ANSWERS, BOOK, CHUNK, CREDIT_BALANCE, KEY_OWNERSHIP, TAKEN, TAKEN_FOR, USED};
-use crate::net::auditing::Auditing;
-use crate::net::placing::Placing;
-use crate::net::recovering::{Claimed, Recovering};
+use crate::net::auditing::AuditRecorder;
+use crate::net::placing::Placements;
+use crate::net::recovering::{NodeRecovery, SavedIncarnation};
 use shorepath_accounts::admission::CreditBalances;
 use shorepath_accounts::credit::{CreditBalance, CreditRecord, NodeCredit};
 use shorepath_accounts::gossip;
@@ -40,14 +40,14 @@
     pub(super) ownership_kept: PersistedOwnership,
 }
 
-fn unusable(siting: &Siting) -> impl Fn(StoreError) -> SitingError + '_ {
-    |source| SitingError::Store { path: siting.state.clone(), source }
+fn unusable(siting: &SitesSettings) -> impl Fn(StoreError) -> SitesError + '_ {
+    |source| SitesError::Store { path: siting.state.clone(), source }
 }
 
 /// Open the disk of the node of that name, and take what it holds of accounts and keys.
-pub(super) fn open(name: &str, siting: &Siting) -> Result<Opened, SitingError> {
+pub(super) fn open(name: &str, siting: &SitesSettings) -> Result<Opened, SitesError> {
     let unusable = unusable(siting);
-    let chance = getrandom::u64().map_err(|e| SitingError::System(e.to_string()))?;
+    let chance = getrandom::u64().map_err(|e| SitesError::System(e.to_string()))?;
     let me = NodeId::of(name).0;
     let now = siting.skew.at(0);
     let answers = siting.plan.recover.as_ref().map_or(ANSWERS, |r| r.remember);
@@ -67,13 +67,13 @@
     let balances = balances(siting, &store, me).map_err(&unusable)?;
     let ownership_kept =
         store.fact::<PersistedOwnership>(KEY_OWNERSHIP).map_err(&unusable)?.unwrap_or_default();
-    let group_commit = GroupCommit::new(store.clone()).map_err(|e| SitingError::System(e.to_string()))?;
+    let group_commit = GroupCommit::new(store.clone()).map_err(|e| SitesError::System(e.to_string()))?;
     let group_commit = Arc::new(group_commit);
     Ok(Opened { chance, now, store, group_commit, used, spread, balances, kept, ownership_kept })
 }
 
 /// What the disk has of this node's part of each credit.
-fn balances(siting: &Siting, store: &Store, me: u32) -> Result<CreditBalances, StoreError> {
+fn balances(siting: &SitesSettings, store: &Store, me: u32) -> Result<CreditBalances, StoreError> {
     let mut balances = CreditBalances::new();
     for credit in siting.plan.credits.iter().filter_map(|c| siting.plan.credit_part(&c.tenant, me)) {
         let note = store.fact::<CreditRecord>(&format!("{CREDIT_BALANCE}{}", credit.tenant))?;
@@ -86,17 +86,17 @@
 /// The way back from a loss of power, where the file of sites switches it on.
 pub(super) fn recovering(
     name: &str,
-    siting: &Siting,
+    siting: &SitesSettings,
     (store, group_commit): &Disk,
     (chance, now): (u64, Micros),
-    claims: mpsc::UnboundedSender<Claimed>,
-) -> Result<Option<Recovering>, SitingError> {
+    claims: mpsc::UnboundedSender<SavedIncarnation>,
+) -> Result<Option<NodeRecovery>, SitesError> {
     let Some(clause) = &siting.plan.recover else { return Ok(None) };
     let unusable = unusable(siting);
     let me = NodeId::of(name).0;
     let disk = (&**store, group_commit.clone());
     let times = (chance, now, siting.wall());
-    let recovering = Recovering::open(name, clause, disk, times, claims).map_err(&unusable)?;
+    let recovering = NodeRecovery::open(name, clause, disk, times, claims).map_err(&unusable)?;
     let others = siting.plan.nodes().map(|(_, n)| n.number).filter(|n| *n != me);
     recovering.recall(store, others).map_err(&unusable)?;
     recovering.meet(&selected_peers(&siting.plan, me));
@@ -106,15 +106,15 @@
 /// The record of versions and decisions, where the file of sites has one.
 pub(super) fn auditing(
     name: &str,
-    siting: &Siting,
+    siting: &SitesSettings,
     disk: &Disk,
     chance: u64,
-) -> Result<Option<Rc<Auditing>>, SitingError> {
+) -> Result<Option<Rc<AuditRecorder>>, SitesError> {
     let Some(audit) = siting.plan.audit else { return Ok(None) };
     let mut key = [0; 16];
     key.copy_from_slice(&siting.keys.code(b"audit")[..16]);
     let node = (name, NodeId::of(name).0, chance);
-    let auditing = Auditing::open(disk.clone(), audit, node, key).map_err(unusable(siting))?;
+    let auditing = AuditRecorder::open(disk.clone(), audit, node, key).map_err(unusable(siting))?;
     auditing.meet(&siting.plan.nodes().map(|(_, n)| n.number).collect::<Vec<_>>());
     Ok(Some(auditing))
 }
@@ -122,18 +122,18 @@
 /// The log of placements of the node of that site and name.
 pub(super) fn placing(
     node: (&str, &str),
-    siting: &Siting,
+    siting: &SitesSettings,
     (store, group_commit): &Disk,
     (chance, now): (u64, Micros),
-    writes: mpsc::UnboundedSender<Written>,
-) -> Result<Placing, SitingError> {
+    writes: mpsc::UnboundedSender<DiskEvent>,
+) -> Result<Placements, SitesError> {
     let times = (chance, now, siting.plan.group);
-    let placing = Placing::open(store.clone(), group_commit.clone(), node, times, writes);
-    placing.map_err(|source| SitingError::Log { path: siting.state.clone(), source })
+    let placing = Placements::open(store.clone(), group_commit.clone(), node, times, writes);
+    placing.map_err(|source| SitesError::Log { path: siting.state.clone(), source })
 }
 
 /// What was taken lately, by what was placed: nobody knows any more whether a key was an idempotency key or a request's id.
-pub(super) fn taken(placing: &Placing, now: Micros) -> AcceptedRequests {
+pub(super) fn taken(placing: &Placements, now: Micros) -> AcceptedRequests {
     let mut taken = AcceptedRequests::new(TAKEN, TAKEN_FOR);
     placing.taken(unix() - TAKEN_FOR, |tenant, key, at| {
         let keys = [Key::Idempotency(key.to_string()), Key::Request(key.to_string())];
--- a/src/net/sites/status.rs
+++ b/src/net/sites/status.rs
@@ -8,27 +8,27 @@
 
 impl Sites {
     /// Where this node's record and others' versions stand, for operators; nothing where it is not switched on.
-    pub fn audited(&self) -> Option<String> {
+    pub fn audit_status(&self) -> Option<String> {
         let siting = self.siting.borrow();
         let name = |number: u32| siting.plan.node(number).map_or(number.to_string(), |n| n.name.clone());
-        self.auditing.as_ref().map(|a| a.state(name))
+        self.auditing.as_ref().map(|a| a.status(name))
     }
 
     /// Where discovery's list is noted on the way back, and the one that the disk has to begin with.
-    pub fn list(&self) -> Option<(Rc<LastList>, Option<Listing>)> {
+    pub fn last_list(&self) -> Option<(Rc<LastList>, Option<Listing>)> {
         self.recovering.as_ref().map(|r| (r.list(), self.last_list.take()))
     }
 
     /// What may be served on the way back, and what that waits for; nothing where no way back is switched on.
-    pub fn returns(&self) -> Option<(Admits, Option<&'static str>)> {
+    pub fn recovery_admission(&self) -> Option<(Admits, Option<&'static str>)> {
         self.recovering.as_ref().map(|r| (r.admits(), r.waits_for(self.now())))
     }
 
     /// The way back, for operators: a line each.
-    pub fn recovery(&self) -> Option<String> {
+    pub fn recovery_status(&self) -> Option<String> {
         let siting = self.siting.borrow();
         let name = |n: u32| siting.plan.node(n).map_or(n.to_string(), |n| n.name.clone());
-        self.recovering.as_ref().map(|r| r.state(name, self.now()))
+        self.recovering.as_ref().map(|r| r.status(name, self.now()))
     }
 
     /// An operator lets the way back go on.
@@ -41,13 +41,13 @@
     }
 
     /// Where sites stand as this node sees them, for operators: a line each.
-    pub fn state(&self) -> String {
+    pub fn status(&self) -> String {
         let mut text = format!("own {}\n", self.site_health.borrow().site());
         for (site, seen, since) in self.site_health.borrow().states() {
             let ms = (self.now() - since) / 1_000;
             text += &format!("site {site} {seen:?} for_ms={ms}\n");
         }
-        text += &self.spillover.state(&self.exchange, self.now());
+        text += &self.spillover.status(&self.exchange, self.now());
         let now = self.times();
         let standing = if now.unconfirmed_since.is_some() { "not confirmed" } else { "confirmed" };
         let spread = self.spread.borrow();
@@ -59,10 +59,10 @@
                 change.standing, change.number, change.reason
             );
         }
-        text += &self.placing.state();
+        text += &self.placing.status();
         text += "\n";
         if let Some(key_leases) = &self.key_leases {
-            text += &key_leases.state();
+            text += &key_leases.status();
         }
         for (tenant, balance) in self.balances.borrow().iter() {
             let CreditRecord { spent, debt, .. } = balance.current_record();
--- a/src/net/sites/transport.rs
+++ b/src/net/sites/transport.rs
@@ -1,7 +1,7 @@
 //! Datagrams between nodes of sites.
 
 use super::Sites;
-use crate::net::recovering::Recovering;
+use crate::net::recovering::NodeRecovery;
 use serde::{Deserialize, Serialize};
 use shorepath_accounts::gossip;
 use shorepath_message_auth::channel::{Dropped, Received};
@@ -74,7 +74,7 @@
             .map(|(to, message)| (to, SiteMessage::SiteHealth(message)));
         let ownership = std::mem::take(&mut *self.ownership_outgoing.borrow_mut());
         let ownership = ownership.into_iter().map(|(to, message)| (to, SiteMessage::KeyOwnership(message)));
-        let recovery = self.recovering.iter().flat_map(Recovering::take_outgoing);
+        let recovery = self.recovering.iter().flat_map(NodeRecovery::take_outgoing);
         let recovery = recovery.map(|(to, message)| (to, SiteMessage::Recovery(message)));
         let text = accounts
             .chain(site_health)
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -47,9 +47,9 @@
         let deadlines = Rc::new(Deadlines::default());
         let sweeping = deadlines.clone();
         tokio::task::spawn_local(async move { sweeping.sweep().await });
-        let keeping = answers.keep(("actuator-cmd", None, "k"), (200, b"1"), 0).unwrap();
+        let keeping = answers.put(("actuator-cmd", None, "k"), (200, b"1"), 0).unwrap();
         let begun = Instant::now();
-        keeping.done(&deadlines, begun + left).await;
+        keeping.stored(&deadlines, begun + left).await;
         begun.elapsed()
     });
     drop(gate);
@@ -70,10 +70,10 @@
     let answers = Answers::new(store, group_commit, &clause);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().unwrap();
     runtime.block_on(async {
-        let keeping = answers.keep(("actuator-cmd", None, "k"), (200, b"1"), 0).unwrap();
-        keeping.done(&Rc::default(), Instant::now() + ms(60_000)).await;
+        let keeping = answers.put(("actuator-cmd", None, "k"), (200, b"1"), 0).unwrap();
+        keeping.stored(&Rc::default(), Instant::now() + ms(60_000)).await;
     });
-    assert_eq!(answers.given("actuator-cmd", None, "k"), Some((200, b"1".to_vec())));
+    assert_eq!(answers.get("actuator-cmd", None, "k"), Some((200, b"1".to_vec())));
     drop(answers);
     std::fs::remove_dir_all(&folder).unwrap();
 }
