--- a/src/net/auditing.rs
+++ b/src/net/auditing.rs
@@ -64,7 +64,7 @@
     unrecorded: Cell<u64>,
 }
 
-fn unix() -> Micros {
+fn unix_micros() -> Micros {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as Micros
 }
 
@@ -184,7 +184,7 @@
             self.unrecorded.set(self.unrecorded.get() + 1);
             return;
         }
-        if let Err(e) = self.record.borrow_mut().append(&Timed { at: unix(), entry }) {
+        if let Err(e) = self.record.borrow_mut().append(&Timed { at: unix_micros(), entry }) {
             self.unrecorded.set(self.unrecorded.get() + 1);
             warn!("audit: an entry is not written down: {}", shorepath_message_auth::advice(&e));
         }
@@ -193,7 +193,7 @@
     /// That version is in force from now on.
     pub fn record_version(&self, item: Item, content: ContentHash, number: Option<u64>, why: ChangeSource) {
         let Some(taken) = self.vector.borrow_mut().set(item, content, number) else { return };
-        self.since.borrow_mut().insert(item, unix());
+        self.since.borrow_mut().insert(item, unix_micros());
         if !self.begun.get() {
             return;
         }
@@ -210,11 +210,11 @@
         let vector = self.vector.borrow().clone();
         info!("audit: record {:016x} goes on at {}", self.life.get(), self.record.borrow().head().number);
         self.note(Entry::ProcessStarted { vector });
-        self.pass();
+        self.tick();
     }
 
     /// Those are the nodes of the fleet.
-    pub fn meet(&self, nodes: &[u32]) {
+    pub fn set_peers(&self, nodes: &[u32]) {
         self.peers.borrow_mut().set_peers(nodes);
     }
 
@@ -223,7 +223,7 @@
         let (now, mut peers) = (self.now(), self.peers.borrow_mut());
         let on_disk = *self.on_disk.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(head) = on_disk {
-            peers.report(&self.vector.borrow(), self.life.get(), head, unix(), now);
+            peers.report(&self.vector.borrow(), self.life.get(), head, unix_micros(), now);
         }
         let messages = peers.take_outgoing(now).into_iter();
         messages
@@ -234,7 +234,7 @@
     }
 
     /// How long it has nothing to say, in microseconds.
-    pub fn quiet(&self) -> Micros {
+    pub fn time_until_due(&self) -> Micros {
         self.peers.borrow().due() - self.now()
     }
 
@@ -294,7 +294,7 @@
     }
 
     /// Have on the disk what is to be written down by now.
-    pub fn pass(&self) {
+    pub fn tick(&self) {
         let sums = self.meter.borrow_mut().take_due(self.now());
         sums.into_iter().for_each(|entry| self.note(entry));
         let Some(writing) = self.record.borrow_mut().take_pending() else { return };
@@ -338,7 +338,7 @@
         }
         for (item, version) in vector.iter() {
             let since = self.since.borrow().get(&item).copied();
-            let ms = since.map_or(0, |since| (unix() - since) / 1_000);
+            let ms = since.map_or(0, |since| (unix_micros() - since) / 1_000);
             text += &format!("{} {version} parent={} for_ms={ms}\n", item.name(), version.parent);
         }
         for (story, steers, since, received) in self.peers.borrow().nodes() {
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -1,6 +1,8 @@
-//! This node's place in a fleet that shares budgets: datagrams to and from dividers and other members, and the parts that
-//! follow from them for the module. What is said, when, and what may be used is decided in `shorepath-quota` and
-//! `shorepath-membership`; off where the operator names no file of budgets.
+//! Takes part in a fleet whose nodes share quotas.
+//!
+//! Carries datagrams between this node, the quota allocators and the other members, and applies the granted quotas to the
+//! scheduler. The protocols themselves are in `shorepath-quota` and `shorepath-membership`. Inactive when no budgets file is
+//! configured.
 
 mod config;
 mod list_calls;
@@ -29,173 +31,178 @@
 use tokio::sync::Notify;
 use tracing::{debug, info, warn};
 
-/// A datagram of the membership begins with this; one of the budgets with JSON.
-const MEMBERS: u8 = b'm';
-/// How often it looks at what was used, while anything is; and while nothing is.
-const LOOK: Duration = Duration::from_millis(50);
-/// See [`LOOK`].
-const IDLE: Duration = Duration::from_millis(250);
-/// How often it tries for its address while another process of this node has it.
-const BIND: Duration = Duration::from_millis(200);
-/// The largest datagram, in bytes.
-const LARGEST: usize = 64 * 1024;
+/// First byte of a membership datagram; a quota message is JSON and never starts with it.
+const MEMBERSHIP_TAG: u8 = b'm';
+/// Interval between usage reports while quota is being used.
+const BUSY_TICK: Duration = Duration::from_millis(50);
+/// Interval between usage reports while no quota is being used.
+const IDLE_TICK: Duration = Duration::from_millis(250);
+/// Interval between attempts to bind the node's address while another process of this node still owns it.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(200);
+const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
-/// Which life of its name a process is, for its envelopes and the membership: Unix microseconds at its start. It grows over restarts as long as the
-/// clock is not set back over one.
-fn unix() -> u64 {
+/// Returns the current Unix time in microseconds. The start time identifies this run of the process in message authentication
+/// and membership, so it must grow over restarts: the clock must not be set back across one.
+fn unix_micros() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
 }
 
-/// This node among the others.
+/// This node as a member of the fleet.
 #[derive(Debug)]
 pub struct Fleet {
     name: String,
-    sharing: RefCell<FleetSettings>,
+    settings: RefCell<FleetSettings>,
     exchange: Rc<Exchange<Job>>,
     frontend: Rc<Frontend>,
     deadlines: Rc<Deadlines>,
-    lists: Rc<DiscoveryCallLimit>,
+    discovery_limit: Rc<DiscoveryCallLimit>,
     origin: Instant,
     quota_client: RefCell<QuotaClient>,
-    members: RefCell<Membership>,
-    /// Who is home to keys, where the file has budgets for that and there are sites.
+    membership: RefCell<Membership>,
+    /// Leases of key ranges; `None` without sites or without quotas for key ranges.
     key_leases: RefCell<Option<Rc<KeyLeases>>>,
-    line: RefCell<Channel>,
-    /// The parts that the module was told.
-    notified: RefCell<Vec<QuotaShare>>,
-    /// Budgets of which there is no grant.
-    bare: RefCell<Vec<String>>,
-    /// Something was used or wanted since it last looked.
-    busy: Cell<bool>,
-    leaves: Notify,
-    left: Notify,
+    channel: RefCell<Channel>,
+    /// The quota shares that the scheduler was last given.
+    applied_shares: RefCell<Vec<QuotaShare>>,
+    /// Names of the quotas without a valid grant.
+    ungranted: RefCell<Vec<String>>,
+    /// Some quota was used or requested since the last tick.
+    recently_used: Cell<bool>,
+    leave_requested: Notify,
+    leave_done: Notify,
 }
 
 impl Fleet {
-    /// Take part as the node of that name.
+    /// Creates the fleet member `name` and applies the reserves, which are all that may be used before the first grant.
+    ///
+    /// # Errors
+    /// Fails if the operating system provides no random number.
     pub fn new(
         name: &str,
-        sharing: FleetSettings,
+        settings: FleetSettings,
         exchange: Rc<Exchange<Job>>,
         frontend: Rc<Frontend>,
         deadlines: Rc<Deadlines>,
-        lists: Rc<DiscoveryCallLimit>,
+        discovery_limit: Rc<DiscoveryCallLimit>,
     ) -> Result<Rc<Self>, FleetError> {
-        let chance = getrandom::u64().map_err(FleetError::Chance)?;
+        let seed = getrandom::u64().map_err(FleetError::Chance)?;
         let node = NodeId::of(name);
-        let now = sharing.skew.at(0);
-        let life = NodeIncarnation { node, incarnation: chance };
-        let plan = &sharing.plan;
-        let quota_client = QuotaClient::new(life, plan.clone(), chance as usize, now);
-        let begun = unix();
-        let peer = Peer { node: node.0, incarnation: begun };
-        let line = Channel::new(node.0, begun, &plan.fleet, sharing.keys.as_ref());
-        let all = plan.allocators.iter().chain(&plan.members).map(|p| NodeId::of(&p.name).0);
-        let members = Membership::new(peer, all.filter(|n| *n != node.0).collect(), chance, now);
+        let now = settings.skew.at(0);
+        let client = NodeIncarnation { node, incarnation: seed };
+        let plan = &settings.plan;
+        let quota_client = QuotaClient::new(client, plan.clone(), seed as usize, now);
+        let started_at = unix_micros();
+        let peer = Peer { node: node.0, incarnation: started_at };
+        let channel = Channel::new(node.0, started_at, &plan.fleet, settings.keys.as_ref());
+        let peers = plan.allocators.iter().chain(&plan.members).map(|process| NodeId::of(&process.name).0);
+        let membership = Membership::new(peer, peers.filter(|number| *number != node.0).collect(), seed, now);
         let fleet = Rc::new(Fleet {
             name: name.to_string(),
             exchange,
             frontend,
             deadlines,
-            lists,
+            discovery_limit,
             origin: Instant::now(),
             quota_client: RefCell::new(quota_client),
-            members: RefCell::new(members),
+            membership: RefCell::new(membership),
             key_leases: RefCell::default(),
-            line: RefCell::new(line),
-            notified: RefCell::default(),
-            bare: RefCell::default(),
-            busy: Cell::new(false),
-            leaves: Notify::new(),
-            left: Notify::new(),
-            sharing: RefCell::new(sharing),
+            channel: RefCell::new(channel),
+            applied_shares: RefCell::default(),
+            ungranted: RefCell::default(),
+            recently_used: Cell::new(false),
+            leave_requested: Notify::new(),
+            leave_done: Notify::new(),
+            settings: RefCell::new(settings),
         });
-        // Before the first client: nothing is used that was not granted.
-        fleet.hold(now);
+        // Runs before the first client is accepted, so that no ungranted quota is used.
+        fleet.apply_quotas(now);
         Ok(fleet)
     }
 
     fn now(&self) -> Micros {
-        self.sharing.borrow().skew.at(self.origin.elapsed().as_micros() as Micros)
+        self.settings.borrow().skew.at(self.origin.elapsed().as_micros() as Micros)
     }
 
-    /// The clock that grants are counted by.
+    /// Returns the origin and the skew of the clock that grant periods are measured with.
     pub fn clock(&self) -> (Instant, ClockSkew) {
-        (self.origin, self.sharing.borrow().skew)
+        (self.origin, self.settings.borrow().skew)
     }
 
-    /// Whether the file has budgets of homes.
+    /// Returns whether the budgets file has quotas that lease key ranges.
     pub fn has_ownership_quotas(&self) -> bool {
-        super::key_leases::named(&self.sharing.borrow().plan)
+        super::key_leases::has_home_quotas(&self.settings.borrow().plan)
     }
 
-    /// Leases of ranges of keys follow from its budgets from now on.
+    /// Keeps `key_leases` up to date with the grants from now on.
     pub fn set_key_leases(&self, key_leases: Rc<KeyLeases>) {
         self.key_leases.replace(Some(key_leases));
     }
 
-    /// What the seat goes by may have changed.
-    fn leased(&self) {
+    /// Passes the current grants on to the key leases.
+    fn update_key_leases(&self) {
         if let Some(key_leases) = &*self.key_leases.borrow() {
-            key_leases.leased(&self.quota_client.borrow());
+            key_leases.update_leases(&self.quota_client.borrow());
         }
     }
 
     fn address(&self) -> Option<SocketAddr> {
-        let sharing = self.sharing.borrow();
-        sharing.plan.members.iter().find(|m| m.name == self.name).map(|m| m.address)
+        let settings = self.settings.borrow();
+        settings.plan.members.iter().find(|m| m.name == self.name).map(|m| m.address)
     }
 
-    /// Which file of budgets is in force.
+    /// Returns the version number and the content hash of the budgets file in use.
     pub fn version(&self) -> (u64, ContentHash) {
-        let sharing = self.sharing.borrow();
-        (sharing.plan.version, sharing.content)
+        let settings = self.settings.borrow();
+        (settings.plan.version, settings.content)
     }
 
-    /// Read the operator's file again. One that can't be used changes nothing.
+    /// Reads the budgets file again and returns its version.
+    ///
+    /// # Errors
+    /// Fails if the file can't be used or changes `(drift-ppm)`; the previous file then stays in use.
     pub fn reload(&self) -> Result<u64, FleetError> {
         let (path, skew) = {
-            let sharing = self.sharing.borrow();
-            (sharing.path.clone(), sharing.skew)
+            let settings = self.settings.borrow();
+            (settings.path.clone(), settings.skew)
         };
         let newer = FleetSettings::read(path, &self.name, skew)?;
-        if newer.plan.drift_ppm != self.sharing.borrow().plan.drift_ppm {
+        if newer.plan.drift_ppm != self.settings.borrow().plan.drift_ppm {
             return Err(FleetError::Drift { path: newer.path });
         }
         let version = newer.plan.version;
         self.log_rejected();
-        self.line.borrow_mut().set(unix(), &newer.plan.fleet, newer.keys.as_ref());
+        self.channel.borrow_mut().set(unix_micros(), &newer.plan.fleet, newer.keys.as_ref());
         self.quota_client.borrow_mut().replan(newer.plan.clone(), self.now());
-        self.leased();
-        self.sharing.replace(newer);
+        self.update_key_leases();
+        self.settings.replace(newer);
         Ok(version)
     }
 
-    /// How many datagrams were dropped, if any were.
+    /// Logs how many datagrams were dropped so far, by reason.
     fn log_rejected(&self) {
-        for (why, count) in self.line.borrow().counts() {
+        for (why, count) in self.channel.borrow().counts() {
             info!("{count} datagrams dropped so far: {why}");
         }
     }
 
-    /// Take part for as long as the node runs.
+    /// Exchanges messages with the allocators and members until the node stops.
     pub async fn run(self: Rc<Self>) {
         let mut socket: Option<UdpSocket> = None;
-        let (mut owns, mut tried) = (false, None::<Instant>);
-        let mut buffer = vec![0; LARGEST];
+        let (mut owns_address, mut last_bind) = (false, None::<Instant>);
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let replaced = self.frontend.ready() == Err("replaced");
-            if owns && replaced {
-                // The next process takes the address, and the reserve with it; what this one has it serves by its grants.
-                (socket, owns) = (None, false);
+            if owns_address && replaced {
+                // The next process takes over the address and the reserve; this one serves its remaining requests from its grants.
+                (socket, owns_address) = (None, false);
                 self.quota_client.borrow_mut().set_owns_address(false, self.now());
             }
-            if !owns && !replaced && tried.is_none_or(|at| at.elapsed() >= BIND) {
-                tried = Some(Instant::now());
+            if !owns_address && !replaced && last_bind.is_none_or(|at| at.elapsed() >= BIND_RETRY_INTERVAL) {
+                last_bind = Some(Instant::now());
                 if let Some(address) = self.address() {
-                    if let Ok(own) = UdpSocket::bind(address).await {
+                    if let Ok(bound) = UdpSocket::bind(address).await {
                         info!("this process is {} of the fleet, at {address}", self.name);
-                        (socket, owns) = (Some(own), true);
+                        (socket, owns_address) = (Some(bound), true);
                         self.quota_client.borrow_mut().set_owns_address(true, self.now());
                     }
                 }
@@ -204,24 +211,24 @@
                 let ip = self.address().map_or(IpAddr::from([127, 0, 0, 1]), |a| a.ip());
                 socket = UdpSocket::bind((ip, 0)).await.ok();
             }
-            let Some(line) = &socket else {
-                self.deadlines.after(BIND).await;
+            let Some(open_socket) = &socket else {
+                self.deadlines.after(BIND_RETRY_INTERVAL).await;
                 continue;
             };
-            self.turn(line, owns).await;
+            self.tick(open_socket, owns_address).await;
             let client_due = self.quota_client.borrow().due(self.now()) - self.now();
-            let look = if self.busy.take() { LOOK } else { IDLE };
-            let wait = look.min(Duration::from_micros(client_due.max(1_000) as u64));
+            let tick = if self.recently_used.take() { BUSY_TICK } else { IDLE_TICK };
+            let wait = tick.min(Duration::from_micros(client_due.max(1_000) as u64));
             tokio::select! {
                 biased;
-                () = self.leaves.notified() => {
-                    self.part(line, owns).await;
-                    self.left.notify_one();
+                () = self.leave_requested.notified() => {
+                    self.announce_leave(open_socket, owns_address).await;
+                    self.leave_done.notify_one();
                     return std::future::pending().await;
                 }
-                came = line.recv_from(&mut buffer) => {
-                    // An error is somebody's closed port, told late.
-                    if let Ok((n, from)) = came {
+                received = open_socket.recv_from(&mut buffer) => {
+                    // An error reports that an earlier datagram reached a closed port; it is no reason to stop receiving.
+                    if let Ok((n, from)) = received {
                         self.receive(&buffer[..n], from);
                     }
                 }
@@ -230,38 +237,39 @@
         }
     }
 
-    /// Hand back what is not in use, and say that this node leaves.
+    /// Returns unused quota to the allocators and announces that this node leaves. Gives up after a short time.
     pub async fn leave(&self) {
-        self.leaves.notify_one();
+        self.leave_requested.notify_one();
         tokio::select! {
-            () = self.left.notified() => {}
-            () = self.deadlines.after(BIND) => {}
+            () = self.leave_done.notified() => {}
+            () = self.deadlines.after(BIND_RETRY_INTERVAL) => {}
         }
     }
 
-    async fn part(&self, line: &UdpSocket, owns: bool) {
+    async fn announce_leave(&self, socket: &UdpSocket, owns_address: bool) {
         let now = self.now();
-        self.count();
+        self.report_usage();
         self.log_rejected();
         self.quota_client.borrow_mut().leave(now);
-        self.key_leases.borrow().iter().for_each(|h| h.leaves());
-        self.members.borrow_mut().leave(now);
-        self.speak(line, owns).await;
+        self.key_leases.borrow().iter().for_each(|leases| leases.release_all());
+        self.membership.borrow_mut().leave(now);
+        self.send_outgoing(socket, owns_address).await;
     }
 
-    /// Tell the seat what was used.
-    fn count(&self) {
+    /// Reports the usage since the last call to the quota client.
+    fn report_usage(&self) {
         let used = self.exchange.parts_used();
-        let lists = self.lists.done();
+        let discovery_calls = self.discovery_limit.take_usage();
         let mut quota_client = self.quota_client.borrow_mut();
         let names: Vec<String> = quota_client.plan().budgets.iter().map(|b| b.name.clone()).collect();
         for name in names {
-            let of = self.exchange.bound(&name);
-            let found = used.iter().find(|(bound, _)| Some(*bound) == of);
-            let what = match found {
-                Some((_, what)) => Usage { wanted: what.demand, used: what.used },
-                None if name == "lists" => lists,
-                None => match self.key_leases.borrow().as_ref().and_then(|h| h.wants(&name)) {
+            let kind = self.exchange.bound(&name);
+            let exchange_usage = used.iter().find(|(bound, _)| Some(*bound) == kind);
+            let usage = match exchange_usage {
+                Some((_, part)) => Usage { wanted: part.demand, used: part.used },
+                None if name == "lists" => discovery_calls,
+                None => match self.key_leases.borrow().as_ref().and_then(|leases| leases.wanted_units(&name))
+                {
                     Some(wanted) => {
                         quota_client.record_usage(&name, Usage { wanted, used: 0 });
                         continue;
@@ -269,92 +277,98 @@
                     None => continue,
                 },
             };
-            self.busy.set(self.busy.get() || what != Usage::default());
-            quota_client.record_usage(&name, what);
+            self.recently_used.set(self.recently_used.get() || usage != Usage::default());
+            quota_client.record_usage(&name, usage);
         }
     }
 
-    async fn turn(&self, line: &UdpSocket, owns: bool) {
-        self.count();
+    async fn tick(&self, socket: &UdpSocket, owns_address: bool) {
+        self.report_usage();
         let now = self.now();
         self.quota_client.borrow_mut().pass(now);
-        self.leased();
-        if owns {
-            self.members.borrow_mut().pass(now);
+        self.update_key_leases();
+        if owns_address {
+            self.membership.borrow_mut().pass(now);
         }
-        self.hold(now);
-        self.speak(line, owns).await;
+        self.apply_quotas(now);
+        self.send_outgoing(socket, owns_address).await;
     }
 
-    /// Bring the module's parts in line with what may be used now.
-    fn hold(&self, now: Micros) {
+    /// Applies the quota that may be used now to the scheduler and to discovery calls.
+    fn apply_quotas(&self, now: Micros) {
         let quota_client = self.quota_client.borrow();
-        let (mut parts, mut bare, mut lists) = (Vec::new(), Vec::new(), None);
+        let (mut shares, mut ungranted, mut discovery_rate) = (Vec::new(), Vec::new(), None);
         for (budget, units) in quota_client.all_usable(now) {
             let Budget { name, per, total, .. } = budget;
-            let span = match per {
+            let window_us = match per {
                 Per::Second { burst } => *burst,
                 Per::Moment { longest } => *longest,
             };
             if name == "lists" {
-                lists = Some((units, span));
-            } else if let Some(of) = self.exchange.bound(name) {
-                parts.push(QuotaShare { kind: of, units, total: *total, window: span });
+                discovery_rate = Some((units, window_us));
+            } else if let Some(quota_kind) = self.exchange.bound(name) {
+                shares.push(QuotaShare { kind: quota_kind, units, total: *total, window: window_us });
             }
-            let home = matches!(BudgetKind::of(name), Some(BudgetKind::Home(_)));
-            if !home && !quota_client.is_granted(name, now) {
-                bare.push(name.clone());
+            let is_home = matches!(BudgetKind::of(name), Some(BudgetKind::Home(_)));
+            if !is_home && !quota_client.is_granted(name, now) {
+                ungranted.push(name.clone());
             }
         }
         drop(quota_client);
-        match lists {
-            Some((rate, burst)) => self.lists.hold(rate, burst),
-            None => self.lists.free(),
+        match discovery_rate {
+            Some((rate, burst)) => self.discovery_limit.set_rate(rate, burst),
+            None => self.discovery_limit.remove_limit(),
         }
-        if bare != *self.bare.borrow() {
-            match bare.is_empty() {
+        if ungranted != *self.ungranted.borrow() {
+            match ungranted.is_empty() {
                 true => info!("budgets: all are granted"),
-                false => warn!("budgets: no grant of {}: the reserve alone is used", bare.join(", ")),
+                false => warn!(
+                    "budgets: no grant for {}; only the reserve is used until an allocator answers",
+                    ungranted.join(", ")
+                ),
             }
-            self.bare.replace(bare);
+            self.ungranted.replace(ungranted);
         }
-        if parts != *self.notified.borrow() {
-            debug!("budgets: {parts:?}");
-            self.notified.replace(parts.clone());
-            self.exchange.parts_hold(Source::Budgets, parts);
+        if shares != *self.applied_shares.borrow() {
+            debug!("budgets: {shares:?}");
+            self.applied_shares.replace(shares.clone());
+            self.exchange.parts_hold(Source::Budgets, shares);
         }
     }
 
-    async fn speak(&self, line: &UdpSocket, owns: bool) {
+    async fn send_outgoing(&self, socket: &UdpSocket, owns_address: bool) {
         let (outgoing_messages, effects) =
-            (self.quota_client.borrow_mut().take_outgoing(), self.members.borrow_mut().effects());
+            (self.quota_client.borrow_mut().take_outgoing(), self.membership.borrow_mut().effects());
         if outgoing_messages.is_empty() && effects.is_empty() {
             return;
         }
-        let plan = self.sharing.borrow().plan.clone();
+        let plan = self.settings.borrow().plan.clone();
         for outgoing in outgoing_messages {
             if let Some(allocator) = plan.allocators.get(outgoing.to) {
-                // Lost is lost: it asks again.
-                let datagram = self.line.borrow_mut().seal(outgoing.message.bytes());
-                let _ = line.send_to(&datagram, allocator.address).await;
+                // A lost datagram is not sent again: the client repeats its request.
+                let datagram = self.channel.borrow_mut().seal(outgoing.message.bytes());
+                let _ = socket.send_to(&datagram, allocator.address).await;
             }
         }
         for effect in effects {
             match effect {
-                Effect::Outgoing { to, bytes } if owns => {
-                    let mut all = plan.allocators.iter().chain(&plan.members);
-                    if let Some(place) = all.find(|p| NodeId::of(&p.name).0 == to) {
-                        let sent = [&[MEMBERS], bytes.as_slice()].concat();
-                        let datagram = self.line.borrow_mut().seal(sent);
-                        let _ = line.send_to(&datagram, place.address).await;
+                Effect::Outgoing { to, bytes } if owns_address => {
+                    let mut processes = plan.allocators.iter().chain(&plan.members);
+                    if let Some(process) = processes.find(|process| NodeId::of(&process.name).0 == to) {
+                        let tagged = [&[MEMBERSHIP_TAG], bytes.as_slice()].concat();
+                        let datagram = self.channel.borrow_mut().seal(tagged);
+                        let _ = socket.send_to(&datagram, process.address).await;
                     }
                 }
                 Effect::Outgoing { .. } => {}
-                Effect::Changed(m) => {
-                    let gone = matches!(m.standing, MemberState::Gone | MemberState::Left);
-                    self.key_leases.borrow().iter().for_each(|h| h.member(NodeId(m.peer.node), gone));
-                    let name = plan.name_of(NodeId(m.peer.node)).unwrap_or("?");
-                    info!("member {name} {:?} incarnation={}", m.standing, m.peer.incarnation);
+                Effect::Changed(member) => {
+                    let absent = matches!(member.standing, MemberState::Gone | MemberState::Left);
+                    self.key_leases
+                        .borrow()
+                        .iter()
+                        .for_each(|leases| leases.set_member_absent(NodeId(member.peer.node), absent));
+                    let name = plan.name_of(NodeId(member.peer.node)).unwrap_or("?");
+                    info!("member {name} {:?} incarnation={}", member.standing, member.peer.incarnation);
                 }
             }
         }
@@ -362,36 +376,39 @@
 
     fn receive(&self, bytes: &[u8], from: SocketAddr) {
         let now = self.now();
-        let seems = self.sharing.borrow().plan.node_at(from).map_or(0, |n| n.0);
-        let opened = self.line.borrow_mut().open(bytes, seems);
+        let presumed_sender = self.settings.borrow().plan.node_at(from).map_or(0, |n| n.0);
+        let opened = self.channel.borrow_mut().open(bytes, presumed_sender);
         let (sender, bytes) = match opened {
             Ok(received) => (received.sender, received.sent),
             Err(Dropped { refused, first }) => {
                 if first {
-                    warn!("from {from}: {}; told once, counted from now on", advice(&refused));
+                    warn!("from {from}: {}; further ones are only counted", advice(&refused));
                 }
                 return;
             }
         };
-        if let Some((&MEMBERS, rest)) = bytes.split_first() {
-            let mut members = self.members.borrow_mut();
-            if let Err(e) = members.receive(now, rest).map_err(|e| e.to_string()) {
+        if let Some((&MEMBERSHIP_TAG, rest)) = bytes.split_first() {
+            let mut membership = self.membership.borrow_mut();
+            if let Err(e) = membership.receive(now, rest).map_err(|e| e.to_string()) {
                 debug!("from {from}: {e}");
             }
             return;
         }
-        let divides =
-            |d: &ProcessAddress| d.address == from && sender.is_none_or(|s| s == NodeId::of(&d.name).0);
-        let place = self.sharing.borrow().plan.allocators.iter().position(divides);
-        match (place, Message::read(bytes)) {
-            (Some(place), Ok(message)) => {
-                // What is in use is known before anything is said of it.
-                self.count();
-                self.quota_client.borrow_mut().receive(place, &message, now);
-                // Before anything is said: what is given up is free for others from then on.
-                self.leased();
+        let is_allocator = |process: &ProcessAddress| {
+            process.address == from && sender.is_none_or(|s| s == NodeId::of(&process.name).0)
+        };
+        let allocator = self.settings.borrow().plan.allocators.iter().position(is_allocator);
+        match (allocator, Message::read(bytes)) {
+            (Some(allocator), Ok(message)) => {
+                // The allocator's answer must be judged against the usage up to now.
+                self.report_usage();
+                self.quota_client.borrow_mut().receive(allocator, &message, now);
+                // Must precede the next message: an allocator may grant a returned range to another node at once.
+                self.update_key_leases();
+            }
+            (None, _) => {
+                warn!("ignoring a message from {from}, which is no allocator in the budgets file")
             }
-            (None, _) => warn!("a word from {from}, which is no divider"),
             (_, Err(e)) => warn!("from {from}: {e}"),
         }
     }
--- a/src/net/fleet/config.rs
+++ b/src/net/fleet/config.rs
@@ -1,4 +1,4 @@
-//! The operators' file of quotas, as the node reads it.
+//! Reads the operators' budgets file.
 
 use shorepath_audit::version::ContentHash;
 use shorepath_message_auth::advice;
@@ -10,41 +10,41 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// What the node is told of the fleet.
+/// The budgets file of a node and what was read with it.
 #[derive(Clone, Debug)]
 pub struct FleetSettings {
-    /// The operator's file.
+    /// Path of the budgets file.
     pub path: PathBuf,
-    /// As it was read.
+    /// The parsed file.
     pub plan: Plan,
-    /// What stands for its text.
+    /// Hash of the file's text.
     pub content: ContentHash,
-    /// The keys that it names, under which datagrams go.
+    /// Keys that authenticate datagrams; `None` if the file names no key file.
     pub keys: Option<Keys>,
-    /// How the clock is wrong; only tests have it so.
+    /// Simulated error of the clock; zero outside of tests.
     pub skew: ClockSkew,
 }
 
-/// Why a node can't take part.
+/// Why a node can't join the fleet.
 #[derive(Debug, Error)]
 pub enum FleetError {
-    /// The file can't be read.
+    /// A file can't be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The reason.
         source: std::io::Error,
     },
-    /// The file of keys can't be used.
+    /// The key file can't be used.
     #[error("{}: {}", path.display(), advice(source))]
     Keys {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The reason.
         source: KeysError,
     },
-    /// The file can't be used.
+    /// The budgets file has errors.
     #[error("{0}")]
     Wrong(#[from] shorepath_sexp::ParseErrors),
     /// The file does not list this node.
@@ -55,19 +55,19 @@
         /// The node.
         name: String,
     },
-    /// The drift that clocks are held to can't be changed while grants are out.
+    /// A reload changes the allowed clock drift, on which the periods of issued grants depend.
     #[error("{}: (drift-ppm) can't change while the node runs", path.display())]
     Drift {
         /// The file.
         path: PathBuf,
     },
-    /// The system gave no number by chance.
-    #[error("no number by chance: {0}")]
+    /// The operating system provided no random number.
+    #[error("the operating system provided no random number: {0}")]
     Chance(getrandom::Error),
 }
 
-/// The keys in a file that is its owner's alone.
-pub(super) fn keys(path: &Path) -> Result<Keys, FleetError> {
+/// Reads a key file, which only its owner may be able to read.
+pub(super) fn read_keys(path: &Path) -> Result<Keys, FleetError> {
     let unreadable = |source| FleetError::Unreadable { path: path.to_path_buf(), source };
     let wrong = |source| FleetError::Keys { path: path.to_path_buf(), source };
     let mut file = std::fs::File::open(path).map_err(unreadable)?;
@@ -78,7 +78,10 @@
 }
 
 impl FleetSettings {
-    /// Read the file, in which a node of that name has to be listed.
+    /// Reads the budgets file, which has to list a node called `name`, and the key file that it names.
+    ///
+    /// # Errors
+    /// Fails if a file can't be read or used, or if the node is not listed.
     pub fn read(path: PathBuf, name: &str, skew: ClockSkew) -> Result<FleetSettings, FleetError> {
         let text = match std::fs::read_to_string(&path) {
             Ok(text) => text,
@@ -88,7 +91,7 @@
         if plan.members.iter().all(|m| m.name != name) {
             return Err(FleetError::Unlisted { path, name: name.to_string() });
         }
-        let keys = plan.key.as_deref().map(keys).transpose()?;
+        let keys = plan.key.as_deref().map(read_keys).transpose()?;
         Ok(FleetSettings { path, plan, content: ContentHash::of(text.as_bytes()), keys, skew })
     }
 }
--- a/src/net/fleet/list_calls.rs
+++ b/src/net/fleet/list_calls.rs
@@ -1,4 +1,4 @@
-//! The part of the fleet's calls to discovery that this node may make.
+//! Limits this node's discovery calls to its share of the fleet's quota.
 
 use crate::net::deadlines::Deadlines;
 use shorepath_quota::client::Usage;
@@ -8,31 +8,31 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A call to discovery that has no unit looks again after this.
-const LISTS: Duration = Duration::from_millis(100);
+/// Interval after which a call that found no quota unit tries again.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The part of the fleet's calls to discovery that this node may make; none where that is not bounded.
+/// Limits this node's discovery calls to its share of the fleet's quota; unlimited until a rate is set.
 #[derive(Debug, Default)]
 pub struct DiscoveryCallLimit {
-    pub(super) part: RefCell<Option<(TokenBucket, u64)>>,
+    pub(super) limit: RefCell<Option<(TokenBucket, u64)>>,
     pub(super) origin: Cell<Option<Instant>>,
     pub(super) wanted: Cell<u64>,
     pub(super) used: Cell<u64>,
-    /// Calls that wait for a unit.
+    /// Number of calls that wait for a quota unit.
     pub(super) waiting: Cell<u64>,
 }
 
-/// A call that waits, for as long as this is kept.
-pub(super) struct Waiting<'a>(&'a Cell<u64>);
+/// Counts a call as waiting until it is dropped.
+pub(super) struct WaitingCall<'a>(&'a Cell<u64>);
 
-impl<'a> Waiting<'a> {
-    pub(super) fn one(count: &'a Cell<u64>) -> Self {
+impl<'a> WaitingCall<'a> {
+    pub(super) fn start(count: &'a Cell<u64>) -> Self {
         count.set(count.get() + 1);
-        Waiting(count)
+        WaitingCall(count)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingCall<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -45,37 +45,37 @@
         origin.elapsed().as_micros() as Micros
     }
 
-    pub(super) fn hold(&self, rate: u64, burst: Micros) {
+    pub(super) fn set_rate(&self, rate: u64, burst: Micros) {
         let now = self.now();
-        let mut part = self.part.borrow_mut();
-        let (meter, before) = part.get_or_insert((TokenBucket::new(burst, now), 0));
-        meter.refill(now, *before);
-        *before = rate;
+        let mut limit = self.limit.borrow_mut();
+        let (bucket, current_rate) = limit.get_or_insert((TokenBucket::new(burst, now), 0));
+        bucket.refill(now, *current_rate);
+        *current_rate = rate;
     }
 
-    pub(super) fn free(&self) {
-        self.part.replace(None);
+    pub(super) fn remove_limit(&self) {
+        self.limit.replace(None);
     }
 
-    /// Ready once a call may be made.
+    /// Waits until a call may be made, and takes a quota unit for it.
     pub async fn acquire(&self, deadlines: &Rc<Deadlines>) {
         self.wanted.set(self.wanted.get() + 1);
-        let _waits = Waiting::one(&self.waiting);
+        let _waiting = WaitingCall::start(&self.waiting);
         loop {
             let now = self.now();
-            let there = self.part.borrow_mut().as_mut().is_none_or(|(meter, rate)| {
-                meter.refill(now, *rate);
-                meter.take()
+            let taken = self.limit.borrow_mut().as_mut().is_none_or(|(bucket, rate)| {
+                bucket.refill(now, *rate);
+                bucket.take()
             });
-            if there {
+            if taken {
                 return self.used.set(self.used.get() + 1);
             }
-            deadlines.after(LISTS).await;
+            deadlines.after(RETRY_INTERVAL).await;
         }
     }
 
-    pub(super) fn done(&self) -> Usage {
-        // Guards against a call whose first asking was lost, or answered with nothing: what still waits is wanted on.
+    pub(super) fn take_usage(&self) -> Usage {
+        // Guards against a lost or unanswered request for quota: a call that still waits is requested again.
         Usage { wanted: self.wanted.take().max(self.waiting.get()), used: self.used.take() }
     }
 }
--- a/src/net/key_leases.rs
+++ b/src/net/key_leases.rs
@@ -18,7 +18,7 @@
 use tracing::info;
 
 /// Whether a file of budgets names homes at all.
-pub fn named(budgets: &Budgets) -> bool {
+pub fn has_home_quotas(budgets: &Budgets) -> bool {
     budgets.budgets.iter().any(|b| matches!(BudgetKind::of(&b.name), Some(BudgetKind::Home(_))))
 }
 
@@ -66,32 +66,32 @@
     }
 
     /// Another file of sites holds.
-    pub fn replan(&self, plan: &SitesConfig) {
+    pub fn update_config(&self, plan: &SitesConfig) {
         self.ownership.borrow_mut().update_config(plan);
     }
 
     /// All nodes go by the file of sites.
-    pub fn settled(&self) {
+    pub fn mark_settled(&self) {
         self.ownership.borrow_mut().mark_settled();
     }
 
     /// The disk is not the one of the last life, or an older one: nothing is known of what was held.
-    pub fn forget(&self, plan: &SitesConfig) {
+    pub fn reset(&self, plan: &SitesConfig) {
         self.ownership.replace(KeyOwnership::new(self.me, plan, &PersistedOwnership::default()));
     }
 
     /// Whether one unit of a budget is wanted here; `None` for one that is no home.
-    pub fn wants(&self, budget: &str) -> Option<u64> {
+    pub fn wanted_units(&self, budget: &str) -> Option<u64> {
         matches!(BudgetKind::of(budget), Some(BudgetKind::Home(_)))
             .then(|| u64::from(self.wanted.borrow().contains(budget)))
     }
 
     /// What the seat goes by may have changed. Told after each word that it hears and before anything is said of that: what is given up
     /// is free for others from then on.
-    pub fn leased(&self, quota_client: &QuotaClient) {
+    pub fn update_leases(&self, quota_client: &QuotaClient) {
         let now = self.now();
         let (mut ownership, wanted) = (self.ownership.borrow_mut(), self.wanted.borrow());
-        for budget in quota_client.plan().budgets.iter().filter(|b| self.wants(&b.name).is_some()) {
+        for budget in quota_client.plan().budgets.iter().filter(|b| self.wanted_units(&b.name).is_some()) {
             match quota_client.lease(&budget.name, now).filter(|_| wanted.contains(&budget.name)) {
                 Some((grant, asked)) => {
                     let term = quota_client.plan().lease_period(budget);
@@ -106,13 +106,13 @@
     }
 
     /// This node leaves: it has given back all that it held.
-    pub fn leaves(&self) {
+    pub fn release_all(&self) {
         let wanted = std::mem::take(&mut *self.wanted.borrow_mut());
         wanted.iter().for_each(|name| self.ownership.borrow_mut().lease_ended(name));
     }
 
     /// The fleet's members take a node for gone, or hear it.
-    pub fn member(&self, node: NodeId, gone: bool) {
+    pub fn set_member_absent(&self, node: NodeId, gone: bool) {
         let mut all = self.gone.borrow_mut();
         match gone {
             true => drop(all.entry(node.0).or_insert_with(Instant::now)),
@@ -148,7 +148,7 @@
     }
 
     /// A node has said how far its log goes.
-    pub fn notified(&self, from: u32, home: &str, fence: Fence, log: u64, last: u64) {
+    pub fn record_reply(&self, from: u32, home: &str, fence: Fence, log: u64, last: u64) {
         self.proving.borrow_mut().record_reply(from, home, fence, log, last);
     }
 
@@ -171,7 +171,7 @@
     }
 
     /// An attempt is placed under that fence.
-    pub fn places(&self, id: DispatchId, key: &str, fence: Fence) {
+    pub fn record_attempt(&self, id: DispatchId, key: &str, fence: Fence) {
         self.out.borrow_mut().insert(id, (key.to_string(), fence));
     }
 
@@ -182,22 +182,22 @@
     }
 
     /// An attempt has ended.
-    pub fn over(&self, id: DispatchId) {
+    pub fn attempt_ended(&self, id: DispatchId) {
         self.out.borrow_mut().remove(&id);
     }
 
     /// Whether a range is held.
-    pub fn holds(&self) -> bool {
+    pub fn holds_any(&self) -> bool {
         !self.ownership.borrow().held(self.now()).is_empty()
     }
 
     /// What belongs on the disk.
-    pub fn kept(&self) -> PersistedOwnership {
+    pub fn persisted(&self) -> PersistedOwnership {
         self.ownership.borrow().persisted()
     }
 
     /// Tell of each range that is held now and was not, or is held no more, or was proved.
-    pub fn report(&self) {
+    pub fn log_changes(&self) {
         let ownership = self.ownership.borrow();
         let held = ownership.held(self.now());
         let now: BTreeMap<String, bool> = held.iter().map(|h| (h.0.to_string(), !h.3)).collect();
--- a/src/net/load_shifting.rs
+++ b/src/net/load_shifting.rs
@@ -37,7 +37,7 @@
     }
 
     /// The site of a request's client, if that is another one; else the request counts as the own site's load.
-    pub fn guest(&self, site_health: &SiteHealth, class: ClassId, job: &Job) -> Option<String> {
+    pub fn remote_site(&self, site_health: &SiteHealth, class: ClassId, job: &Job) -> Option<String> {
         let guest = remote_site(site_health.config(), site_health.site(), job.home_site.as_deref());
         if guest.is_none() {
             self.load_shifting.borrow_mut().record_request(class.0);
@@ -55,7 +55,7 @@
     }
 
     /// All servers are cold: the own site's load is taken back in steps, as by one that was lost.
-    pub fn cold(&self, site_health: &SiteHealth, now: Micros) {
+    pub fn start_recovery(&self, site_health: &SiteHealth, now: Micros) {
         if self.load_shifting.borrow_mut().start_recovery(now) {
             self.next.set(now);
             let part = self.load_shifting.borrow().load_percent(now);
@@ -64,13 +64,13 @@
     }
 
     /// When a client that is not taken may come back, by chance.
-    pub fn after(&self, now: Micros) -> Duration {
+    pub fn retry_after(&self, now: Micros) -> Duration {
         let luck = self.luck.borrow_mut().rand_float();
         Duration::from_micros(self.load_shifting.borrow().retry_after(luck, now).max(0) as u64)
     }
 
     /// Time has passed.
-    pub fn pass(&self, site_health: &mut SiteHealth, exchange: &Exchange<Job>, now: Micros) {
+    pub fn tick(&self, site_health: &mut SiteHealth, exchange: &Exchange<Job>, now: Micros) {
         if now < self.next.get() {
             return;
         }
@@ -86,7 +86,7 @@
     }
 
     /// What the module is told.
-    pub fn parts(&self) -> Vec<QuotaShare> {
+    pub fn quota_shares(&self) -> Vec<QuotaShare> {
         let load_shifting = self.load_shifting.borrow();
         let limits = load_shifting.limits();
         let part = |of, units, span| QuotaShare { kind: of, units, total: units, window: span };
@@ -120,11 +120,11 @@
         let luck = || self.luck.borrow_mut().rand_float();
         match (outcome, guest) {
             (ResponseOutcome::Rejected { of: Some(QuotaKind::RemoteClass(_) | QuotaKind::LocalSite) }, _) => {
-                Some(("Retry-After", self.after(now)))
+                Some(("Retry-After", self.retry_after(now)))
             }
             (ResponseOutcome::Served(_), Some(site)) => {
                 let chance = self.load_shifting.borrow().return_probability(site_health, site);
-                (luck() < chance).then(|| ("Come-Back", self.after(now)))
+                (luck() < chance).then(|| ("Come-Back", self.retry_after(now)))
             }
             _ => None,
         }
--- a/src/net/placing.rs
+++ b/src/net/placing.rs
@@ -79,7 +79,7 @@
 
 impl Placements {
     /// Open the log of the node of that name and site; a new one gets the number `drawn`, which is this life's as well. What was on its
-    /// way when the last process ended may have run. For `group` see [`Placements::meet`].
+    /// way when the last process ended may have run. For `group` see [`Placements::set_peers`].
     ///
     /// # Errors
     /// The log is another node's, is damaged, or its disk fails.
@@ -137,13 +137,13 @@
     }
 
     /// What was to be flushed is on the disk, or never will be.
-    pub fn flushed(&self) {
+    pub fn on_flushed(&self) {
         self.flushes.set(false);
         self.shows.set(true);
     }
 
     /// The number of this node's log, and of its last entry on the disk.
-    pub fn own(&self) -> (u64, u64) {
+    pub fn own_position(&self) -> (u64, u64) {
         (self.log.writer().log, self.log.durable().0)
     }
 
@@ -199,7 +199,7 @@
         }
     }
 
-    /// When [`Placements::pass`] is wanted at the latest.
+    /// When [`Placements::tick`] is wanted at the latest.
     pub fn due(&self, now: Micros) -> Option<Micros> {
         let waits = self.waits.get() || self.log.durable().0 > self.shown.get();
         let goes = (waits && !self.flushes.get()).then_some(self.next.get());
@@ -208,7 +208,7 @@
     }
 
     /// When [`Placements::reconcile`] is wanted.
-    pub fn more(&self) -> Option<Micros> {
+    pub fn reconcile_due(&self) -> Option<Micros> {
         self.more.get()
     }
 
@@ -227,14 +227,14 @@
     }
 
     /// Tell of accounts' standing and credit what placements are judged by.
-    pub fn judge_by(&self, report: impl FnOnce(&mut Reconciler) -> Vec<Decision>) -> Vec<Decision> {
+    pub fn update_reconciler(&self, report: impl FnOnce(&mut Reconciler) -> Vec<Decision>) -> Vec<Decision> {
         // What it judges anew waits for the next slice.
         self.more.set(Some(self.more.get().map_or(self.next.get(), |at| at.min(self.next.get()))));
         report(&mut self.reconciler.borrow_mut())
     }
 
     /// What was placed since then, in Unix time: tenants and keys, with the time at which each was taken.
-    pub fn taken(&self, since: Micros, mut each: impl FnMut(&str, &str, Micros)) {
+    pub fn for_each_accepted(&self, since: Micros, mut each: impl FnMut(&str, &str, Micros)) {
         let (history, writer) = (self.history.borrow(), self.log.writer());
         let last = history.latest_points().get(&writer).map_or(0, |point| point.0);
         for timed in (1..=last).filter_map(|n| history.entry(&writer, n)) {
@@ -248,7 +248,7 @@
 
     /// What any node has placed and was not looked at, of that many entries at most: tenants and keys, with the Unix time of each. `seen` has the
     /// last entry of each log that was looked at. Whether there is more.
-    pub fn placed(
+    pub fn for_each_new_placement(
         &self,
         seen: &mut BTreeMap<Writer, u64>,
         most: usize,
@@ -273,17 +273,17 @@
     }
 
     /// What is known of a key of a class that must not run twice.
-    pub fn known(&self, class: &str, key: &str) -> KeyState {
+    pub fn key_state(&self, class: &str, key: &str) -> KeyState {
         self.keys.borrow().state(class, key)
     }
 
     /// Why nothing can be written down any more, where it can't.
-    pub fn failed(&self) -> Option<LogError> {
+    pub fn failure(&self) -> Option<LogError> {
         self.log.failed()
     }
 
     /// Write a placement down. Whether it may be sent at once: one that must not run twice has to be on the disk first.
-    pub fn places(&self, id: DispatchId, timed: Timed) -> bool {
+    pub fn record_placement(&self, id: DispatchId, timed: Timed) -> bool {
         let guarded = matches!(&timed.entry, Entry::Placed(p) if p.guarded);
         if !guarded {
             let held = {
@@ -296,7 +296,7 @@
             }
             return true;
         }
-        if !self.asked() {
+        if !self.peers_answered() {
             let _ = self.writes.send(DiskEvent::Refused(id, "partners were not asked yet".to_string()));
             return false;
         }
@@ -316,7 +316,7 @@
     }
 
     /// An attempt has ended.
-    pub fn ended(&self, id: DispatchId, ran: Ran, at: Micros) {
+    pub fn record_end(&self, id: DispatchId, ran: Ran, at: Micros) {
         let Some(slot) = self.out.borrow_mut().remove(&id) else { return };
         let how = match ran {
             Ran::Served => End::Served,
--- a/src/net/placing/exchange.rs
+++ b/src/net/placing/exchange.rs
@@ -13,7 +13,7 @@
 impl Placements {
     /// Exchange with these from now on; each gets from another what the nodes beside it write, by site and name. What is to be written and
     /// shown waits for what comes in so long.
-    pub fn meet(&self, peers: Vec<(u32, BTreeSet<(String, String)>)>, group: Micros, now: Micros) {
+    pub fn set_peers(&self, peers: Vec<(u32, BTreeSet<(String, String)>)>, group: Micros, now: Micros) {
         self.group.set(group);
         let mut exchanges = self.exchanges.borrow_mut();
         exchanges.retain(|node, _| peers.iter().any(|(peer, _)| peer == node));
@@ -77,7 +77,7 @@
     }
 
     /// Time has passed. What is to be said, and to whom.
-    pub fn pass(&self, now: Micros, chance: u64) -> Vec<(u32, Vec<u8>)> {
+    pub fn tick(&self, now: Micros, chance: u64) -> Vec<(u32, Vec<u8>)> {
         let unshown = self.log.durable().0 > self.shown.get();
         if now >= self.next.get() && (unshown || self.waits.get()) && !self.flushes.get() {
             self.next.set(now + self.group.get());
--- a/src/net/placing/startup.rs
+++ b/src/net/placing/startup.rs
@@ -51,12 +51,12 @@
     }
 
     /// Whether partners were asked already.
-    pub fn asked(&self) -> bool {
+    pub fn peers_answered(&self) -> bool {
         self.log_recovery.borrow().peers_answered()
     }
 
     /// Whether every partner has said all that it knows.
-    pub fn complete(&self) -> bool {
+    pub fn exchanges_complete(&self) -> bool {
         let exchanges = self.exchanges.borrow();
         !exchanges.is_empty() && exchanges.values().all(Exchange::complete)
     }
--- a/src/net/recovering.rs
+++ b/src/net/recovering.rs
@@ -173,7 +173,11 @@
     ///
     /// # Errors
     /// The disk can't be read.
-    pub fn recall(&self, store: &Store, nodes: impl IntoIterator<Item = u32>) -> Result<(), StoreError> {
+    pub fn load_incarnations(
+        &self,
+        store: &Store,
+        nodes: impl IntoIterator<Item = u32>,
+    ) -> Result<(), StoreError> {
         for node in nodes {
             if let Some(life) = store.fact::<DiskIncarnation>(&format!("{PEER}{node}"))? {
                 self.lives.borrow_mut().insert(node, (life, None));
@@ -199,12 +203,12 @@
     }
 
     /// Discovery's list as it stands goes here.
-    pub fn list(&self) -> Rc<LastList> {
+    pub fn list_store(&self) -> Rc<LastList> {
         self.list.clone()
     }
 
     /// These are asked from now on.
-    pub fn meet(&self, peers: &[u32]) {
+    pub fn set_peers(&self, peers: &[u32]) {
         self.peers.borrow_mut().set_peers(peers);
     }
 
@@ -255,7 +259,7 @@
     }
 
     /// Time has passed, or something has changed. Whether it is known from now on that all have lost power.
-    pub fn pass(&self, facts: RecoveryInputs, now: Micros, unix: Micros) -> bool {
+    pub fn tick(&self, facts: RecoveryInputs, now: Micros, unix: Micros) -> bool {
         self.judge(facts, now);
         if facts.complete && self.peers.borrow().all_confirmed() {
             self.learn(Observation::PeersReplied, now);
@@ -328,7 +332,7 @@
     }
 
     /// The disk has another node's life, or not.
-    pub fn claimed(&self, claimed: SavedIncarnation, now: Micros) {
+    pub fn on_incarnation_saved(&self, claimed: SavedIncarnation, now: Micros) {
         let SavedIncarnation { node, life, done } = claimed;
         match done {
             Ok(()) => drop(self.lives.borrow_mut().insert(node, (life, Some(now)))),
--- a/src/net/sites.rs
+++ b/src/net/sites.rs
@@ -1,6 +1,8 @@
-//! This node's place in a fleet of sites: datagrams to and from the others' nodes, what is kept on the disk, and what follows for the
-//! module and for clients. Who may begin what is decided in `shorepath-accounts` and `shorepath-sites`; off where the operator
-//! names no file of sites.
+//! Takes part in a fleet that spans several sites.
+//!
+//! Exchanges datagrams with other nodes, stores what must survive a restart, and applies account standing, credit and load
+//! shifting to the scheduler and to clients' requests. The rules themselves are in `shorepath-accounts` and `shorepath-sites`.
+//! Inactive when no sites file is configured.
 
 mod accounts;
 mod admission;
@@ -23,7 +25,7 @@
 use super::Job;
 pub use admission::{Rejection, RequestAdmission};
 pub use config::{SitesError, SitesSettings};
-use persistence::uses;
+use persistence::store_config_history;
 pub use persistence::DiskEvent;
 use shorepath_accounts::admission::{CreditBalances, Now};
 use shorepath_accounts::credit::{CreditBalance, NodeCredit};
@@ -43,7 +45,7 @@
 use shorepath_sites::peer_selection::{routes, selected_peers};
 use shorepath_store::group_commit::GroupCommit;
 use shorepath_store::Store;
-use startup::Opened;
+use startup::StartupState;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -54,332 +56,358 @@
 use tokio::sync::{mpsc, Notify};
 use tracing::{info, warn};
 
-/// It looks at what was taken at least this often.
-const LOOK: Duration = Duration::from_millis(250);
-/// How often it tries for its address while another process has it.
-const BIND: Duration = Duration::from_millis(200);
-/// So many datagrams that wait are heard before what follows from them is done.
-const AT_ONCE: usize = 32;
-/// The largest datagram, in bytes.
-const LARGEST: usize = 64 * 1024;
-/// Final answers hold this much of the disk at most, in bytes.
-const ANSWERS: u64 = 64 << 20;
-/// What was taken is remembered in this many entries, for this long: a client that repeats later begins something new.
-const TAKEN: usize = 1 << 18;
-/// See [`TAKEN`].
-const TAKEN_FOR: Micros = 600_000_000;
-/// Credit that is written ahead at once: so many jobs a crash may cost.
-const CHUNK: u64 = 16;
-/// The fact that the book of accounts is kept as, and what the purses' begin with.
-const BOOK: &str = "accounts/book";
-const CREDIT_BALANCE: &str = "accounts/purse/";
-/// The fact that leases of homes are kept as.
-const KEY_OWNERSHIP: &str = "sites/homes";
-/// The fact that tells of files of sites that were in force.
-const USED: &str = "sites/used";
+/// Longest interval between two ticks.
+const MAX_TICK_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval between attempts to bind the node's address while another process has it.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// Most waiting datagrams that are received before the node reacts to them.
+const MAX_DATAGRAM_BATCH: usize = 32;
+const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
+/// Disk space for stored answers, in bytes, where the sites file has no `(recover ...)`.
+const DEFAULT_ANSWERS_BYTES: u64 = 64 << 20;
+/// Most accepted requests that are remembered.
+const MAX_ACCEPTED_ENTRIES: usize = 1 << 18;
+/// Microseconds for which an accepted request is remembered; a later repeat counts as new work.
+const ACCEPTED_RETENTION: Micros = 600_000_000;
+/// Jobs of credit that are recorded on the disk ahead of their use. A crash loses at most these.
+const CREDIT_WRITE_AHEAD: u64 = 16;
+/// Stored fact that holds the account registry.
+const REGISTRY_FACT: &str = "accounts/book";
+/// Prefix of the stored facts that hold each tenant's credit.
+const CREDIT_FACT_PREFIX: &str = "accounts/purse/";
+/// Stored fact that holds the leases of key ranges.
+const OWNERSHIP_FACT: &str = "sites/homes";
+/// Stored fact that holds the versions of the sites files that were in force.
+const CONFIG_HISTORY_FACT: &str = "sites/used";
 
-/// This node among the sites.
+/// This node as a member of a fleet of sites.
 #[derive(Debug)]
 pub struct Sites {
     name: String,
-    siting: RefCell<SitesSettings>,
+    settings: RefCell<SitesSettings>,
     exchange: Rc<Exchange<Job>>,
     deadlines: Rc<Deadlines>,
     origin: Instant,
-    spread: RefCell<gossip::Gossip>,
+    gossip: RefCell<gossip::Gossip>,
     site_health: RefCell<SiteHealth>,
-    /// Files of sites that were in force, as the disk has it.
-    used: RefCell<ConfigHistory>,
+    config_history: RefCell<ConfigHistory>,
     store: Arc<Store>,
-    /// The store takes nothing: when to open it again; none while that is on its way.
-    reopens: Cell<Option<Micros>>,
-    /// That was told.
-    reopens_notified: Cell<bool>,
-    line: RefCell<Channel>,
-    taken: RefCell<AcceptedRequests>,
+    /// Time at which to reopen a store that failed; `None` while a reopening is in progress.
+    reopen_at: Cell<Option<Micros>>,
+    /// The current failure of the store was logged.
+    store_failure_logged: Cell<bool>,
+    channel: RefCell<Channel>,
+    accepted: RefCell<AcceptedRequests>,
     balances: RefCell<CreditBalances>,
     confirmation: Cell<Confirmation>,
-    placing: Placements,
-    /// What is written down of versions and decisions, where the file says so.
-    auditing: Option<Rc<AuditRecorder>>,
-    /// Who is home to keys, where the fleet's budgets say.
+    placements: Placements,
+    /// Audit log of versions and decisions; `None` if the sites file has no `(audit ...)`.
+    audit_recorder: Option<Rc<AuditRecorder>>,
+    /// Leases of key ranges; `None` if the budgets file has no quotas for them.
     key_leases: Option<Rc<KeyLeases>>,
-    /// What the disk has of homes, what is on its way there, and what is to be said of them.
-    ownership_kept: RefCell<(PersistedOwnership, bool)>,
+    /// Key ownership as last stored, and whether a write of it is in progress.
+    stored_ownership: RefCell<(PersistedOwnership, bool)>,
     ownership_outgoing: RefCell<Vec<(u32, catch_up::Message)>>,
-    ownership_reset: Cell<bool>,
-    /// When it last looked what may be sealed.
-    sealed_at: Cell<Micros>,
-    chance: RefCell<oorandom::Rand64>,
+    ownership_was_reset: Cell<bool>,
+    last_seal_at: Cell<Micros>,
+    random: RefCell<oorandom::Rand64>,
     group_commit: Arc<GroupCommit>,
-    writes: mpsc::UnboundedSender<DiskEvent>,
-    /// Purses of which a note is on its way to the disk.
-    writing: RefCell<Vec<String>>,
-    /// What the disk had of the book when it was last written.
-    kept: Cell<u64>,
-    notified: RefCell<Vec<QuotaShare>>,
-    /// Up to where each log was looked at for what other nodes took of accounts that bar new work.
-    looked: RefCell<BTreeMap<Writer, u64>>,
+    disk_events: mpsc::UnboundedSender<DiskEvent>,
+    /// Tenants with a credit record whose write is in progress.
+    credit_writes: RefCell<Vec<String>>,
+    /// Hash of the account registry that was last written to the disk.
+    stored_registry_hash: Cell<u64>,
+    applied_shares: RefCell<Vec<QuotaShare>>,
+    /// Per log, the last entry that was scanned for requests of closed accounts.
+    scanned_entries: RefCell<BTreeMap<Writer, u64>>,
     spillover: Spillover,
-    /// There is something new to say.
+    /// Wakes the loop in [`Sites::run`].
     woken: Notify,
-    /// The way back from a loss of power, and what the disk has done of it.
-    recovering: Option<NodeRecovery>,
-    claimed: RefCell<Option<mpsc::UnboundedReceiver<SavedIncarnation>>>,
-    /// The list that the disk has, to begin with.
+    /// Recovery after a loss of power; `None` if the sites file has no `(recover ...)`.
+    recovery: Option<NodeRecovery>,
+    saved_incarnations: RefCell<Option<mpsc::UnboundedReceiver<SavedIncarnation>>>,
+    /// Discovery's list from before the restart, until it is taken.
     last_list: RefCell<Option<Listing>>,
-    /// Final answers that are kept, where the way back is switched on.
+    /// Stored answers; `None` if the sites file has no `(recover ...)`.
     answers: Option<Answers>,
 }
 
-fn unix() -> Micros {
+fn unix_micros() -> Micros {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as Micros
 }
 
 impl Sites {
-    /// Take part as the node of that name; and what tells of its disk, for [`Sites::run`].
+    /// Opens the node's disk and creates the member `name`. The receiver reports finished writes and goes to [`Sites::run`].
+    ///
+    /// # Errors
+    /// Fails if the stored data can't be read or doesn't match the sites file, or if the node is in no site.
     pub fn new(
         name: &str,
-        siting: SitesSettings,
+        settings: SitesSettings,
         exchange: Rc<Exchange<Job>>,
         deadlines: Rc<Deadlines>,
         fleet: Option<&Fleet>,
     ) -> Result<(Rc<Self>, mpsc::UnboundedReceiver<DiskEvent>), SitesError> {
-        let Opened { chance, now, store, group_commit, used, spread, balances, kept, ownership_kept } =
-            startup::open(name, &siting)?;
-        let me = NodeId::of(name).0;
+        let StartupState {
+            seed,
+            now,
+            store,
+            group_commit,
+            config_history,
+            gossip,
+            balances,
+            stored_registry_hash,
+            stored_ownership,
+        } = startup::open(name, &settings)?;
+        let own_number = NodeId::of(name).0;
         let key_leases = fleet.filter(|f| f.has_ownership_quotas()).map(|fleet| {
-            let key_leases = Rc::new(KeyLeases::new(me, &siting.plan, &ownership_kept, fleet.clock()));
+            let key_leases =
+                Rc::new(KeyLeases::new(own_number, &settings.config, &stored_ownership, fleet.clock()));
             fleet.set_key_leases(key_leases.clone());
             key_leases
         });
-        let site_health = SiteHealth::new(me, &siting.plan, chance, now)?;
-        let line = Channel::new(me, unix() as u64, &siting.plan.fleet, Some(&siting.keys));
-        let (writes, written) = mpsc::unbounded_channel();
-        let (claims, claimed) = mpsc::unbounded_channel();
+        let site_health = SiteHealth::new(own_number, &settings.config, seed, now)?;
+        let channel =
+            Channel::new(own_number, unix_micros() as u64, &settings.config.fleet, Some(&settings.keys));
+        let (disk_events, disk_event_receiver) = mpsc::unbounded_channel();
+        let (saved_sender, saved_incarnations) = mpsc::unbounded_channel();
         let disk = (store.clone(), group_commit.clone());
-        let recovering = startup::recovering(name, &siting, &disk, (chance, now), claims)?;
-        let last_list = recovering.as_ref().and_then(|r| r.last_list(&store, siting.wall()));
+        let recovery = startup::open_recovery(name, &settings, &disk, (seed, now), saved_sender)?;
+        let last_list = recovery.as_ref().and_then(|r| r.last_list(&store, settings.unix_now()));
         let answers =
-            siting.plan.recover.as_ref().map(|r| Answers::new(store.clone(), group_commit.clone(), r));
-        let auditing = startup::auditing(name, &siting, &disk, chance)?;
+            settings.config.recover.as_ref().map(|r| Answers::new(store.clone(), group_commit.clone(), r));
+        let audit_recorder = startup::open_audit_recorder(name, &settings, &disk, seed)?;
         let site = site_health.site().to_string();
-        let placing = startup::placing((&site, name), &siting, &disk, (chance, now), writes.clone())?;
-        let taken = startup::taken(&placing, now);
-        let spillover = Spillover::new(&exchange, chance, now);
+        let placements =
+            startup::open_placements((&site, name), &settings, &disk, (seed, now), disk_events.clone())?;
+        let accepted = startup::accepted_requests(&placements, now);
+        let spillover = Spillover::new(&exchange, seed, now);
         let sites = Rc::new(Sites {
             name: name.to_string(),
             exchange,
             deadlines,
             origin: Instant::now(),
-            spread: RefCell::new(spread),
+            gossip: RefCell::new(gossip),
             site_health: RefCell::new(site_health),
-            used: RefCell::new(used),
+            config_history: RefCell::new(config_history),
             store: store.clone(),
-            reopens: Cell::new(Some(now)),
-            reopens_notified: Cell::new(false),
-            line: RefCell::new(line),
-            taken: RefCell::new(taken),
+            reopen_at: Cell::new(Some(now)),
+            store_failure_logged: Cell::new(false),
+            channel: RefCell::new(channel),
+            accepted: RefCell::new(accepted),
             balances: RefCell::new(balances),
-            // Until it has heard the others nothing is confirmed.
+            // Unconfirmed until a majority of the nodes has replied.
             confirmation: Cell::new(Confirmation::new(now)),
-            placing,
-            auditing,
+            placements,
+            audit_recorder,
             key_leases,
-            ownership_kept: RefCell::new((ownership_kept, false)),
+            stored_ownership: RefCell::new((stored_ownership, false)),
             ownership_outgoing: RefCell::default(),
-            ownership_reset: Cell::new(false),
-            sealed_at: Cell::new(now),
-            chance: RefCell::new(oorandom::Rand64::new(u128::from(chance))),
+            ownership_was_reset: Cell::new(false),
+            last_seal_at: Cell::new(now),
+            random: RefCell::new(oorandom::Rand64::new(u128::from(seed))),
             group_commit,
-            writes,
-            writing: RefCell::default(),
-            kept: Cell::new(kept),
-            notified: RefCell::default(),
-            looked: RefCell::default(),
+            disk_events,
+            credit_writes: RefCell::default(),
+            stored_registry_hash: Cell::new(stored_registry_hash),
+            applied_shares: RefCell::default(),
+            scanned_entries: RefCell::default(),
             spillover,
             woken: Notify::new(),
-            recovering,
-            claimed: RefCell::new(Some(claimed)),
+            recovery,
+            saved_incarnations: RefCell::new(Some(saved_incarnations)),
             last_list: RefCell::new(last_list),
             answers,
-            siting: RefCell::new(siting),
+            settings: RefCell::new(settings),
         });
-        sites.lend();
-        sites.meet(now);
-        sites.credit();
+        sites.update_spillover();
+        sites.update_placement_peers(now);
+        sites.apply_credits();
         sites.update_ownership();
-        // Before the first client: nothing is begun that is barred.
-        sites.hold();
-        sites.audit(ChangeSource::Start);
-        Ok((sites, written))
+        // Runs before the first client is accepted, so that no refused account starts work.
+        sites.apply_shares();
+        sites.record_versions(ChangeSource::Start);
+        Ok((sites, disk_event_receiver))
     }
 
-    /// What is written down of versions and decisions, where the file says so.
+    /// Returns the audit log of versions and decisions; `None` if the sites file has no `(audit ...)`.
     pub fn audit_recorder(&self) -> Option<&Rc<AuditRecorder>> {
-        self.auditing.as_ref()
+        self.audit_recorder.as_ref()
     }
 
-    fn audit(&self, why: ChangeSource) {
-        let Some(auditing) = &self.auditing else { return };
-        let siting = self.siting.borrow();
-        auditing.record_version(Item::Sites, siting.content, Some(siting.plan.version), why);
-        let (spread, content) = (self.spread.borrow(), |n: u64| ContentHash::of_number(n));
-        let book = spread.registry();
-        auditing.record_version(Item::Accounts, content(book.hash()), Some(book.newest_number()), why);
+    fn record_versions(&self, why: ChangeSource) {
+        let Some(audit_recorder) = &self.audit_recorder else { return };
+        let settings = self.settings.borrow();
+        audit_recorder.record_version(Item::Sites, settings.content, Some(settings.config.version), why);
+        let (gossip, content) = (self.gossip.borrow(), |n: u64| ContentHash::of_number(n));
+        let registry = gossip.registry();
+        audit_recorder.record_version(
+            Item::Accounts,
+            content(registry.hash()),
+            Some(registry.newest_number()),
+            why,
+        );
     }
 
     fn now(&self) -> Micros {
-        self.siting.borrow().skew.at(self.origin.elapsed().as_micros() as Micros)
+        self.settings.borrow().skew.at(self.origin.elapsed().as_micros() as Micros)
     }
 
     fn times(&self) -> Now {
         Now {
-            unix: unix(),
+            unix: unix_micros(),
             steady: self.now(),
             unconfirmed_since: self.confirmation.get().unconfirmed_since(),
         }
     }
 
     fn address(&self) -> Option<SocketAddr> {
-        self.siting.borrow().plan.node_named(&self.name).map(|n| n.address)
+        self.settings.borrow().config.node_named(&self.name).map(|n| n.address)
     }
 
-    /// Read the files again. Ones that can't be used change nothing.
+    /// Reads the sites file and the files that it names again, and returns its version.
+    ///
+    /// # Errors
+    /// Fails if a file can't be used; the previous files then stay in use.
     pub fn reload(&self) -> Result<u64, SitesError> {
         let (path, state, skew) = {
-            let siting = self.siting.borrow();
-            (siting.path.clone(), siting.state.clone(), siting.skew)
+            let settings = self.settings.borrow();
+            (settings.path.clone(), settings.state.clone(), settings.skew)
         };
         let newer = SitesSettings::read(path, state, &self.name, skew)?;
-        newer.may_hold(&self.used.borrow())?;
+        newer.check_history(&self.config_history.borrow())?;
         let now = self.now();
-        let me = NodeId::of(&self.name).0;
-        self.site_health.borrow_mut().update_config(&newer.plan, now)?;
-        uses(&self.store, &mut self.used.borrow_mut(), &newer.plan);
+        let own_number = NodeId::of(&self.name).0;
+        self.site_health.borrow_mut().update_config(&newer.config, now)?;
+        store_config_history(&self.store, &mut self.config_history.borrow_mut(), &newer.config);
         {
-            let mut spread = self.spread.borrow_mut();
-            spread.set_peers(newer.plan.nodes().map(|(_, n)| n.number).collect());
+            let mut gossip = self.gossip.borrow_mut();
+            gossip.set_peers(newer.config.nodes().map(|(_, n)| n.number).collect());
             if let Some(accounts_file) = &newer.accounts_file {
-                spread.add_file(accounts_file, now);
+                gossip.add_file(accounts_file, now);
             }
         }
-        if newer.plan.recover != self.siting.borrow().plan.recover {
-            warn!("sites: a restart is needed for what has changed in (recover)");
+        if newer.config.recover != self.settings.borrow().config.recover {
+            warn!("sites: (recover ...) has changed; restart the node to apply the change");
         }
-        if let Some(recovering) = &self.recovering {
-            recovering.meet(&selected_peers(&newer.plan, me));
+        if let Some(recovery) = &self.recovery {
+            recovery.set_peers(&selected_peers(&newer.config, own_number));
         }
         let mut balances = self.balances.borrow_mut();
-        balances.retain(|tenant, _| newer.plan.credits.iter().any(|c| c.tenant == *tenant));
-        for credit in newer.plan.credits.iter().filter_map(|c| newer.plan.credit_part(&c.tenant, me)) {
+        balances.retain(|tenant, _| newer.config.credits.iter().any(|c| c.tenant == *tenant));
+        for credit in
+            newer.config.credits.iter().filter_map(|c| newer.config.credit_part(&c.tenant, own_number))
+        {
             let part = NodeCredit { total: credit.jobs, reserve: credit.reserve };
-            // What a tenant that had none begins with is not known: nothing, until its standing is confirmed.
-            let new = || CreditBalance::restore(part, credit.shrink, CHUNK, None);
+            // A new tenant's credit is unknown, so it has none until its standing is confirmed.
+            let new = || CreditBalance::restore(part, credit.shrink, CREDIT_WRITE_AHEAD, None);
             balances.entry(credit.tenant).or_insert_with(new).resize(part, credit.shrink);
         }
         drop(balances);
         if let Some(key_leases) = &self.key_leases {
-            key_leases.replan(&newer.plan);
+            key_leases.update_config(&newer.config);
         }
-        self.line.borrow_mut().set(unix() as u64, &newer.plan.fleet, Some(&newer.keys));
-        let version = newer.plan.version;
-        self.siting.replace(newer);
-        self.meet(now);
-        self.audit(ChangeSource::Operator);
-        if let Some(auditing) = &self.auditing {
-            let siting = self.siting.borrow();
-            auditing.meet(&siting.plan.nodes().map(|(_, n)| n.number).collect::<Vec<_>>());
+        self.channel.borrow_mut().set(unix_micros() as u64, &newer.config.fleet, Some(&newer.keys));
+        let version = newer.config.version;
+        self.settings.replace(newer);
+        self.update_placement_peers(now);
+        self.record_versions(ChangeSource::Operator);
+        if let Some(audit_recorder) = &self.audit_recorder {
+            let settings = self.settings.borrow();
+            audit_recorder.set_peers(&settings.config.nodes().map(|(_, n)| n.number).collect::<Vec<_>>());
         }
-        self.settle();
+        self.apply_account_changes();
         self.woken.notify_one();
         Ok(version)
     }
 
-    /// Exchange placements with whom the file says.
-    fn meet(&self, now: Micros) {
-        let plan = &self.siting.borrow().plan;
-        self.placing.meet(routes(plan, NodeId::of(&self.name).0), plan.group, now);
+    /// Sets the peers with which placements are exchanged from the sites file.
+    fn update_placement_peers(&self, now: Micros) {
+        let config = &self.settings.borrow().config;
+        self.placements.set_peers(routes(config, NodeId::of(&self.name).0), config.group, now);
     }
 
-    /// Take part for as long as the node runs.
-    pub async fn run(self: Rc<Self>, mut written: mpsc::UnboundedReceiver<DiskEvent>) {
-        let mut buffer = vec![0; LARGEST];
-        // Taken once: nobody else follows.
-        let mut claimed = self.claimed.take().unwrap_or_else(|| mpsc::unbounded_channel().1);
+    /// Exchanges messages with the other nodes until this node stops. `disk_events` is the receiver from [`Sites::new`].
+    pub async fn run(self: Rc<Self>, mut disk_events: mpsc::UnboundedReceiver<DiskEvent>) {
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
+        // `run` is called once, so the receiver is still there.
+        let mut saved_incarnations =
+            self.saved_incarnations.take().unwrap_or_else(|| mpsc::unbounded_channel().1);
         let socket = loop {
             if let Some(address) = self.address() {
                 match UdpSocket::bind(address).await {
                     Ok(socket) => break socket,
-                    Err(e) => warn!("sites: can't have {address}: {e}"),
+                    Err(e) => {
+                        warn!("sites: can't bind {address}: {e}; another process may still use it, retrying")
+                    }
                 }
             }
-            self.settle();
-            self.deadlines.after(BIND).await;
+            self.apply_account_changes();
+            self.deadlines.after(BIND_RETRY_INTERVAL).await;
         };
         info!("sites: this is {} of {}", self.name, self.site_health.borrow().site());
         match &self.key_leases {
-            Some(_) => info!("homes: a guarded key is placed by the node that holds its range"),
-            None => info!("homes: none; only the history keeps guarded keys from running twice, and two nodes that are asked for one at once may both place it"),
+            Some(_) => info!("key ranges: leased; a guarded key is placed by the node that holds its range"),
+            None => info!("key ranges: not leased; only the placement history prevents duplicates of guarded requests, so two nodes that receive one at the same time may both place it"),
         }
-        // Words about placements and what the disk has done come often; all the rest is looked at when it is due, or was heard of.
-        let (mut looks, mut looked) = (true, 0);
+        // Placement messages and most disk events are frequent; they don't trigger a full tick.
+        let (mut changed, mut last_tick) = (true, 0);
         loop {
             let now = self.now();
-            if looks || now >= self.due(looked, now) {
-                looked = now;
-                self.pass();
+            if changed || now >= self.due(last_tick, now) {
+                last_tick = now;
+                self.tick();
             }
-            looks = false;
-            self.speak(&socket).await;
+            changed = false;
+            self.send_outgoing(&socket).await;
             let now = self.now();
-            let due = self.placing.due(now).into_iter().fold(self.due(looked, now), Micros::min) - now;
-            let due = self.auditing.iter().map(|a| a.quiet()).fold(due, Micros::min);
+            let due = self.placements.due(now).into_iter().fold(self.due(last_tick, now), Micros::min) - now;
+            let due = self.audit_recorder.iter().map(|a| a.time_until_due()).fold(due, Micros::min);
             let wait = Duration::from_micros(due.max(1_000) as u64);
             tokio::select! {
                 biased;
-                Some(written) = written.recv() => looks |= self.on_written(written),
-                Some(came) = claimed.recv() => {
-                    looks = true;
-                    if let Some(recovering) = &self.recovering {
-                        recovering.claimed(came, self.now());
+                Some(event) = disk_events.recv() => changed |= self.on_disk_event(event),
+                Some(saved) = saved_incarnations.recv() => {
+                    changed = true;
+                    if let Some(recovery) = &self.recovery {
+                        recovery.on_incarnation_saved(saved, self.now());
                     }
                 }
-                came = socket.recv_from(&mut buffer) => {
-                    // An error is somebody's closed port, told late.
-                    if let Ok((n, from)) = came {
-                        looks |= self.receive(&buffer[..n], from);
+                received = socket.recv_from(&mut buffer) => {
+                    // An error reports that an earlier datagram reached a closed port; it is no reason to stop receiving.
+                    if let Ok((n, from)) = received {
+                        changed |= self.receive(&buffer[..n], from);
                     }
-                    // What waits already goes with it.
-                    for _ in 0..AT_ONCE {
+                    // Drains datagrams that are already queued before the node reacts.
+                    for _ in 0..MAX_DATAGRAM_BATCH {
                         let Ok((n, from)) = socket.try_recv_from(&mut buffer) else { break };
-                        looks |= self.receive(&buffer[..n], from);
+                        changed |= self.receive(&buffer[..n], from);
                     }
                 }
-                () = self.woken.notified() => looks = true,
+                () = self.woken.notified() => changed = true,
                 () = self.deadlines.after(wait) => {}
             }
         }
     }
 
-    /// When all but what is written and heard of placements is looked at again.
-    fn due(&self, looked: Micros, now: Micros) -> Micros {
-        let due = (now + self.spread.borrow().due(now)).min(self.site_health.borrow().due(now));
-        let due = self.placing.more().into_iter().fold(due, Micros::min);
-        due.min(looked + LOOK.as_micros() as Micros)
+    /// Returns the time of the next full tick.
+    fn due(&self, last_tick: Micros, now: Micros) -> Micros {
+        let due = (now + self.gossip.borrow().due(now)).min(self.site_health.borrow().due(now));
+        let due = self.placements.reconcile_due().into_iter().fold(due, Micros::min);
+        due.min(last_tick + MAX_TICK_INTERVAL.as_micros() as Micros)
     }
 
-    fn lend(&self) {
-        self.spillover.pass(&mut self.site_health.borrow_mut(), &self.exchange, self.now());
+    fn update_spillover(&self) {
+        self.spillover.tick(&mut self.site_health.borrow_mut(), &self.exchange, self.now());
     }
 
-    fn pass(&self) {
+    fn tick(&self) {
         let now = self.now();
         self.reopen(now);
-        self.spread.borrow_mut().tick(now);
+        self.gossip.borrow_mut().tick(now);
         self.site_health.borrow_mut().tick(now);
         self.seal(now);
-        self.lend();
+        self.update_spillover();
         for changed in self.site_health.borrow_mut().take_changes() {
             info!(
                 "site {} {:?} before={:?} why={:?}",
@@ -388,47 +416,50 @@
         }
         for ConfigMismatch { node, version, own } in self.site_health.borrow_mut().take_config_mismatches() {
             match version == own {
-                true => warn!("sites: {node} goes by another file of version {own} than this node: give the one that is to hold a greater (version ...) and hand it to all nodes"),
-                false => info!("sites: {node} goes by version {version} of the file, this node by {own}: hand the newest to all nodes"),
+                true => warn!("sites: {node} uses another file with version {own} than this node; give the file to use a greater (version ...) and install it on all nodes"),
+                false => info!("sites: {node} uses version {version} of the sites file, this node uses {own}; install the newest on all nodes"),
             }
         }
         let mut confirmation = self.confirmation.get();
         let received = self.site_health.borrow().majority_contact_at(now);
-        if let Some(alone) = confirmation.update(received, now) {
-            match alone {
-                // What is begun from now on without confirmation counts against the credit, wherever that is.
+        if let Some(unconfirmed) = confirmation.update(received, now) {
+            match unconfirmed {
+                // Work that starts without confirmation counts against the credit at all sites.
                 true => {
-                    warn!("accounts: standing can't be confirmed, credit is used");
-                    self.credit();
+                    warn!("accounts: standing can't be confirmed with a majority of the nodes; using credit");
+                    self.apply_credits();
                 }
                 false => info!("accounts: standing is confirmed"),
             }
         }
         self.confirmation.set(confirmation);
-        self.reconcile(self.placing.reconcile(unix(), now));
+        self.reconcile(self.placements.reconcile(unix_micros(), now));
         self.update_ownership();
-        self.recover(now);
-        self.settle();
-        self.running();
-        if let Some(auditing) = &self.auditing {
-            self.audit(ChangeSource::Peers);
-            auditing.pass();
+        self.update_recovery(now);
+        self.apply_account_changes();
+        self.record_remote_requests();
+        if let Some(audit_recorder) = &self.audit_recorder {
+            self.record_versions(ChangeSource::Peers);
+            audit_recorder.tick();
         }
     }
 
-    /// Go on with the way back.
-    fn recover(&self, now: Micros) {
-        let Some(recovering) = &self.recovering else { return };
-        let facts = RecoveryInputs {
+    /// Advances the recovery after a loss of power.
+    fn update_recovery(&self, now: Micros) {
+        let Some(recovery) = &self.recovery else { return };
+        let inputs = RecoveryInputs {
             servers: self.exchange.has_servers(),
-            asked: self.placing.asked(),
-            complete: self.placing.complete(),
-            refounded: self.placing.was_refounded(),
-            epoch: self.key_leases.as_ref().map_or(self.placing.asked(), |h| h.holds()),
+            asked: self.placements.peers_answered(),
+            complete: self.placements.exchanges_complete(),
+            refounded: self.placements.was_refounded(),
+            epoch: self
+                .key_leases
+                .as_ref()
+                .map_or(self.placements.peers_answered(), |leases| leases.holds_any()),
         };
-        let wall = self.siting.borrow().wall();
-        if recovering.pass(facts, now, wall) {
-            self.spillover.cold(&self.site_health.borrow(), now);
+        let unix_now = self.settings.borrow().unix_now();
+        if recovery.tick(inputs, now, unix_now) {
+            self.spillover.start_recovery(&self.site_health.borrow(), now);
         }
     }
 }
--- a/src/net/sites/accounts.rs
+++ b/src/net/sites/accounts.rs
@@ -1,7 +1,7 @@
-//! Accounts and credit: what follows from files of accounts and from what all sites have placed.
+//! Applies changes of accounts and credit, from the accounts files and from the placements of all sites.
 
 use super::persistence::DiskEvent;
-use super::{unix, Sites, BOOK, CREDIT_BALANCE};
+use super::{unix_micros, Sites, CREDIT_FACT_PREFIX, REGISTRY_FACT};
 use shorepath_accounts::credit::CreditRecord;
 use shorepath_accounts::registry::RegistryUpdate;
 use shorepath_placements::reconcile;
@@ -11,89 +11,91 @@
 use tracing::{info, warn};
 
 impl Sites {
-    /// Bring what is kept and what the module is told up to date with what is known.
-    pub(super) fn settle(&self) {
+    /// Applies updates of the account registry: logs them, stores the registry and credit records, and updates the scheduler.
+    pub(super) fn apply_account_changes(&self) {
         let now = self.times();
-        for updates in self.spread.borrow_mut().take_updates() {
-            match updates {
+        for update in self.gossip.borrow_mut().take_updates() {
+            match update {
                 RegistryUpdate::StandingChanged { account, change } => {
                     info!(
                         "account {account} {:?} number={} from={} reason={:?}",
                         change.standing, change.number, change.from, change.reason
                     );
                     let takes_new = !change.standing.rejects_new_work();
-                    // What was passed over of it is looked at now.
-                    self.looked.borrow_mut().clear();
+                    // Entries that were skipped while the account was open must be scanned again.
+                    self.scanned_entries.borrow_mut().clear();
                     let change = reconcile::StandingChange { number: change.number, from: change.from, takes_new };
-                    self.reconcile(self.placing.judge_by(|r| r.change_standing(&account, change)));
+                    self.reconcile(self.placements.update_reconciler(|r| r.change_standing(&account, change)));
                 }
-                RegistryUpdate::NewFile { number } => info!("accounts: file {number} holds"),
-                RegistryUpdate::ConflictingFiles { number } => warn!("accounts: two files of number {number} say different things; the stricter holds for each account until one of a greater number is handed out"),
+                RegistryUpdate::NewFile { number } => info!("accounts: file {number} is now in use"),
+                RegistryUpdate::ConflictingFiles { number } => warn!("accounts: two files with number {number} differ; the stricter standing applies to each account until a file with a greater number is installed"),
                 other => warn!("accounts: {other:?}"),
             }
         }
         {
-            let spread = self.spread.borrow();
-            let book = spread.registry();
-            if book.hash() != self.kept.get() {
-                self.kept.set(book.hash());
-                self.group_commit.commit(vec![Op::remember(BOOK, book)], |done| {
-                    if let Err(e) = done {
-                        warn!("accounts: what is known is not on the disk: {e}");
+            let gossip = self.gossip.borrow();
+            let registry = gossip.registry();
+            if registry.hash() != self.stored_registry_hash.get() {
+                self.stored_registry_hash.set(registry.hash());
+                self.group_commit.commit(vec![Op::remember(REGISTRY_FACT, registry)], |result| {
+                    if let Err(e) = result {
+                        warn!("accounts: the account registry could not be written: {e}");
                     }
                 });
             }
             let mut balances = self.balances.borrow_mut();
             for (tenant, balance) in balances.iter_mut() {
-                let change = book.change_at(tenant, now.unix);
+                let change = registry.change_at(tenant, now.unix);
                 if now.unconfirmed_since.is_none() && balance.current_record() != CreditRecord::default() {
                     let owed = balance.confirmed(&change);
                     if owed > 0 {
-                        warn!("account {tenant}: {owed} jobs were begun after it was closed, and are owed");
+                        warn!("account {tenant}: {owed} jobs were started after it was closed and are charged as debt");
                     }
                 }
-                let mut writing = self.writing.borrow_mut();
+                let mut credit_writes = self.credit_writes.borrow_mut();
                 if !self.store.takes() {
                     balance.write_failed();
-                } else if let Some(note) = balance.record_to_write().filter(|_| !writing.contains(tenant)) {
-                    writing.push(tenant.clone());
-                    let (writes, tenant) = (self.writes.clone(), tenant.clone());
+                } else if let Some(record) =
+                    balance.record_to_write().filter(|_| !credit_writes.contains(tenant))
+                {
+                    credit_writes.push(tenant.clone());
+                    let (disk_events, tenant) = (self.disk_events.clone(), tenant.clone());
                     self.group_commit.commit(
-                        vec![Op::remember(format!("{CREDIT_BALANCE}{tenant}"), &note)],
-                        move |done| {
-                            // Nobody hears it where the node ends.
-                            let _ = writes.send(DiskEvent::Credit(tenant, note, done));
+                        vec![Op::remember(format!("{CREDIT_FACT_PREFIX}{tenant}"), &record)],
+                        move |result| {
+                            // The receiver is dropped when the node stops.
+                            let _ = disk_events.send(DiskEvent::Credit(tenant, record, result));
                         },
                     );
                 }
             }
         }
-        self.hold();
+        self.apply_shares();
     }
 
-    /// Credits count from now on, over all sites.
-    pub(super) fn credit(&self) {
-        let credits = self.siting.borrow().plan.credits.clone();
+    /// Passes each tenant's credit to the reconciler, which counts its use over all sites.
+    pub(super) fn apply_credits(&self) {
+        let credits = self.settings.borrow().config.credits.clone();
         for credit in credits {
-            let reply = |r: &mut Reconciler| r.set_credit(&credit.tenant, credit.jobs, unix());
-            self.reconcile(self.placing.judge_by(reply));
+            let set_credit = |r: &mut Reconciler| r.set_credit(&credit.tenant, credit.jobs, unix_micros());
+            self.reconcile(self.placements.update_reconciler(set_credit));
         }
     }
 
-    /// What follows from histories.
+    /// Logs decisions of the reconciler and charges debts to the credit balances.
     pub(super) fn reconcile(&self, decisions: Vec<Decision>) {
         for decision in decisions {
             match &decision {
-                Decision::Violation(story) => warn!("placements: a job that must not run twice may have: {story:?}"),
+                Decision::Violation(violation) => warn!("placements: a guarded job may have run more than once: {violation:?}"),
                 Decision::Debt { tenant, kind: DebtKind::Credit, jobs } => {
-                    warn!("account {tenant}: {jobs} jobs were begun above its credit, over all sites");
+                    warn!("account {tenant}: {jobs} jobs were started beyond its credit, over all sites");
                     let share = self.credit_share(tenant, *jobs);
                     if let Some(balance) = self.balances.borrow_mut().get_mut(tenant) {
                         balance.add_debt(share);
                     }
                 }
                 Decision::Standing { tenant, number, awareness, writer, entry } => warn!(
-                    "account {tenant}: work was begun after file {number} closed it: {awareness:?} at {}/{} entry={entry}",
+                    "account {tenant}: work was started after file {number} closed it: {awareness:?} at {}/{} entry={entry}",
                     writer.site, writer.node
                 ),
                 other => info!("placements: {other:?}"),
@@ -101,11 +103,11 @@
         }
     }
 
-    /// This node's part of a debt, by its part of the credit; rounded up.
+    /// Returns this node's share of a debt of `jobs`, in proportion to its share of the credit, rounded up.
     pub(super) fn credit_share(&self, tenant: &str, jobs: u64) -> u64 {
-        let plan = &self.siting.borrow().plan;
-        let whole = plan.credits.iter().find(|c| c.tenant == tenant).map_or(0, |c| c.jobs);
-        let part = plan.credit_part(tenant, NodeId::of(&self.name).0).map_or(0, |c| c.jobs);
-        (u128::from(jobs) * u128::from(part)).div_ceil(u128::from(whole.max(1))) as u64
+        let config = &self.settings.borrow().config;
+        let total_jobs = config.credits.iter().find(|c| c.tenant == tenant).map_or(0, |c| c.jobs);
+        let own_jobs = config.credit_part(tenant, NodeId::of(&self.name).0).map_or(0, |c| c.jobs);
+        (u128::from(jobs) * u128::from(own_jobs)).div_ceil(u128::from(total_jobs.max(1))) as u64
     }
 }
--- a/src/net/sites/admission.rs
+++ b/src/net/sites/admission.rs
@@ -1,7 +1,7 @@
-//! Whether a request is accepted, as far as its account, its site and its key go, and what becomes of it.
+//! Decides whether a request is accepted by its account, its site and its idempotency key, and records accepted ones.
 
 use super::persistence::DiskEvent;
-use super::{unix, Sites, TAKEN_FOR};
+use super::{unix_micros, Sites, ACCEPTED_RETENTION};
 use crate::net::answers::PendingAnswer;
 use crate::net::exchange::{Attempt, DispatchId, Ran, Recorder, ResponseOutcome, Source};
 use crate::net::Job;
@@ -19,103 +19,104 @@
 use std::time::Duration;
 use tracing::debug;
 
-/// So many entries of logs are looked at in a pass for what others took of accounts that are closing.
-const LOOKED: usize = 8_192;
+/// Most log entries that one tick scans for requests of closed accounts.
+const MAX_SCANNED_ENTRIES: usize = 8_192;
 
-/// A request as far as its account goes.
+/// The admission state of one request, from its arrival to its final answer.
 #[derive(Debug)]
 pub struct RequestAdmission {
     pub(super) sites: Rc<Sites>,
     pub(super) tenant: String,
     pub(super) key: Option<Key>,
-    /// It is new work.
+    /// Whether the request is new work, not a repeat of an accepted one.
     pub(super) new: bool,
-    /// One of the account's credit was spent for it: the number of the file that was known, and the Unix time.
+    /// Number of the accounts file and Unix time at which a unit of credit was spent for the request.
     pub(super) spent: Option<(u64, Micros)>,
-    /// It is not taken for another reason than its account.
+    /// A reason other than the account to reject the request.
     pub(super) rejection: Option<Rejection>,
-    /// The site of its client, if that is another one.
-    pub(super) guest: Option<String>,
-    /// It is not taken because the node is on its way back.
-    pub(super) recovers: bool,
-    /// Its class and its key, where it must not run twice.
-    pub(super) guards: Option<(String, String)>,
+    /// The client's site, if it is not this node's.
+    pub(super) remote_site: Option<String>,
+    /// Whether the request is rejected because the node is recovering, so that it gets a random `Retry-After`.
+    pub(super) retry_after_recovery: bool,
+    /// Class and idempotency key of a request that must run at most once.
+    pub(super) guarded_key: Option<(String, String)>,
 }
 
-/// Why a request was not taken, for its client.
+/// The reason for rejecting a request, as sent to its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// The status of the answer.
+    /// HTTP status of the answer.
     pub status: u16,
-    /// In few words.
+    /// Short explanation for the client.
     pub why: String,
-    /// It may do to ask again later.
+    /// Whether the client may retry the request later.
     pub retry: bool,
 }
 
 impl Sites {
-    /// What a request is to the work of its account, before it is taken.
+    /// Classifies a request before it is queued: as new work, a repeat, or one that this node must reject.
     pub fn admit(self: &Rc<Self>, class: ClassId, job: &Job) -> (WorkState, Option<RequestAdmission>) {
         let (id, now) = (&*job.id, self.now());
         let tenant = job.tenant.clone().unwrap_or_default();
         let key = Key::of(job.repeat_key.as_deref(), Some(id));
-        let begun = self.taken.borrow().contains(&tenant, key.as_ref(), now);
-        let guest = self.spillover.guest(&self.site_health.borrow(), class, job);
+        let accepted_before = self.accepted.borrow().contains(&tenant, key.as_ref(), now);
+        let remote_site = self.spillover.remote_site(&self.site_health.borrow(), class, job);
         let mut rejection = self.rejection_for(class, job.repeat_key.as_deref().unwrap_or(id));
-        // Those that are sent away on the way back are told by chance when to come, see [`RequestAdmission::response_field`].
-        let waits = self.recovering.as_ref().is_some_and(|r| r.admits() != Admits::All);
-        let again = rejection.as_mut().filter(|b| waits && b.retry);
-        let recovers = again.is_some();
-        again.into_iter().for_each(|b| b.retry = false);
-        let entry = match (&rejection, begun) {
+        // During recovery, clients get a random `Retry-After` from [`RequestAdmission::response_field`] instead of a retry mark.
+        let recovering = self.recovery.as_ref().is_some_and(|r| r.admits() != Admits::All);
+        let retried = rejection.as_mut().filter(|b| recovering && b.retry);
+        let retry_after_recovery = retried.is_some();
+        retried.into_iter().for_each(|b| b.retry = false);
+        let work_state = match (&rejection, accepted_before) {
             (Some(_), _) => WorkState::Misdirected,
             (None, true) => WorkState::InProgress,
             (None, false) => WorkState::New,
         };
-        let guards = self.answers.as_ref().filter(|_| self.is_guarded(class));
-        let guards = guards
+        let guarded_key = self.answers.as_ref().filter(|_| self.is_guarded(class));
+        let guarded_key = guarded_key
             .map(|_| (self.exchange.class_name(class), job.repeat_key.as_deref().unwrap_or(id).to_string()));
         (
-            entry,
+            work_state,
             Some(RequestAdmission {
                 sites: self.clone(),
                 tenant,
                 key,
-                new: !begun,
+                new: !accepted_before,
                 spent: None,
                 rejection,
-                guest,
-                recovers,
-                guards,
+                remote_site,
+                retry_after_recovery,
+                guarded_key,
             }),
         )
     }
 
-    /// Whether a class must not run twice.
+    /// Returns whether requests of the class must run at most once.
     pub(super) fn is_guarded(&self, class: ClassId) -> bool {
         self.exchange.is_unsafe(class)
-            || self.siting.borrow().plan.guarded_classes.contains(&self.exchange.class_name(class))
+            || self.settings.borrow().config.guarded_classes.contains(&self.exchange.class_name(class))
     }
 
-    /// The final answer that a job's key was given here, by its status and body, where that is kept: it stays the one.
+    /// Returns the status and body of the stored final answer for the job's idempotency key, if there is one.
     pub fn stored_answer(&self, class: ClassId, job: &Job) -> Option<(u16, Vec<u8>)> {
         let answers = self.answers.as_ref().filter(|_| self.is_guarded(class))?;
         let (name, key) = (self.exchange.class_name(class), job.repeat_key.as_deref().unwrap_or(&job.id));
-        // Most have never been placed, and the disk need not be asked.
-        if self.placing.known(&name, key) == KeyState::Free {
+        // Avoids a disk read for keys that were never placed.
+        if self.placements.key_state(&name, key) == KeyState::Free {
             return None;
         }
         answers.get(&name, job.tenant.as_deref(), key)
     }
 
-    /// Why a request is not to be taken, if it is not: the node is on its way back, or it must not run twice and may.
+    /// Returns the reason to reject a request that the account doesn't forbid: the node is recovering, or a guarded request may not
+    /// be placed.
     pub(super) fn rejection_for(&self, class: ClassId, key: &str) -> Option<Rejection> {
-        let returns =
-            self.recovering.as_ref().map(|r| (r.admits(), r.waits_for(self.now()).unwrap_or_default()));
-        if let Some((Admits::Nothing, waits)) = returns {
+        let admission =
+            self.recovery.as_ref().map(|r| (r.admits(), r.waits_for(self.now()).unwrap_or_default()));
+        if let Some((Admits::Nothing, waiting_for)) = admission {
             return Some(Rejection {
                 status: 503,
-                why: format!("recovering: waits for {waits}"),
+                why: format!("recovering: waits for {waiting_for}"),
                 retry: true,
             });
         }
@@ -125,24 +126,24 @@
         }
         let rejection =
             |status, why: &str| Some(Rejection { status, why: why.to_string(), retry: status == 503 });
-        let known = self.placing.known(&name, key);
+        let known = self.placements.key_state(&name, key);
         if let (KeyState::Free, Some(key_leases)) = (known, &self.key_leases) {
             match key_leases.may_place(key) {
                 Ok(_) => {}
                 Err((_, true)) => return rejection(503, "catching up"),
                 Err((refused, false)) => {
-                    let (status, why, retry) = refused.response(self.lives(refused.home()));
+                    let (status, why, retry) = refused.response(self.is_site_reachable(refused.home()));
                     return Some(Rejection { status, why, retry });
                 }
             }
         }
         match known {
-            KeyState::Free if !self.placing.asked() => rejection(503, "catching up"),
-            KeyState::Free if returns.is_some_and(|(admits, _)| admits != Admits::All) => {
-                let waits = returns.map_or("", |(_, waits)| waits);
-                rejection(503, &format!("recovering: waits for {waits}"))
+            KeyState::Free if !self.placements.peers_answered() => rejection(503, "catching up"),
+            KeyState::Free if admission.is_some_and(|(admits, _)| admits != Admits::All) => {
+                let waiting_for = admission.map_or("", |(_, waiting_for)| waiting_for);
+                rejection(503, &format!("recovering: waits for {waiting_for}"))
             }
-            KeyState::Free if self.placing.failed().is_some() => {
+            KeyState::Free if self.placements.failure().is_some() => {
                 rejection(503, "placements can't be recorded")
             }
             KeyState::Free => None,
@@ -151,55 +152,73 @@
         }
     }
 
-    /// Whether clients may reach the node that is a home, as far as its site tells.
-    pub(super) fn lives(&self, home: &str) -> bool {
+    /// Returns whether the site of the node that owns the range `home` is not considered lost.
+    pub(super) fn is_site_reachable(&self, home: &str) -> bool {
         let site = home.split_once('/').map_or("", |(site, _)| site);
         self.site_health.borrow().state(site) != Some(SiteState::Lost)
     }
 
-    /// What other nodes have taken of accounts that take nothing new any more is running work here, too: a client may repeat it anywhere.
-    /// Nothing is looked at while there are no such accounts.
-    pub(super) fn running(&self) {
-        let (now, unix) = (self.now(), unix());
-        let spread = self.spread.borrow();
-        let book = spread.registry();
-        let barring: BTreeSet<&str> =
-            book.accounts_in_newest_file().filter(|a| book.standing_at(a, unix).rejects_new_work()).collect();
-        if barring.is_empty() {
+    /// Records requests of closed accounts that other nodes have placed, so that clients may repeat them at this node.
+    /// Scans the logs only while there are such accounts.
+    pub(super) fn record_remote_requests(&self) {
+        let (now, unix) = (self.now(), unix_micros());
+        let gossip = self.gossip.borrow();
+        let registry = gossip.registry();
+        let closed_accounts: BTreeSet<&str> = registry
+            .accounts_in_newest_file()
+            .filter(|a| registry.standing_at(a, unix).rejects_new_work())
+            .collect();
+        if closed_accounts.is_empty() {
             return;
         }
-        let mut taken = self.taken.borrow_mut();
-        self.placing.placed(&mut self.looked.borrow_mut(), LOOKED, |tenant, key, at| {
-            if barring.contains(tenant) && unix - at < TAKEN_FOR {
-                // A log does not say which of both it is.
-                let keys = [Key::Idempotency(key.to_string()), Key::Request(key.to_string())];
-                for key in keys.iter().filter(|k| !taken.contains(tenant, Some(k), now)).collect::<Vec<_>>() {
-                    taken.restore([(tenant, key, unix - at)], now);
+        let mut accepted = self.accepted.borrow_mut();
+        self.placements.for_each_new_placement(
+            &mut self.scanned_entries.borrow_mut(),
+            MAX_SCANNED_ENTRIES,
+            |tenant, key, at| {
+                if closed_accounts.contains(tenant) && unix - at < ACCEPTED_RETENTION {
+                    // A log entry doesn't record whether its key is an idempotency key or a request id.
+                    let keys = [Key::Idempotency(key.to_string()), Key::Request(key.to_string())];
+                    for key in
+                        keys.iter().filter(|k| !accepted.contains(tenant, Some(k), now)).collect::<Vec<_>>()
+                    {
+                        accepted.restore([(tenant, key, unix - at)], now);
+                    }
                 }
-            }
-        });
+            },
+        );
     }
 
-    /// Bring the module's parts in line with what may be begun now.
-    pub(super) fn hold(&self) {
+    /// Applies the current limits on new work, per tenant and for load shifting, to the scheduler.
+    pub(super) fn apply_shares(&self) {
         let now = self.times();
-        let all = restrictions(self.spread.borrow().registry(), &mut self.balances.borrow_mut(), now);
-        let mut parts = Vec::new();
+        let all = restrictions(self.gossip.borrow().registry(), &mut self.balances.borrow_mut(), now);
+        let mut shares = Vec::new();
         for (tenant, restriction) in all {
-            let Some(of) = self.exchange.tenant(&tenant) else { continue };
+            let Some(tenant_id) = self.exchange.tenant(&tenant) else { continue };
             if let Some(units) = restriction.max_new_jobs {
-                let units = units.saturating_add(self.exchange.begun(of));
-                parts.push(QuotaShare { kind: QuotaKind::NewWork(of), units, total: units, window: 0 });
+                let units = units.saturating_add(self.exchange.begun(tenant_id));
+                shares.push(QuotaShare {
+                    kind: QuotaKind::NewWork(tenant_id),
+                    units,
+                    total: units,
+                    window: 0,
+                });
             }
             if !restriction.may_send {
-                parts.push(QuotaShare { kind: QuotaKind::TenantEnabled(of), units: 0, total: 0, window: 0 });
+                shares.push(QuotaShare {
+                    kind: QuotaKind::TenantEnabled(tenant_id),
+                    units: 0,
+                    total: 0,
+                    window: 0,
+                });
             }
         }
-        parts.extend(self.spillover.parts());
-        if parts != *self.notified.borrow() {
-            debug!("sites: {parts:?}");
-            self.notified.replace(parts.clone());
-            self.exchange.parts_hold(Source::Sites, parts);
+        shares.extend(self.spillover.quota_shares());
+        if shares != *self.applied_shares.borrow() {
+            debug!("sites: {shares:?}");
+            self.applied_shares.replace(shares.clone());
+            self.exchange.parts_hold(Source::Sites, shares);
         }
     }
 }
@@ -208,34 +227,37 @@
     fn places(&self, id: DispatchId, attempt: Attempt<'_>, job: &Job) -> bool {
         let now = self.times();
         let Attempt { class, is_unsafe, server } = attempt;
-        let guarded = is_unsafe || self.siting.borrow().plan.guarded_classes.contains(class);
+        let guarded = is_unsafe || self.settings.borrow().config.guarded_classes.contains(class);
         let tenant = job.tenant.clone();
         let standing =
-            tenant.as_deref().map_or(0, |t| self.spread.borrow().registry().change_at(t, now.unix).number);
+            tenant.as_deref().map_or(0, |t| self.gossip.borrow().registry().change_at(t, now.unix).number);
         let key = job.repeat_key.clone().unwrap_or_else(|| job.id.to_string());
-        // It may have waited for long since it was taken, and another request for its key with it. A further attempt is made only
-        // where the one before surely never ran, or may run again.
-        if guarded && id.attempt == 0 && self.placing.known(class, &key) != KeyState::Free {
-            // Nobody hears it where the node ends.
-            let _ = self.writes.send(DiskEvent::Refused(id, "its key was placed meanwhile".to_string()));
+        // Another request with this key may have been placed while this one was queued. Further attempts need no check: they are made
+        // only if the one before surely never ran or may run again.
+        if guarded && id.attempt == 0 && self.placements.key_state(class, &key) != KeyState::Free {
+            // The receiver is dropped when the node stops.
+            let _ = self.disk_events.send(DiskEvent::Refused(
+                id,
+                "another request with its key was placed meanwhile".to_string(),
+            ));
             return false;
         }
-        if guarded && self.recovering.as_ref().is_some_and(|r| r.admits() != Admits::All) {
-            // Nobody hears it where the node ends.
+        if guarded && self.recovery.as_ref().is_some_and(|r| r.admits() != Admits::All) {
+            // The receiver is dropped when the node stops.
             let _ = self
-                .writes
-                .send(DiskEvent::Refused(id, "the node is back among those that recover".to_string()));
+                .disk_events
+                .send(DiskEvent::Refused(id, "the node has started to recover again".to_string()));
             return false;
         }
         let fence = match &self.key_leases {
             Some(key_leases) if guarded => match key_leases.may_place(&key) {
                 Ok(fence) => {
-                    key_leases.places(id, &key, fence);
+                    key_leases.record_attempt(id, &key, fence);
                     fence.as_u64()
                 }
                 Err((refused, _)) => {
-                    // Nobody hears it where the node ends.
-                    let _ = self.writes.send(DiskEvent::Refused(id, refused.to_string()));
+                    // The receiver is dropped when the node stops.
+                    let _ = self.disk_events.send(DiskEvent::Refused(id, refused.to_string()));
                     return false;
                 }
             },
@@ -253,68 +275,74 @@
             list: 0,
             fence,
         };
-        self.placing.places(id, Timed { at: now.unix, entry: placements::Entry::Placed(placement) })
+        self.placements
+            .record_placement(id, Timed { at: now.unix, entry: placements::Entry::Placed(placement) })
     }
 
     fn may_send(&self, id: DispatchId) -> bool {
-        self.key_leases.as_ref().is_none_or(|h| h.may_send(id))
+        self.key_leases.as_ref().is_none_or(|leases| leases.may_send(id))
     }
 
     fn ended(&self, id: DispatchId, ran: Ran) {
         if let Some(key_leases) = &self.key_leases {
-            key_leases.over(id);
+            key_leases.attempt_ended(id);
         }
-        self.placing.ended(id, ran, unix());
+        self.placements.record_end(id, ran, unix_micros());
     }
 }
 
 impl RequestAdmission {
-    /// Whether its client belongs to another site.
+    /// Returns whether the request's client belongs to another site.
     pub fn is_remote(&self) -> bool {
-        self.guest.is_some()
+        self.remote_site.is_some()
     }
 
-    /// A field that its answer has besides, with its time.
+    /// Returns an additional HTTP field of the answer and its value as a duration, if there is one.
     pub fn response_field(&self, outcome: &ResponseOutcome) -> Option<(&'static str, Duration)> {
         let Sites { spillover, site_health, .. } = &*self.sites;
-        if self.recovers {
-            return Some(("Retry-After", spillover.after(self.sites.now())));
+        if self.retry_after_recovery {
+            return Some(("Retry-After", spillover.retry_after(self.sites.now())));
         }
-        spillover.response_field(&site_health.borrow(), self.guest.as_deref(), outcome, self.sites.now())
+        spillover.response_field(
+            &site_health.borrow(),
+            self.remote_site.as_deref(),
+            outcome,
+            self.sites.now(),
+        )
     }
 
-    /// Its final answer is on its way to the disk, where it has to be before the client has it: of what was sent to a server, and must
-    /// not run twice.
+    /// Starts storing the final answer of a guarded request that was dispatched. The client must not get the answer before the
+    /// returned write has finished. `None` if the answer need not be stored.
     pub fn store_answer(&self, status: u16, body: &[u8]) -> Option<PendingAnswer> {
-        let ((class, key), answers) = (self.guards.as_ref()?, self.sites.answers.as_ref()?);
-        if self.rejection.is_some() || self.sites.placing.known(class, key) == KeyState::Free {
+        let ((class, key), answers) = (self.guarded_key.as_ref()?, self.sites.answers.as_ref()?);
+        if self.rejection.is_some() || self.sites.placements.key_state(class, key) == KeyState::Free {
             return None;
         }
         let tenant = Some(self.tenant.as_str()).filter(|t| !t.is_empty());
-        answers.put((class, tenant, key), (status, body), unix())
+        answers.put((class, tenant, key), (status, body), unix_micros())
     }
 
-    /// The request was handed to the module; `barred` where it was turned away at once.
+    /// Records that the request was queued: charges credit if needed and remembers it as accepted. Does nothing if it was rejected.
     pub fn record_submitted(&mut self, rejection: bool) {
         if rejection {
             return;
         }
         let now = self.sites.times();
         if self.new && now.unconfirmed_since.is_some() {
-            let number = self.sites.spread.borrow().registry().change_at(&self.tenant, now.unix).number;
+            let number = self.sites.gossip.borrow().registry().change_at(&self.tenant, now.unix).number;
             if let Some(balance) = self.sites.balances.borrow_mut().get_mut(&self.tenant) {
                 self.spent = balance.spend(number, now.unix).then_some((number, now.unix));
             }
         }
-        self.sites.taken.borrow_mut().record(&self.tenant, self.key.as_ref(), now.steady);
+        self.sites.accepted.borrow_mut().record(&self.tenant, self.key.as_ref(), now.steady);
     }
 
-    /// It has its final answer; why, where that is a bar.
+    /// Ends the request. Returns the reason for the client if it was rejected; gives back the credit of new work that was shed.
     pub fn finish(self, outcome: &ResponseOutcome) -> Option<Rejection> {
         let now = self.sites.times();
         if matches!(outcome, ResponseOutcome::Shed { .. }) && self.new {
-            // Nothing was begun: a repeat of it is new work, too.
-            self.sites.taken.borrow_mut().remove(&self.tenant, self.key.as_ref());
+            // The request never started, so a repeat of it is new work again.
+            self.sites.accepted.borrow_mut().remove(&self.tenant, self.key.as_ref());
             if let (Some((number, at)), Some(balance)) =
                 (self.spent, self.sites.balances.borrow_mut().get_mut(&self.tenant))
             {
@@ -330,10 +358,10 @@
         if let Some(rejection) = self.sites.spillover.rejection(outcome) {
             return Some(rejection);
         }
-        let spread = self.sites.spread.borrow();
+        let gossip = self.sites.gossip.borrow();
         let balances = self.sites.balances.borrow();
         let Refusal { reason: why, retry } =
-            refusal(spread.registry(), balances.get(&self.tenant), &self.tenant, now);
+            refusal(gossip.registry(), balances.get(&self.tenant), &self.tenant, now);
         Some(Rejection { status: if retry { 503 } else { 403 }, why: why.to_string(), retry })
     }
 }
--- a/src/net/sites/config.rs
+++ b/src/net/sites/config.rs
@@ -1,6 +1,6 @@
-//! The files that a node of sites is configured by: sites, keys and accounts.
+//! Reads the files that configure a node of a fleet of sites: the sites file, the keys and the accounts.
 
-use super::unix;
+use super::unix_micros;
 use shorepath_accounts::config::AccountsFile;
 use shorepath_accounts::{config as accounts, Change};
 use shorepath_audit::version::ContentHash;
@@ -15,23 +15,23 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// What the node is told of sites.
+/// The sites file of a node and the files that it names.
 #[derive(Debug)]
 pub struct SitesSettings {
-    /// The operator's file.
+    /// Path of the sites file.
     pub(super) path: PathBuf,
-    /// The folder on a disk that lasts.
+    /// Folder for data that must survive a restart.
     pub(super) state: PathBuf,
-    pub(super) plan: SitesConfig,
-    /// What stands for the text of the file.
+    pub(super) config: SitesConfig,
+    /// Hash of the text of the sites file.
     pub(super) content: ContentHash,
     pub(super) keys: Keys,
     pub(super) accounts_file: Option<AccountsFile>,
-    /// How the clock is wrong; only tests have it so.
+    /// Simulated error of the clock; zero outside of tests.
     pub(super) skew: ClockSkew,
 }
 
-/// Why a node can't take part.
+/// Why a node can't join the sites.
 #[derive(Debug, Error)]
 pub enum SitesError {
     /// A file can't be read.
@@ -39,13 +39,13 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The reason.
         source: std::io::Error,
     },
-    /// The file of sites can't be used.
+    /// The sites file has errors.
     #[error("{0}")]
     Wrong(#[from] shorepath_sexp::ParseErrors),
-    /// The file of accounts can't be used.
+    /// The accounts file has errors.
     #[error("{0}")]
     Accounts(#[from] accounts::FileError),
     /// The keys can't be used.
@@ -53,15 +53,15 @@
     Keys {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The reason.
         source: KeysError,
     },
-    /// A file's code is not believed.
+    /// A file's authentication code doesn't match.
     #[error("{}: {source}: {}", path.display(), shorepath_message_auth::advice(source))]
     Code {
-        /// The file whose code it is.
+        /// The file that was authenticated.
         path: PathBuf,
-        /// Why.
+        /// The reason.
         source: FileCodeError,
     },
     /// The file does not list this node.
@@ -72,64 +72,67 @@
         /// The node.
         name: String,
     },
-    /// No folder was named.
+    /// No folder for persistent data was configured.
     #[error("sites need a folder on a disk that lasts: name it with --state")]
     Stateless,
-    /// What is kept can't be used.
+    /// The stored data can't be used.
     #[error("{}: {source}; two processes can't share a folder, and one that is damaged or of another version has to be moved away by hand", path.display())]
     Store {
         /// The folder.
         path: PathBuf,
-        /// Why.
+        /// The reason.
         source: StoreError,
     },
-    /// The log of placements can't be used.
+    /// The placement log can't be used.
     #[error("{}: {source}: {}", path.display(), shorepath_message_auth::advice(source))]
     Log {
         /// The folder.
         path: PathBuf,
-        /// Why.
+        /// The reason.
         source: LogError,
     },
-    /// The system gave no number by chance, or no thread.
+    /// The operating system provided no random number or no thread.
     #[error("can't take part in sites: {0}")]
     System(String),
     /// The node is in no site.
     #[error("{0}")]
     NoSite(#[from] NoSiteError),
-    /// The file of sites is older than one that was in force, or another one of its version.
+    /// The sites file is older than one that was in force, or differs from one with the same version.
     #[error("{}: {source}: {}", path.display(), shorepath_message_auth::advice(source))]
     Old {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The reason.
         source: OldFileError,
     },
 }
 
-pub(super) fn text(path: &Path) -> Result<String, SitesError> {
+pub(super) fn read_text(path: &Path) -> Result<String, SitesError> {
     std::fs::read_to_string(path)
         .map_err(|source| SitesError::Unreadable { path: path.to_path_buf(), source })
 }
 
-/// A file whose detached code, in the file beside it, has to be the fleet's.
-pub(super) fn signed(path: &Path, keys: &Keys) -> Result<String, SitesError> {
-    let held = text(path)?;
-    let code = text(&beside(path))?;
+/// Reads a file and verifies its authentication code, which is in the file beside it.
+pub(super) fn read_signed(path: &Path, keys: &Keys) -> Result<String, SitesError> {
+    let text = read_text(path)?;
+    let code = read_text(&code_path(path))?;
     let wrong = |source| SitesError::Code { path: path.to_path_buf(), source };
-    keys.verify_file(held.as_bytes(), &code).map_err(wrong)?;
-    Ok(held)
+    keys.verify_file(text.as_bytes(), &code).map_err(wrong)?;
+    Ok(text)
 }
 
-/// Where the code of a file is.
-pub(super) fn beside(path: &Path) -> PathBuf {
+/// Returns the path of a file's authentication code.
+pub(super) fn code_path(path: &Path) -> PathBuf {
     let mut name = path.as_os_str().to_os_string();
     name.push(".hmac");
     PathBuf::from(name)
 }
 
 impl SitesSettings {
-    /// Read the file of sites, in which a node of that name has to be listed, with the keys and the accounts that it names.
+    /// Reads the sites file, which has to list a node called `name`, and the key and accounts files that it names.
+    ///
+    /// # Errors
+    /// Fails if a file can't be read or used, or if the node is not listed.
     pub fn read(
         path: PathBuf,
         state: PathBuf,
@@ -137,45 +140,47 @@
         skew: ClockSkew,
     ) -> Result<SitesSettings, SitesError> {
         let folder = path.parent().unwrap_or(Path::new("")).to_path_buf();
-        let text_of_file = text(&path)?;
-        let plan = shorepath_sites::config::read(&path.display().to_string(), &text_of_file)?;
-        if plan.node_named(name).is_none() {
+        let text_of_file = read_text(&path)?;
+        let config = shorepath_sites::config::read(&path.display().to_string(), &text_of_file)?;
+        if config.node_named(name).is_none() {
             return Err(SitesError::Unlisted { path, name: name.to_string() });
         }
-        let key = plan.key_path(&folder);
+        let key = config.key_path(&folder);
         let unusable = |source| SitesError::Keys { path: key.clone(), source };
         let mode = std::fs::metadata(&key).map(|m| m.permissions().mode());
         let mode = mode.map_err(|source| SitesError::Unreadable { path: key.clone(), source })?;
         Keys::mode(mode).map_err(unusable)?;
-        let keys = Keys::read(&text(&key)?).map_err(unusable)?;
-        // Whoever may declare a site lost may have others adopt its keys.
-        if !plan.lost.is_empty() {
-            signed(&path, &keys)?;
+        let keys = Keys::read(&read_text(&key)?).map_err(unusable)?;
+        // Declaring a site lost lets other nodes adopt its keys, so the file must be authenticated.
+        if !config.lost.is_empty() {
+            read_signed(&path, &keys)?;
         }
-        let accounts_file = match plan.accounts_path(&folder) {
-            Some(file) => Some(accounts::read(&file.display().to_string(), &signed(&file, &keys)?)?),
+        let accounts_file = match config.accounts_path(&folder) {
+            Some(file) => Some(accounts::read(&file.display().to_string(), &read_signed(&file, &keys)?)?),
             None => None,
         };
         let content = ContentHash::of(text_of_file.as_bytes());
-        Ok(SitesSettings { path, state, plan, content, keys, accounts_file, skew })
+        Ok(SitesSettings { path, state, config, content, keys, accounts_file, skew })
     }
 
-    /// Unix time by the node's clock.
-    pub(super) fn wall(&self) -> Micros {
-        unix() + self.skew.offset
+    /// Returns the Unix time by the node's clock, in microseconds.
+    pub(super) fn unix_now(&self) -> Micros {
+        unix_micros() + self.skew.offset
     }
 
-    /// The file of sites.
+    /// Returns the parsed sites file.
     pub fn config(&self) -> &SitesConfig {
-        &self.plan
+        &self.config
     }
 
-    /// Whether it may hold after those that were in force here.
-    pub(super) fn may_hold(&self, used: &ConfigHistory) -> Result<(), SitesError> {
-        used.check(&self.plan).map_err(|source| SitesError::Old { path: self.path.clone(), source })
+    /// Checks that the sites file may replace those that were in force on this node.
+    pub(super) fn check_history(&self, config_history: &ConfigHistory) -> Result<(), SitesError> {
+        config_history
+            .check(&self.config)
+            .map_err(|source| SitesError::Old { path: self.path.clone(), source })
     }
 
-    /// Where the accounts stand that the authority's file names.
+    /// Returns the accounts of the accounts file with their standing; none without an accounts file.
     pub fn account_changes(&self) -> impl Iterator<Item = (&str, &Change)> {
         self.accounts_file.iter().flat_map(|d| &d.changes).map(|(name, change)| (name.as_str(), change))
     }
--- a/src/net/sites/persistence.rs
+++ b/src/net/sites/persistence.rs
@@ -1,6 +1,6 @@
-//! What a node of sites writes to its disk, and what happens when the disk takes nothing.
+//! Writes the node's persistent data to its disk, and recovers when the disk fails.
 
-use super::{unix, Sites, BOOK, KEY_OWNERSHIP, USED};
+use super::{unix_micros, Sites, CONFIG_HISTORY_FACT, OWNERSHIP_FACT, REGISTRY_FACT};
 use crate::net::exchange::{DispatchId, Recorder};
 use shorepath_accounts::credit::CreditRecord;
 use shorepath_placements::log::LogError;
@@ -14,196 +14,212 @@
 use std::sync::Arc;
 use tracing::{debug, info, warn};
 
-/// A disk that takes nothing is tried again so often.
-const REOPEN: Micros = 5_000_000;
+/// Interval between attempts to reopen a failed store, in microseconds.
+const REOPEN_INTERVAL: Micros = 5_000_000;
 
-/// What the disk has done.
+/// A finished write, or another event of the disk.
 #[derive(Debug)]
 pub enum DiskEvent {
-    /// A note of a tenant's credit.
+    /// A tenant's credit record was written, or the write failed.
     Credit(String, CreditRecord, Result<(), Arc<StoreError>>),
-    /// A placement that had to be there before it is sent.
+    /// A placement that must be stored before its dispatch was written, or the write failed.
     Placed(DispatchId, Result<(), LogError>),
-    /// Nothing: it may not be placed now.
+    /// A placement was refused without a write, for the given reason.
     Refused(DispatchId, String),
-    /// What waited of placements is there, or never will be.
+    /// Deferred placement entries were flushed, or the flush failed.
     Flushed,
-    /// What is kept of homes.
+    /// Key ownership was written, or the write failed.
     KeyOwnership(PersistedOwnership, Result<(), Arc<StoreError>>),
-    /// The store was opened again after it took nothing any more, or not.
+    /// The failed store was reopened, or could not be.
     Reopened(Result<(), Arc<StoreError>>),
-    /// It takes what is written again, or not.
+    /// The reopened store accepts writes again, or still fails.
     Resumed(Result<(), Arc<StoreError>>),
 }
 
-/// A file of sites holds from now on. That is on the disk before anybody is told; it waits for it, which is rare.
-pub(super) fn uses(store: &Store, used: &mut ConfigHistory, plan: &SitesConfig) {
-    let before = used.clone();
-    used.record(plan);
-    if *used == before {
+/// Records the version of the sites file that is in force. Blocks until it is on the disk, which is rare.
+pub(super) fn store_config_history(store: &Store, config_history: &mut ConfigHistory, config: &SitesConfig) {
+    let before = config_history.clone();
+    config_history.record(config);
+    if *config_history == before {
         return;
     }
-    if let Err(e) = store.commit(&[Op::remember(USED, used)]) {
-        warn!("sites: that file {} holds is not on the disk, so an older one would be taken after a restart: {e}", plan.version);
+    if let Err(e) = store.commit(&[Op::remember(CONFIG_HISTORY_FACT, config_history)]) {
+        warn!("sites: could not record that version {} of the sites file is in use, so an older file would be accepted after a restart: {e}", config.version);
     }
 }
 
 impl Sites {
-    /// The disk has done something; whether the rest is to be looked at again.
-    pub(super) fn on_written(&self, written: DiskEvent) -> bool {
-        match written {
-            DiskEvent::Credit(tenant, note, done) => {
-                self.wrote(&tenant, note, done);
+    /// Handles an event of the disk. Returns whether a full tick is needed.
+    pub(super) fn on_disk_event(&self, event: DiskEvent) -> bool {
+        match event {
+            DiskEvent::Credit(tenant, record, result) => {
+                self.on_credit_written(&tenant, record, result);
                 return true;
             }
-            DiskEvent::KeyOwnership(kept, done) => {
-                self.on_ownership_written(kept, done);
+            DiskEvent::KeyOwnership(persisted, result) => {
+                self.on_ownership_written(persisted, result);
                 return true;
             }
-            DiskEvent::Flushed => self.placing.flushed(),
-            DiskEvent::Placed(id, done) => self.on_placement_written(id, done),
+            DiskEvent::Flushed => self.placements.on_flushed(),
+            DiskEvent::Placed(id, result) => self.on_placement_written(id, result),
             DiskEvent::Refused(id, why) => {
-                info!("a guarded job is denied: {why}");
+                info!("rejecting a guarded job: {why}");
                 self.exchange.recorded(id, false);
             }
-            DiskEvent::Reopened(done) => self.reopened(done),
-            DiskEvent::Resumed(done) => self.resumed(done),
+            DiskEvent::Reopened(result) => self.on_reopened(result),
+            DiskEvent::Resumed(result) => self.on_resumed(result),
         }
         false
     }
 
-    fn on_placement_written(&self, id: DispatchId, done: Result<(), LogError>) {
-        if let Err(e) = &done {
-            warn!("a guarded job is denied: {e}");
+    fn on_placement_written(&self, id: DispatchId, result: Result<(), LogError>) {
+        if let Err(e) = &result {
+            warn!("rejecting a guarded job: {e}");
         }
-        let sent = done.is_ok() && self.may_send(id);
-        if done.is_ok() && !sent {
-            info!("a guarded job is denied: its home was not held until it was written down");
+        let sent = result.is_ok() && self.may_send(id);
+        if result.is_ok() && !sent {
+            info!(
+                "rejecting a guarded job: the lease of its key range ended before the placement was written"
+            );
         }
         self.exchange.recorded(id, sent);
     }
 
-    fn on_ownership_written(&self, kept: PersistedOwnership, done: Result<(), Arc<StoreError>>) {
-        let mut on_disk = self.ownership_kept.borrow_mut();
-        on_disk.1 = false;
-        match done {
-            Ok(()) => on_disk.0 = kept,
-            Err(e) => warn!("homes: what is held is not on the disk: {e}"),
+    fn on_ownership_written(&self, persisted: PersistedOwnership, result: Result<(), Arc<StoreError>>) {
+        let mut stored = self.stored_ownership.borrow_mut();
+        stored.1 = false;
+        match result {
+            Ok(()) => stored.0 = persisted,
+            Err(e) => warn!("key ranges: the key ownership could not be written: {e}"),
         }
     }
 
-    /// Claim ranges, prove what was placed in them, and keep what is known of them.
+    /// Claims key ranges, proves which placements were made in them, and stores the ownership.
     pub(super) fn update_ownership(&self) {
         let Some(key_leases) = &self.key_leases else { return };
-        let (now, site_health, siting) = (self.now(), self.site_health.borrow(), self.siting.borrow());
-        if self.placing.was_refounded() && !self.ownership_reset.replace(true) {
-            key_leases.forget(&siting.plan);
+        let (now, site_health, settings) = (self.now(), self.site_health.borrow(), self.settings.borrow());
+        if self.placements.was_refounded() && !self.ownership_was_reset.replace(true) {
+            key_leases.reset(&settings.config);
         }
         if site_health.all_nodes_use_config() {
-            key_leases.settled();
+            key_leases.mark_settled();
         }
         let sites = site_health.states().into_iter().map(|(site, seen, since)| (site, (seen, since)));
-        key_leases.claim(&siting.plan, sites.collect(), now);
-        // Until then not all is known that this node itself has placed.
-        if self.placing.asked() {
-            let outgoing_messages =
-                key_leases.prove(&siting.plan, self.placing.own(), &self.placing.history());
+        key_leases.claim(&settings.config, sites.collect(), now);
+        // Before the peers have answered, this node may not know all of its own placements.
+        if self.placements.peers_answered() {
+            let outgoing_messages = key_leases.prove(
+                &settings.config,
+                self.placements.own_position(),
+                &self.placements.history(),
+            );
             self.ownership_outgoing.borrow_mut().extend(outgoing_messages);
         }
-        key_leases.report();
-        let kept = key_leases.kept();
-        let mut on_disk = self.ownership_kept.borrow_mut();
-        if kept != on_disk.0 && !on_disk.1 && self.store.takes() {
-            on_disk.1 = true;
-            let writes = self.writes.clone();
-            self.group_commit.commit(vec![Op::remember(KEY_OWNERSHIP, &kept)], move |done| {
-                // Nobody hears it where the node ends.
-                let _ = writes.send(DiskEvent::KeyOwnership(kept, done));
+        key_leases.log_changes();
+        let persisted = key_leases.persisted();
+        let mut stored = self.stored_ownership.borrow_mut();
+        if persisted != stored.0 && !stored.1 && self.store.takes() {
+            stored.1 = true;
+            let disk_events = self.disk_events.clone();
+            self.group_commit.commit(vec![Op::remember(OWNERSHIP_FACT, &persisted)], move |result| {
+                // The receiver is dropped when the node stops.
+                let _ = disk_events.send(DiskEvent::KeyOwnership(persisted, result));
             });
         }
     }
 
-    /// Drop placements that are old enough and known at all sites.
+    /// Seals placements that are old enough and known at all sites.
     pub(super) fn seal(&self, now: Micros) {
-        let (siting, me) = (self.siting.borrow(), NodeId::of(&self.name).0);
-        let plan = &siting.plan;
-        if now - self.sealed_at.get() < plan.seal / 10 {
+        let (settings, own_number) = (self.settings.borrow(), NodeId::of(&self.name).0);
+        let config = &settings.config;
+        if now - self.last_seal_at.get() < config.seal / 10 {
             return;
         }
-        self.sealed_at.set(now);
+        self.last_seal_at.set(now);
         let mut sites: BTreeMap<String, Vec<u32>> = BTreeMap::new();
-        for peer in selected_peers(plan, me) {
-            if let Some(site) = plan.site_of_node(peer) {
+        for peer in selected_peers(config, own_number) {
+            if let Some(site) = config.site_of_node(peer) {
                 sites.entry(site.name.clone()).or_default().push(peer);
             }
         }
-        self.placing.seal(&sites, plan.seal, unix());
+        self.placements.seal(&sites, config.seal, unix_micros());
     }
 
-    /// See whether a disk that takes nothing does so again.
+    /// Tries to reopen a failed store, if it is time.
     pub(super) fn reopen(&self, now: Micros) {
-        if self.store.takes() || self.reopens.get().is_none_or(|at| now < at) {
+        if self.store.takes() || self.reopen_at.get().is_none_or(|at| now < at) {
             return;
         }
-        if !self.reopens_notified.replace(true) {
-            warn!("sites: the disk takes nothing: guarded work is refused and the rest goes unrecorded. Make room; it is tried again every {} s", REOPEN / 1_000_000);
+        if !self.store_failure_logged.replace(true) {
+            warn!("sites: the disk accepts no writes: guarded requests are rejected, and others are not recorded; free disk space. Retrying every {} s", REOPEN_INTERVAL / 1_000_000);
         }
-        self.reopens.set(None);
-        let writes = self.writes.clone();
-        // Nobody hears it where the node ends.
-        self.group_commit.reopen(move |done| drop(writes.send(DiskEvent::Reopened(done))));
+        self.reopen_at.set(None);
+        let disk_events = self.disk_events.clone();
+        // The receiver is dropped when the node stops.
+        self.group_commit.reopen(move |result| drop(disk_events.send(DiskEvent::Reopened(result))));
     }
 
-    /// The store was opened again, and takes nothing yet: go on from what the disk has, and write first what has to be there.
-    pub(super) fn reopened(&self, done: Result<(), Arc<StoreError>>) {
+    /// Continues from what a reopened store holds, and queues the writes that must precede all others.
+    pub(super) fn on_reopened(&self, result: Result<(), Arc<StoreError>>) {
         let now = self.now();
-        self.reopens.set(Some(now + REOPEN));
-        if let Err(e) = done {
-            return debug!("sites: the disk still takes nothing: {e}");
+        self.reopen_at.set(Some(now + REOPEN_INTERVAL));
+        if let Err(e) = result {
+            return debug!("sites: the store can't be reopened: {e}");
         }
-        // One that another process wrote meanwhile may have gone by a newer file.
-        let used = self.store.fact::<ConfigHistory>(USED).map(Option::unwrap_or_default);
-        let mut used = match used.map(|used| (self.siting.borrow().may_hold(&used), used)) {
-            Ok((Ok(()), used)) => used,
-            Ok((Err(e), _)) => return warn!("sites: the disk is not used: {e}"),
-            Err(e) => return warn!("sites: the disk is not used: {e}"),
+        // Another process may have used a newer sites file meanwhile.
+        let config_history =
+            self.store.fact::<ConfigHistory>(CONFIG_HISTORY_FACT).map(Option::unwrap_or_default);
+        let mut config_history = match config_history
+            .map(|config_history| (self.settings.borrow().check_history(&config_history), config_history))
+        {
+            Ok((Ok(()), config_history)) => config_history,
+            Ok((Err(e), _)) => return warn!("sites: the reopened store is not used: {e}"),
+            Err(e) => return warn!("sites: the reopened store is not used: {e}"),
         };
-        let mut ops = match self.placing.recover(now) {
+        let mut ops = match self.placements.recover(now) {
             Ok(ops) => ops,
             Err(e) => {
-                return warn!("placements: the disk is not used: {e}: {}", shorepath_message_auth::advice(&e))
+                return warn!(
+                    "placements: the reopened store is not used: {e}: {}",
+                    shorepath_message_auth::advice(&e)
+                )
             }
         };
-        used.record(&self.siting.borrow().plan);
-        ops.push(Op::remember(USED, &used));
-        ops.push(Op::remember(BOOK, self.spread.borrow().registry()));
-        // They are written anew with the next pass.
-        self.ownership_kept.borrow_mut().0 = PersistedOwnership::default();
-        self.reopens.set(None);
-        let writes = self.writes.clone();
-        // Nobody hears it where the node ends.
-        self.group_commit.resume(ops, move |done| drop(writes.send(DiskEvent::Resumed(done))));
+        config_history.record(&self.settings.borrow().config);
+        ops.push(Op::remember(CONFIG_HISTORY_FACT, &config_history));
+        ops.push(Op::remember(REGISTRY_FACT, self.gossip.borrow().registry()));
+        // Makes the next tick write the key ownership again.
+        self.stored_ownership.borrow_mut().0 = PersistedOwnership::default();
+        self.reopen_at.set(None);
+        let disk_events = self.disk_events.clone();
+        // The receiver is dropped when the node stops.
+        self.group_commit.resume(ops, move |result| drop(disk_events.send(DiskEvent::Resumed(result))));
     }
 
-    pub(super) fn resumed(&self, done: Result<(), Arc<StoreError>>) {
-        self.reopens.set(Some(self.now() + REOPEN));
-        match done {
+    pub(super) fn on_resumed(&self, result: Result<(), Arc<StoreError>>) {
+        self.reopen_at.set(Some(self.now() + REOPEN_INTERVAL));
+        match result {
             Ok(()) => {
-                self.reopens_notified.set(false);
-                info!("sites: the disk takes what is written again");
+                self.store_failure_logged.set(false);
+                info!("sites: the disk accepts writes again");
             }
-            Err(e) => debug!("sites: the disk takes nothing again: {e}"),
+            Err(e) => debug!("sites: the reopened store still accepts no writes: {e}"),
         }
     }
 
-    pub(super) fn wrote(&self, tenant: &str, note: CreditRecord, done: Result<(), Arc<StoreError>>) {
-        self.writing.borrow_mut().retain(|t| t != tenant);
+    pub(super) fn on_credit_written(
+        &self,
+        tenant: &str,
+        record: CreditRecord,
+        result: Result<(), Arc<StoreError>>,
+    ) {
+        self.credit_writes.borrow_mut().retain(|t| t != tenant);
         if let Some(balance) = self.balances.borrow_mut().get_mut(tenant) {
-            match done {
-                Ok(()) => balance.record_written(note),
+            match result {
+                Ok(()) => balance.record_written(record),
                 Err(e) => {
                     balance.write_failed();
-                    warn!("account {tenant}: its credit can't be noted: {e}");
+                    warn!("account {tenant}: its credit record could not be written: {e}");
                 }
             }
         }
--- a/src/net/sites/startup.rs
+++ b/src/net/sites/startup.rs
@@ -1,8 +1,11 @@
-//! What a node of sites begins with: its disk, and what the disk holds of accounts, keys, placements and recovery.
+//! Opens a node's disk and restores the accounts, key ownership, placements and recovery state that it holds.
 
 use super::config::{SitesError, SitesSettings};
-use super::persistence::{uses, DiskEvent};
-use super::{unix, ANSWERS, BOOK, CHUNK, CREDIT_BALANCE, KEY_OWNERSHIP, TAKEN, TAKEN_FOR, USED};
+use super::persistence::{store_config_history, DiskEvent};
+use super::{
+    unix_micros, ACCEPTED_RETENTION, CONFIG_HISTORY_FACT, CREDIT_FACT_PREFIX, CREDIT_WRITE_AHEAD,
+    DEFAULT_ANSWERS_BYTES, MAX_ACCEPTED_ENTRIES, OWNERSHIP_FACT, REGISTRY_FACT,
+};
 use crate::net::auditing::AuditRecorder;
 use crate::net::placing::Placements;
 use crate::net::recovering::{NodeRecovery, SavedIncarnation};
@@ -21,123 +24,138 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-/// The store, and what commits to it.
+/// The store and its group commit.
 pub(super) type Disk = (Arc<Store>, Arc<GroupCommit>);
 
-/// The disk of a node, and what it holds.
-pub(super) struct Opened {
-    /// A number by chance, drawn for this process.
-    pub(super) chance: u64,
-    /// The time on the steady clock.
+/// The state that a node of a fleet of sites starts with.
+pub(super) struct StartupState {
+    /// Random number of this process.
+    pub(super) seed: u64,
+    /// Time on the monotonic clock, in microseconds.
     pub(super) now: Micros,
     pub(super) store: Arc<Store>,
     pub(super) group_commit: Arc<GroupCommit>,
-    pub(super) used: ConfigHistory,
-    pub(super) spread: gossip::Gossip,
+    pub(super) config_history: ConfigHistory,
+    pub(super) gossip: gossip::Gossip,
     pub(super) balances: CreditBalances,
-    /// The hash of the accounts that the disk has.
-    pub(super) kept: u64,
-    pub(super) ownership_kept: PersistedOwnership,
+    /// Hash of the account registry on the disk.
+    pub(super) stored_registry_hash: u64,
+    pub(super) stored_ownership: PersistedOwnership,
 }
 
-fn unusable(siting: &SitesSettings) -> impl Fn(StoreError) -> SitesError + '_ {
-    |source| SitesError::Store { path: siting.state.clone(), source }
+fn unusable(settings: &SitesSettings) -> impl Fn(StoreError) -> SitesError + '_ {
+    |source| SitesError::Store { path: settings.state.clone(), source }
 }
 
-/// Open the disk of the node of that name, and take what it holds of accounts and keys.
-pub(super) fn open(name: &str, siting: &SitesSettings) -> Result<Opened, SitesError> {
-    let unusable = unusable(siting);
-    let chance = getrandom::u64().map_err(|e| SitesError::System(e.to_string()))?;
-    let me = NodeId::of(name).0;
-    let now = siting.skew.at(0);
-    let answers = siting.plan.recover.as_ref().map_or(ANSWERS, |r| r.remember);
-    let store = Arc::new(Store::open(&siting.state, answers).map_err(&unusable)?);
-    let mut used = store.fact::<ConfigHistory>(USED).map_err(&unusable)?.unwrap_or_default();
-    siting.may_hold(&used)?;
-    uses(&store, &mut used, &siting.plan);
-    let peers = siting.plan.nodes().map(|(_, n)| n.number).collect();
-    let mut spread = gossip::Gossip::new(me, peers, chance, now);
-    if let Some(book) = store.fact::<AccountRegistry>(BOOK).map_err(&unusable)? {
-        spread.restore(&book);
+/// Opens the store of the node `name` and restores accounts, credit and key ownership.
+pub(super) fn open(name: &str, settings: &SitesSettings) -> Result<StartupState, SitesError> {
+    let unusable = unusable(settings);
+    let seed = getrandom::u64().map_err(|e| SitesError::System(e.to_string()))?;
+    let own_number = NodeId::of(name).0;
+    let now = settings.skew.at(0);
+    let answers = settings.config.recover.as_ref().map_or(DEFAULT_ANSWERS_BYTES, |r| r.remember);
+    let store = Arc::new(Store::open(&settings.state, answers).map_err(&unusable)?);
+    let mut config_history =
+        store.fact::<ConfigHistory>(CONFIG_HISTORY_FACT).map_err(&unusable)?.unwrap_or_default();
+    settings.check_history(&config_history)?;
+    store_config_history(&store, &mut config_history, &settings.config);
+    let peers = settings.config.nodes().map(|(_, n)| n.number).collect();
+    let mut gossip = gossip::Gossip::new(own_number, peers, seed, now);
+    if let Some(registry) = store.fact::<AccountRegistry>(REGISTRY_FACT).map_err(&unusable)? {
+        gossip.restore(&registry);
     }
-    let kept = spread.registry().hash();
-    if let Some(accounts_file) = &siting.accounts_file {
-        spread.add_file(accounts_file, now);
+    let stored_registry_hash = gossip.registry().hash();
+    if let Some(accounts_file) = &settings.accounts_file {
+        gossip.add_file(accounts_file, now);
     }
-    let balances = balances(siting, &store, me).map_err(&unusable)?;
-    let ownership_kept =
-        store.fact::<PersistedOwnership>(KEY_OWNERSHIP).map_err(&unusable)?.unwrap_or_default();
+    let balances = balances(settings, &store, own_number).map_err(&unusable)?;
+    let stored_ownership =
+        store.fact::<PersistedOwnership>(OWNERSHIP_FACT).map_err(&unusable)?.unwrap_or_default();
     let group_commit = GroupCommit::new(store.clone()).map_err(|e| SitesError::System(e.to_string()))?;
     let group_commit = Arc::new(group_commit);
-    Ok(Opened { chance, now, store, group_commit, used, spread, balances, kept, ownership_kept })
+    Ok(StartupState {
+        seed,
+        now,
+        store,
+        group_commit,
+        config_history,
+        gossip,
+        balances,
+        stored_registry_hash,
+        stored_ownership,
+    })
 }
 
-/// What the disk has of this node's part of each credit.
-fn balances(siting: &SitesSettings, store: &Store, me: u32) -> Result<CreditBalances, StoreError> {
+/// Restores this node's share of each tenant's credit.
+fn balances(settings: &SitesSettings, store: &Store, own_number: u32) -> Result<CreditBalances, StoreError> {
     let mut balances = CreditBalances::new();
-    for credit in siting.plan.credits.iter().filter_map(|c| siting.plan.credit_part(&c.tenant, me)) {
-        let note = store.fact::<CreditRecord>(&format!("{CREDIT_BALANCE}{}", credit.tenant))?;
+    for credit in
+        settings.config.credits.iter().filter_map(|c| settings.config.credit_part(&c.tenant, own_number))
+    {
+        let record = store.fact::<CreditRecord>(&format!("{CREDIT_FACT_PREFIX}{}", credit.tenant))?;
         let part = NodeCredit { total: credit.jobs, reserve: credit.reserve };
-        balances.insert(credit.tenant, CreditBalance::restore(part, credit.shrink, CHUNK, note));
+        balances
+            .insert(credit.tenant, CreditBalance::restore(part, credit.shrink, CREDIT_WRITE_AHEAD, record));
     }
     Ok(balances)
 }
 
-/// The way back from a loss of power, where the file of sites switches it on.
-pub(super) fn recovering(
+/// Opens the recovery after a loss of power; `None` if the sites file has no `(recover ...)`.
+pub(super) fn open_recovery(
     name: &str,
-    siting: &SitesSettings,
+    settings: &SitesSettings,
     (store, group_commit): &Disk,
-    (chance, now): (u64, Micros),
-    claims: mpsc::UnboundedSender<SavedIncarnation>,
+    (seed, now): (u64, Micros),
+    saved_sender: mpsc::UnboundedSender<SavedIncarnation>,
 ) -> Result<Option<NodeRecovery>, SitesError> {
-    let Some(clause) = &siting.plan.recover else { return Ok(None) };
-    let unusable = unusable(siting);
-    let me = NodeId::of(name).0;
+    let Some(clause) = &settings.config.recover else { return Ok(None) };
+    let unusable = unusable(settings);
+    let own_number = NodeId::of(name).0;
     let disk = (&**store, group_commit.clone());
-    let times = (chance, now, siting.wall());
-    let recovering = NodeRecovery::open(name, clause, disk, times, claims).map_err(&unusable)?;
-    let others = siting.plan.nodes().map(|(_, n)| n.number).filter(|n| *n != me);
-    recovering.recall(store, others).map_err(&unusable)?;
-    recovering.meet(&selected_peers(&siting.plan, me));
-    Ok(Some(recovering))
+    let times = (seed, now, settings.unix_now());
+    let recovery = NodeRecovery::open(name, clause, disk, times, saved_sender).map_err(&unusable)?;
+    let others = settings.config.nodes().map(|(_, n)| n.number).filter(|n| *n != own_number);
+    recovery.load_incarnations(store, others).map_err(&unusable)?;
+    recovery.set_peers(&selected_peers(&settings.config, own_number));
+    Ok(Some(recovery))
 }
 
-/// The record of versions and decisions, where the file of sites has one.
-pub(super) fn auditing(
+/// Opens the audit log; `None` if the sites file has no `(audit ...)`.
+pub(super) fn open_audit_recorder(
     name: &str,
-    siting: &SitesSettings,
+    settings: &SitesSettings,
     disk: &Disk,
-    chance: u64,
+    seed: u64,
 ) -> Result<Option<Rc<AuditRecorder>>, SitesError> {
-    let Some(audit) = siting.plan.audit else { return Ok(None) };
+    let Some(audit) = settings.config.audit else { return Ok(None) };
     let mut key = [0; 16];
-    key.copy_from_slice(&siting.keys.code(b"audit")[..16]);
-    let node = (name, NodeId::of(name).0, chance);
-    let auditing = AuditRecorder::open(disk.clone(), audit, node, key).map_err(unusable(siting))?;
-    auditing.meet(&siting.plan.nodes().map(|(_, n)| n.number).collect::<Vec<_>>());
-    Ok(Some(auditing))
+    key.copy_from_slice(&settings.keys.code(b"audit")[..16]);
+    let node = (name, NodeId::of(name).0, seed);
+    let audit_recorder = AuditRecorder::open(disk.clone(), audit, node, key).map_err(unusable(settings))?;
+    audit_recorder.set_peers(&settings.config.nodes().map(|(_, n)| n.number).collect::<Vec<_>>());
+    Ok(Some(audit_recorder))
 }
 
-/// The log of placements of the node of that site and name.
-pub(super) fn placing(
+/// Opens the placement log of the node with the given site and name.
+pub(super) fn open_placements(
     node: (&str, &str),
-    siting: &SitesSettings,
+    settings: &SitesSettings,
     (store, group_commit): &Disk,
-    (chance, now): (u64, Micros),
-    writes: mpsc::UnboundedSender<DiskEvent>,
+    (seed, now): (u64, Micros),
+    disk_events: mpsc::UnboundedSender<DiskEvent>,
 ) -> Result<Placements, SitesError> {
-    let times = (chance, now, siting.plan.group);
-    let placing = Placements::open(store.clone(), group_commit.clone(), node, times, writes);
-    placing.map_err(|source| SitesError::Log { path: siting.state.clone(), source })
+    let times = (seed, now, settings.config.group);
+    let placements = Placements::open(store.clone(), group_commit.clone(), node, times, disk_events);
+    placements.map_err(|source| SitesError::Log { path: settings.state.clone(), source })
 }
 
-/// What was taken lately, by what was placed: nobody knows any more whether a key was an idempotency key or a request's id.
-pub(super) fn taken(placing: &Placements, now: Micros) -> AcceptedRequests {
-    let mut taken = AcceptedRequests::new(TAKEN, TAKEN_FOR);
-    placing.taken(unix() - TAKEN_FOR, |tenant, key, at| {
+/// Restores the recently accepted requests from the placement log, whose entries don't record whether a key is an idempotency
+/// key or a request id.
+pub(super) fn accepted_requests(placements: &Placements, now: Micros) -> AcceptedRequests {
+    let mut accepted = AcceptedRequests::new(MAX_ACCEPTED_ENTRIES, ACCEPTED_RETENTION);
+    placements.for_each_accepted(unix_micros() - ACCEPTED_RETENTION, |tenant, key, at| {
         let keys = [Key::Idempotency(key.to_string()), Key::Request(key.to_string())];
-        taken.restore(keys.iter().map(|k| (tenant, k, unix() - at)), now);
+        accepted.restore(keys.iter().map(|k| (tenant, k, unix_micros() - at)), now);
     });
-    taken
+    accepted
 }
--- a/src/net/sites/status.rs
+++ b/src/net/sites/status.rs
@@ -1,4 +1,4 @@
-//! What operators see and do at the admin server.
+//! Status pages and actions of the admin server.
 
 use super::Sites;
 use crate::net::server_table::{LastList, Listing};
@@ -7,59 +7,59 @@
 use std::rc::Rc;
 
 impl Sites {
-    /// Where this node's record and others' versions stand, for operators; nothing where it is not switched on.
+    /// Returns the audit status for operators; `None` without an audit log.
     pub fn audit_status(&self) -> Option<String> {
-        let siting = self.siting.borrow();
-        let name = |number: u32| siting.plan.node(number).map_or(number.to_string(), |n| n.name.clone());
-        self.auditing.as_ref().map(|a| a.status(name))
+        let settings = self.settings.borrow();
+        let name = |number: u32| settings.config.node(number).map_or(number.to_string(), |n| n.name.clone());
+        self.audit_recorder.as_ref().map(|a| a.status(name))
     }
 
-    /// Where discovery's list is noted on the way back, and the one that the disk has to begin with.
+    /// Returns where to store discovery's list, and the list stored before the restart, if any; `None` without recovery.
     pub fn last_list(&self) -> Option<(Rc<LastList>, Option<Listing>)> {
-        self.recovering.as_ref().map(|r| (r.list(), self.last_list.take()))
+        self.recovery.as_ref().map(|r| (r.list_store(), self.last_list.take()))
     }
 
-    /// What may be served on the way back, and what that waits for; nothing where no way back is switched on.
+    /// Returns which requests are admitted during recovery and what the recovery waits for; `None` without recovery.
     pub fn recovery_admission(&self) -> Option<(Admits, Option<&'static str>)> {
-        self.recovering.as_ref().map(|r| (r.admits(), r.waits_for(self.now())))
+        self.recovery.as_ref().map(|r| (r.admits(), r.waits_for(self.now())))
     }
 
-    /// The way back, for operators: a line each.
+    /// Returns the recovery status for operators; `None` without recovery.
     pub fn recovery_status(&self) -> Option<String> {
-        let siting = self.siting.borrow();
-        let name = |n: u32| siting.plan.node(n).map_or(n.to_string(), |n| n.name.clone());
-        self.recovering.as_ref().map(|r| r.status(name, self.now()))
+        let settings = self.settings.borrow();
+        let name = |n: u32| settings.config.node(n).map_or(n.to_string(), |n| n.name.clone());
+        self.recovery.as_ref().map(|r| r.status(name, self.now()))
     }
 
-    /// An operator lets the way back go on.
+    /// Lets the recovery go on by an operator's decision, and returns what it does next.
     ///
     /// # Errors
-    /// Nobody can, and why.
+    /// Returns why an operator can't release the recovery from its current phase.
     pub fn release(&self) -> Result<String, String> {
-        let recovering = self.recovering.as_ref().ok_or("the file of sites has no (recover ...)")?;
-        recovering.release(self.now())
+        let recovery = self.recovery.as_ref().ok_or("the file of sites has no (recover ...)")?;
+        recovery.release(self.now())
     }
 
-    /// Where sites stand as this node sees them, for operators: a line each.
+    /// Returns the state of sites, accounts, placements and key ranges as this node knows them, one per line.
     pub fn status(&self) -> String {
         let mut text = format!("own {}\n", self.site_health.borrow().site());
-        for (site, seen, since) in self.site_health.borrow().states() {
+        for (site, state, since) in self.site_health.borrow().states() {
             let ms = (self.now() - since) / 1_000;
-            text += &format!("site {site} {seen:?} for_ms={ms}\n");
+            text += &format!("site {site} {state:?} for_ms={ms}\n");
         }
         text += &self.spillover.status(&self.exchange, self.now());
         let now = self.times();
         let standing = if now.unconfirmed_since.is_some() { "not confirmed" } else { "confirmed" };
-        let spread = self.spread.borrow();
-        text += &format!("standing {standing} file={}\n", spread.registry().newest_number());
-        for account in spread.registry().accounts() {
-            let change = spread.registry().change_at(account, now.unix);
+        let gossip = self.gossip.borrow();
+        text += &format!("standing {standing} file={}\n", gossip.registry().newest_number());
+        for account in gossip.registry().accounts() {
+            let change = gossip.registry().change_at(account, now.unix);
             text += &format!(
                 "account {account} {:?} number={} reason={:?}\n",
                 change.standing, change.number, change.reason
             );
         }
-        text += &self.placing.status();
+        text += &self.placements.status();
         text += "\n";
         if let Some(key_leases) = &self.key_leases {
             text += &key_leases.status();
--- a/src/net/sites/transport.rs
+++ b/src/net/sites/transport.rs
@@ -1,4 +1,4 @@
-//! Datagrams between nodes of sites.
+//! Sends and receives datagrams between the nodes of a fleet of sites.
 
 use super::Sites;
 use crate::net::recovering::NodeRecovery;
@@ -11,57 +11,57 @@
 use tokio::net::UdpSocket;
 use tracing::{debug, warn};
 
-/// And one about versions with this.
+/// First byte of a datagram with audit gossip.
 const AUDIT: u8 = b'a';
-/// A word about placements begins with this; the others with JSON.
+/// First byte of a datagram with placement messages; all other messages are JSON.
 const PLACEMENTS: u8 = b'p';
 
-/// One word between nodes of sites.
+/// A JSON message between nodes of a fleet of sites.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(super) enum SiteMessage {
-    /// About accounts.
+    /// Gossip about account standing.
     Accounts(gossip::Message),
-    /// About sites.
+    /// Reports about the health of sites.
     #[serde(rename = "seeing")]
     SiteHealth(health::Message),
-    /// About what was placed in a range of keys.
+    /// Questions and replies about the placements in a key range.
     #[serde(rename = "homes")]
     KeyOwnership(catch_up::Message),
-    /// About lives of nodes.
+    /// Exchange of node incarnations during recovery.
     Recovery(incarnations::Message),
 }
 
 impl Sites {
-    /// A node asks what was placed, or answers.
+    /// Handles another node's question about this node's placements, or its reply.
     pub(super) fn receive_proof(&self, from: u32, message: catch_up::Message) {
         let Some(key_leases) = &self.key_leases else { return };
         match message {
             catch_up::Message::Ask { home, fence } => {
-                let (log, last) = self.placing.own();
-                let history = self.placing.history();
-                // One that has lost a disk can't say what it has placed.
-                let whole = catch_up::has_complete_log(
+                let (log, last) = self.placements.own_position();
+                let history = self.placements.history();
+                // A node that has lost its disk doesn't know all of its placements.
+                let has_complete_log = catch_up::has_complete_log(
                     &history,
                     self.site_health.borrow().site(),
                     &self.name,
                     (log, 0),
                 );
-                if self.placing.asked() && whole {
+                if self.placements.peers_answered() && has_complete_log {
                     self.ownership_outgoing
                         .borrow_mut()
                         .push((from, catch_up::Message::Reply { home, fence, log, last }));
                 }
             }
             catch_up::Message::Reply { home, fence, log, last } => {
-                key_leases.notified(from, &home, fence, log, last)
+                key_leases.record_reply(from, &home, fence, log, last)
             }
         }
     }
 
-    pub(super) async fn speak(&self, socket: &UdpSocket) {
+    pub(super) async fn send_outgoing(&self, socket: &UdpSocket) {
         let accounts = self
-            .spread
+            .gossip
             .borrow_mut()
             .take_outgoing()
             .into_iter()
@@ -74,41 +74,40 @@
             .map(|(to, message)| (to, SiteMessage::SiteHealth(message)));
         let ownership = std::mem::take(&mut *self.ownership_outgoing.borrow_mut());
         let ownership = ownership.into_iter().map(|(to, message)| (to, SiteMessage::KeyOwnership(message)));
-        let recovery = self.recovering.iter().flat_map(NodeRecovery::take_outgoing);
+        let recovery = self.recovery.iter().flat_map(NodeRecovery::take_outgoing);
         let recovery = recovery.map(|(to, message)| (to, SiteMessage::Recovery(message)));
-        let text = accounts
-            .chain(site_health)
-            .chain(ownership)
-            .chain(recovery)
-            .map(|(to, sent)| (to, serde_json::to_vec(&sent).expect("JSON writes a message")));
-        let chance = self.chance.borrow_mut().rand_u64();
-        let placements = self.placing.pass(self.now(), chance).into_iter();
+        let text =
+            accounts.chain(site_health).chain(ownership).chain(recovery).map(|(to, message)| {
+                (to, serde_json::to_vec(&message).expect("a message serializes to JSON"))
+            });
+        let random = self.random.borrow_mut().rand_u64();
+        let placements = self.placements.tick(self.now(), random).into_iter();
         let placements = placements.map(|(to, message)| (to, [&[PLACEMENTS], message.as_slice()].concat()));
-        let audit = self.auditing.iter().flat_map(|a| a.take_outgoing());
+        let audit = self.audit_recorder.iter().flat_map(|a| a.take_outgoing());
         let audit = audit.map(|(to, message)| (to, [&[AUDIT], message.as_slice()].concat()));
         for (to, message) in text.chain(placements).chain(audit).collect::<Vec<_>>() {
-            let Some(address) = self.siting.borrow().plan.node(to).map(|n| n.address) else { continue };
-            let message = self.line.borrow_mut().seal(message);
-            // Lost is lost: it is said again.
+            let Some(address) = self.settings.borrow().config.node(to).map(|n| n.address) else { continue };
+            let message = self.channel.borrow_mut().seal(message);
+            // A lost datagram is repaired by a later message.
             let _ = socket.send_to(&message, address).await;
         }
     }
 
-    /// Whether something else than placements was told.
+    /// Handles a datagram. Returns whether a full tick is needed, which placement and audit messages don't need.
     pub(super) fn receive(&self, bytes: &[u8], from: SocketAddr) -> bool {
-        let seems = {
-            let siting = self.siting.borrow();
-            let known = siting.plan.nodes().find(|(_, n)| n.address == from).map(|(_, n)| n.number);
+        let presumed_sender = {
+            let settings = self.settings.borrow();
+            let known = settings.config.nodes().find(|(_, n)| n.address == from).map(|(_, n)| n.number);
             known.unwrap_or(0)
         };
-        let mut line = self.line.borrow_mut();
-        let (sender, message) = match line.open(bytes, seems) {
+        let mut channel = self.channel.borrow_mut();
+        let (sender, message) = match channel.open(bytes, presumed_sender) {
             Ok(Received { sender: Some(sender), sent }) => (sender, sent),
             Ok(_) => return false,
             Err(Dropped { refused, first }) => {
                 if first {
                     warn!(
-                        "sites: a word from {from} is dropped: {refused}: {}",
+                        "sites: dropped a datagram from {from}: {refused}: {}",
                         shorepath_message_auth::advice(&refused)
                     );
                 }
@@ -117,17 +116,17 @@
         };
         let now = self.now();
         if let Some((&PLACEMENTS, message)) = message.split_first() {
-            self.placing.receive(sender, message, now);
+            self.placements.receive(sender, message, now);
             return false;
         }
         if let Some((&AUDIT, message)) = message.split_first() {
-            if let Some(auditing) = &self.auditing {
-                auditing.receive(message);
+            if let Some(audit_recorder) = &self.audit_recorder {
+                audit_recorder.receive(message);
             }
             return false;
         }
         match serde_json::from_slice(message) {
-            Ok(SiteMessage::Accounts(message)) => self.spread.borrow_mut().receive(sender, &message, now),
+            Ok(SiteMessage::Accounts(message)) => self.gossip.borrow_mut().receive(sender, &message, now),
             Ok(SiteMessage::SiteHealth(message)) => {
                 let received = self.site_health.borrow_mut().receive(sender, &message, now);
                 match received {
@@ -139,8 +138,8 @@
                 self.receive_proof(sender, message);
             }
             Ok(SiteMessage::Recovery(message)) => {
-                if let Some(recovering) = &self.recovering {
-                    recovering.receive(sender, message, now);
+                if let Some(recovery) = &self.recovery {
+                    recovery.receive(sender, message, now);
                 }
             }
             Err(e) => debug!("sites: from {from}: {e}"),
--- a/tests/node/fleet.rs
+++ b/tests/node/fleet.rs
@@ -147,7 +147,7 @@
         _ => None,
     });
     // No answer comes any more: a term later the reserve is all, two a second.
-    node.logs("no grant of quota:acme");
+    node.logs("no grant for quota:acme");
     let few = served(&node, &mut server, "b", 30);
     assert!((1..=8).contains(&few), "{few} of 30");
     allocator.grant(30);
@@ -228,7 +228,7 @@
     for why in ["a word without a code", "a word under another key", "a word that was heard before"] {
         let notified: Vec<&String> = lines.iter().filter(|l| l.contains(why)).collect();
         assert!(
-            matches!(notified[..], [first, count] if first.contains("told once") && count.contains("2 datagrams")),
+            matches!(notified[..], [first, count] if first.contains("further ones are only counted") && count.contains("2 datagrams")),
             "{why}: {lines:?}"
         );
     }
--- a/tests/node/sites.rs
+++ b/tests/node/sites.rs
@@ -211,11 +211,11 @@
     let (files, servers) = (Files::new("two-files"), [Party::new(), Party::new()]);
     files.sites(1, 1, "(seal 9 min)");
     let nodes = [0, 1].map(|k| files.start(k, &servers[k]));
-    nodes[0].logs("n1 goes by another file of version 1 than this node");
-    nodes[1].logs("n0 goes by another file of version 1 than this node");
+    nodes[0].logs("n1 uses another file with version 1 than this node");
+    nodes[1].logs("n0 uses another file with version 1 than this node");
     files.sites(1, 2, "");
     nodes[1].hang_up();
-    nodes[0].logs("n1 goes by version 2 of the file, this node by 1");
+    nodes[0].logs("n1 uses version 2 of the sites file, this node uses 1");
 }
 
 /// Whoever is refused for want of confirmation is told to stay away for as long as the settings allow to advise, if at all.
@@ -342,7 +342,7 @@
     let answer = node.ask("credit", "/zone-plan").message();
     assert_eq!(refusal(&answer), (503, Some("standing not confirmed, disk not written")));
     node.frees_its_disk();
-    node.logs("the disk takes what is written again");
+    node.logs("the disk accepts writes again");
     let other = files.start(1, &Party::new());
     shows(&node, "standing confirmed");
     // It was refused, and surely never ran.
@@ -621,7 +621,7 @@
     cut(false);
     nodes[2].logs("account acme Closing number=4");
     assert_eq!(refusal(&nodes[2].ask("new-2", "/zone-plan").message()), closing);
-    let notified = nodes[0].logs("account acme: work was begun after file");
+    let notified = nodes[0].logs("account acme: work was started after file");
     assert!(notified.contains("Unaware at east/n2"), "{notified}");
     backend.serve("running", "done");
     assert_eq!(running.message().body, "done");
