--- a/src/net/placing.rs
+++ b/src/net/placing.rs
@@ -5,7 +5,7 @@
 mod startup;
 
 use super::exchange::{DispatchId, Ran};
-use super::sites::Written;
+use super::sites::DiskEvent;
 use shorepath_placements::anti_entropy::Exchange;
 use shorepath_placements::history::History;
 use shorepath_placements::idempotency_index::{IdempotencyIndex, KeyState};
@@ -29,7 +29,7 @@
 
 /// The log of this node, what is known of others', and of keys.
 #[derive(Debug)]
-pub struct Placing {
+pub struct Placements {
     log: Log,
     copies: Copies,
     history: RefCell<History>,
@@ -60,7 +60,7 @@
     shows: Cell<bool>,
     /// The last own entry that was shown.
     shown: Cell<u64>,
-    writes: mpsc::UnboundedSender<Written>,
+    writes: mpsc::UnboundedSender<DiskEvent>,
 }
 
 /// What is new of a log is known of keys, too.
@@ -77,9 +77,9 @@
     }
 }
 
-impl Placing {
+impl Placements {
     /// Open the log of the node of that name and site; a new one gets the number `drawn`, which is this life's as well. What was on its
-    /// way when the last process ended may have run. For `group` see [`Placing::meet`].
+    /// way when the last process ended may have run. For `group` see [`Placements::set_peers`].
     ///
     /// # Errors
     /// The log is another node's, is damaged, or its disk fails.
@@ -88,8 +88,8 @@
         group_commit: Arc<GroupCommit>,
         (site, node): (&str, &str),
         (drawn, now, group): (u64, Micros, Micros),
-        writes: mpsc::UnboundedSender<Written>,
-    ) -> Result<Placing, LogError> {
+        writes: mpsc::UnboundedSender<DiskEvent>,
+    ) -> Result<Placements, LogError> {
         let log = Log::open(store.clone(), group_commit.clone(), site, node, drawn)?;
         let mut history = History::new();
         let copies = Copies::restore(&store, group_commit, &mut history)?;
@@ -102,7 +102,7 @@
                 open.len()
             );
         }
-        let placing = Placing {
+        let placing = Placements {
             log,
             copies,
             history: RefCell::new(history),
@@ -137,13 +137,13 @@
     }
 
     /// What was to be flushed is on the disk, or never will be.
-    pub fn flushed(&self) {
+    pub fn on_flushed(&self) {
         self.flushes.set(false);
         self.shows.set(true);
     }
 
     /// The number of this node's log, and of its last entry on the disk.
-    pub fn own(&self) -> (u64, u64) {
+    pub fn own_position(&self) -> (u64, u64) {
         (self.log.writer().log, self.log.durable().0)
     }
 
@@ -199,7 +199,7 @@
         }
     }
 
-    /// When [`Placing::pass`] is wanted at the latest.
+    /// When [`Placements::tick`] is wanted at the latest.
     pub fn due(&self, now: Micros) -> Option<Micros> {
         let waits = self.waits.get() || self.log.durable().0 > self.shown.get();
         let goes = (waits && !self.flushes.get()).then_some(self.next.get());
@@ -207,8 +207,8 @@
         self.exchanges.borrow().values().map(Exchange::due).chain(goes).chain(shows).min()
     }
 
-    /// When [`Placing::reconcile`] is wanted.
-    pub fn more(&self) -> Option<Micros> {
+    /// When [`Placements::reconcile`] is wanted.
+    pub fn reconcile_due(&self) -> Option<Micros> {
         self.more.get()
     }
 
@@ -227,14 +227,14 @@
     }
 
     /// Tell of accounts' standing and credit what placements are judged by.
-    pub fn judge_by(&self, report: impl FnOnce(&mut Reconciler) -> Vec<Decision>) -> Vec<Decision> {
+    pub fn update_reconciler(&self, report: impl FnOnce(&mut Reconciler) -> Vec<Decision>) -> Vec<Decision> {
         // What it judges anew waits for the next slice.
         self.more.set(Some(self.more.get().map_or(self.next.get(), |at| at.min(self.next.get()))));
         report(&mut self.reconciler.borrow_mut())
     }
 
     /// What was placed since then, in Unix time: tenants and keys, with the time at which each was taken.
-    pub fn taken(&self, since: Micros, mut each: impl FnMut(&str, &str, Micros)) {
+    pub fn for_each_accepted(&self, since: Micros, mut each: impl FnMut(&str, &str, Micros)) {
         let (history, writer) = (self.history.borrow(), self.log.writer());
         let last = history.latest_points().get(&writer).map_or(0, |point| point.0);
         for timed in (1..=last).filter_map(|n| history.entry(&writer, n)) {
@@ -248,7 +248,7 @@
 
     /// What any node has placed and was not looked at, of that many entries at most: tenants and keys, with the Unix time of each. `seen` has the
     /// last entry of each log that was looked at. Whether there is more.
-    pub fn placed(
+    pub fn for_each_new_placement(
         &self,
         seen: &mut BTreeMap<Writer, u64>,
         most: usize,
@@ -273,17 +273,17 @@
     }
 
     /// What is known of a key of a class that must not run twice.
-    pub fn known(&self, class: &str, key: &str) -> KeyState {
+    pub fn key_state(&self, class: &str, key: &str) -> KeyState {
         self.keys.borrow().state(class, key)
     }
 
     /// Why nothing can be written down any more, where it can't.
-    pub fn failed(&self) -> Option<LogError> {
+    pub fn failure(&self) -> Option<LogError> {
         self.log.failed()
     }
 
     /// Write a placement down. Whether it may be sent at once: one that must not run twice has to be on the disk first.
-    pub fn places(&self, id: DispatchId, timed: Timed) -> bool {
+    pub fn record_placement(&self, id: DispatchId, timed: Timed) -> bool {
         let guarded = matches!(&timed.entry, Entry::Placed(p) if p.guarded);
         if !guarded {
             let held = {
@@ -296,27 +296,27 @@
             }
             return true;
         }
-        if !self.asked() {
-            let _ = self.writes.send(Written::Refused(id, "partners were not asked yet".to_string()));
+        if !self.peers_answered() {
+            let _ = self.writes.send(DiskEvent::Refused(id, "partners were not asked yet".to_string()));
             return false;
         }
         let writes = self.writes.clone();
         let appended = self.log.append(&timed, move |done| {
             // Nobody hears it where the node ends.
-            let _ = writes.send(Written::Placed(id, done.map(|_| ())));
+            let _ = writes.send(DiskEvent::Placed(id, done.map(|_| ())));
         });
         match appended {
             Ok(number) => {
                 self.keys.borrow_mut().apply_entry(&self.log.writer(), number, &timed.entry);
                 self.out.borrow_mut().insert(id, PlacementRef::Written(number));
             }
-            Err(e) => drop(self.writes.send(Written::Placed(id, Err(e)))),
+            Err(e) => drop(self.writes.send(DiskEvent::Placed(id, Err(e)))),
         }
         false
     }
 
     /// An attempt has ended.
-    pub fn ended(&self, id: DispatchId, ran: Ran, at: Micros) {
+    pub fn record_end(&self, id: DispatchId, ran: Ran, at: Micros) {
         let Some(slot) = self.out.borrow_mut().remove(&id) else { return };
         let how = match ran {
             Ran::Served => End::Served,
@@ -356,12 +356,12 @@
                 warn!("placements: {e}");
             }
             // Nobody hears it where the node ends.
-            let _ = writes.send(Written::Flushed);
+            let _ = writes.send(DiskEvent::Flushed);
         });
     }
 
     /// For operators: the log's last entry, how many keys are remembered, what went unrecorded, and what stands for all that is known.
-    pub fn state(&self) -> String {
+    pub fn status(&self) -> String {
         let (last, keys) = (self.log.durable().0, self.keys.borrow().len());
         let history = self.history.borrow();
         let all: u64 = history.latest_points().values().map(|point| point.0).sum();
--- a/src/net/placing/startup.rs
+++ b/src/net/placing/startup.rs
@@ -1,6 +1,6 @@
 //! The start of a log: what peers know of it, and what they are asked before anything is written.
 
-use super::Placing;
+use super::Placements;
 use shorepath_placements::anti_entropy::Exchange;
 use shorepath_placements::log::LogError;
 use shorepath_placements::log_recovery::{LogOutcome, PlacementRef};
@@ -9,7 +9,7 @@
 use shorepath_store::Op;
 use tracing::{info, warn};
 
-impl Placing {
+impl Placements {
     /// See what partners say of this node's own log before anything is written to it: where they know more of it than the disk does,
     /// an older disk was put back.
     pub(super) fn ask(&self, writer: &Writer, now: Micros) {
@@ -51,12 +51,12 @@
     }
 
     /// Whether partners were asked already.
-    pub fn asked(&self) -> bool {
+    pub fn peers_answered(&self) -> bool {
         self.log_recovery.borrow().peers_answered()
     }
 
     /// Whether every partner has said all that it knows.
-    pub fn complete(&self) -> bool {
+    pub fn exchanges_complete(&self) -> bool {
         let exchanges = self.exchanges.borrow();
         !exchanges.is_empty() && exchanges.values().all(Exchange::complete)
     }
