--- a/crates/recovery/src/incarnations.rs
+++ b/crates/recovery/src/incarnations.rs
@@ -61,7 +61,7 @@
     /// No reply to this process yet.
     Silent,
     /// Records of at-most-once requests may be missing on the peer's disk.
-    Incomplete,
+    NotWhole,
     /// The peer has not stored this incarnation yet.
     Unclaimed,
     /// The peer's disk is complete and remembers this incarnation.
@@ -146,7 +146,7 @@
         self.replies.iter().map(|(node, reply)| {
             let state = match reply {
                 None => PeerState::Silent,
-                Some(r) if !r.complete => PeerState::Incomplete,
+                Some(r) if !r.complete => PeerState::NotWhole,
                 Some(r) if r.known != Some(self.me) => PeerState::Unclaimed,
                 Some(_) => PeerState::Counts,
             };
@@ -236,7 +236,7 @@
         peers.record_reply(3, reply(Some(ME), true));
         assert!(!peers.all_confirmed());
         peers.record_reply(2, reply(Some(ME), false));
-        assert_eq!(peers.states().collect::<Vec<_>>(), [(1, PeerState::Counts), (2, PeerState::Incomplete)]);
+        assert_eq!(peers.states().collect::<Vec<_>>(), [(1, PeerState::Counts), (2, PeerState::NotWhole)]);
         peers.record_reply(2, reply(Some(DiskIncarnation { boots: 3, ..ME }), true));
         assert_eq!(peers.states().last(), Some((2, PeerState::Unclaimed)));
         peers.record_reply(2, reply(Some(ME), true));
--- a/src/net/recovering.rs
+++ b/src/net/recovering.rs
@@ -440,7 +440,7 @@
         for (node, peer) in self.peers.borrow().states() {
             let why = match peer {
                 PeerState::Silent => "it has said nothing",
-                PeerState::Incomplete => "what must not run twice may be missing on its disk",
+                PeerState::NotWhole => "what must not run twice may be missing on its disk",
                 PeerState::Unclaimed => "it does not yet remember this life",
                 PeerState::Counts => "it remembers this life",
             };
