--- a/crates/quota/tests/file.rs
+++ b/crates/quota/tests/file.rs
@@ -83,7 +83,11 @@
 )]
 #[case::key_range_per_second("(budgets\n (budget home:w/n (whole 1)))", "2:2", "(per moment)")]
 #[case::negative_number("(budgets (budget probes (whole -1)))", "1:", "out of range")]
-#[case::key_is_a_number("(budgets (budget probes (whole 1))\n (key 5))", "2:7", "is no word for a text")]
+#[case::key_is_a_number(
+    "(budgets (budget probes (whole 1))\n (key 5))",
+    "2:7",
+    "is not a symbol or string for a text"
+)]
 #[case::empty_key("(budgets (budget probes (whole 1))\n (key \"\"))", "2:2", "(key) needs a text")]
 fn an_invalid_file_is_rejected_with_place_and_reason(
     #[case] text: &str,
--- a/crates/sexp/src/lib.rs
+++ b/crates/sexp/src/lib.rs
@@ -1,8 +1,8 @@
-//! Reads files of S-expressions whose lists begin with a word: `(length 30 s)`.
+//! Parses files of S-expressions whose lists begin with a symbol: `(length 30 s)`.
 //!
-//! A file is checked whole: a getter that finds something wrong notes a [`ParseError`] with its place and
-//! returns the usual value, so that one reading names every fault. [`read`] returns what was built only
-//! where nothing was noted. What a file holds beyond what was asked for is a fault, too.
+//! All errors of a file are reported at once: a getter that finds an error adds a [`ParseError`] with its
+//! position and returns the default value. [`read`] returns the parsed value only if there was no error.
+//! Content of the file that no getter requested is an error, too.
 
 pub mod splice;
 
@@ -12,62 +12,67 @@
 use std::fmt;
 use std::ops::RangeInclusive;
 
-/// Where something stands in a file; both count from 1.
+/// A position in a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Place {
-    /// The line.
+    /// Number of the line, from 1.
     pub line: usize,
-    /// The column, in bytes.
+    /// Column in bytes, from 1.
     pub column: usize,
 }
 
-/// One fault of a file.
+/// An error in a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ParseError {
-    /// Where.
+    /// Position of the list, symbol or number that is wrong.
     pub place: Place,
-    /// What is wrong, and a hint where there is one.
+    /// Description of the error, with a hint if there is one.
     pub text: String,
 }
 
-/// All that is wrong with a file, in the order of its places.
+/// All errors of a file, in the order of their positions.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct ParseErrors {
-    /// The file's name.
+    /// Name of the file.
     pub file: String,
-    /// At least one.
+    /// The errors, at least one.
     pub list: Vec<ParseError>,
 }
 
 impl fmt::Display for ParseErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (k, c) in self.list.iter().enumerate() {
-            let line = if k > 0 { "\n" } else { "" };
-            write!(f, "{line}{}:{}:{}: {}", self.file, c.place.line, c.place.column, c.text)?;
+        for (index, error) in self.list.iter().enumerate() {
+            let separator = if index > 0 { "\n" } else { "" };
+            write!(
+                f,
+                "{separator}{}:{}:{}: {}",
+                self.file, error.place.line, error.place.column, error.text
+            )?;
         }
         Ok(())
     }
 }
 
-/// Units of time, in microseconds.
+/// Units of time and their lengths in microseconds.
 const UNITS: [(&str, f64); 5] = [("us", 1.0), ("ms", 1e3), ("s", 1e6), ("min", 60e6), ("h", 3600e6)];
 
-/// Numbers above this are refused: they would lose digits as whole microseconds.
-const MOST: f64 = 1e15;
+/// Maximum absolute value of a number. Numbers above it are rejected, since they would lose precision as integer microseconds.
+const MAX_NUMBER: f64 = 1e15;
 
-type Notes = RefCell<Vec<ParseError>>;
+type ErrorList = RefCell<Vec<ParseError>>;
 
-/// Read a text whose one list begins with `head`, and build from it.
+/// Parses a text that consists of one list beginning with the symbol `head`; `build` converts the list to the result. `file` is
+/// the name of the file for errors.
 ///
 /// # Errors
-/// Everything that is wrong with the text, when anything is.
+/// All errors of the text.
 pub fn read<T>(
     file: &str,
     text: &str,
     head: &'static str,
     build: impl FnOnce(&Form) -> T,
 ) -> Result<T, ParseErrors> {
-    let notes = Notes::default();
+    let errors = ErrorList::default();
     let fail = |mut list: Vec<ParseError>| {
         list.sort();
         list.dedup();
@@ -81,12 +86,12 @@
             Err(e) => {
                 let place =
                     e.location().map_or(start, |l| Place { line: l.line(), column: l.column().max(1) });
-                let text = format!("can't be read: {}", plain(&e.to_string()));
+                let text = format!("can't be read: {}", without_position(&e.to_string()));
                 return Err(fail(vec![ParseError { place, text }]));
             }
         }
     }
-    let mut forms = data.iter().map(|d| Form::new(d.as_ref(), &notes));
+    let mut forms = data.iter().map(|d| Form::new(d.as_ref(), &errors));
     let built = match forms.next() {
         None => {
             let text = format!("is empty; it needs ({head} ...)");
@@ -99,7 +104,7 @@
         }
         Some(form) => {
             if let Some(form) = form {
-                form.add_error(format!("({}) stands where ({head} ...) is needed", form.head));
+                form.add_error(format!("expected ({head} ...), found ({})", form.head));
             }
             None
         }
@@ -107,34 +112,34 @@
     for form in forms.flatten() {
         form.add_error(format!("a second list; the file holds one, ({head} ...)"));
     }
-    let list = notes.into_inner();
+    let list = errors.into_inner();
     match built {
         Some(built) if list.is_empty() => Ok(built),
         _ => Err(fail(list)),
     }
 }
 
-/// The reader's words without the place, which is told apart.
-fn plain(error: &str) -> &str {
+/// Returns an error text of the parser without its position, which is reported separately.
+fn without_position(error: &str) -> &str {
     error.split(" at line ").next().unwrap_or(error)
 }
 
-/// One list that begins with a word.
+/// A list that begins with a symbol. Its getters mark the items that they read; [`Form::finish`] reports the others as errors.
 #[derive(Debug)]
 pub struct Form<'a> {
     head: String,
     place: Place,
     items: Vec<(Ref<'a>, Cell<bool>)>,
-    asked: RefCell<Vec<&'static str>>,
-    notes: &'a Notes,
+    requested: RefCell<Vec<&'static str>>,
+    errors: &'a ErrorList,
 }
 
-fn place(of: &Ref) -> Place {
-    let start = of.span().start();
+fn place(datum: &Ref) -> Place {
+    let start = datum.span().start();
     Place { line: start.line(), column: start.column() + 1 }
 }
 
-fn show(value: &Value) -> String {
+fn abbreviate(value: &Value) -> String {
     let text = value.to_string();
     if text.chars().count() > 40 {
         format!("{}...", text.chars().take(40).collect::<String>())
@@ -143,10 +148,10 @@
     }
 }
 
-/// A time in the greatest unit that leaves it a whole number.
+/// Formats a duration in microseconds in the largest unit that divides it evenly.
 pub fn format_duration(micros: i64) -> String {
-    let whole = |u: &&(&str, f64)| micros != 0 && micros as f64 % u.1 == 0.0;
-    let (name, size) = UNITS.iter().rev().find(whole).unwrap_or(&UNITS[0]);
+    let divides_evenly = |u: &&(&str, f64)| micros != 0 && micros as f64 % u.1 == 0.0;
+    let (name, size) = UNITS.iter().rev().find(divides_evenly).unwrap_or(&UNITS[0]);
     format!("{} {name}", micros as f64 / size)
 }
 
@@ -155,121 +160,131 @@
 }
 
 impl<'a> Form<'a> {
-    fn new(datum: Ref<'a>, notes: &'a Notes) -> Option<Form<'a>> {
+    fn new(datum: Ref<'a>, errors: &'a ErrorList) -> Option<Form<'a>> {
         let at = place(&datum);
-        let bad = |text: &str| {
-            let text = format!("{} {text}", show(datum.value()));
-            notes.borrow_mut().push(ParseError { place: at, text });
+        let reject = |text: &str| {
+            let text = format!("{} {text}", abbreviate(datum.value()));
+            errors.borrow_mut().push(ParseError { place: at, text });
             None
         };
         if !datum.value().is_list() {
-            return bad("is no list of the form (word ...)");
+            return reject("is not a list of the form (symbol ...)");
         }
         let mut items: Vec<Ref> = datum.list_iter().into_iter().flatten().collect();
         let Some(head) = items.first().and_then(|i| symbol_text(i.value())).map(str::to_string) else {
-            return bad("does not begin with a word");
+            return reject("does not begin with a symbol");
         };
         let items = items.drain(1..).map(|i| (i, Cell::new(false))).collect();
-        Some(Form { head, place: at, items, asked: RefCell::default(), notes })
+        Some(Form { head, place: at, items, requested: RefCell::default(), errors })
     }
 
-    /// The word that it begins with.
+    /// Returns the symbol at the beginning of the list.
     pub fn head(&self) -> &str {
         &self.head
     }
 
-    /// Where it stands.
+    /// Returns the position of the list.
     pub fn place(&self) -> Place {
         self.place
     }
 
-    /// Note a fault of the whole list.
+    /// Adds an error at the position of the list.
     pub fn add_error(&self, text: impl Into<String>) {
         self.add_error_at(self.place, text);
     }
 
     fn add_error_at(&self, place: Place, text: impl Into<String>) {
-        self.notes.borrow_mut().push(ParseError { place, text: text.into() });
+        self.errors.borrow_mut().push(ParseError { place, text: text.into() });
     }
 
-    /// The lists in it that begin with that word.
+    /// Returns the inner lists that begin with the symbol `name`.
     pub fn many(&self, name: &'static str) -> Vec<Form<'a>> {
-        self.asked.borrow_mut().push(name);
-        let here = |value: &Value| value.as_pair().and_then(|(car, _)| symbol_text(car)) == Some(name);
-        let found = self.items.iter().filter(|(i, _)| here(i.value()));
+        self.requested.borrow_mut().push(name);
+        let is_named = |value: &Value| value.as_pair().and_then(|(car, _)| symbol_text(car)) == Some(name);
+        let found = self.items.iter().filter(|(i, _)| is_named(i.value()));
         found
             .filter_map(|(item, used)| {
                 used.set(true);
-                Form::new(*item, self.notes)
+                Form::new(*item, self.errors)
             })
             .collect()
     }
 
-    /// The one list in it that begins with that word, if there is one.
+    /// Returns the inner list that begins with the symbol `name`, or `None` if there is none. A second one is an error.
     pub fn one(&self, name: &'static str) -> Option<Form<'a>> {
         let mut found = self.many(name).into_iter();
         let first = found.next()?;
-        if let Some(again) = found.next() {
-            again.add_error(format!("({name}) is given twice; first in line {}", first.place.line));
+        if let Some(second) = found.next() {
+            second.add_error(format!("({name}) is given twice; first in line {}", first.place.line));
         }
         Some(first)
     }
 
-    /// The next of its own words and numbers that was not read yet.
-    fn next(&self) -> Option<&Ref<'a>> {
-        let free = self.items.iter().find(|(i, used)| !used.get() && !i.value().is_list());
-        free.map(|(item, used)| {
+    /// Returns the next item that is not a list and was not read yet.
+    fn next_atom(&self) -> Option<&Ref<'a>> {
+        let unread = self.items.iter().find(|(i, used)| !used.get() && !i.value().is_list());
+        unread.map(|(item, used)| {
             used.set(true);
             item
         })
     }
 
-    /// Its next own word, or the usual one with a complaint where there is none.
-    pub fn symbol(&self, what: &str) -> String {
-        match self.next() {
+    /// Returns the next symbol or string of the list. Adds an error and returns an empty string if there is none; `description` is
+    /// the expected item in the error text.
+    pub fn symbol(&self, description: &str) -> String {
+        match self.next_atom() {
             Some(item) => match symbol_text(item.value()) {
-                Some(word) => word.to_string(),
+                Some(symbol) => symbol.to_string(),
                 None => {
-                    self.add_error_at(place(item), format!("{} is no word for {what}", show(item.value())));
+                    self.add_error_at(
+                        place(item),
+                        format!("{} is not a symbol or string for {description}", abbreviate(item.value())),
+                    );
                     String::new()
                 }
             },
             None => {
-                self.add_error(format!("({}) needs {what}", self.head));
+                self.add_error(format!("({}) needs {description}", self.head));
                 String::new()
             }
         }
     }
 
-    /// All its own words that are left.
-    pub fn symbols(&self, what: &str) -> Vec<String> {
+    /// Returns all remaining symbols and strings of the list; see [`Form::symbol`].
+    pub fn symbols(&self, description: &str) -> Vec<String> {
         let mut all = Vec::new();
         while self.items.iter().any(|(i, used)| !used.get() && !i.value().is_list()) {
-            all.push(self.symbol(what));
+            all.push(self.symbol(description));
         }
         all
     }
 
-    /// Its next own number, in the range.
-    fn amount(&self, what: &str, range: &RangeInclusive<f64>) -> Option<f64> {
-        let Some(item) = self.next() else {
-            self.add_error(format!("({}) needs {what}", self.head));
+    /// Returns the next number of the list. Adds an error and returns `None` if it is missing or out of range.
+    fn next_number(&self, description: &str, range: &RangeInclusive<f64>) -> Option<f64> {
+        let Some(item) = self.next_atom() else {
+            self.add_error(format!("({}) needs {description}", self.head));
             return None;
         };
-        let Some(number) = item.value().as_f64().filter(|n| n.is_finite() && n.abs() <= MOST) else {
-            self.add_error_at(place(item), format!("{} is no number for {what}", show(item.value())));
+        let Some(number) = item.value().as_f64().filter(|n| n.is_finite() && n.abs() <= MAX_NUMBER) else {
+            self.add_error_at(
+                place(item),
+                format!("{} is no number for {description}", abbreviate(item.value())),
+            );
             return None;
         };
         if !range.contains(&number) {
-            let text =
-                format!("{number} is out of range: {what} lies in {} to {}", range.start(), range.end());
+            let text = format!(
+                "{number} is out of range: {description} lies in {} to {}",
+                range.start(),
+                range.end()
+            );
             self.add_error_at(place(item), text);
             return None;
         }
         Some(number)
     }
 
-    /// Everything in it that was not read yet, each as it is written.
+    /// Returns all items that were not read yet, as S-expressions.
     pub fn rest(&self) -> Vec<String> {
         let left = self.items.iter().filter(|(_, used)| !used.get());
         left.map(|(item, used)| {
@@ -279,23 +294,24 @@
         .collect()
     }
 
-    /// How many words and numbers of its own are left.
-    fn left(&self) -> usize {
+    /// Returns the number of items that are not lists and were not read yet.
+    fn remaining_count(&self) -> usize {
         self.items.iter().filter(|(i, used)| !used.get() && !i.value().is_list()).count()
     }
 
-    /// Its own numbers that are left, `least` to `most` of them, each in the range.
-    pub fn numbers(&self, least: usize, most: usize, range: RangeInclusive<f64>) -> Vec<f64> {
-        let (count, what) = (self.left(), format!("({})", self.head));
-        if count < least || count > most {
-            let wanted = if least == most { format!("{least}") } else { format!("{least} to {most}") };
-            self.add_error(format!("{what} needs {wanted} figures and has {count}"));
+    /// Returns the remaining numbers of the list. A count outside `min` to `max` and a number out of range are errors.
+    pub fn numbers(&self, min: usize, max: usize, range: RangeInclusive<f64>) -> Vec<f64> {
+        let (count, description) = (self.remaining_count(), format!("({})", self.head));
+        if count < min || count > max {
+            let expected = if min == max { format!("{min}") } else { format!("{min} to {max}") };
+            self.add_error(format!("{description} needs {expected} figures and has {count}"));
         }
-        (0..count).filter_map(|_| self.amount(&what, &range)).collect()
+        (0..count).filter_map(|_| self.next_number(&description, &range)).collect()
     }
 
-    /// Its own times, `least` to `most` of them and then their unit: `(lag 1 3 s)`, in microseconds.
-    pub fn times(&self, least: usize, most: usize, range: RangeInclusive<i64>) -> Vec<i64> {
+    /// Returns the remaining durations of the list in microseconds. Their unit comes last: `(lag 1 3 s)`. A missing unit, a count
+    /// outside `min` to `max` and a duration out of range are errors.
+    pub fn times(&self, min: usize, max: usize, range: RangeInclusive<i64>) -> Vec<i64> {
         let names = || UNITS.map(|u| u.0).join(", ");
         let last = self.items.iter().rev().find(|(i, used)| !used.get() && !i.value().is_list());
         let unit = last.and_then(|(i, _)| symbol_text(i.value()));
@@ -308,7 +324,7 @@
         if let Some((_, used)) = last {
             used.set(true);
         }
-        let found = self.numbers(least, most, 0.0..=MOST / unit);
+        let found = self.numbers(min, max, 0.0..=MAX_NUMBER / unit);
         let micros: Vec<i64> = found.iter().map(|n| (n * unit).round() as i64).collect();
         for t in micros.iter().filter(|t| !range.contains(t)) {
             let (low, high) = (format_duration(*range.start()), format_duration(*range.end()));
@@ -318,13 +334,13 @@
         micros
     }
 
-    /// The number of the list in it with that name.
-    pub fn number(&self, name: &'static str, usual: f64, range: RangeInclusive<f64>) -> f64 {
-        self.given(name, |f| f.numbers(1, 1, range).first().copied()).unwrap_or(usual)
+    /// Returns the number in the inner list `name`, or the default without such a list.
+    pub fn number(&self, name: &'static str, default: f64, range: RangeInclusive<f64>) -> f64 {
+        self.given(name, |f| f.numbers(1, 1, range).first().copied()).unwrap_or(default)
     }
 
-    /// The whole number of the list in it with that name.
-    pub fn count(&self, name: &'static str, usual: u64, range: RangeInclusive<u64>) -> u64 {
+    /// Returns the integer in the inner list `name`, or the default without such a list.
+    pub fn count(&self, name: &'static str, default: u64, range: RangeInclusive<u64>) -> u64 {
         let found = self.given(name, |f| {
             let n = f.numbers(1, 1, *range.start() as f64..=*range.end() as f64).first().copied()?;
             if n.fract() != 0.0 {
@@ -332,35 +348,37 @@
             }
             Some(n as u64)
         });
-        found.unwrap_or(usual)
+        found.unwrap_or(default)
     }
 
-    /// The time of the list in it with that name, in microseconds.
-    pub fn time(&self, name: &'static str, usual: i64, range: RangeInclusive<i64>) -> i64 {
-        self.given(name, |f| f.times(1, 1, range).first().copied()).unwrap_or(usual)
+    /// Returns the duration in the inner list `name`, in microseconds, or the default without such a list.
+    pub fn time(&self, name: &'static str, default: i64, range: RangeInclusive<i64>) -> i64 {
+        self.given(name, |f| f.times(1, 1, range).first().copied()).unwrap_or(default)
     }
 
-    /// The range of times of the list in it with that name: one figure stands for both ends.
+    /// Returns the bounds of the range of durations in the inner list `name`, in microseconds, or the default without such a list.
+    /// A single duration is both bounds.
     pub fn time_range(
         &self,
         name: &'static str,
-        usual: (i64, i64),
+        default: (i64, i64),
         range: RangeInclusive<i64>,
     ) -> (i64, i64) {
-        self.given(name, |f| f.ends(&f.times(1, 2, range))).unwrap_or(usual)
+        self.given(name, |f| f.bounds(&f.times(1, 2, range))).unwrap_or(default)
     }
 
-    /// The range of numbers of the list in it with that name: one figure stands for both ends.
+    /// Returns the bounds of the range of numbers in the inner list `name`, or the default without such a list. A single number is
+    /// both bounds.
     pub fn number_range(
         &self,
         name: &'static str,
-        usual: (f64, f64),
+        default: (f64, f64),
         range: RangeInclusive<f64>,
     ) -> (f64, f64) {
-        self.given(name, |f| f.ends(&f.numbers(1, 2, range))).unwrap_or(usual)
+        self.given(name, |f| f.bounds(&f.numbers(1, 2, range))).unwrap_or(default)
     }
 
-    fn ends<T: PartialOrd + Copy + fmt::Display>(&self, found: &[T]) -> Option<(T, T)> {
+    fn bounds<T: PartialOrd + Copy + fmt::Display>(&self, found: &[T]) -> Option<(T, T)> {
         let (low, high) = (*found.first()?, *found.last()?);
         if low > high {
             self.add_error(format!("({}) begins above its end", self.head));
@@ -368,29 +386,32 @@
         Some((low, high))
     }
 
-    /// The word of the list in it with that name, one of those.
-    pub fn choice(&self, name: &'static str, usual: &str, among: &[&str]) -> String {
+    /// Returns the symbol in the inner list `name`, or the default without such a list. A symbol that is not among the choices is
+    /// an error.
+    pub fn choice(&self, name: &'static str, default: &str, choices: &[&str]) -> String {
         let found = self.given(name, |f| {
-            let (at, word) = (f.items.first().map_or(f.place, |i| place(&i.0)), f.symbol("a word"));
-            if !word.is_empty() && !among.contains(&word.as_str()) {
-                f.add_error_at(at, unknown(&word, &format!("({name})"), among));
+            let (at, symbol) = (f.items.first().map_or(f.place, |i| place(&i.0)), f.symbol("a symbol"));
+            if !symbol.is_empty() && !choices.contains(&symbol.as_str()) {
+                f.add_error_at(at, unknown(&symbol, &format!("({name})"), choices));
             }
-            Some(word)
+            Some(symbol)
         });
-        found.unwrap_or_else(|| usual.to_string())
+        found.unwrap_or_else(|| default.to_string())
     }
 
-    /// The text of the list in it with that name.
-    pub fn text(&self, name: &'static str, usual: &str) -> String {
-        self.given(name, |f| Some(f.symbol("a word"))).unwrap_or_else(|| usual.to_string())
+    /// Returns the symbol or string in the inner list `name`, or the default without such a list.
+    pub fn text(&self, name: &'static str, default: &str) -> String {
+        self.given(name, |f| Some(f.symbol("a symbol or string"))).unwrap_or_else(|| default.to_string())
     }
 
-    /// Whether the list in it with that name says `yes`.
-    pub fn flag(&self, name: &'static str, usual: bool) -> bool {
-        self.choice(name, if usual { "yes" } else { "no" }, &["yes", "no"]) == "yes"
+    /// Returns whether the inner list `name` has the symbol `yes`, or the default without such a list. A symbol other than `yes` and
+    /// `no` is an error.
+    pub fn flag(&self, name: &'static str, default: bool) -> bool {
+        self.choice(name, if default { "yes" } else { "no" }, &["yes", "no"]) == "yes"
     }
 
-    /// What `read` makes of the list in it with that name, which must then hold nothing more.
+    /// Returns the value that `read` parses from the inner list `name`, or `None` without such a list. Items that `read` did not
+    /// request are errors.
     pub fn given<T>(&self, name: &'static str, read: impl FnOnce(&Form<'a>) -> Option<T>) -> Option<T> {
         let form = self.one(name)?;
         let found = read(&form);
@@ -398,26 +419,26 @@
         found
     }
 
-    /// Note everything in it that nobody asked for.
+    /// Adds an error for each item that was not requested.
     pub fn finish(&self) {
-        let asked = self.asked.borrow();
+        let requested = self.requested.borrow();
         for (item, _) in self.items.iter().filter(|(_, used)| !used.get()) {
             let text = match item.value().as_pair().and_then(|(car, _)| symbol_text(car)) {
-                Some(word) => unknown(word, &format!("({})", self.head), &asked),
-                None => format!("{} is too much for ({})", show(item.value()), self.head),
+                Some(symbol) => unknown(symbol, &format!("({})", self.head), &requested),
+                None => format!("{} is too much for ({})", abbreviate(item.value()), self.head),
             };
             self.add_error_at(place(item), text);
         }
     }
 }
 
-/// That a word is not known there, with the nearest that is.
-fn unknown(word: &str, place: &str, known: &[&str]) -> String {
-    let near = known.iter().map(|k| (strsim::damerau_levenshtein(k, word), *k)).min();
+/// Returns the error text for an unknown symbol, with the most similar known one.
+fn unknown(symbol: &str, place: &str, known: &[&str]) -> String {
+    let near = known.iter().map(|k| (strsim::damerau_levenshtein(k, symbol), *k)).min();
     let hint = match near {
-        Some((far, k)) if far <= 2.max(k.len() / 3) => format!("; did you mean {k}?"),
+        Some((distance, k)) if distance <= 2.max(k.len() / 3) => format!("; did you mean {k}?"),
         _ if known.is_empty() => String::new(),
         _ => format!("; known: {}", known.join(", ")),
     };
-    format!("{word} is not known in {place}{hint}")
+    format!("{symbol} is not known in {place}{hint}")
 }
--- a/crates/sexp/src/splice.rs
+++ b/crates/sexp/src/splice.rs
@@ -1,43 +1,44 @@
-//! Changing one value in a text of S-expressions, with everything else left as it stands.
+//! Replaces one value in a text of S-expressions and keeps the rest of the text, with its comments and layout.
 
 use lexpr::datum::Ref;
 
-/// Why a text can't be changed that way.
+/// Why a value could not be replaced.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SpliceError {
-    /// The text is no list.
+    /// The text is not a valid S-expression.
     #[error("the text can't be read: {0}")]
     Unreadable(String),
-    /// There is no list of that name to go into.
+    /// The path is empty, or leads to a list that does not exist and can't be added.
     #[error("there is no ({0} ...) to change")]
     NoSuchList(String),
 }
 
-/// Bytes from the start of the text to a place that the reader gives.
-fn offset(text: &str, at: lexpr::parse::Position) -> usize {
-    let before: usize = text.split_inclusive('\n').take(at.line().saturating_sub(1)).map(str::len).sum();
-    (before + at.column()).min(text.len())
+/// Returns the byte offset of a position of the parser.
+fn offset(text: &str, position: lexpr::parse::Position) -> usize {
+    let before: usize =
+        text.split_inclusive('\n').take(position.line().saturating_sub(1)).map(str::len).sum();
+    (before + position.column()).min(text.len())
 }
 
-fn word(value: &lexpr::Value) -> Option<&str> {
+fn symbol_text(value: &lexpr::Value) -> Option<&str> {
     value.as_symbol().or(value.as_str())
 }
 
-/// Whether a list begins with that name, or with `NAME:WORD` begins with both.
+/// Returns whether a list begins with the symbol `name`; a name `a:b` matches a list that begins with `a b`.
 fn is_named(list: &Ref, name: &str) -> bool {
     let (name, second) = name.split_once(':').map_or((name, None), |(n, s)| (n, Some(s)));
     let mut items = list.list_iter().into_iter().flatten();
-    let first = items.next().is_some_and(|i| word(i.value()) == Some(name));
-    first && second.is_none_or(|s| items.next().is_some_and(|i| word(i.value()) == Some(s)))
+    let first = items.next().is_some_and(|item| symbol_text(item.value()) == Some(name));
+    first && second.is_none_or(|s| items.next().is_some_and(|item| symbol_text(item.value()) == Some(s)))
 }
 
-/// The text with what follows the name of the list at that path replaced. `path` names lists from the
-/// outermost's children inwards: with `["servers", "count"]` and `20`, `(x (servers (count 10)))` becomes
-/// `(x (servers (count 20)))`. What is not there is added.
-/// Where several lists have one name, `tenant:b` is the one that begins with `tenant b`.
+/// Replaces the content of the list at a path, except for its name, and returns the new text. `path` has the names of the lists
+/// inside the outermost one, from the outside in: with `["servers", "count"]` and `20`, `(x (servers (count 10)))` becomes
+/// `(x (servers (count 20)))`. Missing lists are added. If several lists have the same name, `tenant:b` selects the one that begins
+/// with `tenant b`.
 ///
 /// # Errors
-/// [`SpliceError`]: the text can't be read, or the path is empty.
+/// The text can't be parsed, the path is empty, or a list with a name such as `tenant:b` does not exist.
 pub fn set(text: &str, path: &[&str], value: &str) -> Result<String, SpliceError> {
     let datum = lexpr::datum::from_str(text).map_err(|e| SpliceError::Unreadable(e.to_string()))?;
     let mut list = datum.as_ref();
@@ -48,7 +49,7 @@
             if name.contains(':') {
                 return Err(SpliceError::NoSuchList(rest.join(" ")));
             }
-            // Before the closing bracket of the innermost list that is there.
+            // The missing lists are inserted before the closing parenthesis of the innermost existing list.
             let end = offset(text, list.span().end()).saturating_sub(1);
             if !text.is_char_boundary(end) || !text[end..].starts_with(')') {
                 return Err(SpliceError::NoSuchList(rest.join(" ")));
@@ -70,7 +71,7 @@
     use super::*;
 
     #[test]
-    fn one_value_changes_and_the_rest_stays() {
+    fn set_replaces_one_value_and_keeps_the_rest() {
         let text = "; a day\n(day (servers (count 10) ; ten\n  (queue 8)) (name \"æ\"))";
         let changed = set(text, &["servers", "count"], "20").unwrap();
         assert_eq!(changed, text.replace("(count 10)", "(count 20)"));
