--- a/crates/placements/tests/log.rs
+++ b/crates/placements/tests/log.rs
@@ -69,7 +69,7 @@
     let mut cases = 0;
     for failing_write in 0..=complete_run.calls() {
         let disk = FaultyDisk::new();
-        disk.cut_at(failing_write);
+        disk.lose_power_at(failing_write);
         let Some((written, assigned)) = write_placements(&disk, 6) else { continue };
         for seed in 0..4 {
             let name = format!("failing write {failing_write}, seed {seed}");
--- a/crates/sexp/src/lib.rs
+++ b/crates/sexp/src/lib.rs
@@ -61,7 +61,7 @@
 
 type ErrorList = RefCell<Vec<ParseError>>;
 
-/// Parses a text that consists of one list beginning with the symbol `head`; `build` converts the list to the result. `file` is
+/// Parses a text that consists of one list whose first symbol is `head`; `build` converts the list to the result. `file` is
 /// the name of the file for errors.
 ///
 /// # Errors
@@ -178,7 +178,7 @@
         Some(Form { head, place: at, items, requested: RefCell::default(), errors })
     }
 
-    /// Returns the symbol at the beginning of the list.
+    /// Returns the first symbol of the list.
     pub fn head(&self) -> &str {
         &self.head
     }
--- a/crates/store/examples/cost.rs
+++ b/crates/store/examples/cost.rs
@@ -1,5 +1,5 @@
-//! What intents cost on this machine's disk: one at a time, and as many clients ask at once through the keeper; and how long a
-//! million open ones take to be opened and read. `cargo run --release -p shorepath-store --example cost`
+//! Measures the latency and throughput of intents with one and with many concurrent clients, and the time to open a store with a
+//! million intents: `cargo run --release -p shorepath-store --example cost`
 
 use shorepath_store::group_commit::GroupCommit;
 use shorepath_store::{Intent, Op, Store};
@@ -18,8 +18,9 @@
     Op::AddIntent(format!("{k:016x}"), intent)
 }
 
-fn at(sorted: &[f64], part: f64) -> f64 {
-    sorted.get((sorted.len() as f64 * part) as usize).copied().unwrap_or(f64::NAN)
+/// Returns a quantile, or NaN for an empty sample.
+fn quantile(sorted: &[f64], fraction: f64) -> f64 {
+    sorted.get((sorted.len() as f64 * fraction) as usize).copied().unwrap_or(f64::NAN)
 }
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
@@ -28,42 +29,42 @@
     let mut id = 0;
     for clients in [1, 16, 128] {
         let group_commit = GroupCommit::new(store.clone())?;
-        let (reply, notified) = channel();
+        let (reply, results) = channel();
         let count = 20_000.min(3_000 * clients);
         let begin = Instant::now();
-        let mut ask = |asked: u64| {
-            let (reply, at) = (reply.clone(), Instant::now());
+        let mut request = |requested: u64| {
+            let (reply, start) = (reply.clone(), Instant::now());
             id += 1;
-            // A client's intent, and the end of an earlier one.
+            // Stores the intent of a request, and removes an earlier one.
             let ops = vec![intent(id), Op::RemoveIntent(format!("{:016x}", id - id.min(200)))];
-            group_commit.commit(ops, move |done| {
-                let _ = reply.send((done.is_ok(), at.elapsed().as_secs_f64() * 1e3));
+            group_commit.commit(ops, move |result| {
+                let _ = reply.send((result.is_ok(), start.elapsed().as_secs_f64() * 1e3));
             });
-            asked + 1
+            requested + 1
         };
-        let mut asked = 0;
-        while asked < clients {
-            asked = ask(asked);
+        let mut requested = 0;
+        while requested < clients {
+            requested = request(requested);
         }
-        let mut took = Vec::new();
-        while (took.len() as u64) < count {
-            let (ok, ms) = notified.recv()?;
+        let mut latencies = Vec::new();
+        while (latencies.len() as u64) < count {
+            let (ok, ms) = results.recv()?;
             assert!(ok);
-            took.push(ms);
-            if asked < count {
-                asked = ask(asked);
+            latencies.push(ms);
+            if requested < count {
+                requested = request(requested);
             }
         }
         let rate = count as f64 / begin.elapsed().as_secs_f64();
-        took.sort_by(f64::total_cmp);
+        latencies.sort_by(f64::total_cmp);
         println!(
-            "{clients} at once: p50 {:.3} ms, p99 {:.3} ms, {rate:.0} a second",
-            at(&took, 0.5),
-            at(&took, 0.99)
+            "{clients} clients: p50 {:.3} ms, p99 {:.3} ms, {rate:.0} per second",
+            quantile(&latencies, 0.5),
+            quantile(&latencies, 0.99)
         );
     }
-    for million in 0..1_000u64 {
-        let ops: Vec<Op> = (0..1_000).map(|k| intent((1 << 40) + million * 1_000 + k)).collect();
+    for batch in 0..1_000u64 {
+        let ops: Vec<Op> = (0..1_000).map(|k| intent((1 << 40) + batch * 1_000 + k)).collect();
         store.commit(&ops)?;
     }
     drop(store);
@@ -72,7 +73,7 @@
     let opened = begin.elapsed().as_secs_f64();
     let count = store.intents()?.len();
     println!(
-        "{count} open intents: checked and opened in {opened:.2} s, read in {:.2} s",
+        "{count} intents: opened and checked in {opened:.2} s, read in {:.2} s",
         begin.elapsed().as_secs_f64() - opened
     );
     std::fs::remove_dir_all(&dir)?;
--- a/crates/store/src/fault_injection.rs
+++ b/crates/store/src/fault_injection.rs
@@ -1,11 +1,11 @@
-//! A disk that fails on purpose, in memory: the power goes at any point, what was not synced is lost or torn, a sync fails, there is no
-//! more room, a bit flips. For tests of whatever keeps things.
+//! Fault injection for tests of persistent data: a disk in memory with power losses that lose or tear unsynced writes, failing syncs,
+//! a limited capacity and flipped bits.
 
 use redb::StorageBackend;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// What the disk writes whole or not at all, in bytes.
-const SECTOR: usize = 512;
+/// Size of a sector, which the disk writes atomically, in bytes.
+const SECTOR_BYTES: usize = 512;
 
 #[derive(Clone, Debug)]
 enum Pending {
@@ -15,37 +15,40 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// What would be read after the power had gone, and what the program reads.
+    /// Content at the last sync.
     synced: Vec<u8>,
-    seen: Vec<u8>,
+    /// Current content, including writes that were not synced.
+    written: Vec<u8>,
+    /// Writes since the last sync.
     pending: Vec<Pending>,
-    /// How many calls that change something there were.
+    /// Number of writes, changes of the length and syncs so far.
     calls: u64,
-    /// The power goes at that call.
-    cut: Option<u64>,
-    /// That sync fails.
-    bad_sync: Option<u64>,
+    /// Calls after this number fail as after a power loss.
+    power_loss_call: Option<u64>,
+    /// Number of the sync that fails, from 0.
+    failing_sync: Option<u64>,
     syncs: u64,
-    /// No file is longer than this.
+    /// Maximum length of the file, in bytes.
     capacity: Option<u64>,
 }
 
-/// A disk in memory; its copies are the same disk.
+/// A disk in memory. Clones share the same content.
 #[derive(Clone, Debug, Default)]
 pub struct FaultyDisk(Arc<Mutex<State>>);
 
-/// A source of chance that needs nothing: splitmix64.
-fn chance(seed: &mut u64) -> u64 {
+/// Returns the next number of the generator splitmix64.
+fn next_random(seed: &mut u64) -> u64 {
     *seed = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let z = (*seed ^ (*seed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     z ^ (z >> 31)
 }
 
-fn no_power() -> std::io::Error {
-    std::io::Error::other("no power")
+fn power_loss_error() -> std::io::Error {
+    std::io::Error::other("simulated power loss")
 }
 
+/// Applies a change to an image, and only those of its sectors for which `keep` returns `true`.
 fn apply(image: &mut Vec<u8>, change: &Pending, mut keep: impl FnMut() -> bool) {
     match change {
         Pending::Length(length) => {
@@ -54,24 +57,24 @@
             }
         }
         Pending::Write(offset, data) => {
-            let mut at = 0;
-            while at < data.len() {
-                let start = *offset as usize + at;
-                let n = (SECTOR - start % SECTOR).min(data.len() - at);
+            let mut done = 0;
+            while done < data.len() {
+                let start = *offset as usize + done;
+                let count = (SECTOR_BYTES - start % SECTOR_BYTES).min(data.len() - done);
                 if keep() {
-                    if image.len() < start + n {
-                        image.resize(start + n, 0);
+                    if image.len() < start + count {
+                        image.resize(start + count, 0);
                     }
-                    image[start..start + n].copy_from_slice(&data[at..at + n]);
+                    image[start..start + count].copy_from_slice(&data[done..done + count]);
                 }
-                at += n;
+                done += count;
             }
         }
     }
 }
 
 impl FaultyDisk {
-    /// One that holds nothing.
+    /// Creates an empty disk.
     pub fn new() -> FaultyDisk {
         FaultyDisk::default()
     }
@@ -80,59 +83,59 @@
         self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// How many calls have changed something so far.
+    /// Returns the number of writes, changes of the length and syncs so far.
     pub fn calls(&self) -> u64 {
         self.state().calls
     }
 
-    /// The power goes at that call: it and all later ones fail.
-    pub fn cut_at(&self, call: u64) {
-        self.state().cut = Some(call);
+    /// Makes all calls after the first `call` ones fail, as after a power loss.
+    pub fn lose_power_at(&self, call: u64) {
+        self.state().power_loss_call = Some(call);
     }
 
-    /// The sync of that number fails, from 0.
+    /// Makes the sync of this number fail, from 0.
     pub fn fail_sync(&self, number: u64) {
-        self.state().bad_sync = Some(number);
+        self.state().failing_sync = Some(number);
     }
 
-    /// How many syncs there were.
+    /// Returns the number of syncs so far.
     pub fn syncs(&self) -> u64 {
         self.state().syncs
     }
 
-    /// There is room for so many bytes.
+    /// Limits the length of the file, in bytes.
     pub fn set_capacity(&self, bytes: u64) {
         self.state().capacity = Some(bytes);
     }
 
-    /// The disk as it is found once the power is back: of what was not synced each sector is there or not, by chance.
+    /// Returns the disk after a power loss. Each sector that was not synced is randomly kept or lost.
     pub fn after_power_loss(&self, mut seed: u64) -> FaultyDisk {
         let state = self.state();
         let mut image = state.synced.clone();
         for change in &state.pending {
-            apply(&mut image, change, || chance(&mut seed).is_multiple_of(2));
+            apply(&mut image, change, || next_random(&mut seed).is_multiple_of(2));
         }
-        FaultyDisk(Arc::new(Mutex::new(State { synced: image.clone(), seen: image, ..State::default() })))
+        FaultyDisk(Arc::new(Mutex::new(State { synced: image.clone(), written: image, ..State::default() })))
     }
 
-    /// The same disk with one bit flipped.
-    pub fn flipped(&self, bit: u64) -> FaultyDisk {
-        let mut image = self.state().seen.clone();
-        let at = (bit / 8) as usize % image.len().max(1);
-        image[at] ^= 1 << (bit % 8);
-        FaultyDisk(Arc::new(Mutex::new(State { synced: image.clone(), seen: image, ..State::default() })))
+    /// Returns a copy of the disk with one bit flipped.
+    pub fn with_flipped_bit(&self, bit: u64) -> FaultyDisk {
+        let mut image = self.state().written.clone();
+        let index = (bit / 8) as usize % image.len().max(1);
+        image[index] ^= 1 << (bit % 8);
+        FaultyDisk(Arc::new(Mutex::new(State { synced: image.clone(), written: image, ..State::default() })))
     }
 
-    /// All that it holds.
+    /// Returns the current content.
     pub fn image(&self) -> Vec<u8> {
-        self.state().seen.clone()
+        self.state().written.clone()
     }
 
     fn change(&self, change: Pending) -> Result<(), std::io::Error> {
         let mut state = self.state();
         state.calls += 1;
-        if state.cut.is_some_and(|cut| state.calls > cut) {
-            return Err(no_power());
+        if state.power_loss_call.is_some_and(|power_loss_call| state.calls > power_loss_call) {
+            return Err(power_loss_error());
         }
         let end = match &change {
             Pending::Write(offset, data) => offset + data.len() as u64,
@@ -141,7 +144,7 @@
         if state.capacity.is_some_and(|capacity| end > capacity) {
             return Err(std::io::ErrorKind::StorageFull.into());
         }
-        apply(&mut state.seen, &change, || true);
+        apply(&mut state.written, &change, || true);
         state.pending.push(change);
         Ok(())
     }
@@ -149,13 +152,13 @@
 
 impl StorageBackend for FaultyDisk {
     fn len(&self) -> Result<u64, std::io::Error> {
-        Ok(self.state().seen.len() as u64)
+        Ok(self.state().written.len() as u64)
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> Result<(), std::io::Error> {
         let state = self.state();
         let from = offset as usize;
-        let found = state.seen.get(from..from + out.len());
+        let found = state.written.get(from..from + out.len());
         let found = found.ok_or_else(|| std::io::Error::from(std::io::ErrorKind::UnexpectedEof))?;
         out.copy_from_slice(found);
         Ok(())
@@ -169,14 +172,14 @@
         let mut state = self.state();
         state.calls += 1;
         state.syncs += 1;
-        if state.cut.is_some_and(|cut| state.calls > cut) {
-            return Err(no_power());
+        if state.power_loss_call.is_some_and(|power_loss_call| state.calls > power_loss_call) {
+            return Err(power_loss_error());
         }
-        if state.bad_sync == Some(state.syncs - 1) {
+        if state.failing_sync == Some(state.syncs - 1) {
             return Err(std::io::Error::other("sync failed"));
         }
         state.pending.clear();
-        state.synced = state.seen.clone();
+        state.synced = state.written.clone();
         Ok(())
     }
 
--- a/crates/store/src/group_commit.rs
+++ b/crates/store/src/group_commit.rs
@@ -1,54 +1,54 @@
-//! One thread that commits what many ask for at once: while one commit is on its way to the disk the next ones gather, and go
-//! together. So a commit that takes long costs each of many little.
+//! Group commit: one thread writes to the store, and commits that are requested during a write are combined into the next one. This
+//! spreads the latency of the disk over many concurrent requests.
 
 use crate::{Op, Store, StoreError};
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-/// Changes that go together at most.
-const MOST: usize = 512;
+/// Number of operations from which on a group takes no further commits.
+const MAX_GROUP_OPS: usize = 512;
 
-type Done = Box<dyn FnOnce(Result<(), Arc<StoreError>>) + Send>;
+type Callback = Box<dyn FnOnce(Result<(), Arc<StoreError>>) + Send>;
 
-/// What it is asked for.
-enum Ask {
-    Commit(Vec<Op>, Done),
-    Reopen(Done),
-    Resume(Vec<Op>, Done),
+/// A request to the committing thread.
+enum Request {
+    Commit(Vec<Op>, Callback),
+    Reopen(Callback),
+    Resume(Vec<Op>, Callback),
 }
 
-/// Commits in groups, in the order in which it was asked. It ends with this, after what it was asked for.
+/// Commits in groups, in the order of the requests. Dropping it waits until all requests are done.
 pub struct GroupCommit {
-    asks: Option<Sender<Ask>>,
+    requests: Option<Sender<Request>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl std::fmt::Debug for GroupCommit {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Keeper").finish()
+        f.debug_struct("GroupCommit").finish()
     }
 }
 
-fn work(store: &Store, asked: &Receiver<Ask>) {
+fn run(store: &Store, receiver: &Receiver<Request>) {
     let mut next = None;
-    while let Some(ask) = next.take().or_else(|| asked.recv().ok()) {
-        let (mut ops, done) = match ask {
-            Ask::Commit(ops, done) => (ops, done),
-            Ask::Reopen(done) => {
+    while let Some(request) = next.take().or_else(|| receiver.recv().ok()) {
+        let (mut ops, done) = match request {
+            Request::Commit(ops, done) => (ops, done),
+            Request::Reopen(done) => {
                 done(store.reopen().map_err(Arc::new));
                 continue;
             }
-            Ask::Resume(ops, done) => {
+            Request::Resume(ops, done) => {
                 store.resume();
                 done(store.commit(&ops).map_err(Arc::new));
                 continue;
             }
         };
         let mut group = vec![done];
-        while ops.len() < MOST {
-            match asked.try_recv() {
-                Ok(Ask::Commit(more, done)) => {
+        while ops.len() < MAX_GROUP_OPS {
+            match receiver.try_recv() {
+                Ok(Request::Commit(more, done)) => {
                     ops.extend(more);
                     group.push(done);
                 }
@@ -64,44 +64,45 @@
 }
 
 impl GroupCommit {
-    /// One that commits to that store.
+    /// Starts the thread that commits to a store.
     ///
     /// # Errors
-    /// There is no thread to be had.
+    /// The thread can't be started.
     pub fn new(store: Arc<Store>) -> std::io::Result<GroupCommit> {
-        let (asks, asked) = channel();
-        let thread = std::thread::Builder::new().name("store".into()).spawn(move || work(&store, &asked))?;
-        Ok(GroupCommit { asks: Some(asks), thread: Some(thread) })
+        let (requests, receiver) = channel();
+        let thread =
+            std::thread::Builder::new().name("store".into()).spawn(move || run(&store, &receiver))?;
+        Ok(GroupCommit { requests: Some(requests), thread: Some(thread) })
     }
 
-    fn ask(&self, ask: Ask) {
-        let asked = self.asks.as_ref().map(|asks| asks.send(ask));
-        // Its thread ends before this only by a panic.
-        if let Some(Err(unsent)) = asked {
-            let (Ask::Commit(_, done) | Ask::Reopen(done) | Ask::Resume(_, done)) = unsent.0;
+    fn send(&self, request: Request) {
+        let sent = self.requests.as_ref().map(|requests| requests.send(request));
+        // The thread has ended only if it panicked.
+        if let Some(Err(unsent)) = sent {
+            let (Request::Commit(_, done) | Request::Reopen(done) | Request::Resume(_, done)) = unsent.0;
             done(Err(Arc::new(StoreError::ReopenRequired)));
         }
     }
 
-    /// Have that on the disk; `done` is told from the keeper's thread once it is, or why it is not.
+    /// Commits operations. The thread calls `done` with the result once they are durable or have failed.
     pub fn commit(&self, ops: Vec<Op>, done: impl FnOnce(Result<(), Arc<StoreError>>) + Send + 'static) {
-        self.ask(Ask::Commit(ops, Box::new(done)));
+        self.send(Request::Commit(ops, Box::new(done)));
     }
 
-    /// See [`Store::reopen`]: all that is asked for from now on is refused until [`GroupCommit::resume`].
+    /// Calls [`Store::reopen`]. Later commits are rejected until [`GroupCommit::resume`].
     pub fn reopen(&self, done: impl FnOnce(Result<(), Arc<StoreError>>) + Send + 'static) {
-        self.ask(Ask::Reopen(Box::new(done)));
+        self.send(Request::Reopen(Box::new(done)));
     }
 
-    /// Take commits again, those first: what was asked for before is refused, and what is asked for afterwards comes after them.
+    /// Accepts commits again, starting with these operations. Commits that were requested earlier are rejected, and later ones follow.
     pub fn resume(&self, ops: Vec<Op>, done: impl FnOnce(Result<(), Arc<StoreError>>) + Send + 'static) {
-        self.ask(Ask::Resume(ops, Box::new(done)));
+        self.send(Request::Resume(ops, Box::new(done)));
     }
 }
 
 impl Drop for GroupCommit {
     fn drop(&mut self) {
-        self.asks = None;
+        self.requests = None;
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,15 +1,17 @@
-//! What a node keeps on its disk, for installations that have one.
+//! Persistent storage of a node, for installations with a disk.
 //!
-//! - **intents**: what is about to be done and must not be done twice, on the disk before the first byte of a send;
-//! - **answers**: final answers that were given, so that each keeps being the one, within a stated memory;
-//! - **facts**: whatever else is to be remembered, each under a name;
-//! - **journals**: records in the order of their numbers, each journal under a name, read by range and dropped from below.
+//! - **intents**: requests that must not run twice, committed before the first byte is sent to a server;
+//! - **answers**: final answers, so that a repeated request gets the same answer, up to a limit of bytes;
+//! - **facts**: other values, each under a name;
+//! - **journals**: numbered records, each journal under a name, read by range and truncated from the start.
 //!
-//! The file is `redb`'s (why: `docs/design/recovery.md`). Ops are committed together or not at all, and are on the disk when
-//! [`Store::commit`] returns. After a commit that failed nothing more is taken: what the disk holds is not known until it is
-//! opened again ([`Store::reopen`]). One that is opened on a full disk can be read, and takes nothing until then either. Each record carries a checksum of its own, so that a flipped bit is found and named.
+//! The store is a `redb` database. Operations of a commit are applied atomically and are durable when [`Store::commit`] returns.
+//! After a failed commit the content of the disk is unknown, so all further commits are rejected until [`Store::reopen`] and
+//! [`Store::resume`]. A store that is opened on a full disk is readable and rejects commits in the same way. Each record has a
+//! checksum, so that a flipped bit is detected and reported with its record.
 //!
-//! [`group_commit::GroupCommit`] commits what many ask for at once; [`fault_injection::FaultyDisk`] is a disk that loses, tears and refuses on purpose.
+//! [`group_commit::GroupCommit`] combines concurrent commits; [`fault_injection::FaultyDisk`] is a disk for tests that loses and
+//! tears writes and returns errors.
 
 pub mod fault_injection;
 pub mod group_commit;
@@ -29,50 +31,50 @@
 
 const INTENTS: TableDefinition<&str, &[u8]> = TableDefinition::new("intents");
 const ANSWERS: TableDefinition<&str, &[u8]> = TableDefinition::new("answers");
-/// Answers in the order in which they were given; the value is the id and the record's size.
-const GIVEN: TableDefinition<u64, (&str, u64)> = TableDefinition::new("given");
+/// Answers in the order in which they were given; the value is the id of the request and the size of the record in bytes.
+const ANSWER_ORDER: TableDefinition<u64, (&str, u64)> = TableDefinition::new("given");
 const FACTS: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
 /// Records by journal and number.
 const JOURNALS: TableDefinition<(&str, u64), &[u8]> = TableDefinition::new("journals");
-/// What is written to see whether there is room: that journal, with a record of so many bytes.
-const CAPACITY: (&str, usize) = ("room", 64 << 10);
-/// The format of what is kept. Another one is refused, not guessed at.
+/// Journal and record size, in bytes, of the write that checks for free space on the disk.
+const CAPACITY_PROBE: (&str, usize) = ("room", 64 << 10);
+/// Version of the storage format. A store in another format is rejected.
 pub const FORMAT: u32 = 1;
-/// The name of the file in the store's folder.
+/// Name of the database file in the store's folder.
 pub const FILE: &str = "kept.redb";
-/// Its name while it is made.
+/// Name of the database file until it is complete.
 pub const TEMPORARY_FILE: &str = "kept.new";
 
-/// Why a store can't be used.
+/// Why a store can't be opened, read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// Another process has it.
+    /// Another process has the store open.
     #[error("another process has it")]
     Locked,
-    /// It was written in another format.
-    #[error("it is kept in format {found}; this program has format {FORMAT}")]
+    /// The store has another format than [`FORMAT`].
+    #[error("it has format {found}; this program supports format {FORMAT}")]
     Format {
-        /// Its format.
+        /// The format of the store.
         found: u32,
     },
-    /// What is kept was changed by something else than this program; which record, or that it is the file as a whole.
-    #[error("what is kept is damaged: {0}")]
+    /// The stored data is corrupted; the text names the damaged record or describes the damage of the file.
+    #[error("the stored data is damaged: {0}")]
     Damaged(String),
-    /// There is no room on the disk.
+    /// The disk is full.
     #[error("the disk is full")]
     Full,
-    /// It may only be read.
+    /// The process has no permission to write the store.
     #[error("it may not be written")]
     ReadOnly,
-    /// The disk failed.
+    /// An I/O error of the disk.
     #[error("the disk failed: {0}")]
     Disk(String),
-    /// An earlier commit failed: what the disk holds is not known until it is opened again.
-    #[error("an earlier write failed; it has to be opened again")]
+    /// An earlier commit failed, so the content of the disk is unknown until [`Store::reopen`].
+    #[error("an earlier write failed; the store has to be reopened")]
     ReopenRequired,
 }
 
-fn of_io(e: &std::io::Error) -> StoreError {
+fn from_io_error(e: &std::io::Error) -> StoreError {
     match e.kind() {
         std::io::ErrorKind::StorageFull
         | std::io::ErrorKind::QuotaExceeded
@@ -88,7 +90,7 @@
         match &e {
             redb::Error::DatabaseAlreadyOpen => StoreError::Locked,
             redb::Error::Corrupted(text) => StoreError::Damaged(text.clone()),
-            redb::Error::Io(io) => of_io(io),
+            redb::Error::Io(io) => from_io_error(io),
             _ => StoreError::Disk(e.to_string()),
         }
     }
@@ -105,115 +107,120 @@
 }
 from_redb!(DatabaseError, TransactionError, TableError, StorageError, CommitError, SetDurabilityError);
 
-/// What is about to be done, and must not be done twice.
+/// A request that is about to be sent to a server and must not run twice.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Intent {
-    /// The class.
+    /// The class of the request.
     pub class: String,
-    /// What it is about, or what repeats are known by, where the request says so.
+    /// The key by which repetitions are recognized, if the request has one.
     pub key: Option<String>,
-    /// The server that it is sent to.
+    /// The server that receives the request.
     pub server: String,
-    /// The epoch under which it is sent.
+    /// The epoch under which the request is sent.
     pub epoch: u64,
-    /// When, in microseconds of Unix time by the node's clock.
+    /// Time of the intent, in microseconds of Unix time by the node's clock.
     pub at: i64,
 }
 
-/// A final answer.
+/// The final answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// Its status.
+    /// The HTTP status.
     pub status: u16,
-    /// Its body.
+    /// The HTTP body.
     pub body: Vec<u8>,
-    /// When it was given, in microseconds of Unix time by the node's clock.
+    /// Time of the answer, in microseconds of Unix time by the node's clock.
     pub at: i64,
 }
 
-/// One change.
+/// An operation of a commit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Op {
-    /// That request is about to be sent.
+    /// Stores an intent under the id of its request.
     AddIntent(String, Intent),
-    /// What became of it is known: it is not open any more.
+    /// Removes the intent of a request whose outcome is known.
     RemoveIntent(String),
-    /// That request has its final answer.
+    /// Stores the final answer under the id of its request.
     Answer(String, Answer),
-    /// Remember that under that name; nothing is kept of what was there.
+    /// Stores a value under a name and replaces the earlier one.
     SetFact(String, Vec<u8>),
-    /// Keep that record in that journal under that number; whoever writes the journal counts, and a record of that number gives way.
+    /// Stores a record in a journal under a number that the caller assigns, and replaces an earlier record of this number.
     Append(String, u64, Vec<u8>),
-    /// Nothing of that journal below that number is needed any more.
+    /// Removes the records of a journal below a number.
     Drop(String, u64),
 }
 
 impl Op {
-    /// Remember a value under a name, as JSON.
+    /// Returns the operation that stores a value under a name, as JSON.
     ///
     /// # Panics
-    /// JSON can't write the value. It can write structs, strings, numbers and maps with keys that are one of these.
+    /// The value can't be serialized as JSON. Structs, strings, numbers and maps with string or number keys can.
     pub fn set_fact<T: Serialize>(name: impl Into<String>, value: &T) -> Op {
         let json = serde_json::to_vec(value).expect("JSON writes structs, strings, numbers and maps");
         Op::SetFact(name.into(), json)
     }
 }
 
-/// How much is kept.
+/// Numbers of stored records.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
-    /// Open intents.
+    /// Intents whose outcome is unknown.
     pub intents: u64,
-    /// Final answers.
+    /// Stored final answers.
     pub answers: u64,
-    /// Facts.
+    /// Stored facts, including the format.
     pub facts: u64,
 }
 
-/// A node's store.
+/// The persistent store of a node.
 pub struct Store {
-    /// None only where it could not be opened again.
+    /// `None` only after a failed [`Store::reopen`].
     database: RwLock<Option<Database>>,
-    /// Where it is; none for one on a disk of another kind.
+    /// The folder, or `None` for a store on another storage backend.
     folder: Option<PathBuf>,
-    /// Answers hold this much at most, in bytes; the oldest give way.
-    most: u64,
-    /// What they hold now, in bytes.
-    held: AtomicU64,
-    unsure: AtomicBool,
+    /// Maximum size of all answers; the oldest ones are evicted.
+    max_answer_bytes: u64,
+    /// Current size of all answers.
+    answer_bytes: AtomicU64,
+    reopen_required: AtomicBool,
 }
 
 impl fmt::Debug for Store {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Store").field("most", &self.most).finish()
+        f.debug_struct("Store").field("max_answer_bytes", &self.max_answer_bytes).finish()
     }
 }
 
-/// A record with its checksum before it.
-fn sealed<T: Serialize>(what: &T) -> Result<Vec<u8>, StoreError> {
-    let text = serde_json::to_vec(what).map_err(|e| StoreError::Disk(e.to_string()))?;
+/// Encodes a value as JSON after its checksum.
+fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>, StoreError> {
+    let text = serde_json::to_vec(value).map_err(|e| StoreError::Disk(e.to_string()))?;
     Ok([&crc32fast::hash(&text).to_be_bytes(), text.as_slice()].concat())
 }
 
-fn opened<T: DeserializeOwned>(table: &str, key: &str, record: &[u8]) -> Result<T, StoreError> {
-    let damaged = |why: &str| StoreError::Damaged(format!("{table} {key:?}: {why}"));
-    let (sum, text) = record.split_first_chunk::<4>().ok_or_else(|| damaged("too short"))?;
-    if u32::from_be_bytes(*sum) != crc32fast::hash(text) {
-        return Err(damaged("its checksum does not fit"));
+/// Decodes a value that [`encode`] has written.
+///
+/// # Errors
+/// The record is damaged.
+fn decode<T: DeserializeOwned>(table: &str, key: &str, record: &[u8]) -> Result<T, StoreError> {
+    let damaged = |reason: &str| StoreError::Damaged(format!("{table} {key:?}: {reason}"));
+    let (checksum, text) =
+        record.split_first_chunk::<4>().ok_or_else(|| damaged("the record is too short"))?;
+    if u32::from_be_bytes(*checksum) != crc32fast::hash(text) {
+        return Err(damaged("the checksum does not match"));
     }
     serde_json::from_slice(text).map_err(|e| damaged(&e.to_string()))
 }
 
-/// The checksum of a journal's record: over where it stands, too, so that one in another's place is found.
-fn sum(journal: &str, number: u64, record: &[u8]) -> [u8; 4] {
-    let mut sum = crc32fast::Hasher::new();
-    sum.update(journal.as_bytes());
-    sum.update(&number.to_be_bytes());
-    sum.update(record);
-    sum.finalize().to_be_bytes()
+/// Returns the checksum of a journal's record. It covers the journal and the number, so that a misplaced record is detected.
+fn journal_checksum(journal: &str, number: u64, record: &[u8]) -> [u8; 4] {
+    let mut checksum = crc32fast::Hasher::new();
+    checksum.update(journal.as_bytes());
+    checksum.update(&number.to_be_bytes());
+    checksum.update(record);
+    checksum.finalize().to_be_bytes()
 }
 
-/// A table, opened when it is first wanted: a commit costs more with each that is open.
+/// Returns a table and opens it on first use, since each open table makes a commit more expensive.
 fn table<'t, 'w, K: redb::Key, V: redb::Value>(
     slot: &'t mut Option<redb::Table<'w, K, V>>,
     write: &'w redb::WriteTransaction,
@@ -227,106 +234,113 @@
 }
 
 impl Store {
-    /// The one in that folder, made where there is none; answers hold `most` bytes at most. On a full disk it can be read as it is, and takes
-    /// nothing ([`Store::accepts_commits`]) before [`Store::reopen`].
+    /// Opens the store in a folder, and creates it if there is none. Answers take `max_answer_bytes` at most. On a full disk the store
+    /// is readable and rejects commits ([`Store::accepts_commits`]) until [`Store::reopen`] and [`Store::resume`].
     ///
     /// # Errors
-    /// Another process has it, another version wrote it, it is damaged, or the disk fails otherwise.
-    pub fn open(folder: &Path, most: u64) -> Result<Store, StoreError> {
-        let store = Store::writable(folder, most);
+    /// Another process has the store open, it has another format, it is damaged, or the disk failed.
+    pub fn open(folder: &Path, max_answer_bytes: u64) -> Result<Store, StoreError> {
+        let store = Store::open_writable(folder, max_answer_bytes);
         let store = match store {
-            Err(StoreError::Full) => Store::overlay(folder, most)?,
+            Err(StoreError::Full) => Store::open_overlay(folder, max_answer_bytes)?,
             store => store?,
         };
         Ok(Store { folder: Some(folder.to_path_buf()), ..store })
     }
 
-    fn writable(folder: &Path, most: u64) -> Result<Store, StoreError> {
-        std::fs::create_dir_all(folder).map_err(|e| of_io(&e))?;
+    fn open_writable(folder: &Path, max_answer_bytes: u64) -> Result<Store, StoreError> {
+        std::fs::create_dir_all(folder).map_err(|e| from_io_error(&e))?;
         let file = folder.join(FILE);
         if !file.exists() {
-            Store::make(folder, &file, most)?;
+            Store::create(folder, &file, max_answer_bytes)?;
         }
-        Store::checked(Builder::new().create(file)?, most)
+        Store::verified(Builder::new().create(file)?, max_answer_bytes)
     }
 
-    /// What is in that folder, read and never written.
-    fn overlay(folder: &Path, most: u64) -> Result<Store, StoreError> {
+    /// Opens the store in a folder without writing to the disk.
+    fn open_overlay(folder: &Path, max_answer_bytes: u64) -> Result<Store, StoreError> {
         let file = std::fs::OpenOptions::new().read(true).write(true).open(folder.join(FILE));
         let file = match file {
             Ok(file) => Some(FileBackend::new(file)?),
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => None,
-            Err(e) => return Err(of_io(&e)),
+            Err(e) => return Err(from_io_error(&e)),
         };
-        let overlay = overlay::Overlay::new(file).map_err(|e| of_io(&e))?;
-        let store = Store::checked(Builder::new().create_with_backend(overlay)?, most)?;
-        store.unsure.store(true, Ordering::Release);
+        let overlay = overlay::Overlay::new(file).map_err(|e| from_io_error(&e))?;
+        let store = Store::verified(Builder::new().create_with_backend(overlay)?, max_answer_bytes)?;
+        store.reopen_required.store(true, Ordering::Release);
         Ok(store)
     }
 
-    /// Open it again after a commit that failed, or on a disk that was full, and see whether there is room. It goes on taking nothing
-    /// until [`Store::resume`]: whoever keeps something in it has to look first what the disk has. Meanwhile reads wait; it reads all.
+    /// Opens the store again after a failed commit, or after it was opened on a full disk, and checks for free space. Commits are
+    /// rejected until [`Store::resume`], so that the caller can compare its state with the disk first. Reads wait meanwhile.
     ///
     /// # Errors
-    /// As [`Store::open`], or the disk is still full; it can be read as before, and tried again.
+    /// As for [`Store::open`], or the disk is still full. The store is readable as before, and the call can be repeated.
     pub fn reopen(&self) -> Result<(), StoreError> {
         let Some(folder) = &self.folder else { return Err(StoreError::ReopenRequired) };
-        let mut held = self.database.write().unwrap_or_else(PoisonError::into_inner);
-        self.unsure.store(true, Ordering::Release);
-        // Closed first: nobody may have it twice.
-        *held = None;
-        let capacity = || {
-            let store = Store::writable(folder, self.most)?;
-            store.commit(&[Op::Append(CAPACITY.0.to_string(), 0, vec![0; CAPACITY.1])])?;
-            store.commit(&[Op::Drop(CAPACITY.0.to_string(), 1)])?;
+        let mut database = self.database.write().unwrap_or_else(PoisonError::into_inner);
+        self.reopen_required.store(true, Ordering::Release);
+        // The database has to be closed first, since it can be open only once.
+        *database = None;
+        let open_with_capacity = || {
+            let store = Store::open_writable(folder, self.max_answer_bytes)?;
+            store.commit(&[Op::Append(CAPACITY_PROBE.0.to_string(), 0, vec![0; CAPACITY_PROBE.1])])?;
+            store.commit(&[Op::Drop(CAPACITY_PROBE.0.to_string(), 1)])?;
             Ok(store)
         };
-        let opened = capacity();
-        let (store, done) = match opened {
+        let opened = open_with_capacity();
+        let (store, result) = match opened {
             Ok(store) => (store, Ok(())),
-            Err(e) => (Store::overlay(folder, self.most)?, Err(e)),
+            Err(e) => (Store::open_overlay(folder, self.max_answer_bytes)?, Err(e)),
         };
-        self.held.store(store.held.into_inner(), Ordering::Release);
-        *held = store.database.into_inner().unwrap_or_else(PoisonError::into_inner);
-        done
+        self.answer_bytes.store(store.answer_bytes.into_inner(), Ordering::Release);
+        *database = store.database.into_inner().unwrap_or_else(PoisonError::into_inner);
+        result
     }
 
-    /// Take commits again after [`Store::reopen`].
+    /// Accepts commits again after [`Store::reopen`].
     pub fn resume(&self) {
-        self.unsure.store(false, Ordering::Release);
+        self.reopen_required.store(false, Ordering::Release);
     }
 
-    /// Whether it takes commits: none has failed, and the disk was not full as it was opened.
+    /// Returns whether commits are accepted: none has failed, and the disk was not full when the store was opened.
     pub fn accepts_commits(&self) -> bool {
-        !self.unsure.load(Ordering::Acquire)
+        !self.reopen_required.load(Ordering::Acquire)
     }
 
-    /// Make an empty one beside its place, whole, and put it there: one that was cut off while it was made has never been.
-    fn make(folder: &Path, file: &Path, most: u64) -> Result<(), StoreError> {
-        let draft = folder.join(TEMPORARY_FILE);
-        match std::fs::remove_file(&draft) {
-            Err(e) if e.kind() != std::io::ErrorKind::NotFound => return Err(of_io(&e)),
+    /// Creates an empty database under a temporary name and renames it, so that an interrupted creation leaves no incomplete file.
+    fn create(folder: &Path, file: &Path, max_answer_bytes: u64) -> Result<(), StoreError> {
+        let temporary = folder.join(TEMPORARY_FILE);
+        match std::fs::remove_file(&temporary) {
+            Err(e) if e.kind() != std::io::ErrorKind::NotFound => return Err(from_io_error(&e)),
             _ => {}
         }
-        drop(Store::checked(Builder::new().create(&draft)?, most)?);
-        let done = std::fs::rename(&draft, file).and_then(|()| std::fs::File::open(folder)?.sync_all());
-        done.map_err(|e| of_io(&e))
+        drop(Store::verified(Builder::new().create(&temporary)?, max_answer_bytes)?);
+        let renamed =
+            std::fs::rename(&temporary, file).and_then(|()| std::fs::File::open(folder)?.sync_all());
+        renamed.map_err(|e| from_io_error(&e))
     }
 
-    /// The one on that disk. One that was cut off while it was made is damaged.
+    /// Opens the store on a storage backend. An interrupted creation leaves a damaged store.
     ///
     /// # Errors
     /// See [`Store::open`].
-    pub fn with_backend(disk: impl StorageBackend, most: u64) -> Result<Store, StoreError> {
-        Store::checked(Builder::new().create_with_backend(disk)?, most)
+    pub fn with_backend(disk: impl StorageBackend, max_answer_bytes: u64) -> Result<Store, StoreError> {
+        Store::verified(Builder::new().create_with_backend(disk)?, max_answer_bytes)
     }
 
-    fn checked(mut database: Database, most: u64) -> Result<Store, StoreError> {
-        // A tail that was torn is cut by the library; what is left is read whole once, so that nothing is believed unseen.
+    fn verified(mut database: Database, max_answer_bytes: u64) -> Result<Store, StoreError> {
+        // The library discards an incomplete transaction. The remaining data is checked completely once.
         database.check_integrity()?;
-        let (held, unsure) = (AtomicU64::new(0), AtomicBool::new(false));
-        let store = Store { database: RwLock::new(Some(database)), folder: None, most, held, unsure };
-        store.held.store(store.count()?, Ordering::Release);
+        let (answer_bytes, reopen_required) = (AtomicU64::new(0), AtomicBool::new(false));
+        let store = Store {
+            database: RwLock::new(Some(database)),
+            folder: None,
+            max_answer_bytes,
+            answer_bytes,
+            reopen_required,
+        };
+        store.answer_bytes.store(store.sum_answer_bytes()?, Ordering::Release);
         match store.fact::<u32>("format")? {
             None => store.commit(&[Op::SetFact("format".into(), FORMAT.to_string().into_bytes())])?,
             Some(FORMAT) => {}
@@ -335,38 +349,38 @@
         Ok(store)
     }
 
-    /// Have all of that on the disk, or nothing.
+    /// Applies all operations atomically and durably.
     ///
     /// # Errors
-    /// It could not be written. Whether it is on the disk is not known then, and nothing more is taken.
+    /// The write failed. Whether the operations are on the disk is unknown, and all further commits are rejected.
     pub fn commit(&self, ops: &[Op]) -> Result<(), StoreError> {
-        if self.unsure.load(Ordering::Acquire) {
+        if self.reopen_required.load(Ordering::Acquire) {
             return Err(StoreError::ReopenRequired);
         }
-        self.write(ops).inspect_err(|_| self.unsure.store(true, Ordering::Release))
+        self.write(ops).inspect_err(|_| self.reopen_required.store(true, Ordering::Release))
     }
 
-    fn reading(&self) -> Result<ReadTransaction, StoreError> {
-        let held = self.database.read().unwrap_or_else(PoisonError::into_inner);
-        Ok(held.as_ref().ok_or(StoreError::ReopenRequired)?.begin_read()?)
+    fn begin_read_transaction(&self) -> Result<ReadTransaction, StoreError> {
+        let database = self.database.read().unwrap_or_else(PoisonError::into_inner);
+        Ok(database.as_ref().ok_or(StoreError::ReopenRequired)?.begin_read()?)
     }
 
-    /// What answers hold.
-    fn count(&self) -> Result<u64, StoreError> {
-        let read = self.reading()?;
-        let given = match read.open_table(GIVEN) {
+    /// Returns the size of all answers, in bytes.
+    fn sum_answer_bytes(&self) -> Result<u64, StoreError> {
+        let read = self.begin_read_transaction()?;
+        let given = match read.open_table(ANSWER_ORDER) {
             Err(redb::TableError::TableDoesNotExist(_)) => return Ok(0),
             table => table?,
         };
-        let mut held = 0;
+        let mut answer_bytes = 0;
         for entry in given.iter()? {
-            held += entry?.1.value().1;
+            answer_bytes += entry?.1.value().1;
         }
-        Ok(held)
+        Ok(answer_bytes)
     }
 
     fn write(&self, ops: &[Op]) -> Result<(), StoreError> {
-        let mut held = self.held.load(Ordering::Acquire);
+        let mut answer_bytes = self.answer_bytes.load(Ordering::Acquire);
         let database = self.database.read().unwrap_or_else(PoisonError::into_inner);
         let write = database.as_ref().ok_or(StoreError::ReopenRequired)?.begin_write()?;
         {
@@ -376,17 +390,17 @@
                 match op {
                     Op::AddIntent(id, intent) => {
                         let intents = table(&mut intents, &write, INTENTS)?;
-                        intents.insert(id.as_str(), sealed(intent)?.as_slice())?;
+                        intents.insert(id.as_str(), encode(intent)?.as_slice())?;
                     }
                     Op::RemoveIntent(id) => drop(table(&mut intents, &write, INTENTS)?.remove(id.as_str())?),
                     Op::SetFact(name, bytes) => {
-                        let sum = crc32fast::hash(bytes).to_be_bytes();
+                        let checksum = crc32fast::hash(bytes).to_be_bytes();
                         let facts = table(&mut facts, &write, FACTS)?;
-                        facts.insert(name.as_str(), [&sum, bytes.as_slice()].concat().as_slice())?;
+                        facts.insert(name.as_str(), [&checksum, bytes.as_slice()].concat().as_slice())?;
                     }
                     Op::Append(journal, number, record) => {
-                        let sum = sum(journal, *number, record);
-                        let record = [&sum, record.as_slice()].concat();
+                        let checksum = journal_checksum(journal, *number, record);
+                        let record = [&checksum, record.as_slice()].concat();
                         let journals = table(&mut journals, &write, JOURNALS)?;
                         journals.insert((journal.as_str(), *number), record.as_slice())?;
                     }
@@ -396,38 +410,38 @@
                         journals.retain_in((name, 0)..(name, *below), |_, _| false)?;
                     }
                     Op::Answer(id, answer) => {
-                        let record = sealed(answer)?;
+                        let record = encode(answer)?;
                         let answers = table(&mut answers, &write, ANSWERS)?;
-                        let before = answers.insert(id.as_str(), record.as_slice())?.is_some();
-                        // Given again it stays in its place: the first one is the one.
-                        if !before {
-                            let given = table(&mut given, &write, GIVEN)?;
+                        let was_known = answers.insert(id.as_str(), record.as_slice())?.is_some();
+                        // A repeated answer keeps its place in the order of eviction.
+                        if !was_known {
+                            let given = table(&mut given, &write, ANSWER_ORDER)?;
                             let next = given.last()?.map_or(0, |(k, _)| k.value() + 1);
                             given.insert(next, (id.as_str(), record.len() as u64))?;
-                            held += record.len() as u64;
+                            answer_bytes += record.len() as u64;
                         }
                     }
                 }
             }
-            // The oldest answers give way.
-            while held > self.most {
-                let Some((_, value)) = table(&mut given, &write, GIVEN)?.pop_first()? else { break };
+            // Evicts the oldest answers.
+            while answer_bytes > self.max_answer_bytes {
+                let Some((_, value)) = table(&mut given, &write, ANSWER_ORDER)?.pop_first()? else { break };
                 let (id, size) = value.value();
                 table(&mut answers, &write, ANSWERS)?.remove(id)?;
-                held -= size;
+                answer_bytes -= size;
             }
         }
         write.commit()?;
-        self.held.store(held, Ordering::Release);
+        self.answer_bytes.store(answer_bytes, Ordering::Release);
         Ok(())
     }
 
-    fn all<T: DeserializeOwned>(
+    fn read_all<T: DeserializeOwned>(
         &self,
         table: TableDefinition<&str, &[u8]>,
         name: &str,
     ) -> Result<Vec<(String, T)>, StoreError> {
-        let read = self.reading()?;
+        let read = self.begin_read_transaction()?;
         let table = match read.open_table(table) {
             Err(redb::TableError::TableDoesNotExist(_)) => return Ok(Vec::new()),
             table => table?,
@@ -435,18 +449,18 @@
         let mut all = Vec::new();
         for entry in table.iter()? {
             let (key, record) = entry?;
-            all.push((key.value().to_string(), opened(name, key.value(), record.value())?));
+            all.push((key.value().to_string(), decode(name, key.value(), record.value())?));
         }
         Ok(all)
     }
 
-    fn one<T>(
+    fn read_one<T>(
         &self,
         table: TableDefinition<&str, &[u8]>,
         key: &str,
         read: impl FnOnce(&[u8]) -> Result<T, StoreError>,
     ) -> Result<Option<T>, StoreError> {
-        let reading = self.reading()?;
+        let reading = self.begin_read_transaction()?;
         let table = match reading.open_table(table) {
             Err(redb::TableError::TableDoesNotExist(_)) => return Ok(None),
             table => table?,
@@ -454,61 +468,66 @@
         table.get(key)?.map(|record| read(record.value())).transpose()
     }
 
-    /// All that was about to be done and is not settled.
+    /// Returns all intents whose outcome is unknown, with the ids of their requests.
     ///
     /// # Errors
-    /// A record is damaged, or the disk fails.
+    /// A record is damaged, or the disk failed.
     pub fn intents(&self) -> Result<Vec<(String, Intent)>, StoreError> {
-        self.all(INTENTS, "intent")
+        self.read_all(INTENTS, "intent")
     }
 
-    /// The final answer of a request, where it is still remembered.
+    /// Returns the final answer to a request, or `None` if there is none or it was evicted.
     ///
     /// # Errors
     /// See [`Store::intents`].
     pub fn answer(&self, id: &str) -> Result<Option<Answer>, StoreError> {
-        self.one(ANSWERS, id, |record| opened("answer", id, record))
+        self.read_one(ANSWERS, id, |record| decode("answer", id, record))
     }
 
-    /// All final answers that are remembered, by their ids.
+    /// Returns all stored final answers, with the ids of their requests.
     ///
     /// # Errors
     /// See [`Store::intents`].
     pub fn answers(&self) -> Result<Vec<(String, Answer)>, StoreError> {
-        self.all(ANSWERS, "answer")
+        self.read_all(ANSWERS, "answer")
     }
 
-    /// What is remembered under a name.
+    /// Returns the value under a name, or `None` if there is none.
     ///
     /// # Errors
     /// See [`Store::intents`].
     pub fn fact<T: DeserializeOwned>(&self, name: &str) -> Result<Option<T>, StoreError> {
-        self.one(FACTS, name, |record| opened("fact", name, record))
+        self.read_one(FACTS, name, |record| decode("fact", name, record))
     }
 
-    /// Records of a journal from that number on, in order, with their numbers: as many as hold `most` bytes, but one at least where
-    /// there is one.
+    /// Returns the records of a journal from a number on, in ascending order with their numbers: as many as fit into `max_bytes`, but
+    /// at least one if there is one.
     ///
     /// # Errors
     /// See [`Store::intents`].
-    pub fn journal(&self, name: &str, from: u64, most: usize) -> Result<Vec<(u64, Vec<u8>)>, StoreError> {
-        let read = self.reading()?;
+    pub fn journal(
+        &self,
+        name: &str,
+        from: u64,
+        max_bytes: usize,
+    ) -> Result<Vec<(u64, Vec<u8>)>, StoreError> {
+        let read = self.begin_read_transaction()?;
         let table = match read.open_table(JOURNALS) {
             Err(redb::TableError::TableDoesNotExist(_)) => return Ok(Vec::new()),
             table => table?,
         };
-        let (mut all, mut held) = (Vec::new(), 0);
+        let (mut all, mut bytes) = (Vec::new(), 0);
         for entry in table.range((name, from)..=(name, u64::MAX))? {
             let (key, record) = entry?;
             let number = key.value().1;
-            let damaged = |why: &str| StoreError::Damaged(format!("journal {name:?} {number}: {why}"));
+            let damaged = |reason: &str| StoreError::Damaged(format!("journal {name:?} {number}: {reason}"));
             let (found, record) =
-                record.value().split_first_chunk::<4>().ok_or_else(|| damaged("too short"))?;
-            if *found != sum(name, number, record) {
-                return Err(damaged("its checksum does not fit"));
+                record.value().split_first_chunk::<4>().ok_or_else(|| damaged("the record is too short"))?;
+            if *found != journal_checksum(name, number, record) {
+                return Err(damaged("the checksum does not match"));
             }
-            held += record.len();
-            if held > most && !all.is_empty() {
+            bytes += record.len();
+            if bytes > max_bytes && !all.is_empty() {
                 break;
             }
             all.push((number, record.to_vec()));
@@ -516,12 +535,12 @@
         Ok(all)
     }
 
-    /// The first and the last number of a journal, where it holds something.
+    /// Returns the first and the last number of a journal, or `None` if it is empty.
     ///
     /// # Errors
-    /// The disk fails.
+    /// The disk failed.
     pub fn journal_ends(&self, name: &str) -> Result<Option<(u64, u64)>, StoreError> {
-        let read = self.reading()?;
+        let read = self.begin_read_transaction()?;
         let table = match read.open_table(JOURNALS) {
             Err(redb::TableError::TableDoesNotExist(_)) => return Ok(None),
             table => table?,
@@ -532,12 +551,12 @@
         Ok(Some((first, last)))
     }
 
-    /// How much is kept.
+    /// Returns the numbers of stored records.
     ///
     /// # Errors
     /// See [`Store::intents`].
     pub fn stats(&self) -> Result<Stats, StoreError> {
-        let read = self.reading()?;
+        let read = self.begin_read_transaction()?;
         let count = |table| -> Result<u64, StoreError> {
             match read.open_table(table) {
                 Err(redb::TableError::TableDoesNotExist(_)) => Ok(0),
--- a/crates/store/src/overlay.rs
+++ b/crates/store/src/overlay.rs
@@ -1,4 +1,4 @@
-//! What a disk holds that takes no more: its file as it is, and changes beside it in memory, which go with the process.
+//! A storage backend for full disks: reads the file, and keeps changes in memory until the process ends.
 
 use redb::backends::FileBackend;
 use redb::{BackendError, StorageBackend};
@@ -7,17 +7,18 @@
 use std::ops::Bound;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-const PAGE: u64 = 4096;
+/// Size of a page in memory, in bytes.
+const PAGE_BYTES: u64 = 4096;
 
 #[derive(Debug, Default)]
 struct State {
     length: u64,
-    /// The file counts up to here; what is beyond was cut off, or never was.
+    /// Length of the part of the file that is still valid, in bytes; the rest was truncated.
     valid: u64,
     pages: BTreeMap<u64, Vec<u8>>,
 }
 
-/// A file that is read and not written; none counts as empty.
+/// A file that is only read, with changes in memory. Without a file the content is empty.
 #[derive(Debug)]
 pub(crate) struct Overlay {
     file: Option<FileBackend>,
@@ -35,26 +36,26 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A page whole, as it stands.
+    /// Returns the current content of a page.
     fn page(&self, state: &State, page: u64) -> Result<Vec<u8>, Error> {
-        if let Some(held) = state.pages.get(&page) {
-            return Ok(held.clone());
+        if let Some(bytes) = state.pages.get(&page) {
+            return Ok(bytes.clone());
         }
-        let mut bytes = vec![0; PAGE as usize];
-        let there = state.valid.saturating_sub(page * PAGE).min(PAGE) as usize;
-        if let (Some(file), Some(part)) = (&self.file, bytes.get_mut(..there).filter(|p| !p.is_empty())) {
-            file.read(page * PAGE, part)?;
+        let mut bytes = vec![0; PAGE_BYTES as usize];
+        let available = state.valid.saturating_sub(page * PAGE_BYTES).min(PAGE_BYTES) as usize;
+        if let (Some(file), Some(part)) = (&self.file, bytes.get_mut(..available).filter(|p| !p.is_empty())) {
+            file.read(page * PAGE_BYTES, part)?;
         }
         Ok(bytes)
     }
 
-    /// The pieces of a range: page, from where in it, and how many bytes.
+    /// Splits a range of bytes by pages: the page, the offset in it and the number of bytes.
     fn pieces(offset: u64, length: usize) -> impl Iterator<Item = (u64, usize, usize)> {
         let end = offset + length as u64;
-        let pages = offset / PAGE..end.div_ceil(PAGE);
+        let pages = offset / PAGE_BYTES..end.div_ceil(PAGE_BYTES);
         pages.map(move |page| {
-            let (from, to) = (offset.max(page * PAGE), end.min((page + 1) * PAGE));
-            (page, (from - page * PAGE) as usize, (to - from) as usize)
+            let (from, to) = (offset.max(page * PAGE_BYTES), end.min((page + 1) * PAGE_BYTES));
+            (page, (from - page * PAGE_BYTES) as usize, (to - from) as usize)
         })
     }
 }
@@ -83,13 +84,13 @@
     fn set_len(&self, length: u64) -> Result<(), Error> {
         let mut state = self.state();
         if length < state.length {
-            // What is cut off is 0 where it comes back.
-            let last = length / PAGE;
+            // Truncated bytes read as 0 if the file grows again.
+            let last = length / PAGE_BYTES;
             let mut bytes = self.page(&state, last)?;
-            bytes.iter_mut().skip((length % PAGE) as usize).for_each(|b| *b = 0);
+            bytes.iter_mut().skip((length % PAGE_BYTES) as usize).for_each(|b| *b = 0);
             state.pages.retain(|page, _| *page < last);
             state.pages.insert(last, bytes);
-            state.valid = state.valid.min(last * PAGE);
+            state.valid = state.valid.min(last * PAGE_BYTES);
         }
         state.length = length;
         Ok(())
@@ -121,7 +122,7 @@
         self.file.as_ref().map_or(Ok(()), StorageBackend::close)
     }
 
-    // Nobody else may have the file meanwhile.
+    // Locks apply to the file, since no other process may open it.
     fn try_lock_range(&self, start: Bound<u64>, end: Bound<u64>) -> Result<bool, BackendError> {
         self.file.as_ref().map_or(Ok(true), |f| f.try_lock_range(start, end))
     }
@@ -154,56 +155,57 @@
     use redb::backends::InMemoryBackend;
 
     #[derive(Clone, Debug)]
-    enum Act {
+    enum Operation {
         Write(u64, Vec<u8>),
         Length(u64),
         Read(u64, usize),
     }
 
-    fn act() -> impl Strategy<Value = Act> {
-        let place = 0..20_000u64;
+    fn operation() -> impl Strategy<Value = Operation> {
+        let offset = 0..20_000u64;
         prop_oneof![
-            (place.clone(), prop::collection::vec(any::<u8>(), 1..6_000)).prop_map(|(o, d)| Act::Write(o, d)),
-            place.clone().prop_map(Act::Length),
-            (place, 1..9_000usize).prop_map(|(o, n)| Act::Read(o, n)),
+            (offset.clone(), prop::collection::vec(any::<u8>(), 1..6_000))
+                .prop_map(|(o, d)| Operation::Write(o, d)),
+            offset.clone().prop_map(Operation::Length),
+            (offset, 1..9_000usize).prop_map(|(o, n)| Operation::Read(o, n)),
         ]
     }
 
     proptest! {
-        /// It is as the file would be, and the file stays as it was.
+        /// Compares an overlay with an ordinary backend under random operations.
         #[test]
-        fn it_is_what_the_file_would_be(first in prop::collection::vec(any::<u8>(), 0..12_000), acts in prop::collection::vec(act(), 1..30)) {
+        fn an_overlay_behaves_as_the_file_and_leaves_it_unchanged(initial in prop::collection::vec(any::<u8>(), 0..12_000), operations in prop::collection::vec(operation(), 1..30)) {
             let mut file = tempfile::tempfile().unwrap();
-            std::io::Write::write_all(&mut file, &first).unwrap();
-            let like = InMemoryBackend::new();
-            like.set_len(first.len() as u64).unwrap();
-            like.write(0, &first).unwrap();
+            std::io::Write::write_all(&mut file, &initial).unwrap();
+            let reference = InMemoryBackend::new();
+            reference.set_len(initial.len() as u64).unwrap();
+            reference.write(0, &initial).unwrap();
             let overlay = Overlay::new(Some(FileBackend::new(file.try_clone().unwrap()).unwrap())).unwrap();
-            for act in acts {
-                let length = like.len().unwrap();
-                match act {
-                    Act::Write(o, d) if o + d.len() as u64 <= length => {
-                        like.write(o, &d).unwrap();
+            for operation in operations {
+                let length = reference.len().unwrap();
+                match operation {
+                    Operation::Write(o, d) if o + d.len() as u64 <= length => {
+                        reference.write(o, &d).unwrap();
                         overlay.write(o, &d).unwrap();
                     }
-                    Act::Read(o, n) if o + n as u64 <= length => {
+                    Operation::Read(o, n) if o + n as u64 <= length => {
                         let (mut a, mut b) = (vec![1; n], vec![2; n]);
-                        like.read(o, &mut a).unwrap();
+                        reference.read(o, &mut a).unwrap();
                         overlay.read(o, &mut b).unwrap();
                         prop_assert_eq!(a, b);
                     }
-                    Act::Length(n) => {
-                        like.set_len(n).unwrap();
+                    Operation::Length(n) => {
+                        reference.set_len(n).unwrap();
                         overlay.set_len(n).unwrap();
                     }
                     _ => prop_assert!(overlay.read(length, &mut [0]).is_err()),
                 }
-                prop_assert_eq!(overlay.len().unwrap(), like.len().unwrap());
+                prop_assert_eq!(overlay.len().unwrap(), reference.len().unwrap());
             }
-            let mut now = Vec::new();
+            let mut content = Vec::new();
             std::io::Seek::rewind(&mut file).unwrap();
-            std::io::Read::read_to_end(&mut file, &mut now).unwrap();
-            prop_assert_eq!(now, first);
+            std::io::Read::read_to_end(&mut file, &mut content).unwrap();
+            prop_assert_eq!(content, initial);
         }
     }
 }
--- a/crates/store/tests/faults.rs
+++ b/crates/store/tests/faults.rs
@@ -1,5 +1,5 @@
-//! The power goes at each point at which something is written, what was not synced is lost or torn, syncs fail, the disk is full, bits
-//! flip: what was said to be on the disk is there, whole commits are there or not, and damage is named.
+//! Tests the store under power losses, failing syncs, a full disk and flipped bits: durable commits survive, commits are atomic, and
+//! damage is detected.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -10,8 +10,8 @@
 use std::sync::mpsc::channel;
 use std::sync::Arc;
 
-/// Answers hold this much in the tests that don't look at it.
-const MOST: u64 = 1 << 20;
+/// Limit for answers, in bytes, that the tests do not reach.
+const MAX_ANSWER_BYTES: u64 = 1 << 20;
 
 fn intent(k: u64) -> Intent {
     Intent {
@@ -27,17 +27,17 @@
     Answer { status: 200, body: vec![k as u8; 40], at: k as i64 }
 }
 
-/// What a store should hold.
+/// The content of a store, for comparison with the expected content.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Overlay {
+struct Contents {
     intents: BTreeMap<String, Intent>,
     answers: BTreeMap<String, Answer>,
     step: Option<u64>,
     journal: BTreeMap<u64, Vec<u8>>,
 }
 
-impl Overlay {
-    fn take(&mut self, ops: &[Op]) {
+impl Contents {
+    fn apply(&mut self, ops: &[Op]) {
         for op in ops {
             match op.clone() {
                 Op::AddIntent(id, intent) => drop(self.intents.insert(id, intent)),
@@ -50,8 +50,8 @@
         }
     }
 
-    fn of(store: &Store) -> Result<Overlay, StoreError> {
-        Ok(Overlay {
+    fn read(store: &Store) -> Result<Contents, StoreError> {
+        Ok(Contents {
             intents: store.intents()?.into_iter().collect(),
             answers: store.answers()?.into_iter().collect(),
             step: store.fact("step")?,
@@ -60,8 +60,8 @@
     }
 }
 
-/// Commit number `k`: a few things that belong together.
-fn ops(k: u64) -> Vec<Op> {
+/// Returns the operations of commit `k`.
+fn commit_ops(k: u64) -> Vec<Op> {
     let mut all = vec![
         Op::SetFact("step".into(), k.to_string().into_bytes()),
         Op::AddIntent(format!("r{k}"), intent(k)),
@@ -77,180 +77,188 @@
     all
 }
 
-/// Commit until something fails; what was said to be on the disk, and with the commit that failed. `None` where there was never
-/// a store: one on a disk of its own is made in place, which one in a folder is not.
-fn work(disk: &FaultyDisk, commits: u64) -> Option<(Overlay, Option<Overlay>)> {
-    let mut overlay = Overlay::default();
-    let store = Store::with_backend(disk.clone(), MOST).ok()?;
+/// Commits until the first failure. Returns the committed content and, after a failure, the content with the failed commit. Returns
+/// `None` if the creation of the store failed.
+fn commit_until_failure(disk: &FaultyDisk, commits: u64) -> Option<(Contents, Option<Contents>)> {
+    let mut contents = Contents::default();
+    let store = Store::with_backend(disk.clone(), MAX_ANSWER_BYTES).ok()?;
     for k in 0..commits {
-        let ops = ops(k);
-        let mut next = overlay.clone();
-        next.take(&ops);
+        let ops = commit_ops(k);
+        let mut next = contents.clone();
+        next.apply(&ops);
         if store.commit(&ops).is_err() {
             assert!(
                 matches!(store.commit(&[]), Err(StoreError::ReopenRequired)),
-                "after a failure nothing is taken"
+                "commits are rejected after a failure"
             );
-            return Some((overlay, Some(next)));
+            return Some((contents, Some(next)));
         }
-        overlay = next;
+        contents = next;
     }
-    Some((overlay, None))
+    Some((contents, None))
 }
 
-/// The power goes at every single write, and what was not synced is lost or torn in different ways each time.
+/// Guards against lost or partial commits after a power loss at any write.
 #[test]
-fn what_was_committed_survives_a_power_loss_at_any_point() {
+fn durable_commits_survive_a_power_loss_at_any_write() {
     const COMMITS: u64 = 12;
-    let whole = FaultyDisk::new();
-    work(&whole, COMMITS);
-    let calls = whole.calls();
+    let intact = FaultyDisk::new();
+    commit_until_failure(&intact, COMMITS);
+    let calls = intact.calls();
     assert!(calls > 50, "{calls}");
-    let mut tried = 0;
-    for cut in 0..=calls {
+    let mut checked = 0;
+    for call in 0..=calls {
         let disk = FaultyDisk::new();
-        disk.cut_at(cut);
-        let Some((sure, maybe)) = work(&disk, COMMITS) else { continue };
+        disk.lose_power_at(call);
+        let Some((committed, uncertain)) = commit_until_failure(&disk, COMMITS) else { continue };
         for seed in 0..12 {
-            let found = disk.after_power_loss(seed * 1_000 + cut);
-            let store =
-                Store::with_backend(found, MOST).unwrap_or_else(|e| panic!("cut {cut}, seed {seed}: {e}"));
-            let held = Overlay::of(&store).unwrap();
+            let disk = disk.after_power_loss(seed * 1_000 + call);
+            let store = Store::with_backend(disk, MAX_ANSWER_BYTES)
+                .unwrap_or_else(|e| panic!("call {call}, seed {seed}: {e}"));
+            let found = Contents::read(&store).unwrap();
             assert!(
-                held == sure || maybe.as_ref() == Some(&held),
-                "cut {cut}, seed {seed}: {held:?}\n{sure:?}"
+                found == committed || uncertain.as_ref() == Some(&found),
+                "call {call}, seed {seed}: {found:?}\n{committed:?}"
             );
-            store.commit(&ops(99)).unwrap();
-            tried += 1;
+            store.commit(&commit_ops(99)).unwrap();
+            checked += 1;
         }
     }
-    assert!(tried > 1_000, "{tried}");
+    assert!(checked > 1_000, "{checked}");
 }
 
-/// A sync that failed is not tried again as if it had worked: what it was for may be lost, what was before is there.
+/// Guards against treating a failed sync as successful when it is repeated.
 #[test]
-fn a_failed_sync_ends_what_can_be_said() {
-    let whole = FaultyDisk::new();
-    work(&whole, 8);
-    for number in 0..whole.syncs() {
+fn earlier_commits_survive_a_failed_sync() {
+    let intact = FaultyDisk::new();
+    commit_until_failure(&intact, 8);
+    for number in 0..intact.syncs() {
         let disk = FaultyDisk::new();
         disk.fail_sync(number);
-        let Some((sure, maybe)) = work(&disk, 8) else { continue };
+        let Some((committed, uncertain)) = commit_until_failure(&disk, 8) else { continue };
         for seed in 0..6 {
-            let store = Store::with_backend(disk.after_power_loss(seed), MOST).unwrap();
-            let held = Overlay::of(&store).unwrap();
-            assert!(held == sure || maybe.as_ref() == Some(&held), "sync {number}, seed {seed}");
+            let store = Store::with_backend(disk.after_power_loss(seed), MAX_ANSWER_BYTES).unwrap();
+            let found = Contents::read(&store).unwrap();
+            assert!(found == committed || uncertain.as_ref() == Some(&found), "sync {number}, seed {seed}");
         }
     }
 }
 
 #[test]
-fn a_full_disk_is_told_as_such_and_loses_nothing() {
+fn a_full_disk_is_reported_and_loses_no_commit() {
     let disk = FaultyDisk::new();
-    let store = Store::with_backend(disk.clone(), MOST).unwrap();
+    let store = Store::with_backend(disk.clone(), MAX_ANSWER_BYTES).unwrap();
     disk.set_capacity(disk.image().len() as u64);
-    let mut sure = Overlay::default();
+    let mut committed = Contents::default();
     let mut k = 0;
     let error = loop {
         let ops: Vec<Op> = (0..40).map(|i| Op::AddIntent(format!("r{k}-{i}"), intent(k))).collect();
         match store.commit(&ops) {
-            Ok(()) => sure.take(&ops),
+            Ok(()) => committed.apply(&ops),
             Err(e) => break e,
         }
         k += 1;
     };
     assert!(matches!(error, StoreError::Full), "{error}");
     drop(store);
-    let again = Store::with_backend(disk.after_power_loss(3), MOST).unwrap();
-    assert_eq!(Overlay::of(&again).unwrap().intents.len(), sure.intents.len());
+    let reopened = Store::with_backend(disk.after_power_loss(3), MAX_ANSWER_BYTES).unwrap();
+    assert_eq!(Contents::read(&reopened).unwrap().intents.len(), committed.intents.len());
 }
 
-/// No flipped bit goes unseen: it is named, or it changed nothing of what is kept.
+/// Guards against corrupted data that is read without an error.
 #[test]
-fn a_flipped_bit_is_found() {
+fn a_flipped_bit_is_detected_or_harmless() {
     let disk = FaultyDisk::new();
-    let (sure, _) = work(&disk, 6).unwrap();
+    let (committed, _) = commit_until_failure(&disk, 6).unwrap();
     let bits = disk.image().len() as u64 * 8;
-    let (mut found, mut harmless) = (0, 0);
-    // Where something is kept, and over all of the file.
-    let held: Vec<u64> =
+    let (mut detected, mut harmless) = (0, 0);
+    // Bits in bytes that are not 0, and bits spread over the file.
+    let used_bits: Vec<u64> =
         disk.image().iter().enumerate().filter(|(_, b)| **b != 0).map(|(k, _)| k as u64 * 8).collect();
-    let step = (held.len() / 700).max(1);
-    let places = held.iter().step_by(step).map(|b| b + 3).chain((0..300).map(|k| k * (bits / 300) + 5));
-    for bit in places {
-        let flipped = disk.flipped(bit);
-        let read =
-            std::panic::catch_unwind(|| Store::with_backend(flipped, MOST).and_then(|s| Overlay::of(&s)));
-        match read {
-            Ok(Ok(held)) => {
-                assert_eq!(held, sure, "bit {bit} changed what is kept, unseen");
+    let step = (used_bits.len() / 700).max(1);
+    let bits_to_flip =
+        used_bits.iter().step_by(step).map(|b| b + 3).chain((0..300).map(|k| k * (bits / 300) + 5));
+    for bit in bits_to_flip {
+        let flipped = disk.with_flipped_bit(bit);
+        let result = std::panic::catch_unwind(|| {
+            Store::with_backend(flipped, MAX_ANSWER_BYTES).and_then(|s| Contents::read(&s))
+        });
+        match result {
+            Ok(Ok(found)) => {
+                assert_eq!(found, committed, "bit {bit} changed the content without an error");
                 harmless += 1;
             }
-            // The library gives up on a file that makes no sense; the node that opens it ends with that.
-            Ok(Err(_)) | Err(_) => found += 1,
+            // The library panics on some damaged files, which stops a node at its start.
+            Ok(Err(_)) | Err(_) => detected += 1,
         }
     }
-    println!("{found} found, {harmless} changed nothing");
-    assert!(found > 50, "{found} of {}", found + harmless);
+    println!("{detected} detected, {harmless} harmless");
+    assert!(detected > 50, "{detected} of {}", detected + harmless);
 }
 
-/// A file that was cut off while it was made is made anew; what is in its place afterwards was whole.
+/// Guards against opening a database file whose creation was interrupted.
 #[test]
-fn a_store_is_there_whole_or_not_at_all() {
+fn an_incomplete_database_file_is_replaced() {
     let dir = tempfile::tempdir().unwrap();
     std::fs::write(dir.path().join(TEMPORARY_FILE), b"half of a header").unwrap();
-    let store = Store::open(dir.path(), MOST).unwrap();
-    store.commit(&ops(0)).unwrap();
+    let store = Store::open(dir.path(), MAX_ANSWER_BYTES).unwrap();
+    store.commit(&commit_ops(0)).unwrap();
     drop(store);
     assert!(!dir.path().join(TEMPORARY_FILE).exists());
-    assert_eq!(Store::open(dir.path(), MOST).unwrap().stats().unwrap().intents, 1);
+    assert_eq!(Store::open(dir.path(), MAX_ANSWER_BYTES).unwrap().stats().unwrap().intents, 1);
 }
 
 #[rstest]
 #[case::locked("locked")]
 #[case::format("format")]
 #[case::read_only("read-only")]
-fn a_store_that_can_not_be_used_is_refused(#[case] how: &str) {
+fn an_unusable_store_is_rejected(#[case] fault: &str) {
     let dir = tempfile::tempdir().unwrap();
-    let store = Store::open(dir.path(), MOST).unwrap();
-    store.commit(&ops(0)).unwrap();
-    match how {
-        "locked" => assert!(matches!(Store::open(dir.path(), MOST), Err(StoreError::Locked))),
+    let store = Store::open(dir.path(), MAX_ANSWER_BYTES).unwrap();
+    store.commit(&commit_ops(0)).unwrap();
+    match fault {
+        "locked" => assert!(matches!(Store::open(dir.path(), MAX_ANSWER_BYTES), Err(StoreError::Locked))),
         "format" => {
             store.commit(&[Op::SetFact("format".into(), b"99".to_vec())]).unwrap();
             drop(store);
-            assert!(matches!(Store::open(dir.path(), MOST), Err(StoreError::Format { found: 99 })));
+            assert!(matches!(
+                Store::open(dir.path(), MAX_ANSWER_BYTES),
+                Err(StoreError::Format { found: 99 })
+            ));
         }
         _ => {
             drop(store);
-            // Rights bind nobody who may do everything: a folder in the place of the file does.
+            // Root ignores permissions, so a folder in place of the file makes it unwritable.
             std::fs::remove_file(dir.path().join(FILE)).unwrap();
             std::fs::create_dir(dir.path().join(FILE)).unwrap();
-            assert!(matches!(Store::open(dir.path(), MOST), Err(StoreError::Disk(_) | StoreError::ReadOnly)));
+            assert!(matches!(
+                Store::open(dir.path(), MAX_ANSWER_BYTES),
+                Err(StoreError::Disk(_) | StoreError::ReadOnly)
+            ));
         }
     }
 }
 
 proptest! {
-    /// The oldest answers give way, and no more than has to.
+    /// Guards against evicting answers out of order, or evicting all of them.
     #[test]
-    fn answers_keep_to_their_memory(sizes in proptest::collection::vec(1usize..400, 1..60)) {
+    fn the_oldest_answers_are_evicted(sizes in proptest::collection::vec(1usize..400, 1..60)) {
         let store = Store::with_backend(FaultyDisk::new(), 4_000).unwrap();
         for (k, size) in sizes.iter().enumerate() {
             let answer = Answer { status: 200, body: vec![1; *size], at: k as i64 };
             store.commit(&[Op::Answer(format!("{k:03}"), answer)]).unwrap();
         }
-        let held = store.answers().unwrap();
-        let from = sizes.len() - held.len();
-        prop_assert!(held.iter().map(|(id, _)| id.parse::<usize>().unwrap()).eq(from..sizes.len()));
-        prop_assert!(!held.is_empty() || *sizes.last().unwrap() > 300);
+        let found = store.answers().unwrap();
+        let from = sizes.len() - found.len();
+        prop_assert!(found.iter().map(|(id, _)| id.parse::<usize>().unwrap()).eq(from..sizes.len()));
+        prop_assert!(!found.is_empty() || *sizes.last().unwrap() > 300);
     }
 }
 
-/// A journal is read by range, in bounded pieces, apart from the others.
+/// Guards against reads that mix journals or exceed their limit of bytes.
 #[test]
-fn a_journal_is_read_by_range_and_dropped_from_below() {
-    let store = Store::with_backend(FaultyDisk::new(), MOST).unwrap();
+fn a_journal_is_read_by_range_and_truncated_from_the_start() {
+    let store = Store::with_backend(FaultyDisk::new(), MAX_ANSWER_BYTES).unwrap();
     assert!(store.journal("a", 0, 100).unwrap().is_empty());
     assert_eq!(store.journal_ends("a").unwrap(), None);
     let ops: Vec<Op> =
@@ -259,8 +267,8 @@
     store.commit(&[Op::Drop("a".into(), 100)]).unwrap();
     assert_eq!(store.journal_ends("a").unwrap(), Some((100, 300)));
     assert_eq!(store.journal_ends("b").unwrap(), Some((1, 300)));
-    let numbers = |from, most| -> Vec<u64> {
-        store.journal("a", from, most).unwrap().into_iter().map(|(n, _)| n).collect()
+    let numbers = |from, max_bytes| -> Vec<u64> {
+        store.journal("a", from, max_bytes).unwrap().into_iter().map(|(n, _)| n).collect()
     };
     assert_eq!(numbers(0, 35), [100, 101, 102]);
     assert_eq!(numbers(299, 1), [299]);
@@ -268,58 +276,58 @@
     assert!(numbers(301, 1_000).is_empty());
 }
 
-/// What many ask for goes to the disk together, each is told, and a failure is everybody's.
+/// Guards against a sync for each commit, and against a lost result of a commit.
 #[test]
-fn a_keeper_commits_in_groups() {
+fn concurrent_commits_share_syncs_and_get_their_results() {
     let disk = FaultyDisk::new();
-    let store = Arc::new(Store::with_backend(disk.clone(), MOST).unwrap());
+    let store = Arc::new(Store::with_backend(disk.clone(), MAX_ANSWER_BYTES).unwrap());
     let before = disk.syncs();
     let group_commit = GroupCommit::new(store.clone()).unwrap();
-    let (reply, notified) = channel();
+    let (reply, results) = channel();
     for k in 0..1_000 {
         let reply = reply.clone();
-        group_commit.commit(vec![Op::AddIntent(format!("r{k}"), intent(k))], move |done| {
-            reply.send((k, done.is_ok())).unwrap()
+        group_commit.commit(vec![Op::AddIntent(format!("r{k}"), intent(k))], move |result| {
+            reply.send((k, result.is_ok())).unwrap()
         });
     }
-    let order: Vec<(u64, bool)> = notified.iter().take(1_000).collect();
+    let order: Vec<(u64, bool)> = results.iter().take(1_000).collect();
     assert!(order.iter().enumerate().all(|(k, (n, ok))| *n == k as u64 && *ok));
     assert!(disk.syncs() - before < 500, "{} syncs", disk.syncs() - before);
     assert_eq!(store.stats().unwrap().intents, 1_000);
-    disk.cut_at(0);
-    let (reply, notified) = channel();
+    disk.lose_power_at(0);
+    let (reply, results) = channel();
     for _ in 0..3 {
         let reply = reply.clone();
-        group_commit.commit(ops(5), move |done| reply.send(done.is_ok()).unwrap());
+        group_commit.commit(commit_ops(5), move |result| reply.send(result.is_ok()).unwrap());
     }
     drop((reply, group_commit));
-    assert_eq!(notified.iter().collect::<Vec<bool>>(), [false; 3]);
+    assert_eq!(results.iter().collect::<Vec<bool>>(), [false; 3]);
 }
 
-/// One that failed takes nothing until it was opened again and told to go on; what it had is there, and what was refused meanwhile is not.
+/// Guards against accepting commits between the reopening and the resumption of a store.
 #[test]
-fn a_store_that_failed_goes_on_after_it_was_opened_again() {
+fn commits_are_rejected_between_reopen_and_resume() {
     let folder = tempfile::tempdir().unwrap();
     let step = |n: u64| vec![Op::SetFact("step".into(), n.to_string().into_bytes())];
-    let store = Arc::new(Store::open(folder.path(), MOST).unwrap());
+    let store = Arc::new(Store::open(folder.path(), MAX_ANSWER_BYTES).unwrap());
     let group_commit = GroupCommit::new(store.clone()).unwrap();
-    let (reply, notified) = channel();
-    let ask = |ops: Vec<Op>| {
+    let (reply, results) = channel();
+    let commit = |ops: Vec<Op>| {
         let reply = reply.clone();
-        group_commit.commit(ops, move |done| reply.send(done.is_ok()).unwrap());
+        group_commit.commit(ops, move |result| reply.send(result.is_ok()).unwrap());
     };
-    ask(step(1));
-    assert!(notified.recv().unwrap() && store.accepts_commits());
-    let again = reply.clone();
-    group_commit.reopen(move |done| again.send(done.is_ok()).unwrap());
-    ask(step(2));
-    assert!(notified.recv().unwrap(), "it was opened again");
-    assert!(!notified.recv().unwrap() && !store.accepts_commits(), "nobody has told it to go on");
+    commit(step(1));
+    assert!(results.recv().unwrap() && store.accepts_commits());
+    let callback = reply.clone();
+    group_commit.reopen(move |result| callback.send(result.is_ok()).unwrap());
+    commit(step(2));
+    assert!(results.recv().unwrap(), "the store was reopened");
+    assert!(!results.recv().unwrap() && !store.accepts_commits(), "the store was not resumed");
     assert_eq!(store.fact::<u64>("step").unwrap(), Some(1));
-    let again = reply.clone();
-    group_commit.resume(step(3), move |done| again.send(done.is_ok()).unwrap());
-    ask(step(4));
-    assert!(notified.recv().unwrap() && notified.recv().unwrap());
+    let callback = reply.clone();
+    group_commit.resume(step(3), move |result| callback.send(result.is_ok()).unwrap());
+    commit(step(4));
+    assert!(results.recv().unwrap() && results.recv().unwrap());
     drop((group_commit, store));
-    assert_eq!(Store::open(folder.path(), MOST).unwrap().fact::<u64>("step").unwrap(), Some(4));
+    assert_eq!(Store::open(folder.path(), MAX_ANSWER_BYTES).unwrap().fact::<u64>("step").unwrap(), Some(4));
 }
