--- a/crates/store/src/group_commit.rs
+++ b/crates/store/src/group_commit.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-/// Number of operations from which on a group takes no further commits.
+/// Number of operations at which a group is full.
 const MAX_GROUP_OPS: usize = 512;
 
 type Callback = Box<dyn FnOnce(Result<(), Arc<StoreError>>) + Send>;
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -112,7 +112,7 @@
 pub struct Intent {
     /// The class of the request.
     pub class: String,
-    /// The key by which repetitions are recognized, if the request has one.
+    /// The object that the request changes or the idempotency key, if the request has one.
     pub key: Option<String>,
     /// The server that receives the request.
     pub server: String,
@@ -224,11 +224,11 @@
 fn table<'t, 'w, K: redb::Key, V: redb::Value>(
     slot: &'t mut Option<redb::Table<'w, K, V>>,
     write: &'w redb::WriteTransaction,
-    of: TableDefinition<'_, K, V>,
+    definition: TableDefinition<'_, K, V>,
 ) -> Result<&'t mut redb::Table<'w, K, V>, StoreError> {
     let table = match slot.take() {
         Some(table) => table,
-        None => write.open_table(of)?,
+        None => write.open_table(definition)?,
     };
     Ok(slot.insert(table))
 }
@@ -275,7 +275,7 @@
     /// rejected until [`Store::resume`], so that the caller can compare its state with the disk first. Reads wait meanwhile.
     ///
     /// # Errors
-    /// As for [`Store::open`], or the disk is still full. The store is readable as before, and the call can be repeated.
+    /// As for [`Store::open`], or the disk is still full. The call can be repeated, and the store stays readable if the disk is.
     pub fn reopen(&self) -> Result<(), StoreError> {
         let Some(folder) = &self.folder else { return Err(StoreError::ReopenRequired) };
         let mut database = self.database.write().unwrap_or_else(PoisonError::into_inner);
--- a/crates/store/src/overlay.rs
+++ b/crates/store/src/overlay.rs
@@ -15,6 +15,7 @@
     length: u64,
     /// Length of the part of the file that is still valid, in bytes; the rest was truncated.
     valid: u64,
+    /// Changed pages by their number.
     pages: BTreeMap<u64, Vec<u8>>,
 }
 
