--- a/crates/mutants/src/systems/budgets.rs
+++ b/crates/mutants/src/systems/budgets.rs
@@ -220,7 +220,7 @@
             if let Message::Ask { claims, .. } = &say.message {
                 for c in claims {
                     let asked = node.asked.entry(c.budget.clone()).or_default();
-                    asked.push_back(c.answers);
+                    asked.push_back(c.request_number);
                     if asked.len() > 8 {
                         asked.pop_front();
                     }
@@ -401,8 +401,8 @@
                 let mut news = claims.is_empty();
                 for c in claims {
                     let asked = council.asked.entry((*life, c.budget.clone())).or_default();
-                    news |= c.answers > *asked;
-                    *asked = (*asked).max(c.answers);
+                    news |= c.request_number > *asked;
+                    *asked = (*asked).max(c.request_number);
                 }
                 (!news).then_some("no newer asking")
             }
--- a/crates/quota-server/src/server.rs
+++ b/crates/quota-server/src/server.rs
@@ -37,7 +37,7 @@
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 /// The timeout of a call to another allocator.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// The remembered addresses of node incarnations, per listed node.
+/// The most addresses of node incarnations that are remembered, on average per node of the fleet.
 const MAX_ADDRESSES_PER_NODE: usize = 8;
 
 /// The options of an allocator.
@@ -165,7 +165,7 @@
         plan: RefCell::new(plan.clone()),
     });
     shared.caller.set_addresses(&plan);
-    info!("{name} divides at {address}");
+    info!("{name} listens on {address}");
     let call_server = spawn_local(answer_calls(calls, shared.clone()));
     let mut joining = spawn_local(join(shared.clone(), store));
     let (completion_sender, mut completions) = mpsc::unbounded_channel();
@@ -252,7 +252,7 @@
             }
         }
     }
-    info!("{name} stops");
+    info!("{name} shuts down");
     shared.membership.borrow_mut().leave(clock.now());
     send_membership(&shared, &socket).await;
     call_server.abort();
@@ -316,7 +316,11 @@
             Effect::Changed(member) => {
                 let plan = shared.plan.borrow();
                 let node = NodeId(member.peer.node);
-                info!("member {} is {:?}", plan.name_of(node).unwrap_or("?"), member.standing);
+                info!(
+                    "node {} changed its membership state to {:?}",
+                    plan.name_of(node).unwrap_or("?"),
+                    member.standing
+                );
                 if matches!(member.standing, MemberState::Left | MemberState::Gone) {
                     shared.allocator().remove_node(node);
                 }
@@ -333,8 +337,8 @@
     addresses: &mut HashMap<NodeIncarnation, SocketAddr>,
 ) {
     let claimed_sender = shared.plan.borrow().node_at(from).map_or(0, |n| n.0);
-    let opened = shared.channel.borrow_mut().open(bytes, claimed_sender);
-    let (sender, bytes) = match opened {
+    let verified = shared.channel.borrow_mut().open(bytes, claimed_sender);
+    let (sender, bytes) = match verified {
         Ok(received) => (received.sender, received.sent),
         Err(Dropped { refused, first }) => {
             if first {
@@ -406,7 +410,7 @@
     while let Some(frame) = connection.next().await {
         let reply = match serde_json::from_slice::<Call>(&frame?) {
             Ok(call) => reply(call, shared).await,
-            Err(e) => Reply::No(format!("no call: {e}")),
+            Err(e) => Reply::No(format!("the call can't be decoded: {e}")),
         };
         let text = serde_json::to_vec(&reply).map_err(std::io::Error::other)?;
         connection.send(Bytes::from(text)).await?;
@@ -418,7 +422,7 @@
     let raft = shared.raft();
     // Raft calls to the id that this allocator had before it lost its disk are rejected.
     let addressed_raft = |to: u64| raft.as_ref().filter(|(id, _)| *id == to).map(|(_, r)| r.clone());
-    let wrong_voter = || Reply::No("no such voter here".into());
+    let wrong_voter = || Reply::No("this allocator does not have the Raft id that the call names".into());
     match call {
         Call::Append { to, rpc } => match addressed_raft(to) {
             Some(raft) => Reply::Append(raft.append_entries(rpc).await),
@@ -447,8 +451,8 @@
                     (named(m.peer.node), standing, now - m.since)
                 })
                 .collect();
-            let counts = shared.channel.borrow().counts();
-            status.refused = counts.into_iter().map(|(why, n)| (why.to_string(), n)).collect();
+            let rejections = shared.channel.borrow().counts();
+            status.refused = rejections.into_iter().map(|(why, n)| (why.to_string(), n)).collect();
             Reply::Status(Box::new(status))
         }
     }
@@ -456,14 +460,16 @@
 
 /// Replaces the Raft id of an allocator that has lost its disk by a new one, and returns its disk number.
 fn add_voter(shared: &Rc<Shared>, name: &str, disk: Option<u32>) -> Reply {
-    let Some((id, raft)) = shared.raft() else { return Reply::No("not founded".into()) };
+    let Some((id, raft)) = shared.raft() else {
+        return Reply::No("this allocator has not joined the replicated log yet".into());
+    };
     let metrics = raft.metrics().borrow().clone();
     if metrics.current_leader != Some(id) || metrics.state != ServerState::Leader {
-        return Reply::No("does not lead".into());
+        return Reply::No("this allocator is not the leader".into());
     }
     let node = NodeId::of(name);
     if shared.plan.borrow().allocators.iter().all(|d| d.name != name) {
-        return Reply::No(format!("{name} is not listed here"));
+        return Reply::No(format!("the leader's budgets file has no (divider {name} ...)"));
     }
     let membership = metrics.membership_config.membership();
     let known: BTreeSet<u64> = membership.nodes().map(|(id, _)| *id).collect();
--- a/crates/quota-server/tests/golden.rs
+++ b/crates/quota-server/tests/golden.rs
@@ -146,10 +146,15 @@
     /// Sends requests until a grant arrives.
     fn request_grant(&self, plan: u64, incarnation: u64) -> BudgetGrant {
         let (started, holder) = (Instant::now(), NodeIncarnation { node: NodeId::of("n0"), incarnation });
-        for answers in 1.. {
+        for request_number in 1.. {
             assert!(started.elapsed() < TIMEOUT, "no grant");
-            let claim =
-                BudgetClaim { budget: "quota:a".into(), answers, demand: 30, used: 0, in_force: (0, 0) };
+            let claim = BudgetClaim {
+                budget: "quota:a".into(),
+                request_number,
+                demand: 30,
+                used: 0,
+                in_force: (0, 0),
+            };
             let ask = Message::Ask { holder, plan, claims: vec![claim] };
             let _ = self.socket.send_to(&ask.bytes(), self.plan.allocators[0].address);
             let mut buffer = [0; 2_000];
--- a/crates/quota-server/tests/processes.rs
+++ b/crates/quota-server/tests/processes.rs
@@ -181,7 +181,7 @@
             self.request_count += 1;
             let claim = BudgetClaim {
                 budget: "quota:a".into(),
-                answers: self.request_count,
+                request_number: self.request_count,
                 demand,
                 used: 0,
                 in_force,
--- a/crates/quota/src/allocation.rs
+++ b/crates/quota/src/allocation.rs
@@ -106,9 +106,9 @@
         claims.iter().zip(&target).map(|(c, t)| if is_unchanged(c, *t) { c.held } else { *t }).collect();
     // Shares are reduced in order of the size of the reduction until the allowance is used up.
     let mut allowance = moves.max_taken;
-    let mut losing: Vec<usize> = (0..shares.len()).filter(|k| shares[*k] < claims[*k].held).collect();
-    losing.sort_by_key(|k| (std::cmp::Reverse(claims[*k].held - shares[*k]), *k));
-    for k in losing {
+    let mut shrinking: Vec<usize> = (0..shares.len()).filter(|k| shares[*k] < claims[*k].held).collect();
+    shrinking.sort_by_key(|k| (std::cmp::Reverse(claims[*k].held - shares[*k]), *k));
+    for k in shrinking {
         let taken = (claims[k].held - shares[k]).min(allowance);
         shares[k] = claims[k].held - taken;
         allowance -= taken;
--- a/crates/quota/src/allocator.rs
+++ b/crates/quota/src/allocator.rs
@@ -119,17 +119,17 @@
             let budget_in = |p: &Plan| p.budgets.iter().find(|b| b.name == *name).cloned();
             let reserve = self.plans.iter().filter_map(budget_in).map(|b| b.reserve).max().unwrap_or(0);
             let reserved = u64::from(nodes).saturating_mul(reserve);
-            let current = budget_in(plan);
-            let total = current.as_ref().map_or(0, |b| b.total);
-            let term = current.map(|b| plan.lease_period(&b)).or(self
+            let current_budget = budget_in(plan);
+            let total = current_budget.as_ref().map_or(0, |b| b.total);
+            let lease_period = current_budget.map(|b| plan.lease_period(&b)).or(self
                 .plans
                 .iter()
                 .rev()
                 .find_map(|p| Some(p.lease_period(&budget_in(p)?))));
-            let Some(term) = term else { continue };
-            let new = || Ledger::new(total, reserved, term);
+            let Some(lease_period) = lease_period else { continue };
+            let new = || Ledger::new(total, reserved, lease_period);
             let ledger = self.ledgers.entry(name.to_string()).or_insert_with(new);
-            ledger.resize(total, reserved, term);
+            ledger.resize(total, reserved, lease_period);
             ledger.set_epoch(self.epoch.unwrap_or(0));
         }
     }
@@ -152,8 +152,8 @@
         // Budgets that no configuration names any more may still have outstanding grants.
         state.resize();
         for (name, snapshot) in &snapshot.ledgers {
-            let term = LeasePeriod { length: 0, drift_ppm: 0, longest: 0 };
-            let ledger = state.ledgers.entry(name.clone()).or_insert_with(|| Ledger::new(0, 0, term));
+            let lease_period = LeasePeriod { length: 0, drift_ppm: 0, longest: 0 };
+            let ledger = state.ledgers.entry(name.clone()).or_insert_with(|| Ledger::new(0, 0, lease_period));
             ledger.restore(snapshot, now);
         }
         state
@@ -179,7 +179,7 @@
 struct ClaimState {
     demand: u64,
     used: u64,
-    answers: u64,
+    request_number: u64,
     /// The units of the newest grant since this allocator became the leader.
     granted: u64,
     /// Whether the last request has had no answer yet.
@@ -236,7 +236,7 @@
     epoch: u32,
     /// The newest version of the configuration whose reserves fit into the totals beside all grants.
     covered_version: u64,
-    /// `false` means that no requester is waiting; `true` means that one may be.
+    /// Whether a requester may be waiting for an answer; `false` only if certainly none is.
     may_be_waiting: bool,
 }
 
@@ -272,7 +272,8 @@
         self.state = ReplicatedState::restore(snapshot, now);
     }
 
-    /// See [`ReplicatedState::apply`].
+    /// Applies a committed entry to the replicated state and returns whether it changed anything. The terms of its grants
+    /// count from `now`.
     pub fn apply(&mut self, entry: &Entry, now: Micros) -> bool {
         self.state.apply(entry, now)
     }
@@ -318,11 +319,11 @@
                     }
                     let claim_state = requester.claims.entry(c.budget.clone()).or_default();
                     // A request that was overtaken by a later one is outdated.
-                    if c.answers >= claim_state.answers {
+                    if c.request_number >= claim_state.request_number {
                         *claim_state = ClaimState {
                             demand: c.demand,
                             used: c.used,
-                            answers: c.answers,
+                            request_number: c.request_number,
                             unanswered: true,
                             ..*claim_state
                         };
@@ -394,8 +395,9 @@
         // don't ask for it get nothing, since a node that may have held it may also have placed its keys.
         if let Some(BudgetKind::Home(home)) = BudgetKind::of(&budget.name) {
             let own = home.split_once('/').map(|(_, node)| NodeId::of(node));
-            let rank =
-                |holder: &NodeIncarnation| (Some(holder.node) != own, ledger.charge(*holder) == 0, *holder);
+            let rank = |holder: &NodeIncarnation| {
+                (Some(holder.node) != own, ledger.charged_units(*holder) == 0, *holder)
+            };
             let first =
                 claimants.iter().filter(|(_, c)| c.demand > 0).map(|(holder, _)| *holder).min_by_key(rank);
             return claimants
@@ -409,7 +411,7 @@
                 // Demand that the reserve covers needs no grant.
                 demand: c.demand.saturating_sub(budget.reserve),
                 floor: budget.floor,
-                held: ledger.charge(*holder),
+                held: ledger.charged_units(*holder),
             })
             .collect();
         let total = ledger.divisible();
@@ -476,13 +478,13 @@
             let mut order: Vec<NodeIncarnation> = shares.keys().copied().collect();
             let claim_of = |holder: &NodeIncarnation| self.requesters[holder].claims[&budget.name];
             order.sort_by_cached_key(|holder| {
-                (shares[holder] > ledger.charge(*holder), !claim_of(holder).unanswered, *holder)
+                (shares[holder] > ledger.charged_units(*holder), !claim_of(holder).unanswered, *holder)
             });
             for holder in order {
                 let (c, share) = (claim_of(&holder), shares[&holder]);
-                let grant = ledger.offer(holder, share, c.answers);
+                let grant = ledger.offer(holder, share, c.request_number);
                 // A grant of 0 units is needed only to replace an earlier grant.
-                let is_needed = grant.amount > 0 || ledger.charge(holder) > 0;
+                let is_needed = grant.amount > 0 || ledger.charged_units(holder) > 0;
                 if is_needed && (c.unanswered || grant.amount > c.granted) {
                     ledger.record(grant, now);
                     grants.push((budget.name.clone(), grant));
@@ -528,7 +530,7 @@
             let requester = self.requesters.get_mut(&grant.holder);
             if let Some(c) = requester
                 .and_then(|requester| requester.claims.get_mut(name))
-                .filter(|c| c.answers == grant.answers)
+                .filter(|c| c.request_number == grant.answers)
             {
                 (c.granted, c.unanswered) = (grant.amount, false);
             }
@@ -589,7 +591,7 @@
                 continue;
             }
             let is_above_share = |holder: &NodeIncarnation, share: u64| {
-                ledger.charge(*holder) > share
+                ledger.charged_units(*holder) > share
                     && now >= self.requesters[holder].asked_again_at + ASK_AGAIN_INTERVAL
             };
             found.extend(
@@ -641,7 +643,7 @@
             .map(|holder| PartStatus {
                 node: plan.name_of(holder.node).map_or_else(|| format!("?{}", holder.node.0), str::to_string),
                 incarnation: holder.incarnation,
-                amount: ledger.charge(*holder),
+                amount: ledger.charged_units(*holder),
                 demand: claim_of(holder).demand,
                 used: claim_of(holder).used,
                 number: ledger.newest_number(*holder),
--- a/crates/quota/src/client.rs
+++ b/crates/quota/src/client.rs
@@ -177,10 +177,10 @@
             self.send(Message::Returns { holder: self.incarnation, grants });
         }
         for budget in &plan.budgets {
-            let term = plan.lease_period(budget);
+            let lease_period = plan.lease_period(budget);
             let new = || HeldBudget {
                 budget: budget.clone(),
-                holder: Holder::new(self.incarnation, 0, term),
+                holder: Holder::new(self.incarnation, 0, lease_period),
                 since: Usage::default(),
                 reported: 0,
                 mean: 0.0,
@@ -347,7 +347,7 @@
             };
             claims.push(BudgetClaim {
                 budget: name.clone(),
-                answers: held.holder.ask(now),
+                request_number: held.holder.ask(now),
                 demand: held.reported,
                 used,
                 in_force: held.settled,
--- a/crates/quota/src/config.rs
+++ b/crates/quota/src/config.rs
@@ -119,7 +119,7 @@
     /// The allocators; empty where only the shares are to be computed.
     #[serde(rename = "dividers")]
     pub allocators: Vec<ProcessAddress>,
-    /// The listed nodes.
+    /// The nodes listed by name and address; further nodes may take part, up to `nodes` in all.
     pub members: Vec<ProcessAddress>,
     /// The greatest number of nodes of the fleet.
     pub nodes: u32,
@@ -274,7 +274,7 @@
             )),
             Some(kind) if kind.is_concurrent() != is_concurrent => {
                 let per = if is_concurrent { "second" } else { "moment" };
-                form.complain(format!("{} has to be counted (per {per})", budget.name));
+                form.complain(format!("the budget {} needs (per {per})", budget.name));
             }
             Some(_) => {}
         }
@@ -282,7 +282,7 @@
             form.complain(format!("the budget {} is given twice", budget.name));
         }
         if budget.total == 0 {
-            form.complain(format!("the budget {} needs a (whole UNITS) over 0", budget.name));
+            form.complain(format!("the budget {} needs a (whole UNITS) greater than 0", budget.name));
         } else if let Err(e) = plan.shared_units(&budget) {
             let text = format!(
                 "{}: floors and reserves of {} nodes: {e}; raise (whole) or lower (floor) or (reserve)",
--- a/crates/quota/src/lease.rs
+++ b/crates/quota/src/lease.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Holder {
     incarnation: NodeIncarnation,
-    term: LeasePeriod,
+    lease_period: LeasePeriod,
     /// Units that may be used without a grant. Only the process that owns the node's address has a reserve.
     reserve: u64,
     /// The numbers and times of the requests that wait for an answer.
@@ -24,10 +24,10 @@
 
 impl Holder {
     /// Returns a lease without a grant: only `reserve` units may be used.
-    pub fn new(incarnation: NodeIncarnation, reserve: u64, term: LeasePeriod) -> Holder {
+    pub fn new(incarnation: NodeIncarnation, reserve: u64, lease_period: LeasePeriod) -> Holder {
         Holder {
             incarnation,
-            term,
+            lease_period,
             reserve,
             pending: VecDeque::new(),
             request_count: 0,
@@ -53,8 +53,8 @@
         let Some(&(_, requested_at)) = self.pending.iter().find(|(n, _)| *n == grant.answers) else {
             return false;
         };
-        let expires_at =
-            requested_at.saturating_add(LeasePeriod { length: grant.length, ..self.term }.for_holder());
+        let expires_at = requested_at
+            .saturating_add(LeasePeriod { length: grant.length, ..self.lease_period }.for_holder());
         // Numbers of different epochs can't be compared, but an epoch grants nothing before all grants of the last one expire.
         let newer = match self.held {
             Some((held, _)) if held.epoch == grant.epoch => grant.number > held.number,
@@ -72,7 +72,7 @@
     /// may find its lease expired.
     pub fn usable(&self, now: Micros) -> u64 {
         // A clock that was set back must not extend the lease: it isn't valid before the time of its request.
-        let length = |g: &Grant| LeasePeriod { length: g.length, ..self.term }.for_holder();
+        let length = |g: &Grant| LeasePeriod { length: g.length, ..self.lease_period }.for_holder();
         let is_valid = |(g, expires_at): &(Grant, Micros)| now < *expires_at && now >= expires_at - length(g);
         self.held
             .as_ref()
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -14,7 +14,7 @@
     expires_at: Micros,
 }
 
-/// How the units of a budget are distributed.
+/// The units of a budget by use: reserved, granted, withheld and free.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Account {
     /// All units of the budget.
@@ -35,22 +35,22 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Ledger {
     /// The period of new grants.
-    term: LeasePeriod,
+    lease_period: LeasePeriod,
     total: u64,
     reserved: u64,
     epoch: u32,
     last_number: u64,
     outstanding: BTreeMap<NodeIncarnation, Vec<OutstandingGrant>>,
-    /// The sum of [`Ledger::charge`] over all holders, kept up to date because an allocation reads it once per holder.
+    /// The sum of [`Ledger::charged_units`] over all holders, kept up to date because an allocation reads it once per holder.
     charged: u64,
     suspected: BTreeSet<NodeIncarnation>,
 }
 
 impl Ledger {
     /// Returns a ledger without grants. `reserved` is the part of `total` that all nodes together may use without a grant.
-    pub fn new(total: u64, reserved: u64, term: LeasePeriod) -> Ledger {
+    pub fn new(total: u64, reserved: u64, lease_period: LeasePeriod) -> Ledger {
         Ledger {
-            term,
+            lease_period,
             total,
             reserved: reserved.min(total),
             epoch: 0,
@@ -63,7 +63,7 @@
 
     /// Returns the units that a holder may still be using: its largest outstanding grant, because it may not have received the
     /// last one.
-    pub fn charge(&self, holder: NodeIncarnation) -> u64 {
+    pub fn charged_units(&self, holder: NodeIncarnation) -> u64 {
         self.outstanding
             .get(&holder)
             .and_then(|grants| grants.iter().map(|outstanding| outstanding.grant.amount).max())
@@ -89,7 +89,7 @@
     /// Returns how the units are distributed.
     pub fn account(&self) -> Account {
         let (total, reserved, charged) = (self.total, self.reserved, self.charged);
-        let withheld = self.suspected.iter().map(|holder| self.charge(*holder)).sum();
+        let withheld = self.suspected.iter().map(|holder| self.charged_units(*holder)).sum();
         let used = reserved.saturating_add(charged);
         let granted = charged - withheld;
         let (free, debt) = (total.saturating_sub(used), used.saturating_sub(total));
@@ -101,10 +101,10 @@
     pub fn offer(&self, holder: NodeIncarnation, wanted: u64, answers: u64) -> Grant {
         // The holder's own charge plus the free units would be too much: a new leader still counts expired grants, and units
         // of an expired grant of this holder may be granted to another one by now.
-        let others = self.charged.saturating_sub(self.charge(holder));
+        let others = self.charged.saturating_sub(self.charged_units(holder));
         let most = self.total.saturating_sub(self.reserved).saturating_sub(others);
         let (epoch, number) = (self.epoch, self.last_number + 1);
-        Grant { holder, epoch, number, amount: wanted.min(most), answers, length: self.term.length }
+        Grant { holder, epoch, number, amount: wanted.min(most), answers, length: self.lease_period.length }
     }
 
     /// Records a committed grant, whose term counts from `now`. A grant that is already recorded is ignored.
@@ -163,7 +163,7 @@
 
     /// Returns how long a grant is charged, counted from when this allocator applied it.
     fn count_duration(&self, grant: &Grant) -> Micros {
-        LeasePeriod { length: grant.length, ..self.term }.for_allocator()
+        LeasePeriod { length: grant.length, ..self.lease_period }.for_allocator()
     }
 
     /// Returns the number of the last grant and all outstanding grants, for [`Ledger::restore`].
@@ -208,11 +208,11 @@
 
     /// Applies a changed configuration. Outstanding grants keep their terms; the drift and the time of use after a grant's
     /// expiry keep the greatest values that were ever configured.
-    pub fn resize(&mut self, total: u64, reserved: u64, term: LeasePeriod) {
+    pub fn resize(&mut self, total: u64, reserved: u64, lease_period: LeasePeriod) {
         (self.total, self.reserved) = (total, reserved.min(total));
-        let longest = self.term.longest.max(term.longest);
-        let drift_ppm = self.term.drift_ppm.max(term.drift_ppm);
-        self.term = LeasePeriod { longest, drift_ppm, ..term };
+        let longest = self.lease_period.longest.max(lease_period.longest);
+        let drift_ppm = self.lease_period.drift_ppm.max(lease_period.drift_ppm);
+        self.lease_period = LeasePeriod { longest, drift_ppm, ..lease_period };
     }
 
     /// Returns the units to divide among holders that are not suspected: the total without reserved and withheld units.
--- a/crates/quota/src/messages.rs
+++ b/crates/quota/src/messages.rs
@@ -14,7 +14,7 @@
     pub budget: String,
     /// The number of this request; each client numbers its requests per budget.
     #[serde(rename = "a")]
-    pub answers: u64,
+    pub request_number: u64,
     /// Units that the node could use.
     #[serde(rename = "d")]
     pub demand: u64,
--- a/crates/quota/tests/fleet.rs
+++ b/crates/quota/tests/fleet.rs
@@ -23,8 +23,8 @@
     NodeIncarnation { node: NodeId::of(name), incarnation: 1 }
 }
 
-fn ask(name: &str, plan: u64, answers: u64, demand: u64) -> Message {
-    let claim = BudgetClaim { budget: "quota:a".into(), answers, demand, used: 0, in_force: (0, 0) };
+fn ask(name: &str, plan: u64, request_number: u64, demand: u64) -> Message {
+    let claim = BudgetClaim { budget: "quota:a".into(), request_number, demand, used: 0, in_force: (0, 0) };
     Message::Ask { holder: node_incarnation(name), plan, claims: vec![claim] }
 }
 
@@ -99,17 +99,22 @@
     allocator.receive(&ask("n0", 1, 1, 1_000), 9 * SECOND);
     allocator.receive(&ask("n1", 1, 1, 1_000), 9 * SECOND);
     commit_proposals(&mut allocator, 9 * SECOND);
-    let charge =
-        |d: &Allocator, name: &str| d.state().ledger("quota:a").unwrap().charge(node_incarnation(name));
+    let charged_units = |d: &Allocator, name: &str| {
+        d.state().ledger("quota:a").unwrap().charged_units(node_incarnation(name))
+    };
     assert_eq!(
-        (charge(&allocator, "stranger"), charge(&allocator, "n0"), charge(&allocator, "n1")),
+        (
+            charged_units(&allocator, "stranger"),
+            charged_units(&allocator, "n0"),
+            charged_units(&allocator, "n1")
+        ),
         (0, 50, 50)
     );
     let grants = vec![("quota:a".to_string(), 7, 2)];
     allocator.receive(&Message::Returns { holder: node_incarnation("n1"), grants }, 10 * SECOND);
     allocator.receive(&ask("n0", 1, 2, 1_000), 10 * SECOND);
     commit_proposals(&mut allocator, 10 * SECOND);
-    assert_eq!((charge(&allocator, "n0"), charge(&allocator, "n1")), (100, 0));
+    assert_eq!((charged_units(&allocator, "n0"), charged_units(&allocator, "n1")), (100, 0));
     let status = allocator.status(Some("d0".into()), 10 * SECOND);
     assert_eq!((status.budgets[0].granted, status.budgets[0].free), (100, 0));
 }
@@ -238,10 +243,13 @@
             }
         }
         let ledger = allocator.state().ledger("quota:a").unwrap();
-        assert!(ledger.charge(node_incarnation("n0")) + ledger.charge(second_process) <= 100);
+        assert!(ledger.charged_units(node_incarnation("n0")) + ledger.charged_units(second_process) <= 100);
     }
     let ledger = allocator.state().ledger("quota:a").unwrap();
-    assert_eq!((ledger.charge(node_incarnation("n0")), ledger.charge(second_process)), (50, 50));
+    assert_eq!(
+        (ledger.charged_units(node_incarnation("n0")), ledger.charged_units(second_process)),
+        (50, 50)
+    );
 }
 
 /// Guards against a single unit that stays with one of 300 nodes.
@@ -260,7 +268,8 @@
         }
         commit_proposals(&mut allocator, now);
         let ledger = allocator.state().ledger("quota:a").unwrap();
-        let current: Vec<NodeIncarnation> = ledger.holders().filter(|l| ledger.charge(*l) > 0).collect();
+        let current: Vec<NodeIncarnation> =
+            ledger.holders().filter(|l| ledger.charged_units(*l) > 0).collect();
         assert!(current.len() <= 1, "{current:?}");
         holders.extend(current);
         now += SECOND / 4;
@@ -291,7 +300,9 @@
     let asked = |s: &mut QuotaClient, now| {
         s.pass(now);
         s.take_outgoing().into_iter().find_map(|s| match s.message {
-            Message::Ask { claims, .. } => claims.iter().find(|c| c.budget == "quota:a").map(|c| c.answers),
+            Message::Ask { claims, .. } => {
+                claims.iter().find(|c| c.budget == "quota:a").map(|c| c.request_number)
+            }
             _ => None,
         })
     };
--- a/crates/quota/tests/model.rs
+++ b/crates/quota/tests/model.rs
@@ -213,7 +213,7 @@
                         let mut grant = s.allocator.offer(holder, wanted, answers);
                         if self.0 == Fault::OwnChargePlusFree {
                             grant.amount =
-                                wanted.min(s.allocator.charge(holder) + s.allocator.account().free);
+                                wanted.min(s.allocator.charged_units(holder) + s.allocator.account().free);
                         }
                         s.committed.push(grant);
                         s.allocator.record(grant, now);
--- a/crates/rig/src/process.rs
+++ b/crates/rig/src/process.rs
@@ -94,7 +94,7 @@
 
     /// A divider, which no client asks.
     pub fn divider(number: u32, program: &Path, args: Vec<OsString>, history: Rc<History>) -> Rc<Node> {
-        Node::make(number, program, args, (" divides at ", false), history)
+        Node::make(number, program, args, (" listens on ", false), history)
     }
 
     fn make(
--- a/crates/sites/tests/joint.rs
+++ b/crates/sites/tests/joint.rs
@@ -427,7 +427,7 @@
         let early = if self.fault == Fault::GrantsEarly && n == 1 { TERM.for_allocator() } else { 0 };
         s.allocator.expire(at + early);
         let grant = s.allocator.offer(life, wanted, answers);
-        if grant.amount > 0 || s.allocator.charge(life) > 0 {
+        if grant.amount > 0 || s.allocator.charged_units(life) > 0 {
             s.allocator.record(grant, at);
             site.grant = Some(grant);
         }
--- a/crates/sites/tests/model.rs
+++ b/crates/sites/tests/model.rs
@@ -248,7 +248,7 @@
                             return None; // The quota server has already answered the request.
                         }
                         let grant = s.allocator.offer(life, wanted, answers);
-                        if grant.amount == 0 && s.allocator.charge(life) == 0 {
+                        if grant.amount == 0 && s.allocator.charged_units(life) == 0 {
                             return None;
                         }
                         s.agreed.push(grant);
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -106,8 +106,13 @@
 }
 
 fn budget_messages() -> Vec<budgets::Message> {
-    let claim =
-        BudgetClaim { budget: "quota:acme".into(), answers: 9, demand: 70, used: 55, in_force: (7, 12) };
+    let claim = BudgetClaim {
+        budget: "quota:acme".into(),
+        request_number: 9,
+        demand: 70,
+        used: 55,
+        in_force: (7, 12),
+    };
     let granting = BudgetGrant {
         budget: "quota:acme".into(),
         epoch: 7,
--- a/tests/node/fleet.rs
+++ b/tests/node/fleet.rs
@@ -101,7 +101,7 @@
             epoch: 7,
             number: self.count,
             amount,
-            answers: claim.answers,
+            answers: claim.request_number,
             length: 1_000_000,
         };
         let message = Message::Grants { holder: life, plan, grants: vec![grant] };
