--- a/crates/accounts/src/credit.rs
+++ b/crates/accounts/src/credit.rs
@@ -24,9 +24,9 @@
 /// A site's claim to a part of the credit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SiteShare {
-    /// The name of the site.
+    /// The site's name, for error messages.
     pub site: String,
-    /// The number of nodes of the site.
+    /// How many nodes divide the site's part among them.
     pub nodes: u32,
     /// The site's weight; where it is `None`, the number of its nodes is its weight.
     pub weight: Option<u64>,
@@ -65,7 +65,7 @@
     #[error("the site {site} has a weight but no nodes")]
     #[diagnostic(help("list the site's nodes, or set its weight to 0"))]
     NoNodes {
-        /// The name of the site.
+        /// The site without nodes, by name.
         site: String,
     },
 }
--- a/crates/accounts/src/gossip.rs
+++ b/crates/accounts/src/gossip.rs
@@ -44,7 +44,7 @@
 /// One account's standing in a [`Message::Piece`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AccountLine {
-    /// The name of the account.
+    /// The account that the line is about.
     #[serde(rename = "a")]
     pub account: String,
     /// The account's standing; `None` removes the account, which the base file lists and the transferred one doesn't.
@@ -209,11 +209,11 @@
     tokens: u32,
     refilled_at: Micros,
     outgoing: VecDeque<(u32, Message)>,
-    partials: VecDeque<PartialFile>,
+    partial_files: VecDeque<PartialFile>,
     /// The pieces of the file that was sent last, as several peers usually request the same file.
     cached_pieces: Option<(FileTransfer, Arc<[Vec<AccountLine>]>)>,
     updates: Vec<RegistryUpdate>,
-    counts: Counts,
+    message_counts: Counts,
 }
 
 /// Returns the size of `text` in JSON, without the quotes.
@@ -289,10 +289,10 @@
             tokens: MAX_MESSAGES_PER_SECOND,
             refilled_at: now,
             outgoing: VecDeque::new(),
-            partials: VecDeque::new(),
+            partial_files: VecDeque::new(),
             cached_pieces: None,
             updates: Vec::new(),
-            counts: Counts::default(),
+            message_counts: Counts::default(),
         }
     }
 
@@ -324,14 +324,14 @@
             if self.updates.len() < MAX_PENDING_UPDATES {
                 self.updates.push(update);
             } else {
-                self.counts.dropped_updates = self.counts.dropped_updates.saturating_add(1);
+                self.message_counts.dropped_updates = self.message_counts.dropped_updates.saturating_add(1);
             }
         }
     }
 
     /// Handles a message from the node with number `from`, which the caller has authenticated. `now` is monotonic time.
     pub fn receive(&mut self, from: u32, message: &Message, now: Micros) {
-        self.counts.received = self.counts.received.saturating_add(1);
+        self.message_counts.received = self.message_counts.received.saturating_add(1);
         let valid = match message {
             Message::Digest { newest, .. } => newest.0 <= MAX_NUMBER,
             Message::Have { files, missing, .. } => {
@@ -340,12 +340,12 @@
             }
             Message::Piece { transfer, index, lines, .. } => is_valid_piece(transfer, *index, lines),
             Message::Unknown(_) => {
-                self.counts.unknown = self.counts.unknown.saturating_add(1);
+                self.message_counts.unknown = self.message_counts.unknown.saturating_add(1);
                 return;
             }
         };
         if !valid || from == self.me {
-            self.counts.refused = self.counts.refused.saturating_add(1);
+            self.message_counts.refused = self.message_counts.refused.saturating_add(1);
             return;
         }
         match message {
@@ -365,7 +365,7 @@
             }
             Message::Piece { transfer, index, conflicting, last, lines } => {
                 self.receive_piece(from, *transfer, *index, *conflicting, lines, now);
-                if *last && self.partials.iter().any(|p| p.transfer == *transfer) {
+                if *last && self.partial_files.iter().any(|p| p.transfer == *transfer) {
                     self.send_have(from, false, now);
                 }
             }
@@ -408,9 +408,9 @@
         {
             return Some(pieces.clone());
         }
-        let lookup = |file: (u64, u64)| self.registry.file(file.0).filter(|p| p.digest == file.1);
-        let base_file = if base.0 == 0 { None } else { Some(lookup(base)?) };
-        let pieces: Arc<[Vec<AccountLine>]> = split_into_pieces(lookup(file)?, base_file).into();
+        let find_file = |file: (u64, u64)| self.registry.file(file.0).filter(|p| p.digest == file.1);
+        let base_file = if base.0 == 0 { None } else { Some(find_file(base)?) };
+        let pieces: Arc<[Vec<AccountLine>]> = split_into_pieces(find_file(file)?, base_file).into();
         self.cached_pieces =
             Some((FileTransfer { file, base, piece_count: pieces.len() as u32 }, pieces.clone()));
         Some(pieces)
@@ -430,14 +430,14 @@
         let own_files = self.registry.file_ids();
         let common: Vec<(u64, u64)> = own_files.iter().filter(|p| peer_files.contains(p)).copied().collect();
         for file in own_files.into_iter().filter(|p| p.0 >= min_number && !skipped.contains(p)) {
-            let nearest = common.iter().min_by_key(|b| b.0.abs_diff(file.0)).copied();
+            let nearest_common = common.iter().min_by_key(|b| b.0.abs_diff(file.0)).copied();
             if max_pieces == 0 || !self.has_token(now) {
                 return;
             }
             max_pieces = max_pieces.saturating_sub(self.send_file(
                 to,
                 file,
-                nearest.unwrap_or_default(),
+                nearest_common.unwrap_or_default(),
                 max_pieces,
                 now,
             ));
@@ -481,8 +481,8 @@
 
     fn send_have(&mut self, to: u32, wants_reply: bool, now: Micros) {
         let registry = &self.registry;
-        self.partials.retain(|p| registry.is_missing(p.transfer.file.0, p.transfer.file.1));
-        let missing = self.partials.back().map(|p| {
+        self.partial_files.retain(|p| registry.is_missing(p.transfer.file.0, p.transfer.file.1));
+        let missing = self.partial_files.back().map(|p| {
             let missing = (0..p.transfer.piece_count)
                 .filter(|index| !p.received.contains_key(index))
                 .take(MAX_PIECES_PER_REPLY);
@@ -509,8 +509,8 @@
             return self.send_have(from, false, now);
         }
         let position =
-            self.partials.iter().position(|p| p.transfer == transfer && p.conflicting == conflicting);
-        let mut partial = position.and_then(|k| self.partials.remove(k)).unwrap_or(PartialFile {
+            self.partial_files.iter().position(|p| p.transfer == transfer && p.conflicting == conflicting);
+        let mut partial = position.and_then(|k| self.partial_files.remove(k)).unwrap_or(PartialFile {
             transfer,
             conflicting,
             received: BTreeMap::new(),
@@ -520,17 +520,17 @@
             partial.line_count += lines.len();
         }
         if partial.line_count > MAX_PIECES_PER_FILE as usize + 2 * MAX_ACCOUNTS_PER_NUMBER {
-            self.counts.refused = self.counts.refused.saturating_add(1);
+            self.message_counts.refused = self.message_counts.refused.saturating_add(1);
             return;
         }
         if partial.received.len() < piece_count as usize {
-            self.partials.push_back(partial);
-            if self.partials.len() > MAX_PARTIAL_FILES {
-                self.partials.pop_front();
+            self.partial_files.push_back(partial);
+            if self.partial_files.len() > MAX_PARTIAL_FILES {
+                self.partial_files.pop_front();
             }
             return;
         }
-        self.partials.retain(|p| p.transfer.file != (number, digest));
+        self.partial_files.retain(|p| p.transfer.file != (number, digest));
         let mut accounts = match self.registry.file(base.0) {
             Some(file) if base.0 != 0 => file.accounts.clone(),
             _ => BTreeMap::new(),
@@ -546,7 +546,7 @@
         }
         let file = MergedFile::new(number, accounts, conflicting);
         if file.digest != digest {
-            self.counts.refused = self.counts.refused.saturating_add(1);
+            self.message_counts.refused = self.message_counts.refused.saturating_add(1);
             return;
         }
         let hash_before = self.registry.hash();
@@ -601,11 +601,11 @@
 
     fn send(&mut self, to: u32, message: Message, now: Micros) {
         if !self.has_token(now) {
-            self.counts.held_back = self.counts.held_back.saturating_add(1);
+            self.message_counts.held_back = self.message_counts.held_back.saturating_add(1);
             return;
         }
         self.tokens -= 1;
-        self.counts.sent = self.counts.sent.saturating_add(1);
+        self.message_counts.sent = self.message_counts.sent.saturating_add(1);
         self.outgoing.push_back((to, message));
     }
 
@@ -642,7 +642,7 @@
 
     /// Returns the message counters.
     pub fn counts(&self) -> Counts {
-        self.counts
+        self.message_counts
     }
 }
 
--- a/crates/accounts/src/registry.rs
+++ b/crates/accounts/src/registry.rs
@@ -31,31 +31,31 @@
 pub enum RegistryUpdate {
     /// A file newer than all earlier ones applies.
     NewFile {
-        /// The number of the file.
+        /// Its number, now the greatest one known.
         number: u64,
     },
     /// The newest file gives an account another standing than the newest file before it.
     StandingChanged {
-        /// The name of the account.
+        /// The account's name, as the files list it.
         account: String,
         /// The new standing.
         change: Change,
     },
     /// A file older than the newest one was added. It matters only for accounts whose standing in newer files starts in the future.
     OldFile {
-        /// The number of the added file.
+        /// Its number, less than `newest`.
         number: u64,
-        /// The number of the newest known file.
+        /// The greatest number of a known file.
         newest: u64,
     },
     /// Files with one number have different contents. For each account the stricter standing applies.
     ConflictingFiles {
-        /// The number of the files. A file with a greater number resolves the conflict.
+        /// Their common number; a file with a greater number resolves the conflict.
         number: u64,
     },
     /// Files of one number list more than [`MAX_ACCOUNTS_PER_NUMBER`] accounts; the last names in order were dropped.
     TooManyAccounts {
-        /// The number of the files.
+        /// Their common number.
         number: u64,
     },
 }
@@ -82,7 +82,7 @@
     /// Whether files with different contents were joined.
     #[serde(rename = "two")]
     pub conflicting: bool,
-    /// Digest of the number and of the fields above.
+    /// Digest of the file number, the lines of all accounts and the conflict flag.
     pub digest: u64,
 }
 
