--- a/crates/mutants/tests/mutants.rs
+++ b/crates/mutants/tests/mutants.rs
@@ -52,7 +52,7 @@
 fn mutants_of_seeing_break_nothing() {
     let report = played::<Troupe<Sites>>(0..2, 100);
     assert!(report.kinds.len() >= 16 && report.kinds.values().all(|k| k.played > 0), "{report}");
-    assert!(report.refused.keys().any(|w| w.contains("out of reach")), "{report}");
+    assert!(report.refused.keys().any(|w| w.contains("implausibly far ahead")), "{report}");
 }
 
 #[test]
--- a/crates/sites/src/catch_up.rs
+++ b/crates/sites/src/catch_up.rs
@@ -173,25 +173,33 @@
         let [me, other] = [0, 1].map(|k| config.nodes().nth(k).unwrap().1.number);
         let unproven = [("a/n0".to_string(), FENCE, Fence { number: 4, ..FENCE })];
         let tick = |p: &mut CatchUp, h: &History, now| p.tick(&config, (me, (1, 0)), &unproven, h, now);
-        let ask = Message::Ask { home: "a/n0".into(), fence: FENCE };
-        assert_eq!(tick(&mut catch_up, &history, 0), (vec![(other, ask.clone())], vec![]));
-        assert_eq!(tick(&mut catch_up, &history, 1), (vec![], vec![]), "asked again at once");
+        let request = Message::Ask { home: "a/n0".into(), fence: FENCE };
+        assert_eq!(tick(&mut catch_up, &history, 0), (vec![(other, request.clone())], vec![]));
+        assert_eq!(
+            tick(&mut catch_up, &history, 1),
+            (vec![], vec![]),
+            "the request was repeated before the retry interval"
+        );
         catch_up.record_reply(other, "a/n0", Fence { number: 2, ..FENCE }, 5, 0);
         assert_eq!(
             tick(&mut catch_up, &history, RETRY_INTERVAL),
-            (vec![(other, ask)], vec![]),
-            "the reply belongs to another lease"
+            (vec![(other, request)], vec![]),
+            "a reply to an earlier lease was accepted"
         );
         catch_up.record_reply(other, "a/n0", FENCE, 5, 1);
         assert_eq!(
             tick(&mut catch_up, &history, 3 * RETRY_INTERVAL),
             (vec![], vec![]),
-            "its log is not here yet"
+            "a reply was accepted before the log of its sender had arrived"
         );
         append(&mut history, 5);
         let proved = vec![("a/n0".to_string(), Fence { number: 4, ..FENCE })];
         assert_eq!(tick(&mut catch_up, &history, 3 * RETRY_INTERVAL).1, proved);
         append(&mut history, 6);
-        assert_eq!(tick(&mut catch_up, &history, 3 * RETRY_INTERVAL).1, vec![], "it has lost a disk");
+        assert_eq!(
+            tick(&mut catch_up, &history, 3 * RETRY_INTERVAL).1,
+            vec![],
+            "a node with two logs was accepted"
+        );
     }
 }
--- a/crates/sites/src/config_history.rs
+++ b/crates/sites/src/config_history.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
 pub enum OldFileError {
     /// This node has used a newer version.
-    #[error("it is (version {version}), and this node has gone by version {used}")]
+    #[error("the file has (version {version}), and this node has already used version {used}")]
     #[diagnostic(help(
         "deploy the newest file; to go back to the content of an older one, give it a greater (version ...) and deploy it to all nodes"
     ))]
@@ -37,14 +37,14 @@
         used: u64,
     },
     /// This node has used another configuration with the same version.
-    #[error("it is another file than the one of (version {version}) that this node has gone by")]
+    #[error("the file differs from the one of (version {version}) that this node has used")]
     #[diagnostic(help("two files have one version: give the intended one a greater (version ...) and deploy it to all nodes"))]
     TwoFiles {
         /// The version that both have.
         version: u64,
     },
     /// A loss of the site with a greater number was declared before, or this one was declared and withdrawn.
-    #[error("it declares {site} lost by number {number}, and number {used} was declared before")]
+    #[error("the file declares {site} lost by number {number}, and number {used} was declared before")]
     #[diagnostic(help("each loss of a site needs its own number: give this one a greater (number ...) and the file a greater (version ...)"))]
     OlderLoss {
         /// The site's name.
--- a/crates/sites/src/health.rs
+++ b/crates/sites/src/health.rs
@@ -136,9 +136,9 @@
     #[error("node {node} claims to belong to the site numbered {site}, but the sites file lists it in another site")]
     #[diagnostic(help("put the same sites file into service at all nodes; compare their versions"))]
     WrongSite {
-        /// The number of the sender.
+        /// The sender, by its [`NodeId`].
         node: u32,
-        /// The number of the site that it names.
+        /// The site that the message names as the sender's, by number.
         site: u32,
     },
     /// The message was sent before this process was last suspended, or was delayed for too long.
@@ -146,9 +146,9 @@
     #[diagnostic(help("no action is needed: newer messages follow"))]
     Stale,
     /// A heartbeat is implausibly far ahead.
-    #[error("the heartbeat {0} is out of reach")]
+    #[error("the heartbeat {0} is implausibly far ahead")]
     #[diagnostic(help("the sender is faulty or not part of this fleet: restart it and check its key"))]
-    OutOfReach(u64),
+    ImplausibleHeartbeat(u64),
 }
 
 /// Why the state of a site has changed. Durations are in microseconds.
@@ -158,7 +158,7 @@
     Quiet(Micros),
     /// It has not received messages of this site for this long.
     OneWay(Micros),
-    /// The round-trip time.
+    /// A round trip between the sites took this long.
     Slow(Micros),
     /// Other sites reach it, but this one can't exchange messages with it.
     Unreachable,
@@ -168,7 +168,7 @@
     Declared(u64),
     /// Messages have arrived in both directions for this long.
     Reachable(Micros),
-    /// The site takes its full load.
+    /// The site takes its full load, and its history agrees with this node's.
     FullLoad,
     /// It has been stable for the hold time.
     Stable,
@@ -434,21 +434,22 @@
         let same_site = index == self.own_index;
         let own_report = message.others.iter().find(|t| t.site == me).copied();
         // All of the message is validated before any of it takes effect.
-        let out_of_reach =
+        let is_implausible_jump =
             |known: u64, heartbeat: u64| known > 1 && heartbeat > known.saturating_add(MAX_HEARTBEAT_JUMP);
         for t in &message.others {
             let view = self.views.iter().find(|v| v.number == t.site);
             let known = if t.site == me { Some(self.heartbeat) } else { view.map(|v| v.heartbeat.0) };
             let max_heartbeat = t.heartbeat.max(t.direct);
-            if known.is_some_and(|known| out_of_reach(known, max_heartbeat)) || max_heartbeat > MAX_HEARTBEAT
+            if known.is_some_and(|known| is_implausible_jump(known, max_heartbeat))
+                || max_heartbeat > MAX_HEARTBEAT
             {
-                return Err(ReceiveError::OutOfReach(max_heartbeat));
+                return Err(ReceiveError::ImplausibleHeartbeat(max_heartbeat));
             }
         }
         let known =
             if same_site { self.heartbeat } else { self.views.get(index).map_or(0, |v| v.heartbeat.0) };
-        if out_of_reach(known, message.heartbeat) || message.heartbeat > MAX_HEARTBEAT {
-            return Err(ReceiveError::OutOfReach(message.heartbeat));
+        if is_implausible_jump(known, message.heartbeat) || message.heartbeat > MAX_HEARTBEAT {
+            return Err(ReceiveError::ImplausibleHeartbeat(message.heartbeat));
         }
         // The heartbeat of the own site that the message echoes.
         let echo = if same_site { message.heartbeat } else { own_report.map_or(0, |t| t.direct) };
@@ -537,10 +538,10 @@
             self.next_local = now + self.config.alone / LOCAL_ROUNDS;
             self.increase_heartbeat(now);
             let nodes = self.config.sites.get(self.own_index).map_or(0, |s| s.nodes.len());
-            let first = self.rng.rand_range(0..nodes.max(1) as u32) as usize;
+            let first_node = self.rng.rand_range(0..nodes.max(1) as u32) as usize;
             let mut sent_to = 0;
             for k in 0..nodes {
-                let at = (first + k) % nodes;
+                let at = (first_node + k) % nodes;
                 let to =
                     self.config.sites.get(self.own_index).and_then(|s| s.nodes.get(at)).map(|n| n.number);
                 if let Some(to) = to.filter(|to| *to != self.me && sent_to < LOCAL_FANOUT) {
@@ -706,7 +707,7 @@
         if direct >= self.suspect_time() {
             return Some(StateChangeReason::Quiet(direct));
         }
-        // An echo needs two messages, each of which may be lost, so it may be older.
+        // Allows more time than for a message: an echo needs two messages, each of which may be lost.
         (echo >= self.config.alone * 3 / 4).then_some(StateChangeReason::OneWay(echo))
     }
 
@@ -731,7 +732,7 @@
         if !slow && heartbeat_silence >= alone {
             return change_to(SiteState::Lost, StateChangeReason::Silent(heartbeat_silence));
         }
-        // An echo needs two messages, each of which may be lost, so it may be older.
+        // Allows an echo more time than a message: it needs two messages, each of which may be lost.
         let is_unreachable =
             self.silence(v.last_received(), now) >= alone || self.silence(v.echoed_at, now) >= alone * 5 / 4;
         // Without a recent heartbeat the site is about to be lost, and a lost site may be about to be reachable again;
@@ -752,8 +753,8 @@
             (SiteState::Alone | SiteState::Lost, None) => {
                 // A site that was lost again while returning has to be reachable for longer.
                 let lost_recently = now - v.returning_since < 10 * self.config.hold;
-                let required = if lost_recently { self.config.hold } else { self.config.confirm };
-                (reachable_for >= required)
+                let required_time = if lost_recently { self.config.hold } else { self.config.confirm };
+                (reachable_for >= required_time)
                     .then_some((SiteState::Returning, StateChangeReason::Reachable(reachable_for)))
             }
             (SiteState::WholeAgain, None) if now - v.since >= self.config.hold => {
--- a/crates/sites/src/key_ownership.rs
+++ b/crates/sites/src/key_ownership.rs
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
 pub enum PlacementError {
     /// Another node, the home or its successor, is responsible for the key.
-    #[error("its home is {home} now")]
+    #[error("the home of the key is {home} now")]
     #[diagnostic(help("send the request to {home}; all repeats of a key have the same home"))]
     Elsewhere {
         /// The responsible node, as `SITE/NODE`.
@@ -79,7 +79,7 @@
         home: String,
     },
     /// The configuration moves the key, and not all nodes are known to use it.
-    #[error("its home becomes {home}, and not all nodes use the new sites file yet")]
+    #[error("the home of the key becomes {home}, and not all nodes use the new sites file yet")]
     #[diagnostic(help(
         "put the sites file into service at all nodes; declare a permanently lost site as lost"
     ))]
@@ -89,7 +89,7 @@
     },
     /// Another node has held the range and may have placed the key.
     #[error(
-        "it may have run: another node has held {home}, and the history does not prove that the key was not placed"
+        "the request may have run: another node has held {home}, and the history does not prove that the key was not placed"
     )]
     #[diagnostic(help(
         "don't repeat the request with another key before its outcome is known; histories are exchanged once the site is back"
@@ -145,8 +145,7 @@
 struct Range {
     /// The range's home, as `SITE/NODE`.
     home: String,
-    /// The number of the home.
-    number: u32,
+    home_number: u32,
     /// Numbers of the nodes that may request it: its home, then its successors.
     successors: Vec<u32>,
     /// The first of them that is available, as this node sees it.
@@ -224,7 +223,7 @@
             let (successors, owner) = (successors(config, s, n), Some(node.number));
             all.push(Range {
                 home,
-                number: node.number,
+                home_number: node.number,
                 successors,
                 owner,
                 held: None,
@@ -253,7 +252,7 @@
     /// from its disk; the default if the disk is empty, an older copy, or another node's.
     pub fn new(me: u32, config: &SitesConfig, persisted: &PersistedOwnership) -> KeyOwnership {
         let ranges = build_ranges(config, &persisted.fences);
-        let nodes: BTreeSet<u32> = ranges.iter().map(|r| r.number).collect();
+        let nodes: BTreeSet<u32> = ranges.iter().map(|r| r.home_number).collect();
         let used_other_config = !persisted.current_nodes.is_empty() && persisted.current_nodes != nodes;
         // The same rule as in [`KeyOwnership::update_config`].
         let settled_nodes = if used_other_config && persisted.settled_nodes != persisted.current_nodes {
@@ -266,7 +265,7 @@
     }
 
     fn nodes(&self) -> BTreeSet<u32> {
-        self.ranges.iter().map(|r| r.number).collect()
+        self.ranges.iter().map(|r| r.home_number).collect()
     }
 
     /// Applies another configuration. Ranges that it still names keep their leases.
@@ -300,7 +299,7 @@
     /// Returns the range of a key, which is that of the node with the greatest rendezvous weight.
     fn range(&self, key: &str) -> Option<&Range> {
         let key = key_hash(key);
-        self.ranges.iter().max_by_key(|r| (rendezvous_weight(key, r.number), r.number))
+        self.ranges.iter().max_by_key(|r| (rendezvous_weight(key, r.home_number), r.home_number))
     }
 
     /// Returns whether another node may still be the key's home by another configuration.
@@ -433,15 +432,16 @@
             return Err(PlacementError::NoLease { home: String::new() });
         };
         let home = range.home.clone();
-        // A time before the request means that the clock was set back.
+        // If the clock was set back to before the request of the lease, the time left of the lease is unknown.
         let Some(held) = range.held.filter(|h| now < h.expires_at && now >= h.requested_at) else {
-            let owner = self.ranges.iter().find(|r| Some(r.number) == range.owner && r.number != self.me);
+            let owner =
+                self.ranges.iter().find(|r| Some(r.home_number) == range.owner && r.home_number != self.me);
             return Err(match owner {
                 Some(owner) => PlacementError::Elsewhere { home: owner.home.clone() },
                 None => PlacementError::NoLease { home },
             });
         };
-        if self.is_moving(key, range.number) {
+        if self.is_moving(key, range.home_number) {
             return Err(PlacementError::Moving { home });
         }
         match range.proved {
--- a/crates/sites/src/load_allocation.rs
+++ b/crates/sites/src/load_allocation.rs
@@ -89,7 +89,8 @@
     #[serde(rename = "Worth")]
     Value(u64),
     /// A request that its client repeats.
-    Repeat,
+    #[serde(rename = "Repeat")]
+    ClientRetry,
     /// A further attempt at another backend server.
     FurtherAttempt,
     /// A request that must not run twice.
@@ -104,7 +105,7 @@
     /// Its value for each unit of work, in thousandths.
     pub value: u64,
     /// The client repeats the request.
-    pub repeat: bool,
+    pub client_retry: bool,
     /// A backend server has been tried already.
     pub further_attempt: bool,
     /// The request must not run twice.
@@ -117,7 +118,7 @@
         Job { above_share: true, .. } => RefusalRank::AboveShare,
         Job { guarded: true, .. } => RefusalRank::Guarded,
         Job { further_attempt: true, .. } => RefusalRank::FurtherAttempt,
-        Job { repeat: true, .. } => RefusalRank::Repeat,
+        Job { client_retry: true, .. } => RefusalRank::ClientRetry,
         Job { value, .. } => RefusalRank::Value(value),
     }
 }
--- a/crates/sites/src/recovery_ramp.rs
+++ b/crates/sites/src/recovery_ramp.rs
@@ -62,7 +62,7 @@
             }
             StepReason::LowTraffic => write!(f, "too few requests to judge the step"),
             StepReason::Failing(served, failed) => {
-                write!(f, "{served} requests were served and {failed} failed, too many")
+                write!(f, "too many requests failed: {failed}, while {served} were served")
             }
             StepReason::LostAgain => write!(f, "the site was lost again during the ramp"),
         }
--- a/crates/sites/tests/joint.rs
+++ b/crates/sites/tests/joint.rs
@@ -128,10 +128,10 @@
     /// The last durable entry of its own log.
     head: Point,
     replica: LogReplica,
-    book: AccountRegistry,
+    registry: AccountRegistry,
     balance: CreditBalance,
     note: Option<CreditRecord>,
-    taken: AcceptedRequests,
+    accepted_requests: AcceptedRequests,
     /// Running jobs, with the number of their durable placement.
     running: BTreeMap<u8, u64>,
     /// The fence of the guarded job's placement, which is not durable yet.
@@ -261,7 +261,7 @@
         let guarded = job == GUARDED;
         let key = Some(if guarded { "key".to_string() } else { job.to_string() });
         let class = if guarded { CLASS } else { "free" }.to_string();
-        let (server, standing) = ("s".to_string(), self.book.newest_number());
+        let (server, standing) = ("s".to_string(), self.registry.newest_number());
         let tenant = Some(ACME.to_string());
         let (list, taken) = (1, 1);
         let entry =
@@ -277,27 +277,34 @@
             self.note = Some(note);
         }
         let now = self.now();
-        let admission = decide(&self.book, Some(&mut self.balance), &self.taken, ACME, Some(&name(job)), now);
+        let admission = decide(
+            &self.registry,
+            Some(&mut self.balance),
+            &self.accepted_requests,
+            ACME,
+            Some(&name(job)),
+            now,
+        );
         let on_credit = match admission {
             AdmissionDecision::Refuse(_) => return None,
             admission => admission == AdmissionDecision::AdmitOnCredit,
         };
         self.started_on_credit += u64::from(on_credit);
-        self.taken.record(ACME, Some(&name(job)), 1);
-        if fault == Fault::ForgetsAdmitted && self.book.standing_at(ACME, 1).rejects_new_work() {
-            self.taken = AcceptedRequests::new(8, 100);
+        self.accepted_requests.record(ACME, Some(&name(job)), 1);
+        if fault == Fault::ForgetsAdmitted && self.registry.standing_at(ACME, 1).rejects_new_work() {
+            self.accepted_requests = AcceptedRequests::new(8, 100);
         }
         Some(on_credit)
     }
 
     fn receive(&mut self, fault: Fault, number: u64, what: impl FnOnce(&mut AccountRegistry)) {
         if fault == Fault::AcceptsOlder {
-            self.book = AccountRegistry::new();
+            self.registry = AccountRegistry::new();
         }
-        what(&mut self.book);
+        what(&mut self.registry);
         self.file_number = self.file_number.max(number);
-        if fault == Fault::ForgetsAdmitted && self.book.standing_at(ACME, 1).rejects_new_work() {
-            self.taken = AcceptedRequests::new(8, 100);
+        if fault == Fault::ForgetsAdmitted && self.registry.standing_at(ACME, 1).rejects_new_work() {
+            self.accepted_requests = AcceptedRequests::new(8, 100);
         }
     }
 }
@@ -329,10 +336,10 @@
             head: origin(&writer),
             writer,
             replica: LogReplica::of(History::new()),
-            book: AccountRegistry::new(),
+            registry: AccountRegistry::new(),
             balance: CreditBalance::restore(part, CREDIT.shrink_after, 1, Some(CreditRecord::default())),
             note: Some(CreditRecord::default()),
-            taken: AcceptedRequests::new(8, 100),
+            accepted_requests: AcceptedRequests::new(8, 100),
             running: BTreeMap::new(),
             pending: None,
             unconfirmed: false,
@@ -376,10 +383,10 @@
                 }
             }
         }
-        let (mut left, mut right) = (a.book.clone(), b.book.clone());
+        let (mut left, mut right) = (a.registry.clone(), b.registry.clone());
         if left.hash() != right.hash() {
-            left.merge(&b.book);
-            right.merge(&a.book);
+            left.merge(&b.registry);
+            right.merge(&a.registry);
         }
         let one_line = all[0].forks().is_empty() && all[1].forks().is_empty();
         one_line && all[0].canonical_bytes() == all[1].canonical_bytes() && left.hash() == right.hash()
@@ -392,7 +399,7 @@
         (site.life, site.requests, site.grant, site.pending, site.unconfirmed) =
             (life.incarnation, 0, None, None, true);
         if !disk {
-            (site.book, site.file_number, site.note) = (AccountRegistry::new(), 0, None);
+            (site.registry, site.file_number, site.note) = (AccountRegistry::new(), 0, None);
             site.running.clear();
             site.replica = LogReplica::of(History::new());
             if self.fault == Fault::KeepsName {
@@ -405,9 +412,9 @@
         }
         let note = if self.fault == Fault::RefillsCredit { Some(CreditRecord::default()) } else { site.note };
         site.balance = CreditBalance::restore(self.parts[n], CREDIT.shrink_after, 1, note);
-        site.taken = AcceptedRequests::new(8, 100);
+        site.accepted_requests = AcceptedRequests::new(8, 100);
         let names: Vec<Key> = site.running.keys().map(|job| name(*job)).collect();
-        site.taken.restore(names.iter().map(|name| (ACME, name, 0)), 1);
+        site.accepted_requests.restore(names.iter().map(|name| (ACME, name, 0)), 1);
         site.holder = Holder::new(life, 0, TERM);
         site.ownership = KeyOwnership::new(life.node.0, &self.config, &site.persisted);
         // All nodes use the same configuration.
@@ -453,8 +460,8 @@
         let site = Arc::make_mut(&mut s.sites[n]);
         let may = site.ownership.may_place(&self.key, now, |_| Proof::Unknown);
         let Some(fence) = may.ok().filter(|_| site.replica.known == KeyState::Free) else { return };
-        let must_reject =
-            rejects_new_jobs(site.file_number) && !site.taken.contains(ACME, Some(&name(GUARDED)), 1);
+        let must_reject = rejects_new_jobs(site.file_number)
+            && !site.accepted_requests.contains(ACME, Some(&name(GUARDED)), 1);
         if site.admit(self.fault, GUARDED).is_none() {
             return;
         }
@@ -480,7 +487,7 @@
             // The job certainly never ran, which the client learns.
             let of = site.running.remove(&GUARDED).unwrap();
             site.write(Entry::Ended { of, how: End::NeverRan });
-            site.taken.remove(ACME, Some(&name(GUARDED)));
+            site.accepted_requests.remove(ACME, Some(&name(GUARDED)));
         }
     }
 }
@@ -536,7 +543,7 @@
                 actions.extend([Step::Crash(n, true), Step::Crash(n, false)]);
             }
             if !s.partitioned {
-                if site.book.hash() != other.book.hash() {
+                if site.registry.hash() != other.registry.hash() {
                     actions.push(Step::SendRegistry(n));
                 } else if site.unconfirmed {
                     actions.push(Step::Confirm(n));
@@ -582,12 +589,12 @@
                 s.issued += 1;
                 let number = s.issued;
                 let site = Arc::make_mut(&mut s.sites[n]);
-                site.receive(fault, number as u64, |book| drop(book.add_file(&file(number))));
+                site.receive(fault, number as u64, |registry| drop(registry.add_file(&file(number))));
             }
             Step::SendRegistry(n) => {
-                let (book, number) = (s.sites[n].book.clone(), s.sites[n].file_number);
+                let (registry, number) = (s.sites[n].registry.clone(), s.sites[n].file_number);
                 let site = Arc::make_mut(&mut s.sites[1 - n]);
-                site.receive(fault, number, |known| drop(known.merge(&book)));
+                site.receive(fault, number, |known| drop(known.merge(&registry)));
             }
             Step::SendHistory(n) => {
                 let from = s.sites[n].clone();
@@ -602,7 +609,7 @@
             }
             Step::Confirm(n) => {
                 let site = Arc::make_mut(&mut s.sites[n]);
-                let change = site.book.change_at(ACME, 1);
+                let change = site.registry.change_at(ACME, 1);
                 site.balance.confirmed(&change);
                 (site.unconfirmed, site.started_on_credit) = (false, 0);
             }
@@ -649,12 +656,18 @@
             Property::always(REJECTED_WHEN_CLOSED, |_, s: &State| !s.admitted_wrongly),
             Property::always(RUNNING_CONTINUE, |_, s: &State| {
                 s.sites.iter().all(|site| {
-                    let sent = restrictions(&site.book, &mut CreditBalances::new(), site.now())
+                    let sent = restrictions(&site.registry, &mut CreditBalances::new(), site.now())
                         .get(ACME)
                         .is_none_or(|restriction| restriction.may_send);
                     let repeat = |job: &u8| {
-                        decide(&site.book, None, &site.taken, ACME, Some(&name(*job)), site.now())
-                            == AdmissionDecision::Admit
+                        decide(
+                            &site.registry,
+                            None,
+                            &site.accepted_requests,
+                            ACME,
+                            Some(&name(*job)),
+                            site.now(),
+                        ) == AdmissionDecision::Admit
                     };
                     sent && site.running.keys().all(repeat)
                 })
@@ -683,24 +696,25 @@
 const CONVERGED: &str = "histories and account registries converge";
 const ALWAYS: [&str; 6] = [ONCE, ONE_OWNER, WITHIN_CREDIT, REJECTED_WHEN_CLOSED, RUNNING_CONTINUE, CONVERGED];
 
-/// Limits for the key with a partition.
-const KEY_PARTITION: SearchLimits =
+/// Search limits for one guarded key, no account, and one partition without crashes.
+const KEY_WITH_PARTITION: SearchLimits =
     SearchLimits { ticks: 3, max_requests: 1, jobs: 0, files: 0, partitions: 1, crashes: 0, piece: 1 << 16 };
-/// Limits for the key with a crash.
-const KEY_CRASH: SearchLimits = SearchLimits { partitions: 0, crashes: 1, ..KEY_PARTITION };
-/// Limits for the account with a partition.
-const ACCOUNT: SearchLimits =
+/// Search limits for one guarded key, no account, and one crash without a partition.
+const KEY_WITH_CRASH: SearchLimits = SearchLimits { partitions: 0, crashes: 1, ..KEY_WITH_PARTITION };
+/// Search limits for one account, no guarded key, and one partition without crashes.
+const ACCOUNT_WITH_PARTITION: SearchLimits =
     SearchLimits { ticks: 0, max_requests: 0, jobs: 2, files: 2, partitions: 1, crashes: 0, piece: 1 << 16 };
-/// The account with a partition, a crash and one file.
-const ACCOUNT_CRASH: SearchLimits = SearchLimits { files: 1, crashes: 1, ..ACCOUNT };
-/// The key with a partition and a crash, for long searches.
-const KEY: SearchLimits = SearchLimits { crashes: 1, ..KEY_PARTITION };
-/// The account with a partition, a crash, all files, and history pieces of one entry, for long searches.
-const ACCOUNT_ALL: SearchLimits = SearchLimits { crashes: 1, piece: 1, ..ACCOUNT };
-/// The key and the account together, for long searches.
-const TOGETHER: SearchLimits = SearchLimits { max_requests: 2, jobs: 1, files: 1, ..KEY };
-/// The key and the account with larger limits, for random walks only.
-const ALL: SearchLimits =
+/// Search limits for one account with a partition, a crash and one accounts file.
+const ACCOUNT_WITH_CRASH: SearchLimits = SearchLimits { files: 1, crashes: 1, ..ACCOUNT_WITH_PARTITION };
+/// Search limits for one guarded key with a partition and a crash, for long searches.
+const KEY_WITH_BOTH: SearchLimits = SearchLimits { crashes: 1, ..KEY_WITH_PARTITION };
+/// Search limits for one account with a partition, a crash, two accounts files, and histories sent entry by entry; for long
+/// searches.
+const ACCOUNT_WITH_ALL_FILES: SearchLimits = SearchLimits { crashes: 1, piece: 1, ..ACCOUNT_WITH_PARTITION };
+/// Search limits for one guarded key and one account together, for long searches.
+const KEY_AND_ACCOUNT: SearchLimits = SearchLimits { max_requests: 2, jobs: 1, files: 1, ..KEY_WITH_BOTH };
+/// Limits of random walks over the guarded key and the account; too large for a search.
+const RANDOM_WALK: SearchLimits =
     SearchLimits { ticks: 6, max_requests: 3, jobs: 2, files: 2, partitions: 2, crashes: 2, piece: 1 };
 
 const SOMETIMES: [&str; 4] = [
@@ -736,10 +750,10 @@
 fn small_models_have_no_violation() {
     let max_states = 400_000;
     for (what, limits, reached) in [
-        ("the key with a partition", KEY_PARTITION, &SOMETIMES[..2]),
-        ("the key with a crash", KEY_CRASH, &SOMETIMES[..1]),
-        ("the account with a partition", ACCOUNT, &SOMETIMES[1..]),
-        ("the account with a partition and a crash", ACCOUNT_CRASH, &SOMETIMES[1..3]),
+        ("the key with a partition", KEY_WITH_PARTITION, &SOMETIMES[..2]),
+        ("the key with a crash", KEY_WITH_CRASH, &SOMETIMES[..1]),
+        ("the account with a partition", ACCOUNT_WITH_PARTITION, &SOMETIMES[1..]),
+        ("the account with a partition and a crash", ACCOUNT_WITH_CRASH, &SOMETIMES[1..3]),
     ] {
         let search = explore(Fault::None, limits, ONCE, max_states);
         assert_properties(what, &search, reached);
@@ -749,7 +763,7 @@
 
 /// Takes random walks through the model that is too large for a search, and returns the number of visited states.
 fn walk(seed: u64, max_states: usize) -> usize {
-    let world = world(Fault::None, ALL);
+    let world = world(Fault::None, RANDOM_WALK);
     let properties = world.properties();
     let (mut rng, mut visited) = (oorandom::Rand32::new(seed), 0);
     let mut pick = |count: usize| rng.rand_range(0..count as u32) as usize;
@@ -783,16 +797,16 @@
 #[test]
 fn each_injected_fault_is_found() {
     for (fault, limits, rule) in [
-        (Fault::GrantsEarly, KEY_PARTITION, ONE_OWNER),
-        (Fault::KeepsName, KEY_CRASH, ONCE),
-        (Fault::KeepsName, ACCOUNT_CRASH, WITHIN_CREDIT),
-        (Fault::KeepsName, ACCOUNT_CRASH, CONVERGED),
-        (Fault::SendsBeforeWrite, KEY_CRASH, ONCE),
-        (Fault::SendsAfterExpiry, KEY_PARTITION, ONCE),
-        (Fault::RefillsCredit, ACCOUNT_CRASH, WITHIN_CREDIT),
-        (Fault::AcceptsOlder, ACCOUNT, REJECTED_WHEN_CLOSED),
-        (Fault::ForgetsAdmitted, ACCOUNT, RUNNING_CONTINUE),
-        (Fault::SharesOwnLogOnly, ACCOUNT_CRASH, CONVERGED),
+        (Fault::GrantsEarly, KEY_WITH_PARTITION, ONE_OWNER),
+        (Fault::KeepsName, KEY_WITH_CRASH, ONCE),
+        (Fault::KeepsName, ACCOUNT_WITH_CRASH, WITHIN_CREDIT),
+        (Fault::KeepsName, ACCOUNT_WITH_CRASH, CONVERGED),
+        (Fault::SendsBeforeWrite, KEY_WITH_CRASH, ONCE),
+        (Fault::SendsAfterExpiry, KEY_WITH_PARTITION, ONCE),
+        (Fault::RefillsCredit, ACCOUNT_WITH_CRASH, WITHIN_CREDIT),
+        (Fault::AcceptsOlder, ACCOUNT_WITH_PARTITION, REJECTED_WHEN_CLOSED),
+        (Fault::ForgetsAdmitted, ACCOUNT_WITH_PARTITION, RUNNING_CONTINUE),
+        (Fault::SharesOwnLogOnly, ACCOUNT_WITH_CRASH, CONVERGED),
     ] {
         let search = explore(fault, limits, rule, 400_000);
         assert!(search.discovery(rule).is_some(), "{fault:?} does not violate: {rule}");
@@ -805,11 +819,15 @@
 #[ignore = "millions of states"]
 fn long_searches_find_no_violation() {
     println!("walks: {} states", walk(2, 3_000_000));
-    assert_properties("the key with both", &explore(Fault::None, KEY, ONCE, 10_000_000), &SOMETIMES[..2]);
+    assert_properties(
+        "the key with both",
+        &explore(Fault::None, KEY_WITH_BOTH, ONCE, 10_000_000),
+        &SOMETIMES[..2],
+    );
     assert_properties(
         "the account with both",
-        &explore(Fault::None, ACCOUNT_ALL, ONCE, 10_000_000),
+        &explore(Fault::None, ACCOUNT_WITH_ALL_FILES, ONCE, 10_000_000),
         &SOMETIMES[1..],
     );
-    assert_properties("together", &explore(Fault::None, TOGETHER, ONCE, 6_000_000), &SOMETIMES[..2]);
+    assert_properties("together", &explore(Fault::None, KEY_AND_ACCOUNT, ONCE, 6_000_000), &SOMETIMES[..2]);
 }
--- a/crates/sites/tests/plan.rs
+++ b/crates/sites/tests/plan.rs
@@ -87,8 +87,8 @@
         Job { above_share: true, guarded: true, ..job },
         Job { value: 2, ..job },
         job,
-        Job { repeat: true, value: 1, ..job },
-        Job { further_attempt: true, repeat: true, ..job },
+        Job { client_retry: true, value: 1, ..job },
+        Job { further_attempt: true, client_retry: true, ..job },
         Job { guarded: true, ..job },
     ];
     let ranks: Vec<RefusalRank> = order.into_iter().map(refusal_rank).collect();
@@ -161,14 +161,14 @@
         let config = fleet_config(&reserved_percents, [0; 3], "");
         let mut all = all;
         all.iter_mut().for_each(|s| s.demand.retain(|c, _| c == "a"));
-        let before = total_rate(&allocate(&config, &by_name(&all), &class_values()));
+        let previous_rate = total_rate(&allocate(&config, &by_name(&all), &class_values()));
         let mut more_capacity = all.clone();
         more_capacity[which].capacity = more_capacity[which].capacity.saturating_add(more);
-        prop_assert!(total_rate(&allocate(&config, &by_name(&more_capacity), &class_values())) >= before);
+        prop_assert!(total_rate(&allocate(&config, &by_name(&more_capacity), &class_values())) >= previous_rate);
         if matches!(all[which].state, SiteState::Lost | SiteState::Alone | SiteState::Returning) {
             let mut more_demand = all;
             *more_demand[which].demand.get_mut("a").unwrap() += more;
-            prop_assert!(total_rate(&allocate(&config, &by_name(&more_demand), &class_values())) >= before);
+            prop_assert!(total_rate(&allocate(&config, &by_name(&more_demand), &class_values())) >= previous_rate);
         }
     }
 }
--- a/crates/sites/tests/sight/main.rs
+++ b/crates/sites/tests/sight/main.rs
@@ -181,7 +181,10 @@
     at.receive(number(1), &message, 1).unwrap();
     assert_eq!(at.load("s1"), message.load);
     let distant = Message { heartbeat: message.heartbeat + (1 << 33), ..message };
-    assert_eq!(at.receive(number(1), &distant, 2), Err(ReceiveError::OutOfReach(distant.heartbeat)));
+    assert_eq!(
+        at.receive(number(1), &distant, 2),
+        Err(ReceiveError::ImplausibleHeartbeat(distant.heartbeat))
+    );
 }
 
 /// Generates small numbers and boundary values.
--- a/tests/node/sites.rs
+++ b/tests/node/sites.rs
@@ -172,9 +172,13 @@
     };
     node.logs("site east Lost");
     for (version, more, notified) in [
-        (2, "", "it is (version 2), and this node has gone by version 3"),
-        (3, "", "it is another file than the one of (version 3)"),
-        (4, "(lost east (number 3))", "it declares east lost by number 3, and number 4 was declared before"),
+        (2, "", "the file has (version 2), and this node has already used version 3"),
+        (3, "", "the file differs from the one of (version 3)"),
+        (
+            4,
+            "(lost east (number 3))",
+            "the file declares east lost by number 3, and number 4 was declared before",
+        ),
     ] {
         files.sites(0, version, more);
         node.hang_up();
@@ -197,9 +201,9 @@
         String::from_utf8_lossy(&out.stderr).to_string()
     };
     let text = begins(3, "(lost east (number 4))");
-    assert!(text.contains("it is (version 3), and this node has gone by version 4"), "{text}");
+    assert!(text.contains("the file has (version 3), and this node has already used version 4"), "{text}");
     let text = begins(5, "(lost east (number 4))");
-    assert!(text.contains("it declares east lost by number 4"), "{text}");
+    assert!(text.contains("the file declares east lost by number 4"), "{text}");
     files.sites(0, 5, "(lost east (number 5))");
     let node = files.start(0, &server);
     node.logs("site east Lost");
