--- a/crates/audit/src/audit_log.rs
+++ b/crates/audit/src/audit_log.rs
@@ -124,7 +124,7 @@
     SampledDecision {
         /// Number of the version vector at the decision.
         vector: u64,
-        /// The logged decision.
+        /// The decision with its request, server and reason.
         decision: Decision,
     },
     /// Single decisions that the rate limit has dropped since the last entry of this kind.
@@ -140,7 +140,7 @@
 pub struct Timed {
     /// Unix time in microseconds by the node's clock, which may go backwards.
     pub at: Micros,
-    /// The logged entry.
+    /// The process start, version change or decisions logged at that time.
     pub entry: Entry,
 }
 
--- a/crates/audit/src/gossip.rs
+++ b/crates/audit/src/gossip.rs
@@ -91,12 +91,12 @@
     LogForked {
         /// The node's number.
         node: u32,
-        /// Number of the entry.
+        /// Number of the entry that has two digests.
         number: u64,
     },
     /// Peers know a position of this node's own log that the log on its disk has to be checked against.
     OwnLogClaim {
-        /// Id of the log.
+        /// Id of the log that the position belongs to.
         log_id: u64,
         /// The position that peers know.
         point: ChainPoint,
@@ -172,13 +172,13 @@
         unix: Micros,
         now: Micros,
     ) {
-        let shared = vector.shared();
-        let content = shared.content_hash();
+        let shared_vector = vector.shared();
+        let content = shared_vector.content_hash();
         let before = self.known.get(&self.me).map(|k| k.report);
         if before.is_some_and(|r| (r.content, r.log_id, r.head) == (content, log_id, head)) {
             return;
         }
-        self.vectors.insert(content, shared);
+        self.vectors.insert(content, shared_vector);
         let at = before.map_or(unix, |r| unix.max(r.at.saturating_add(1)));
         self.apply_report(NodeReport { node: self.me, at, log_id, head, content }, now);
     }
@@ -239,9 +239,9 @@
     /// Applies a message; reports of unknown nodes and reports no newer than the known one are ignored.
     pub fn receive(&mut self, message: &Message, now: Micros) {
         for vector in message.vectors.iter().take(MAX_VECTORS) {
-            let shared = vector.shared();
+            let shared_vector = vector.shared();
             // `drop_unused_vectors` removes it once no node reports it.
-            self.vectors.entry(shared.content_hash()).or_insert(shared);
+            self.vectors.entry(shared_vector.content_hash()).or_insert(shared_vector);
         }
         let disputed = message.disputed.iter().take(MAX_REPORTS);
         self.updates.extend(
--- a/crates/audit/src/version.rs
+++ b/crates/audit/src/version.rs
@@ -208,8 +208,8 @@
         Some(VersionChange { item, from, to })
     }
 
-    /// Returns the part that other nodes need: without the server list, which changes often, without numbers that each node
-    /// assigns itself, and without parents.
+    /// Returns the part that nodes exchange and compare: without the server list, which changes often, without numbers that each
+    /// node assigns itself, and without parents.
     pub fn shared(&self) -> VersionVector {
         let items = self.0.iter().filter(|(item, _)| **item != Item::List);
         let without_history = |item: Item, v: &Version| {
--- a/crates/audit/tests/model.rs
+++ b/crates/audit/tests/model.rs
@@ -48,7 +48,7 @@
 enum Step {
     Tick,
     /// Time advances by one tick, and the node's clock doesn't.
-    SlowTick,
+    TickWithStoppedClock,
     Ask,
     Answer((u8, i64)),
     /// An answer arrives, and may arrive again later.
@@ -82,7 +82,7 @@
         if state.now < LAST {
             steps.push(Step::Tick);
             if state.missed.count_ones() < 2 {
-                steps.push(Step::SlowTick);
+                steps.push(Step::TickWithStoppedClock);
             }
         }
         if state.requests.len() < 2 && !state.requests.contains(&(state.restarts, state.clock)) {
@@ -109,7 +109,7 @@
                 (state.now, state.clock) = (state.now + 1, state.clock + 1);
                 state.missed = state.missed << 1 & 15;
             }
-            Step::SlowTick => {
+            Step::TickWithStoppedClock => {
                 state.now += 1;
                 state.missed = (state.missed << 1 | 1) & 15;
             }
--- a/crates/audit/tests/peers.rs
+++ b/crates/audit/tests/peers.rs
@@ -126,11 +126,11 @@
     assert!(messages <= 1.05 && bytes <= 1_200.0, "{messages} messages, {bytes} bytes");
 }
 
-/// Prints the table of the design note.
+/// Prints the spread times and idle message rates for several fleet sizes and loss rates.
 ///
 /// Run with `cargo test --release -p shorepath-audit --test peers -- --ignored --nocapture`.
 #[test]
-#[ignore = "takes minutes: prints the table of the design note"]
+#[ignore = "takes minutes: prints spread times and message rates"]
 fn print_spread_table() {
     for (count, lost) in [(5, 0), (100, 0), (100, 3), (300, 0), (300, 3), (1_000, 0)] {
         let (reached, messages, bytes) = measure(count, lost);
@@ -189,7 +189,7 @@
     assert_eq!(receive(&mut node, report(12, 4, point(7, 2)), 2_000_000), [[(4, point(7, 1))]]);
     assert_eq!(receive(&mut node, report(13, 4, point(9, 2)), 4_000_000), [[(4, point(7, 1))]]);
     assert!(receive(&mut node, report(14, 5, point(1, 2)), 6_000_000).is_empty());
-    // The informed node is asked to check its log.
+    // A node that receives a disputed position asks its caller to check the log.
     let mut informed = Gossip::new(2, &[1, 2, 3], Intervals::default(), 5, 0);
     informed.receive(&Message { disputed: vec![(4, point(7, 1))], ..Message::default() }, 1);
     assert_eq!(informed.take_updates(), [AuditUpdate::OwnLogClaim { log_id: 4, point: point(7, 1) }]);
--- a/crates/recovery/tests/model.rs
+++ b/crates/recovery/tests/model.rs
@@ -19,7 +19,7 @@
     IgnoreOpenIntents,
     /// A peer with a lost disk is trusted when it knows nothing of the request.
     TrustLostDisk,
-    /// A peer that is asked doesn't cede the key.
+    /// A peer replies without ceding the key, so that both nodes may send the request.
     NoCede,
 }
 
