--- a/crates/placements/src/anti_entropy.rs
+++ b/crates/placements/src/anti_entropy.rs
@@ -292,7 +292,7 @@
 
 /// State of a log that the peer normally receives from another node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum CoveredLog {
+enum RelayedLog {
     /// The peer lacks entries and has made no progress since that time.
     Stalled(Micros),
     /// The peer made no progress for too long: this node sends the entries until the peer receives some from
@@ -367,10 +367,11 @@
     unreported_bytes: usize,
     /// The peer needs the next summary before it can go on.
     peer_waits: bool,
-    /// Nodes, by site and name, whose logs the peer receives from other nodes.
-    covered_nodes: BTreeSet<(String, String)>,
-    /// States of those nodes' logs of which the peer lacks entries.
-    covered_logs: BTreeMap<Writer, CoveredLog>,
+    /// Nodes, by site and name, whose logs this node relays only if the peer doesn't receive them from
+    /// others.
+    relayed_nodes: BTreeSet<(String, String)>,
+    /// States of those nodes' logs in which the peer lacks entries.
+    relayed_logs: BTreeMap<Writer, RelayedLog>,
     next_check: Micros,
     locators_due: BTreeSet<Writer>,
     next_full_summary: Micros,
@@ -407,8 +408,8 @@
             summaries_due: BTreeSet::new(),
             unreported_bytes: 0,
             peer_waits: false,
-            covered_nodes: BTreeSet::new(),
-            covered_logs: BTreeMap::new(),
+            relayed_nodes: BTreeSet::new(),
+            relayed_logs: BTreeMap::new(),
             next_check: now,
             locators_due: BTreeSet::new(),
             next_full_summary: now,
@@ -422,18 +423,18 @@
         }
     }
 
-    /// Sets nodes, by site and name, whose logs the peer receives from other nodes. Entries of these logs are
-    /// sent from here only after the peer has lacked some of them and made no progress for three times
+    /// Sets the nodes, by site and name, whose logs the peer normally receives from others. This node relays
+    /// entries of these logs only after the peer has lacked some of them and made no progress for three times
     /// [`Settings::summary_delay`].
-    pub fn set_covered_nodes(&mut self, nodes: BTreeSet<(String, String)>) {
-        self.covered_nodes = nodes;
-        self.covered_logs.clear();
+    pub fn set_relayed_nodes(&mut self, nodes: BTreeSet<(String, String)>) {
+        self.relayed_nodes = nodes;
+        self.relayed_logs.clear();
     }
 
-    fn is_covered(&self, writer: &Writer) -> bool {
-        // Avoids cloning the names in the common case without covered nodes.
-        !self.covered_nodes.is_empty()
-            && self.covered_nodes.contains(&(writer.site.clone(), writer.node.clone()))
+    fn is_relayed(&self, writer: &Writer) -> bool {
+        // Avoids cloning the names in the common case without relayed nodes.
+        !self.relayed_nodes.is_empty()
+            && self.relayed_nodes.contains(&(writer.site.clone(), writer.node.clone()))
     }
 
     /// Returns whether a full summary of the peer's present incarnation has arrived.
@@ -492,7 +493,7 @@
                 if self.peer_incarnation.replace(incarnation) != Some(incarnation) {
                     self.peer_logs.clear();
                     self.unconfirmed.clear();
-                    self.covered_logs.clear();
+                    self.relayed_logs.clear();
                     self.in_flight.clear();
                     (self.incoming_summary, self.last_full_summary) = ((0, BTreeSet::new()), 0);
                     self.complete = false;
@@ -580,13 +581,13 @@
             return;
         }
         let (points, keys) = (&peer_log.points, peer_log.receiving.map_or(0, |(_, keys)| keys));
-        if let Some(state) = self.covered_logs.get(&writer) {
+        if let Some(state) = self.relayed_logs.get(&writer) {
             // The peer made progress. It goes beyond what this node sent only if entries reach it from
             // elsewhere.
             let last_sent = self.unconfirmed.get(&writer).and_then(|t| t.points.iter().map(|p| p.0).max());
             let further = |last_sent| points.iter().any(|p| p.0 > last_sent);
-            if *state != CoveredLog::Sent || last_sent.is_some_and(further) {
-                self.covered_logs.remove(&writer);
+            if *state != RelayedLog::Sent || last_sent.is_some_and(further) {
+                self.relayed_logs.remove(&writer);
             }
         }
         let covers = |point: &Point| {
@@ -782,7 +783,7 @@
                 break;
             }
             let Some(writer) = writers.get(self.next_log % writers.len()) else { break };
-            let deferred = self.is_covered(writer) && self.is_deferred(replicas, writer, check_due, now);
+            let deferred = self.is_relayed(writer) && self.is_deferred(replicas, writer, check_due, now);
             match if deferred { None } else { self.next_message(replicas, writer) } {
                 Some((message, point, keys)) => {
                     let writer = writer.clone();
@@ -808,8 +809,8 @@
         check_due: bool,
         now: Micros,
     ) -> bool {
-        match self.covered_logs.get(writer) {
-            Some(CoveredLog::Sent) => return false,
+        match self.relayed_logs.get(writer) {
+            Some(RelayedLog::Sent) => return false,
             _ if !check_due => return true,
             _ => {}
         }
@@ -818,14 +819,14 @@
         let sealed = held_points.is_empty() && replicas.sealed(writer).0 > 0;
         let awaits_claim = peer_log.map_or(!self.complete, |t| t.ahead.is_some_and(|claim| !claim.given_up));
         if awaits_claim || !(sealed || replicas.missing(writer, held_points, 1).is_some()) {
-            self.covered_logs.remove(writer);
+            self.relayed_logs.remove(writer);
             return true;
         }
-        let state = self.covered_logs.entry(writer.clone()).or_insert(CoveredLog::Stalled(now));
+        let state = self.relayed_logs.entry(writer.clone()).or_insert(RelayedLog::Stalled(now));
         match *state {
-            CoveredLog::Stalled(since) if now - since < 3 * self.settings.summary_delay => true,
+            RelayedLog::Stalled(since) if now - since < 3 * self.settings.summary_delay => true,
             _ => {
-                *state = CoveredLog::Sent;
+                *state = RelayedLog::Sent;
                 false
             }
         }
@@ -958,7 +959,7 @@
         if let Some(since) = self.in_flight.iter().map(|f| f.since).min() {
             due = due.min(since + self.settings.resend_after);
         }
-        if !self.covered_logs.is_empty() {
+        if !self.relayed_logs.is_empty() {
             due = due.min(self.next_check);
         }
         let claims = self.peer_logs.values().filter_map(|t| t.ahead).filter(|claim| !claim.given_up);
--- a/crates/placements/src/reconcile.rs
+++ b/crates/placements/src/reconcile.rs
@@ -36,8 +36,8 @@
     /// is dropped when the newer one is full. The keys are divided into up to 64 parts, each of which does
     /// this by itself.
     pub max_repeatable_keys: usize,
-    /// Maximum number of recent placements that are stored for each account, so that changes of standing
-    /// which are learned later apply to them.
+    /// Maximum number of recent placements that are stored for each account, to evaluate them again when a
+    /// change of the account's standing arrives late.
     pub placements_per_account: usize,
     /// Maximum number of steps of one slice (see [`Reconciler::slice`]).
     pub steps_per_slice: usize,
@@ -71,7 +71,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DebtKind {
-    /// Jobs that were started without a confirmed standing.
+    /// Jobs that were started while the account's standing was unconfirmed.
     Credit,
     /// Jobs above the quota.
     Quota,
@@ -178,7 +178,7 @@
     Violation(DuplicateRun),
 }
 
-/// Counters of what was read.
+/// Counts of the entries that a reconciler has read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     /// Number of placements.
@@ -194,7 +194,7 @@
     pub repeated: u64,
     /// Number of repeatable placements that were given up without an end.
     pub lost: u64,
-    /// Number of placements without a confirmed standing.
+    /// Number of placements that were accepted while the account's standing was unconfirmed.
     pub on_credit: u64,
 }
 
@@ -276,12 +276,13 @@
     fence: u64,
     standing: u64,
     how: Option<End>,
-    /// A decision that the placement may have run was returned.
+    /// [`Decision::MayHaveRun`] was returned for the placement.
     reported: bool,
 }
 
+/// The placements of a guarded key.
 #[derive(Clone, Debug, Default)]
-struct Key {
+struct KeyRecord {
     key_placements: Vec<(Place, KeyPlacement)>,
     /// Number of placements in the last reported violation.
     reported: usize,
@@ -343,13 +344,13 @@
     /// Sealed part of a log of which not all retained keys were read yet: the log, its last sealed entry, and
     /// the number of keys read.
     sealing: Option<(Writer, Point, u64)>,
-    /// Placements that are to be evaluated again after a change of standing.
+    /// Placements that are to be evaluated again because their account's standing has changed.
     to_evaluate: VecDeque<(String, (Micros, Place))>,
     writers: BTreeMap<Writer, u32>,
     writers_by_number: Vec<Writer>,
     sites: Names,
     names: Names,
-    keys: BTreeMap<(u32, String), Key>,
+    keys: BTreeMap<(u32, String), KeyRecord>,
     open: BTreeMap<Place, Open>,
     /// Open placements by the time of their placement.
     due: BTreeSet<(Micros, Place)>,
@@ -360,7 +361,7 @@
     /// Placements of a tenant in a span, and how many of them were charged.
     quotas: BTreeMap<(Micros, String), (u64, u64)>,
     /// Use of a server in a span: a bit for each site that used it, a bit for each of them that was isolated,
-    /// and whether the decision was returned.
+    /// and whether [`Decision::SharedServer`] was returned.
     servers: BTreeMap<(Micros, u32), (u64, u64, bool)>,
     counts: Counts,
     debts: BTreeMap<(String, DebtKind), u64>,
@@ -464,8 +465,8 @@
         count
     }
 
-    /// Sets how many jobs a tenant may start without a confirmed standing at all sites together. Only jobs
-    /// accepted after `since`, the Unix time of the last confirmation in microseconds, count.
+    /// Sets how many jobs a tenant may start at all sites together while its standing is unconfirmed. Only
+    /// jobs accepted after `since`, the Unix time of the last confirmation in microseconds, count.
     pub fn set_credit(&mut self, tenant: &str, limit: u64, since: Micros) -> Vec<Decision> {
         let account = self.accounts.entry(tenant.to_string()).or_default();
         if account.credit.is_none_or(|(_, before)| before != since) {
@@ -675,7 +676,7 @@
                         .digest_on_branch(writer, &(number, digest), of)
                         .map(|d| (writer_number, of, digest_prefix(&d)));
                     let has_place =
-                        |key: &Key| key.key_placements.iter().any(|(place, _)| Some(*place) == own);
+                        |key: &KeyRecord| key.key_placements.iter().any(|(place, _)| Some(*place) == own);
                     let class_and_key = self
                         .keys
                         .iter()
--- a/crates/placements/tests/exchange.rs
+++ b/crates/placements/tests/exchange.rs
@@ -150,7 +150,7 @@
         let mut exchange = Exchange::new(settings, 1 + a as u64, 0);
         if network.direct {
             let others = (0..count).filter(|k| *k != a);
-            exchange.set_covered_nodes(others.map(|k| (format!("site{k}"), format!("site{k}-1"))).collect());
+            exchange.set_relayed_nodes(others.map(|k| (format!("site{k}"), format!("site{k}-1"))).collect());
         }
         exchanges.insert((a, b), exchange);
     }
@@ -343,7 +343,7 @@
 /// Guards against sending logs that the peer receives from their writers, and against never sending them when
 /// these links are dead.
 #[test]
-fn covered_logs_are_relayed_only_when_stalled() {
+fn relayed_logs_are_sent_only_when_stalled() {
     // Each node knows its own log only.
     let initial_nodes = || {
         let own = |k: u64| {
--- a/src/net/placing/exchange.rs
+++ b/src/net/placing/exchange.rs
@@ -19,7 +19,7 @@
         exchanges.retain(|node, _| peers.iter().any(|(peer, _)| peer == node));
         for (node, spare) in peers {
             let new = || Exchange::new(Settings::default(), self.life, now);
-            exchanges.entry(node).or_insert_with(new).set_covered_nodes(spare);
+            exchanges.entry(node).or_insert_with(new).set_relayed_nodes(spare);
         }
     }
 
