--- a/crates/scheduler/src/action.rs
+++ b/crates/scheduler/src/action.rs
@@ -10,14 +10,14 @@
 pub enum Action {
     /// Start the next attempt of a request, which may run until its client gives up.
     StartAttempt {
-        /// The request concerned.
+        /// The request to send.
         id: RequestId,
         /// The endpoint to send the attempt to.
         endpoint: EndpointId,
     },
     /// Final answer: the request is shed, and the client may safely retry.
     Shed {
-        /// The request concerned.
+        /// The request to answer.
         id: RequestId,
         /// How long the client should wait before a retry, or `None` to give no advice.
         retry_after: Option<Micros>,
@@ -25,19 +25,19 @@
     /// Final answer: the request is not accepted here, because a quota on arrivals is used up or because the
     /// request belongs to another node.
     Reject {
-        /// The request concerned.
+        /// The request to answer.
         id: RequestId,
         /// The quota that is used up, or `None` for a request that belongs to another node.
         quota: Option<QuotaKind>,
     },
     /// Final answer: the request failed and may have run.
     Fail {
-        /// The request concerned.
+        /// The request to answer.
         id: RequestId,
     },
     /// Cancel an attempt that is in flight.
     CancelAttempt {
-        /// The request concerned.
+        /// The request that the attempt belongs to.
         id: RequestId,
         /// The number of the attempt to cancel.
         attempt: u32,
--- a/crates/scheduler/src/quota.rs
+++ b/crates/scheduler/src/quota.rs
@@ -68,7 +68,7 @@
 #[derive(Debug)]
 struct TrackedShare {
     share: QuotaShare,
-    meter: TokenBucket,
+    bucket: TokenBucket,
     demand: u64,
     used: u64,
     /// A request or probe had to wait for a unit.
@@ -77,8 +77,8 @@
 
 impl TrackedShare {
     fn new(share: QuotaShare, now: Micros) -> Self {
-        let meter = TokenBucket::new(share.window, now);
-        TrackedShare { share, meter, demand: 0, used: 0, is_short: Cell::new(false) }
+        let bucket = TokenBucket::new(share.window, now);
+        TrackedShare { share, bucket, demand: 0, used: 0, is_short: Cell::new(false) }
     }
 
     /// Records a shortage if no unit is available.
@@ -103,7 +103,7 @@
     /// Replaces the shares. A share keeps its unused units and its usage if its window is unchanged.
     pub fn set(&mut self, now: Micros, shares: Vec<QuotaShare>) {
         for tracked in self.shares.values_mut() {
-            tracked.meter.refill(now, tracked.share.units);
+            tracked.bucket.refill(now, tracked.share.units);
         }
         let mut before = std::mem::take(&mut self.shares);
         for share in shares {
@@ -157,17 +157,17 @@
     /// kind.
     fn time_until_available(&mut self, now: Micros, kind: QuotaKind) -> Option<Micros> {
         let tracked = self.shares.get_mut(&kind)?;
-        tracked.meter.refill(now, tracked.share.units);
-        if tracked.meter.has_token() {
+        tracked.bucket.refill(now, tracked.share.units);
+        if tracked.bucket.has_token() {
             return None;
         }
         tracked.is_short.set(true);
-        Some(tracked.meter.next_token_at(tracked.share.units).map_or(NEVER, |at| (at - now).clamp(1, NEVER)))
+        Some(tracked.bucket.next_token_at(tracked.share.units).map_or(NEVER, |at| (at - now).clamp(1, NEVER)))
     }
 
     fn spend(&mut self, kind: QuotaKind) {
         if let Some(tracked) = self.shares.get_mut(&kind) {
-            tracked.used += u64::from(tracked.meter.take());
+            tracked.used += u64::from(tracked.bucket.take());
         }
     }
 
@@ -183,10 +183,10 @@
     /// Returns whether a unit is available, without taking it.
     pub fn is_available(&self, now: Micros, kind: QuotaKind) -> bool {
         let Some(tracked) = self.shares.get(&kind) else { return true };
-        let mut meter = tracked.meter;
-        meter.refill(now, tracked.share.units);
-        tracked.note_availability(meter.has_token());
-        meter.has_token()
+        let mut bucket = tracked.bucket;
+        bucket.refill(now, tracked.share.units);
+        tracked.note_availability(bucket.has_token());
+        bucket.has_token()
     }
 
     /// Takes the units that the next attempt of a request needs from all quotas.
--- a/crates/scheduler/src/scheduler/admission.rs
+++ b/crates/scheduler/src/scheduler/admission.rs
@@ -186,9 +186,9 @@
     fn arrival_rate(&self, tenant: usize) -> f64 {
         let window = self.settings.recent_window();
         let age = (self.now - self.demand.since.unwrap_or(self.now)) as f64;
-        let observed_fraction =
+        let observed_window_fraction =
             (1.0 - (-age / window).exp()).max(self.settings.eighth_of_recent_window() as f64 / window);
-        self.demand.arrivals[tenant].rate(self.now, window) / observed_fraction
+        self.demand.arrivals[tenant].rate(self.now, window) / observed_window_fraction
     }
 
     /// Returns the tokens that a request costs.
@@ -232,7 +232,7 @@
     /// a request beyond its tenant's share. Harm: while more is lost, a tenant keeps its deficit through
     /// idle periods.
     pub(super) fn may_reset_deficit(&self, queue: usize, tenant: usize) -> bool {
-        // A single bad sample is no evidence; two in a row are.
+        // One or two lost requests in a row don't show an overload.
         let two_samples = 2.0 * crate::concurrency_limit::SAMPLE_WEIGHT;
         self.settings.quota(tenant).is_none()
             || self.lost_share(queue) <= self.settings.over_share_fraction.max(two_samples)
--- a/crates/scheduler/src/scheduler/attempts.rs
+++ b/crates/scheduler/src/scheduler/attempts.rs
@@ -256,12 +256,12 @@
         if attempt.started_at.is_none() {
             tracked.unstarted = tracked.unstarted.saturating_sub(1);
         }
-        let is_stale = attempt.connection_idle > 0 && attempt.started_at.is_none();
+        let is_stale_connection = attempt.connection_idle > 0 && attempt.started_at.is_none();
         match status {
             AttemptStatus::Ok => self.record_served_job(attempt),
             AttemptStatus::Overloaded => self.record_overload(attempt),
             // A reset before the start, on a connection that had been idle, is a fault of the connection.
-            AttemptStatus::Reset if is_stale => {
+            AttemptStatus::Reset if is_stale_connection => {
                 let time_constant = self.connection_time_constant();
                 self.stale_connections.record(now, attempt.connection_idle, true, time_constant);
             }
--- a/crates/scheduler/src/scheduler/selection.rs
+++ b/crates/scheduler/src/scheduler/selection.rs
@@ -13,7 +13,7 @@
 pub(super) const ENDPOINTS_COMPARED: usize = 3;
 /// The search for candidates stops at this multiple of the number needed.
 const SEARCH_MULTIPLE: usize = 4;
-/// Lower bound of the share of lost requests that the cost of another zone is weighed against.
+/// Lower bound of the share of lost requests that the costs of other zones and of probes are compared with.
 pub(super) const MIN_LOST_SHARE: f64 = 0.05;
 /// Multiple of an equal share of the attempts in flight that one endpoint may have, if starts are not
 /// reported.
@@ -51,10 +51,10 @@
     min_candidates: usize,
     /// Upper bound of the attempts in flight at an endpoint, if starts are not reported.
     max_in_flight: f64,
-    /// The share of lost requests that the cost of another zone is weighed against.
-    reference_loss: f64,
-    /// The losses within the scheduler's own zone.
-    local_loss: f64,
+    /// The queue's share of lost requests, at least [`MIN_LOST_SHARE`].
+    lost_share: f64,
+    /// The loss of the scheduler's own zone, to compare other zones with; see `ZoneLosses::loss`.
+    own_zone_loss: f64,
     /// Whether suspected endpoints are candidates, too.
     includes_suspected: bool,
 }
@@ -83,8 +83,8 @@
             } else {
                 1.0 + UNREPORTED_SHARE_MULTIPLE * (in_flight + 1.0) / endpoints
             },
-            reference_loss: scheduler.lost_share(queue_index).max(MIN_LOST_SHARE),
-            local_loss: scheduler.zone_losses.loss(settings.zone),
+            lost_share: scheduler.lost_share(queue_index).max(MIN_LOST_SHARE),
+            own_zone_loss: scheduler.zone_losses.loss(settings.zone),
             includes_suspected,
         }
     }
@@ -168,11 +168,10 @@
 
     /// Returns the factor by which another zone lowers a weight.
     ///
-    /// Departure: it compares the cost of crossing zones and the additional losses of that zone with the
-    /// share of lost requests.
+    /// Departure: it is `1 + (cross-zone cost + additional loss of that zone) / share of lost requests`.
     fn zone_factor(&self, zone: ZoneId) -> f64 {
-        let more_loss = (self.scheduler.zone_losses.loss(zone) - self.local_loss).max(0.0);
-        1.0 + (self.scheduler.settings.cross_zone_cost + more_loss) / self.reference_loss
+        let additional_loss = (self.scheduler.zone_losses.loss(zone) - self.own_zone_loss).max(0.0);
+        1.0 + (self.scheduler.settings.cross_zone_cost + additional_loss) / self.lost_share
     }
 
     /// Returns whether a job with a work hint would end too late at an endpoint, or overload one in slow
--- a/crates/scheduler/src/scheduler/slow_start.rs
+++ b/crates/scheduler/src/scheduler/slow_start.rs
@@ -17,9 +17,10 @@
 const BUDGET_FRACTION: f64 = 0.9;
 
 impl Scheduler {
-    /// Returns the fraction of its full load that an endpoint may get at a time. It is the fraction of
-    /// capacity for the endpoint's age, which rises evenly from the fraction at its start, times half the
-    /// multiple at which the endpoint fails, and at most 1.
+    /// Returns the fraction of its full load that an endpoint may get at a time. It is the fraction of its
+    /// capacity that the endpoint has at its age, times half of `overload_multiple` if that is above 1, and
+    /// at most 1. The fraction of capacity rises linearly from `slow_start_min_share` to 1 over
+    /// `slow_start_duration`.
     pub(super) fn slow_start_load_fraction(&self, tracked: &TrackedEndpoint, at: Micros) -> f64 {
         let started_at = tracked.endpoint.started_at;
         let age = (at - started_at) as f64 / self.settings.slow_start_duration.max(1) as f64;
@@ -40,12 +41,13 @@
             && job.total_work > load_fraction * capacity * self.settings.overload_window as f64
     }
 
-    /// Returns the work per microsecond that this scheduler may send to an endpoint in slow start. The limit
-    /// for all schedulers is half the multiple at which the endpoint fails, and at most its capacity. If the
-    /// part of this scheduler is agreed on, it may use that part of the limit. Otherwise it may send what
-    /// its served jobs amount to on an endpoint of that capacity or, if greater, this process's equal part
-    /// of the limit. The rate is multiplied by the mean fraction of load since the last attempt and reduced
-    /// by a tenth, which keeps all schedulers together below the limit.
+    /// Returns the work per microsecond that this scheduler may send to an endpoint in slow start.
+    ///
+    /// All schedulers together may send the endpoint's capacity, or half of `overload_multiple` times it if
+    /// that is less. This scheduler's part is its agreed share of that. Without one it is
+    /// the rate at which this scheduler's jobs are served, scaled to the endpoint's capacity, or an equal
+    /// part for each process if that is greater. The result is that part times the load fraction halfway
+    /// between the last attempt and now, less a tenth as a margin.
     fn slow_start_rate(&self, tracked: &TrackedEndpoint) -> f64 {
         let settings = &self.settings;
         let capacity = tracked.endpoint.capacity;
@@ -61,8 +63,8 @@
         BUDGET_FRACTION * load_fraction * rate
     }
 
-    /// Returns the fraction of the budget of a first job that this scheduler has when an endpoint starts,
-    /// from 0 to 1. It differs between schedulers, so that their first jobs arrive one after another.
+    /// Returns the budget that this scheduler has when an endpoint starts, as a fraction from 0 to 1 of the
+    /// mean work of a job. It differs between schedulers, so that their first jobs arrive one after another.
     pub(super) fn slow_start_phase(&mut self, endpoint: &Endpoint) -> f64 {
         let schedulers = f64::from(self.settings.schedulers.max(1));
         let random_phase = self.rng.rand_float();
@@ -87,8 +89,8 @@
     /// A job may be sent each time the budget has grown by the work of a job of its class, within a limited
     /// time after that. The time is how long all schedulers take to consider an endpoint of full capacity
     /// once each or, if longer, the time in which all of them together send no more than `3/4 N + sqrt(N)`
-    /// jobs, if `N` jobs make the endpoint fail. Guards against bursts in which all schedulers send the work
-    /// that they have saved. A probe for the request has been paid for before.
+    /// jobs, where `N` jobs overload the endpoint. Guards against bursts in which all schedulers use up
+    /// their budgets at once. The work of a probe for the request was charged before.
     pub(super) fn slow_start_remainder(
         &self,
         tracked: &TrackedEndpoint,
@@ -109,9 +111,9 @@
         let visit_interval =
             mean / (ENDPOINTS_COMPARED + PROBES_PER_ROUND) as f64 * f64::from(self.settings.schedulers);
         let send_window = visit_interval.max(window * (0.5 + 2.0 * (mean / tolerated_work).sqrt()));
-        let is_our_turn =
+        let may_send_now =
             budget >= step && budget % step <= self.slow_start_rate(tracked) * send_window * step / work;
-        is_our_turn.then(|| budget % step + step - work - prepaid_probe_work)
+        may_send_now.then(|| budget % step + step - work - prepaid_probe_work)
     }
 
     /// Charges the budget of an endpoint for an attempt.
--- a/crates/scheduler/src/settings.rs
+++ b/crates/scheduler/src/settings.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// Settings of a class of requests.
+/// Latency objective, deadline, priority and idempotency of a class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
     /// An answer is in time within this, plus `work_factor` times the request's own work.
--- a/crates/scheduler/src/settings_object.rs
+++ b/crates/scheduler/src/settings_object.rs
@@ -153,7 +153,7 @@
     #[error("names a class twice")]
     DuplicateClass,
     /// The limit of attempts is 0.
-    #[error("allows no attempts")]
+    #[error("allows no attempts: 'allowed.try_limit' must be at least 1")]
     NoAttempts,
 }
 
--- a/crates/scheduler/src/stale_connections.rs
+++ b/crates/scheduler/src/stale_connections.rs
@@ -33,10 +33,11 @@
         if idle <= 0 {
             return;
         }
-        let entry = &mut self.0[bucket(idle)];
-        let decay = if is_lost { 1.0 } else { entry.decay(now, time_constant) };
-        entry.share = SAMPLE_WEIGHT * as_sample(is_lost) + (1.0 - SAMPLE_WEIGHT) * entry.share * decay;
-        entry.updated_at = now;
+        let loss_share = &mut self.0[bucket(idle)];
+        let decay = if is_lost { 1.0 } else { loss_share.decay(now, time_constant) };
+        loss_share.share =
+            SAMPLE_WEIGHT * as_sample(is_lost) + (1.0 - SAMPLE_WEIGHT) * loss_share.share * decay;
+        loss_share.updated_at = now;
     }
 
     /// Returns the greatest decayed share of lost attempts in the bucket of `idle` and those of shorter
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -121,9 +121,9 @@
 impl Instance {
     /// Reads entries of the endpoint list.
     fn endpoints(&mut self, items: Vec<Item>) -> Result<Vec<Endpoint>, String> {
-        let mut list = Vec::with_capacity(items.len());
+        let mut endpoints = Vec::with_capacity(items.len());
         for item in items {
-            list.push(Endpoint {
+            endpoints.push(Endpoint {
                 id: EndpointId(self.catalog.endpoints.intern(&item.worker)),
                 name_hash: name_hash(&item.worker),
                 kind: KindId(self.catalog.kinds.intern(&item.sku)),
@@ -139,7 +139,7 @@
                 started_at: micros_from_ms(item.born_ms),
             });
         }
-        Ok(list)
+        Ok(endpoints)
     }
 
     /// Reads the request of a `REQUEST` line.
@@ -171,10 +171,10 @@
                 if form == "broken" {
                     return Ok(Some(Event::EndpointListFailed));
                 }
-                let list = self.endpoints(required(line.items, "items")?)?;
+                let endpoints = self.endpoints(required(line.items, "items")?)?;
                 match form.as_str() {
-                    "whole" | "stale_copy" => Event::EndpointList(list),
-                    "patch" => Event::EndpointUpdate(list),
+                    "whole" | "stale_copy" => Event::EndpointList(endpoints),
+                    "patch" => Event::EndpointUpdate(endpoints),
                     other => return Err(format!("unknown form '{other}'")),
                 }
             }
