--- a/crates/placements/src/reconcile.rs
+++ b/crates/placements/src/reconcile.rs
@@ -280,8 +280,9 @@
     reported: bool,
 }
 
+/// The placements of a guarded key.
 #[derive(Clone, Debug, Default)]
-struct Key {
+struct KeyRecord {
     key_placements: Vec<(Place, KeyPlacement)>,
     /// Number of placements in the last reported violation.
     reported: usize,
@@ -349,7 +350,7 @@
     writers_by_number: Vec<Writer>,
     sites: Names,
     names: Names,
-    keys: BTreeMap<(u32, String), Key>,
+    keys: BTreeMap<(u32, String), KeyRecord>,
     open: BTreeMap<Place, Open>,
     /// Open placements by the time of their placement.
     due: BTreeSet<(Micros, Place)>,
@@ -675,7 +676,7 @@
                         .digest_on_branch(writer, &(number, digest), of)
                         .map(|d| (writer_number, of, digest_prefix(&d)));
                     let has_place =
-                        |key: &Key| key.key_placements.iter().any(|(place, _)| Some(*place) == own);
+                        |key: &KeyRecord| key.key_placements.iter().any(|(place, _)| Some(*place) == own);
                     let class_and_key = self
                         .keys
                         .iter()
