--- a/crates/rig/src/measure.rs
+++ b/crates/rig/src/measure.rs
@@ -787,8 +787,8 @@
             let nodes = l.fleet.nodes.borrow();
             let parts = nodes[l.fleet.of(gone).start].log.borrow();
             let begun = begin + Duration::from_secs_f64(away.1);
-            for (at, line) in parts.iter().filter(|l| l.1.contains("homecoming")) {
-                let text = line.split("homecoming").nth(1).unwrap_or("");
+            for (at, line) in parts.iter().filter(|l| l.1.contains("load recovery")) {
+                let text = line.split("load recovery").nth(1).unwrap_or("");
                 say(&format!(
                     "    {:.1} s after the return:{text}",
                     at.saturating_duration_since(begun).as_secs_f64()
--- a/src/net/answers.rs
+++ b/src/net/answers.rs
@@ -1,4 +1,5 @@
-//! Final answers of jobs that must not run twice, on the disk before their clients have them: a repeat of the key gets the same one.
+//! Stores the final answers of requests that must run at most once before clients get them, so that a repeat of the idempotency
+//! key gets the same answer.
 
 use super::deadlines::Deadlines;
 use shorepath_quota::Micros;
@@ -11,76 +12,76 @@
 use tokio::sync::oneshot;
 use tracing::warn;
 
-/// A client waits no longer than this for its answer to be on the disk: it then has it, and a repeat of the key is told that it was served.
-const TIMEOUT: Duration = Duration::from_secs(2);
-/// Nor than this after the client's own time: an answer that comes half a second late is lost, and it still has to arrive.
-const LATE: Duration = Duration::from_millis(300);
+/// Longest wait for an answer to be stored. The client then gets it anyway; a repeat of the key learns only that it was served.
+const MAX_WRITE_WAIT: Duration = Duration::from_secs(2);
+/// Longest wait past the client's deadline. An answer that arrives half a second late is lost, and it still has to travel.
+const MAX_DELAY_PAST_DEADLINE: Duration = Duration::from_millis(300);
 
-/// The answers that are kept.
+/// Stored final answers.
 #[derive(Debug)]
 pub struct Answers {
     store: Arc<Store>,
     group_commit: Arc<GroupCommit>,
-    /// A body that is kept is no longer than this, in bytes.
-    longest: u64,
+    /// Longest body that is stored, in bytes.
+    max_body_bytes: u64,
 }
 
-/// An answer on its way to the disk.
+/// An answer whose write is in progress.
 #[derive(Debug)]
 pub struct PendingAnswer(oneshot::Receiver<()>);
 
 impl PendingAnswer {
-    /// Ready once it is there, or for good is not, or after a time; the client's own is up then.
-    pub async fn stored(self, deadlines: &Rc<Deadlines>, up: Instant) {
+    /// Waits until the answer is stored or its write has failed, for at most 2 s and no longer than 300 ms past `deadline`.
+    pub async fn stored(self, deadlines: &Rc<Deadlines>, deadline: Instant) {
         tokio::select! {
             biased;
             _ = self.0 => {}
-            () = deadlines.at((Instant::now() + TIMEOUT).min(up + LATE)) => warn!("an answer is sent before it is on the disk, which takes too long"),
+            () = deadlines.at((Instant::now() + MAX_WRITE_WAIT).min(deadline + MAX_DELAY_PAST_DEADLINE)) => warn!("storing an answer takes too long; sending it before it is on the disk"),
         }
     }
 }
 
-/// Answers are one tenant's, whoever else uses the same key.
-fn name(class: &str, tenant: Option<&str>, key: &str) -> String {
+/// Returns the storage key of an answer. Tenants that use the same idempotency key don't share answers.
+fn answer_key(class: &str, tenant: Option<&str>, key: &str) -> String {
     serde_json::to_string(&(class, tenant, key)).expect("JSON writes strings")
 }
 
 impl Answers {
-    /// Those in that store.
+    /// Opens the answers in `store`.
     pub fn new(store: Arc<Store>, group_commit: Arc<GroupCommit>, clause: &RecoveryConfig) -> Answers {
-        Answers { store, group_commit, longest: clause.answer }
+        Answers { store, group_commit, max_body_bytes: clause.answer }
     }
 
-    /// The status and the body that were given, where they are still kept.
+    /// Returns the status and body of a stored answer; `None` if there is none or it can't be read.
     pub fn get(&self, class: &str, tenant: Option<&str>, key: &str) -> Option<(u16, Vec<u8>)> {
-        match self.store.answer(&name(class, tenant, key)) {
+        match self.store.answer(&answer_key(class, tenant, key)) {
             Ok(found) => found.map(|a| (a.status, a.body)),
             Err(e) => {
-                warn!("an answer that was kept can't be read: {e}");
+                warn!("a stored answer can't be read: {e}");
                 None
             }
         }
     }
 
-    /// Keep that one, given at a Unix time; nothing of one that is too long. The first one for a key stays.
+    /// Starts storing an answer that was given at the Unix time `at`. `None` if its body is too long. The first answer for a key stays.
     pub fn put(
         &self,
         (class, tenant, key): (&str, Option<&str>, &str),
         (status, body): (u16, &[u8]),
         at: Micros,
     ) -> Option<PendingAnswer> {
-        if body.len() as u64 > self.longest {
+        if body.len() as u64 > self.max_body_bytes {
             return None;
         }
         let answer = Answer { status, body: body.to_vec(), at };
-        let (done, kept) = oneshot::channel();
-        self.group_commit.commit(vec![Op::Answer(name(class, tenant, key), answer)], move |written| {
+        let (stored_sender, stored) = oneshot::channel();
+        self.group_commit.commit(vec![Op::Answer(answer_key(class, tenant, key), answer)], move |written| {
             if let Err(e) = written {
-                warn!("an answer is not kept: {e}");
+                warn!("an answer could not be stored: {e}");
             }
-            // Its client may have gone.
-            let _ = done.send(());
+            // The client may have disconnected.
+            let _ = stored_sender.send(());
         });
-        Some(PendingAnswer(kept))
+        Some(PendingAnswer(stored))
     }
 }
--- a/src/net/auditing.rs
+++ b/src/net/auditing.rs
@@ -1,5 +1,6 @@
-//! What the node writes down of its versions and decisions, where the file of sites says so. What is written and what is dropped is decided in
-//! `shorepath-audit`; this has the clock and the disk.
+//! Writes the node's audit log of versions and decisions, if the sites file has an `(audit ...)`.
+//!
+//! What is recorded and what is dropped is decided in `shorepath-audit`; this module adds the clock and the disk.
 
 use super::exchange::{Attempt, Auditor};
 use super::Job;
@@ -22,44 +23,45 @@
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 use tracing::{debug, info, warn};
 
-/// The fact that says where the record is and how far it goes.
-const KEPT: &str = "audit/record";
-/// So much of it is read at once, in bytes.
-const READ: usize = 1 << 20;
+/// Stored fact that holds the position of the audit log.
+const RECORD_FACT: &str = "audit/record";
+/// Most bytes of the log that are read at once.
+const READ_CHUNK_BYTES: usize = 1 << 20;
 
 #[derive(Debug, Serialize, Deserialize)]
-struct Kept {
-    /// Drawn when the record was founded.
-    life: u64,
+struct StoredRecord {
+    /// Random number that identifies the log.
+    #[serde(rename = "life")]
+    log_id: u64,
     base: ChainPoint,
     head: ChainPoint,
 }
 
-/// What was asked of one that fails is not written: a clone of the flag goes with each commit.
+/// Set when a commit has failed; each commit holds a clone, and no entry is written afterwards.
 type Failed = Arc<AtomicBool>;
-/// Since when each version is in force, in Unix time.
+/// Unix time in microseconds since when each version is in force.
 type Since = BTreeMap<Item, Micros>;
 
-/// The node's record.
+/// The node's audit log.
 #[derive(Debug)]
 pub struct AuditRecorder {
     node: String,
-    life: Cell<u64>,
-    /// What the record may hold, in bytes.
-    most: u64,
+    log_id: Cell<u64>,
+    /// Size limit of the log, in bytes.
+    max_bytes: u64,
     record: RefCell<AuditLog>,
-    meter: RefCell<DecisionCounters>,
+    counters: RefCell<DecisionCounters>,
     vector: RefCell<VersionVector>,
     since: RefCell<Since>,
     peers: RefCell<Gossip>,
     store: Arc<Store>,
     group_commit: Arc<GroupCommit>,
     origin: Instant,
-    begun: Cell<bool>,
+    started: Cell<bool>,
     failed: Failed,
-    /// The record that was found at the start and is not what was written, and what is wrong with it.
+    /// Identifier of a stored log that failed verification, and the reason.
     broken: RefCell<Option<String>>,
-    /// The last entry that is on the disk: only that is told.
+    /// The last entry on the disk; later ones are not reported to peers.
     on_disk: Arc<Mutex<Option<ChainPoint>>>,
     unrecorded: Cell<u64>,
 }
@@ -68,7 +70,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as Micros
 }
 
-/// What stands for the program that runs.
+/// Returns the hash of the running program, or of its version if the executable can't be read.
 pub fn program_hash() -> ContentHash {
     match std::fs::read("/proc/self/exe") {
         Ok(bytes) => ContentHash::of(&bytes),
@@ -76,16 +78,16 @@
     }
 }
 
-fn journal(life: u64) -> String {
-    format!("audit {life:016x}")
+fn journal_name(log_id: u64) -> String {
+    format!("audit {log_id:016x}")
 }
 
-/// All that the store has of a record.
-fn entries(store: &Store, kept: &Kept) -> Result<Vec<(u64, Vec<u8>)>, StoreError> {
-    let (name, mut all) = (journal(kept.life), Vec::new());
+/// Loads all entries of a stored log, with their numbers.
+fn load_entries(store: &Store, stored: &StoredRecord) -> Result<Vec<(u64, Vec<u8>)>, StoreError> {
+    let (name, mut all) = (journal_name(stored.log_id), Vec::new());
     loop {
-        let from = all.last().map_or(kept.base.number, |(number, _)| *number) + 1;
-        let more = store.journal(&name, from, READ)?;
+        let from = all.last().map_or(stored.base.number, |(number, _)| *number) + 1;
+        let more = store.journal(&name, from, READ_CHUNK_BYTES)?;
         if more.is_empty() {
             return Ok(all);
         }
@@ -93,14 +95,14 @@
     }
 }
 
-/// The record goes on as it is on the disk, with the versions that were in force last.
-fn resume(
-    kept: &Kept,
+/// Verifies a stored log and restores it with the versions that were last in force.
+fn resume_log(
+    stored: &StoredRecord,
     all: &[(u64, Vec<u8>)],
-    most: u64,
+    max_bytes: u64,
 ) -> Result<(AuditLog, VersionVector, Since), AuditLogError> {
     let read = all.iter().map(|(number, entry)| (*number, entry.as_slice()));
-    verify(kept.base, read, kept.head, &BTreeMap::new())?;
+    verify(stored.base, read, stored.head, &BTreeMap::new())?;
     let (mut vector, mut since) = (VersionVector::default(), Since::default());
     for (number, entry) in all {
         let Timed { at, entry } = decode(*number, entry.get(32..).unwrap_or_default())?;
@@ -122,52 +124,56 @@
         }
     }
     let entries: Vec<Vec<u8>> = all.iter().map(|(_, entry)| entry.clone()).collect();
-    Ok((AuditLog::open(kept.base, &entries, most)?, vector, since))
+    Ok((AuditLog::open(stored.base, &entries, max_bytes)?, vector, since))
 }
 
 impl AuditRecorder {
-    /// The record in that store, founded where there is none or where it is not what was written; `key` is the fleet's, for the sample.
+    /// Opens the audit log in the store. Starts a new one if there is none or if it fails verification. `key` is shared by the fleet
+    /// and selects the sampled decisions.
+    ///
+    /// # Errors
+    /// Fails if the store can't be read.
     pub fn open(
         (store, group_commit): (Arc<Store>, Arc<GroupCommit>),
         audit: Audit,
-        (node, me, chance): (&str, u32, u64),
+        (node, me, seed): (&str, u32, u64),
         key: [u8; 16],
     ) -> Result<Rc<AuditRecorder>, StoreError> {
-        let founded = || AuditLog::open(ChainPoint::origin(node, chance), &[], audit.bytes);
+        let new_log = || AuditLog::open(ChainPoint::origin(node, seed), &[], audit.bytes);
         let mut broken = None;
-        let (life, record, vector, since) = match store.fact::<Kept>(KEPT)? {
-            None => (chance, founded(), VersionVector::default(), Since::default()),
-            Some(kept) => match resume(&kept, &entries(&store, &kept)?, audit.bytes) {
-                Ok((record, vector, since)) => (kept.life, Ok(record), vector, since),
+        let (log_id, record, vector, since) = match store.fact::<StoredRecord>(RECORD_FACT)? {
+            None => (seed, new_log(), VersionVector::default(), Since::default()),
+            Some(stored) => match resume_log(&stored, &load_entries(&store, &stored)?, audit.bytes) {
+                Ok((record, vector, since)) => (stored.log_id, Ok(record), vector, since),
                 Err(e) => {
                     let wrong = shorepath_message_auth::advice(&e);
                     warn!(
-                        "audit: record {:016x} is not what was written: {wrong}; another one begins, and what is left of it stays",
-                        kept.life
+                        "audit: log {:016x} fails verification: {wrong}; starting a new log, the old one is kept",
+                        stored.log_id
                     );
-                    broken = Some(format!("{:016x} {wrong}", kept.life));
-                    (chance, founded(), VersionVector::default(), Since::default())
+                    broken = Some(format!("{:016x} {wrong}", stored.log_id));
+                    (seed, new_log(), VersionVector::default(), Since::default())
                 }
             },
         };
-        // Of no entries it can't fail, of others it has not.
+        // A new log has no entries that could be wrong, and a restored one was verified.
         let record = record.map_err(|e| StoreError::Damaged(e.to_string()))?;
         let sampling =
             Sampling { one_in: audit.one_in, max_per_second: audit.a_second, summary_interval: audit.sum };
-        let meter = DecisionCounters::new(sampling, key, record.vector_number(), 0);
+        let counters = DecisionCounters::new(sampling, key, record.vector_number(), 0);
         Ok(Rc::new(AuditRecorder {
             node: node.to_string(),
-            life: Cell::new(life),
-            most: audit.bytes,
+            log_id: Cell::new(log_id),
+            max_bytes: audit.bytes,
             record: RefCell::new(record),
-            meter: RefCell::new(meter),
+            counters: RefCell::new(counters),
             vector: RefCell::new(vector),
             since: RefCell::new(since),
-            peers: RefCell::new(Gossip::new(me, &[], Intervals::default(), chance, 0)),
+            peers: RefCell::new(Gossip::new(me, &[], Intervals::default(), seed, 0)),
             store,
             group_commit,
             origin: Instant::now(),
-            begun: Cell::new(false),
+            started: Cell::new(false),
             failed: Failed::default(),
             broken: RefCell::new(broken),
             on_disk: Arc::default(),
@@ -179,51 +185,55 @@
         self.origin.elapsed().as_micros() as Micros
     }
 
-    fn note(&self, entry: Entry) {
+    fn append(&self, entry: Entry) {
         if self.failed.load(Ordering::Relaxed) {
             self.unrecorded.set(self.unrecorded.get() + 1);
             return;
         }
         if let Err(e) = self.record.borrow_mut().append(&Timed { at: unix_micros(), entry }) {
             self.unrecorded.set(self.unrecorded.get() + 1);
-            warn!("audit: an entry is not written down: {}", shorepath_message_auth::advice(&e));
+            warn!("audit: an entry could not be recorded: {}", shorepath_message_auth::advice(&e));
         }
     }
 
-    /// That version is in force from now on.
+    /// Records that a version of an item is in force from now on.
     pub fn record_version(&self, item: Item, content: ContentHash, number: Option<u64>, why: ChangeSource) {
         let Some(taken) = self.vector.borrow_mut().set(item, content, number) else { return };
         self.since.borrow_mut().insert(item, unix_micros());
-        if !self.begun.get() {
+        if !self.started.get() {
             return;
         }
-        let sums = self.meter.borrow_mut().set_vector(self.record.borrow().vector_number() + 1);
-        sums.into_iter().for_each(|entry| self.note(entry));
-        self.note(Entry::VersionChanged { change: taken, source: why });
+        let summaries = self.counters.borrow_mut().set_vector(self.record.borrow().vector_number() + 1);
+        summaries.into_iter().for_each(|entry| self.append(entry));
+        self.append(Entry::VersionChanged { change: taken, source: why });
     }
 
-    /// The process begins, steered by what was [`AuditRecorder::record_version`] so far.
+    /// Records the start of the process with the versions given to [`AuditRecorder::record_version`] so far.
     pub fn start(&self) {
-        self.begun.set(true);
-        let sums = self.meter.borrow_mut().set_vector(self.record.borrow().vector_number() + 1);
-        sums.into_iter().for_each(|entry| self.note(entry));
+        self.started.set(true);
+        let summaries = self.counters.borrow_mut().set_vector(self.record.borrow().vector_number() + 1);
+        summaries.into_iter().for_each(|entry| self.append(entry));
         let vector = self.vector.borrow().clone();
-        info!("audit: record {:016x} goes on at {}", self.life.get(), self.record.borrow().head().number);
-        self.note(Entry::ProcessStarted { vector });
+        info!(
+            "audit: log {:016x} continues at entry {}",
+            self.log_id.get(),
+            self.record.borrow().head().number
+        );
+        self.append(Entry::ProcessStarted { vector });
         self.tick();
     }
 
-    /// Those are the nodes of the fleet.
+    /// Sets the nodes to exchange versions with.
     pub fn set_peers(&self, nodes: &[u32]) {
         self.peers.borrow_mut().set_peers(nodes);
     }
 
-    /// What is to be said, and to whom.
+    /// Takes the messages to send, by node number.
     pub fn take_outgoing(&self) -> Vec<(u32, Vec<u8>)> {
         let (now, mut peers) = (self.now(), self.peers.borrow_mut());
         let on_disk = *self.on_disk.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(head) = on_disk {
-            peers.report(&self.vector.borrow(), self.life.get(), head, unix_micros(), now);
+            peers.report(&self.vector.borrow(), self.log_id.get(), head, unix_micros(), now);
         }
         let messages = peers.take_outgoing(now).into_iter();
         messages
@@ -233,48 +243,49 @@
             .collect()
     }
 
-    /// How long it has nothing to say, in microseconds.
+    /// Returns the time until the next message is due, in microseconds.
     pub fn time_until_due(&self) -> Micros {
         self.peers.borrow().due() - self.now()
     }
 
-    /// Another node's word.
+    /// Handles a message of another node.
     pub fn receive(&self, message: &[u8]) {
         let message = match postcard::from_bytes::<Message>(message) {
             Ok(message) => message,
-            Err(e) => return debug!("audit: a word can't be read: {e}"),
+            Err(e) => return debug!("audit: a message can't be decoded: {e}"),
         };
         self.peers.borrow_mut().receive(&message, self.now());
         let updates = self.peers.borrow_mut().take_updates();
-        for updates in updates {
-            match updates {
-                AuditUpdate::VersionsChanged { node, content } => debug!("audit: node {node} is steered by {content}"),
-                AuditUpdate::OwnLogClaim { log_id: life, point } => self.look_up(life, point),
+        for update in updates {
+            match update {
+                AuditUpdate::VersionsChanged { node, content } => debug!("audit: node {node} uses versions {content}"),
+                AuditUpdate::OwnLogClaim { log_id: own_id, point } => self.check_own_claim(own_id, point),
                 AuditUpdate::LogReplaced { node } => {
-                    warn!("audit: node {node} has begun another record: its disk was lost, or its record was not what was written");
+                    warn!("audit: node {node} has started a new log: its disk was lost, or its log failed verification");
                 }
                 AuditUpdate::LogRolledBack { node, previous: was, current: is } => warn!(
-                    "audit: the record of node {node} ends at {is}, and has ended at {was}: an older disk was put back"
+                    "audit: the log of node {node} ends at entry {is} and had ended at {was}: its disk is an older copy"
                 ),
                 AuditUpdate::LogForked { node, number } => warn!(
-                    "audit: entry {number} of node {node} is another one than it has told: compare its record with what its peers hold"
+                    "audit: entry {number} of node {node} differs from the one that it reported before; compare its log with what its peers hold"
                 ),
             }
         }
     }
 
-    /// Others know a point of this node's record: if it is not there, this disk is older than what they know, or was changed.
-    fn look_up(&self, life: u64, known: ChainPoint) {
+    /// Checks an entry of this node's log that a peer knows. If it is missing or differs, the disk is an older copy or was changed, and
+    /// a new log is started.
+    fn check_own_claim(&self, log_id: u64, known: ChainPoint) {
         let (base, head) = (self.record.borrow().base().number, self.record.borrow().head().number);
-        if life != self.life.get() || known.number <= base {
+        if log_id != self.log_id.get() || known.number <= base {
             return;
         }
-        let kept = match self.store.journal(&journal(life), known.number, 1) {
+        let stored = match self.store.journal(&journal_name(log_id), known.number, 1) {
             _ if known.number > head => None,
             Ok(found) => found.into_iter().find(|(number, _)| *number == known.number),
-            Err(e) => return warn!("audit: the record can't be read: {e}"),
+            Err(e) => return warn!("audit: the log can't be read: {e}"),
         };
-        let wrong = match kept {
+        let wrong = match stored {
             Some((_, entry)) if entry.starts_with(&known.digest.0) => return,
             Some(_) => format!("entry {} is another one than others were told", known.number),
             None => format!(
@@ -282,48 +293,49 @@
                 known.number
             ),
         };
-        warn!("audit: record {life:016x}: {wrong}; another one begins, and what is left of it stays");
-        self.broken.replace(Some(format!("{life:016x} {wrong}")));
-        let another = getrandom::u64().unwrap_or(life.wrapping_add(1));
-        match AuditLog::open(ChainPoint::origin(&self.node, another), &[], self.most) {
+        warn!("audit: log {log_id:016x}: {wrong}; starting a new log, the old one is kept");
+        self.broken.replace(Some(format!("{log_id:016x} {wrong}")));
+        let new_log_id = getrandom::u64().unwrap_or(log_id.wrapping_add(1));
+        match AuditLog::open(ChainPoint::origin(&self.node, new_log_id), &[], self.max_bytes) {
             Ok(record) => drop(self.record.replace(record)),
             Err(e) => return warn!("audit: {e}"),
         }
-        self.life.set(another);
+        self.log_id.set(new_log_id);
         self.start();
     }
 
-    /// Have on the disk what is to be written down by now.
+    /// Starts writing the entries that are due.
     pub fn tick(&self) {
-        let sums = self.meter.borrow_mut().take_due(self.now());
-        sums.into_iter().for_each(|entry| self.note(entry));
+        let summaries = self.counters.borrow_mut().take_due(self.now());
+        summaries.into_iter().for_each(|entry| self.append(entry));
         let Some(writing) = self.record.borrow_mut().take_pending() else { return };
-        let name = journal(self.life.get());
+        let name = journal_name(self.log_id.get());
         let numbered = (writing.first_number..).zip(writing.entries);
         let mut ops: Vec<Op> = numbered.map(|(n, entry)| Op::Append(name.clone(), n, entry)).collect();
         if let Some(dropped) = writing.drop_through {
             ops.push(Op::Drop(name, dropped.number + 1));
         }
-        let kept = Kept { life: self.life.get(), base: self.record.borrow().base(), head: writing.head };
-        ops.push(Op::remember(KEPT, &kept));
+        let stored =
+            StoredRecord { log_id: self.log_id.get(), base: self.record.borrow().base(), head: writing.head };
+        ops.push(Op::remember(RECORD_FACT, &stored));
         let (failed, on_disk, head) = (self.failed.clone(), self.on_disk.clone(), writing.head);
         self.group_commit.commit(ops, move |done| match done {
             Ok(()) => *on_disk.lock().unwrap_or_else(PoisonError::into_inner) = Some(head),
             Err(e) => {
                 if !failed.swap(true, Ordering::Relaxed) {
-                    warn!("audit: nothing is written down any more: {e}; look at the disk of the node's state, then start the node again");
+                    warn!("audit: the log is not written any more: {e}; check the disk of the node's state folder, then restart the node");
                 }
             }
         });
     }
 
-    /// For operators: a line for the record, one for each version in force, and one for each node that was heard of, by its name.
+    /// Returns the status for operators: a line for the log, one for each version in force, and one for each known node, by its name.
     pub fn status(&self, name: impl Fn(u32) -> String) -> String {
         let (record, vector) = (self.record.borrow(), self.vector.borrow());
         let (base, head) = (record.base(), record.head());
         let mut text = format!(
             "record {:016x} first={} last={} on_disk={} digest={:?} bytes={} unrecorded={} vector={} content={}\n",
-            self.life.get(),
+            self.log_id.get(),
             base.number + 1,
             head.number,
             self.on_disk.lock().unwrap_or_else(PoisonError::into_inner).map_or(0, |p| p.number),
@@ -341,25 +353,32 @@
             let ms = since.map_or(0, |since| (unix_micros() - since) / 1_000);
             text += &format!("{} {version} parent={} for_ms={ms}\n", item.name(), version.parent);
         }
-        for (story, steers, since, received) in self.peers.borrow().nodes() {
-            let versions = steers.map_or(String::new(), |v| {
+        for (peer, versions_in_use, since, received) in self.peers.borrow().nodes() {
+            let versions = versions_in_use.map_or(String::new(), |v| {
                 v.iter().map(|(item, version)| format!(" {}={version}", item.name())).collect()
             });
             let (for_ms, received_ms) = ((self.now() - since) / 1_000, (self.now() - received) / 1_000);
             text += &format!(
                 "node {} content={} last={} for_ms={for_ms} heard_ms={received_ms}{versions}\n",
-                name(story.node),
-                story.content,
-                story.head.number
+                name(peer.node),
+                peer.content,
+                peer.head.number
             );
         }
         text
     }
 
-    fn decided(&self, class: &str, server: Option<&str>, reason: &'static str, always: bool, job: &Job) {
-        let entry = self.meter.borrow_mut().count(&job.id, class, server, reason, always, self.now());
+    fn record_decision(
+        &self,
+        class: &str,
+        server: Option<&str>,
+        reason: &'static str,
+        always: bool,
+        job: &Job,
+    ) {
+        let entry = self.counters.borrow_mut().count(&job.id, class, server, reason, always, self.now());
         if let Some(entry) = entry {
-            self.note(entry);
+            self.append(entry);
         }
     }
 }
@@ -367,11 +386,11 @@
 impl Auditor<Job> for AuditRecorder {
     fn dispatched(&self, attempt: Attempt<'_>, first: bool, job: &Job) {
         let reason = if first { "dispatched" } else { "dispatched again" };
-        self.decided(attempt.class, Some(attempt.server), reason, false, job);
+        self.record_decision(attempt.class, Some(attempt.server), reason, false, job);
     }
 
     fn answered(&self, class: &str, how: &'static str, guarded: bool, job: &Job) {
-        self.decided(class, None, how, guarded, job);
+        self.record_decision(class, None, how, guarded, job);
     }
 
     fn listed(&self, revision: u64) {
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -1,5 +1,5 @@
-//! Replacing the process: the serving process hands its listening socket to the next one over a Unix
-//! socket, and for as long as both live they are one node, which shares what it may hold.
+//! Hot restart: the serving process passes its listening socket to its successor over a Unix socket. While both run they are one
+//! node and share its limits.
 
 use super::close_reason::{CloseReason, Side};
 use super::deadlines::Deadlines;
@@ -23,59 +23,56 @@
 use tokio_util::codec::{Framed, LinesCodec};
 use tracing::{info, warn};
 
-/// How long the serving process may take to hand its listening socket over, before the next one takes
-/// it for dead and binds the address itself.
+/// Longest wait for the serving process to pass its listening socket. Its successor then considers it dead and binds the address
+/// itself.
 pub const TIMEOUT: Duration = Duration::from_secs(2);
-/// The pause after a process could not be accepted.
-const PAUSE: Duration = Duration::from_millis(100);
-/// A word between the two holds this much at most: an id, which a head has to hold.
+/// Delay after a successor could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Longest line between the two processes, in bytes. A line holds a request id, which fits into a message head.
 const MAX_LINE_BYTES: usize = 9 * 1024;
 
-/// What a process is handed by the one that it follows: the socket at which clients connect, and the
-/// link to that process.
+/// What a process inherits from its predecessor: the socket at which clients connect, and the link to the predecessor.
 pub type InheritedSockets = (std::net::TcpListener, std::os::unix::net::UnixStream);
 
-/// Where the process that serves clients at that address is to be found by the next one; `None` if
-/// every process has an address of its own.
-fn meeting_place(listen: SocketAddr, handing: HandoverMode) -> Option<PathBuf> {
-    let on = handing == HandoverMode::On && listen.port() != 0;
-    on.then(|| std::env::temp_dir().join(format!("shorepath-{listen}.sock")))
+/// Returns the path of the Unix socket at which the process that serves `listen` awaits its successor; `None` without handover or
+/// if each process chooses its own port.
+fn socket_path(listen: SocketAddr, mode: HandoverMode) -> Option<PathBuf> {
+    let enabled = mode == HandoverMode::On && listen.port() != 0;
+    enabled.then(|| std::env::temp_dir().join(format!("shorepath-{listen}.sock")))
 }
 
-/// Whether processes at one address hand the listening socket on to each other, by a Unix socket
-/// in `TMPDIR`.
+/// Whether processes at one address pass the listening socket on, by a Unix socket in `TMPDIR`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HandoverMode {
-    /// A new process takes the socket of the one that serves, and hands it to the next.
+    /// A new process takes the socket of the serving process and passes it on to the next.
     On,
-    /// No Unix socket at all: where those are refused or nobody comes to them; a new process at a
-    /// busy address fails to listen.
+    /// No Unix socket is used, for systems that forbid them. A new process at an address in use fails to listen.
     Off,
 }
 
-/// Who serves at an address.
+/// The result of looking for a process that serves an address.
 #[derive(Debug)]
 pub enum PreviousProcess {
-    /// A process that has handed its listening socket over.
+    /// A process that has passed its listening socket on.
     Serving(InheritedSockets),
-    /// A process that has just ended, or ended long ago and left its name: the address may not be free yet.
+    /// A process that has ended and left its Unix socket; the address may not be free yet.
     Ended,
-    /// Nobody, or a process that hands nothing over.
+    /// No process, or one that passes nothing on.
     Absent,
 }
 
-/// Be handed the listening socket, if there is a process that serves at that address.
-pub fn inherit(listen: SocketAddr, handing: HandoverMode) -> PreviousProcess {
-    let Some(place) = meeting_place(listen, handing) else { return PreviousProcess::Absent };
-    let link = match std::os::unix::net::UnixStream::connect(place) {
+/// Takes the listening socket of the process that serves the address, if there is one.
+pub fn inherit(listen: SocketAddr, mode: HandoverMode) -> PreviousProcess {
+    let Some(path) = socket_path(listen, mode) else { return PreviousProcess::Absent };
+    let link = match std::os::unix::net::UnixStream::connect(path) {
         Ok(link) => link,
         Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => return PreviousProcess::Ended,
         Err(_) => return PreviousProcess::Absent,
     };
-    match receive(&link, listen) {
+    match receive_listener(&link, listen) {
         Ok(listener) => PreviousProcess::Serving((listener, link)),
         Err(e) => {
-            warn!("the serving process hands nothing over: {e}");
+            warn!("the serving process hands nothing over: {e}; binding the address instead");
             match e.kind() {
                 io::ErrorKind::ConnectionReset | io::ErrorKind::UnexpectedEof => PreviousProcess::Ended,
                 _ => PreviousProcess::Absent,
@@ -84,47 +81,52 @@
     }
 }
 
-fn receive(link: &std::os::unix::net::UnixStream, listen: SocketAddr) -> io::Result<std::net::TcpListener> {
+fn receive_listener(
+    link: &std::os::unix::net::UnixStream,
+    listen: SocketAddr,
+) -> io::Result<std::net::TcpListener> {
     link.set_read_timeout(Some(TIMEOUT))?;
     let (mut space, mut byte) = ([MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))], [0]);
-    let mut handed = RecvAncillaryBuffer::new(&mut space);
-    // Guards against a signal that comes meanwhile: a wait with a limit is not taken up again by itself.
-    retry_on_intr(|| recvmsg(link, &mut [IoSliceMut::new(&mut byte)], &mut handed, RecvFlags::CMSG_CLOEXEC))?;
-    let descriptors = handed.drain().filter_map(|message| match message {
+    let mut ancillary = RecvAncillaryBuffer::new(&mut space);
+    // Guards against a signal during the call: a read with a timeout is not restarted by the system.
+    retry_on_intr(|| {
+        recvmsg(link, &mut [IoSliceMut::new(&mut byte)], &mut ancillary, RecvFlags::CMSG_CLOEXEC)
+    })?;
+    let descriptors = ancillary.drain().filter_map(|message| match message {
         RecvAncillaryMessage::ScmRights(descriptors) => Some(descriptors),
         _ => None,
     });
     let descriptor: Option<OwnedFd> = descriptors.flatten().next();
     let listener = std::net::TcpListener::from(descriptor.ok_or(io::ErrorKind::UnexpectedEof)?);
-    // Guards against serving at another address than the one asked for.
+    // Guards against serving at another address than the configured one.
     if listener.local_addr()? != listen {
-        return Err(io::Error::other("it listens elsewhere"));
+        return Err(io::Error::other("the inherited socket listens at another address"));
     }
     listener.set_nonblocking(true)?;
     Ok(listener)
 }
 
-/// Be found by the next process, whoever was before: a name left by a process that has ended is taken.
-fn publish(place: &Path) -> io::Result<UnixListener> {
-    // Nobody may find it before it is closed to others.
-    let draft = place.with_extension(std::process::id().to_string());
-    let _ = std::fs::remove_file(&draft);
-    let listener = UnixListener::bind(&draft)?;
-    std::fs::set_permissions(&draft, std::fs::Permissions::from_mode(0o600))?;
-    std::fs::rename(&draft, place)?;
+/// Binds the Unix socket for the next process, in place of one that an ended process has left.
+fn publish(path: &Path) -> io::Result<UnixListener> {
+    // Binds under a temporary name, so that no process connects before the permissions are set.
+    let temporary_path = path.with_extension(std::process::id().to_string());
+    let _ = std::fs::remove_file(&temporary_path);
+    let listener = UnixListener::bind(&temporary_path)?;
+    std::fs::set_permissions(&temporary_path, std::fs::Permissions::from_mode(0o600))?;
+    std::fs::rename(&temporary_path, path)?;
     Ok(listener)
 }
 
-async fn hand(link: &UnixStream, listener: Option<Rc<TcpListener>>) -> io::Result<()> {
-    let listener = listener.ok_or_else(|| io::Error::other("it no longer accepts"))?;
+async fn send_listener(link: &UnixStream, listener: Option<Rc<TcpListener>>) -> io::Result<()> {
+    let listener = listener.ok_or_else(|| io::Error::other("this process no longer accepts clients"))?;
     let descriptors = [listener.as_fd()];
     loop {
         link.writable().await?;
         let sent = link.try_io(tokio::io::Interest::WRITABLE, || {
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-            let mut handing = SendAncillaryBuffer::new(&mut space);
-            handing.push(SendAncillaryMessage::ScmRights(&descriptors));
-            Ok(sendmsg(link, &[IoSlice::new(b"L")], &mut handing, SendFlags::empty())?)
+            let mut ancillary = SendAncillaryBuffer::new(&mut space);
+            ancillary.push(SendAncillaryMessage::ScmRights(&descriptors));
+            Ok(sendmsg(link, &[IoSlice::new(b"L")], &mut ancillary, SendFlags::empty())?)
         });
         match sent {
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
@@ -133,41 +135,40 @@
     }
 }
 
-/// This process among those that serve at one address in turn.
+/// Handover between the processes that serve at one address in turn.
 #[derive(Debug)]
 pub struct Handover<S> {
     frontend: Rc<Frontend>,
     deadlines: Rc<Deadlines>,
-    place: Option<PathBuf>,
-    /// Open for as long as the frontend accepts: another holder would keep clients waiting at a node
-    /// that has stopped.
+    path: Option<PathBuf>,
+    /// Weak, so that the frontend alone keeps the listener open: another owner would let clients wait at a node that has stopped.
     listener: Weak<TcpListener>,
-    /// Told how many processes are this node, whenever that changes.
-    share: S,
+    /// Called with the number of processes that run as this node, whenever it changes.
+    set_process_count: S,
 }
 
 impl<S: Fn(u32)> Handover<S> {
-    /// For a process that serves clients at that address, by that socket.
+    /// Creates the handover of a process that serves clients at the address through `listener`.
     pub fn new(
         frontend: Rc<Frontend>,
         deadlines: Rc<Deadlines>,
-        (listen, handing): (SocketAddr, HandoverMode),
+        (listen, mode): (SocketAddr, HandoverMode),
         listener: Weak<TcpListener>,
-        share: S,
+        set_process_count: S,
     ) -> Self {
-        Handover { frontend, deadlines, place: meeting_place(listen, handing), listener, share }
+        Handover { frontend, deadlines, path: socket_path(listen, mode), listener, set_process_count }
     }
 
-    /// Follow the process that has handed its socket over, if one has, and then hand it to the next,
-    /// for as long as this one runs.
+    /// Takes over from the predecessor behind the link `before`, if there is one, and then passes the socket on to successors, for as
+    /// long as this process runs.
     pub async fn run(self, before: Option<std::os::unix::net::UnixStream>) {
         if let Some(link) = before {
-            self.succeed(link).await;
+            self.take_over(link).await;
         }
         loop {
-            let found = self.place.as_deref().map(publish);
+            let found = self.path.as_deref().map(publish);
             match found {
-                Some(Ok(listener)) => self.precede(listener).await,
+                Some(Ok(listener)) => self.hand_over(listener).await,
                 Some(Err(e)) => {
                     warn!("no other process can take over from this one: {e}");
                     return std::future::pending().await;
@@ -177,48 +178,48 @@
         }
     }
 
-    /// Follow the process before this one until it has ended.
-    async fn succeed(&self, link: std::os::unix::net::UnixStream) {
-        (self.share)(2);
+    /// Takes over from the predecessor and serves beside it until it has ended.
+    async fn take_over(&self, link: std::os::unix::net::UnixStream) {
+        (self.set_process_count)(2);
         info!("taking over from the process that serves at this address");
         let link = link.set_nonblocking(true).and_then(|()| UnixStream::from_std(link));
         match link {
-            Ok(link) => self.live_beside(link, true).await,
-            Err(e) => warn!("the process before this one can't be heard: {e}"),
+            Ok(link) => self.serve_beside(link, true).await,
+            Err(e) => warn!("the connection to the previous process can't be used: {e}"),
         }
-        info!("this process is the whole node");
-        (self.share)(1);
+        info!("this process is the only one of the node");
+        (self.set_process_count)(1);
     }
 
-    /// Hand the socket to whoever comes, and serve by its side until it has ended.
-    async fn precede(&self, listener: UnixListener) {
+    /// Passes the socket to the next process that connects, and serves beside it until it has ended.
+    async fn hand_over(&self, listener: UnixListener) {
         let link = match listener.accept().await {
             Ok((link, _)) => link,
             Err(e) => {
                 warn!("the next process could not be accepted: {e}");
-                return self.deadlines.after(PAUSE).await;
+                return self.deadlines.after(ACCEPT_RETRY_DELAY).await;
             }
         };
-        (self.share)(2);
+        (self.set_process_count)(2);
         info!("another process is going to take over");
-        match hand(&link, self.listener.upgrade()).await {
-            Ok(()) => self.live_beside(link, false).await,
-            Err(e) => warn!("the next process was handed nothing: {e}"),
+        match send_listener(&link, self.listener.upgrade()).await {
+            Ok(()) => self.serve_beside(link, false).await,
+            Err(e) => warn!("the listening socket could not be passed to the next process: {e}"),
         }
-        // Guards against a node without a process that accepts: the next one has ended first.
+        // Guards against a node without a process that accepts clients: the successor has ended first.
         info!("the next process has ended: this one takes clients");
         self.frontend.hand_over(false);
-        (self.share)(1);
+        (self.set_process_count)(1);
     }
 
-    /// Tell the other process which ids are in use, and hear the same, until its end.
-    async fn live_beside(&self, link: UnixStream, follows: bool) {
+    /// Exchanges the request ids in use with the other process until it ends.
+    async fn serve_beside(&self, link: UnixStream, is_successor: bool) {
         let mut link = Framed::new(link, LinesCodec::new_with_max_length(MAX_LINE_BYTES));
-        // Those that it comes with are larger than what passes.
+        // The default buffers are larger than the lines of this protocol.
         (*link.read_buffer_mut(), *link.write_buffer_mut()) = (BytesMut::new(), BytesMut::new());
         let ids = self.frontend.ids();
         let mut messages = Ids::share(ids);
-        let (mut outgoing_messages, mut leaves, mut received) = (follows, follows, 0);
+        let (mut announce_serving, mut announce_leaving, mut received) = (is_successor, is_successor, 0);
         let close_reason = loop {
             let sent = tokio::select! {
                 message = link.next() => match message {
@@ -231,23 +232,23 @@
                     None => break CloseReason::PeerClosed,
                 },
                 Some(message) = messages.recv() => link.send(message).await,
-                () = self.frontend.serving(), if outgoing_messages => {
-                    outgoing_messages = false;
+                () = self.frontend.serving(), if announce_serving => {
+                    announce_serving = false;
                     link.send("serving".to_string()).await
                 }
-                () = self.frontend.leaving(), if leaves => {
-                    leaves = false;
+                () = self.frontend.leaving(), if announce_leaving => {
+                    announce_leaving = false;
                     link.send("leaving".to_string()).await
                 }
             };
             if let Err(e) = sent {
-                warn!("the other process can't be heard: {e}");
+                warn!("the connection to the other process failed: {e}");
                 break CloseReason::PeerBroke;
             }
         };
         Ids::part(ids);
-        let place = self.place.as_deref().unwrap_or(Path::new("-"));
-        close_reason.log(Side::Handover, place.display(), received);
+        let path = self.path.as_deref().unwrap_or(Path::new("-"));
+        close_reason.log(Side::Handover, path.display(), received);
     }
 
     fn receive(&self, ids: &std::cell::RefCell<Ids>, message: &str) {
@@ -258,12 +259,12 @@
                 info!("the next process takes clients: this one serves what it has");
                 self.frontend.hand_over(true);
             }
-            // Guards against a node without a process that accepts, for as long as the next one takes to stop.
+            // Guards against a node without a process that accepts clients while the successor stops.
             None if message == "leaving" => {
-                info!("the next process is told to stop: this one takes clients");
+                info!("the next process is stopping: this one takes clients");
                 self.frontend.hand_over(false);
             }
-            _ => warn!("the other process makes no sense"),
+            _ => warn!("the other process sent an unknown message"),
         }
     }
 }
--- a/src/net/placing.rs
+++ b/src/net/placing.rs
@@ -1,5 +1,6 @@
-//! What this node has placed: written to its log, and asked of it when a request comes again. What is known of a key, and what that means,
-//! is decided in `shorepath-placements`.
+//! Records this node's placements in its log and looks up repeated requests in it.
+//!
+//! What the records of all nodes mean for a key is decided in `shorepath-placements`.
 
 mod exchange;
 mod startup;
@@ -22,49 +23,51 @@
 use tokio::sync::mpsc;
 use tracing::{info, warn};
 
-/// Guarded work waits until all partners have said what they know of this node's log and of keys, or this long, where one at least has.
-const ASKING: Micros = 3_000_000;
-/// Reconciling goes on after this while there is more: a slice of it takes about a millisecond at most, so clients keep nine tenths.
-const GOES_ON: Micros = 10_000;
+/// Longest wait, in microseconds, for every peer to send what it knows of this node's log, once one of them has. Guarded
+/// requests wait until then.
+const PEER_REPLY_TIMEOUT: Micros = 3_000_000;
+/// Pause between two slices of reconciliation, in microseconds. A slice takes a millisecond at most, so clients keep nine tenths
+/// of the time.
+const RECONCILE_INTERVAL: Micros = 10_000;
 
-/// The log of this node, what is known of others', and of keys.
+/// This node's placement log, copies of other nodes' logs, and the index of idempotency keys.
 #[derive(Debug)]
 pub struct Placements {
     log: Log,
     copies: Copies,
     history: RefCell<History>,
     keys: RefCell<IdempotencyIndex>,
-    /// One with each partner, by its number.
+    /// Anti-entropy exchange with each peer, by node number.
     exchanges: RefCell<BTreeMap<u32, Exchange>>,
     reconciler: RefCell<Reconciler>,
-    life: u64,
-    /// What is held until it is known whether the log goes on.
+    new_log_number: u64,
+    /// Entries that are buffered until it is known whether the log continues.
     log_recovery: RefCell<LogRecovery>,
-    /// The disk was an older one.
-    refounded: Cell<bool>,
-    /// Something may have come since the last slice of reconciling.
-    fresh: Cell<bool>,
-    /// When there may be more to reconcile.
-    more: Cell<Option<Micros>>,
-    /// Attempts that are out, and where their placements are.
-    out: RefCell<HashMap<DispatchId, PlacementRef>>,
-    /// How placements ended whose ends could not be written: those that were on their way as the disk failed.
-    unwritten: RefCell<BTreeMap<u64, End>>,
-    /// Something waits to be written, and goes with what else comes in that time.
-    waits: Cell<bool>,
-    group: Cell<Micros>,
-    /// When what waits goes next, to the disk and then to partners.
-    next: Cell<Micros>,
-    /// It is on its way to the disk; or is there, and is to be shown.
-    flushes: Cell<bool>,
-    shows: Cell<bool>,
-    /// The last own entry that was shown.
-    shown: Cell<u64>,
-    writes: mpsc::UnboundedSender<DiskEvent>,
+    /// Whether a new log was started because the disk was an older copy.
+    log_replaced: Cell<bool>,
+    /// Whether entries may have arrived since the last slice of reconciliation.
+    has_new_entries: Cell<bool>,
+    /// Time of the next slice of reconciliation; `None` if nothing is left.
+    reconcile_at: Cell<Option<Micros>>,
+    /// Placements of the attempts that have not ended.
+    outstanding: RefCell<HashMap<DispatchId, PlacementRef>>,
+    /// Ends that could not be written because the disk failed, by the number of the placement's entry.
+    unwritten_ends: RefCell<BTreeMap<u64, End>>,
+    /// Whether deferred entries wait to be flushed.
+    has_deferred: Cell<bool>,
+    group_interval: Cell<Micros>,
+    /// Time of the next flush of deferred entries, after which they are sent to peers.
+    next_flush: Cell<Micros>,
+    /// Whether a flush is in progress, and whether flushed entries must be published to peers.
+    is_flushing: Cell<bool>,
+    must_publish: Cell<bool>,
+    /// Number of the last own entry that was published.
+    last_published: Cell<u64>,
+    disk_events: mpsc::UnboundedSender<DiskEvent>,
 }
 
-/// What is new of a log is known of keys, too.
-fn feed(history: &History, keys: &mut IdempotencyIndex, writer: &Writer) {
+/// Adds the new entries of one log to the key index.
+fn index_new_entries(history: &History, keys: &mut IdempotencyIndex, writer: &Writer) {
     let sealed = history.sealed(writer).0;
     if sealed > keys.last_applied(writer) {
         keys.apply_sealed(writer, sealed, &history.retained_keys(writer, 0, usize::MAX).1);
@@ -78,87 +81,84 @@
 }
 
 impl Placements {
-    /// Open the log of the node of that name and site; a new one gets the number `drawn`, which is this life's as well. What was on its
-    /// way when the last process ended may have run. For `group` see [`Placements::set_peers`].
+    /// Opens the log of the node with the given site and name. A new log gets the number `random`, and so does one that replaces an
+    /// older copy. Requests that were dispatched when the last process ended may have run. For `group_interval` see [`Placements::set_peers`].
     ///
     /// # Errors
-    /// The log is another node's, is damaged, or its disk fails.
+    /// Fails if the log belongs to another node or is damaged, or if its disk fails.
     pub fn open(
         store: Arc<Store>,
         group_commit: Arc<GroupCommit>,
         (site, node): (&str, &str),
-        (drawn, now, group): (u64, Micros, Micros),
-        writes: mpsc::UnboundedSender<DiskEvent>,
+        (random, now, group_interval): (u64, Micros, Micros),
+        disk_events: mpsc::UnboundedSender<DiskEvent>,
     ) -> Result<Placements, LogError> {
-        let log = Log::open(store.clone(), group_commit.clone(), site, node, drawn)?;
+        let log = Log::open(store.clone(), group_commit.clone(), site, node, random)?;
         let mut history = History::new();
         let copies = Copies::restore(&store, group_commit, &mut history)?;
         log.load_into(&mut history)?;
         copies.insert_deferred(&mut history)?;
         let open = log.open_placements();
         if !open.is_empty() {
-            info!(
-                "placements: {} were on their way when the last process ended, and may have run",
-                open.len()
-            );
+            info!("placements: {} were in progress when the last process ended and may have run", open.len());
         }
-        let placing = Placements {
+        let placements = Placements {
             log,
             copies,
             history: RefCell::new(history),
             keys: RefCell::default(),
             exchanges: RefCell::default(),
             reconciler: RefCell::new(Reconciler::new(reconcile::Settings::default())),
-            life: drawn,
-            log_recovery: RefCell::new(LogRecovery::new(now, ASKING, open.into_keys())),
-            refounded: Cell::new(false),
-            fresh: Cell::new(true),
-            more: Cell::new(Some(now)),
-            out: RefCell::default(),
-            unwritten: RefCell::default(),
-            waits: Cell::new(false),
-            group: Cell::new(group),
-            next: Cell::new(now),
-            flushes: Cell::new(false),
-            shows: Cell::new(false),
-            shown: Cell::new(0),
-            writes,
+            new_log_number: random,
+            log_recovery: RefCell::new(LogRecovery::new(now, PEER_REPLY_TIMEOUT, open.into_keys())),
+            log_replaced: Cell::new(false),
+            has_new_entries: Cell::new(true),
+            reconcile_at: Cell::new(Some(now)),
+            outstanding: RefCell::default(),
+            unwritten_ends: RefCell::default(),
+            has_deferred: Cell::new(false),
+            group_interval: Cell::new(group_interval),
+            next_flush: Cell::new(now),
+            is_flushing: Cell::new(false),
+            must_publish: Cell::new(false),
+            last_published: Cell::new(0),
+            disk_events,
         };
-        placing.feed();
-        Ok(placing)
+        placements.index_all_logs();
+        Ok(placements)
     }
 
-    /// What is new in the history is known of keys, too.
-    fn feed(&self) {
+    /// Adds the new entries of all logs to the key index.
+    fn index_all_logs(&self) {
         let (history, mut keys) = (self.history.borrow(), self.keys.borrow_mut());
         for writer in history.writers() {
-            feed(&history, &mut keys, writer);
+            index_new_entries(&history, &mut keys, writer);
         }
     }
 
-    /// What was to be flushed is on the disk, or never will be.
+    /// Ends a flush, whether it succeeded or not, and has the flushed entries published.
     pub fn on_flushed(&self) {
-        self.flushes.set(false);
-        self.shows.set(true);
+        self.is_flushing.set(false);
+        self.must_publish.set(true);
     }
 
-    /// The number of this node's log, and of its last entry on the disk.
+    /// Returns the number of this node's log and of its last entry on the disk.
     pub fn own_position(&self) -> (u64, u64) {
         (self.log.writer().log, self.log.durable().0)
     }
 
-    /// All that is known of logs.
+    /// Returns the history of all known logs.
     pub fn history(&self) -> std::cell::Ref<'_, History> {
         self.history.borrow()
     }
 
-    /// Whether another log was founded in this life, since the disk was an older one.
-    pub fn was_refounded(&self) -> bool {
-        self.refounded.get()
+    /// Returns whether this process started a new log because the disk was an older copy.
+    pub fn was_log_replaced(&self) -> bool {
+        self.log_replaced.get()
     }
 
-    /// Drop what is old enough and all sites have, by their own word: `sites` has the partners of each site but the own one. Rare, since
-    /// it waits for the disk.
+    /// Seals entries that are at least `age` microseconds old and that all sites have confirmed. `sites` maps each other site to this
+    /// node's peers there. Blocks on the disk, so it is called rarely.
     pub fn seal(&self, sites: &BTreeMap<String, Vec<u32>>, age: Micros, unix: Micros) {
         let own = self.log.writer();
         let names: Vec<String> = sites.keys().cloned().collect();
@@ -167,13 +167,15 @@
         for writer in writers {
             let mut history = self.history.borrow_mut();
             let exchanges = self.exchanges.borrow();
-            // Of each site the one that has least: any of its nodes may be the only one that is left.
-            let least = |nodes: &Vec<u32>| {
-                let has = nodes.iter().map(|n| exchanges.get(n)?.confirmed_point(&*history, &writer));
-                has.collect::<Option<Vec<_>>>()?.into_iter().min_by_key(|point| point.0)
+            // Any node of a site may be its only survivor, so the one that has confirmed least counts.
+            let slowest_point = |nodes: &Vec<u32>| {
+                let points = nodes.iter().map(|n| exchanges.get(n)?.confirmed_point(&*history, &writer));
+                points.collect::<Option<Vec<_>>>()?.into_iter().min_by_key(|point| point.0)
             };
-            let confirmed =
-                sites.iter().filter_map(|(site, nodes)| Some((site.clone(), least(nodes)?))).collect();
+            let confirmed = sites
+                .iter()
+                .filter_map(|(site, nodes)| Some((site.clone(), slowest_point(nodes)?)))
+                .collect();
             let Some(upto) = compaction::sealable_up_to(&history, &writer, &confirmed, &names, age, unix)
             else {
                 continue;
@@ -193,47 +195,49 @@
             info!("placements: {dropped} logs are sealed further");
             self.copies.rewrite(&self.history.borrow(), |done| {
                 if let Err(e) = done {
-                    warn!("placements: copies are not on the disk anew: {e}");
+                    warn!("placements: could not rewrite the copies of other nodes' logs: {e}");
                 }
             });
         }
     }
 
-    /// When [`Placements::tick`] is wanted at the latest.
+    /// Returns the latest time for the next [`Placements::tick`].
     pub fn due(&self, now: Micros) -> Option<Micros> {
-        let waits = self.waits.get() || self.log.durable().0 > self.shown.get();
-        let goes = (waits && !self.flushes.get()).then_some(self.next.get());
-        let shows = self.shows.get().then_some(now);
-        self.exchanges.borrow().values().map(Exchange::due).chain(goes).chain(shows).min()
+        let unsent = self.has_deferred.get() || self.log.durable().0 > self.last_published.get();
+        let flush_due = (unsent && !self.is_flushing.get()).then_some(self.next_flush.get());
+        let publish_due = self.must_publish.get().then_some(now);
+        self.exchanges.borrow().values().map(Exchange::due).chain(flush_due).chain(publish_due).min()
     }
 
-    /// When [`Placements::reconcile`] is wanted.
+    /// Returns the time for the next [`Placements::reconcile`] with new entries; `None` if there are none.
     pub fn reconcile_due(&self) -> Option<Micros> {
-        self.more.get()
+        self.reconcile_at.get()
     }
 
-    /// What follows from what is new.
+    /// Reconciles a slice of the new entries and returns the decisions.
     pub fn reconcile(&self, unix: Micros, now: Micros) -> Vec<Decision> {
         let mut reconciler = self.reconciler.borrow_mut();
         let history = self.history.borrow();
-        // What is overdue comes without news; what came is read once that is due.
-        let due = self.more.get().is_some_and(|at| at <= now);
+        // Overdue placements are given up at any time; new entries wait until reconciliation is due.
+        let due = self.reconcile_at.get().is_some_and(|at| at <= now);
         if !due {
             return reconciler.give_up_overdue(unix);
         }
-        let (decisions, more) = reconciler.slice(&*history, unix, self.fresh.take());
-        self.more.set(more.then_some(now + GOES_ON));
+        let (decisions, more) = reconciler.slice(&*history, unix, self.has_new_entries.take());
+        self.reconcile_at.set(more.then_some(now + RECONCILE_INTERVAL));
         decisions
     }
 
-    /// Tell of accounts' standing and credit what placements are judged by.
+    /// Passes a change of standing or credit to the reconciler and returns its decisions.
     pub fn update_reconciler(&self, report: impl FnOnce(&mut Reconciler) -> Vec<Decision>) -> Vec<Decision> {
-        // What it judges anew waits for the next slice.
-        self.more.set(Some(self.more.get().map_or(self.next.get(), |at| at.min(self.next.get()))));
+        // Placements that must be judged again wait for the next slice.
+        self.reconcile_at.set(Some(
+            self.reconcile_at.get().map_or(self.next_flush.get(), |at| at.min(self.next_flush.get())),
+        ));
         report(&mut self.reconciler.borrow_mut())
     }
 
-    /// What was placed since then, in Unix time: tenants and keys, with the time at which each was taken.
+    /// Calls `each` with the tenant, key and Unix time of each placement in this node's log since the given Unix time.
     pub fn for_each_accepted(&self, since: Micros, mut each: impl FnMut(&str, &str, Micros)) {
         let (history, writer) = (self.history.borrow(), self.log.writer());
         let last = history.latest_points().get(&writer).map_or(0, |point| point.0);
@@ -246,19 +250,19 @@
         }
     }
 
-    /// What any node has placed and was not looked at, of that many entries at most: tenants and keys, with the Unix time of each. `seen` has the
-    /// last entry of each log that was looked at. Whether there is more.
+    /// Calls `each` with the tenant, key and Unix time of placements in any log that were not scanned yet, from at most `max_entries`
+    /// entries. `scanned` holds the last scanned entry of each log. Returns whether entries may be left.
     pub fn for_each_new_placement(
         &self,
-        seen: &mut BTreeMap<Writer, u64>,
-        most: usize,
+        scanned: &mut BTreeMap<Writer, u64>,
+        max_entries: usize,
         mut each: impl FnMut(&str, &str, Micros),
     ) -> bool {
         let history = self.history.borrow();
-        let mut left = most;
+        let mut left = max_entries;
         for writer in history.writers() {
             let last = history.heads(writer).iter().map(|point| point.0).max().unwrap_or(0);
-            let at = seen.entry(writer.clone()).or_default();
+            let at = scanned.entry(writer.clone()).or_default();
             *at = history.sealed(writer).0.max(*at);
             while *at < last && left > 0 {
                 (*at, left) = (*at + 1, left - 1);
@@ -272,95 +276,101 @@
         left == 0
     }
 
-    /// What is known of a key of a class that must not run twice.
+    /// Returns what is known of an idempotency key of a class whose requests must run at most once.
     pub fn key_state(&self, class: &str, key: &str) -> KeyState {
         self.keys.borrow().state(class, key)
     }
 
-    /// Why nothing can be written down any more, where it can't.
+    /// Returns why the log accepts no more entries; `None` while it works.
     pub fn failure(&self) -> Option<LogError> {
         self.log.failed()
     }
 
-    /// Write a placement down. Whether it may be sent at once: one that must not run twice has to be on the disk first.
+    /// Records a placement. Returns whether the request may be dispatched at once; a guarded one has to be on the disk first, which
+    /// [`DiskEvent`] reports.
     pub fn record_placement(&self, id: DispatchId, timed: Timed) -> bool {
         let guarded = matches!(&timed.entry, Entry::Placed(p) if p.guarded);
         if !guarded {
-            let held = {
+            let buffered = {
                 Some(self.log_recovery.borrow_mut())
                     .filter(|b| b.is_buffering())
                     .map(|mut b| b.buffer_placement(timed.clone()))
             };
-            if let Some(slot) = held.unwrap_or_else(|| self.later(timed).map(PlacementRef::Written)) {
-                self.out.borrow_mut().insert(id, slot);
+            if let Some(placement) =
+                buffered.unwrap_or_else(|| self.append_deferred_entry(timed).map(PlacementRef::Written))
+            {
+                self.outstanding.borrow_mut().insert(id, placement);
             }
             return true;
         }
         if !self.peers_answered() {
-            let _ = self.writes.send(DiskEvent::Refused(id, "partners were not asked yet".to_string()));
+            let _ = self.disk_events.send(DiskEvent::Refused(
+                id,
+                "peers have not yet sent what they know of this node's log".to_string(),
+            ));
             return false;
         }
-        let writes = self.writes.clone();
+        let disk_events = self.disk_events.clone();
         let appended = self.log.append(&timed, move |done| {
-            // Nobody hears it where the node ends.
-            let _ = writes.send(DiskEvent::Placed(id, done.map(|_| ())));
+            // The receiver is dropped when the node stops.
+            let _ = disk_events.send(DiskEvent::Placed(id, done.map(|_| ())));
         });
         match appended {
             Ok(number) => {
                 self.keys.borrow_mut().apply_entry(&self.log.writer(), number, &timed.entry);
-                self.out.borrow_mut().insert(id, PlacementRef::Written(number));
+                self.outstanding.borrow_mut().insert(id, PlacementRef::Written(number));
             }
-            Err(e) => drop(self.writes.send(DiskEvent::Placed(id, Err(e)))),
+            Err(e) => drop(self.disk_events.send(DiskEvent::Placed(id, Err(e)))),
         }
         false
     }
 
-    /// An attempt has ended.
+    /// Records the end of an attempt.
     pub fn record_end(&self, id: DispatchId, ran: Ran, at: Micros) {
-        let Some(slot) = self.out.borrow_mut().remove(&id) else { return };
+        let Some(placement) = self.outstanding.borrow_mut().remove(&id) else { return };
         let how = match ran {
             Ran::Served => End::Served,
             Ran::Never => End::NeverRan,
             Ran::Perhaps => End::Unknown,
         };
-        match slot {
+        match placement {
             PlacementRef::Buffered(ticket) => self.log_recovery.borrow_mut().buffer_end(ticket, at, how),
             PlacementRef::Written(of) => {
-                if self.later(Timed { at, entry: Entry::Ended { of, how } }).is_none() {
+                if self.append_deferred_entry(Timed { at, entry: Entry::Ended { of, how } }).is_none() {
                     self.keys.borrow_mut().apply_end(&self.log.writer(), of, how);
-                    self.unwritten.borrow_mut().insert(of, how);
+                    self.unwritten_ends.borrow_mut().insert(of, how);
                 }
             }
         }
     }
 
-    fn later(&self, timed: Timed) -> Option<u64> {
+    fn append_deferred_entry(&self, timed: Timed) -> Option<u64> {
         let number = self.log.append_deferred(&timed);
-        self.waits.set(true);
+        self.has_deferred.set(true);
         match number {
             Ok(number) => {
                 self.keys.borrow_mut().apply_entry(&self.log.writer(), number, &timed.entry);
                 Some(number)
             }
-            // Counted by the log, and told once by whoever is denied for it.
+            // The log counts lost entries, and the failure of the store is logged once by the caller.
             Err(_) => None,
         }
     }
 
-    /// Have what waits on the disk.
+    /// Starts flushing deferred entries to the disk.
     fn flush(&self) {
-        self.flushes.set(true);
-        let writes = self.writes.clone();
+        self.is_flushing.set(true);
+        let disk_events = self.disk_events.clone();
         self.log.flush_with(&self.copies, move |done| {
             if let Err(e) = done {
                 warn!("placements: {e}");
             }
-            // Nobody hears it where the node ends.
-            let _ = writes.send(DiskEvent::Flushed);
+            // The receiver is dropped when the node stops.
+            let _ = disk_events.send(DiskEvent::Flushed);
         });
     }
 
-    /// For operators: the log's last entry, how many keys are remembered, what went unrecorded, and what stands for all that is known.
+    /// Returns a line for operators: the log's last entry, counts of entries and keys, unrecorded entries, and a digest of all logs.
     pub fn status(&self) -> String {
         let (last, keys) = (self.log.durable().0, self.keys.borrow().len());
         let history = self.history.borrow();
--- a/src/net/placing/exchange.rs
+++ b/src/net/placing/exchange.rs
@@ -1,41 +1,46 @@
-//! What peers and this node exchange of their logs.
+//! Exchanges log entries with peers.
 
-use super::{feed, Placements};
+use super::{index_new_entries, Placements};
 use shorepath_placements::anti_entropy::{Exchange, Message, Settings};
 use shorepath_placements::log::LogError;
 use shorepath_quota::Micros;
 use std::collections::BTreeSet;
 use tracing::{debug, warn};
 
-/// Words of that many bytes together go in one datagram, each after its length.
-const TOGETHER: usize = 1_200;
+/// Most bytes of messages that are combined into one datagram, each after its length.
+const MAX_BATCH_BYTES: usize = 1_200;
 
 impl Placements {
-    /// Exchange with these from now on; each gets from another what the nodes beside it write, by site and name. What is to be written and
-    /// shown waits for what comes in so long.
-    pub fn set_peers(&self, peers: Vec<(u32, BTreeSet<(String, String)>)>, group: Micros, now: Micros) {
-        self.group.set(group);
+    /// Sets the peers and, for each, the nodes whose logs it gets from another peer, by site and name. Entries are flushed and
+    /// published together at intervals of `group_interval` microseconds.
+    pub fn set_peers(
+        &self,
+        peers: Vec<(u32, BTreeSet<(String, String)>)>,
+        group_interval: Micros,
+        now: Micros,
+    ) {
+        self.group_interval.set(group_interval);
         let mut exchanges = self.exchanges.borrow_mut();
         exchanges.retain(|node, _| peers.iter().any(|(peer, _)| peer == node));
-        for (node, spare) in peers {
-            let new = || Exchange::new(Settings::default(), self.life, now);
-            exchanges.entry(node).or_insert_with(new).set_covered_nodes(spare);
+        for (node, covered) in peers {
+            let new = || Exchange::new(Settings::default(), self.new_log_number, now);
+            exchanges.entry(node).or_insert_with(new).set_covered_nodes(covered);
         }
     }
 
-    /// A partner says something: one word after the other.
+    /// Handles a datagram of a peer, which holds messages that are each preceded by their length.
     pub fn receive(&self, from: u32, mut messages: &[u8], now: Micros) {
         while let Some((length, rest)) = messages.split_first_chunk::<2>() {
             let Some((message, rest)) = rest.split_at_checked(usize::from(u16::from_be_bytes(*length)))
             else {
-                return debug!("placements: from {from}: a datagram was cut");
+                return debug!("placements: from {from}: a datagram is truncated");
             };
-            self.message(from, message, now);
+            self.receive_message(from, message, now);
             messages = rest;
         }
     }
 
-    pub(super) fn message(&self, from: u32, message: &[u8], now: Micros) {
+    pub(super) fn receive_message(&self, from: u32, message: &[u8], now: Micros) {
         let mut exchanges = self.exchanges.borrow_mut();
         let Some(exchange) = exchanges.get_mut(&from) else { return };
         let received = Message::decode(message)
@@ -44,78 +49,83 @@
             Ok(received) => received,
             Err(e) => return debug!("placements: from {from}: {e}"),
         };
-        let kept = |done: Result<(), LogError>| {
+        let log_failure = |done: Result<(), LogError>| {
             if let Err(e) = done {
-                warn!("placements: a copy is not on the disk: {e}");
+                warn!("placements: a copy of another node's log could not be written: {e}");
             }
         };
         for piece in &received.pieces {
             self.copies.append_piece_deferred(piece);
-            self.waits.set(true);
+            self.has_deferred.set(true);
             exchanges
                 .iter_mut()
                 .filter(|(node, _)| **node != from)
                 .for_each(|(_, e)| e.note_update(&piece.writer));
         }
         if let Some((writer, base)) = &received.sealed {
-            self.copies.append_base(writer, base, kept);
+            self.copies.append_base(writer, base, log_failure);
         }
         let (history, mut keys) = (self.history.borrow(), self.keys.borrow_mut());
         let pieces = received.pieces.iter().map(|piece| &piece.writer);
-        pieces.chain(received.sealed.iter().map(|(w, _)| w)).for_each(|w| feed(&history, &mut keys, w));
+        pieces
+            .chain(received.sealed.iter().map(|(w, _)| w))
+            .for_each(|w| index_new_entries(&history, &mut keys, w));
         if received.new > 0 {
             self.note_update(now);
         }
     }
 
-    /// There is more to reconcile.
+    /// Schedules reconciliation of new entries.
     pub(super) fn note_update(&self, now: Micros) {
-        self.fresh.set(true);
-        if self.more.get().is_none() {
-            self.more.set(Some(now + self.group.get()));
+        self.has_new_entries.set(true);
+        if self.reconcile_at.get().is_none() {
+            self.reconcile_at.set(Some(now + self.group_interval.get()));
         }
     }
 
-    /// Time has passed. What is to be said, and to whom.
-    pub fn tick(&self, now: Micros, chance: u64) -> Vec<(u32, Vec<u8>)> {
-        let unshown = self.log.durable().0 > self.shown.get();
-        if now >= self.next.get() && (unshown || self.waits.get()) && !self.flushes.get() {
-            self.next.set(now + self.group.get());
-            if self.waits.take() {
+    /// Flushes and publishes entries that are due. Returns the datagrams to send, by node number.
+    pub fn tick(&self, now: Micros, random: u64) -> Vec<(u32, Vec<u8>)> {
+        let has_unpublished = self.log.durable().0 > self.last_published.get();
+        if now >= self.next_flush.get()
+            && (has_unpublished || self.has_deferred.get())
+            && !self.is_flushing.get()
+        {
+            self.next_flush.set(now + self.group_interval.get());
+            if self.has_deferred.take() {
                 self.flush();
             } else {
-                self.shows.set(true);
+                self.must_publish.set(true);
             }
         }
-        let shows = self.shows.take();
+        let publish = self.must_publish.take();
         let due = self.exchanges.borrow().values().any(|e| e.due() <= now);
-        // Until partners were asked, nothing is written that would have to be shown.
-        let asks = !self.log_recovery.borrow().peers_answered();
-        if !shows && !due && !asks {
+        // Until the peers have answered, no entry is written that would have to be published.
+        let awaiting_peers = !self.log_recovery.borrow().peers_answered();
+        if !publish && !due && !awaiting_peers {
             return Vec::new();
         }
         let writer = self.log.writer();
-        if shows && unshown {
+        if publish && has_unpublished {
             match self.log.load_into(&mut self.history.borrow_mut()) {
                 Ok(_) => self.note_update(now),
                 Err(e) => warn!("placements: {e}"),
             }
-            self.shown.set(self.log.durable().0);
+            self.last_published.set(self.log.durable().0);
         }
-        self.ask(&writer, now);
+        self.decide_log(&writer, now);
         let history = self.history.borrow();
         let mut outgoing_messages: Vec<(u32, Vec<u8>)> = Vec::new();
         for (node, exchange) in self.exchanges.borrow_mut().iter_mut() {
-            if !shows && exchange.due() > now {
+            if !publish && exchange.due() > now {
                 continue;
             }
-            exchange.poll(&*history, now, chance.rotate_left(*node % 64));
+            exchange.poll(&*history, now, random.rotate_left(*node % 64));
             for message in exchange.take_outgoing() {
                 let message = message.encode();
                 let length = (message.len() as u16).to_be_bytes();
                 match outgoing_messages
                     .last_mut()
-                    .filter(|(to, sent)| to == node && sent.len() + message.len() <= TOGETHER)
+                    .filter(|(to, sent)| to == node && sent.len() + message.len() <= MAX_BATCH_BYTES)
                 {
                     Some((_, sent)) => sent.extend(length.iter().chain(&message)),
                     None => outgoing_messages.push((*node, [&length, message.as_slice()].concat())),
--- a/src/net/placing/startup.rs
+++ b/src/net/placing/startup.rs
@@ -1,4 +1,4 @@
-//! The start of a log: what peers know of it, and what they are asked before anything is written.
+//! Starts the log: asks the peers what they know of it before anything is written.
 
 use super::Placements;
 use shorepath_placements::anti_entropy::Exchange;
@@ -10,9 +10,9 @@
 use tracing::{info, warn};
 
 impl Placements {
-    /// See what partners say of this node's own log before anything is written to it: where they know more of it than the disk does,
-    /// an older disk was put back.
-    pub(super) fn ask(&self, writer: &Writer, now: Micros) {
+    /// Decides, once the peers have answered, whether the log continues. If they know more entries of it than the disk has, the disk
+    /// is an older copy and a new log is started.
+    pub(super) fn decide_log(&self, writer: &Writer, now: Micros) {
         let mut log_recovery = self.log_recovery.borrow_mut();
         let own = self.log.durable();
         let exchanges = self.exchanges.borrow();
@@ -22,72 +22,74 @@
         };
         match outcome {
             LogOutcome::Replaced(known) => {
-                warn!("placements: others know entry {known} of this log, the disk does not: an older disk was put back; another log is founded");
-                if let Err(e) = self.log.start_new_log(self.life) {
+                warn!("placements: peers know entry {known} of this log, which the disk lacks: the disk is an older copy; starting a new log");
+                if let Err(e) = self.log.start_new_log(self.new_log_number) {
                     warn!("placements: {e}");
                 }
-                self.out.borrow_mut().retain(|_, slot| matches!(slot, PlacementRef::Buffered(_)));
-                // Numbers count from 1 again.
-                self.shown.set(0);
-                self.unwritten.borrow_mut().clear();
-                self.refounded.set(true);
+                self.outstanding
+                    .borrow_mut()
+                    .retain(|_, placement| matches!(placement, PlacementRef::Buffered(_)));
+                // A new log numbers its entries from 1.
+                self.last_published.set(0);
+                self.unwritten_ends.borrow_mut().clear();
+                self.log_replaced.set(true);
             }
             LogOutcome::Continues(true) => {}
             LogOutcome::Continues(false) => {
-                info!("placements: no partner was heard, what need not be guarded is recorded")
+                info!("placements: no peer has answered; recording requests that are not guarded")
             }
         }
-        let numbers = log_recovery.write_buffered(outcome, |timed| self.later(timed));
-        self.out.borrow_mut().retain(|_, slot| {
-            if let PlacementRef::Buffered(ticket) = slot {
+        let numbers = log_recovery.write_buffered(outcome, |timed| self.append_deferred_entry(timed));
+        self.outstanding.borrow_mut().retain(|_, placement| {
+            if let PlacementRef::Buffered(ticket) = placement {
                 let Some(number) = numbers.get(ticket) else { return false };
-                *slot = PlacementRef::Written(*number);
+                *placement = PlacementRef::Written(*number);
             }
             true
         });
         if log_recovery.peers_answered() {
-            info!("placements: partners were asked, guarded work is taken");
+            info!("placements: peers have answered, guarded work is taken");
         }
     }
 
-    /// Whether partners were asked already.
+    /// Returns whether the peers have answered, as far as the node waits for them.
     pub fn peers_answered(&self) -> bool {
         self.log_recovery.borrow().peers_answered()
     }
 
-    /// Whether every partner has said all that it knows.
+    /// Returns whether every peer has sent all that it knows.
     pub fn exchanges_complete(&self) -> bool {
         let exchanges = self.exchanges.borrow();
         !exchanges.is_empty() && exchanges.values().all(Exchange::complete)
     }
 
-    /// The store was opened again: go on from what the disk has. What has to be committed before anything else.
+    /// Continues from what a reopened store holds. Returns the operations that must be committed before any other.
     ///
     /// # Errors
-    /// What is there can't be used.
+    /// Fails if the stored log can't be used.
     pub fn recover(&self, now: Micros) -> Result<Vec<Op>, LogError> {
         let mut ops = self.log.recover()?;
-        // Numbers of entries that never reached the disk are given anew: nothing may be known by them.
+        // Entries that never reached the disk lose their numbers to new ones, so the index must not keep them.
         self.keys.take();
         self.log.load_into(&mut self.history.borrow_mut())?;
-        self.feed();
+        self.index_all_logs();
         let open = self.log.open_placements();
-        let mut out = self.out.borrow_mut();
-        out.retain(|_, slot| match slot {
+        let mut outstanding = self.outstanding.borrow_mut();
+        outstanding.retain(|_, placement| match placement {
             PlacementRef::Written(number) => open.contains_key(number),
             PlacementRef::Buffered(_) => true,
         });
-        let known: Vec<PlacementRef> = out.values().copied().collect();
-        drop(out);
-        let ends = self.unwritten.take();
+        let known: Vec<PlacementRef> = outstanding.values().copied().collect();
+        drop(outstanding);
+        let ends = self.unwritten_ends.take();
         let open = open.into_keys().filter(|of| !known.contains(&PlacementRef::Written(*of)));
         let open = open.map(|of| (of, ends.get(&of).copied().unwrap_or(End::Unknown)));
         ops.extend(self.copies.rewrite_ops(&self.history.borrow()));
-        // Whether the disk is an older one is asked again: another log could not be founded.
+        // The peers are asked again, because a new log could not be started on a failed disk.
         self.log_recovery.borrow_mut().restart(now, open);
-        self.fresh.set(true);
-        self.more.set(Some(now));
-        self.shows.set(true);
+        self.has_new_entries.set(true);
+        self.reconcile_at.set(Some(now));
+        self.must_publish.set(true);
         Ok(ops)
     }
 }
--- a/src/net/recovering.rs
+++ b/src/net/recovering.rs
@@ -1,5 +1,7 @@
-//! A node's way back from a loss of power: what `shorepath-recovery` decides, between the disk, the other nodes, the operators' door and
-//! the log. Off where the file of sites has no `(recover ...)`.
+//! Recovers a node after a loss of power.
+//!
+//! Connects the rules of `shorepath-recovery` with the disk, the peers, the operators' commands and the placement log. Inactive if
+//! the sites file has no `(recover ...)`.
 
 use super::server_table::{LastList, Listing};
 use serde::{Deserialize, Serialize};
@@ -20,407 +22,425 @@
 use tokio::sync::mpsc;
 use tracing::{info, warn};
 
-/// Partners are asked this often until all of them count.
-const ASKS: Micros = 250_000;
-/// Afterwards they hear this often that this life goes on.
+/// Interval between questions to the peers until all of them have confirmed this incarnation, in microseconds.
+const ASK_INTERVAL: Micros = 250_000;
+/// Interval between messages that keep this incarnation alive at the peers afterwards, in microseconds.
 const NOTIFY_INTERVAL: Micros = 2_000_000;
-/// A life that was heard within this goes on.
-const LIVES: Micros = 5_000_000;
-/// The disk is told this often that the node has power.
-const MARKS: Micros = 2_000_000;
-/// The facts that are kept: whose disk it is, when it was written last, each other node's last life, and discovery's last list.
-const IDENTITY: &str = "recovery/identity";
-const WRITTEN: &str = "recovery/written";
-const PEER: &str = "recovery/peer/";
-const LIST: &str = "recovery/list";
-const LIST_AT: &str = "recovery/list at";
+/// Microseconds since its last message for which an incarnation is considered alive.
+const ALIVE_TIMEOUT: Micros = 5_000_000;
+/// Interval at which the disk records that the node has power, in microseconds.
+const POWER_RECORD_INTERVAL: Micros = 2_000_000;
+/// Stored facts: the identity of the disk, the time of its last write, each other node's incarnation, and discovery's last list.
+const IDENTITY_FACT: &str = "recovery/identity";
+const LAST_WRITTEN_FACT: &str = "recovery/written";
+const PEER_FACT_PREFIX: &str = "recovery/peer/";
+const LIST_FACT: &str = "recovery/list";
+const LIST_TIME_FACT: &str = "recovery/list at";
 
-/// Whose disk it is, as it is kept.
+/// The stored identity of a disk.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct Own {
+struct StoredIdentity {
     node: String,
     disk: u64,
     boots: u64,
-    /// It was this node's whole disk once.
-    whole: bool,
+    /// Whether the disk was once known to hold all records of this node.
+    #[serde(rename = "whole")]
+    complete: bool,
 }
 
-/// What the steps go by beside the disk and the peers.
+/// Conditions for the recovery phases besides the disk and the peers.
 #[derive(Clone, Copy, Debug)]
 pub struct RecoveryInputs {
-    /// There are servers to send to.
-    pub servers: bool,
-    /// Partners have said what they know of this node's own log, as far as is waited for.
-    pub asked: bool,
-    /// Every partner has.
-    pub complete: bool,
-    /// They know entries of it that the disk does not.
-    pub refounded: bool,
-    /// Something guarded may be placed under a lease of this life, or there are no leases.
-    pub epoch: bool,
+    /// Whether there are backend servers.
+    pub has_servers: bool,
+    /// Whether the peers have sent what they know of this node's log, as far as the node waits for them.
+    pub peers_answered: bool,
+    /// Whether every peer has sent all that it knows.
+    pub exchanges_complete: bool,
+    /// Whether the peers know entries of this node's log that the disk lacks.
+    pub log_replaced: bool,
+    /// Whether guarded requests may be placed under a lease of this incarnation, or no leases are used.
+    pub has_epoch: bool,
 }
 
-/// Another node's life that this one was asked to remember.
+/// Result of storing another node's incarnation on its request.
 #[derive(Debug)]
 pub struct SavedIncarnation {
     node: u32,
-    life: DiskIncarnation,
-    done: Result<(), Arc<StoreError>>,
+    incarnation: DiskIncarnation,
+    result: Result<(), Arc<StoreError>>,
 }
 
-/// A node on its way back.
+/// The recovery of this node after a loss of power.
 #[derive(Debug)]
 pub struct NodeRecovery {
     name: String,
     me: DiskIncarnation,
-    back: RefCell<Recovery>,
-    since: Cell<Micros>,
+    phases: RefCell<Recovery>,
+    phase_since: Cell<Micros>,
     disk: Cell<DiskState>,
-    /// The disk can be acted by: it is whole, or what is missing was excused.
-    whole: Cell<bool>,
-    /// An operator has excused what may be missing.
+    /// Whether the disk may be relied on: its records are complete, or an operator has accepted that some are missing.
+    disk_usable: Cell<bool>,
+    /// Whether an operator has accepted that records may be missing.
     excused: Cell<bool>,
-    /// This start is on the disk.
-    counted: bool,
-    /// When the disk was written last, in Unix time, and how long ago that is, where the clock can be believed.
-    written: Option<Micros>,
+    /// Whether this start was recorded on the disk.
+    start_recorded: bool,
+    /// Unix time of the last write before this start, and the time since then if the clock is plausible, in microseconds.
+    last_written: Option<Micros>,
     outage: Option<Micros>,
     peers: RefCell<Peers>,
-    /// The last life of each other node, and when it was heard.
-    lives: RefCell<BTreeMap<u32, (DiskIncarnation, Option<Micros>)>>,
+    /// Last known incarnation of each other node, and when a message of it arrived.
+    incarnations: RefCell<BTreeMap<u32, (DiskIncarnation, Option<Micros>)>>,
     outgoing_messages: RefCell<Vec<(u32, Message)>>,
-    asks_at: Cell<Micros>,
-    marks_at: Cell<Micros>,
-    /// All lost power; unknown until peers have answered.
-    all_lost: Cell<Option<bool>>,
+    ask_at: Cell<Micros>,
+    record_power_at: Cell<Micros>,
+    /// Whether all nodes lost power; `None` until the peers have answered.
+    all_lost_power: Cell<Option<bool>>,
     group_commit: Arc<GroupCommit>,
-    claims: mpsc::UnboundedSender<SavedIncarnation>,
-    /// Discovery's list as it stands, and how old the one is that the disk had and this life began with.
+    saved_sender: mpsc::UnboundedSender<SavedIncarnation>,
+    /// Discovery's current list, and the age in microseconds of the stored list that this process started with.
     list: Rc<LastList>,
-    begins_with: Cell<Option<Micros>>,
-    /// The disk has a list of this life.
-    marked: Arc<AtomicBool>,
+    initial_list_age: Cell<Option<Micros>>,
+    /// Whether a list of this process is on the disk.
+    list_stored: Arc<AtomicBool>,
 }
 
 impl NodeRecovery {
-    /// Begin with what that store holds of the node of that name; a process's number is `drawn` by chance, and a new disk's as well. What
-    /// the disk has written of other nodes is told to them; what it has done is told by `claims`.
+    /// Starts the recovery of the node `name` from its store. `random` identifies this process, and a new disk. `saved_sender` gets the
+    /// results of storing other nodes' incarnations.
     ///
     /// # Errors
-    /// The disk can't be read.
+    /// Fails if the disk can't be read.
     pub fn open(
         name: &str,
         clause: &RecoveryConfig,
         (store, group_commit): (&Store, Arc<GroupCommit>),
-        (drawn, now, unix): (u64, Micros, Micros),
-        claims: mpsc::UnboundedSender<SavedIncarnation>,
+        (random, now, unix): (u64, Micros, Micros),
+        saved_sender: mpsc::UnboundedSender<SavedIncarnation>,
     ) -> Result<NodeRecovery, StoreError> {
-        let before = store.fact::<Own>(IDENTITY)?;
-        let written = store.fact::<Micros>(WRITTEN)?;
-        let mut own =
-            before.clone().unwrap_or(Own { node: name.to_string(), disk: drawn, boots: 0, whole: false });
-        let identity = |o: &Own| Identity { node: o.node.clone(), disk: o.disk, boots: o.boots };
-        let kept = before.as_ref().filter(|o| o.whole).map(identity);
-        let disk = classify_disk(kept.as_ref(), name, None, false);
-        // What another node has written here is about its clients; counted from now on it is this one's.
+        let stored = store.fact::<StoredIdentity>(IDENTITY_FACT)?;
+        let last_written = store.fact::<Micros>(LAST_WRITTEN_FACT)?;
+        let mut own_identity = stored.clone().unwrap_or(StoredIdentity {
+            node: name.to_string(),
+            disk: random,
+            boots: 0,
+            complete: false,
+        });
+        let identity = |stored: &StoredIdentity| Identity {
+            node: stored.node.clone(),
+            disk: stored.disk,
+            boots: stored.boots,
+        };
+        let complete_identity = stored.as_ref().filter(|stored| stored.complete).map(identity);
+        let disk = classify_disk(complete_identity.as_ref(), name, None, false);
+        // Records of another node describe its clients; from now on the disk belongs to this node.
         if disk == DiskState::Strange {
-            own = Own { node: name.to_string(), disk: drawn, boots: 0, whole: false };
+            own_identity = StoredIdentity { node: name.to_string(), disk: random, boots: 0, complete: false };
         }
-        own.boots += 1;
-        // Guards against serving nothing where there is no room: what may be repeated needs no disk. A start that is not counted could not
-        // be told from the one before, so what must not run twice waits.
-        let counted = store.commit(&[Op::remember(IDENTITY, &own), Op::remember(WRITTEN, &unix)]);
-        if let Err(e) = &counted {
-            warn!("recovery: this start can't be written down, guarded work waits for another one: {e}");
+        own_identity.boots += 1;
+        // A full disk must not stop requests that may be repeated. A start that is not recorded can't be distinguished from the one
+        // before, so requests that must run at most once wait.
+        let recorded = store
+            .commit(&[Op::remember(IDENTITY_FACT, &own_identity), Op::remember(LAST_WRITTEN_FACT, &unix)]);
+        if let Err(e) = &recorded {
+            warn!("recovery: this start could not be recorded: {e}; guarded requests wait, free disk space and restart the node");
         }
-        let me = DiskIncarnation { disk: own.disk, boots: own.boots, process: drawn };
-        let mut back = Recovery::new(clause.limits(), now);
-        let moved = back.observe(Observation::DiskRead(disk), now);
-        let recovering = NodeRecovery {
+        let me = DiskIncarnation { disk: own_identity.disk, boots: own_identity.boots, process: random };
+        let mut phases = Recovery::new(clause.limits(), now);
+        let transitions = phases.observe(Observation::DiskRead(disk), now);
+        let recovery = NodeRecovery {
             name: name.to_string(),
             me,
-            back: RefCell::new(back),
-            since: Cell::new(now),
+            phases: RefCell::new(phases),
+            phase_since: Cell::new(now),
             disk: Cell::new(disk),
-            whole: Cell::new(false),
+            disk_usable: Cell::new(false),
             excused: Cell::new(false),
-            counted: counted.is_ok(),
-            written,
-            outage: written.and_then(|at| outage(at, unix)),
-            peers: RefCell::new(Peers::new(me, !own.whole)),
-            lives: RefCell::default(),
+            start_recorded: recorded.is_ok(),
+            last_written,
+            outage: last_written.and_then(|at| outage(at, unix)),
+            peers: RefCell::new(Peers::new(me, !own_identity.complete)),
+            incarnations: RefCell::default(),
             outgoing_messages: RefCell::default(),
-            asks_at: Cell::new(now),
-            marks_at: Cell::new(now + MARKS),
-            all_lost: Cell::new(None),
+            ask_at: Cell::new(now),
+            record_power_at: Cell::new(now + POWER_RECORD_INTERVAL),
+            all_lost_power: Cell::new(None),
             group_commit,
-            claims,
+            saved_sender,
             list: Rc::default(),
-            begins_with: Cell::new(None),
-            marked: Arc::default(),
+            initial_list_age: Cell::new(None),
+            list_stored: Arc::default(),
         };
-        let gone = match (written, recovering.outage) {
+        let outage_text = match (last_written, recovery.outage) {
             (None, _) => "unknown: the disk is new".to_string(),
             (Some(_), None) => "unknown: the clock went backwards, or months on".to_string(),
-            (_, Some(gone)) => format!("{} ms", gone / 1_000),
+            (_, Some(duration)) => format!("{} ms", duration / 1_000),
         };
-        info!("recovery disk={disk:?} boots={} outage={gone}", me.boots);
-        recovering.report(moved, now);
-        Ok(recovering)
+        info!("recovery disk={disk:?} boots={} outage={outage_text}", me.boots);
+        recovery.log_transitions(transitions, now);
+        Ok(recovery)
     }
 
-    /// What the disk has of other nodes' lives, by their numbers.
+    /// Loads the stored incarnations of the given nodes.
     ///
     /// # Errors
-    /// The disk can't be read.
+    /// Fails if the disk can't be read.
     pub fn load_incarnations(
         &self,
         store: &Store,
         nodes: impl IntoIterator<Item = u32>,
     ) -> Result<(), StoreError> {
         for node in nodes {
-            if let Some(life) = store.fact::<DiskIncarnation>(&format!("{PEER}{node}"))? {
-                self.lives.borrow_mut().insert(node, (life, None));
+            if let Some(incarnation) = store.fact::<DiskIncarnation>(&format!("{PEER_FACT_PREFIX}{node}"))? {
+                self.incarnations.borrow_mut().insert(node, (incarnation, None));
             }
         }
         Ok(())
     }
 
-    /// The list that the disk has, to begin with until discovery's has come; none that is too old, or of which nobody knows how old it is.
+    /// Returns the stored server list, to use until discovery sends one; `None` if its age is too great or unknown.
     pub fn last_list(&self, store: &Store, unix: Micros) -> Option<Listing> {
-        let notified = store.fact::<Micros>(LIST_AT).ok()??;
-        let age = outage(notified, unix)?;
+        let stored_at = store.fact::<Micros>(LIST_TIME_FACT).ok()??;
+        let age = outage(stored_at, unix)?;
         if trust_level(StoredItem::List, self.disk.get(), Some(age)) != TrustLevel::AsInitial {
             return None;
         }
-        let list = store.fact::<Listing>(LIST).unwrap_or_else(|e| {
-            warn!("recovery: the last list can't be read: {e}");
+        let list = store.fact::<Listing>(LIST_FACT).unwrap_or_else(|e| {
+            warn!("recovery: the stored server list can't be read: {e}");
             None
         })?;
-        self.begins_with.set(Some(age));
-        info!("recovery: begins with the last list, {} ms old", age / 1_000);
+        self.initial_list_age.set(Some(age));
+        info!(
+            "recovery: using the stored server list, which is {} ms old, until discovery sends one",
+            age / 1_000
+        );
         Some(list)
     }
 
-    /// Discovery's list as it stands goes here.
+    /// Returns where to put discovery's current list so that it is stored.
     pub fn list_store(&self) -> Rc<LastList> {
         self.list.clone()
     }
 
-    /// These are asked from now on.
+    /// Sets the peers to ask.
     pub fn set_peers(&self, peers: &[u32]) {
         self.peers.borrow_mut().set_peers(peers);
     }
 
-    fn report(&self, moved: Vec<Transition>, now: Micros) {
-        for Transition { from, to, reason, by_operator } in moved {
-            self.since.set(now);
+    fn log_transitions(&self, transitions: Vec<Transition>, now: Micros) {
+        for Transition { from, to, reason, by_operator } in transitions {
+            self.phase_since.set(now);
             info!("recovery step=\"{to}\" before=\"{from}\" why=\"{reason}\" by_hand={by_operator}");
         }
     }
 
-    fn learn(&self, updates: Observation, now: Micros) {
-        let moved = self.back.borrow_mut().observe(updates, now);
-        self.report(moved, now);
+    fn observe(&self, updates: Observation, now: Micros) {
+        let transitions = self.phases.borrow_mut().observe(updates, now);
+        self.log_transitions(transitions, now);
     }
 
-    /// Have on the disk whether it can be acted by: one that was not stays so over a restart.
-    fn keep_own(&self, whole: bool) {
-        let own = Own { node: self.name.clone(), disk: self.me.disk, boots: self.me.boots, whole };
-        self.group_commit.commit(vec![Op::remember(IDENTITY, &own)], |done| {
-            if let Err(e) = done {
-                warn!("recovery: whether the disk is whole is not on it: {e}");
+    /// Stores whether the disk's records are complete, so that the result survives a restart.
+    fn store_identity(&self, complete: bool) {
+        let own_identity =
+            StoredIdentity { node: self.name.clone(), disk: self.me.disk, boots: self.me.boots, complete };
+        self.group_commit.commit(vec![Op::remember(IDENTITY_FACT, &own_identity)], |result| {
+            if let Err(e) = result {
+                warn!("recovery: the state of the disk could not be recorded: {e}");
             }
         });
     }
 
-    fn judge(&self, facts: RecoveryInputs, now: Micros) {
-        if self.excused.get() || !self.counted {
+    fn update_disk_state(&self, inputs: RecoveryInputs, now: Micros) {
+        if self.excused.get() || !self.start_recorded {
             return;
         }
         let Some(mut disk) = self.peers.borrow().classify_disk() else { return };
-        // Guards against a copy that was taken while its own process lived: boots don't tell it, what partners have of its log does.
-        if facts.refounded && disk.is_complete() {
+        // Guards against a copy of the disk made while its process ran: the boot count can't show it, but the peers' knowledge of the
+        // log can.
+        if inputs.log_replaced && disk.is_complete() {
             disk = DiskState::Old;
         }
         if disk != self.disk.replace(disk) {
-            warn!("recovery disk={disk:?}: by what its peers remember");
+            warn!("recovery disk={disk:?}: according to what its peers remember");
             if !disk.is_complete() {
-                self.keep_own(false);
+                self.store_identity(false);
             }
-            self.learn(Observation::DiskRead(disk), now);
+            self.observe(Observation::DiskRead(disk), now);
         }
-        let whole = disk.is_complete() && facts.asked;
-        if whole && !self.whole.replace(whole) {
-            self.keep_own(true);
-            self.asks_at.set(now);
+        let complete = disk.is_complete() && inputs.peers_answered;
+        if complete && !self.disk_usable.replace(complete) {
+            self.store_identity(true);
+            self.ask_at.set(now);
         }
-        self.whole.set(whole);
+        self.disk_usable.set(complete);
     }
 
-    /// Time has passed, or something has changed. Whether it is known from now on that all have lost power.
-    pub fn tick(&self, facts: RecoveryInputs, now: Micros, unix: Micros) -> bool {
-        self.judge(facts, now);
-        if facts.complete && self.peers.borrow().all_confirmed() {
-            self.learn(Observation::PeersReplied, now);
+    /// Updates the recovery. Returns `true` once, when it becomes known that all nodes have lost power.
+    pub fn tick(&self, inputs: RecoveryInputs, now: Micros, unix: Micros) -> bool {
+        self.update_disk_state(inputs, now);
+        if inputs.exchanges_complete && self.peers.borrow().all_confirmed() {
+            self.observe(Observation::PeersReplied, now);
         }
-        if facts.asked {
-            self.learn(Observation::CaughtUp, now);
+        if inputs.peers_answered {
+            self.observe(Observation::CaughtUp, now);
         }
-        self.learn(Observation::ServersListed(usize::from(facts.servers)), now);
-        // One whose disk another process has taken over acts under nothing any more.
-        self.learn(Observation::Epoch(facts.epoch && self.whole.get()), now);
-        if now >= self.asks_at.get() {
+        self.observe(Observation::ServersListed(usize::from(inputs.has_servers)), now);
+        // A process whose disk was taken over by another must not act under any lease.
+        self.observe(Observation::Epoch(inputs.has_epoch && self.disk_usable.get()), now);
+        if now >= self.ask_at.get() {
             let peers = self.peers.borrow();
-            self.asks_at.set(now + if peers.all_confirmed() { NOTIFY_INTERVAL } else { ASKS });
-            let ask = Message::Ask { me: self.me, claims: self.whole.get() };
+            self.ask_at.set(now + if peers.all_confirmed() { NOTIFY_INTERVAL } else { ASK_INTERVAL });
+            let ask = Message::Ask { me: self.me, claims: self.disk_usable.get() };
             self.outgoing_messages.borrow_mut().extend(peers.states().map(|(node, _)| (node, ask.clone())));
         }
-        if now >= self.marks_at.get() {
-            self.marks_at.set(now + MARKS);
-            let mut ops = vec![Op::remember(WRITTEN, &unix)];
+        if now >= self.record_power_at.get() {
+            self.record_power_at.set(now + POWER_RECORD_INTERVAL);
+            let mut ops = vec![Op::remember(LAST_WRITTEN_FACT, &unix)];
             if let Some(list) = self.list.take_updates() {
-                ops.push(Op::remember(LIST_AT, &unix));
-                ops.extend(list.map(|list| Op::remember(LIST, &list)));
+                ops.push(Op::remember(LIST_TIME_FACT, &unix));
+                ops.extend(list.map(|list| Op::remember(LIST_FACT, &list)));
             }
-            let (marked, has_list) = (self.marked.clone(), ops.len() > 1);
-            self.group_commit.commit(ops, move |done| match done {
-                Ok(()) => drop(marked.fetch_or(has_list, Ordering::Relaxed)),
-                Err(e) => warn!("recovery: that the node has power is not on the disk: {e}"),
+            let (list_stored, has_list) = (self.list_stored.clone(), ops.len() > 1);
+            self.group_commit.commit(ops, move |result| match result {
+                Ok(()) => drop(list_stored.fetch_or(has_list, Ordering::Relaxed)),
+                Err(e) => warn!("recovery: could not record that the node has power: {e}"),
             });
         }
-        self.lost()
+        self.detect_common_outage()
     }
 
-    fn lost(&self) -> bool {
-        let step = self.back.borrow().phase();
+    fn detect_common_outage(&self) -> bool {
+        let phase = self.phases.borrow().phase();
         let peers = self.peers.borrow();
-        if self.all_lost.get().is_some() || !(peers.all_replied() || step > Phase::Asking) {
+        if self.all_lost_power.get().is_some() || !(peers.all_replied() || phase > Phase::Asking) {
             return false;
         }
         let all = !peers.is_local_outage();
-        self.all_lost.set(Some(all));
+        self.all_lost_power.set(Some(all));
         match all {
-            true => info!("recovery: hardly a peer had power meanwhile, servers are taken for cold"),
-            false => info!("recovery: others had power meanwhile"),
+            true => info!("recovery: most peers lost power too; servers are treated as cold"),
+            false => info!("recovery: other nodes kept power"),
         }
         all
     }
 
-    /// Another node says something.
+    /// Handles a message of another node.
     pub fn receive(&self, from: u32, message: Message, now: Micros) {
-        let (life, claims) = match message {
+        let (incarnation, claims) = match message {
             Message::Reply(reply) => return self.peers.borrow_mut().record_reply(from, reply),
             Message::Ask { me, claims } => (me, claims),
         };
-        let known = self.lives.borrow().get(&from).copied();
+        let known = self.incarnations.borrow().get(&from).copied();
         match known {
-            Some((known, _)) if known == life => {
-                self.lives.borrow_mut().insert(from, (life, Some(now)));
+            Some((known, _)) if known == incarnation => {
+                self.incarnations.borrow_mut().insert(from, (incarnation, Some(now)));
             }
             _ if claims => {
-                let claims = self.claims.clone();
-                self.group_commit.commit(vec![Op::remember(format!("{PEER}{from}"), &life)], move |done| {
-                    // Nobody hears it where the node ends.
-                    let _ = claims.send(SavedIncarnation { node: from, life, done });
-                });
+                let saved_sender = self.saved_sender.clone();
+                self.group_commit.commit(
+                    vec![Op::remember(format!("{PEER_FACT_PREFIX}{from}"), &incarnation)],
+                    move |result| {
+                        // The receiver is dropped when the node stops.
+                        let _ = saved_sender.send(SavedIncarnation { node: from, incarnation, result });
+                    },
+                );
                 return;
             }
             _ => {}
         }
-        self.answer(from, life, now);
+        self.reply_to(from, incarnation, now);
     }
 
-    /// The disk has another node's life, or not.
-    pub fn on_incarnation_saved(&self, claimed: SavedIncarnation, now: Micros) {
-        let SavedIncarnation { node, life, done } = claimed;
-        match done {
-            Ok(()) => drop(self.lives.borrow_mut().insert(node, (life, Some(now)))),
-            Err(e) => warn!("recovery: another node's life is not on the disk: {e}"),
+    /// Replies to a node once its incarnation was stored, or could not be.
+    pub fn on_incarnation_saved(&self, saved: SavedIncarnation, now: Micros) {
+        let SavedIncarnation { node, incarnation, result } = saved;
+        match result {
+            Ok(()) => drop(self.incarnations.borrow_mut().insert(node, (incarnation, Some(now)))),
+            Err(e) => warn!("recovery: another node's incarnation could not be recorded: {e}"),
         }
-        self.answer(node, life, now);
+        self.reply_to(node, incarnation, now);
     }
 
-    fn answer(&self, to: u32, life: DiskIncarnation, now: Micros) {
-        let known = self.lives.borrow().get(&to).copied();
+    fn reply_to(&self, to: u32, incarnation: DiskIncarnation, now: Micros) {
+        let known = self.incarnations.borrow().get(&to).copied();
         let received = known.and_then(|(_, received)| received);
-        let lives = known.is_some_and(|(l, _)| l.process != life.process)
-            && received.is_some_and(|at| now - at < LIVES);
-        let outlived = match &known {
-            Some((known, received)) => known.process != life.process && received.is_some(),
-            None => self.back.borrow().phase() == Phase::Serving,
+        let is_other_alive = known.is_some_and(|(known, _)| known.process != incarnation.process)
+            && received.is_some_and(|at| now - at < ALIVE_TIMEOUT);
+        let has_kept_power = match &known {
+            Some((known, received)) => known.process != incarnation.process && received.is_some(),
+            None => self.phases.borrow().phase() == Phase::Serving,
         };
-        let known = known.map(|(life, _)| life);
+        let known = known.map(|(incarnation, _)| incarnation);
         let reply = Reply {
-            to: life.process,
+            to: incarnation.process,
             known,
-            other_alive: lives,
-            complete: self.whole.get(),
-            kept_power: outlived,
+            other_alive: is_other_alive,
+            complete: self.disk_usable.get(),
+            kept_power: has_kept_power,
         };
         self.outgoing_messages.borrow_mut().push((to, Message::Reply(reply)));
     }
 
-    /// What is to be said, to whom.
+    /// Takes the messages to send, by node number.
     pub fn take_outgoing(&self) -> Vec<(u32, Message)> {
         std::mem::take(&mut self.outgoing_messages.borrow_mut())
     }
 
-    /// What may be served.
+    /// Returns which requests may be served.
     pub fn admits(&self) -> Admits {
-        self.back.borrow().admits()
+        self.phases.borrow().admits()
     }
 
-    /// What it waits for, for clients and operators; nothing once it serves all.
+    /// Returns what the recovery waits for, for clients and operators; `None` once all requests are served.
     pub fn waits_for(&self, now: Micros) -> Option<&'static str> {
-        let back = self.back.borrow();
-        match back.phase() {
-            Phase::Guarded if !self.counted => {
+        let phases = self.phases.borrow();
+        match phases.phase() {
+            Phase::Guarded if !self.start_recorded => {
                 Some("a start that can be written down: make room on its disk first")
             }
             Phase::Asking | Phase::Guarded | Phase::Serving if self.list.is_notified_empty() => {
                 Some("servers: discovery's list is empty")
             }
-            _ => back.waits_for(now),
+            _ => phases.waits_for(now),
         }
     }
 
-    /// An operator lets it go on. What it does now.
+    /// Lets the recovery go on by an operator's decision, and returns what it does next.
     ///
     /// # Errors
-    /// Nobody can let it go on from there, and why.
+    /// Returns why an operator can't release the recovery from its current phase.
     pub fn release(&self, now: Micros) -> Result<String, String> {
-        let step = self.back.borrow().phase();
+        let phase = self.phases.borrow().phase();
         let waits = self.waits_for(now).unwrap_or("nothing");
-        let excuses = !self.whole.get() || !self.peers.borrow().all_confirmed();
-        if step == Phase::Serving || step == Phase::Guarded && (!excuses || !self.counted) {
-            return Err(format!("{step}: it waits for {waits}, which nobody can release"));
+        let can_excuse = !self.disk_usable.get() || !self.peers.borrow().all_confirmed();
+        if phase == Phase::Serving || phase == Phase::Guarded && (!can_excuse || !self.start_recorded) {
+            return Err(format!("{phase}: it waits for {waits}, which nobody can release"));
         }
-        warn!("recovery: an operator releases step=\"{step}\" waits_for=\"{waits}\"");
-        if step == Phase::Guarded {
+        warn!("recovery: an operator releases step=\"{phase}\" waits_for=\"{waits}\"");
+        if phase == Phase::Guarded {
             self.excused.set(true);
-            self.whole.set(true);
-            self.keep_own(true);
-            self.asks_at.set(now);
+            self.disk_usable.set(true);
+            self.store_identity(true);
+            self.ask_at.set(now);
         }
-        self.learn(Observation::Release(step), now);
+        self.observe(Observation::Release(phase), now);
         Ok(format!("released; it waits for {}", self.waits_for(now).unwrap_or("nothing")))
     }
 
-    /// For operators, a line each; `name` tells a node's name by its number.
+    /// Returns the recovery status for operators, one item per line. `name` returns the name of a node by its number.
     pub fn status(&self, name: impl Fn(u32) -> String, now: Micros) -> String {
-        let (step, admits) = (self.back.borrow().phase(), self.admits());
+        let (phase, admits) = (self.phases.borrow().phase(), self.admits());
         let mut text =
-            format!("step \"{step}\" for_ms={} admits={admits:?}\n", (now - self.since.get()) / 1_000);
+            format!("step \"{phase}\" for_ms={} admits={admits:?}\n", (now - self.phase_since.get()) / 1_000);
         text += &format!("waits_for \"{}\"\n", self.waits_for(now).unwrap_or("nothing"));
         let (DiskIncarnation { disk, boots, .. }, excused) = (self.me, self.excused.get());
         text += &format!("disk {:?} number={disk:016x} boots={boots} excused={excused}\n", self.disk.get());
-        text += &match (self.written, self.outage) {
+        text += &match (self.last_written, self.outage) {
             (None, _) => "outage unknown why=\"the disk is new\"\n".to_string(),
             (Some(_), None) => "outage unknown why=\"the clock went backwards, or months on\"\n".to_string(),
-            (_, Some(gone)) => format!("outage ms={}\n", gone / 1_000),
+            (_, Some(duration)) => format!("outage ms={}\n", duration / 1_000),
         };
-        text += match self.all_lost.get() {
+        text += match self.all_lost_power.get() {
             None => "loss \"peers have not told yet\"\n",
             Some(true) => "loss \"of all\"\n",
             Some(false) => "loss \"of this node: others had power\"\n",
@@ -435,10 +455,10 @@
         ] {
             text += &format!("trust {item:?} {}\n", trust_level(item, self.disk.get(), self.outage));
         }
-        if let Some(age) = self.begins_with.get() {
+        if let Some(age) = self.initial_list_age.get() {
             text += &format!("list \"as a beginning\" age_ms={}\n", age / 1_000);
         }
-        if self.marked.load(Ordering::Relaxed) {
+        if self.list_stored.load(Ordering::Relaxed) {
             text += "list kept\n";
         }
         for (node, peer) in self.peers.borrow().states() {
--- a/src/net/sites.rs
+++ b/src/net/sites.rs
@@ -448,11 +448,11 @@
     fn update_recovery(&self, now: Micros) {
         let Some(recovery) = &self.recovery else { return };
         let inputs = RecoveryInputs {
-            servers: self.exchange.has_servers(),
-            asked: self.placements.peers_answered(),
-            complete: self.placements.exchanges_complete(),
-            refounded: self.placements.was_refounded(),
-            epoch: self
+            has_servers: self.exchange.has_servers(),
+            peers_answered: self.placements.peers_answered(),
+            exchanges_complete: self.placements.exchanges_complete(),
+            log_replaced: self.placements.was_log_replaced(),
+            has_epoch: self
                 .key_leases
                 .as_ref()
                 .map_or(self.placements.peers_answered(), |leases| leases.holds_any()),
--- a/src/net/sites/persistence.rs
+++ b/src/net/sites/persistence.rs
@@ -98,7 +98,7 @@
     pub(super) fn update_ownership(&self) {
         let Some(key_leases) = &self.key_leases else { return };
         let (now, site_health, settings) = (self.now(), self.site_health.borrow(), self.settings.borrow());
-        if self.placements.was_refounded() && !self.ownership_was_reset.replace(true) {
+        if self.placements.was_log_replaced() && !self.ownership_was_reset.replace(true) {
             key_leases.reset(&settings.config);
         }
         if site_health.all_nodes_use_config() {
--- a/src/net/sites/transport.rs
+++ b/src/net/sites/transport.rs
@@ -107,7 +107,7 @@
             Err(Dropped { refused, first }) => {
                 if first {
                     warn!(
-                        "sites: dropped a datagram from {from}: {refused}: {}",
+                        "sites: a datagram from {from} is dropped: {refused}: {}",
                         shorepath_message_auth::advice(&refused)
                     );
                 }
--- a/tests/golden/site_datagrams.rs
+++ b/tests/golden/site_datagrams.rs
@@ -155,7 +155,7 @@
     let nothing = [b'p', 0, 6, 0, 9, 1, 0, 1, 0];
     other.send(&nothing);
     // Its only partner has said all that it has.
-    node.logs("partners were asked");
+    node.logs("peers have answered");
     placed(&node, &server);
     let begin = Instant::now();
     loop {
--- a/tests/node/audit.rs
+++ b/tests/node/audit.rs
@@ -198,7 +198,7 @@
     nodes[0] = files.start(0, &servers[0]);
     let text = until(&nodes[0], |text| text.contains("\nbroken "));
     assert!(text.contains("older disk") || text.contains("another one than others were told"), "{text}");
-    nodes[1].logs("has begun another record");
+    nodes[1].logs("has started a new log");
 }
 
 /// Without the clause in its file a node has no record and no such door.
--- a/tests/node/homes.rs
+++ b/tests/node/homes.rs
@@ -115,7 +115,7 @@
     }
 }
 
-const PROVED: &str = "all that was placed is known";
+const PROVED: &str = "all placements are known";
 
 /// The holder places; the other refuses, with the home's name. Once its lease is over, so does the holder, and places again under the next.
 #[rstest]
--- a/tests/node/lending.rs
+++ b/tests/node/lending.rs
@@ -193,7 +193,7 @@
     drop(east);
     west.logs("site east Lost");
     let east = files.start(1);
-    east.logs("homecoming east begins part=20");
+    east.logs("load recovery east begins part=20");
     let mut refused = 0;
     for answer in ask(&east, 60, "/zone-plan", None, &mut ids) {
         if answer.status() != 200 {
@@ -212,9 +212,10 @@
     {
         assert!(begin.elapsed() < LONG, "no guest is told to go home");
     }
-    let lines = east.logs_until("homecoming east part=100 before=100");
-    let steps =
-        lines.iter().filter_map(|l| l.split("homecoming east part=").nth(1)?.split(' ').next()?.parse().ok());
+    let lines = east.logs_until("load recovery east part=100 before=100");
+    let steps = lines
+        .iter()
+        .filter_map(|l| l.split("load recovery east part=").nth(1)?.split(' ').next()?.parse().ok());
     let steps: Vec<u8> = steps.collect();
     assert!(steps.is_sorted() && steps.len() >= 4, "{lines:?}");
     west.logs("site east WholeAgain");
--- a/tests/node/operators.rs
+++ b/tests/node/operators.rs
@@ -293,7 +293,7 @@
     on_old.serve("kept", "3");
     assert_eq!(kept.message().body, "3");
     assert!(old.exit().success());
-    new.logs("this process is the whole node");
+    new.logs("this process is the only one of the node");
     let mut again = new.ask("held", "/zone-plan");
     let mut backend = on_new.unwrap();
     assert_eq!(backend.id(), "held");
@@ -320,7 +320,7 @@
     let new = Node::start(&config);
     old.logs("the next process takes clients");
     drop(old);
-    new.logs("this process is the whole node");
+    new.logs("this process is the only one of the node");
     assert_eq!(call(&new, READY), 200);
     drop(new);
     assert_eq!(call(&Node::start(&config), READY), 200);
--- a/tests/node/orders.rs
+++ b/tests/node/orders.rs
@@ -442,7 +442,7 @@
     assert_eq!(backend.id(), "a");
     backend.serve("a", "1");
     assert_eq!(client.message().body, "1");
-    new.logs("this process is the whole node");
+    new.logs("this process is the only one of the node");
 }
 
 /// The next process is killed before it takes clients: the one before goes on, and can be replaced.
