--- a/crates/recovery/src/phases.rs
+++ b/crates/recovery/src/phases.rs
@@ -138,21 +138,21 @@
     /// Describes for operators what the recovery waits for; `None` once all requests are served.
     pub fn waits_for(&self, now: Micros) -> Option<&'static str> {
         Some(match self.phase {
-            Phase::NotStarted => "its start",
-            Phase::Reading => "its disk to be read",
+            Phase::NotStarted => "its beginning",
+            Phase::Reading => "its disk",
             Phase::Asking if self.servers == 0 => "discovery's list",
             Phase::Asking => "its peers",
-            Phase::CatchingUp => "the replies of its peers to be applied",
+            Phase::CatchingUp => "what peers said to be taken in",
             Phase::Guarded | Phase::Serving if self.servers == 0 => "servers",
             Phase::Guarded if !self.is_complete() && !self.missing_accepted => {
-                "an operator: records of at-most-once requests may be missing on its disk"
+                "an operator: what must not run twice may be missing on its disk"
             }
-            Phase::Guarded if !self.peers_replied => {
-                "its peers: they may hold records of at-most-once requests"
+            Phase::Guarded if !self.peers_replied => "its peers: they may know what must not run twice",
+            Phase::Guarded if !self.epoch_held => "an epoch of this life",
+            Phase::Guarded if now < self.grants_expire_at() => {
+                "what an earlier life may still act under to be over"
             }
-            Phase::Guarded if !self.epoch_held => "an epoch for this process",
-            Phase::Guarded if now < self.grants_expire_at() => "grants of an earlier process to expire",
-            Phase::Guarded => "the next check",
+            Phase::Guarded => "its turn",
             Phase::Serving => return None,
         })
     }
--- a/crates/recovery/tests/parts.rs
+++ b/crates/recovery/tests/parts.rs
@@ -28,7 +28,7 @@
     node.observe(Observation::ServersListed(9), 61 * S);
     node.observe(Observation::CaughtUp, 61 * S);
     assert_eq!((node.phase(), node.admits()), (Phase::Guarded, Admits::Repeatable));
-    assert_eq!(node.waits_for(61 * S), Some("an epoch for this process"));
+    assert_eq!(node.waits_for(61 * S), Some("an epoch of this life"));
     node.observe(Observation::Epoch(true), 61 * S);
     assert_eq!((node.phase(), node.admits(), node.waits_for(61 * S)), (Phase::Serving, Admits::All, None));
     // An empty server list admits nothing; a lost epoch leaves idempotent requests only.
--- a/tests/node/recovery.rs
+++ b/tests/node/recovery.rs
@@ -236,7 +236,7 @@
     let notified = notified(&node);
     assert!(notified.contains("loss \"of this node: others had power\""), "{notified}");
     assert!(
-        notified.contains("waits_for \"an operator: records of at-most-once requests may be missing"),
+        notified.contains("waits_for \"an operator: what must not run twice may be missing"),
         "{notified}"
     );
     assert_eq!(node.ask("free", "/zone-plan").message().status(), 200);
@@ -400,7 +400,7 @@
     let nodes = fleet.start_all(&[0, 1], &[server.address]);
     until(&nodes[0], "step \"guarded\"");
     assert_eq!(nodes[0].call("POST", "/ops/recovery/release"), 200);
-    until(&nodes[0], "waits_for \"grants of an earlier process to expire\"");
+    until(&nodes[0], "waits_for \"what an earlier life may still act under to be over\"");
     until(&nodes[0], "peer n1 Counts");
     assert_eq!(nodes[0].call("POST", "/ops/recovery/release"), 409);
     assert_eq!(guarded(&nodes[0], "k").status(), 503);
@@ -577,8 +577,8 @@
                 node,
                 match kept[k] {
                     _ if kept == [Kept::Own; 5] => "step \"serving\"",
-                    Kept::Own => "waits_for \"its peers: they may hold records of at-most-once requests\"",
-                    _ => "waits_for \"an operator: records of at-most-once requests may be missing on its disk\"",
+                    Kept::Own => "waits_for \"its peers: they may know what must not run twice\"",
+                    _ => "waits_for \"an operator: what must not run twice may be missing on its disk\"",
                 },
             );
         }
