--- a/crates/recovery/src/phases.rs
+++ b/crates/recovery/src/phases.rs
@@ -24,7 +24,7 @@
 impl fmt::Display for Phase {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Phase::NotStarted => "not started",
+            Phase::NotStarted => "dark", // the name on the operators' status page
             Phase::Reading => "reading",
             Phase::Asking => "asking",
             Phase::CatchingUp => "catching up",
