--- a/src/net/answers.rs
+++ b/src/net/answers.rs
@@ -63,7 +63,8 @@
         }
     }
 
-    /// Starts storing an answer that was given at the Unix time `at`. `None` if its body is too long. The first answer for a key stays.
+    /// Starts storing an answer that was given at the Unix time `at`. `None` if its body is too long. The first answer for a key
+    /// stays.
     pub fn put(
         &self,
         (class, tenant, key): (&str, Option<&str>, &str),
--- a/src/net/auditing.rs
+++ b/src/net/auditing.rs
@@ -128,8 +128,8 @@
 }
 
 impl AuditRecorder {
-    /// Opens the audit log in the store. Starts a new one if there is none or if it fails verification. `key` is shared by the fleet
-    /// and selects the sampled decisions.
+    /// Opens the audit log in the store. Starts a new one if there is none or if it fails verification. `key` is shared by the
+    /// fleet and selects the sampled decisions.
     ///
     /// # Errors
     /// Fails if the store can't be read.
@@ -273,8 +273,8 @@
         }
     }
 
-    /// Checks an entry of this node's log that a peer knows. If it is missing or differs, the disk is an older copy or was changed, and
-    /// a new log is started.
+    /// Checks an entry of this node's log that a peer knows. If it is missing or differs, the disk is an older copy or was
+    /// changed, and a new log is started.
     fn check_own_claim(&self, log_id: u64, known: ChainPoint) {
         let (base, head) = (self.record.borrow().base().number, self.record.borrow().head().number);
         if log_id != self.log_id.get() || known.number <= base {
@@ -319,7 +319,7 @@
             StoredRecord { log_id: self.log_id.get(), base: self.record.borrow().base(), head: writing.head };
         ops.push(Op::remember(RECORD_FACT, &stored));
         let (failed, on_disk, head) = (self.failed.clone(), self.on_disk.clone(), writing.head);
-        self.group_commit.commit(ops, move |done| match done {
+        self.group_commit.commit(ops, move |result| match result {
             Ok(()) => *on_disk.lock().unwrap_or_else(PoisonError::into_inner) = Some(head),
             Err(e) => {
                 if !failed.swap(true, Ordering::Relaxed) {
@@ -329,7 +329,8 @@
         });
     }
 
-    /// Returns the status for operators: a line for the log, one for each version in force, and one for each known node, by its name.
+    /// Returns the status for operators: a line for the log, one for each version in force, and one for each known node, by its
+    /// name.
     pub fn status(&self, name: impl Fn(u32) -> String) -> String {
         let (record, vector) = (self.record.borrow(), self.vector.borrow());
         let (base, head) = (record.base(), record.head());
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -193,7 +193,8 @@
         loop {
             let replaced = self.frontend.ready() == Err("replaced");
             if owns_address && replaced {
-                // The next process takes over the address and the reserve; this one serves its remaining requests from its grants.
+                // The next process takes over the address and the reserve; this one serves its remaining requests from its
+                // grants.
                 (socket, owns_address) = (None, false);
                 self.quota_client.borrow_mut().set_owns_address(false, self.now());
             }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -159,8 +159,8 @@
         Handover { frontend, deadlines, path: socket_path(listen, mode), listener, set_process_count }
     }
 
-    /// Takes over from the predecessor behind the link `before`, if there is one, and then passes the socket on to successors, for as
-    /// long as this process runs.
+    /// Takes over from the predecessor behind the link `before`, if there is one, and then passes the socket on to successors,
+    /// for as long as this process runs.
     pub async fn run(self, before: Option<std::os::unix::net::UnixStream>) {
         if let Some(link) = before {
             self.take_over(link).await;
--- a/src/net/key_leases.rs
+++ b/src/net/key_leases.rs
@@ -26,7 +26,7 @@
 /// This node's leases of ranges of keys.
 #[derive(Debug)]
 pub struct KeyLeases {
-    me: u32,
+    own_number: u32,
     origin: Instant,
     skew: ClockSkew,
     ownership: RefCell<KeyOwnership>,
@@ -44,16 +44,16 @@
 impl KeyLeases {
     /// Creates the leases on the clock of the quota client, with the persisted ownership.
     pub fn new(
-        me: u32,
-        plan: &SitesConfig,
+        own_number: u32,
+        config: &SitesConfig,
         persisted: &PersistedOwnership,
         (origin, skew): (Instant, ClockSkew),
     ) -> KeyLeases {
         KeyLeases {
-            me,
+            own_number,
             origin,
             skew,
-            ownership: RefCell::new(KeyOwnership::new(me, plan, persisted)),
+            ownership: RefCell::new(KeyOwnership::new(own_number, config, persisted)),
             catch_up: RefCell::default(),
             wanted_quotas: RefCell::default(),
             absent_members: RefCell::default(),
@@ -67,8 +67,8 @@
     }
 
     /// Applies a new sites file.
-    pub fn update_config(&self, plan: &SitesConfig) {
-        self.ownership.borrow_mut().update_config(plan);
+    pub fn update_config(&self, config: &SitesConfig) {
+        self.ownership.borrow_mut().update_config(config);
     }
 
     /// Notes that all nodes use the same sites file.
@@ -77,8 +77,8 @@
     }
 
     /// Forgets the persisted ownership, because the disk is a new or older one.
-    pub fn reset(&self, plan: &SitesConfig) {
-        self.ownership.replace(KeyOwnership::new(self.me, plan, &PersistedOwnership::default()));
+    pub fn reset(&self, config: &SitesConfig) {
+        self.ownership.replace(KeyOwnership::new(self.own_number, config, &PersistedOwnership::default()));
     }
 
     /// Returns how many units of a quota this node claims: 0 or 1, or `None` if the quota is not for a key range.
@@ -87,8 +87,8 @@
             .then(|| u64::from(self.wanted_quotas.borrow().contains(budget)))
     }
 
-    /// Applies the current grants. Must run after each received message and before the next is sent: an allocator may grant a returned
-    /// range to another node at once.
+    /// Applies the current grants. Must run after each received message and before the next is sent: an allocator may grant a
+    /// returned range to another node at once.
     pub fn update_leases(&self, quota_client: &QuotaClient) {
         let now = self.now();
         let (mut ownership, wanted) = (self.ownership.borrow_mut(), self.wanted_quotas.borrow());
@@ -102,8 +102,8 @@
             }
         }
         // Leases of quotas that the budgets file no longer lists were returned.
-        let named = |name: &String| quota_client.plan().budgets.iter().any(|b| b.name == *name);
-        wanted.iter().filter(|name| !named(name)).for_each(|name| ownership.lease_ended(name));
+        let is_listed = |name: &String| quota_client.plan().budgets.iter().any(|b| b.name == *name);
+        wanted.iter().filter(|name| !is_listed(name)).for_each(|name| ownership.lease_ended(name));
     }
 
     /// Ends all leases, because this node leaves the fleet.
@@ -121,13 +121,14 @@
         }
     }
 
-    /// Claims the ranges that this node should hold in the given states of sites. `now` and the states are on the clock of the sites.
-    pub fn claim(&self, plan: &SitesConfig, sites: BTreeMap<String, (SiteState, Micros)>, now: Micros) {
+    /// Claims the ranges that this node should hold in the given states of sites. `now` and the states are on the clock of the
+    /// sites.
+    pub fn claim(&self, config: &SitesConfig, sites: BTreeMap<String, (SiteState, Micros)>, now: Micros) {
         let age = |at: &Instant| at.elapsed().as_micros() as Micros;
         let nodes = self.absent_members.borrow().iter().map(|(n, at)| (*n, now - age(at))).collect();
         let mut ownership = self.ownership.borrow_mut();
         let claims: BTreeSet<String> =
-            ownership.claims(plan, &AbsentMembers { sites, nodes }, now).into_iter().collect();
+            ownership.claims(config, &AbsentMembers { sites, nodes }, now).into_iter().collect();
         let mut wanted = self.wanted_quotas.borrow_mut();
         if claims != *wanted {
             info!("key ranges: this node asks for {}", claims.iter().cloned().collect::<Vec<_>>().join(", "));
@@ -137,14 +138,14 @@
         }
     }
 
-    /// Continues to prove which placements others made in held ranges, and returns the messages to send, by node number. `own` is the
-    /// number of this node's log and of its last entry.
-    pub fn prove(&self, plan: &SitesConfig, own: (u64, u64), history: &History) -> Vec<(u32, Message)> {
+    /// Continues to prove which placements others made in held ranges, and returns the messages to send, by node number. `own` is
+    /// the number of this node's log and of its last entry.
+    pub fn prove(&self, config: &SitesConfig, own: (u64, u64), history: &History) -> Vec<(u32, Message)> {
         let now = self.now();
         let mut ownership = self.ownership.borrow_mut();
         let unproven = ownership.unproven(now);
         let (outgoing_messages, proved) =
-            self.catch_up.borrow_mut().tick(plan, (self.me, own), &unproven, history, now);
+            self.catch_up.borrow_mut().tick(config, (self.own_number, own), &unproven, history, now);
         proved.iter().for_each(|(home, fence)| ownership.mark_proved(home, *fence));
         outgoing_messages
     }
--- a/src/net/load_shifting.rs
+++ b/src/net/load_shifting.rs
@@ -114,8 +114,8 @@
         Some(Rejection { status: 503, why: why.to_string(), retry: false })
     }
 
-    /// Returns an additional HTTP field of the answer with its delay: when a rejected client may retry, or when a client of another
-    /// site may return to its own. The delays are random, so that clients do not return all at once.
+    /// Returns an additional HTTP field of the answer with its delay: when a rejected client may retry, or when a client of
+    /// another site may return to its own. The delays are random, so that clients do not return all at once.
     pub fn response_field(
         &self,
         site_health: &SiteHealth,
--- a/src/net/placing.rs
+++ b/src/net/placing.rs
@@ -81,8 +81,9 @@
 }
 
 impl Placements {
-    /// Opens the log of the node with the given site and name. A new log gets the number `random`, and so does one that replaces an
-    /// older copy. Requests that were dispatched when the last process ended may have run. For `group_interval` see [`Placements::set_peers`].
+    /// Opens the log of the node with the given site and name. A new log gets the number `random`, and so does one that replaces
+    /// an older copy. Requests that were dispatched when the last process ended may have run. For `group_interval` see
+    /// [`Placements::set_peers`].
     ///
     /// # Errors
     /// Fails if the log belongs to another node or is damaged, or if its disk fails.
@@ -157,8 +158,8 @@
         self.log_replaced.get()
     }
 
-    /// Seals entries that are at least `age` microseconds old and that all sites have confirmed. `sites` maps each other site to this
-    /// node's peers there. Blocks on the disk, so it is called rarely.
+    /// Seals entries that are at least `age` microseconds old and that all sites have confirmed. `sites` maps each other site to
+    /// this node's peers there. Blocks on the disk, so it is called rarely.
     pub fn seal(&self, sites: &BTreeMap<String, Vec<u32>>, age: Micros, unix: Micros) {
         let own = self.log.writer();
         let names: Vec<String> = sites.keys().cloned().collect();
@@ -193,8 +194,8 @@
         }
         if dropped > 0 {
             info!("placements: {dropped} logs are sealed further");
-            self.copies.rewrite(&self.history.borrow(), |done| {
-                if let Err(e) = done {
+            self.copies.rewrite(&self.history.borrow(), |result| {
+                if let Err(e) = result {
                     warn!("placements: could not rewrite the copies of other nodes' logs: {e}");
                 }
             });
@@ -250,8 +251,8 @@
         }
     }
 
-    /// Calls `each` with the tenant, key and Unix time of placements in any log that were not scanned yet, from at most `max_entries`
-    /// entries. `scanned` holds the last scanned entry of each log. Returns whether entries may be left.
+    /// Calls `each` with the tenant, key and Unix time of placements in any log that were not scanned yet, from at most
+    /// `max_entries` entries. `scanned` holds the last scanned entry of each log. Returns whether entries may be left.
     pub fn for_each_new_placement(
         &self,
         scanned: &mut BTreeMap<Writer, u64>,
@@ -286,8 +287,8 @@
         self.log.failed()
     }
 
-    /// Records a placement. Returns whether the request may be dispatched at once; a guarded one has to be on the disk first, which
-    /// [`DiskEvent`] reports.
+    /// Records a placement. Returns whether the request may be dispatched at once; a guarded one has to be on the disk first,
+    /// which [`DiskEvent`] reports.
     pub fn record_placement(&self, id: DispatchId, timed: Timed) -> bool {
         let guarded = matches!(&timed.entry, Entry::Placed(p) if p.guarded);
         if !guarded {
@@ -311,9 +312,9 @@
             return false;
         }
         let disk_events = self.disk_events.clone();
-        let appended = self.log.append(&timed, move |done| {
+        let appended = self.log.append(&timed, move |result| {
             // The receiver is dropped when the node stops.
-            let _ = disk_events.send(DiskEvent::Placed(id, done.map(|_| ())));
+            let _ = disk_events.send(DiskEvent::Placed(id, result.map(|_| ())));
         });
         match appended {
             Ok(number) => {
@@ -361,8 +362,8 @@
     fn flush(&self) {
         self.is_flushing.set(true);
         let disk_events = self.disk_events.clone();
-        self.log.flush_with(&self.copies, move |done| {
-            if let Err(e) = done {
+        self.log.flush_with(&self.copies, move |result| {
+            if let Err(e) = result {
                 warn!("placements: {e}");
             }
             // The receiver is dropped when the node stops.
@@ -370,7 +371,8 @@
         });
     }
 
-    /// Returns a line for operators: the log's last entry, counts of entries and keys, unrecorded entries, and a digest of all logs.
+    /// Returns a line for operators: the log's last entry, counts of entries and keys, unrecorded entries, and a digest of all
+    /// logs.
     pub fn status(&self) -> String {
         let (last, keys) = (self.log.durable().0, self.keys.borrow().len());
         let history = self.history.borrow();
--- a/src/net/placing/exchange.rs
+++ b/src/net/placing/exchange.rs
@@ -49,8 +49,8 @@
             Ok(received) => received,
             Err(e) => return debug!("placements: from {from}: {e}"),
         };
-        let log_failure = |done: Result<(), LogError>| {
-            if let Err(e) = done {
+        let log_failure = |result: Result<(), LogError>| {
+            if let Err(e) = result {
                 warn!("placements: a copy of another node's log could not be written: {e}");
             }
         };
--- a/src/net/placing/startup.rs
+++ b/src/net/placing/startup.rs
@@ -10,8 +10,8 @@
 use tracing::{info, warn};
 
 impl Placements {
-    /// Decides, once the peers have answered, whether the log continues. If they know more entries of it than the disk has, the disk
-    /// is an older copy and a new log is started.
+    /// Decides, once the peers have answered, whether the log continues. If they know more entries of it than the disk has, the
+    /// disk is an older copy and a new log is started.
     pub(super) fn decide_log(&self, writer: &Writer, now: Micros) {
         let mut log_recovery = self.log_recovery.borrow_mut();
         let own = self.log.durable();
--- a/src/net/recovering.rs
+++ b/src/net/recovering.rs
@@ -1,7 +1,7 @@
 //! Recovers a node after a loss of power.
 //!
-//! Connects the rules of `shorepath-recovery` with the disk, the peers, the operators' commands and the placement log. Inactive if
-//! the sites file has no `(recover ...)`.
+//! Connects the rules of `shorepath-recovery` with the disk, the peers, the operators' commands and the placement log. Inactive
+//! if the sites file has no `(recover ...)`.
 
 use super::server_table::{LastList, Listing};
 use serde::{Deserialize, Serialize};
@@ -106,8 +106,8 @@
 }
 
 impl NodeRecovery {
-    /// Starts the recovery of the node `name` from its store. `random` identifies this process, and a new disk. `saved_sender` gets the
-    /// results of storing other nodes' incarnations.
+    /// Starts the recovery of the node `name` from its store. `random` identifies this process, and a new disk. `saved_sender`
+    /// gets the results of storing other nodes' incarnations.
     ///
     /// # Errors
     /// Fails if the disk can't be read.
@@ -138,8 +138,8 @@
             own_identity = StoredIdentity { node: name.to_string(), disk: random, boots: 0, complete: false };
         }
         own_identity.boots += 1;
-        // A full disk must not stop requests that may be repeated. A start that is not recorded can't be distinguished from the one
-        // before, so requests that must run at most once wait.
+        // A full disk must not stop requests that may be repeated. A start that is not recorded can't be distinguished from the
+        // one before, so requests that must run at most once wait.
         let recorded = store
             .commit(&[Op::remember(IDENTITY_FACT, &own_identity), Op::remember(LAST_WRITTEN_FACT, &unix)]);
         if let Err(e) = &recorded {
@@ -255,8 +255,8 @@
             return;
         }
         let Some(mut disk) = self.peers.borrow().classify_disk() else { return };
-        // Guards against a copy of the disk made while its process ran: the boot count can't show it, but the peers' knowledge of the
-        // log can.
+        // Guards against a copy of the disk made while its process ran: the boot count can't show it, but the peers' knowledge of
+        // the log can.
         if inputs.log_replaced && disk.is_complete() {
             disk = DiskState::Old;
         }
@@ -408,7 +408,7 @@
     /// Lets the recovery go on by an operator's decision, and returns what it does next.
     ///
     /// # Errors
-    /// Returns why an operator can't release the recovery from its current phase.
+    /// Returns an explanation if an operator can't release the recovery from its current phase.
     pub fn release(&self, now: Micros) -> Result<String, String> {
         let phase = self.phases.borrow().phase();
         let waits = self.waits_for(now).unwrap_or("nothing");
--- a/src/net/sites.rs
+++ b/src/net/sites.rs
@@ -92,7 +92,7 @@
     site_health: RefCell<SiteHealth>,
     config_history: RefCell<ConfigHistory>,
     store: Arc<Store>,
-    /// Time at which to reopen a store that failed; `None` while a reopening is in progress.
+    /// Time at which a failed store may be reopened; `None` while a reopening is in progress.
     reopen_at: Cell<Option<Micros>>,
     /// The current failure of the store was logged.
     store_failure_logged: Cell<bool>,
@@ -196,7 +196,7 @@
             channel: RefCell::new(channel),
             accepted: RefCell::new(accepted),
             balances: RefCell::new(balances),
-            // Unconfirmed until a majority of the nodes has replied.
+            // Standing is unconfirmed until a majority of the nodes has replied.
             confirmation: Cell::new(Confirmation::new(now)),
             placements,
             audit_recorder,
--- a/src/net/sites/accounts.rs
+++ b/src/net/sites/accounts.rs
@@ -47,9 +47,9 @@
             for (tenant, balance) in balances.iter_mut() {
                 let change = registry.change_at(tenant, now.unix);
                 if now.unconfirmed_since.is_none() && balance.current_record() != CreditRecord::default() {
-                    let owed = balance.confirmed(&change);
-                    if owed > 0 {
-                        warn!("account {tenant}: {owed} jobs were started after it was closed and are charged as debt");
+                    let debt = balance.confirmed(&change);
+                    if debt > 0 {
+                        warn!("account {tenant}: {debt} jobs were started after it was closed and are charged as debt");
                     }
                 }
                 let mut credit_writes = self.credit_writes.borrow_mut();
--- a/src/net/sites/admission.rs
+++ b/src/net/sites/admission.rs
@@ -54,7 +54,8 @@
 }
 
 impl Sites {
-    /// Classifies a request before it is queued: as new work, a repeat, or one that this node must reject.
+    /// Classifies a request before it is queued, as new work, a repeat or one that this node must reject, and returns its
+    /// admission state.
     pub fn admit(self: &Rc<Self>, class: ClassId, job: &Job) -> (WorkState, Option<RequestAdmission>) {
         let (id, now) = (&*job.id, self.now());
         let tenant = job.tenant.clone().unwrap_or_default();
@@ -62,11 +63,12 @@
         let accepted_before = self.accepted.borrow().contains(&tenant, key.as_ref(), now);
         let remote_site = self.spillover.remote_site(&self.site_health.borrow(), class, job);
         let mut rejection = self.rejection_for(class, job.repeat_key.as_deref().unwrap_or(id));
-        // During recovery, clients get a random `Retry-After` from [`RequestAdmission::response_field`] instead of a retry mark.
+        // During recovery, clients get a random `Retry-After` from `RequestAdmission::response_field`, so the rejection carries
+        // none.
         let recovering = self.recovery.as_ref().is_some_and(|r| r.admits() != Admits::All);
-        let retried = rejection.as_mut().filter(|b| recovering && b.retry);
-        let retry_after_recovery = retried.is_some();
-        retried.into_iter().for_each(|b| b.retry = false);
+        let retryable = rejection.as_mut().filter(|rejection| recovering && rejection.retry);
+        let retry_after_recovery = retryable.is_some();
+        retryable.into_iter().for_each(|rejection| rejection.retry = false);
         let work_state = match (&rejection, accepted_before) {
             (Some(_), _) => WorkState::Misdirected,
             (None, true) => WorkState::InProgress,
@@ -108,8 +110,8 @@
         answers.get(&name, job.tenant.as_deref(), key)
     }
 
-    /// Returns the reason to reject a request that the account doesn't forbid: the node is recovering, or a guarded request may not
-    /// be placed.
+    /// Returns the reason to reject a request that the account doesn't forbid: the node is recovering, or a guarded request may
+    /// not be placed.
     pub(super) fn rejection_for(&self, class: ClassId, key: &str) -> Option<Rejection> {
         let admission =
             self.recovery.as_ref().map(|r| (r.admits(), r.waits_for(self.now()).unwrap_or_default()));
@@ -232,8 +234,8 @@
         let standing =
             tenant.as_deref().map_or(0, |t| self.gossip.borrow().registry().change_at(t, now.unix).number);
         let key = job.repeat_key.clone().unwrap_or_else(|| job.id.to_string());
-        // Another request with this key may have been placed while this one was queued. Further attempts need no check: they are made
-        // only if the one before surely never ran or may run again.
+        // Another request with this key may have been placed while this one was queued. Further attempts need no check: they are
+        // made only if the one before surely never ran or may run again.
         if guarded && id.attempt == 0 && self.placements.key_state(class, &key) != KeyState::Free {
             // The receiver is dropped when the node stops.
             let _ = self.disk_events.send(DiskEvent::Refused(
@@ -322,7 +324,8 @@
         answers.put((class, tenant, key), (status, body), unix_micros())
     }
 
-    /// Records that the request was queued: charges credit if needed and remembers it as accepted. Does nothing if it was rejected.
+    /// Records that the request was queued: charges credit if needed and remembers it as accepted. Does nothing if it was
+    /// rejected.
     pub fn record_submitted(&mut self, rejection: bool) {
         if rejection {
             return;
