--- a/tests/glossary.rs
+++ b/tests/glossary.rs
@@ -73,6 +73,49 @@
     "stood",
     "room",
     "rooms",
+    "astray",
+    "bunch",
+    "bunches",
+    "chatter",
+    "guests",
+    "hardly",
+    "lone",
+    "luck",
+    "patient",
+    "rubbish",
+    "worth",
+    "wholes",
+];
+
+/// Texts of the wire, of disks, of settings and of the standard library, which keep a retired word.
+const KEPT_TEXTS: &[&str] = &[
+    "(divider ",
+    "\"divider\"",
+    "divider.redb",
+    "shorepath-divider",
+    "(\"room\", ",
+    "ErrorKind::PermissionDenied",
+    "\"AsBeginning\"",
+    "\"its beginning\"",
+    "\"what peers said to be taken in\"",
+    "\"a word too short for a code\"",
+    "\"a word without a code, or of another version\"",
+    "\"a word of another fleet\"",
+    "\"a word under another key, or changed on its way\"",
+    "\"a word of a life that its sender has left behind\"",
+    "\"a word that was heard before\"",
+    "\"a word too far behind the newest of its sender\"",
+    "\"a word of one sender too many\"",
+    "\"accounts/purse/\"",
+    "\"sites/homes\"",
+    "\"homecoming part={part}\\n\"",
+    "make room on its disk first\"",
+    "\"loss \\\"peers have not told yet\\\"\\n\"",
+    "\"list \\\"as a beginning\\\" age_ms={}\\n\"",
+    "\"it has said nothing\"",
+    "\"entry {} is another one than others were told\"",
+    "\"others were told of entry {}, and it ends at {head}: an older disk was put back\"",
+    " heard_ms={received_ms}",
 ];
 
 fn root() -> PathBuf {
@@ -116,7 +159,8 @@
 }
 
 fn retired_word(line: &str) -> Option<String> {
-    words(line).into_iter().find(|word| RETIRED.contains(&word.as_str()))
+    let line = KEPT_TEXTS.iter().fold(line.to_string(), |line, text| line.replace(text, " "));
+    words(&line).into_iter().find(|word| RETIRED.contains(&word.as_str()))
 }
 
 #[test]
@@ -149,6 +193,9 @@
     {
         assert!(retired_word(line).is_some(), "{line}");
     }
+    for line in ["(divider d0)", "// purse of accounts/purse/", "heard_ms", "let room = \"room\";"] {
+        assert_eq!(retired_word(line).is_some(), line != "(divider d0)", "{line}");
+    }
     for line in ["let standing = 1;", "fn forward() {", "struct Password;"] {
         assert_eq!(retired_word(line), None, "{line}");
     }
