--- a/crates/message-auth/src/signed_message.rs
+++ b/crates/message-auth/src/signed_message.rs
@@ -47,51 +47,51 @@
 /// Maximum number of senders that are logged for each reason.
 const MAX_LOGGED_SENDERS: usize = 256;
 
-/// Why a message was rejected.
+/// Why a message was rejected. The error texts are labels in status replies and therefore stay.
 #[derive(Clone, Copy, Debug, Diagnostic, Error, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum VerifyError {
     /// The message is shorter than its header and its MAC.
-    #[error("message is too short to hold an authentication code")]
+    #[error("a word too short for a code")]
     #[diagnostic(help(
         "check that the configuration of the sender names the key, and that the network does not truncate datagrams"
     ))]
     TooShort,
     /// The first byte is not [`VERSION`].
-    #[error("message has no authentication code, or is of another version")]
+    #[error("a word without a code, or of another version")]
     #[diagnostic(help(
         "give the sender the key, or upgrade it to the version of this program; until then its messages are dropped"
     ))]
     UnknownVersion,
     /// The message belongs to another fleet.
-    #[error("message belongs to another fleet")]
+    #[error("a word of another fleet")]
     #[diagnostic(help(
         "check that the configuration of the sender lists the addresses of this fleet, and that both configurations have the same name of the fleet"
     ))]
     OtherFleet,
     /// The MAC is not valid under any of the keys.
-    #[error("message was signed with another key, or was changed in transit")]
+    #[error("a word under another key, or changed on its way")]
     #[diagnostic(help(
         "compare the key file of the sender with the one of this process; while keys are rotated, each file has to hold both keys"
     ))]
     WrongMac,
     /// The sender has a newer incarnation.
-    #[error("message is from an earlier incarnation of its sender")]
+    #[error("a word of a life that its sender has left behind")]
     #[diagnostic(help(
         "if the sender is running, its clock was set back before it started: correct the clock and restart the sender, or restart this process; if two processes run under one name, stop one of them; otherwise somebody replays old messages"
     ))]
     OldIncarnation,
     /// The sequence number was received before.
-    #[error("message was received before")]
+    #[error("a word that was heard before")]
     #[diagnostic(help(
         "a few are datagrams that the network duplicated; many mean that somebody replays messages"
     ))]
     Replayed,
     /// The sequence number is below the anti-replay window, so the message may be a replay.
-    #[error("message is too far behind the newest one of its sender")]
+    #[error("a word too far behind the newest of its sender")]
     #[diagnostic(help("a few are delayed datagrams; if there are many, look for a network path with a long queue, or for somebody who replays messages"))]
     TooOld,
     /// There is no capacity for an anti-replay window of another sender.
-    #[error("message is from a new sender, and the limit of senders is reached")]
+    #[error("a word of one sender too many")]
     #[diagnostic(help("restart this process to forget senders that no longer exist; if the limit is reached again, somebody who has the key invents senders: change the key"))]
     TooManySenders,
 }
--- a/crates/quota-server/tests/processes.rs
+++ b/crates/quota-server/tests/processes.rs
@@ -328,11 +328,7 @@
     assert!(after.number > before.number && after.amount == first.amount, "{after:?}\n{}", fleet.logs());
     let logs = fleet.logs();
     let refused = fleet.status(0).unwrap().refused;
-    for reason in [
-        "message has no authentication code",
-        "message was signed with another key",
-        "message was received before",
-    ] {
+    for reason in ["a word without a code", "a word under another key", "a word that was heard before"] {
         assert_eq!(logs.matches(reason).count(), 1, "{reason}:\n{logs}");
         assert!(refused.iter().any(|(r, n)| r.contains(reason) && *n == 2), "{reason}: {refused:?}\n{logs}");
     }
--- a/tests/node/fleet.rs
+++ b/tests/node/fleet.rs
@@ -225,11 +225,7 @@
     write_keys(&allocator, &["5c", "4b"], 0o600);
     node.hang_up();
     let lines = node.logs_until("read again: version 1");
-    for why in [
-        "message has no authentication code",
-        "message was signed with another key",
-        "message was received before",
-    ] {
+    for why in ["a word without a code", "a word under another key", "a word that was heard before"] {
         let notified: Vec<&String> = lines.iter().filter(|l| l.contains(why)).collect();
         assert!(
             matches!(notified[..], [first, count] if first.contains("further ones are only counted") && count.contains("2 datagrams")),
