--- a/crates/sites/src/key_ownership.rs
+++ b/crates/sites/src/key_ownership.rs
@@ -185,8 +185,8 @@
     format!("home:{site}/{node}")
 }
 
-/// Compares the budgets of ranges with the configuration. Returns the missing budgets, then those of unknown homes;
-/// both are empty if no budget belongs to a range.
+/// Compares the budgets of ranges with the configuration. Returns the missing budgets, then those that name a node
+/// outside the configuration; both lists are empty if no budget belongs to a range.
 pub fn mismatched_budgets<'a>(
     config: &SitesConfig,
     budgets: impl Iterator<Item = &'a str>,
