--- a/crates/quota-server/src/server.rs
+++ b/crates/quota-server/src/server.rs
@@ -410,7 +410,7 @@
     while let Some(frame) = connection.next().await {
         let reply = match serde_json::from_slice::<Call>(&frame?) {
             Ok(call) => reply(call, shared).await,
-            Err(e) => Reply::No(format!("the call can't be decoded: {e}")),
+            Err(e) => Reply::No(format!("no call: {e}")),
         };
         let text = serde_json::to_vec(&reply).map_err(std::io::Error::other)?;
         connection.send(Bytes::from(text)).await?;
@@ -422,7 +422,7 @@
     let raft = shared.raft();
     // Raft calls to the id that this allocator had before it lost its disk are rejected.
     let addressed_raft = |to: u64| raft.as_ref().filter(|(id, _)| *id == to).map(|(_, r)| r.clone());
-    let wrong_voter = || Reply::No("this allocator does not have the Raft id that the call names".into());
+    let wrong_voter = || Reply::No("no such voter here".into());
     match call {
         Call::Append { to, rpc } => match addressed_raft(to) {
             Some(raft) => Reply::Append(raft.append_entries(rpc).await),
@@ -461,15 +461,15 @@
 /// Replaces the Raft id of an allocator that has lost its disk by a new one, and returns its disk number.
 fn add_voter(shared: &Rc<Shared>, name: &str, disk: Option<u32>) -> Reply {
     let Some((id, raft)) = shared.raft() else {
-        return Reply::No("this allocator has not joined the replicated log yet".into());
+        return Reply::No("not founded".into());
     };
     let metrics = raft.metrics().borrow().clone();
     if metrics.current_leader != Some(id) || metrics.state != ServerState::Leader {
-        return Reply::No("this allocator is not the leader".into());
+        return Reply::No("does not lead".into());
     }
     let node = NodeId::of(name);
     if shared.plan.borrow().allocators.iter().all(|d| d.name != name) {
-        return Reply::No(format!("the leader's budgets file has no (divider {name} ...)"));
+        return Reply::No(format!("{name} is not listed here"));
     }
     let membership = metrics.membership_config.membership();
     let known: BTreeSet<u64> = membership.nodes().map(|(id, _)| *id).collect();
--- a/src/net/recovering.rs
+++ b/src/net/recovering.rs
@@ -462,13 +462,13 @@
             text += "list kept\n";
         }
         for (node, peer) in self.peers.borrow().states() {
-            let (state, why) = match peer {
-                PeerState::Silent => ("Silent", "it has said nothing"),
-                PeerState::NotWhole => ("NotWhole", "what must not run twice may be missing on its disk"),
-                PeerState::Unclaimed => ("Unclaimed", "it does not yet remember this life"),
-                PeerState::Counts => ("Counts", "it remembers this life"),
+            let why = match peer {
+                PeerState::Silent => "it has said nothing",
+                PeerState::NotWhole => "what must not run twice may be missing on its disk",
+                PeerState::Unclaimed => "it does not yet remember this life",
+                PeerState::Counts => "it remembers this life",
             };
-            text += &format!("peer {} {state} why=\"{why}\"\n", name(node));
+            text += &format!("peer {} {peer:?} why=\"{why}\"\n", name(node));
         }
         text
     }
