--- a/crates/scheduler/tests/random.rs
+++ b/crates/scheduler/tests/random.rs
@@ -19,7 +19,7 @@
 fn run(seed: u64) {
     let mut rng = oorandom::Rand64::new(seed as u128);
     let mut settings = settings();
-    // Endpoints are pending_probes only where schedulers outnumber them.
+    // Endpoints are probed only where schedulers outnumber them.
     settings.probing = seed.is_multiple_of(2);
     settings.schedulers = if settings.probing { 12 } else { 2 };
     settings.reports_starts = !seed.is_multiple_of(3);
