--- a/tests/node.rs
+++ b/tests/node.rs
@@ -4,6 +4,8 @@
 mod audit;
 #[path = "node/deployments.rs"]
 mod deployments;
+#[path = "node/dispatch_writes.rs"]
+mod dispatch_writes;
 #[path = "node/fleet.rs"]
 mod fleet;
 #[path = "node/gone.rs"]
@@ -31,8 +33,6 @@
 mod support;
 #[path = "node/terms.rs"]
 mod terms;
-#[path = "node/written.rs"]
-mod written;
 
 use rstest::rstest;
 use serde_json::json;
--- a/tests/node/written.rs
+++ b/tests/node/dispatch_writes.rs
@@ -1,5 +1,5 @@
-//! What may have changed between the order to dispatch and the first byte of it: nothing is written that is no longer wanted, that
-//! is too late to be a repeat, or that other settings than its own would allow.
+//! Changes between the decision to dispatch a job and the write of its first byte: a job is not written once its client has
+//! disconnected, its server has moved, or its deduplication window is over, and is judged by the settings it was sent with.
 
 use crate::sites::comes;
 use crate::support::*;
@@ -10,28 +10,29 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// A server that can be shut, so that connections to it come up late.
-pub struct AdminServer {
+/// A server that can be made to stop completing connects, so that connections to it are established late.
+pub struct StallableServer {
     listener: TcpListener,
     pub address: SocketAddr,
-    /// Those that fill its queue while it is shut.
-    filled: Vec<TcpStream>,
+    /// Connections that fill the accept backlog while connects are stalled.
+    backlog_fillers: Vec<TcpStream>,
 }
 
-impl AdminServer {
-    pub fn new() -> AdminServer {
+impl StallableServer {
+    pub fn new() -> StallableServer {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         listener.set_nonblocking(true).unwrap();
-        AdminServer { address: listener.local_addr().unwrap(), listener, filled: Vec::new() }
+        StallableServer { address: listener.local_addr().unwrap(), listener, backlog_fillers: Vec::new() }
     }
 
-    /// From now on no connection comes up. Twice in a row: one that is late alone may be this process's own fault.
-    pub fn shut(&mut self) {
+    /// Fills the accept backlog, so that no further connect completes. Two timeouts in a row are needed, as a single one may
+    /// come from a delay in this process.
+    pub fn stall_connects(&mut self) {
         let mut late = 0;
         while late < 2 {
             match TcpStream::connect_timeout(&self.address, Duration::from_millis(300)) {
                 Ok(stream) => {
-                    self.filled.push(stream);
+                    self.backlog_fillers.push(stream);
                     late = 0;
                 }
                 Err(_) => late += 1,
@@ -39,60 +40,60 @@
         }
     }
 
-    /// Whoever has connected. From the first call on connections come up again: whoever began to connect meanwhile comes once the
-    /// system tries again, a second after the first time.
-    pub fn came(&self) -> Option<Peer> {
+    /// Accepts a connection that has been established, skipping those that fill the backlog. Connects complete again from the
+    /// first call on: a pending one does when the system retransmits its SYN, one second after the first.
+    pub fn try_accept(&self) -> Option<Peer> {
         loop {
             let (stream, from) = self.listener.accept().ok()?;
-            if !self.filled.iter().any(|f| f.local_addr().is_ok_and(|own| own == from)) {
+            if !self.backlog_fillers.iter().any(|f| f.local_addr().is_ok_and(|own| own == from)) {
                 stream.set_nonblocking(false).unwrap();
                 return Some(Peer::new(stream));
             }
         }
     }
 
-    /// Wait until somebody has begun to connect, as the system sees it, and doesn't come up.
-    pub fn waits_for_one(&self) {
+    /// Waits until the system's table has a connect to this server in the SYN_SENT state.
+    pub fn wait_for_pending_connect(&self) {
         system_has(&format!(":{:04X} 02 ", self.address.port()));
     }
 
     pub fn accept(&self) -> Peer {
         let begin = Instant::now();
         loop {
-            if let Some(peer) = self.came() {
+            if let Some(peer) = self.try_accept() {
                 return peer;
             }
-            assert!(begin.elapsed() < LONG, "nobody came");
+            assert!(begin.elapsed() < LONG, "no connection arrived");
             std::thread::sleep(Duration::from_millis(1));
         }
     }
 
-    /// Whatever comes next, over the connection that is kept or over another one.
-    pub fn comes(&self, mut kept: Option<Peer>) -> Peer {
+    /// Returns the connection on which the next request arrives: a new one, or `idle`.
+    pub fn accept_or_reuse(&self, mut idle: Option<Peer>) -> Peer {
         let begin = Instant::now();
         loop {
-            if let Some(peer) = self.came() {
+            if let Some(peer) = self.try_accept() {
                 return peer;
             }
-            if let Some(mut peer) = kept.take_if(|p| !p.hears_nothing(Duration::from_millis(1))) {
+            if let Some(mut peer) = idle.take_if(|p| !p.hears_nothing(Duration::from_millis(1))) {
                 if peer.goes_on() {
                     return peer;
                 }
             }
-            assert!(begin.elapsed() < LONG, "nobody came");
+            assert!(begin.elapsed() < LONG, "no connection arrived");
         }
     }
 }
 
-/// A client that leaves, which the node's machine knows by the end of this.
-fn leaves_surely(node: &Node, client: Peer) {
+/// Closes a client's connection and waits until the system has delivered its FIN to the node.
+fn disconnect_and_wait(node: &Node, client: Peer) {
     let from = client.address();
     drop(client);
     system_has(&format!(":{:04X} 0100007F:{:04X} 05 ", from.port(), node.address.port()));
 }
 
-/// A configuration with that server, whose connections and jobs may take long, and where attempts can or can't be called off.
-pub fn patient(server: SocketAddr, cancel: bool) -> Value {
+/// Returns a configuration of one server with long connect timeouts and deadlines, and with cancellation of attempts on or off.
+pub fn long_timeout_config(server: SocketAddr, cancel: bool) -> Value {
     let mut config = config(&[server]);
     let settings = &mut config["settings"];
     (0..2).for_each(|class| settings["classes"][class]["deadline_ms"] = json!(30_000.0));
@@ -101,130 +102,133 @@
     config
 }
 
-/// Connections that have stood idle end soon.
-fn hasty(mut config: Value) -> Value {
+/// Shortens the time after which idle connections are closed.
+fn with_short_idle_timeout(mut config: Value) -> Value {
     config["settings"]["allowed"]["conn_idle_ms"] = json!(500.0);
     config
 }
 
-/// A client with much time.
-fn ask(node: &Node, id: &str, target: &str) -> Peer {
+/// Sends a job with a timeout of 30 s on a new connection.
+fn send_job(node: &Node, id: &str, target: &str) -> Peer {
     let mut client = node.client();
     client.send(&job(id, target, "30000m", ""));
     client
 }
 
-/// The head of a keyed job.
-pub fn keyed(id: &str) -> String {
+/// Formats a request with an idempotency key.
+pub fn keyed_job(id: &str) -> String {
     let key = "Idempotency-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\nTenant:";
     job(id, "/actuator-cmd", "30000m", "").replace("Tenant:", key)
 }
 
-pub const FULL: &str =
+/// A response that rejects a job before it was started, and ends the connection.
+pub const NOT_STARTED_AND_CLOSE: &str =
     "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-/// What was ordered for a client that has gone holds no place any more, neither as an attempt nor as a connection, while the server's
-/// connections still don't come up; the first to come up is that of the next job.
-fn its_place_is_free(node: &Node, admin: &AdminServer, dispatch: &str) {
+/// Asserts that a dispatch for a disconnected client was ended unsent, and that neither it nor its pending connection delays the
+/// next job: the first connection that the server accepts carries that one.
+fn assert_dispatch_slot_is_free(node: &Node, server: &StallableServer, dispatch: &str) {
     let lines = node.logs_until("reason=cancelled messages=0");
     let ended = lines.iter().find(|l| l.contains(&format!("{dispatch} ended")));
     assert!(ended.is_some_and(|l| l.contains("NotSent")), "{lines:?}");
-    let mut next = ask(node, "next", "/zone-plan");
-    let mut backend = admin.accept();
-    assert_eq!(backend.id(), "next", "a job was written after its client had gone");
+    let mut next = send_job(node, "next", "/zone-plan");
+    let mut backend = server.accept();
+    assert_eq!(backend.id(), "next", "a job was written after its client had disconnected");
     backend.serve("next", "1");
     assert_eq!(next.message().body, "1");
-    assert!(admin.came().is_none());
+    assert!(server.try_accept().is_none());
 }
 
-/// A client that leaves while its job's connection comes up: nothing of it is written, and it is not waited for.
+/// Guards against writing a job whose client disconnected while the connection to the server was being established.
 #[rstest]
-fn nothing_is_written_for_a_client_that_has_gone(
+fn job_is_not_written_if_its_client_leaves_while_connecting(
     #[values("/zone-plan", "/actuator-cmd")] target: &str,
     #[values(false, true)] cancel: bool,
 ) {
-    let mut admin = AdminServer::new();
-    admin.shut();
-    let node = Node::start(&patient(admin.address, cancel));
-    let client = ask(&node, "a", target);
+    let mut server = StallableServer::new();
+    server.stall_connects();
+    let node = Node::start(&long_timeout_config(server.address, cancel));
+    let client = send_job(&node, "a", target);
     node.logs("dispatch 1.0 to");
     drop(client);
-    its_place_is_free(&node, &admin, "dispatch 1.0");
+    assert_dispatch_slot_is_free(&node, &server, "dispatch 1.0");
 }
 
-/// The same for a further attempt, which is made because the first one never ran.
+/// Guards against writing the second attempt of a job whose client disconnected while that attempt was connecting.
 #[rstest]
-fn no_further_attempt_is_written_for_a_client_that_has_gone(#[values(false, true)] cancel: bool) {
-    let mut admin = AdminServer::new();
-    let node = Node::start(&patient(admin.address, cancel));
-    let client = ask(&node, "a", "/actuator-cmd");
-    let mut backend = admin.accept();
+fn retry_is_not_written_if_its_client_leaves_while_connecting(#[values(false, true)] cancel: bool) {
+    let mut server = StallableServer::new();
+    let node = Node::start(&long_timeout_config(server.address, cancel));
+    let client = send_job(&node, "a", "/actuator-cmd");
+    let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
-    admin.shut();
-    backend.send(FULL);
+    server.stall_connects();
+    backend.send(NOT_STARTED_AND_CLOSE);
     node.logs("dispatch 1.1 to");
     drop(client);
-    its_place_is_free(&node, &admin, "dispatch 1.1");
+    assert_dispatch_slot_is_free(&node, &server, "dispatch 1.1");
 }
 
-/// The connection comes up while the node stands still, and then the client leaves: both are seen in one turn, the connection first.
+/// The node is paused while the connection is established and the client disconnects, so that it handles both events in one turn
+/// of its event loop, the connection first.
 #[rstest]
-fn nothing_is_written_for_a_client_that_goes_in_the_same_turn(
+fn job_is_not_written_if_its_client_leaves_in_the_turn_that_connects(
     #[values("/zone-plan", "/actuator-cmd")] target: &str,
 ) {
-    let mut admin = AdminServer::new();
-    admin.shut();
-    let node = Node::start(&hasty(patient(admin.address, false)));
-    let client = ask(&node, "a", target);
-    admin.waits_for_one();
+    let mut server = StallableServer::new();
+    server.stall_connects();
+    let node = Node::start(&with_short_idle_timeout(long_timeout_config(server.address, false)));
+    let client = send_job(&node, "a", target);
+    server.wait_for_pending_connect();
     node.stand_still(true);
-    let mut backend = admin.accept();
-    leaves_surely(&node, client);
+    let mut backend = server.accept();
+    disconnect_and_wait(&node, client);
     node.stand_still(false);
-    assert!(backend.ended_early(), "a job was written after its client had gone");
+    assert!(backend.ended_early(), "a job was written after its client had disconnected");
     assert!(node.logs("dispatch 1.0 ended").contains("NotSent"));
 }
 
-/// A job waits for the one before it, and its client leaves meanwhile, or in the turn in which that one is answered, after that.
+/// The client of a queued job disconnects while the server is busy with another job, or in the event-loop turn in which that job's
+/// response has arrived.
 #[rstest]
-fn nothing_is_written_on_an_idle_connection_for_a_client_that_has_gone(
+fn queued_job_is_not_written_on_an_idle_connection_if_its_client_leaves(
     #[values(false, true)] same_turn: bool,
 ) {
     let server = Party::new();
-    let node = Node::start(&patient(server.address, false));
-    let mut first = ask(&node, "first", "/zone-plan");
+    let node = Node::start(&long_timeout_config(server.address, false));
+    let mut first = send_job(&node, "first", "/zone-plan");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "first");
-    let gone = ask(&node, "gone", "/zone-plan");
-    // It was read after the one before, and is held.
+    let disconnected = send_job(&node, "gone", "/zone-plan");
+    // The answer to the health check shows that the second job was read and queued.
     let mut health = node.client();
     health.send("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n");
     assert_eq!(health.message().status(), 200);
     node.stand_still(same_turn);
     if same_turn {
         backend.serve("first", "1");
-        leaves_surely(&node, gone);
+        disconnect_and_wait(&node, disconnected);
     } else {
-        drop(gone);
+        drop(disconnected);
         node.logs("reason=peer-broke");
         backend.serve("first", "1");
     }
     node.stand_still(false);
     assert_eq!(first.message().body, "1");
-    // On the same connection: nothing was written there.
-    let mut last = ask(&node, "last", "/zone-plan");
-    assert_eq!(backend.id(), "last", "a job was written after its client had gone");
+    // The next request on the connection is the last job's: the queued one was not written.
+    let mut last = send_job(&node, "last", "/zone-plan");
+    assert_eq!(backend.id(), "last", "a job was written after its client had disconnected");
     backend.serve("last", "2");
     assert_eq!(last.message().body, "2");
     assert!(server.is_left_alone());
 }
 
-/// Nothing of a client that has gone comes over that connection to the server, nor over another: the next job does.
-fn only_the_next_comes(node: &Node, server: &Party, backend: Peer) {
-    let mut next = ask(node, "next", "/zone-plan");
+/// Asserts that the server receives nothing of a disconnected client, on `backend` or on a new connection, before the next job.
+fn assert_only_next_job_arrives(node: &Node, server: &Party, backend: Peer) {
+    let mut next = send_job(node, "next", "/zone-plan");
     let mut backend = comes(server, Some(backend));
     if !backend.goes_on() {
-        // The probe before had waited too long for its answer, which ends its connection.
+        // The earlier probe timed out, which closed its connection.
         backend = server.accept();
     }
     let mut request = backend.message();
@@ -232,53 +236,57 @@
         backend.send(&load(1, 0));
         request = backend.message();
     }
-    assert_eq!(request.field("Request-Id"), Some("next"), "a job was written after its client had gone");
+    assert_eq!(
+        request.field("Request-Id"),
+        Some("next"),
+        "a job was written after its client had disconnected"
+    );
     backend.serve("next", "1");
     assert_eq!(next.message().body, "1");
     assert!(server.is_left_alone());
 }
 
-/// A client leaves between two attempts of its job, which the server had turned away: it is not tried again.
+/// Guards against retrying a job, rejected by the server, whose client has disconnected.
 #[rstest]
-fn nothing_is_written_for_a_client_that_goes_between_attempts(
+fn rejected_job_is_not_retried_if_its_client_leaves(
     #[values("/zone-plan", "/actuator-cmd")] target: &str,
     #[values(false, true)] same_turn: bool,
 ) {
     let server = Party::new();
-    let node = Node::start(&patient(server.address, false));
-    let client = ask(&node, "a", target);
+    let node = Node::start(&long_timeout_config(server.address, false));
+    let client = send_job(&node, "a", target);
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
     node.stand_still(same_turn);
     backend.send("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
     if same_turn {
-        leaves_surely(&node, client);
+        disconnect_and_wait(&node, client);
     } else {
         node.logs("dispatch 1.0 ended Overloaded");
         drop(client);
     }
     node.stand_still(false);
     node.logs("reason=peer-broke");
-    only_the_next_comes(&node, &server, backend);
+    assert_only_next_job_arrives(&node, &server, backend);
 }
 
-/// A client leaves while the server is asked whether it has room for its job, or in the turn in which it says that it has.
+/// The client disconnects while the server is probed for a free slot, or in the event-loop turn in which the probe is answered.
 #[rstest]
-fn nothing_is_written_for_a_client_that_goes_beside_a_probe(
+fn job_is_not_written_if_its_client_leaves_during_a_probe(
     #[values("/zone-plan", "/actuator-cmd")] target: &str,
     #[values(false, true)] same_turn: bool,
 ) {
     let server = Party::new();
-    let mut config = patient(server.address, false);
+    let mut config = long_timeout_config(server.address, false);
     probing(&mut config);
     let node = Node::start(&config);
-    let client = ask(&node, "a", target);
+    let client = send_job(&node, "a", target);
     let mut backend = server.accept();
     assert_eq!(backend.message().first, "GET /_load HTTP/1.1");
     node.stand_still(same_turn);
     if same_turn {
         backend.send(&load(1, 0));
-        leaves_surely(&node, client);
+        disconnect_and_wait(&node, client);
     } else {
         drop(client);
         node.logs("reason=peer-broke");
@@ -286,41 +294,41 @@
     }
     node.stand_still(false);
     node.logs("probe of 0 ended");
-    only_the_next_comes(&node, &server, backend);
+    assert_only_next_job_arrives(&node, &server, backend);
 }
 
-/// A watch on which the usual empty lines come: beside much load a test may take longer than one may be silent.
-fn kept_watch(discovery: &Party) -> Peer {
+/// Opens discovery's watch and sends heartbeats on it, so that it does not time out however slow the test runs.
+fn watch_with_heartbeats(discovery: &Party) -> Peer {
     let stream = watch(discovery).0.into_stream();
-    let mut beats = stream.try_clone().unwrap();
+    let mut heartbeats = stream.try_clone().unwrap();
     std::thread::spawn(move || {
-        while beats.write_all(b"1\r\n\n\r\n").is_ok() {
+        while heartbeats.write_all(b"1\r\n\n\r\n").is_ok() {
             std::thread::sleep(Duration::from_millis(500));
         }
     });
     Peer::new(stream)
 }
 
-/// A server moves while the connection to where it was comes up: nothing is written there, whoever has that address now, and the job
-/// goes to the new one. Where the node stands still meanwhile it sees both in one turn.
+/// A server moves while a connection to its old address is being established. Guards against writing the job there, where another
+/// server may listen by now. A paused node handles both events in one turn of its event loop.
 #[rstest]
-fn nothing_is_written_where_a_server_was(
+fn job_is_not_written_to_the_old_address_of_a_moved_server(
     #[values("/zone-plan", "/actuator-cmd")] target: &str,
-    #[values(false, true)] stands_still: bool,
+    #[values(false, true)] paused: bool,
 ) {
-    let (mut admin, new, discovery) = (AdminServer::new(), Party::new(), Party::new());
-    admin.shut();
-    let mut config = patient(admin.address, false);
+    let (mut server, new, discovery) = (StallableServer::new(), Party::new(), Party::new());
+    server.stall_connects();
+    let mut config = long_timeout_config(server.address, false);
     config["discovery"] = json!(discovery.address.to_string());
     let node = Node::start(&config);
-    let mut watch = kept_watch(&discovery);
-    let mut client = ask(&node, "a", target);
+    let mut watch = watch_with_heartbeats(&discovery);
+    let mut client = send_job(&node, "a", target);
     node.logs("dispatch 1.0 to");
-    admin.waits_for_one();
+    server.wait_for_pending_connect();
     let mut old = None;
-    if stands_still {
+    if paused {
         node.stand_still(true);
-        old = Some(admin.accept());
+        old = Some(server.accept());
     }
     watch.line(&listing(42, false, &[entry("s-0", new.address, "active")]));
     node.stand_still(false);
@@ -329,16 +337,17 @@
     assert_eq!(backend.id(), "a");
     backend.serve("a", "1");
     assert_eq!(client.message().body, "1");
-    assert!(old.is_none_or(|mut old| old.ended_early()), "a job was written where the server had been");
+    assert!(old.is_none_or(|mut old| old.ended_early()), "a job was written to the server's old address");
 }
 
-/// The same for an idle connection, to which a job is handed in the turn in which the server moves.
+/// A job arrives in the event-loop turn in which its server moves. Guards against writing it on the idle connection to the
+/// server's old address.
 #[rstest]
-fn nothing_is_written_on_an_idle_connection_to_where_a_server_was(#[values(false, true)] job_first: bool) {
+fn job_is_not_written_on_an_idle_connection_to_a_moved_server(#[values(false, true)] job_first: bool) {
     let (server, new, discovery) = (Party::new(), Party::new(), Party::new());
     let node = Node::start(&following(&[server.address], &discovery));
-    let mut watch = kept_watch(&discovery);
-    let mut client = ask(&node, "first", "/zone-plan");
+    let mut watch = watch_with_heartbeats(&discovery);
+    let mut client = send_job(&node, "first", "/zone-plan");
     let mut old = server.accept();
     assert_eq!(old.id(), "first");
     old.serve("first", "1");
@@ -361,50 +370,49 @@
     assert!(old.ended_early() && server.is_left_alone());
 }
 
-/// A keyed job may have run, and the connection for its further attempt comes up when servers no longer know its key: nothing is
-/// written, and it has its answer. The connection comes up a second after that attempt began, the time being over before; where the
-/// node stands still meanwhile it sees both at once. With a longer window the attempt is made.
+/// A keyed job may have run, and the connection for its second attempt is established one second later. Guards against writing that
+/// attempt after the servers' deduplication window: the client is answered instead. With a longer window the attempt is made.
 #[rstest]
 #[case::late(700.0, false, 503)]
-#[case::late_and_standing_still(700.0, true, 503)]
+#[case::late_while_paused(700.0, true, 503)]
 #[case::in_time(20_000.0, false, 200)]
-fn a_further_attempt_begins_while_its_key_is_known(
+fn retry_is_written_only_within_the_dedup_window(
     #[case] window: f64,
-    #[case] stands_still: bool,
+    #[case] paused: bool,
     #[case] status: u16,
 ) {
-    let mut admin = AdminServer::new();
-    let mut config = patient(admin.address, true);
+    let mut server = StallableServer::new();
+    let mut config = long_timeout_config(server.address, true);
     config["settings"]["classes"][1]["semantics"] = json!("guarded");
     config["settings"]["classes"][1]["dedup_window_ms"] = json!(window);
     let node = Node::start(&config);
-    let mut client = ask(&node, "first", "/zone-plan");
-    let mut backend = admin.accept();
+    let mut client = send_job(&node, "first", "/zone-plan");
+    let mut backend = server.accept();
     assert_eq!(backend.id(), "first");
     backend.serve("first", "1");
     assert_eq!(client.message().body, "1");
-    admin.shut();
-    client.send(&keyed("a"));
+    server.stall_connects();
+    client.send(&keyed_job("a"));
     assert_eq!(backend.id(), "a");
     let begun = Instant::now();
     drop(backend);
-    if stands_still {
-        admin.waits_for_one();
+    if paused {
+        server.wait_for_pending_connect();
         node.stand_still(true);
     } else {
         node.logs("dispatch 2.1 to");
     }
     let mut attempts = 0;
     while client.hears_nothing(Duration::from_millis(5)) {
-        let Some(mut peer) = admin.came() else { continue };
-        while stands_still && begun.elapsed() < Duration::from_millis(window as u64 + 200) {
+        let Some(mut peer) = server.try_accept() else { continue };
+        while paused && begun.elapsed() < Duration::from_millis(window as u64 + 200) {
             std::thread::sleep(Duration::from_millis(10));
         }
         node.stand_still(false);
         if peer.goes_on() {
             attempts += 1;
             let request = peer.message();
-            // What it is told to be left was counted after the connection came up.
+            // The forwarded timeout was computed after the connection was established.
             let left = request.field("Request-Timeout").and_then(|t| t.strip_suffix('u')).unwrap();
             assert!(left.parse::<u64>().unwrap() < 29_100_000, "{left}");
             peer.serve("a", "1");
@@ -413,8 +421,8 @@
     assert_eq!((client.message().status(), attempts), (status, usize::from(status == 200)));
 }
 
-/// What comes of an answer that never ends, or stops half-way: the client has its one answer in time, the connection ends, and the next
-/// job goes elsewhere.
+/// A server's response never ends, or stops half-way: the client gets one answer within its timeout, the connection is closed, and
+/// the next job goes over a new one.
 #[rstest]
 #[case::empty_lines("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\n\n\r\n")]
 #[case::a_line("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "{L}\r\n{X}\r\n")]
@@ -427,7 +435,7 @@
 #[case::heads("", "HTTP/1.1 100 Continue\r\n\r\n")]
 #[case::trailers("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", "X: {X}\r\n")]
 #[case::slow_trailers("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", "X: y\r\n")]
-fn an_answer_without_end_is_a_failure_in_time(#[case] begin: &str, #[case] more: &str) {
+fn unfinished_response_fails_the_job_by_its_timeout(#[case] begin: &str, #[case] repeated_part: &str) {
     let (node, server) = pair();
     let sent = Instant::now();
     let mut client = node.client();
@@ -436,7 +444,9 @@
     assert_eq!(backend.id(), "a");
     backend.send(begin);
     let filler = "x".repeat(4_000);
-    backend.trickle_until_over(&more.replace("{L}", &format!("{:x}", filler.len())).replace("{X}", &filler));
+    backend.trickle_until_over(
+        &repeated_part.replace("{L}", &format!("{:x}", filler.len())).replace("{X}", &filler),
+    );
     assert_eq!(client.message().status(), 502);
     assert!(sent.elapsed() < Duration::from_millis(900), "{:?}", sent.elapsed());
     assert!(client.hears_nothing(Duration::from_millis(20)), "one answer");
@@ -447,12 +457,13 @@
     assert_eq!(client.message().body, "2");
 }
 
-/// The same behind the line that ends the job: that is served at once, and nothing more is put on the connection.
+/// A server's response goes on after the line that completes the job: the client is answered at once, and the next job goes over
+/// another connection.
 #[rstest]
 #[case::lines("1\r\n\n\r\n")]
 #[case::trailers("0\r\n")]
 #[case::nothing("")]
-fn what_never_ends_behind_a_result_costs_the_connection(#[case] more: &str) {
+fn unfinished_response_after_a_result_closes_the_connection(#[case] repeated_part: &str) {
     let (node, server) = pair();
     let mut client = node.ask("a", "/actuator-cmd");
     let mut backend = server.accept();
@@ -465,14 +476,14 @@
     assert_eq!(other.id(), "b");
     other.serve("b", "2");
     assert_eq!(client.message().body, "2");
-    backend.send(more);
+    backend.send(repeated_part);
     backend.trickle_until_over("X: y\r\n");
 }
 
-/// A job and the end of the idle connection that it is handed to come while the node stands still, in either order: it is written
-/// once, on another connection.
+/// A job and the close of the idle connection that would carry it arrive while the node is paused, in either order. Guards against
+/// a lost or doubled job.
 #[rstest]
-fn a_job_for_a_connection_that_has_just_ended_is_written_once(#[values(false, true)] job_first: bool) {
+fn job_for_a_just_closed_connection_is_written_once(#[values(false, true)] job_first: bool) {
     let (node, server) = pair();
     let mut client = node.ask("a", "/zone-plan");
     let mut backend = server.accept();
@@ -496,12 +507,12 @@
     assert!(client.hears_nothing(Duration::from_millis(20)) && server.is_left_alone());
 }
 
-/// The answer and the end of the request's time, or the client's leaving, come while the node stands still: there is one answer at
-/// most, the job is not made again, and the node goes on.
+/// The response and the request's timeout, or the client's disconnect, arrive while the node is paused. Guards against a second
+/// answer and a second attempt.
 #[rstest]
-fn an_answer_in_the_turn_of_the_end_is_one_answer(
+fn response_at_the_timeout_or_disconnect_is_sent_at_most_once(
     #[values("/zone-plan", "/actuator-cmd")] target: &str,
-    #[values(false, true)] leaves: bool,
+    #[values(false, true)] client_leaves: bool,
 ) {
     let (node, server) = pair();
     let mut client = node.client();
@@ -509,7 +520,7 @@
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
     node.stand_still(true);
-    if leaves {
+    if client_leaves {
         backend.serve("a", "1");
         drop(client);
     } else {
@@ -530,10 +541,10 @@
     assert!(server.is_left_alone());
 }
 
-/// An attempt that has not started is called off after a quarter of the deadline; here its answer is there by then. It is the answer,
-/// or it is dropped and the job, which is free to repeat, made once more.
+/// An attempt that has not started is cancelled after a quarter of the deadline; here its response arrives while the node is paused
+/// over that time. The response is used, or dropped and the job, which is safe to repeat, attempted once more.
 #[rstest]
-fn an_answer_in_the_turn_of_a_cancel_is_one_answer() {
+fn response_at_the_cancellation_is_sent_once() {
     let (node, server) = pair();
     let mut client = node.ask("a", "/zone-plan");
     let mut backend = server.accept();
@@ -554,33 +565,32 @@
     assert!(attempts <= 2 && client.hears_nothing(Duration::from_millis(50)), "one answer");
 }
 
-/// The time of a line of the log within its minute.
-pub fn seconds(line: &str) -> f64 {
+/// Returns the seconds within the minute of a log line's timestamp.
+pub fn log_seconds(line: &str) -> f64 {
     line[17..26].parse().unwrap()
 }
 
-/// A second answer to the job before comes when a keyed job has just been written on its connection. It proves nothing about that
-/// one: it may have run, and is made again only while its key is known. Until the node has seen both answers soon enough after each
-/// other to take one for the other's.
+/// A second response to a job arrives just after a keyed job was written on the same connection. Guards against taking it as proof
+/// that the keyed job never ran. Rounds repeat until the node has read both responses close enough together to confuse them.
 #[rstest]
-fn a_second_answer_does_not_prove_that_a_keyed_job_never_ran() {
+fn second_response_does_not_prove_that_a_keyed_job_never_ran() {
     let window = Duration::from_millis(300);
     for round in 0..50 {
         let server = Party::new();
-        let mut config = patient(server.address, false);
+        let mut config = long_timeout_config(server.address, false);
         config["settings"]["classes"][1]["semantics"] = json!("guarded");
         config["settings"]["classes"][1]["dedup_window_ms"] = json!(window.as_millis() as f64);
         let node = Node::start(&config);
-        let mut first = ask(&node, "a", "/zone-plan");
+        let mut first = send_job(&node, "a", "/zone-plan");
         let mut backend = server.accept();
         assert_eq!(backend.id(), "a");
         let mut client = node.client();
-        client.send(&keyed("b"));
-        // It is read and held: the server has a job that has not started.
+        client.send(&keyed_job("b"));
+        // The answer to the health check shows that the keyed job was read; it is queued, as the server has a job not started.
         let mut health = node.client();
         health.send("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n");
         assert_eq!(health.message().status(), 200);
-        // No word of its start before: that one would be sent on at once, over another connection.
+        // No report that the first job started, which would dispatch the keyed one on another connection.
         backend.begin();
         backend.finish("a", "1");
         assert_eq!(backend.id(), "b");
@@ -588,48 +598,48 @@
         backend.send("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
         assert_eq!(first.message().body, "1");
         let lines = ["dispatch 1.0 ended", "dispatch 2.0 ended"].map(|text| node.logs(text));
-        if (seconds(&lines[1]) - seconds(&lines[0])).rem_euclid(60.0) > 0.025 {
+        if (log_seconds(&lines[1]) - log_seconds(&lines[0])).rem_euclid(60.0) > 0.025 {
             continue;
         }
-        let mut kept = Some(backend);
+        let mut open_connection = Some(backend);
         while client.hears_nothing(Duration::from_millis(5)) {
-            let Some(peer) = &mut kept else {
-                kept = server.came();
+            let Some(peer) = &mut open_connection else {
+                open_connection = server.came();
                 continue;
             };
             if peer.hears_nothing(Duration::from_millis(1)) {
                 continue;
             }
             if !peer.goes_on() {
-                kept = None;
+                open_connection = None;
                 continue;
             }
             assert_eq!(peer.id(), "b");
-            assert!(written.elapsed() < window, "written again after {:?}", written.elapsed());
+            assert!(written.elapsed() < window, "retried after {:?}", written.elapsed());
             peer.serve("b", "2");
         }
         println!("round {round}");
         return;
     }
-    panic!("the order was never forced");
+    panic!("no round produced the order of events");
 }
 
-/// What a server says of a job that it did not serve: handed back unstarted it is tried again whatever it does; killed, only where a
-/// repeat does no harm, which servers see to by the key for the one kind. `Not-Started` counts with 503 alone.
+/// A server reports that it did not serve a job. One returned unstarted is always retried; one lost, only if it is free to repeat
+/// or servers deduplicate it by its key. `Not-Started` is honoured only with status 503.
 #[rstest]
-fn what_was_not_served_is_tried_again_where_that_does_no_harm(
+fn unserved_job_is_retried_only_if_it_is_safe_to_repeat(
     #[values("free", "guarded", "single_shot")] semantics: &str,
-    #[values("returned", "lost", "503", "200")] notified: &str,
+    #[values("returned", "lost", "503", "200")] outcome: &str,
 ) {
     let server = Party::new();
     let mut config = config(&[server.address]);
     config["settings"]["classes"][1]["semantics"] = json!(semantics);
     let node = Node::start(&config);
     let mut client = node.client();
-    client.send(&keyed("a"));
+    client.send(&keyed_job("a"));
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
-    match notified {
+    match outcome {
         "503" => backend.send("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"),
         "200" => {
             let line = "{\"id\":\"a\",\"state\":\"lost\"}\n";
@@ -644,8 +654,8 @@
             backend.send("0\r\n\r\n");
         }
     }
-    let never = ["returned", "503"].contains(&notified);
-    if never || semantics != "single_shot" {
+    let never_ran = ["returned", "503"].contains(&outcome);
+    if never_ran || semantics != "single_shot" {
         let mut backend = comes(&server, Some(backend));
         assert_eq!(backend.id(), "a");
         backend.serve("a", "1");
@@ -656,12 +666,12 @@
     }
 }
 
-/// Settings that are read while an attempt is out don't judge what comes of it: one that was sent where servers may hand back what
-/// they had begun may have run, whatever holds now, and so may one that is handed back where they may now.
+/// The setting that lets servers return jobs they had started is changed while an attempt is in flight. Guards against a retry of a
+/// returned job where that setting held when the attempt was sent, or holds now.
 #[rstest]
 #[case::no_longer(true, false)]
 #[case::from_now_on(false, true)]
-fn what_is_handed_back_after_a_reload_is_not_sent_again(#[case] before: bool, #[case] after: bool) {
+fn job_returned_after_a_reload_is_not_retried(#[case] before: bool, #[case] after: bool) {
     let server = Party::new();
     let mut config = config(&[server.address]);
     config["settings"]["rules"]["shed_after_start"] = json!(before);
--- a/tests/node/rare.rs
+++ b/tests/node/rare.rs
@@ -1,10 +1,12 @@
-//! Orderings that come up once in thousands of requests, each made to come up every time.
+//! Event orders that occur once in thousands of requests, each forced to occur in every run.
 
+use crate::dispatch_writes::{
+    keyed_job, log_seconds, long_timeout_config, StallableServer, NOT_STARTED_AND_CLOSE,
+};
 use crate::notified::Failure;
 use crate::sites::comes;
 use crate::stopping::until;
 use crate::support::*;
-use crate::written::{keyed, patient, seconds, AdminServer, FULL};
 use crate::{following, listing, watch};
 use rstest::rstest;
 use serde_json::{json, Value};
@@ -16,7 +18,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-const HEALTH: &str = "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n";
+const HEALTH_REQUEST: &str = "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n";
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -27,30 +29,31 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs_f64() * 1e3
 }
 
-/// A client that has had an answer on its connection.
-fn known_client(node: &Node) -> Peer {
+/// Connects a client and completes a health check on its connection.
+fn client_with_answered_request(node: &Node) -> Peer {
     let mut client = node.client();
-    client.send(HEALTH);
+    client.send(HEALTH_REQUEST);
     assert_eq!(client.message().status(), 200);
     client
 }
 
-/// The mean work of a request to a cold server, in milliseconds.
-const WORK: u64 = 100;
-/// How a cold server warms up: the part of a core that it begins with, the time, both in milliseconds, after which it is warm
-/// and within which it falls when it is sent more than so many times what it can do.
-const WARMING: (f64, f64, f64, f64) = (0.25, 40_000.0, 1_000.0, 3.0);
+/// The mean work of a request, in milliseconds.
+const MEAN_WORK_MS: u64 = 100;
+/// A server's slow start: the share of a core that it begins with, the time in milliseconds until it has all of it, the window in
+/// milliseconds over which overload is counted, and the multiple of its capacity beyond which it fails.
+const SLOW_START: (f64, f64, f64, f64) = (0.25, 40_000.0, 1_000.0, 3.0);
 
-/// How many requests of mean work a server bears of that age in milliseconds. Beyond N only twice the root of N and two are
-/// chance; N is 7.5 at the start, and 8.6 after 2 s.
-fn bears(age: f64) -> f64 {
-    let (share, warm, fall, multiple) = WARMING;
-    let n = multiple * (share + (1.0 - share) * (age / warm).min(1.0)) * fall / WORK as f64;
+/// Returns how many requests of mean work may reach a server of that age, in milliseconds, within the overload window: the number
+/// at which it fails, and twice its square root and two more for chance.
+fn slow_start_capacity(age: f64) -> f64 {
+    let (share, slow_start_ms, overload_window_ms, overload_multiple) = SLOW_START;
+    let n = overload_multiple * (share + (1.0 - share) * (age / slow_start_ms).min(1.0)) * overload_window_ms
+        / MEAN_WORK_MS as f64;
     n + 2.0 * n.sqrt() + 2.0
 }
 
-/// Numbers that are the same each time.
-fn numbers(seed: u64) -> impl FnMut(u64) -> u64 {
+/// Returns a deterministic generator of numbers below a bound (xorshift).
+fn random_numbers(seed: u64) -> impl FnMut(u64) -> u64 {
     let mut state = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     move |below| {
         state ^= state << 13;
@@ -60,16 +63,16 @@
     }
 }
 
-/// A server that counts the work of the requests whose last byte has come, in requests of mean work, and serves each in the
-/// time that its id names.
-fn counting(server: Party) -> Arc<Mutex<Vec<(f64, f64)>>> {
-    let came = Arc::new(Mutex::new(Vec::new()));
-    let count = came.clone();
+/// Serves each request in the milliseconds that the end of its id names, and records its arrival (Unix time in milliseconds) and
+/// its work in requests of mean work.
+fn serve_and_record_work(server: Party) -> Arc<Mutex<Vec<(f64, f64)>>> {
+    let arrivals = Arc::new(Mutex::new(Vec::new()));
+    let count = arrivals.clone();
     server.attended(move |mut peer| {
         while peer.goes_on() {
             let id = peer.id();
             let work: u64 = id.rsplit('-').next().unwrap().parse().unwrap();
-            count.lock().unwrap().push((unix_ms(), work as f64 / WORK as f64));
+            count.lock().unwrap().push((unix_ms(), work as f64 / MEAN_WORK_MS as f64));
             peer.begin();
             peer.state(&id, "started");
             if peer.hears_nothing(ms(work)) {
@@ -77,19 +80,18 @@
             }
         }
     });
-    came
+    arrivals
 }
 
-/// Twenty processes know one server, which is cold. They are told of it in the same moment, are quiet until each has saved what it
-/// can, and get more than it can take in the same moment. What comes to it in the time in which it falls stays within what it
-/// bears; that twice, each time with another server in the place of the one before.
+/// Twenty nodes learn of one new server at once, stay idle until their slow-start allowances are full, and then all receive jobs
+/// at once. Guards against overloading the server; repeated once with a replacement server.
 #[rstest]
-#[case::of_equal_work(1, false)]
-#[case::of_hinted_work(2, true)]
-#[case::of_equal_work_again(3, false)]
-fn twenty_processes_together_do_not_fell_a_cold_server(#[case] seed: u64, #[case] hinted: bool) {
+#[case::equal_work(1, false)]
+#[case::hinted_work(2, true)]
+#[case::equal_work_second_seed(3, false)]
+fn twenty_nodes_do_not_overload_a_server_in_slow_start(#[case] seed: u64, #[case] hinted: bool) {
     let discovery = Party::new();
-    let (share, warm, fall, multiple) = WARMING;
+    let (share, slow_start_ms, overload_window_ms, overload_multiple) = SLOW_START;
     let nodes: Vec<Node> = (0..20)
         .map(|k| {
             let mut config = following(&[], &discovery);
@@ -98,101 +100,103 @@
             let settings = &mut config["settings"];
             (settings["replicas_of_me"], settings["rank"]) = (json!(20), json!(k));
             settings["rules"]["cold_share"] = json!(share);
-            settings["rules"]["cold_ms"] = json!(warm);
-            settings["rules"]["fall_ms"] = json!(fall);
-            settings["rules"]["tip_multiple"] = json!(multiple);
+            settings["rules"]["cold_ms"] = json!(slow_start_ms);
+            settings["rules"]["fall_ms"] = json!(overload_window_ms);
+            settings["rules"]["tip_multiple"] = json!(overload_multiple);
             settings["projects"][0]["quota_rps"] = json!(1000.0);
             for class in 0..2 {
-                // Until one has ended a job is held to be three quarters of this.
-                settings["classes"][class]["target_ms"] = json!(WORK as f64 * 4.0 / 3.0);
+                // Before the first completion the estimate of a job's work is three quarters of the target.
+                settings["classes"][class]["target_ms"] = json!(MEAN_WORK_MS as f64 * 4.0 / 3.0);
             }
             Node::start(&config)
         })
         .collect();
     let mut watches: Vec<Peer> = nodes.iter().map(|_| watch(&discovery).0).collect();
-    // A watch on which nothing comes has fallen silent.
-    let pass = |watches: &mut Vec<Peer>, time: Duration| {
+    // Without heartbeats the watches would time out.
+    let send_heartbeats_for = |watches: &mut Vec<Peer>, time: Duration| {
         let end = Instant::now() + time;
         while Instant::now() < end {
             watches.iter_mut().for_each(|w| w.line(""));
             until(end.min(Instant::now() + ms(500)));
         }
     };
-    let mut next = numbers(seed);
+    let mut next = random_numbers(seed);
     let (mut before, mut all): (Vec<Value>, Vec<f64>) = Default::default();
     for round in 0..2 {
         let server = Party::new();
-        let mut cold = entry(&format!("s-{round}"), server.address, "active");
+        let mut new_server = entry(&format!("s-{round}"), server.address, "active");
         let started = unix_ms();
-        cold["up_since_ms"] = json!(started);
-        let came = counting(server);
+        new_server["up_since_ms"] = json!(started);
+        let arrivals = serve_and_record_work(server);
         let revision = 42 + round;
-        let members = [before.as_slice(), &[cold.clone()]].concat();
+        let members = [before.as_slice(), &[new_server.clone()]].concat();
         watches.iter_mut().for_each(|w| w.line(&listing(revision, false, &members)));
         nodes.iter().for_each(|node| drop(node.logs(&format!("server table {revision}"))));
-        cold["phase"] = json!("left");
-        before = vec![cold];
-        // In that time each could save a request at half of what the server is allowed.
-        pass(&mut watches, ms(4_000));
+        new_server["phase"] = json!("left");
+        before = vec![new_server];
+        // Long enough for each node to accumulate an allowance of one request at half of the server's rate.
+        send_heartbeats_for(&mut watches, ms(4_000));
         let mut clients: Vec<(usize, Peer)> = nodes
             .iter()
             .enumerate()
-            .flat_map(|(k, node)| (0..6).map(move |_| (k, known_client(node))))
+            .flat_map(|(k, node)| (0..6).map(move |_| (k, client_with_answered_request(node))))
             .collect();
         for (n, (k, client)) in clients.iter_mut().enumerate() {
-            let work = if hinted { 20 + next(161) } else { WORK };
+            let work = if hinted { 20 + next(161) } else { MEAN_WORK_MS };
             let id = format!("{round}-{k}-{n}-{work}");
             let hint = format!("Work-Hint: {}\r\nTenant:", work * 1_000);
             let text = job(&id, "/zone-plan", "5000m", "");
             client.send(&if hinted { text.replace("Tenant:", &hint) } else { text });
         }
-        pass(&mut watches, ms(fall as u64));
-        let came = came.lock().unwrap().clone();
+        send_heartbeats_for(&mut watches, ms(overload_window_ms as u64));
+        let arrivals = arrivals.lock().unwrap().clone();
         let load = |end: f64| -> f64 {
-            came.iter().filter(|(at, _)| *at > end - fall && *at <= end).map(|(_, work)| work).sum()
+            arrivals
+                .iter()
+                .filter(|(at, _)| *at > end - overload_window_ms && *at <= end)
+                .map(|(_, work)| work)
+                .sum()
         };
-        let over = |at: f64| load(at) - bears(at - started);
-        let worst = came.iter().map(|(at, _)| over(*at)).fold(f64::MIN, f64::max);
-        println!("seed {seed}, round {round}: {} came, at worst {worst:+.1} requests over", came.len());
-        assert!(!came.is_empty(), "nothing was sent");
+        let excess = |at: f64| load(at) - slow_start_capacity(at - started);
+        let worst = arrivals.iter().map(|(at, _)| excess(*at)).fold(f64::MIN, f64::max);
+        println!("seed {seed}, round {round}: {} requests, at worst {worst:+.1} over", arrivals.len());
+        assert!(!arrivals.is_empty(), "nothing was sent");
         all.push(worst);
     }
     assert!(
-        all.iter().all(|over| *over <= 0.0),
-        "servers fall, by so many requests over what they bear: {all:?}"
+        all.iter().all(|excess| *excess <= 0.0),
+        "requests beyond the servers' capacity in slow start: {all:?}"
     );
 }
 
-/// An address that is taken, and at which nobody listens: connections are refused until somebody does.
-struct Reserved {
+/// A bound address without a listener: connections are refused until `listen` is called.
+struct ReservedAddress {
     socket: Socket,
     address: SocketAddr,
 }
 
-impl Reserved {
-    fn new() -> Reserved {
+impl ReservedAddress {
+    fn new() -> ReservedAddress {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         let address = socket.local_addr().unwrap().as_socket().unwrap();
-        Reserved { socket, address }
+        ReservedAddress { socket, address }
     }
 
-    /// From now on they come up.
-    fn listens(self) -> Party {
+    fn listen(self) -> Party {
         self.socket.listen(100).unwrap();
         Party::behind(self.socket.into())
     }
 }
 
-/// Discovery is down, and idle clients take whatever descriptors they can get, over and over. Whoever has a request has a place at
-/// any time; the call that finds discovery again has its descriptor, and what it brings is in force by the clock. Once the crowd
-/// has gone all is as before.
+/// Discovery is down while idle clients keep taking every descriptor. Guards against shutting out clients with a request, the
+/// reconnect to discovery, or the connections to its new servers.
 #[rstest]
 fn idle_clients_that_fill_the_descriptors_while_discovery_is_down_keep_nobody_out(
     #[values("pushed", "on_request")] lists: &str,
     #[values("exec \"$0\" serve -v", "ulimit -n 70; exec \"$0\" serve -v")] messages: &str,
 ) {
-    let (old, new, discovery) = (Party::new(), Party::new(), Reserved::new());
+    let (old, new, discovery) = (Party::new(), Party::new(), ReservedAddress::new());
     let mut config = config(&[old.address]);
     config["discovery"] = json!(discovery.address.to_string());
     config["limits"]["sockets"] = json!(70);
@@ -201,30 +205,30 @@
     let (address, over, opened) =
         (node.address, Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
     let (is_over, count) = (over.clone(), opened.clone());
-    // Some have had an answer, the others never say a word. What the node ends is opened again.
-    let crowd = std::thread::spawn(move || {
+    // Every third client sends a request. Connections that the node closes are opened again.
+    let idle_clients = std::thread::spawn(move || {
         let mut all: VecDeque<TcpStream> = VecDeque::new();
         while !is_over.load(Ordering::Relaxed) {
             if let Ok(mut stream) = TcpStream::connect_timeout(&address, ms(200)) {
                 if count.fetch_add(1, Ordering::Relaxed).is_multiple_of(3) {
-                    let _ = stream.write_all(HEALTH.as_bytes());
+                    let _ = stream.write_all(HEALTH_REQUEST.as_bytes());
                 }
                 all.push_back(stream);
             }
             all.drain(..all.len().saturating_sub(200));
         }
     });
-    let fills_again = || {
+    let refill_descriptors = || {
         let before = opened.load(Ordering::Relaxed);
         while opened.load(Ordering::Relaxed) < before + 50 {
             std::thread::yield_now();
         }
     };
-    // Each needs a connection of its own to the server, and all descriptors are taken by then.
+    // Each job needs a new connection to the server while all descriptors are taken.
     let served = |id: &str, server: &Party| {
-        fills_again();
+        refill_descriptors();
         let mut client = node.ask(id, "/zone-plan");
-        fills_again();
+        refill_descriptors();
         let mut backend = server.accept();
         assert_eq!(backend.id(), id);
         backend.send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
@@ -238,7 +242,7 @@
         served(&format!("down-{k}"), &old);
         assert!(node.descriptors() <= 70);
     }
-    let discovery = discovery.listens();
+    let discovery = discovery.listen();
     let back = Instant::now();
     let (mut watch, request) = watch(&discovery);
     assert_eq!(request, "GET /catalog/members?watch=1&from=41 HTTP/1.1");
@@ -247,8 +251,8 @@
     assert!(back.elapsed() < Duration::from_secs(6), "{:?}", back.elapsed());
     served("back", &new);
     over.store(true, Ordering::Relaxed);
-    println!("{opened:?} connections of the crowd");
-    crowd.join().unwrap();
+    println!("{opened:?} connections of idle clients");
+    idle_clients.join().unwrap();
     let mut client = node.ask("after", "/zone-plan");
     let mut backend = new.accept();
     assert_eq!(backend.id(), "after");
@@ -256,25 +260,25 @@
     assert_eq!(client.message().body, "1");
 }
 
-/// More silent clients than there are descriptors for come in the moment in which a job does, whether the configuration or the system
-/// says how many there are: the job has a connection to its server all the same.
+/// More silent clients than there are descriptors connect at the moment a job arrives, with the limit set by the configuration or
+/// by the system. Guards against leaving the job without a connection to its server.
 #[rstest]
-#[case::configured("exec \"$0\" serve -v")]
-#[case::the_same_by_the_system("ulimit -n 70; exec \"$0\" serve -v")]
-#[case::fewer_by_the_system("ulimit -n 48; exec \"$0\" serve -v")]
-fn silent_clients_that_come_with_a_job_leave_it_a_descriptor(#[case] messages: &str) {
+#[case::limit_by_configuration("exec \"$0\" serve -v")]
+#[case::equal_limit_by_the_system("ulimit -n 70; exec \"$0\" serve -v")]
+#[case::lower_limit_by_the_system("ulimit -n 48; exec \"$0\" serve -v")]
+fn silent_clients_arriving_with_a_job_leave_it_a_descriptor(#[case] shell_command: &str) {
     let server = Party::new();
     let mut config = config(&[server.address]);
     config["limits"]["sockets"] = json!(70);
-    let node = Node::start_as(&["sh", "-c", messages, PROGRAM], &config);
+    let node = Node::start_as(&["sh", "-c", shell_command, PROGRAM], &config);
     server.attended(|mut peer| {
         let id = peer.id();
         peer.send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
         peer.send(&format!("{}\n", json!({"id": id, "state": "done", "result": "1"})));
     });
-    let mut client = known_client(&node);
+    let mut client = client_with_answered_request(&node);
     node.stand_still(true);
-    // Less than the queue of those that wait holds.
+    // Fewer than the accept backlog holds.
     let _crowd: Vec<Peer> = (0..90).map(|_| node.client()).collect();
     client.send(&job("a", "/actuator-cmd", "5000m", ""));
     node.stand_still(false);
@@ -282,28 +286,29 @@
     assert_eq!((answer.status(), answer.body.as_str()), (200, "1"));
 }
 
-/// The system gives the node fewer descriptors than the configuration says, and silent clients hold as many as they can get: the
-/// node keeps to what there is, so that each job has a connection to its server.
+/// The system allows the node fewer descriptors than the configuration names, and silent clients take as many as they can. Guards
+/// against leaving jobs without a connection to their server.
 #[rstest]
-fn clients_leave_servers_the_descriptors_that_the_system_gives(#[values(50, 60, 90)] most: usize) {
+fn silent_clients_leave_descriptors_for_servers_under_a_low_system_limit(#[values(50, 60, 90)] limit: usize) {
     let server = Party::new();
     let mut config = config(&[server.address]);
     config["limits"]["sockets"] = json!(1024);
-    let messages = format!("ulimit -n {most}; exec \"$0\" serve -v");
-    let node = Node::start_as(&["sh", "-c", &messages, PROGRAM], &config);
+    let shell_command = format!("ulimit -n {limit}; exec \"$0\" serve -v");
+    let node = Node::start_as(&["sh", "-c", &shell_command, PROGRAM], &config);
     server.attended(|mut peer| {
         let id = peer.id();
         peer.send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
         peer.send(&format!("{}\n", json!({"id": id, "state": "done", "result": "1"})));
     });
-    // One that has handed in a job before is spared.
+    // A client that has sent a job before is not evicted.
     let mut client = node.ask("before", "/actuator-cmd");
     assert_eq!(client.message().status(), 200);
-    // All of them are accepted, and most are made to go again.
-    let mut crowd: Vec<Peer> = (0..200).map(|_| node.client()).collect();
-    let left = |crowd: &mut Vec<Peer>| crowd.retain_mut(|peer| peer.hears_nothing(ms(1)));
-    while crowd.len() >= most {
-        left(&mut crowd);
+    // All of them are accepted, and most are evicted.
+    let mut idle_clients: Vec<Peer> = (0..200).map(|_| node.client()).collect();
+    let drop_closed =
+        |idle_clients: &mut Vec<Peer>| idle_clients.retain_mut(|peer| peer.hears_nothing(ms(1)));
+    while idle_clients.len() >= limit {
+        drop_closed(&mut idle_clients);
     }
     for n in 0..8 {
         client.send(&job(&n.to_string(), "/actuator-cmd", "5000m", ""));
@@ -311,50 +316,50 @@
         assert_eq!(
             (answer.status(), answer.body.as_str()),
             (200, "1"),
-            "{n}, with {} of the crowd",
-            crowd.len()
+            "{n}, with {} idle clients",
+            idle_clients.len()
         );
-        assert!(node.descriptors() <= most);
+        assert!(node.descriptors() <= limit);
     }
 }
 
-/// What discovery does while a node starts.
+/// How discovery behaves while a node starts.
 #[derive(Clone, Copy, Debug)]
 enum Discovery {
-    /// Its connections never come up.
-    Deaf,
-    /// They are refused.
-    Refuses,
-    /// It does this with each call.
+    /// Connects to it never complete.
+    NeverConnects,
+    RefusesConnections,
+    /// Every call fails in this way.
     Fails(Failure),
-    /// It sends a byte of a list now and then.
-    Trickles,
+    /// Sends its answer a few bytes at a time.
+    TricklesBytes,
 }
 
-/// A restarted node serves by the list as last held, whatever discovery does, and whether it is asked or pushes its lists: its
-/// first health is good, and a job is served, well within the 10 s of a restart.
+/// A restarted node serves from the server list in its configuration, however discovery fails: its first health check succeeds and
+/// a job is served within 5 s, half of the time that a restart may take.
 #[rstest]
-fn a_restart_is_ready_whatever_discovery_does(
+fn restarted_node_is_ready_whatever_discovery_does(
     #[values("pushed", "on_request")] lists: &str,
     #[values(
-        Discovery::Deaf,
-        Discovery::Refuses,
+        Discovery::NeverConnects,
+        Discovery::RefusesConnections,
         Discovery::Fails(Failure::Busy),
         Discovery::Fails(Failure::WaitedInVain),
         Discovery::Fails(Failure::Reset),
         Discovery::Fails(Failure::Mute),
-        Discovery::Trickles
+        Discovery::TricklesBytes
     )]
     discovery: Discovery,
 ) {
-    let (server, agent, refusing, (deaf, _kept)) = (Party::new(), Party::new(), Reserved::new(), deaf());
+    let (server, failing_discovery, refusing, (unreachable, _kept)) =
+        (Party::new(), Party::new(), ReservedAddress::new(), deaf());
     let mut config = config(&[server.address]);
     let address = match discovery {
-        Discovery::Deaf => deaf,
-        Discovery::Refuses => refusing.address,
-        Discovery::Fails(_) | Discovery::Trickles => agent.address,
+        Discovery::NeverConnects => unreachable,
+        Discovery::RefusesConnections => refusing.address,
+        Discovery::Fails(_) | Discovery::TricklesBytes => failing_discovery.address,
     };
-    agent.attended(move |mut peer| match discovery {
+    failing_discovery.attended(move |mut peer| match discovery {
         Discovery::Fails(failure) => failure.play(peer),
         _ => {
             peer.message();
@@ -368,7 +373,7 @@
     for start in 0..2 {
         let begun = Instant::now();
         let mut node = Node::start(&config);
-        let mut client = known_client(&node);
+        let mut client = client_with_answered_request(&node);
         client.send(&job("a", "/actuator-cmd", "5000m", ""));
         let mut backend = server.accept();
         assert_eq!(backend.id(), "a");
@@ -381,50 +386,50 @@
     }
 }
 
-/// How all servers of a node are lost to it.
+/// How all servers of a node become unavailable.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Lost {
-    /// They turn everything away.
-    Full,
-    /// They refuse connections.
-    Refusing,
-    /// They take connections and jobs, and say nothing.
+enum Outage {
+    /// They reject every job.
+    RejectsJobs,
+    RefusesConnections,
+    /// They accept connections and jobs, and send nothing.
     Silent,
 }
 
-/// All servers are lost and then there again. While that lasts the node goes on trying: it turns away no more than 4 s on end
-/// without one attempt in between, and serves within that time of their return.
+/// All servers are unavailable and then return. The node must not reject jobs for 4 s without making one attempt, and must serve
+/// again within 4 s of their return.
 #[rstest]
-fn a_node_that_has_lost_all_servers_goes_on_trying(
-    #[values(Lost::Full, Lost::Refusing, Lost::Silent)] lost: Lost,
-    #[values(false, true)] sheds: bool,
+fn node_keeps_attempting_while_all_servers_are_unavailable(
+    #[values(Outage::RejectsJobs, Outage::RefusesConnections, Outage::Silent)] outage: Outage,
+    #[values(false, true)] sheds_after_start: bool,
 ) {
-    const AWAY: Duration = Duration::from_secs(9);
-    const ON_END: f64 = 4.0;
-    let reserved: Vec<Reserved> = (0..3).map(|_| Reserved::new()).collect();
+    const OUTAGE_TIME: Duration = Duration::from_secs(9);
+    /// The longest time in seconds without an attempt, and from the servers' return to the first job served.
+    const MAX_GAP_SECONDS: f64 = 4.0;
+    let reserved: Vec<ReservedAddress> = (0..3).map(|_| ReservedAddress::new()).collect();
     let mut config = config(&reserved.iter().map(|r| r.address).collect::<Vec<_>>());
-    config["settings"]["rules"]["shed_after_start"] = json!(sheds);
+    config["settings"]["rules"]["shed_after_start"] = json!(sheds_after_start);
     config["settings"]["projects"][0]["quota_rps"] = json!(1000.0);
     let mut node = Node::start(&config);
     let back = Arc::new(AtomicBool::new(false));
-    let listen = |reserved: Vec<Reserved>| {
-        for server in reserved.into_iter().map(Reserved::listens) {
+    let listen = |reserved: Vec<ReservedAddress>| {
+        for server in reserved.into_iter().map(ReservedAddress::listen) {
             let back = back.clone();
             server.attended(move |mut peer| {
                 while peer.goes_on() {
                     let id = peer.id();
                     if back.load(Ordering::Relaxed) {
                         peer.serve(&id, &id);
-                    } else if lost == Lost::Full {
+                    } else if outage == Outage::RejectsJobs {
                         peer.send("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
                     }
                 }
             });
         }
     };
-    let mut away = Some(reserved);
-    if lost != Lost::Refusing {
-        listen(away.take().unwrap());
+    let mut unavailable = Some(reserved);
+    if outage != Outage::RefusesConnections {
+        listen(unavailable.take().unwrap());
     }
     let over = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..24)
@@ -446,66 +451,75 @@
             })
         })
         .collect();
-    std::thread::sleep(AWAY);
+    std::thread::sleep(OUTAGE_TIME);
     let returned = unix_ms() / 1e3;
     back.store(true, Ordering::Relaxed);
-    away.into_iter().for_each(listen);
-    std::thread::sleep(Duration::from_secs_f64(ON_END + 0.5));
+    unavailable.into_iter().for_each(listen);
+    std::thread::sleep(Duration::from_secs_f64(MAX_GAP_SECONDS + 0.5));
     over.store(true, Ordering::Relaxed);
     let mut answers: Vec<(f64, u16)> = clients.into_iter().flat_map(|c| c.join().unwrap()).collect();
     answers.sort_by(|a, b| a.0.total_cmp(&b.0));
     node.terminate();
     let lines = node.logs_until("told to stop");
     assert!(node.exit().success());
-    let tries: Vec<f64> = lines.iter().filter(|l| l.contains(" to 127.0.0.1:")).map(|l| seconds(l)).collect();
-    // Both within their minute.
-    let apart = |from: f64, to: f64| (to - from).rem_euclid(60.0);
-    // How long the node made no attempt, and how many it turned away in that time.
+    let attempts: Vec<f64> =
+        lines.iter().filter(|l| l.contains(" to 127.0.0.1:")).map(|l| log_seconds(l)).collect();
+    // Both times count within their minute, so the difference wraps.
+    let seconds_between = |from: f64, to: f64| (to - from).rem_euclid(60.0);
+    // The time between two attempts, and how many jobs were rejected in it.
     let gap = |w: &[f64]| {
-        let turned =
-            answers.iter().filter(|(at, status)| *status != 200 && apart(w[0], *at) < apart(w[0], w[1]));
-        (apart(w[0], w[1]), turned.count())
+        let rejected = answers.iter().filter(|(at, status)| {
+            *status != 200 && seconds_between(w[0], *at) < seconds_between(w[0], w[1])
+        });
+        (seconds_between(w[0], w[1]), rejected.count())
     };
-    let gaps: Vec<(f64, usize)> = tries.windows(2).map(gap).collect();
+    let gaps: Vec<(f64, usize)> = attempts.windows(2).map(gap).collect();
     let longest = gaps.iter().max_by(|a, b| a.0.total_cmp(&b.0)).expect("attempts");
     let served = answers.iter().find(|(at, status)| *at > returned && *status == 200);
     let after = served.map(|(at, _)| at - returned);
     println!(
-        "{} attempts, {} answers; at most {longest:?} s without an attempt and turned away in it; served {after:?} s after",
-        tries.len(),
+        "{} attempts, {} answers; at most {longest:?} s without an attempt and jobs rejected in it; served {after:?} s after",
+        attempts.len(),
         answers.len()
     );
-    let bad: Vec<_> = gaps.iter().filter(|(gap, turned)| *gap >= ON_END && *turned >= 15).collect();
-    assert!(bad.is_empty(), "so long without an attempt, and so many turned away: {bad:?}");
-    assert!(after.is_some_and(|t| t < ON_END), "served {after:?} s after the servers were back");
+    let bad: Vec<_> =
+        gaps.iter().filter(|(gap, rejected)| *gap >= MAX_GAP_SECONDS && *rejected >= 15).collect();
+    assert!(bad.is_empty(), "seconds without an attempt, and jobs rejected in them: {bad:?}");
+    assert!(after.is_some_and(|t| t < MAX_GAP_SECONDS), "served {after:?} s after the servers were back");
 }
 
-/// How an answer is framed.
+/// How a response body is framed.
 #[derive(Clone, Copy, Debug)]
-enum Framed {
-    /// In chunks of so many bytes.
+enum Framing {
+    /// Chunks of at most that many bytes.
     Chunks(usize),
     Length,
-    /// Up to the end of the connection.
-    Ends,
+    /// The body ends where the connection closes.
+    UntilClose,
 }
 
-/// A server writes its answer byte by byte or in pieces, its lines cut by chunks anywhere: each job has its whole result, also
-/// the next one on that connection.
+/// A server writes its response in pieces and chunks that split lines anywhere. Guards against a truncated or mixed-up result, also
+/// for the next job on that connection.
 #[rstest]
-fn an_answer_may_come_in_pieces_cut_anywhere(
-    #[values(Framed::Chunks(1), Framed::Chunks(7), Framed::Chunks(64), Framed::Length, Framed::Ends)]
-    framed: Framed,
+fn response_in_arbitrary_pieces_is_read_completely(
+    #[values(
+        Framing::Chunks(1),
+        Framing::Chunks(7),
+        Framing::Chunks(64),
+        Framing::Length,
+        Framing::UntilClose
+    )]
+    framing: Framing,
     #[values(1, 3, 50)] piece: usize,
 ) {
     let server = Party::new();
-    let node = Node::start(&patient(server.address, false));
+    let node = Node::start(&long_timeout_config(server.address, false));
     let mut client = node.client();
-    let mut kept = None;
+    let mut connection = None;
     for id in ["a", "b"] {
         let result = format!("{id}: \"é\u{1f600}\\\n\" {}", "0123456789".repeat(5));
         client.send(&job(id, "/zone-plan", "30000m", ""));
-        let mut backend = comes(&server, kept.take());
+        let mut backend = comes(&server, connection.take());
         assert_eq!(backend.id(), id);
         let lines = [
             json!({"id": id, "from": "s", "state": "started"}),
@@ -514,8 +528,8 @@
         ];
         let body: Vec<u8> = lines.iter().flat_map(|line| format!("{line}\n").into_bytes()).collect();
         let mut text = b"HTTP/1.1 200 OK\r\nServer-Load: TEXT inflight=7\r\n".to_vec();
-        match framed {
-            Framed::Chunks(size) => {
+        match framing {
+            Framing::Chunks(size) => {
                 text.extend(b"Transfer-Encoding: chunked\r\n\r\n");
                 for chunk in body.chunks(size) {
                     text.extend(format!("{:x};x=y\r\n", chunk.len()).bytes().chain(chunk.iter().copied()));
@@ -523,26 +537,26 @@
                 }
                 text.extend(b"0\r\nT: t\r\n\r\n");
             }
-            Framed::Length => {
+            Framing::Length => {
                 text.extend(format!("Content-Length: {}\r\n\r\n", body.len()).into_bytes());
                 text.extend(body);
             }
-            Framed::Ends => {
+            Framing::UntilClose => {
                 text.extend(b"Connection: close\r\n\r\n");
                 text.extend(body);
             }
         }
         for part in text.chunks(piece) {
             backend.send_bytes(part);
-            // It is read by itself.
+            // Gives the node time to read this part before the next one is sent.
             if piece == 1 {
                 std::thread::yield_now();
             } else {
                 backend.hears_nothing(ms(1));
             }
         }
-        if !matches!(framed, Framed::Ends) {
-            kept = Some(backend);
+        if !matches!(framing, Framing::UntilClose) {
+            connection = Some(backend);
         }
         let answer = client.message();
         assert_eq!((answer.status(), answer.body), (200, result));
@@ -550,15 +564,15 @@
     assert!(server.is_left_alone());
 }
 
-/// How much of what was written to that address the writer's system holds, and the reader's.
-fn queued(server: SocketAddr) -> u64 {
+/// Returns the bytes in the socket buffers of both sides of the connections to `server`: not yet sent, or not yet read.
+fn unread_bytes(server: SocketAddr) -> u64 {
     let port = format!(":{:04X}", server.port());
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let of = |line: &str| {
         let fields: Vec<&str> = line.split_whitespace().collect();
         let (tx, rx) = fields[4].split_once(':')?;
         let count = |hex: &str| u64::from_str_radix(hex, 16).ok();
-        // Open connections only: a listener's figures are others.
+        // Established connections only: for a listener the columns hold its backlog.
         match fields[3] {
             "01" if fields[1].ends_with(&port) => count(rx),
             "01" if fields[2].ends_with(&port) => count(tx),
@@ -568,54 +582,54 @@
     table.lines().skip(1).filter_map(of).sum()
 }
 
-/// When a server resets the connection.
+/// The moment at which a server resets the connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum ResetAt {
-    /// The node could not write all of the request yet.
-    Before,
-    /// The node has written all of it, and the server has read nothing.
+enum ResetTime {
+    /// The node has not yet written all of the request.
+    BeforeWritten,
+    /// The node has written all of the request, and the server has read nothing.
     Written,
-    /// The server has read it to the last byte.
+    /// The server has read the request to its last byte.
     Read,
 }
 
-/// A reset before the last byte of a request is written proves that it never ran, and it is tried again whatever it does; once
-/// that byte is written nothing is proven, and what may not run twice fails.
+/// A reset before the last byte of a request is written proves that it never ran, and it is retried. Guards against retrying a
+/// request that may not run twice after that byte was written.
 #[rstest]
-fn a_reset_tells_by_the_last_byte_whether_a_request_may_have_run(
-    #[values(ResetAt::Before, ResetAt::Written, ResetAt::Read)] when: ResetAt,
+fn reset_before_the_last_byte_is_written_allows_a_retry(
+    #[values(ResetTime::BeforeWritten, ResetTime::Written, ResetTime::Read)] when: ResetTime,
     #[values("/zone-plan", "/actuator-cmd")] target: &str,
 ) {
-    let server = Reserved::new();
-    if when == ResetAt::Before {
-        // Small segments, so that the writer's system has a small buffer, too.
+    let server = ReservedAddress::new();
+    if when == ResetTime::BeforeWritten {
+        // Small segments keep the sender's buffer small, too.
         server.socket.set_recv_buffer_size(2_048).unwrap();
         server.socket.set_tcp_mss(536).unwrap();
     }
     let address = server.address;
-    let server = server.listens();
+    let server = server.listen();
     let node = Node::start(&config(&[address]));
     let body = "x".repeat(65_536);
     let mut client = node.client();
     client.send(&job("a", target, "5000m", &body));
     let mut backend = server.accept();
     match when {
-        ResetAt::Before => {
-            assert!(backend.has_come(), "nothing came");
+        ResetTime::BeforeWritten => {
+            assert!(backend.has_come(), "nothing arrived");
             std::thread::sleep(ms(100));
-            // The buffers are full, and the last byte is still to be written.
-            let before = queued(address);
-            assert!(before < body.len() as u64, "all of it is written: {before}");
+            // The buffers are full, and the last byte is not written yet.
+            let before = unread_bytes(address);
+            assert!(before < body.len() as u64, "all of the request is written: {before}");
         }
-        ResetAt::Written => {
-            while queued(address) <= body.len() as u64 {
+        ResetTime::Written => {
+            while unread_bytes(address) <= body.len() as u64 {
                 std::thread::yield_now();
             }
         }
-        ResetAt::Read => assert!(backend.message().body == body),
+        ResetTime::Read => assert!(backend.message().body == body),
     }
     backend.resets();
-    if when == ResetAt::Before || target == "/zone-plan" {
+    if when == ResetTime::BeforeWritten || target == "/zone-plan" {
         let mut backend = server.accept();
         let request = backend.message();
         assert!(request.field("Request-Id") == Some("a") && request.body == body, "the same once more");
@@ -628,71 +642,71 @@
     assert!(server.is_left_alone());
 }
 
-/// What a server is told to be left, in milliseconds.
-fn told_left(request: &Message) -> f64 {
+/// Returns the timeout that the node forwards with a request, in milliseconds.
+fn forwarded_timeout_ms(request: &Message) -> f64 {
     let left = request.field("Request-Timeout").and_then(|t| t.strip_suffix('u')).unwrap();
     left.parse::<f64>().unwrap() / 1e3
 }
 
-/// Each attempt tells what is left to the client by then, however long the one before was out, and however late its connection
-/// comes up.
+/// The timeout forwarded with each attempt is at most what is left to the client, however long the attempt before lasted and the
+/// connect took.
 #[rstest]
-#[case::soon(0, false)]
-#[case::late(700, false)]
-#[case::late_connection(300, true)]
-fn each_attempt_tells_at_most_what_is_left_to_the_client(
-    #[case] held: u64,
-    #[case] late: bool,
+#[case::immediately(0, false)]
+#[case::held_by_the_server(700, false)]
+#[case::stalled_connect(300, true)]
+fn each_attempt_forwards_at_most_the_time_left(
+    #[case] hold_ms: u64,
+    #[case] stalls_connect: bool,
     #[values("/zone-plan", "/actuator-cmd")] target: &str,
 ) {
-    let mut admin = AdminServer::new();
-    let mut config = config(&[admin.address]);
+    let mut server = StallableServer::new();
+    let mut config = config(&[server.address]);
     config["settings"]["allowed"]["connect_timeout_ms"] = json!(3_000.0);
     for class in 0..2 {
-        // It is not called off while it waits, and has the time for three attempts.
+        // Long enough for three attempts without a cancellation.
         config["settings"]["classes"][class]["target_ms"] = json!(3_000.0);
         config["settings"]["classes"][class]["deadline_ms"] = json!(20_000.0);
     }
     let node = Node::start(&config);
     let mut client = node.client();
     client.send(&job("a", target, "9000m", ""));
-    // When the request had come to the node at the latest, and when the next attempt is written at the soonest.
-    let (mut come, mut released) = (None, Instant::now());
+    // The latest time at which the node can have received the request, and the earliest at which it can write the next attempt.
+    let (mut latest_arrival, mut earliest_write) = (None, Instant::now());
     for attempt in 0..3 {
-        let mut backend = admin.accept();
+        let mut backend = server.accept();
         let request = backend.message();
-        let come = *come.get_or_insert_with(Instant::now);
-        let left = 9_000.0 - released.saturating_duration_since(come).as_secs_f64() * 1e3;
-        let notified = told_left(&request);
-        println!("attempt {attempt}: told {notified:.1} ms, at most {left:.1} are left");
-        assert!(notified <= left, "attempt {attempt}: told {notified} ms, {left} are left");
+        let latest_arrival = *latest_arrival.get_or_insert_with(Instant::now);
+        let left = 9_000.0 - earliest_write.saturating_duration_since(latest_arrival).as_secs_f64() * 1e3;
+        let forwarded = forwarded_timeout_ms(&request);
+        println!("attempt {attempt}: forwarded {forwarded:.1} ms, at most {left:.1} are left");
+        assert!(forwarded <= left, "attempt {attempt}: forwarded {forwarded} ms, {left} are left");
         if attempt == 2 {
             backend.serve("a", "1");
             break;
         }
-        if held > 0 {
-            backend.stays_silent(ms(held));
+        if hold_ms > 0 {
+            backend.stays_silent(ms(hold_ms));
         }
-        if late {
-            admin.shut();
+        if stalls_connect {
+            server.stall_connects();
         }
-        released = Instant::now();
-        backend.send(FULL);
+        earliest_write = Instant::now();
+        backend.send(NOT_STARTED_AND_CLOSE);
         drop(backend);
-        if late {
-            admin.waits_for_one();
-            released = Instant::now();
+        if stalls_connect {
+            server.wait_for_pending_connect();
+            earliest_write = Instant::now();
         }
     }
     assert_eq!(client.message().body, "1");
 }
 
-/// A keyed job whose first attempt may have run is turned away at the second until servers have forgotten its key: there is no
-/// third, and it is denied where every server drops repeats, so that trying again is harmless, and has failed elsewhere.
+/// A keyed job's first attempt may have run, and its second is rejected after the deduplication window. Guards against a third one.
+/// The client gets a 503, which invites a retry, only where all servers share their deduplication.
 #[rstest]
 #[case::all("all", 503)]
 #[case::zone("zone", 502)]
-fn a_window_for_repeats_that_is_used_up_ends_the_attempts(#[case] group: &str, #[case] status: u16) {
+fn no_attempt_is_made_after_the_dedup_window(#[case] group: &str, #[case] status: u16) {
     let server = Party::new();
     let mut config = config(&[server.address]);
     let class = &mut config["settings"]["classes"][1];
@@ -700,43 +714,42 @@
     class["dedup_window_ms"] = json!(400.0);
     let node = Node::start(&config);
     let mut client = node.client();
-    client.send(&keyed("a"));
+    client.send(&keyed_job("a"));
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
     let first = Instant::now();
     backend.send("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n");
     assert_eq!(backend.id(), "a");
-    assert!(first.elapsed() < ms(400), "the second is in time");
-    // It waits in the server's queue until its key is forgotten.
+    assert!(first.elapsed() < ms(400), "the second attempt was made after the window");
+    // The second attempt is held until the window is over.
     backend.stays_silent(ms(450));
     backend.send("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
     assert_eq!(client.message().status(), status);
     assert!(backend.hears_nothing(ms(100)) && server.is_left_alone());
 }
 
-/// Where a request is as other settings are read.
+/// The state of a request while new settings are read.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
-    /// A server has it.
-    Out,
-    /// It waits for the one before it.
+    /// A server has received it.
+    InFlight,
+    /// It waits behind another request.
     Queued,
-    /// The connection for it is on its way up.
+    /// Its connection is being established.
     Connecting,
-    /// One attempt never ran, and the next has to wait.
-    Between,
+    /// One attempt was rejected unstarted, and the next has not begun.
+    BetweenAttempts,
 }
 
-/// New settings, with classes that have changed their places, names, deadlines and effects, and without the tenant of an open
-/// request, change nothing about that: it keeps the time that it came with, is tried as often as its own class was, and goes on as that
-/// tenant's.
+/// A reload reorders, renames and changes the classes, and removes the tenant of an open request. Guards against judging that request
+/// by the new settings: it keeps its timeout, its class's number of attempts and its tenant.
 #[rstest]
-fn a_request_keeps_its_own_settings_at_every_stage(
-    #[values(Stage::Out, Stage::Queued, Stage::Connecting, Stage::Between)] stage: Stage,
+fn request_keeps_the_settings_it_arrived_under(
+    #[values(Stage::InFlight, Stage::Queued, Stage::Connecting, Stage::BetweenAttempts)] stage: Stage,
     #[values("/zone-plan", "/actuator-cmd")] target: &str,
 ) {
-    let mut admin = AdminServer::new();
-    let mut config = patient(admin.address, false);
+    let mut server = StallableServer::new();
+    let mut config = long_timeout_config(server.address, false);
     let settings = &mut config["settings"];
     settings["projects"] = json!([
         {"name": "acme", "portion": 0.5, "quota_rps": 50.0}, {"name": "first", "portion": 0.5, "quota_rps": 50.0}
@@ -744,39 +757,39 @@
     let node = Node::start(&config);
     let mut client = node.client();
     let text = job("a", target, "4500m", "").replace("Tenant: acme", "Tenant: first");
-    let mut kept = None;
+    let mut connection = None;
     let mut before = None;
     match stage {
-        Stage::Out => {
+        Stage::InFlight => {
             client.send(&text);
-            let mut backend = admin.accept();
+            let mut backend = server.accept();
             assert_eq!(backend.id(), "a");
-            kept = Some(backend);
+            connection = Some(backend);
         }
         Stage::Queued => {
-            let held = node.ask("before", "/zone-plan");
-            let mut backend = admin.accept();
+            let earlier_client = node.ask("before", "/zone-plan");
+            let mut backend = server.accept();
             assert_eq!(backend.id(), "before");
             client.send(&text);
-            assert!(backend.hears_nothing(ms(50)), "it is queued");
-            before = Some((held, backend));
+            assert!(backend.hears_nothing(ms(50)), "the request is not queued");
+            before = Some((earlier_client, backend));
         }
         Stage::Connecting => {
-            admin.shut();
+            server.stall_connects();
             client.send(&text);
-            admin.waits_for_one();
+            server.wait_for_pending_connect();
         }
-        Stage::Between => {
+        Stage::BetweenAttempts => {
             client.send(&text);
-            let mut backend = admin.accept();
+            let mut backend = server.accept();
             assert_eq!(backend.id(), "a");
-            backend.send(FULL);
+            backend.send(NOT_STARTED_AND_CLOSE);
             node.logs("dispatch 1.0 ended Overloaded");
         }
     }
     let settings = &mut config["settings"];
     let [mut plan, mut command] = [0, 1].map(|class| settings["classes"][class].clone());
-    // Both names stand for what the other one did, the first in its place, and a third comes between them.
+    // The two classes swap names and places, and a third one is inserted between them.
     (plan["name"], command["name"]) = (json!("actuator-cmd"), json!("zone-plan"));
     (plan["deadline_ms"], command["deadline_ms"]) = (json!(700.0), json!(700.0));
     let mut third = plan.clone();
@@ -791,31 +804,37 @@
     node.replace(&config.to_string());
     node.hang_up();
     let lines = node.logs_until("new settings hold");
-    assert!(stage != Stage::Between || lines.iter().all(|l| !l.contains("dispatch 1.1")), "{lines:?}");
-    if let Some((mut held, mut backend)) = before {
+    assert!(
+        stage != Stage::BetweenAttempts || lines.iter().all(|l| !l.contains("dispatch 1.1")),
+        "{lines:?}"
+    );
+    if let Some((mut earlier_client, mut backend)) = before {
         backend.serve("before", "0");
-        assert_eq!(held.message().body, "0");
-        kept = Some(backend);
+        assert_eq!(earlier_client.message().body, "0");
+        connection = Some(backend);
     }
-    let mut attempts = u32::from(stage == Stage::Between);
-    let mut has_it = kept.take_if(|_| stage == Stage::Out);
-    // What may not run twice is tried until it may have run, the other one three times in all.
-    let most = if target == "/zone-plan" { 3 } else { attempts + 1 };
-    while attempts < most {
-        let mut backend = has_it.take().unwrap_or_else(|| {
-            let mut backend = admin.comes(kept.take());
+    let mut attempts = u32::from(stage == Stage::BetweenAttempts);
+    let mut in_flight = connection.take_if(|_| stage == Stage::InFlight);
+    // A request that may not run twice is attempted until it may have run, the other one three times in all.
+    let max_attempts = if target == "/zone-plan" { 3 } else { attempts + 1 };
+    while attempts < max_attempts {
+        let mut backend = in_flight.take().unwrap_or_else(|| {
+            let mut backend = server.accept_or_reuse(connection.take());
             let request = backend.message();
             assert_eq!((request.field("Request-Id"), request.field("Tenant")), (Some("a"), Some("first")));
-            assert!(told_left(&request) > 1_000.0, "{}", told_left(&request));
+            assert!(forwarded_timeout_ms(&request) > 1_000.0, "{}", forwarded_timeout_ms(&request));
             backend
         });
         backend.send("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n");
         attempts += 1;
-        kept = Some(backend);
+        connection = Some(backend);
     }
     assert_eq!(client.message().status(), if target == "/zone-plan" { 503 } else { 502 });
-    assert!(kept.unwrap().hears_nothing(ms(20)) && admin.came().is_none(), "no attempt more");
-    // Whoever comes now comes under the new ones.
+    assert!(
+        connection.unwrap().hears_nothing(ms(20)) && server.try_accept().is_none(),
+        "a further attempt was made"
+    );
+    // A new request is judged by the new settings.
     client.send(&text.replace("Request-Id: a", "Request-Id: b"));
-    assert_eq!(client.message().status(), 400, "there is no such tenant");
+    assert_eq!(client.message().status(), 400, "the removed tenant is still accepted");
 }
