--- a/tests/node.rs
+++ b/tests/node.rs
@@ -2,14 +2,16 @@
 
 #[path = "node/audit.rs"]
 mod audit;
+#[path = "node/connection_close.rs"]
+mod connection_close;
 #[path = "node/deployments.rs"]
 mod deployments;
 #[path = "node/dispatch_writes.rs"]
 mod dispatch_writes;
+#[path = "node/event_order.rs"]
+mod event_order;
 #[path = "node/fleet.rs"]
 mod fleet;
-#[path = "node/gone.rs"]
-mod gone;
 #[path = "node/lists.rs"]
 mod lists;
 #[path = "node/lending.rs"]
@@ -18,8 +20,6 @@
 mod notified;
 #[path = "node/operators.rs"]
 mod operators;
-#[path = "node/orders.rs"]
-mod orders;
 #[path = "node/homes.rs"]
 mod ownership;
 #[path = "node/rare.rs"]
--- a/tests/node/orders.rs
+++ b/tests/node/event_order.rs
@@ -1,4 +1,4 @@
-//! Two things in one moment, in the order in which they harm: each test forces that order, with nothing left to chance.
+//! Two events that happen at once: each test forces the order in which they would do harm.
 
 use crate::operators::published;
 use crate::support::*;
@@ -19,37 +19,39 @@
     Duration::from_millis(n)
 }
 
-/// A pipe in place of a node's configuration: the node waits in a reload until it is told what the file says.
-struct Gate(std::fs::File);
+/// A named pipe in place of a node's configuration file: a reload blocks until the configuration is written to it.
+struct ConfigPipe(std::fs::File);
 
-impl Gate {
-    fn put(node: &Node) {
+impl ConfigPipe {
+    fn install(node: &Node) {
         std::fs::remove_file(node.file()).unwrap();
         assert!(std::process::Command::new("mkfifo").arg(node.file()).status().unwrap().success());
     }
 
-    /// The node is in the reload once this returns.
-    fn reached(node: &Node) -> Gate {
-        Gate(std::fs::OpenOptions::new().write(true).open(node.file()).unwrap())
+    /// Returns once the node has opened the pipe, and so blocks in the reload.
+    fn wait_for_reload(node: &Node) -> ConfigPipe {
+        ConfigPipe(std::fs::OpenOptions::new().write(true).open(node.file()).unwrap())
     }
 
-    /// It reads this, and goes on.
-    fn opens(mut self, config: &Value) {
+    /// Lets the node finish the reload with this configuration.
+    fn write(mut self, config: &Value) {
         self.0.write_all(config.to_string().as_bytes()).unwrap();
     }
 }
 
-/// A reload of the configuration between the moment in which a job is read and the one in which it is taken. The job was sent
-/// early, behind one that is out. The node waits in a first reload, which changes nothing, until the answer to the one before, the job
-/// and the signal for a second reload are there: so it waits in that one before it reads the job, and the signal for the third is
-/// found right after it has.
+/// Guards against judging a pipelined job by two sets of settings when a reload comes between parsing and accepting it. Two reloads
+/// that change nothing hold the node until the job is readable and the signal for the third reload is pending.
 #[rstest]
-#[case::keyed_from_now_on("zone-plan", "guarded", 400)]
-#[case::left_out("vent-plan", "single_shot", 404)]
-fn a_job_is_judged_by_one_set_of_settings(#[case] name: &str, #[case] semantics: &str, #[case] status: u16) {
+#[case::class_becomes_keyed("zone-plan", "guarded", 400)]
+#[case::class_is_removed("vent-plan", "single_shot", 404)]
+fn job_read_during_a_reload_is_judged_by_the_new_settings(
+    #[case] name: &str,
+    #[case] semantics: &str,
+    #[case] status: u16,
+) {
     let server = Party::new();
     let mut before = config(&[server.address]);
-    // Nothing is called off, however long the signals take.
+    // No attempt is cancelled, however long the signals take.
     before["settings"]["allowed"]["cancel"] = json!(false);
     let mut after = before.clone();
     after["settings"]["classes"][0]["name"] = json!(name);
@@ -58,29 +60,29 @@
     let mut client = node.ask("first", "/zone-plan");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "first");
-    Gate::put(&node);
+    ConfigPipe::install(&node);
     node.hang_up();
-    let first = Gate::reached(&node);
+    let first = ConfigPipe::wait_for_reload(&node);
     backend.serve("first", "1");
     client.send(&job("early", "/zone-plan", "1000m", ""));
     node.hang_up();
-    Gate::put(&node);
-    first.opens(&before);
-    let second = Gate::reached(&node);
+    ConfigPipe::install(&node);
+    first.write(&before);
+    let second = ConfigPipe::wait_for_reload(&node);
     node.hang_up();
     std::fs::remove_file(node.file()).unwrap();
     node.replace(&after.to_string());
-    second.opens(&before);
+    second.write(&before);
     let lines = node.logs_until("new settings hold");
     assert_eq!(client.message().body, "1");
     assert_eq!(client.message().status(), status, "{lines:#?}");
-    assert!(backend.ended_early() && server.is_left_alone(), "it was sent by the rules of another class");
+    assert!(backend.ended_early() && server.is_left_alone(), "the job was sent by another class's settings");
 }
 
-/// A client hands a job in on a resting connection and leaves, both while the process stands between hearing of the job and reading
-/// it: the job is not sent on, although an idle connection to the server is there at once.
+/// A client sends a job on an idle connection and disconnects, both after the node was notified of the bytes and before it reads
+/// them. Guards against writing the job on an idle connection to the server.
 #[rstest]
-fn a_client_that_leaves_before_its_job_is_read_has_gone(#[values(false, true)] resets: bool) {
+fn job_is_not_forwarded_if_its_client_leaves_before_it_is_read(#[values(false, true)] resets: bool) {
     let server = Party::new();
     let config = config(&[server.address]);
     let node = Node::start(&config);
@@ -89,23 +91,23 @@
     assert_eq!(backend.id(), "first");
     backend.serve("first", "1");
     assert_eq!(client.message().body, "1");
-    Gate::put(&node);
+    ConfigPipe::install(&node);
     node.hang_up();
-    let first = Gate::reached(&node);
+    let first = ConfigPipe::wait_for_reload(&node);
     client.send(&job("gone", "/zone-plan", "5000m", ""));
     node.hang_up();
-    Gate::put(&node);
-    first.opens(&config);
-    let second = Gate::reached(&node);
-    let gone = client.into_stream();
+    ConfigPipe::install(&node);
+    first.write(&config);
+    let second = ConfigPipe::wait_for_reload(&node);
+    let disconnected = client.into_stream();
     if resets {
-        rustix::net::connect_unspec(&gone).unwrap();
+        rustix::net::connect_unspec(&disconnected).unwrap();
     } else {
-        gone.shutdown(std::net::Shutdown::Both).unwrap();
+        disconnected.shutdown(std::net::Shutdown::Both).unwrap();
     }
     std::fs::remove_file(node.file()).unwrap();
     node.replace(&config.to_string());
-    second.opens(&config);
+    second.write(&config);
     node.logs("end frontend");
     let mut next = node.ask("next", "/zone-plan");
     assert_eq!(backend.id(), "next");
@@ -114,10 +116,9 @@
     assert!(server.is_left_alone());
 }
 
-/// Two other discoveries in a row, by two reloads that are found in two turns: the last one's whole list is in force, and nothing
-/// that another one says.
+/// Two reloads in a row name two other discovery addresses. Guards against using a list of the earlier ones.
 #[rstest]
-fn two_moves_in_a_row_end_at_the_last_discovery() {
+fn two_discovery_changes_in_a_row_end_at_the_last_one() {
     let (server, other, last) = (Party::new(), Party::new(), Party::new());
     let (first, second, third) = (Party::new(), Party::new(), Party::new());
     let mut config = following(&[server.address], &first);
@@ -125,26 +126,26 @@
     let (mut before, _) = watch(&first);
     before.line(&listing(42, true, &[entry("s-0", server.address, "active")]));
     node.logs("server table 42");
-    Gate::put(&node);
+    ConfigPipe::install(&node);
     node.hang_up();
-    let gate = Gate::reached(&node);
-    let wrong = listing(50, true, &[entry("s-other", other.address, "active")]);
-    before.line(&wrong);
+    let pipe = ConfigPipe::wait_for_reload(&node);
+    let other_list = listing(50, true, &[entry("s-other", other.address, "active")]);
+    before.line(&other_list);
     node.hang_up();
     config["discovery"] = json!(second.address.to_string());
     let moved = config.clone();
     config["discovery"] = json!(third.address.to_string());
     std::fs::remove_file(node.file()).unwrap();
     node.replace(&config.to_string());
-    gate.opens(&moved);
+    pipe.write(&moved);
     second.attended(move |mut peer| {
-        let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{wrong}", wrong.len());
-        while peer.try_send(&whole) && peer.goes_on() {
+        let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{other_list}", other_list.len());
+        while peer.try_send(&response) && peer.goes_on() {
             peer.message();
         }
     });
-    let mut notified = whole_list(&third, &listing(7, true, &[entry("s-last", last.address, "active")]));
-    assert_eq!(notified.message().first, "GET /catalog/members?watch=1&from=7 HTTP/1.1");
+    let mut new_watch = whole_list(&third, &listing(7, true, &[entry("s-last", last.address, "active")]));
+    assert_eq!(new_watch.message().first, "GET /catalog/members?watch=1&from=7 HTTP/1.1");
     let mut client = node.ask("a", "/zone-plan");
     let mut backend = last.accept();
     assert_eq!(backend.id(), "a");
@@ -153,9 +154,9 @@
     assert!(other.is_left_alone() && first.is_left_alone());
 }
 
-/// A time that one task has waited for and that another goes on waiting for wakes the other one.
+/// A future that is polled in one task and moved to another must wake the latter.
 #[rstest]
-fn a_time_wakes_whoever_waits_for_it_last() {
+fn deadline_wakes_the_task_that_polled_it_last() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let all = Rc::new(Deadlines::default());
@@ -173,7 +174,7 @@
             tokio::task::spawn_local(async move {
                 tokio::select! {
                     () = due => {}
-                    () = late => panic!("it was never woken"),
+                    () = late => panic!("the task was never woken"),
                 }
             })
             .await
@@ -182,17 +183,17 @@
     });
 }
 
-/// Half of a second answer comes while a connection is idle, and the next job with it or later: that job goes over another
-/// connection, as the rest of that answer would be taken for its own.
+/// Half of a second response arrives on an idle connection, before or together with the next job. Guards against sending that job on
+/// this connection, where the rest of the response would be taken for its own.
 #[rstest]
-fn half_a_second_answer_is_not_the_next_jobs(#[values(false, true)] at_once: bool) {
+fn half_a_second_response_is_not_taken_for_the_next_jobs(#[values(false, true)] at_once: bool) {
     let (node, server) = pair();
     let mut client = node.ask("a", "/actuator-cmd");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
     backend.serve("a", "1");
     assert_eq!(client.message().body, "1");
-    // Long enough that the connection counts as quiet.
+    // Long enough that the connection counts as idle.
     assert!(client.hears_nothing(ms(60)));
     node.stand_still(true);
     backend.send("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nX-No");
@@ -206,27 +207,27 @@
     node.stand_still(false);
     let mut other = server.accept();
     assert_eq!(other.id(), "b");
-    assert!(!backend.goes_on(), "nothing is written behind half an answer");
+    assert!(!backend.goes_on(), "the job was written on the connection with half a response");
     other.serve("b", "2");
     assert_eq!(client.message().body, "2");
     node.logs("reason=malformed messages=1");
     assert!(server.is_left_alone());
 }
 
-/// One of so many nodes that ask for their lists.
-fn asking(server: SocketAddr, discovery: &Party, replicas: u32) -> Value {
+/// Returns a configuration of one of `replicas` nodes, which requests its lists from discovery.
+fn replicated_node_config(server: SocketAddr, discovery: &Party, replicas: u32) -> Value {
     let mut config = following(&[server], discovery);
     config["settings"]["replicas_of_me"] = json!(replicas);
     config["settings"]["discovery"] = json!("on_request");
     config
 }
 
-/// A list that discovery wrote while the process stood still has been told: it is in force at once as the process goes on,
-/// although nothing was heard for longer than a watch may be silent.
+/// Discovery sends a list while the node is paused for longer than the watch's timeout. Guards against closing the watch before the
+/// list is read.
 #[rstest]
-fn what_came_while_the_process_stood_still_is_heard_before_silence_is(#[values(1, 20, 300)] replicas: u32) {
+fn list_received_while_paused_is_read_before_the_watch_times_out(#[values(1, 20, 300)] replicas: u32) {
     let (server, discovery) = (Party::new(), Party::new());
-    let node = Node::start(&asking(server.address, &discovery, replicas));
+    let node = Node::start(&replicated_node_config(server.address, &discovery, replicas));
     let (mut watch, _) = watch(&discovery);
     watch.line(&listing(42, true, &[entry("s-0", server.address, "active")]));
     node.logs("server table 42");
@@ -236,14 +237,14 @@
     node.stand_still(false);
     let lines = node.logs_until("server table 43");
     assert!(lines.iter().all(|l| !l.contains("end server-table")), "{lines:?}");
-    // And the watch goes on.
+    // The watch stays open.
     watch.line(&listing(44, false, &[entry("s-0", server.address, "active")]));
     let lines = node.logs_until("server table 44");
     assert!(lines.iter().all(|l| !l.contains("end server-table")), "{lines:?}");
 }
 
-/// Clients that hold so much of bodies which never come whole that one more is refused for want of memory.
-fn holding(node: &Node) -> Vec<Peer> {
+/// Opens clients with incomplete request bodies until a further body is rejected for lack of memory.
+fn fill_body_memory(node: &Node) -> Vec<Peer> {
     let body = "x".repeat(65_500);
     let mut held = Vec::new();
     loop {
@@ -259,9 +260,9 @@
     }
 }
 
-/// However much clients hold of bodies, an answer that another one waits for can be taken in.
+/// Guards against rejecting a server's response while incomplete request bodies take all memory meant for them.
 #[rstest]
-fn clients_that_hold_all_memory_keep_no_answer_out() {
+fn partial_bodies_leave_memory_for_responses() {
     let server = Party::new();
     let mut config = config(&[server.address]);
     config["limits"]["memory_mb"] = json!(1);
@@ -269,16 +270,16 @@
     let mut client = node.ask("a", "/actuator-cmd");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
-    let _held = holding(&node);
+    let _held = fill_body_memory(&node);
     let result = "y".repeat(50_000);
     backend.serve("a", &result);
     let answer = client.message();
     assert!((answer.status(), answer.body.len()) == (200, result.len()), "{}", answer.status());
 }
 
-/// However much clients and servers hold together of what has not come whole, a list of discovery comes in.
+/// Guards against rejecting a discovery list while incomplete request bodies and responses take all memory meant for them.
 #[rstest]
-fn what_clients_and_servers_hold_keeps_no_list_out() {
+fn partial_bodies_and_responses_leave_memory_for_discovery() {
     let (server, discovery) = (Party::new(), Party::new());
     let mut config = following(&[server.address], &discovery);
     config["limits"]["memory_mb"] = json!(1);
@@ -287,8 +288,8 @@
     let _client = node.ask("a", "/actuator-cmd");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
-    let _held = holding(&node);
-    // Half a line: with the bodies all that there is, a quarter of 1 MiB, but for less than a list.
+    let _held = fill_body_memory(&node);
+    // Half a line: with the bodies it leaves less than one list of the quarter of 1 MiB that partial input may take.
     backend.begin();
     backend.send(&format!("ffff\r\n{}", "y".repeat(65_500)));
     let mut health = node.client();
@@ -299,19 +300,19 @@
     assert!(lines.iter().all(|l| !l.contains("no memory is left for a part")), "{lines:?}");
 }
 
-/// Idle clients fill what descriptors the system gives while discovery is down and jobs are out: it is called all the same, its list
-/// comes in as it returns, operators are answered, and new jobs go out.
+/// Idle clients take all descriptors while discovery is down and jobs are in flight. Guards against losing the reconnect to
+/// discovery, operators' calls, or the connections for new jobs.
 #[rstest]
-fn descriptors_filled_while_discovery_is_down_keep_nobody_out(#[values("pushed", "on_request")] lists: &str) {
+fn idle_clients_leave_descriptors_while_discovery_is_down(#[values("pushed", "on_request")] lists: &str) {
     let (server, discovery) = (Party::new(), Party::new());
     let other = Party::new();
     let mut config = following(&[server.address], &discovery);
     let members = [entry("s-0", server.address, "leaving"), entry("s-new", other.address, "active")];
-    let is_back = Arc::new(AtomicBool::new(false));
+    let discovery_is_up = Arc::new(AtomicBool::new(false));
     discovery.attended({
-        let (is_back, list) = (is_back.clone(), listing(42, true, &members));
+        let (discovery_is_up, list) = (discovery_is_up.clone(), listing(42, true, &members));
         move |mut peer| {
-            if !is_back.load(Ordering::Relaxed) {
+            if !discovery_is_up.load(Ordering::Relaxed) {
                 return peer.reset();
             }
             peer.message();
@@ -338,11 +339,11 @@
     idle.extend((0..60).map(|_| node.client()));
     (0..3).for_each(|_| drop(node.logs("end server-table")));
     assert_eq!(node.call("GET", "/ops/readiness"), 200);
-    let back = Instant::now();
-    is_back.store(true, Ordering::Relaxed);
+    let recovered_at = Instant::now();
+    discovery_is_up.store(true, Ordering::Relaxed);
     let lines = node.logs_until("server table 42");
     assert!(lines.iter().all(|l| !l.contains("no-sockets") && !l.contains("accepting")), "{lines:?}");
-    assert!(back.elapsed() < Duration::from_secs(4), "{:?}", back.elapsed());
+    assert!(recovered_at.elapsed() < Duration::from_secs(4), "{:?}", recovered_at.elapsed());
     let mut client = node.ask("new", "/zone-plan");
     let mut backend = other.accept();
     assert_eq!(backend.id(), "new");
@@ -357,8 +358,9 @@
     drop(idle);
 }
 
-/// A process with a door and its server; the next one has connected to it, or is about to, while it stands still.
-fn standing(config: &mut Value) -> (Node, Node) {
+/// Pauses a node with an operators' address and starts its successor, which waits for the handover of the listening socket. Returns
+/// the old process and the new one.
+fn successor_waiting_for_handover(config: &mut Value) -> (Node, Node) {
     config["mgmt"] = json!("127.0.0.1:0");
     let old = Node::start(config);
     published(&old);
@@ -371,12 +373,12 @@
     (old, new)
 }
 
-/// The process before is killed before it has handed its socket over: the next one binds the address itself.
+/// The old process is killed before it has handed over its listening socket: its successor binds the address itself.
 #[rstest]
-fn a_process_killed_before_it_hands_its_socket_over_is_replaced() {
+fn successor_binds_the_address_of_a_process_killed_before_the_handover() {
     let server = Party::new();
     let mut config = config(&[server.address]);
-    let (mut old, new) = standing(&mut config);
+    let (mut old, new) = successor_waiting_for_handover(&mut config);
     old.signal(Signal::KILL);
     old.exit();
     let new = new.serving();
@@ -388,28 +390,30 @@
     assert_eq!(client.message().body, "1");
 }
 
-/// A stand-in for the process before ends while the next one waits for its socket, or has ended just before that comes. As with any
-/// process its sockets close one after another, and the one at which clients connect is the last.
+/// A simulated old process ends while its successor waits for the handover, or just before that starts. Its listening socket closes
+/// last. Guards against giving up while the address is still in use.
 #[rstest]
-fn a_process_that_ends_is_replaced_whichever_of_its_sockets_closes_first(#[values(false, true)] found: bool) {
+fn successor_waits_until_the_listening_socket_of_the_old_process_closes(
+    #[values(false, true)] accepted_first: bool,
+) {
     let server = Party::new();
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
     let clients = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = clients.local_addr().unwrap();
     config["listen"] = json!(address.to_string());
-    let place = meeting_place().join(format!("shorepath-{address}.sock"));
-    // Left by a node that was there before, perhaps.
-    let _ = std::fs::remove_file(&place);
-    let next = std::os::unix::net::UnixListener::bind(&place).unwrap();
-    let new = if found {
+    let handover_path = meeting_place().join(format!("shorepath-{address}.sock"));
+    // An earlier node may have left it.
+    let _ = std::fs::remove_file(&handover_path);
+    let handover_listener = std::os::unix::net::UnixListener::bind(&handover_path).unwrap();
+    let new = if accepted_first {
         let new = Node::starting(command(&[PROGRAM, "serve", "-v"], &config.to_string()));
-        drop(next.accept().unwrap());
+        drop(handover_listener.accept().unwrap());
         new.logs("hands nothing over");
-        drop(next);
+        drop(handover_listener);
         new
     } else {
-        drop(next);
+        drop(handover_listener);
         Node::starting(command(&[PROGRAM, "serve", "-v"], &config.to_string()))
     };
     new.logs("is not free yet");
@@ -418,10 +422,10 @@
     assert_eq!((new.address, new.call("GET", "/ops/readiness")), (address, 200));
 }
 
-/// The process before is killed once it has handed its socket over, before the next one takes clients: those that connect in
-/// between are served by that one, and no connection is refused.
+/// The old process is killed after the handover of its listening socket and before its successor accepts clients. Guards against
+/// refusing or losing the clients that connect in between.
 #[rstest]
-fn a_process_killed_once_it_has_handed_its_socket_over_costs_no_connection() {
+fn clients_connecting_after_the_old_process_is_killed_are_served() {
     let (server, discovery) = (Party::new(), Party::new());
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
@@ -430,7 +434,7 @@
     config["listen"] = json!(old.address.to_string());
     config["discovery"] = json!(discovery.address.to_string());
     let new = Node::start(&config);
-    // It waits for the list before it takes clients.
+    // The successor waits for the list before it accepts clients.
     let mut silent = discovery.accept();
     silent.message();
     old.signal(Signal::KILL);
@@ -445,9 +449,9 @@
     new.logs("this process is the only one of the node");
 }
 
-/// The next process is killed before it takes clients: the one before goes on, and can be replaced.
+/// The successor is killed before it accepts clients: the old process goes on serving, and can be replaced again.
 #[rstest]
-fn a_next_process_killed_before_it_serves_costs_nothing() {
+fn old_process_goes_on_after_its_successor_is_killed() {
     let (server, discovery) = (Party::new(), Party::new());
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
@@ -473,7 +477,7 @@
     }
 }
 
-/// What is no request ends its own connection with its answer, wherever it is cut, and no other one.
+/// A malformed request, split anywhere, is answered with an error and closes its connection. Guards against harm to others.
 #[rstest]
 #[case::nul("POST /zone-plan HTTP/1.1\r\nHost: h\r\nRequest-Id: a\0b\r\n\r\n", 400)]
 #[case::nul_in_target("POST /zone\0plan HTTP/1.1\r\nHost: h\r\n\r\n", 400)]
@@ -495,7 +499,7 @@
 )]
 #[case::chunk_without_end("POST /zone-plan HTTP/1.1\r\n{H}Transfer-Encoding: chunked\r\n\r\n1\r\nxyz", 400)]
 #[case::coding_in_1_0("POST /zone-plan HTTP/1.0\r\n{H}Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400)]
-fn what_is_no_request_ends_its_connection_alone(#[case] text: &str, #[case] status: u16) {
+fn malformed_request_closes_only_its_own_connection(#[case] text: &str, #[case] status: u16) {
     let (node, server) = pair();
     let mut other = node.ask("other", "/zone-plan");
     let mut backend = server.accept();
@@ -517,9 +521,9 @@
     assert!(server.is_left_alone());
 }
 
-/// A request in chunks with extensions and a trailer, cut at every byte, is one request.
+/// Guards against misreading a chunked request with extensions and a trailer that arrives in two parts, split at any byte.
 #[rstest]
-fn a_request_in_chunks_is_read_wherever_it_is_cut() {
+fn chunked_request_is_read_wherever_it_is_split() {
     let (node, server) = pair();
     let chunks = "4;a=\"b\"\r\nabcd\r\n1 ;x\r\ne\r\n0;z\r\nX: y\r\n\r\n";
     let begin = format!("POST /zone-plan HTTP/1.1\r\n{HEAD}Transfer-Encoding: chunked\r\n\r\n");
@@ -529,7 +533,7 @@
     let mut health = node.client();
     for cut in begin.len() - 4..text.len() {
         client.send(&text[..cut]);
-        // What came is read.
+        // The answer to the health check shows that the first part was read.
         health.send("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n");
         assert_eq!(health.message().status(), 200);
         client.send(&text[cut..]);
@@ -540,16 +544,15 @@
     }
 }
 
-/// Numbers of classes that a reload left out are used again; what has come under one before is never taken for what comes under
-/// it now, also where classes are known by their names: in what is written down, and in answers that are kept.
+/// Reloads reuse the numbers of removed classes. Guards against a class number that maps to the name of its earlier owner.
 #[rstest]
-fn a_class_has_its_own_name_after_each_reload() {
+fn class_names_stay_correct_after_each_reload() {
     let class = |name: &str, k: usize| json!({"name": name, "semantics": "single_shot", "deadline_ms": 900.0 + k as f64});
     let setup = |names: &[&str]| {
         let classes: Vec<_> = names.iter().enumerate().map(|(k, name)| class(name, k)).collect();
         serde_json::from_value(json!({ "classes": classes })).unwrap()
     };
-    let (exchange, _orders) = Exchange::<()>::new(&setup(&["a", "b"]), 1, Rc::default());
+    let (exchange, _dispatches) = Exchange::<()>::new(&setup(&["a", "b"]), 1, Rc::default());
     let (first, second) = (["a", "b"], ["c", "b", "d"]);
     for names in [&first[..], &second, &["d", "c"], &["e", "a", "f", "d"], &first, &["g"], &second] {
         exchange.reconfigure(setup(names));
--- a/tests/node/rare.rs
+++ b/tests/node/rare.rs
@@ -5,7 +5,7 @@
 };
 use crate::notified::Failure;
 use crate::sites::comes;
-use crate::stopping::until;
+use crate::stopping::sleep_until;
 use crate::support::*;
 use crate::{following, listing, watch};
 use rstest::rstest;
@@ -117,7 +117,7 @@
         let end = Instant::now() + time;
         while Instant::now() < end {
             watches.iter_mut().for_each(|w| w.line(""));
-            until(end.min(Instant::now() + ms(500)));
+            sleep_until(end.min(Instant::now() + ms(500)));
         }
     };
     let mut next = random_numbers(seed);
--- a/tests/node/stopping.rs
+++ b/tests/node/stopping.rs
@@ -1,4 +1,4 @@
-//! Signals, and the moments in which they come: a node that is told to stop, or to read its configuration again.
+//! Signals that stop a node or reload its configuration, and the times at which they arrive.
 
 use crate::operators::{published, replaced};
 use crate::support::*;
@@ -9,18 +9,18 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-const HEALTH: &str = "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n";
+const HEALTH_REQUEST: &str = "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n";
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-/// Ids that came to a server.
-type Ids = Arc<Mutex<HashSet<String>>>;
+/// The ids of the requests that a server has received.
+type RequestIds = Arc<Mutex<HashSet<String>>>;
 
-/// Take whatever comes and answer none of it.
-fn hanging(server: Party) -> Ids {
-    let ids = Ids::default();
+/// Reads every request that reaches the server, records its id, and never answers.
+fn accept_without_answering(server: Party) -> RequestIds {
+    let ids = RequestIds::default();
     let written = ids.clone();
     server.attended(move |mut peer| {
         while peer.goes_on() {
@@ -31,103 +31,104 @@
     ids
 }
 
-/// Serve whatever comes with its own id, once nobody holds the gate.
-fn serving_behind(server: Party, gate: &Arc<Mutex<()>>) {
-    let gate = gate.clone();
+/// Serves every request with its id as the result, once the lock of `gate` is free.
+fn serve_once_unlocked(server: Party, response_gate: &Arc<Mutex<()>>) {
+    let response_gate = response_gate.clone();
     server.attended(move |mut peer| {
         while peer.goes_on() {
             let id = peer.id();
-            drop(gate.lock());
+            drop(response_gate.lock());
             peer.serve(&id, &id);
         }
     });
 }
 
-/// Let the classes of a configuration have these deadlines, in milliseconds.
-fn deadlines(config: &mut Value, all: [u64; 2]) {
+/// Sets the deadlines of both classes, in milliseconds, and their target times to 0.4 of that.
+fn set_deadlines(config: &mut Value, all: [u64; 2]) {
     for (class, ms) in config["settings"]["classes"].as_array_mut().unwrap().iter_mut().zip(all) {
         class["deadline_ms"] = json!(ms as f64);
         class["target_ms"] = json!(ms as f64 * 0.4);
     }
 }
 
-/// Clients with a connection on which they have had an answer.
-fn known_clients(node: &Node, number: usize) -> Vec<Peer> {
+/// Connects clients and completes a health check on each connection.
+fn clients_with_answered_request(node: &Node, number: usize) -> Vec<Peer> {
     let mut all: Vec<Peer> = (0..number).map(|_| node.client()).collect();
     for client in &mut all {
-        client.send(HEALTH);
+        client.send(HEALTH_REQUEST);
         assert_eq!(client.message().status(), 200);
     }
     all
 }
 
-/// Wait until that moment, on a connection on which nothing comes meanwhile.
-pub fn until(at: Instant) {
+/// Sleeps until `at`, or returns at once if it is past.
+pub fn sleep_until(at: Instant) {
     std::thread::sleep(at.saturating_duration_since(Instant::now()));
 }
 
-/// Whoever sends on an open connection after SIGTERM has an answer before the node may be killed, which the longest
-/// deadline says; where it says so by the settings that were read last, by these. A connection may have ended instead,
-/// which the client sees before any server has its request.
+/// Guards against leaving a request that arrives after SIGTERM unanswered when the node may be killed, a time that follows from the
+/// longest deadline of the current settings. A connection may be closed instead, but only if no server receives the request.
 #[rstest]
 #[case::short([1_200, 1_800], None)]
 #[case::shorter([1_200, 900], None)]
 #[case::tiny([300, 200], None)]
 #[case::long([4_000, 6_000], None)]
 #[case::after_sighup([4_000, 6_000], Some([1_500, 1_800]))]
-fn what_comes_after_sigterm_is_answered_before_the_kill(
-    #[case] old: [u64; 2],
-    #[case] new: Option<[u64; 2]>,
-) {
+fn requests_after_sigterm_are_answered_before_the_kill(#[case] old: [u64; 2], #[case] new: Option<[u64; 2]>) {
     let server = Party::new();
     let mut config = config(&[server.address]);
-    deadlines(&mut config, old);
+    set_deadlines(&mut config, old);
     let node = Node::start(&config);
-    let ids = hanging(server);
+    let ids = accept_without_answering(server);
     if let Some(new) = new {
-        deadlines(&mut config, new);
+        set_deadlines(&mut config, new);
         node.replace(&config.to_string());
         node.hang_up();
         node.logs("new settings hold");
     }
-    let counted = new.unwrap_or(old);
-    let kill = ms(700 + counted.iter().max().unwrap().min(&3_000));
-    let clients = known_clients(&node, 16);
-    let notified = Instant::now();
+    let current_deadlines = new.unwrap_or(old);
+    let kill_after = ms(700 + current_deadlines.iter().max().unwrap().min(&3_000));
+    let clients = clients_with_answered_request(&node, 16);
+    let signalled_at = Instant::now();
     node.terminate();
     node.logs("told to stop");
-    // One after the other from the time of new connections on, up to the kill.
-    let step = (kill - ms(750)) / 16;
-    let asking = |(k, mut client): (usize, Peer)| {
+    // One request after the other, from the refusal of new connections up to the kill.
+    let step = (kill_after - ms(750)) / 16;
+    let send_late_job = |(k, mut client): (usize, Peer)| {
         let ids = ids.clone();
         std::thread::spawn(move || {
-            until(notified + ms(750) + step * k as u32);
+            sleep_until(signalled_at + ms(750) + step * k as u32);
             let (id, class) = (format!("r-{k}"), k % 2);
-            let text = job(&id, ["/zone-plan", "/actuator-cmd"][class], &format!("{}m", counted[class]), "");
+            let text = job(
+                &id,
+                ["/zone-plan", "/actuator-cmd"][class],
+                &format!("{}m", current_deadlines[class]),
+                "",
+            );
             let _ = client.try_send(&text);
             if !client.goes_on() {
                 assert!(
                     !ids.lock().unwrap().contains(&id),
-                    "{id} was sent on, and its connection was closed"
+                    "{id} was forwarded, and its connection was closed"
                 );
-                return (id, false, notified.elapsed());
+                return (id, false, signalled_at.elapsed());
             }
             client.message();
-            (id, true, notified.elapsed())
+            (id, true, signalled_at.elapsed())
         })
     };
-    let threads: Vec<_> = clients.into_iter().enumerate().map(asking).collect();
+    let threads: Vec<_> = clients.into_iter().enumerate().map(send_late_job).collect();
     let all: Vec<_> = threads.into_iter().map(|t| t.join().unwrap()).collect();
-    assert!(all.iter().any(|(_, answered, _)| *answered), "connections stay open for a while: {all:?}");
-    // One whose connection had ended is late by its own doing: nobody has its request.
-    let late: Vec<_> = all.iter().filter(|(_, answered, at)| *answered && *at >= kill).collect();
-    assert!(late.is_empty(), "the kill may come after {kill:?}: {late:?}");
+    assert!(all.iter().any(|(_, answered, _)| *answered), "every connection was closed at once: {all:?}");
+    // Requests on closed connections don't count: no server has received them.
+    let late: Vec<_> = all.iter().filter(|(_, answered, at)| *answered && *at >= kill_after).collect();
+    assert!(late.is_empty(), "the kill may come after {kill_after:?}: {late:?}");
 }
 
-/// A request that has begun when connections close is answered before the kill, also where it never comes whole: on a connection that
-/// has been used, on a new one, and on one of a node that was being emptied before. One whose last byte comes in between is, too.
+/// Guards against leaving a request that is partly received when the stopping node closes its connections unanswered at the kill,
+/// whether it is completed or not, on a used or a new connection, or on a node that was draining before.
 #[rstest]
-fn half_a_request_at_the_close_is_answered_before_the_kill(
+fn partial_request_at_the_close_is_answered_before_the_kill(
     #[values([300, 400], [1_000, 600], [1_500, 1_500], [6_000, 4_000])] all: [u64; 2],
     #[values("known", "new", "drained")] connection: &str,
     #[values(false, true)] completed: bool,
@@ -135,41 +136,42 @@
     let server = Party::new();
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
-    deadlines(&mut config, all);
+    set_deadlines(&mut config, all);
     let mut node = Node::start(&config);
-    serving_behind(server, &Arc::default());
-    let mut client = if connection == "new" { node.client() } else { known_clients(&node, 1).remove(0) };
+    serve_once_unlocked(server, &Arc::default());
+    let mut client =
+        if connection == "new" { node.client() } else { clients_with_answered_request(&node, 1).remove(0) };
     let text = job("a", "/zone-plan", "5000m", "0123456789");
     let (begin, end) = text.split_at(text.len() - 1);
     if connection == "drained" {
         client.send(begin);
-        // It is known to have begun: it does not end with the others.
-        let mut rests = known_clients(&node, 1).remove(0);
+        // The node has read the partial request once it closes an idle connection and keeps this one.
+        let mut idle_client = clients_with_answered_request(&node, 1).remove(0);
         assert_eq!(node.call("POST", "/ops/drain/start"), 200);
-        assert!(rests.ended());
+        assert!(idle_client.ended());
     }
-    let notified = Instant::now();
+    let signalled_at = Instant::now();
     node.terminate();
     node.logs("told to stop");
     if connection != "drained" {
         client.send(begin);
     }
     let longest = ms(*all.iter().max().unwrap().min(&3_000));
-    let kill = ms(700) + longest;
+    let kill_after = ms(700) + longest;
     let mut in_time = completed;
     if completed {
-        // What has begun has its usual time still.
+        // A request that has begun keeps its usual timeout.
         let usual = ms(if connection == "drained" { 1_000 } else { 1_800 });
-        let at = notified + (kill - longest * 3 / 5).min(usual);
-        until(at);
+        let at = signalled_at + (kill_after - longest * 3 / 5).min(usual);
+        sleep_until(at);
         client.send(end);
         in_time = at.elapsed() < ms(20);
     }
     let status = client.message().status();
     assert!(
-        notified.elapsed() < kill,
-        "{status} after {:?}, the kill may come after {kill:?}",
-        notified.elapsed()
+        signalled_at.elapsed() < kill_after,
+        "{status} after {:?}, the kill may come after {kill_after:?}",
+        signalled_at.elapsed()
     );
     assert!(if in_time { [200, 503].contains(&status) } else { completed || status == 408 }, "{status}");
     assert!(client.ended());
@@ -177,13 +179,13 @@
     assert!(node.exit().success());
 }
 
-/// What comes in the moment between the pages' 0.7 s, less their slack, and the time at which new connections are refused is
-/// bound to the last answer, too. The time that a server is told shows it.
+/// Requests that arrive around 0.7 s after SIGTERM, just before new connections are refused, must be answered in time for the kill,
+/// too. Checked by the timeouts that the node forwards to the server.
 #[rstest]
-fn what_comes_right_before_the_refusal_is_answered_before_the_kill() {
+fn requests_just_before_connections_are_refused_are_answered_before_the_kill() {
     let (node, server) = pair();
-    let told_times = Arc::new(Mutex::new(Vec::new()));
-    let times = told_times.clone();
+    let forwarded_timeouts = Arc::new(Mutex::new(Vec::new()));
+    let times = forwarded_timeouts.clone();
     server.attended(move |mut peer| {
         while peer.goes_on() {
             let request = peer.message();
@@ -193,20 +195,20 @@
             peer.serve(&id, &id);
         }
     });
-    let mut clients = known_clients(&node, 8);
+    let mut clients = clients_with_answered_request(&node, 8);
     node.terminate();
     node.logs("told to stop");
-    let (notified, mut sent) = (Instant::now(), Vec::new());
+    let (signalled_at, mut sent) = (Instant::now(), Vec::new());
     for (k, client) in clients.iter_mut().enumerate() {
-        until(notified + ms(655 + 10 * k as u64));
-        sent.push(notified.elapsed());
+        sleep_until(signalled_at + ms(655 + 10 * k as u64));
+        sent.push(signalled_at.elapsed());
         client.send(&job(&k.to_string(), "/zone-plan", "5000m", ""));
     }
     for (k, client) in clients.iter_mut().enumerate() {
         let answer = client.message();
         assert!(answer.status() == 503 || answer.body == k.to_string(), "{answer:?}");
     }
-    let all: Vec<_> = told_times
+    let all: Vec<_> = forwarded_timeouts
         .lock()
         .unwrap()
         .iter()
@@ -214,31 +216,31 @@
         .collect();
     assert!(!all.is_empty());
     let late: Vec<_> = all.iter().filter(|(sent, left)| *sent + *left > ms(3_700)).collect();
-    assert!(late.is_empty(), "sent so long after SIGTERM, with so much left: {late:?}");
+    assert!(late.is_empty(), "times after SIGTERM, and timeouts forwarded then: {late:?}");
 }
 
-/// Clients that have connected and asked while a full node could not accept them are taken as room comes, also after
-/// the time of new connections; the listener does not close over them.
+/// Clients have connected and sent requests that a full node could not accept yet. Guards against closing the listener on them after
+/// SIGTERM instead of accepting them as connections become free.
 #[rstest]
-fn what_waits_at_a_full_node_is_answered_after_sigterm() {
+fn clients_waiting_at_a_full_node_are_answered_after_sigterm() {
     let server = Party::new();
     let mut config = config(&[server.address]);
     config["limits"]["sockets"] = json!(70);
     config["settings"]["projects"][0]["quota_rps"] = json!(1000.0);
     let mut node = Node::start(&config);
-    let gate = Arc::new(Mutex::new(()));
-    let shut = gate.lock().unwrap();
-    serving_behind(server, &gate);
-    // One more than the 19 that are allowed, each with a job that is not answered yet.
+    let response_gate = Arc::new(Mutex::new(()));
+    let gate_guard = response_gate.lock().unwrap();
+    serve_once_unlocked(server, &response_gate);
+    // One more than the 19 connections that are allowed, each with an unanswered job.
     let mut busy: Vec<Peer> = (0..20).map(|k| node.ask(&format!("busy-{k}"), "/zone-plan")).collect();
     let mut health = node.client();
-    health.send(HEALTH);
-    assert!(health.hears_nothing(ms(200)), "it is full");
+    health.send(HEALTH_REQUEST);
+    assert!(health.hears_nothing(ms(200)), "the node is not full");
     let mut waiting: Vec<Peer> = (0..6).map(|k| node.ask(&format!("waiting-{k}"), "/zone-plan")).collect();
     node.terminate();
     node.logs("told to stop");
-    assert!(waiting[5].hears_nothing(ms(900)), "nobody has ended it");
-    drop(shut);
+    assert!(waiting[5].hears_nothing(ms(900)), "a waiting connection was closed");
+    drop(gate_guard);
     let all = busy.iter_mut().chain(&mut waiting);
     for (k, client) in all.enumerate() {
         let answer = client.message();
@@ -248,21 +250,21 @@
     assert!(node.exit().success());
 }
 
-/// Nor does it close over those that came while the process stood still over that time, or over the one at which it
-/// closes connections, too, however many.
+/// Clients connect while the process is paused past the time at which it refuses new connections, or also past the one at which it
+/// closes connections. Guards against closing the listener on them.
 #[rstest]
-#[case::refusing(1_000)]
-#[case::closing(2_300)]
-fn what_came_while_the_process_stood_still_is_answered_after_sigterm(#[case] still: u64) {
+#[case::paused_past_refusing_connections(1_000)]
+#[case::paused_past_closing_connections(2_300)]
+fn clients_arriving_during_a_pause_are_answered_after_sigterm(#[case] pause_ms: u64) {
     let (mut node, server) = pair();
-    serving_behind(server, &Arc::default());
+    serve_once_unlocked(server, &Arc::default());
     node.terminate();
     node.logs("told to stop");
-    let notified = Instant::now();
+    let signalled_at = Instant::now();
     node.stand_still(true);
     let mut clients: Vec<Peer> = (0..100).map(|k| node.ask(&k.to_string(), "/zone-plan")).collect();
-    assert!(notified.elapsed() < ms(700), "they come in time");
-    until(notified + ms(still));
+    assert!(signalled_at.elapsed() < ms(700), "the clients connected too late");
+    sleep_until(signalled_at + ms(pause_ms));
     node.stand_still(false);
     for (k, client) in clients.iter_mut().enumerate() {
         let answer = client.message();
@@ -272,19 +274,22 @@
     assert!(node.exit().success());
 }
 
-/// Whichever signals tell it, and however often: what is held has its one answer, and the program ends well.
+/// Guards against losing or repeating the answer to an open request whichever signals stop the node, and however often they arrive.
 #[rstest]
 #[case::twice(&[Signal::TERM, Signal::TERM])]
 #[case::interrupted(&[Signal::INT])]
 #[case::both(&[Signal::INT, Signal::TERM, Signal::INT])]
 #[case::then_reload(&[Signal::TERM, Signal::HUP, Signal::HUP])]
 #[case::after_reload(&[Signal::HUP, Signal::TERM])]
-fn signals_that_stop_a_node_cost_no_answer(#[case] signals: &[Signal], #[values(false, true)] at_once: bool) {
+fn repeated_stop_signals_lose_no_answer(
+    #[case] signals: &[Signal],
+    #[values(false, true)] while_paused: bool,
+) {
     let (mut node, server) = pair();
     let mut held = node.ask("held", "/actuator-cmd");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "held");
-    node.stand_still(at_once);
+    node.stand_still(while_paused);
     signals.iter().for_each(|s| node.signal(*s));
     node.stand_still(false);
     node.logs("told to stop");
@@ -296,36 +301,36 @@
     assert!(server.is_left_alone());
 }
 
-/// A reload that comes with the stop, in whatever order the system hands both over, or right after it: the settings with
-/// the shorter deadlines say when the node may be killed.
+/// A reload arrives together with SIGTERM, in either order, or right after it: of the old and the new settings, the shorter deadlines
+/// bound the time until the kill.
 #[rstest]
 #[case::with_the_stop([5_000, 5_000], [900, 1_800], false)]
 #[case::after_it([5_000, 5_000], [900, 1_800], true)]
 #[case::to_longer_deadlines([900, 1_800], [5_000, 5_000], true)]
-fn a_reload_beside_the_stop_delays_no_answer(
+fn reload_during_the_stop_keeps_the_shorter_deadlines(
     #[case] old: [u64; 2],
     #[case] new: [u64; 2],
     #[case] after: bool,
 ) {
     let server = Party::new();
     let mut config = config(&[server.address]);
-    deadlines(&mut config, old);
+    set_deadlines(&mut config, old);
     let node = Node::start(&config);
-    let mut clients = known_clients(&node, 1);
-    deadlines(&mut config, new);
+    let mut clients = clients_with_answered_request(&node, 1);
+    set_deadlines(&mut config, new);
     node.replace(&config.to_string());
     node.stand_still(!after);
     node.signal(Signal::TERM);
     let mut lines = if after { node.logs_until("told to stop") } else { Vec::new() };
     node.signal(Signal::HUP);
     node.stand_still(false);
-    let notified = Instant::now();
+    let resumed_at = Instant::now();
     for text in ["told to stop", "new settings hold"] {
         if !lines.iter().any(|l| l.contains(text)) {
             lines.extend(node.logs_until(text));
         }
     }
-    until(notified + ms(1_000));
+    sleep_until(resumed_at + ms(1_000));
     clients[0].send(&job("a", "/zone-plan", "5000m", ""));
     let mut backend = server.accept();
     let request = backend.message();
@@ -335,43 +340,43 @@
     assert_eq!(clients[0].message().body, "1");
 }
 
-/// A reload that comes late in the stop brings the times that are still to come forward: when connections close, and by when a
-/// request that has begun then has to be whole.
+/// A reload late in the stop shortens what is left of it: the time until connections are closed, and the one in which a partial
+/// request must be completed.
 #[rstest]
 #[case::before_the_close([6_000, 6_000], [400, 300], false)]
 #[case::after_the_close([3_000, 3_000], [2_000, 2_000], true)]
-fn a_reload_late_in_the_stop_brings_its_end_forward(
+fn reload_late_in_the_stop_shortens_it(
     #[case] old: [u64; 2],
     #[case] new: [u64; 2],
-    #[case] closed: bool,
+    #[case] connections_closed: bool,
 ) {
     let server = Party::new();
     let mut config = config(&[server.address]);
-    deadlines(&mut config, old);
+    set_deadlines(&mut config, old);
     let mut node = Node::start(&config);
-    let mut rests = known_clients(&node, 1).remove(0);
-    let mut client = known_clients(&node, 1).remove(0);
-    deadlines(&mut config, new);
+    let mut idle_client = clients_with_answered_request(&node, 1).remove(0);
+    let mut client = clients_with_answered_request(&node, 1).remove(0);
+    set_deadlines(&mut config, new);
     node.replace(&config.to_string());
-    let notified = Instant::now();
+    let signalled_at = Instant::now();
     node.terminate();
     node.logs("new connections are refused");
     client.send("POST /zone-plan HTT");
-    if closed {
-        assert!(rests.ended());
+    if connections_closed {
+        assert!(idle_client.ended());
     }
     node.hang_up();
     node.logs("new settings hold");
-    assert!(closed || rests.ended());
+    assert!(connections_closed || idle_client.ended());
     assert_eq!(client.message().status(), 408);
-    let (took, kill) = (notified.elapsed(), ms(700 + new[0]));
-    assert!(took < kill, "{took:?}, and the kill may come after {kill:?}");
-    drop((client, rests));
+    let (took, kill_after) = (signalled_at.elapsed(), ms(700 + new[0]));
+    assert!(took < kill_after, "{took:?}, and the kill may come after {kill_after:?}");
+    drop((client, idle_client));
     assert!(node.exit().success());
 }
 
-/// A node that is still starting: it waits for its configuration.
-fn starting(config: &Value) -> (Node, std::path::PathBuf) {
+/// Starts a node that blocks on reading its configuration from a named pipe, and returns the pipe's path.
+fn node_waiting_for_configuration(config: &Value) -> (Node, std::path::PathBuf) {
     let command = command(&[PROGRAM, "serve", "-v"], &config.to_string());
     let named = command.get_envs().find(|(name, _)| *name == "ROUTER_CONFIG").and_then(|(_, file)| file);
     let file = std::path::PathBuf::from(named.unwrap());
@@ -380,17 +385,16 @@
     (Node::starting(command), file)
 }
 
-/// Signals that come while a node starts don't end it: it serves, by the configuration as it is by then, or stops in
-/// order.
+/// Guards against a signal that kills a node while it starts: it serves with its latest configuration, or shuts down cleanly.
 #[rstest]
 #[case::reload(Signal::HUP)]
 #[case::stop(Signal::TERM)]
 #[case::interrupt(Signal::INT)]
-fn a_signal_during_the_start_ends_no_node_out_of_order(#[case] signal: Signal) {
+fn signal_during_the_start_is_handled_in_order(#[case] signal: Signal) {
     let server = Party::new();
     let mut config = config(&[server.address]);
-    let (node, file) = starting(&config);
-    // It is open once the node reads it, and the node goes on only once all of it has come.
+    let (node, file) = node_waiting_for_configuration(&config);
+    // Opening the pipe waits for the node to open it, and the node goes on once it has read all of it.
     let mut pipe = std::fs::OpenOptions::new().write(true).open(&file).unwrap();
     node.signal(signal);
     std::io::Write::write_all(&mut pipe, config.to_string().as_bytes()).unwrap();
@@ -412,9 +416,9 @@
     assert!(node.exit().success());
 }
 
-/// Told to stop before any list has come: whoever asks is denied, and the program ends well.
+/// A node is stopped before it has a server list: open requests are rejected, and the program exits successfully.
 #[rstest]
-fn a_node_without_a_list_stops_in_order() {
+fn node_without_a_server_list_shuts_down_cleanly() {
     let discovery = Party::new();
     let mut node = Node::start(&following(&[], &discovery));
     let _silent = discovery.accept();
@@ -429,47 +433,48 @@
     assert!(node.exit().success());
 }
 
-/// A list of which half has come when another discovery is named is not taken in, and neither is its rest; also when the
-/// node is told to stop right then, and a job goes where the new list says.
+/// A reload names another discovery address when half a list has arrived. Guards against using that list, also while the node is
+/// shutting down.
 #[rstest]
 #[case::serving(false)]
-#[case::stopping(true)]
-fn half_a_list_is_dropped_when_discovery_moves(#[case] stops: bool) {
-    let (known, wrong, right) = (Party::new(), Party::new(), Party::new());
+#[case::shutting_down(true)]
+fn partial_list_is_dropped_when_the_discovery_address_changes(#[case] shuts_down: bool) {
+    let (listed_server, dropped_list_server, new_list_server) = (Party::new(), Party::new(), Party::new());
     let (first, second) = (Party::new(), Party::new());
-    let mut config = following(&[known.address], &first);
+    let mut config = following(&[listed_server.address], &first);
     let mut node = Node::start(&config);
     let (mut before, _) = watch(&first);
-    let list = listing(42, true, &[entry("s-wrong", wrong.address, "active")]);
+    let list = listing(42, true, &[entry("s-wrong", dropped_list_server.address, "active")]);
     before.send(&format!("{:x}\r\n{}", list.len() + 1, &list[..list.len() / 2]));
     before.is_read();
     config["discovery"] = json!(second.address.to_string());
     node.replace(&config.to_string());
     node.hang_up();
-    if stops {
+    if shuts_down {
         node.terminate();
     }
     let rest = format!("{}\n\r\n", &list[list.len() / 2..]);
     node.logs("configuration read again");
     let _ = before.try_send(&rest);
-    let mut after = whole_list(&second, &listing(7, true, &[entry("s-right", right.address, "active")]));
+    let mut after =
+        whole_list(&second, &listing(7, true, &[entry("s-right", new_list_server.address, "active")]));
     assert_eq!(after.message().first, "GET /catalog/members?watch=1&from=7 HTTP/1.1");
-    // The rest may have come before the node closed it.
+    // The rest of the list may have arrived before the node closed the connection.
     assert!(before.ended_or_reset());
     let mut client = node.ask("a", "/actuator-cmd");
-    let mut backend = right.accept();
+    let mut backend = new_list_server.accept();
     assert_eq!(backend.id(), "a");
     backend.serve("a", "1");
     assert_eq!(client.message().body, "1");
-    assert!(known.is_left_alone() && wrong.is_left_alone());
-    if stops {
+    assert!(listed_server.is_left_alone() && dropped_list_server.is_left_alone());
+    if shuts_down {
         assert!(node.exit().success());
     }
 }
 
-/// A node that an operator has emptied stays so over a reload, and stops in order; jobs are served all the while.
+/// A node that an operator has drained stays drained over a reload and shuts down cleanly, serving the jobs that still arrive.
 #[rstest]
-fn an_emptied_node_stays_so_over_a_reload_and_stops_in_order() {
+fn drained_node_stays_drained_over_a_reload_and_shuts_down_cleanly() {
     let server = Party::new();
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
@@ -478,19 +483,19 @@
     let mut backend = server.accept();
     assert_eq!(backend.id(), "held");
     assert_eq!(node.call("POST", "/ops/drain/start"), 200);
-    deadlines(&mut config, [1_200, 1_800]);
+    set_deadlines(&mut config, [1_200, 1_800]);
     node.replace(&config.to_string());
     node.hang_up();
     node.logs("new settings hold");
     assert_eq!(node.call("GET", "/ops/readiness"), 503);
-    let mut emptied = node.ask("emptied", "/zone-plan");
+    let mut drained_client = node.ask("emptied", "/zone-plan");
     backend.serve("held", "1");
     assert_eq!(held.message().body, "1");
     assert_eq!(backend.id(), "emptied");
     node.terminate();
     node.logs("told to stop");
     backend.serve("emptied", "2");
-    assert_eq!(emptied.message().body, "2");
+    assert_eq!(drained_client.message().body, "2");
     let mut late = node.ask("late", "/zone-plan");
     assert_eq!(backend.id(), "late");
     backend.serve("late", "3");
@@ -498,49 +503,49 @@
     assert!(node.exit().success());
 }
 
-/// A restarted node serves by the list as last held, whatever discovery does: its first health is good, and a job is
-/// served.
+/// Discovery does not answer or can't be connected to. Guards against a restarted node that waits for it instead of serving from the
+/// server list in its configuration.
 #[rstest]
 #[case::silent(true)]
-#[case::deaf(false)]
-fn a_restart_is_ready_while_discovery_is_slow(#[case] silent: bool) {
-    let (server, agent, (deaf, _kept)) = (Party::new(), Party::new(), deaf());
+#[case::never_connects(false)]
+fn restarted_node_is_ready_while_discovery_is_slow(#[case] silent: bool) {
+    let (server, silent_discovery, (unreachable, _kept)) = (Party::new(), Party::new(), deaf());
     let mut config = config(&[server.address]);
-    config["discovery"] = json!(if silent { agent.address } else { deaf }.to_string());
+    config["discovery"] = json!(if silent { silent_discovery.address } else { unreachable }.to_string());
     for replicas in [1, 300] {
         config["settings"]["replicas_of_me"] = json!(replicas);
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let mut node = Node::start(&config);
-        let mut client = known_clients(&node, 1).remove(0);
+        let mut client = clients_with_answered_request(&node, 1).remove(0);
         client.send(&job("a", "/zone-plan", "5000m", ""));
         let mut backend = server.accept();
         assert_eq!(backend.id(), "a");
         backend.serve("a", "1");
         assert_eq!(client.message().body, "1");
-        assert!(begun.elapsed() < Duration::from_secs(5), "{:?}", begun.elapsed());
+        assert!(started_at.elapsed() < Duration::from_secs(5), "{:?}", started_at.elapsed());
         drop(backend);
         node.terminate();
         assert!(node.exit().success());
     }
 }
 
-/// A signal that comes while the next process waits for the listening socket costs it neither that nor its start.
+/// Guards against a signal that interrupts a successor while it waits for the listening socket.
 #[rstest]
-fn a_signal_while_the_socket_is_handed_over_ends_no_process() {
+fn signal_during_the_socket_handover_ends_no_process() {
     let server = Party::new();
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
     let old = Node::start(&config);
     published(&old);
     config["listen"] = json!(old.address.to_string());
-    // It can connect, and is handed nothing yet.
+    // The successor can connect to the paused process, which does not hand over its socket yet.
     old.stand_still(true);
     let new = Node::starting(command(&[PROGRAM, "serve", "-v"], &config.to_string()));
     while !new.handles_hang_up() {
         std::thread::yield_now();
     }
-    let begun = Instant::now();
-    while begun.elapsed() < ms(700) {
+    let started_at = Instant::now();
+    while started_at.elapsed() < ms(700) {
         new.signal(Signal::HUP);
     }
     old.stand_still(false);
@@ -549,10 +554,10 @@
     assert_eq!((new.call("GET", "/ops/readiness"), old.call("GET", "/ops/readiness")), (200, 503));
 }
 
-/// The next process is told to stop while the one before it lives: that one takes clients again at once, and not only
-/// when the other has answered all that it had.
+/// The successor is stopped while the old process still runs. Guards against an old process that accepts clients again only after
+/// the successor has answered all its requests.
 #[rstest]
-fn the_process_before_takes_clients_again_once_the_next_is_told_to_stop() {
+fn old_process_accepts_clients_again_once_its_successor_is_stopped() {
     let (old, mut new, server, _) = replaced();
     old.logs("the next process takes clients");
     let mut held = new.ask("held", "/zone-plan");
@@ -567,7 +572,7 @@
     assert_eq!(on_old.id(), "a");
     on_old.serve("a", "1");
     assert_eq!(client.message().body, "1");
-    assert!(held.hears_nothing(ms(1)), "the other is still there");
+    assert!(held.hears_nothing(ms(1)), "the successor's request is no longer open");
     on_new.finish("held", "2");
     assert_eq!(held.message().body, "2");
     assert!(new.exit().success());
@@ -575,10 +580,10 @@
     assert_eq!(old.call("GET", "/ops/readiness"), 200);
 }
 
-/// A process that is told to stop while it waits for the list, before it takes clients over, ends well; the one before
-/// it serves on, and no client hears of it.
+/// The successor is stopped while it waits for its first server list: it exits successfully, and the old process serves on without
+/// any effect on its clients.
 #[rstest]
-fn a_process_that_stops_before_it_takes_over_costs_nothing() {
+fn successor_stopped_before_it_takes_over_affects_no_client() {
     let (server, discovery) = (Party::new(), Party::new());
     let mut config = following(&[server.address], &discovery);
     config["mgmt"] = json!("127.0.0.1:0");
