--- a/tests/node/rare.rs
+++ b/tests/node/rare.rs
@@ -389,10 +389,10 @@
 /// How all servers of a node become unavailable.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Outage {
-    /// They reject every job.
+    /// The servers reject every job.
     RejectsJobs,
     RefusesConnections,
-    /// They accept connections and jobs, and send nothing.
+    /// The servers accept connections and jobs, and send nothing.
     Silent,
 }
 
@@ -731,11 +731,11 @@
 /// The state of a request while new settings are read.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
-    /// A server has received it.
+    /// A server has received the request.
     InFlight,
-    /// It waits behind another request.
+    /// The request waits behind another one.
     Queued,
-    /// Its connection is being established.
+    /// The connection for the request is being established.
     Connecting,
     /// One attempt was rejected unstarted, and the next has not begun.
     BetweenAttempts,
