--- a/tests/node.rs
+++ b/tests/node.rs
@@ -8,24 +8,24 @@
 mod fleet;
 #[path = "node/gone.rs"]
 mod gone;
+#[path = "node/key_ownership.rs"]
+mod key_ownership;
 #[path = "node/lists.rs"]
 mod lists;
-#[path = "node/lending.rs"]
-mod load_shifting;
 #[path = "node/told.rs"]
 mod notified;
 #[path = "node/operators.rs"]
 mod operators;
 #[path = "node/orders.rs"]
 mod orders;
-#[path = "node/homes.rs"]
-mod ownership;
 #[path = "node/rare.rs"]
 mod rare;
 #[path = "node/recovery.rs"]
 mod recovery;
 #[path = "node/sites.rs"]
 mod sites;
+#[path = "node/spillover.rs"]
+mod spillover;
 #[path = "node/stopping.rs"]
 mod stopping;
 mod support;
--- a/tests/node/fleet.rs
+++ b/tests/node/fleet.rs
@@ -1,4 +1,4 @@
-//! The node in a fleet that shares budgets, beside a divider that the test plays.
+//! A node of a fleet with shared quotas; the test acts as the quota server.
 
 use crate::support::*;
 use rstest::rstest;
@@ -16,109 +16,116 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Instant;
 
-/// A divider of the test's own, and the file that lists it.
-struct Allocator {
+/// A quota server that the test controls, and the budgets file that lists it.
+struct TestQuotaServer {
     socket: UdpSocket,
-    own: SocketAddr,
-    file: PathBuf,
-    count: u64,
-    /// Its own code, if any.
-    line: RefCell<Channel>,
-    /// What the file says of keys.
-    key: String,
+    node_address: SocketAddr,
+    budgets_file: PathBuf,
+    grant_count: u64,
+    /// Signs and verifies messages; without a key at first.
+    channel: RefCell<Channel>,
+    /// The clauses of the budgets file that name the fleet and its key, or nothing.
+    key_clauses: String,
 }
 
-impl Allocator {
-    fn new(name: &str) -> Allocator {
+impl TestQuotaServer {
+    fn new(name: &str) -> TestQuotaServer {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         socket.set_read_timeout(Some(LONG)).unwrap();
-        let own = fresh();
-        let file =
+        let node_address = fresh();
+        let budgets_file =
             PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{name}.sexp", std::process::id()));
-        let line = RefCell::new(Channel::new(NodeId::of("d0").0, 1, "tidal", None));
-        let allocator = Allocator { socket, own, file, count: 0, line, key: String::new() };
-        allocator.write(1, "(budget quota:acme (whole 50) (reserve 2))");
-        allocator
+        let channel = RefCell::new(Channel::new(NodeId::of("d0").0, 1, "tidal", None));
+        let quota_server = TestQuotaServer {
+            socket,
+            node_address,
+            budgets_file,
+            grant_count: 0,
+            channel,
+            key_clauses: String::new(),
+        };
+        quota_server.write(1, "(budget quota:acme (whole 50) (reserve 2))");
+        quota_server
     }
 
     fn write(&self, version: u64, budgets: &str) {
-        let allocator = self.socket.local_addr().unwrap();
+        let quota_server = self.socket.local_addr().unwrap();
         let text = format!(
-            "(budgets (version {version}) (term 1 s) {} (divider d0 \"{allocator}\") (node n0 \"{}\") {budgets})",
-            self.key, self.own
+            "(budgets (version {version}) (term 1 s) {} (divider d0 \"{quota_server}\") (node n0 \"{}\") {budgets})",
+            self.key_clauses, self.node_address
         );
-        std::fs::write(&self.file, text).unwrap();
+        std::fs::write(&self.budgets_file, text).unwrap();
     }
 
     fn start(&self, config: &serde_json::Value) -> Node {
-        let file = self.file.to_str().unwrap();
-        Node::start_as(&[PROGRAM, "serve", "-v", "--budgets", file], config)
+        let budgets_file = self.budgets_file.to_str().unwrap();
+        Node::start_as(&[PROGRAM, "serve", "-v", "--budgets", budgets_file], config)
     }
 
-    /// The next word of a kind, and who said it.
-    fn hears<T>(&self, read: impl Fn(Message) -> Option<T>) -> (T, SocketAddr) {
+    /// Waits for the next message that `read` accepts; returns its value and its sender.
+    fn receive_matching<T>(&self, read: impl Fn(Message) -> Option<T>) -> (T, SocketAddr) {
         let begin = Instant::now();
         let mut buffer = [0; 4_000];
         while begin.elapsed() < LONG {
             let (n, from) = self.socket.recv_from(&mut buffer).unwrap();
-            // The membership speaks, too.
-            let mut line = self.line.borrow_mut();
-            let Ok(received) = line.verify(&buffer[..n], 0) else { continue };
+            // Datagrams of the membership protocol arrive here, too.
+            let mut channel = self.channel.borrow_mut();
+            let Ok(received) = channel.verify(&buffer[..n], 0) else { continue };
             if let Some(found) = Message::read(received.body).ok().and_then(&read) {
                 return (found, from);
             }
         }
-        panic!("no such word");
+        panic!("no such message arrived");
     }
 
-    fn asked(&self) -> (NodeIncarnation, u64, BudgetClaim, SocketAddr) {
-        let ask = |w| {
-            if let Message::Ask { holder: life, plan, mut claims } = w {
-                Some((life, plan, claims.remove(0)))
+    fn receive_claim(&self) -> (NodeIncarnation, u64, BudgetClaim, SocketAddr) {
+        let read_claim = |message| {
+            if let Message::Ask { holder: incarnation, plan, mut claims } = message {
+                Some((incarnation, plan, claims.remove(0)))
             } else {
                 None
             }
         };
-        let ((life, plan, claim), from) = self.hears(ask);
-        (life, plan, claim, from)
+        let ((incarnation, plan, claim), from) = self.receive_matching(read_claim);
+        (incarnation, plan, claim, from)
     }
 
-    /// Answer the next asking of a life with a grant.
+    /// Answers the next claim with a grant and returns the incarnation that holds it.
     fn grant(&mut self, amount: u64) -> NodeIncarnation {
-        self.grants(amount).0
+        self.grant_and_keep_datagram(amount).0
     }
 
-    /// As before; the life, the datagram, and where it went.
-    fn grants(&mut self, amount: u64) -> (NodeIncarnation, Vec<u8>, SocketAddr) {
-        // What was asked before is too old to be answered.
+    /// Answers the next claim with a grant; returns its holder, the signed datagram and the address it was sent to.
+    fn grant_and_keep_datagram(&mut self, amount: u64) -> (NodeIncarnation, Vec<u8>, SocketAddr) {
+        // Drops claims that are already queued: an answer to one of them would be too old.
         self.socket.set_nonblocking(true).unwrap();
         while self.socket.recv_from(&mut [0; 4_000]).is_ok() {}
         self.socket.set_nonblocking(false).unwrap();
-        let (life, plan, claim, from) = self.asked();
-        self.count += 1;
+        let (incarnation, plan, claim, from) = self.receive_claim();
+        self.grant_count += 1;
         let grant = BudgetGrant {
             budget: claim.budget,
             epoch: 7,
-            number: self.count,
+            number: self.grant_count,
             amount,
             answers: claim.request_number,
             length: 1_000_000,
         };
-        let message = Message::Grants { holder: life, plan, grants: vec![grant] };
-        let datagram = self.line.borrow_mut().sign(message.bytes());
+        let message = Message::Grants { holder: incarnation, plan, grants: vec![grant] };
+        let datagram = self.channel.borrow_mut().sign(message.bytes());
         self.socket.send_to(&datagram, from).unwrap();
-        (life, datagram, from)
+        (incarnation, datagram, from)
     }
 }
 
-/// How many of so many jobs, handed in at once, are served; the others are denied.
+/// Sends `count` jobs at once and returns how many are served; the others must be rejected with 503.
 fn served(node: &Node, server: &mut Party, name: &str, count: usize) -> usize {
     let done = AtomicBool::new(false);
-    let over = &done;
+    let is_done = &done;
     std::thread::scope(|scope| {
         let server = &mut *server;
         scope.spawn(move || {
-            while !over.load(Ordering::Relaxed) {
+            while !is_done.load(Ordering::Relaxed) {
                 if let Some(mut backend) = server.came() {
                     let id = backend.id();
                     backend.serve(&id, "1");
@@ -133,71 +140,78 @@
     })
 }
 
-/// It serves by its grant, falls back to its reserve once that is over, and hands back what it has as it leaves.
+/// A node serves up to its grant, falls back to its reserve when the grant expires, and returns the grant when it stops.
 #[rstest]
-fn a_node_keeps_to_its_grant_and_hands_it_back() {
-    let (mut allocator, mut server) = (Allocator::new("keeps"), Party::new());
-    let mut node = allocator.start(&config(&[server.address]));
-    let life = allocator.grant(40);
-    assert_eq!(life.node, NodeId::of("n0"));
+fn node_uses_its_grant_then_its_reserve_and_returns_the_grant_on_shutdown() {
+    let (mut quota_server, mut server) = (TestQuotaServer::new("keeps"), Party::new());
+    let mut node = quota_server.start(&config(&[server.address]));
+    let incarnation = quota_server.grant(40);
+    assert_eq!(incarnation.node, NodeId::of("n0"));
     node.logs("all are granted");
     assert_eq!(served(&node, &mut server, "a", 4), 4);
-    let ((), _) = allocator.hears(|w| match w {
+    let ((), _) = quota_server.receive_matching(|message| match message {
         Message::Ask { claims, .. } if claims[0].in_force == (7, 1) && claims[0].demand > 0 => Some(()),
         _ => None,
     });
-    // No answer comes any more: a term later the reserve is all, two a second.
+    // Without an answer for a term, only the reserve of two requests per second is left.
     node.logs("no grant for quota:acme");
-    let few = served(&node, &mut server, "b", 30);
-    assert!((1..=8).contains(&few), "{few} of 30");
-    allocator.grant(30);
+    let served_count = served(&node, &mut server, "b", 30);
+    assert!((1..=8).contains(&served_count), "{served_count} of 30");
+    quota_server.grant(30);
     node.logs("all are granted");
     node.terminate();
-    let (of, _) =
-        allocator.hears(|w| if let Message::Returns { grants: of, .. } = w { Some(of) } else { None });
-    assert_eq!(of, [("quota:acme".to_string(), 7, 2)]);
+    let (returned, _) = quota_server.receive_matching(|message| {
+        if let Message::Returns { grants: returned, .. } = message {
+            Some(returned)
+        } else {
+            None
+        }
+    });
+    assert_eq!(returned, [("quota:acme".to_string(), 7, 2)]);
     assert!(node.exit().success());
 }
 
-/// The file of keys beside a file of budgets, each key made of one byte.
-fn write_keys(allocator: &Allocator, keys: &[&str], mode: u32) {
-    let path = allocator.file.with_extension("key");
+/// Writes the key file beside the budgets file; each key repeats one byte.
+fn write_keys(quota_server: &TestQuotaServer, keys: &[&str], mode: u32) {
+    let path = quota_server.budgets_file.with_extension("key");
     std::fs::write(&path, keys.iter().map(|k| k.repeat(32) + "\n").collect::<String>()).unwrap();
     std::fs::set_permissions(&path, std::fs::Permissions::from_mode(mode)).unwrap();
 }
 
-/// What a divider of that life says, under that key.
-fn coded(life: u64, key: &str) -> Channel {
-    Channel::new(NodeId::of("d0").0, life, "tidal", Some(&Keys::read(&key.repeat(32)).unwrap()))
+/// Returns the channel of a quota server of that incarnation that signs with that key.
+fn signing_channel(incarnation: u64, key: &str) -> Channel {
+    Channel::new(NodeId::of("d0").0, incarnation, "tidal", Some(&Keys::read(&key.repeat(32)).unwrap()))
 }
 
-/// Where the file names a key: a word without its code, under another or heard before changes nothing, is counted and told once; keys are
-/// changed by SIGHUP without a grant lost.
+/// With a configured key, unsigned, foreign and replayed messages are ignored, counted and logged once; SIGHUP replaces the key
+/// without losing a grant.
 #[rstest]
-fn only_words_under_the_key_are_heard() {
+fn node_ignores_messages_without_a_valid_signature() {
     const QUOTA: &str = "(budget quota:acme (whole 50) (reserve 2))";
-    let (mut allocator, server) = (Allocator::new("keyed"), Party::new());
-    let name = allocator.file.with_extension("key");
-    allocator.key = format!("(fleet tidal) (key \"{}\")", name.file_name().unwrap().to_str().unwrap());
-    allocator.write(1, QUOTA);
-    let text = config(&[server.address]);
-    write_keys(&allocator, &["4b"], 0o604);
-    let file = allocator.file.to_str().unwrap().to_string();
-    for verb in ["check", "serve"] {
-        let output = command(&[PROGRAM, verb, "--budgets", &file], &text.to_string()).output().unwrap();
-        let notified = String::from_utf8_lossy(&output.stderr);
+    let (mut quota_server, server) = (TestQuotaServer::new("keyed"), Party::new());
+    let name = quota_server.budgets_file.with_extension("key");
+    quota_server.key_clauses =
+        format!("(fleet tidal) (key \"{}\")", name.file_name().unwrap().to_str().unwrap());
+    quota_server.write(1, QUOTA);
+    let config_json = config(&[server.address]);
+    write_keys(&quota_server, &["4b"], 0o604);
+    let file = quota_server.budgets_file.to_str().unwrap().to_string();
+    for subcommand in ["check", "serve"] {
+        let output =
+            command(&[PROGRAM, subcommand, "--budgets", &file], &config_json.to_string()).output().unwrap();
+        let stderr = String::from_utf8_lossy(&output.stderr);
         assert!(
-            !output.status.success() && notified.contains("0604") && notified.contains("chmod 0600"),
-            "{notified}"
+            !output.status.success() && stderr.contains("0604") && stderr.contains("chmod 0600"),
+            "{stderr}"
         );
     }
-    write_keys(&allocator, &["4b"], 0o600);
-    allocator.line.replace(coded(2, "4b"));
-    let mut node = allocator.start(&text);
-    allocator.grant(40);
+    write_keys(&quota_server, &["4b"], 0o600);
+    quota_server.channel.replace(signing_channel(2, "4b"));
+    let mut node = quota_server.start(&config_json);
+    quota_server.grant(40);
     node.logs("all are granted");
-    let (life, received, to) = allocator.grants(39);
-    // Were one of these believed, it would go by grant 9.
+    let (incarnation, replayed, node_address) = quota_server.grant_and_keep_datagram(39);
+    // Accepting one of these would put grant 9 in force.
     let grant = BudgetGrant {
         budget: "quota:acme".into(),
         epoch: 7,
@@ -206,119 +220,120 @@
         answers: u64::MAX,
         length: 1,
     };
-    let message = Message::Grants { holder: life, plan: 1, grants: vec![grant] }.bytes();
+    let message = Message::Grants { holder: incarnation, plan: 1, grants: vec![grant] }.bytes();
     for _ in 0..2 {
-        let (stranger, earlier) = (coded(9, "5c").sign(message.clone()), received.clone());
-        for datagram in [&message, &stranger, &earlier] {
-            allocator.socket.send_to(datagram, to).unwrap();
+        let (foreign, replayed_copy) = (signing_channel(9, "5c").sign(message.clone()), replayed.clone());
+        for datagram in [&message, &foreign, &replayed_copy] {
+            quota_server.socket.send_to(datagram, node_address).unwrap();
         }
     }
-    let in_force = |allocator: &Allocator, number| {
-        let goes = |w| match w {
+    let expect_in_force = |quota_server: &TestQuotaServer, number| {
+        let read_number = |message| match message {
             Message::Ask { claims, .. } if claims[0].in_force.1 >= number => Some(claims[0].in_force.1),
             _ => None,
         };
-        assert_eq!(allocator.hears(goes).0, number);
+        assert_eq!(quota_server.receive_matching(read_number).0, number);
     };
-    allocator.grant(38);
-    in_force(&allocator, 3);
-    write_keys(&allocator, &["5c", "4b"], 0o600);
+    quota_server.grant(38);
+    expect_in_force(&quota_server, 3);
+    write_keys(&quota_server, &["5c", "4b"], 0o600);
     node.hang_up();
     let lines = node.logs_until("read again: version 1");
-    for why in ["a word without a code", "a word under another key", "a word that was heard before"] {
-        let notified: Vec<&String> = lines.iter().filter(|l| l.contains(why)).collect();
+    for reason in ["a word without a code", "a word under another key", "a word that was heard before"] {
+        let matching_lines: Vec<&String> = lines.iter().filter(|l| l.contains(reason)).collect();
         assert!(
-            matches!(notified[..], [first, count] if first.contains("further ones are only counted") && count.contains("2 datagrams")),
-            "{why}: {lines:?}"
+            matches!(matching_lines[..], [first, count] if first.contains("further ones are only counted") && count.contains("2 datagrams")),
+            "{reason}: {lines:?}"
         );
     }
-    // The node says what it says under the new key, and believes both.
+    // The node signs with the new key and accepts both.
     let both = Keys::read(&["5c", "4b"].map(|k| k.repeat(32)).join("\n")).unwrap();
-    allocator.line.borrow_mut().reconfigure(2, "tidal", Some(&both));
-    allocator.grant(37);
-    in_force(&allocator, 4);
-    allocator.line.replace(coded(3, "4b"));
-    write_keys(&allocator, &["4b"], 0o640);
+    quota_server.channel.borrow_mut().reconfigure(2, "tidal", Some(&both));
+    quota_server.grant(37);
+    expect_in_force(&quota_server, 4);
+    quota_server.channel.replace(signing_channel(3, "4b"));
+    write_keys(&quota_server, &["4b"], 0o640);
     node.hang_up();
     assert!(node.logs("the old file of budgets stays").contains("0640"));
     node.terminate();
     assert!(node.exit().success());
 }
 
-/// Another file is in force after SIGHUP; one that can't be used changes nothing.
+/// SIGHUP loads a new budgets file; an invalid one leaves the old one in force.
 #[rstest]
-fn a_file_is_read_again_and_a_bad_one_is_not() {
-    let (mut allocator, server) = (Allocator::new("again"), Party::new());
-    let node = allocator.start(&config(&[server.address]));
-    allocator.grant(40);
+fn sighup_loads_a_valid_budgets_file_and_rejects_an_invalid_one() {
+    let (mut quota_server, server) = (TestQuotaServer::new("again"), Party::new());
+    let node = quota_server.start(&config(&[server.address]));
+    quota_server.grant(40);
     node.logs("all are granted");
-    allocator.write(2, "(budget quota:acme (whole 3) (reserve 9))");
+    quota_server.write(2, "(budget quota:acme (whole 3) (reserve 9))");
     node.hang_up();
     assert!(node.logs("the old file of budgets stays").contains(":1:"));
-    allocator.grant(40);
-    assert_eq!(allocator.asked().1, 1);
-    allocator.write(2, "(budget quota:acme (whole 30) (reserve 1))");
+    quota_server.grant(40);
+    assert_eq!(quota_server.receive_claim().1, 1);
+    quota_server.write(2, "(budget quota:acme (whole 30) (reserve 1))");
     node.hang_up();
     node.logs("version 2");
-    let ((), _) = allocator.hears(|w| matches!(w, Message::Ask { plan: 2, .. }).then_some(()));
+    let ((), _) = quota_server
+        .receive_matching(|message| matches!(message, Message::Ask { plan: 2, .. }).then_some(()));
 }
 
-/// The next process asks as another life while the old one serves what it has, and gets the address with the reserve once the
-/// old one has let go of it.
+/// In a hot restart the next process claims under its own incarnation while the old one keeps its grant, and takes over the node's
+/// address and reserve when the old one releases them.
 #[rstest]
-fn a_process_that_takes_over_is_another_life() {
-    let (mut allocator, server) = (Allocator::new("next"), Party::new());
+fn hot_restart_claims_under_a_new_incarnation() {
+    let (mut quota_server, server) = (TestQuotaServer::new("next"), Party::new());
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
-    let mut old = allocator.start(&config);
-    old.logs("this process is n0");
-    let first = allocator.grant(20);
-    config["listen"] = json!(old.address.to_string());
-    let path = meeting_place().join(format!("shorepath-{}.sock", old.address));
+    let mut old_node = quota_server.start(&config);
+    old_node.logs("this process is n0");
+    let first_incarnation = quota_server.grant(20);
+    config["listen"] = json!(old_node.address.to_string());
+    let socket_path = meeting_place().join(format!("shorepath-{}.sock", old_node.address));
     let begin = Instant::now();
-    while !path.exists() {
+    while !socket_path.exists() {
         assert!(begin.elapsed() < LONG);
     }
-    let new = allocator.start(&config);
-    let mut lives = vec![first];
-    while lives.iter().all(|l| *l == first) {
-        lives.push(allocator.grant(10));
+    let new_node = quota_server.start(&config);
+    let mut incarnations = vec![first_incarnation];
+    while incarnations.iter().all(|i| *i == first_incarnation) {
+        incarnations.push(quota_server.grant(10));
     }
-    old.logs("the next process takes clients");
-    new.logs("this process is n0");
-    old.terminate();
-    assert!(old.exit().success());
-    assert!(lives.iter().all(|l| l.node == first.node));
+    old_node.logs("the next process takes clients");
+    new_node.logs("this process is n0");
+    old_node.terminate();
+    assert!(old_node.exit().success());
+    assert!(incarnations.iter().all(|i| i.node == first_incarnation.node));
 }
 
 #[rstest]
-fn what_can_not_be_shared_is_said_in_a_line() {
-    let allocator = Allocator::new("line");
+fn invalid_budgets_files_and_unreachable_quota_servers_are_reported() {
+    let quota_server = TestQuotaServer::new("line");
     let text = config(&[]).to_string();
-    let run = |messages: &[&str]| {
-        let output = command(messages, &text).output().unwrap();
+    let run = |arguments: &[&str]| {
+        let output = command(arguments, &text).output().unwrap();
         (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
     };
-    let file = allocator.file.to_str().unwrap();
-    allocator.write(1, "(budget quota:nobody (whole 50))");
-    let (code, notified) = run(&[PROGRAM, "check", "--budgets", file]);
-    assert!(code == Some(1) && notified.contains("nothing here is bounded by quota:nobody"), "{notified}");
+    let file = quota_server.budgets_file.to_str().unwrap();
+    quota_server.write(1, "(budget quota:nobody (whole 50))");
+    let (code, stderr) = run(&[PROGRAM, "check", "--budgets", file]);
+    assert!(code == Some(1) && stderr.contains("nothing here is bounded by quota:nobody"), "{stderr}");
     let other = text.replace("\"n0\"", "\"n9\"");
     let output = command(&[PROGRAM, "serve", "--budgets", file], &other).output().unwrap();
-    let notified = String::from_utf8_lossy(&output.stderr);
-    assert!(output.status.code() == Some(1) && notified.contains("n9 is no (node ...)"), "{notified}");
-    let (code, notified) = run(&[PROGRAM, "budgets", "status", "--budgets", file]);
-    assert!(code == Some(1) && notified.contains("no divider answers"), "{notified}");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert!(output.status.code() == Some(1) && stderr.contains("n9 is no (node ...)"), "{stderr}");
+    let (code, stderr) = run(&[PROGRAM, "budgets", "status", "--budgets", file]);
+    assert!(code == Some(1) && stderr.contains("no divider answers"), "{stderr}");
 }
 
-/// What operators are told: where units are, and why a node has what it has.
+/// `budgets status` and `budgets explain` print where the units of a budget are and why a node has its part.
 #[rstest]
-fn operators_see_where_budgets_are() {
+fn budgets_commands_print_status_and_explanation() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let file = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-seen.sexp", std::process::id()));
-    let places = format!("(divider d0 \"{address}\") (node n0 \"127.0.0.1:1\") (node n1 \"127.0.0.1:2\")");
-    std::fs::write(&file, format!("(budgets {places} (budget probes (whole 9) (reserve 1)))")).unwrap();
+    let members = format!("(divider d0 \"{address}\") (node n0 \"127.0.0.1:1\") (node n1 \"127.0.0.1:2\")");
+    std::fs::write(&file, format!("(budgets {members} (budget probes (whole 9) (reserve 1)))")).unwrap();
     let part = |node: &str, amount, demand, is_suspected: bool| PartStatus {
         node: node.into(),
         incarnation: 255,
@@ -349,27 +364,27 @@
         members: vec![("n1".into(), "suspect".into(), 2_000_000)],
         refused: vec![("a word that was heard before".into(), 3)],
     };
-    let answer = json!({"Status": status}).to_string();
+    let reply = json!({"Status": status}).to_string();
     let serving = std::thread::spawn(move || {
         for _ in 0..3 {
             let (mut stream, _) = listener.accept().unwrap();
             let mut head = [0; 4];
             stream.read_exact(&mut head).unwrap();
-            let mut question = vec![0; u32::from_be_bytes(head) as usize];
-            stream.read_exact(&mut question).unwrap();
-            assert_eq!(question, b"\"Status\"");
-            stream.write_all(&(answer.len() as u32).to_be_bytes()).unwrap();
-            stream.write_all(answer.as_bytes()).unwrap();
+            let mut request = vec![0; u32::from_be_bytes(head) as usize];
+            stream.read_exact(&mut request).unwrap();
+            assert_eq!(request, b"\"Status\"");
+            stream.write_all(&(reply.len() as u32).to_be_bytes()).unwrap();
+            stream.write_all(reply.as_bytes()).unwrap();
         }
     });
-    let ask = |messages: &[&str]| {
+    let run = |arguments: &[&str]| {
         let mut command = Command::new(PROGRAM);
-        command.arg("budgets").args(messages).arg("--budgets").arg(&file).stderr(Stdio::inherit());
+        command.arg("budgets").args(arguments).arg("--budgets").arg(&file).stderr(Stdio::inherit());
         let output = command.output().unwrap();
         assert!(output.status.success());
         String::from_utf8(output.stdout).unwrap()
     };
-    let notified = ask(&["status"]);
+    let stdout = run(&["status"]);
     for wanted in [
         "fleet 77",
         "version 3",
@@ -379,31 +394,29 @@
         "n1 suspect for 2.0 s",
         "3 dropped: a word that was heard",
     ] {
-        assert!(notified.contains(wanted), "{wanted}: {notified}");
+        assert!(stdout.contains(wanted), "{wanted}: {stdout}");
     }
-    let figures: serde_json::Value = serde_json::from_str(&ask(&["status", "--json"])).unwrap();
+    let figures: serde_json::Value = serde_json::from_str(&run(&["status", "--json"])).unwrap();
     assert_eq!(figures["budgets"][0]["in_doubt"], 5);
-    let notified = ask(&["explain", "probes"]);
-    assert!(notified.contains("n0/ff: 2 of probes") && notified.contains("5 are held back"), "{notified}");
-    assert!(
-        notified.contains("n1/ff") && notified.contains("until its grants have surely ended"),
-        "{notified}"
-    );
+    let stdout = run(&["explain", "probes"]);
+    assert!(stdout.contains("n0/ff: 2 of probes") && stdout.contains("5 are held back"), "{stdout}");
+    assert!(stdout.contains("n1/ff") && stdout.contains("until its grants have surely ended"), "{stdout}");
     serving.join().unwrap();
 }
 
-/// A call to discovery that waits for a unit is wanted until it is made, whatever became of the first asking; in the rig a node without a
-/// unit called after nine seconds. Guards against one that waits for the turn of those that want nothing.
+/// Guards against a waiting discovery call whose later claims ask for nothing, so that its unit comes with the idle nodes' grants.
 #[rstest]
-fn a_call_to_discovery_is_wanted_for_as_long_as_it_waits() {
-    let (mut allocator, server, discovery) = (Allocator::new("lists"), Party::new(), Party::new());
-    allocator.write(1, "(budget lists (whole 2))");
-    let node = allocator.start(&crate::following(&[server.address], &discovery));
-    allocator.hears(|w| matches!(w, Message::Ask { claims, .. } if claims[0].demand > 0).then_some(()));
+fn waiting_discovery_call_claims_a_unit_until_it_is_made() {
+    let (mut quota_server, server, discovery) = (TestQuotaServer::new("lists"), Party::new(), Party::new());
+    quota_server.write(1, "(budget lists (whole 2))");
+    let node = quota_server.start(&crate::following(&[server.address], &discovery));
+    quota_server.receive_matching(|message| {
+        matches!(message, Message::Ask { claims, .. } if claims[0].demand > 0).then_some(())
+    });
     for k in 0..10 {
-        assert!(allocator.asked().2.demand > 0, "asking {k} after the first one wants nothing");
+        assert!(quota_server.receive_claim().2.demand > 0, "claim {k} after the first one has no demand");
     }
-    allocator.grant(2);
+    quota_server.grant(2);
     node.logs("all are granted");
     assert!(discovery.accept().message().first.starts_with("GET /catalog/members"));
 }
--- a/tests/node/rare.rs
+++ b/tests/node/rare.rs
@@ -1,7 +1,7 @@
 //! Orderings that come up once in thousands of requests, each made to come up every time.
 
 use crate::notified::Failure;
-use crate::sites::comes;
+use crate::sites::accept_job;
 use crate::stopping::until;
 use crate::support::*;
 use crate::written::{keyed, patient, seconds, AdminServer, FULL};
@@ -505,7 +505,7 @@
     for id in ["a", "b"] {
         let result = format!("{id}: \"é\u{1f600}\\\n\" {}", "0123456789".repeat(5));
         client.send(&job(id, "/zone-plan", "30000m", ""));
-        let mut backend = comes(&server, kept.take());
+        let mut backend = accept_job(&server, kept.take());
         assert_eq!(backend.id(), id);
         let lines = [
             json!({"id": id, "from": "s", "state": "started"}),
--- a/tests/node/sites.rs
+++ b/tests/node/sites.rs
@@ -1,4 +1,4 @@
-//! Nodes of several sites: two processes of the program, with the operators' files between them.
+//! Nodes of several sites: placements, accounts and their configuration files, with a real process per node.
 
 pub use crate::support::site_files::{sign, Files, KEY};
 use crate::support::*;
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Wait until an operator is told that.
-pub fn shows(node: &Node, text: &str) {
+/// Waits until `/ops/sites` contains the text.
+pub fn wait_for_sites_page(node: &Node, text: &str) {
     let begin = Instant::now();
     loop {
         let mut operator = node.operator();
@@ -24,29 +24,30 @@
     }
 }
 
-/// What an operator is told of the history that a node has.
+/// Returns the figures of `/ops/sites` that identify the placement history of a node.
 fn history(node: &Node) -> String {
     let mut operator = node.operator();
     operator.send("GET /ops/sites HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n");
     let text = operator.message().body;
     let line = text.lines().find(|l| l.starts_with("placements")).unwrap().to_string();
-    let of = |w: &&str| ["all=", "sealed=", "digest="].iter().any(|name| w.starts_with(name));
-    line.split(' ').filter(of).collect::<Vec<_>>().join(" ")
+    let is_identifying =
+        |field: &&str| ["all=", "sealed=", "digest="].iter().any(|name| field.starts_with(name));
+    line.split(' ').filter(is_identifying).collect::<Vec<_>>().join(" ")
 }
 
-/// A server that serves all that comes.
-pub fn serves(mut peer: Peer) {
+/// Serves every request on a connection.
+pub fn serve_all(mut peer: Peer) {
     while peer.goes_on() {
         let id = peer.id();
         peer.serve(&id, "1");
     }
 }
 
-/// The connection on which a job comes: a new one, or one that was kept.
-pub fn comes(server: &Party, mut kept: Option<Peer>) -> Peer {
+/// Returns the connection on which the next job arrives: a new one, or the kept one.
+pub fn accept_job(server: &Party, mut kept: Option<Peer>) -> Peer {
     let begin = Instant::now();
     loop {
-        assert!(begin.elapsed() < LONG, "nobody came");
+        assert!(begin.elapsed() < LONG, "no job arrived");
         if let Some(peer) = server.came() {
             return peer;
         }
@@ -58,14 +59,15 @@
     kept.take().unwrap_or_else(|| server.accept())
 }
 
+/// Returns the status and the `Refused-Because` field of a response.
 pub fn refusal(answer: &Message) -> (u16, Option<&str>) {
     (answer.status(), answer.field("Refused-Because"))
 }
 
-/// The file that closes an account is handed to one node alone. The other refuses the account's new work as well; what either had taken
-/// runs to its one final answer, and so does a client's repeat of it. Reopened, the account is served again.
+/// One node gets the file that closes an account: both nodes reject new jobs of the account, finish running ones and their retries,
+/// and serve the account again after it is reopened.
 #[rstest]
-fn new_work_of_a_closing_account_is_refused_at_both_sites_and_running_work_is_finished() {
+fn closing_an_account_rejects_new_jobs_at_both_sites_and_finishes_running_ones() {
     let (files, servers) = (Files::new("closing"), [Party::new(), Party::new()]);
     let nodes = [0, 1].map(|k| files.start(k, &servers[k]));
     nodes.iter().for_each(|n| drop(n.logs("standing is confirmed")));
@@ -83,7 +85,7 @@
     for k in 0..2 {
         backends[k].serve(&format!("before-{k}"), "done");
         assert_eq!(clients[k].message().body, "done");
-        // A client's repeat under the id of what was taken is running work; one of what was refused is not.
+        // A retry of an accepted job's id counts as running work; a retry of a rejected job does not.
         let mut again = nodes[k].ask(&format!("before-{k}"), "/zone-plan");
         assert_eq!(backends[k].message().field("Request-Id"), Some(format!("before-{k}").as_str()));
         backends[k].serve(&format!("before-{k}"), "again");
@@ -102,14 +104,14 @@
     assert!(servers.iter().all(|s| s.is_left_alone()));
 }
 
-/// Work that another node took before an account was closed is running work here as well, once its placement is known here: a guarded repeat
-/// is told what became of it, a free one is served. Nothing else is.
+/// A job that another node accepted before the account closed counts as running work once its placement is known: a guarded retry
+/// gets the job's outcome and a free one is served. New jobs are rejected.
 #[rstest]
-fn a_repeat_of_running_work_is_known_at_other_nodes() {
+fn retry_of_a_job_accepted_by_another_node_is_allowed_for_a_closing_account() {
     let (files, servers) = (Files::new("elsewhere"), [Party::new(), Party::new()]);
     let nodes = [0, 1].map(|k| files.start(k, &servers[k]));
     nodes.iter().for_each(|n| drop(n.logs("standing is confirmed")));
-    servers.into_iter().for_each(|s| s.attended(serves));
+    servers.into_iter().for_each(|s| s.attended(serve_all));
     let mut guarded = nodes[0].ask("guarded", "/actuator-cmd");
     let mut free = nodes[0].ask("free", "/zone-plan");
     assert_eq!((guarded.message().status(), free.message().status()), (200, 200));
@@ -127,17 +129,19 @@
             if refusal(&answer) == wanted {
                 break;
             }
-            // Until its placement is known here it is new.
-            let notified = [(403, Some("account closing")), (502, Some("may have run"))];
-            assert!(notified.contains(&refusal(&answer)) && begin.elapsed() < LONG, "{id}: {answer:?}");
+            // Before the placement arrives the job counts as new.
+            let may_come_before = [(403, Some("account closing")), (502, Some("may have run"))];
+            assert!(
+                may_come_before.contains(&refusal(&answer)) && begin.elapsed() < LONG,
+                "{id}: {answer:?}"
+            );
         }
     }
 }
 
-/// A closed account's held work is answered, and files that are not believed change nothing: an older one, one without its code, one under
-/// another key.
+/// Accounts files that are older, that lack their authentication code or whose code does not match are ignored.
 #[rstest]
-fn a_file_of_accounts_that_is_not_believed_changes_nothing() {
+fn old_or_unauthenticated_accounts_files_are_rejected() {
     let (files, server) = (Files::new("believed"), Party::new());
     let node = files.start(0, &server);
     files.accounts(0, 7, "(account acme (standing closed))");
@@ -158,20 +162,20 @@
     assert!(server.is_left_alone());
 }
 
-/// The newest file of sites that was ever in force is remembered: an older one changes nothing, another one of its version neither, nor an
-/// older word that a site is lost; and no node starts by one of them.
+/// A node persists the newest sites file it has used: an older file, a different file of that version and an older declaration of a
+/// lost site are rejected, on SIGHUP and at the next start.
 #[rstest]
-fn an_older_file_of_sites_is_refused_also_by_the_next_process() {
+fn older_sites_file_is_rejected_on_reload_and_after_a_restart() {
     let (files, server) = (Files::new("older"), Party::new());
     files.sites(0, 3, "(lost east (number 4))");
     let mut node = files.start(0, &server);
-    let lost = |node: &Node| {
+    let is_lost = |node: &Node| {
         let mut operator = node.operator();
         operator.send("GET /ops/sites HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n");
         operator.message().body.contains("site east Lost")
     };
     node.logs("site east Lost");
-    for (version, more, notified) in [
+    for (version, clauses, error) in [
         (2, "", "the file has (version 2), and this node has already used version 3"),
         (3, "", "the file differs from the one of (version 3)"),
         (
@@ -180,38 +184,41 @@
             "the file declares east lost by number 3, and number 4 was declared before",
         ),
     ] {
-        files.sites(0, version, more);
+        files.sites(0, version, clauses);
         node.hang_up();
         let line = node.logs("the old files of sites and accounts stay");
-        assert!(line.contains(notified) && line.contains("greater"), "{line}");
-        assert!(lost(&node));
+        assert!(line.contains(error) && line.contains("greater"), "{line}");
+        assert!(is_lost(&node));
     }
     files.sites(0, 4, "");
     node.hang_up();
     node.logs("read again: version 4");
     node.terminate();
     node.exit();
-    let begins = |version, more| {
-        files.sites(0, version, more);
+    let start_error = |version, clauses| {
+        files.sites(0, version, clauses);
         let (file, state) = (files.of(0).join("sites.sexp"), files.of(0).join("state"));
-        let messages =
+        let arguments =
             [PROGRAM, "serve", "--sites", file.to_str().unwrap(), "--state", state.to_str().unwrap()];
-        let out = command(&messages, &config(&[server.address]).to_string()).output().unwrap();
+        let out = command(&arguments, &config(&[server.address]).to_string()).output().unwrap();
         assert!(!out.status.success());
         String::from_utf8_lossy(&out.stderr).to_string()
     };
-    let text = begins(3, "(lost east (number 4))");
-    assert!(text.contains("the file has (version 3), and this node has already used version 4"), "{text}");
-    let text = begins(5, "(lost east (number 4))");
-    assert!(text.contains("the file declares east lost by number 4"), "{text}");
+    let stderr = start_error(3, "(lost east (number 4))");
+    assert!(
+        stderr.contains("the file has (version 3), and this node has already used version 4"),
+        "{stderr}"
+    );
+    let stderr = start_error(5, "(lost east (number 4))");
+    assert!(stderr.contains("the file declares east lost by number 4"), "{stderr}");
     files.sites(0, 5, "(lost east (number 5))");
     let node = files.start(0, &server);
     node.logs("site east Lost");
 }
 
-/// Two files of one version at two sites, and a newer one at one of them: each tells of the other.
+/// Nodes warn about a peer that uses another sites file: a different one of the same version, or another version.
 #[rstest]
-fn nodes_tell_of_other_files_of_sites_than_their_own() {
+fn differing_sites_files_are_logged() {
     let (files, servers) = (Files::new("two-files"), [Party::new(), Party::new()]);
     files.sites(1, 1, "(seal 9 min)");
     let nodes = [0, 1].map(|k| files.start(k, &servers[k]));
@@ -222,32 +229,33 @@
     nodes[0].logs("n1 uses version 2 of the sites file, this node uses 1");
 }
 
-/// Whoever is refused for want of confirmation is told to stay away for as long as the settings allow to advise, if at all.
+/// `Retry-After` on a rejection for an unconfirmed account status stays within the settings, or is left out.
 #[rstest]
-#[case::usual(true, 2_000.0, Some(2.0))]
-#[case::short(true, 300.0, Some(0.3))]
-#[case::never(false, 2_000.0, None)]
-fn who_is_refused_is_advised_as_the_settings_allow(
+#[case::default_limit(true, 2_000.0, Some(2.0))]
+#[case::short_limit(true, 300.0, Some(0.3))]
+#[case::not_allowed(false, 2_000.0, None)]
+fn retry_after_of_an_unconfirmed_account_follows_the_settings(
     #[case] allowed: bool,
-    #[case] most: f64,
-    #[case] advice: Option<f64>,
+    #[case] limit_ms: f64,
+    #[case] retry_after: Option<f64>,
 ) {
-    let files = Files::new(&format!("advice-{allowed}-{most}"));
+    let files = Files::new(&format!("advice-{allowed}-{limit_ms}"));
     files.sites(0, 2, "(credit acme (jobs 8) (reserve 2) (shrink 1 h))");
     let server = Party::new();
     let mut config = config(&[server.address]);
     config["settings"]["allowed"]["retry_after"] = allowed.into();
-    config["settings"]["allowed"]["max_retry_after_ms"] = most.into();
+    config["settings"]["allowed"]["max_retry_after_ms"] = limit_ms.into();
     let node = files.start_with(0, config, &[]);
     let answer = node.ask("a", "/zone-plan").message();
     assert_eq!(refusal(&answer), (503, Some("standing not confirmed")));
-    assert_eq!(answer.field("Retry-After").map(|t| t.parse().unwrap()), advice);
+    assert_eq!(answer.field("Retry-After").map(|t| t.parse().unwrap()), retry_after);
     assert!(server.is_left_alone());
 }
 
-/// A site that is alone begins so much on unconfirmed standing and no more, also after a restart; linked again, all is as before.
+/// An isolated site starts no more jobs on an unconfirmed account status than the credit allows, also across a restart, until it is
+/// connected again.
 #[rstest]
-fn a_site_alone_keeps_to_its_credit_also_over_a_restart() {
+fn isolated_site_stays_within_its_credit_across_a_restart() {
     let (files, servers) = (Files::new("credit"), [Party::new(), Party::new()]);
     for node in 0..2 {
         files.sites(node, 2, "(credit acme (jobs 8) (reserve 2) (shrink 1 h))");
@@ -258,18 +266,18 @@
     drop(other);
     node.logs("standing can't be confirmed");
     let mut backend = None;
-    let mut served = |node: &Node, name: &str| {
-        let mut count = 0;
+    let mut expect_four_served = |node: &Node, name: &str| {
+        let mut served_count = 0;
         for k in 0..10 {
             let id = format!("{name}{k}");
             let mut client = node.ask(&id, "/zone-plan");
             let begin = Instant::now();
-            if count < 4 {
+            if served_count < 4 {
                 let backend = backend.get_or_insert_with(|| servers[0].accept());
                 backend.message();
                 backend.serve(&id, "1");
                 assert_eq!(client.message().status(), 200);
-                count += 1;
+                served_count += 1;
                 continue;
             }
             let answer = client.message();
@@ -278,7 +286,7 @@
             assert!(answer.field("Retry-After").is_some());
         }
     };
-    served(&node, "alone");
+    expect_four_served(&node, "alone");
     node.terminate();
     node.exit();
     drop(node);
@@ -296,22 +304,22 @@
     assert_eq!(client.message().status(), 200);
 }
 
-/// A disk that is full as the node starts, with an empty folder and with one that it has used and left, or was killed with: guarded work is refused, and so is what
-/// needs credit; the rest is served. What was known still is, and once there is room all is as before, without a restart.
+/// With a full disk at start, guarded jobs and jobs on credit are rejected, other jobs are served and stored placements stay known.
+/// Freeing space restores service without a restart.
 #[rstest]
-#[case::empty(false, false)]
-#[case::used(true, false)]
-#[case::killed(true, true)]
-fn a_node_starts_on_a_full_disk_and_recovers_when_there_is_room(#[case] used: bool, #[case] killed: bool) {
+#[case::empty_folder(false, false)]
+#[case::after_shutdown(true, false)]
+#[case::after_kill(true, true)]
+fn node_starts_on_a_full_disk_and_recovers_when_space_is_freed(#[case] used: bool, #[case] killed: bool) {
     let (files, server) = (Files::new(&format!("full-{used}-{killed}")), Party::new());
     files.sites(0, 2, "(credit acme (jobs 8) (reserve 8))");
     files.sites(1, 2, "(credit acme (jobs 8) (reserve 8))");
     let other = files.start(1, &Party::new());
-    // A node keeps its connection for the next job.
+    // The node reuses its connection for the next job.
     let mut backend: Option<Peer> = None;
     let mut serve = |node: &Node, id: &str, class: &str| {
         let mut client = node.ask(id, class);
-        let mut peer = comes(&server, backend.take());
+        let mut peer = accept_job(&server, backend.take());
         assert_eq!(peer.id(), id);
         peer.serve(id, "1");
         assert_eq!(client.message().status(), 200);
@@ -339,19 +347,19 @@
     if used {
         assert_eq!(refusal(&node.ask("before", "/actuator-cmd").message()), (409, Some("served before")));
     }
-    shows(&node, "standing confirmed");
+    wait_for_sites_page(&node, "standing confirmed");
     serve(&node, "free", "/zone-plan");
     drop(other);
-    shows(&node, "standing not confirmed");
+    wait_for_sites_page(&node, "standing not confirmed");
     let answer = node.ask("credit", "/zone-plan").message();
     assert_eq!(refusal(&answer), (503, Some("standing not confirmed, disk not written")));
     node.frees_its_disk();
     node.logs("the disk accepts writes again");
     let other = files.start(1, &Party::new());
-    shows(&node, "standing confirmed");
-    // It was refused, and surely never ran.
+    wait_for_sites_page(&node, "standing confirmed");
+    // The rejected job never ran, so it may be placed now.
     serve(&node, "new", "/actuator-cmd");
-    // What others are told is on the disk: the next process knows it.
+    // A placement that a peer knows is on the disk, so the next process knows it.
     let begin = Instant::now();
     while refusal(&other.ask("new", "/actuator-cmd").message()) != (409, Some("served before")) {
         assert!(begin.elapsed() < LONG);
@@ -365,54 +373,50 @@
     assert!(server.is_left_alone());
 }
 
-/// A folder that another process has, a file that lists somebody else, keys that others may read: each ends the start with one line.
+/// A node that the sites file does not list, a readable key file and a state folder in use by another process fail the start.
 #[rstest]
-#[case::unlisted("n7", 0o600, "n7 is no (node ...) of a site")]
-#[case::open_key("n0", 0o644, "others may read or change it")]
-#[case::second("n0", 0o600, "another process has it")]
-fn a_node_that_can_not_take_part_does_not_start(
-    #[case] name: &str,
-    #[case] mode: u32,
-    #[case] notified: &str,
-) {
-    let (files, server) = (Files::new(&format!("start-{name}-{mode}-{}", notified.len())), Party::new());
+#[case::unlisted_node("n7", 0o600, "n7 is no (node ...) of a site")]
+#[case::readable_key("n0", 0o644, "others may read or change it")]
+#[case::folder_in_use("n0", 0o600, "another process has it")]
+fn invalid_node_setup_fails_the_start(#[case] name: &str, #[case] mode: u32, #[case] error: &str) {
+    let (files, server) = (Files::new(&format!("start-{name}-{mode}-{}", error.len())), Party::new());
     let _first = files.start(0, &server);
     std::fs::set_permissions(files.of(0).join("fleet.key"), std::fs::Permissions::from_mode(mode)).unwrap();
     let mut config = config(&[server.address]);
     config["name"] = name.into();
     let (file, state) = (files.of(0).join("sites.sexp"), files.of(0).join("state"));
-    let messages = [PROGRAM, "serve", "--sites", file.to_str().unwrap(), "--state", state.to_str().unwrap()];
-    let out = command(&messages, &config.to_string()).output().unwrap();
-    let text = String::from_utf8_lossy(&out.stderr);
-    assert!(!out.status.success() && text.contains(notified), "{text}");
+    let arguments = [PROGRAM, "serve", "--sites", file.to_str().unwrap(), "--state", state.to_str().unwrap()];
+    let out = command(&arguments, &config.to_string()).output().unwrap();
+    let stderr = String::from_utf8_lossy(&out.stderr);
+    assert!(!out.status.success() && stderr.contains(error), "{stderr}");
 }
 
-/// The whole is checked before it is put into service, and what the settings don't know is named.
+/// `check` validates the sites and accounts files and names what the settings do not define.
 #[rstest]
-#[case::good("", "", true, "east: 1 nodes, bears 100 a second")]
-#[case::strange_tenant("(credit fyn (jobs 8))", "", false, "the settings know nothing of fyn")]
-#[case::strange_class("(home valve)", "", false, "the settings know nothing of valve")]
-#[case::twice("(site east (node n1 \"127.0.0.1:1\"))", "", false, "sites.sexp:3:")]
-#[case::accounts("", "(account acme (standing shut))", false, "accounts.sexp:1:")]
-fn check_tells_what_is_wrong_with_the_files(
+#[case::valid("", "", true, "east: 1 nodes, bears 100 a second")]
+#[case::unknown_tenant("(credit fyn (jobs 8))", "", false, "the settings know nothing of fyn")]
+#[case::unknown_class("(home valve)", "", false, "the settings know nothing of valve")]
+#[case::duplicate_site("(site east (node n1 \"127.0.0.1:1\"))", "", false, "sites.sexp:3:")]
+#[case::unknown_account_status("", "(account acme (standing shut))", false, "accounts.sexp:1:")]
+fn check_reports_errors_in_sites_and_accounts_files(
     #[case] sites: &str,
     #[case] accounts: &str,
-    #[case] good: bool,
-    #[case] notified: &str,
+    #[case] is_valid: bool,
+    #[case] expected: &str,
 ) {
     let files = Files::new(&format!("check-{}-{}", sites.len(), accounts.len()));
     files.sites(0, 1, sites);
     files.accounts(0, 1, accounts);
     let file = files.of(0).join("sites.sexp");
-    let messages = [PROGRAM, "check", "--sites", file.to_str().unwrap()];
-    let out = command(&messages, &config(&[]).to_string()).output().unwrap();
+    let arguments = [PROGRAM, "check", "--sites", file.to_str().unwrap()];
+    let out = command(&arguments, &config(&[]).to_string()).output().unwrap();
     let text = String::from_utf8_lossy(&out.stdout) + String::from_utf8_lossy(&out.stderr);
-    assert!(out.status.success() == good && text.contains(notified), "{text}");
+    assert!(out.status.success() == is_valid && text.contains(expected), "{text}");
 }
 
-/// The files that operators begin with, once they have made a key and signed them.
+/// The example files in `deploy/` are valid once they are signed.
 #[test]
-fn check_takes_the_files_to_begin_with() {
+fn check_accepts_the_example_files() {
     let files = Files::new("deploy");
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy");
     for name in ["sites.sexp", "accounts.sexp"] {
@@ -430,16 +434,16 @@
     let tenant = |name| serde_json::json!({"name": name, "portion": 0.5, "quota_rps": 50.0});
     config["settings"]["projects"] = ["fyn-gartnerier", "sjaelland-syd"].map(tenant).to_vec().into();
     let file = files.of(0).join("sites.sexp");
-    let messages = [PROGRAM, "check", "--sites", file.to_str().unwrap()];
-    let out = command(&messages, &config.to_string()).output().unwrap();
+    let arguments = [PROGRAM, "check", "--sites", file.to_str().unwrap()];
+    let out = command(&arguments, &config.to_string()).output().unwrap();
     let text = String::from_utf8_lossy(&out.stdout) + String::from_utf8_lossy(&out.stderr);
     assert!(out.status.success() && text.contains("sjaelland-syd: Closing by file 12"), "{text}");
 }
 
-/// What must not run twice is not run twice: a repeat of what was served, of what may have run, and of what was on its way when the
-/// process was killed. What surely never ran may be asked for again.
+/// A guarded key is not placed again after it was served, may have run, or was in flight when the process was killed; another process
+/// and another site know it, too.
 #[rstest]
-fn a_guarded_key_is_not_placed_again_also_by_the_next_process() {
+fn guarded_key_is_not_placed_twice_across_restarts_and_sites() {
     let (files, server) = (Files::new("guarded"), Party::new());
     let other = files.start(1, &Party::new());
     let node = files.start(0, &server);
@@ -460,8 +464,8 @@
     assert_eq!(client.message().status(), 200);
     assert_eq!(refusal(&ask(&node, "served-again").message()), (409, Some("served before")));
     let mut client = ask(&node, "lost");
-    // Not where an answer has just come, a second one could be taken for this one's; where that is some time ago, there.
-    let mut backend = comes(&server, Some(backend));
+    // The job arrives on the kept connection or on a new one, by how recently the kept one was used.
+    let mut backend = accept_job(&server, Some(backend));
     backend.message();
     drop(backend);
     assert_eq!(client.message().status(), 502);
@@ -469,18 +473,18 @@
     let mut client = ask(&node, "killed");
     let mut backend = server.accept();
     backend.message();
-    // Not by SIGTERM: it has no time to write anything more.
+    // Dropping the node kills it, so that it can't write anything more.
     drop(node);
     assert!(client.ended());
     let node = files.start(0, &server);
     node.logs("guarded work is taken");
-    for (id, notified) in [
+    for (id, expected) in [
         ("served", (409, "served before")),
         ("lost", (502, "may have run")),
         ("killed", (502, "may have run")),
     ] {
         let answer = ask(&node, &format!("{id}-later")).message();
-        assert_eq!(refusal(&answer), (notified.0, Some(notified.1)), "{id}");
+        assert_eq!(refusal(&answer), (expected.0, Some(expected.1)), "{id}");
     }
     let mut client = ask(&node, "new");
     let mut backend = server.accept();
@@ -488,23 +492,23 @@
     backend.serve("new", "1");
     assert_eq!(client.message().status(), 200);
     assert!(server.is_left_alone());
-    // The other site was told meanwhile: it does not place them either, and both have one history.
+    // The other site has received the history and does not place these keys either.
     let begin = Instant::now();
-    // Four placements and their ends.
+    // Four placements and their outcomes.
     while history(&node) != history(&other) || !history(&node).starts_with("all=8 ") {
         assert!(begin.elapsed() < LONG, "{} and {}", history(&node), history(&other));
     }
     for id in ["served", "lost", "killed", "new"] {
         let answer = ask(&other, &format!("{id}-elsewhere")).message();
-        let notified =
+        let expected =
             if ["served", "new"].contains(&id) { (409, "served before") } else { (502, "may have run") };
-        assert_eq!(refusal(&answer), (notified.0, Some(notified.1)), "{id}");
+        assert_eq!(refusal(&answer), (expected.0, Some(expected.1)), "{id}");
     }
 }
 
-/// What is old and known at all sites is dropped, at both in the same way; what must not run twice stays known, also by the next process.
+/// Log entries that all sites have are sealed in the same way at each; guarded keys stay known, also after a restart.
 #[rstest]
-fn what_all_sites_have_is_sealed_and_guarded_keys_stay_known() {
+fn sealing_the_history_retains_guarded_keys() {
     let (files, servers) = (Files::new("seal"), [Party::new(), Party::new()]);
     (0..2).for_each(|k| files.sites(k, 2, "(seal 300 ms)"));
     let [node, other] = [0, 1].map(|k| files.start(k, &servers[k]));
@@ -539,7 +543,7 @@
     }
 }
 
-/// Datagrams to a node, over a link that can be cut. It ends with this.
+/// Forwards datagrams to a node until it is dropped; can be cut.
 struct Link {
     address: SocketAddr,
     cut: Arc<AtomicBool>,
@@ -558,7 +562,7 @@
             while !over.load(Ordering::Relaxed) {
                 if let Ok((n, _)) = socket.recv_from(&mut buffer) {
                     if !cut.load(Ordering::Relaxed) {
-                        // Nobody may be there.
+                        // The target may not be running.
                         let _ = socket.send_to(&buffer[..n], target);
                     }
                 }
@@ -574,11 +578,10 @@
     }
 }
 
-/// The cut comes between two nodes of one site: one is told that an account closes, the other is not, and stands alone while the account
-/// is closed, reopened and closed once more. It goes on by what it knew; linked again it knows the last word, what it began meanwhile is
-/// named, and what ran is finished.
+/// A node that is partitioned while an account closes, reopens and closes goes on with the status it knew. Connected again, it adopts
+/// the newest status, jobs that it started meanwhile are logged, and running jobs finish.
 #[rstest]
-fn an_account_closed_reopened_and_closed_while_a_node_stands_alone() {
+fn partitioned_node_catches_up_with_account_status_changes() {
     let files = Files::new("cut-between");
     let links: Vec<Vec<Link>> =
         (0..3).map(|_| (0..3).map(|to| Link::to(files.address(to))).collect()).collect();
@@ -606,27 +609,27 @@
     assert_eq!(backend.id(), "running");
     cut(true);
     nodes[2].logs("standing can't be confirmed");
-    for (number, standing, notified) in
+    for (number, account_status, status_name) in
         [(2, "closing", "Closing"), (3, "reopened", "Reopened"), (4, "closing", "Closing")]
     {
-        files.accounts(0, number, &format!("(account acme (standing {standing}))"));
+        files.accounts(0, number, &format!("(account acme (standing {account_status}))"));
         nodes[0].hang_up();
         for node in &nodes[..2] {
-            node.logs(&format!("account acme {notified} number={number}"));
+            node.logs(&format!("account acme {status_name} number={number}"));
         }
     }
     let closing = (403, Some("account closing"));
     assert_eq!(refusal(&nodes[1].ask("new-1", "/zone-plan").message()), closing);
-    let mut alone = nodes[2].ask("alone", "/zone-plan");
-    let mut other = comes(&servers[2], None);
+    let mut isolated = nodes[2].ask("alone", "/zone-plan");
+    let mut other = accept_job(&servers[2], None);
     assert_eq!(other.id(), "alone");
     other.serve("alone", "1");
-    assert_eq!(alone.message().status(), 200);
+    assert_eq!(isolated.message().status(), 200);
     cut(false);
     nodes[2].logs("account acme Closing number=4");
     assert_eq!(refusal(&nodes[2].ask("new-2", "/zone-plan").message()), closing);
-    let notified = nodes[0].logs("account acme: work was started after file");
-    assert!(notified.contains("Unaware at east/n2"), "{notified}");
+    let line = nodes[0].logs("account acme: work was started after file");
+    assert!(line.contains("Unaware at east/n2"), "{line}");
     backend.serve("running", "done");
     assert_eq!(running.message().body, "done");
     let begin = Instant::now();
@@ -637,9 +640,9 @@
         let answer = nodes[0].ask("running", "/actuator-cmd").message();
         match refusal(&answer) {
             (409, Some("served before")) => break,
-            // Its end has not come yet.
-            notified => {
-                assert!(notified == (502, Some("may have run")) && begin.elapsed() < LONG, "{notified:?}")
+            // The outcome has not arrived yet.
+            pending => {
+                assert!(pending == (502, Some("may have run")) && begin.elapsed() < LONG, "{pending:?}")
             }
         }
     }
--- a/tests/node/written.rs
+++ b/tests/node/written.rs
@@ -1,7 +1,7 @@
 //! What may have changed between the order to dispatch and the first byte of it: nothing is written that is no longer wanted, that
 //! is too late to be a repeat, or that other settings than its own would allow.
 
-use crate::sites::comes;
+use crate::sites::accept_job;
 use crate::support::*;
 use crate::{following, listing, load, pair, probing, watch};
 use rstest::rstest;
@@ -222,7 +222,7 @@
 /// Nothing of a client that has gone comes over that connection to the server, nor over another: the next job does.
 fn only_the_next_comes(node: &Node, server: &Party, backend: Peer) {
     let mut next = ask(node, "next", "/zone-plan");
-    let mut backend = comes(server, Some(backend));
+    let mut backend = accept_job(server, Some(backend));
     if !backend.goes_on() {
         // The probe before had waited too long for its answer, which ends its connection.
         backend = server.accept();
@@ -523,7 +523,7 @@
     }
     node.stand_still(false);
     let mut next = node.ask("b", "/zone-plan");
-    let mut backend = comes(&server, Some(backend));
+    let mut backend = accept_job(&server, Some(backend));
     assert_eq!(backend.id(), "b");
     backend.serve("b", "2");
     assert_eq!(next.message().body, "2");
@@ -646,7 +646,7 @@
     }
     let never = ["returned", "503"].contains(&notified);
     if never || semantics != "single_shot" {
-        let mut backend = comes(&server, Some(backend));
+        let mut backend = accept_job(&server, Some(backend));
         assert_eq!(backend.id(), "a");
         backend.serve("a", "1");
         assert_eq!(client.message().body, "1");
