--- a/tests/node/key_ownership.rs
+++ b/tests/node/key_ownership.rs
@@ -1,4 +1,4 @@
-//! Guarded keys have one home: two sites with a node each, and a divider of the test's own, which divides as a real one does.
+//! Guarded keys have one owner each: sites with a node each, and a quota server in the test's process that grants the key leases.
 
 use crate::sites::{refusal, Files};
 use crate::support::allocator::divide;
@@ -13,11 +13,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A fleet with a divider that runs until it is dropped.
+/// A fleet with a quota server that runs until it is dropped.
 struct Fleet {
     files: Files,
     budgets: PathBuf,
-    /// It hears nothing and says nothing.
+    /// While set, the quota server ignores messages and sends none.
     silent: Arc<AtomicBool>,
     over: Arc<AtomicBool>,
 }
@@ -27,18 +27,18 @@
         Fleet::of(name, &["west/n0", "east/n1"])
     }
 
-    /// With a budget for each of those homes.
-    fn of(name: &str, ownership: &[&str]) -> Fleet {
+    /// Creates a fleet with a key lease for each of these owners.
+    fn of(name: &str, owners: &[&str]) -> Fleet {
         let mut files = Files::new(&format!("homes-{name}"));
         files.times = "(confirm 1 s) (alone 1 s) (hold 1 s)";
         (0..2).for_each(|node| files.sites(node, 1, ""));
-        let addresses: Vec<SocketAddr> = ownership.iter().map(|_| fresh()).collect();
+        let addresses: Vec<SocketAddr> = owners.iter().map(|_| fresh()).collect();
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-        let own = socket.local_addr().unwrap();
-        let mut text = format!("(budgets (version 1) (term 1 s) (divider d0 \"{own}\")");
-        for (k, (home, address)) in ownership.iter().zip(&addresses).enumerate() {
+        let server_address = socket.local_addr().unwrap();
+        let mut text = format!("(budgets (version 1) (term 1 s) (divider d0 \"{server_address}\")");
+        for (k, (owner, address)) in owners.iter().zip(&addresses).enumerate() {
             text += &format!(" (node n{k} \"{address}\")");
-            text += &format!(" (budget home:{home} (per moment) (whole 1) (longest 500 ms))");
+            text += &format!(" (budget home:{owner} (per moment) (whole 1) (longest 500 ms))");
         }
         text += ")";
         let budgets = files.of(0).join("budgets.sexp");
@@ -54,13 +54,13 @@
         self.files.start_with(node, config, &["--budgets", self.budgets.to_str().unwrap()])
     }
 
-    /// Keys whose home is that node.
+    /// Returns keys that the node owns.
     fn keys(&self, node: usize) -> impl Iterator<Item = String> {
         let text = std::fs::read_to_string(self.files.of(0).join("sites.sexp")).unwrap();
         let plan = shorepath_sites::config::read("t", &text).unwrap();
         let ownership = KeyOwnership::new(0, &plan, &PersistedOwnership::default());
-        let home = ["west/n0", "east/n1", "north/n2"][node];
-        (0..).map(|k| format!("key{k}")).filter(move |key| ownership.home(key) == home)
+        let owner = ["west/n0", "east/n1", "north/n2"][node];
+        (0..).map(|k| format!("key{k}")).filter(move |key| ownership.home(key) == owner)
     }
 }
 
@@ -79,32 +79,32 @@
     client
 }
 
-/// Hand a key in, which a backend server serves.
-fn served(node: &Node, backend: &mut Peer, key: &str) {
+/// Sends a job with the key and serves it from the backend connection.
+fn expect_served(node: &Node, backend: &mut Peer, key: &str) {
     let mut client = ask(node, key);
     let id = backend.id();
     backend.serve(&id, "1");
     assert_eq!(client.message().status(), 200);
 }
 
-/// Ask until a refusal is that one; others than those that pass by themselves must not come.
-fn refused(node: &Node, key: &str, wanted: (u16, &str)) {
+/// Retries a key until it is rejected with the wanted status and reason; it must not be served.
+fn expect_rejected(node: &Node, key: &str, wanted: (u16, &str)) {
     let begin = Instant::now();
     loop {
         let mut client = ask(node, key);
         let answer = client.message();
-        let (status, why) = refusal(&answer);
-        if (status, why) == (wanted.0, Some(wanted.1)) {
+        let (status, reason) = refusal(&answer);
+        if (status, reason) == (wanted.0, Some(wanted.1)) {
             assert_eq!(answer.field("Retry-After").is_some(), status == 503);
             return;
         }
-        assert!(status != 200 && begin.elapsed() < LONG, "{key}: {status} {why:?}, not {wanted:?}");
+        assert!(status != 200 && begin.elapsed() < LONG, "{key}: {status} {reason:?}, not {wanted:?}");
         client.hears_nothing(Duration::from_millis(20));
     }
 }
 
-/// Ask until it is served; refusals that pass by themselves may come before.
-fn placed(node: &Node, key: &str) {
+/// Retries a key until it is served; only 503 may come before.
+fn expect_placed(node: &Node, key: &str) {
     let begin = Instant::now();
     loop {
         let answer = ask(node, key).message();
@@ -115,52 +115,54 @@
     }
 }
 
-const PROVED: &str = "all placements are known";
+/// Logged when a node has all placements of its key range.
+const CAUGHT_UP: &str = "all placements are known";
 
-/// The holder places; the other refuses, with the home's name. Once its lease is over, so does the holder, and places again under the next.
+/// Only the node with the key lease places keys of a range; other nodes reject them with the owner's name. Without a lease nobody
+/// places them.
 #[rstest]
-fn only_the_holder_of_a_range_places_its_keys() {
+fn only_the_lease_holder_places_keys_of_its_range() {
     let (fleet, servers) = (Fleet::new("holder"), [Party::new(), Party::new()]);
     let nodes = [0, 1].map(|k| fleet.start(k, config(&[servers[k].address])));
     nodes[0].logs("a guarded key is placed by the node that holds its range");
-    for (k, home) in ["west/n0", "east/n1"].iter().enumerate() {
-        assert!(nodes[k].logs(PROVED).contains(&format!("home {home} is held")));
+    for (k, owner) in ["west/n0", "east/n1"].iter().enumerate() {
+        assert!(nodes[k].logs(CAUGHT_UP).contains(&format!("home {owner} is held")));
     }
     let mut keys = fleet.keys(0);
     let mut key = || keys.next().unwrap();
     let first = key();
-    refused(&nodes[1], &first, (421, "home west/n0"));
+    expect_rejected(&nodes[1], &first, (421, "home west/n0"));
     let mut client = ask(&nodes[0], &first);
     let mut backend = servers[0].accept();
     let id = backend.id();
     backend.serve(&id, "1");
     assert_eq!(client.message().status(), 200);
-    refused(&nodes[0], &first, (409, "served before"));
-    refused(&nodes[1], &first, (409, "served before"));
-    // What runs when the lease ends is not broken off, and has its one answer.
+    expect_rejected(&nodes[0], &first, (409, "served before"));
+    expect_rejected(&nodes[1], &first, (409, "served before"));
+    // A job that runs when the lease expires goes on and is answered.
     let running = key();
     let mut client = ask(&nodes[0], &running);
     let id = backend.id();
     fleet.silent.store(true, Ordering::Relaxed);
     nodes[0].logs("home west/n0 is not held any more");
-    refused(&nodes[0], &key(), (503, "no lease of west/n0"));
-    refused(&nodes[0], &running, (502, "may have run"));
+    expect_rejected(&nodes[0], &key(), (503, "no lease of west/n0"));
+    expect_rejected(&nodes[0], &running, (502, "may have run"));
     backend.serve(&id, "1");
     assert_eq!(client.message().status(), 200);
-    refused(&nodes[0], &running, (409, "served before"));
+    expect_rejected(&nodes[0], &running, (409, "served before"));
     assert!(servers[1].is_left_alone());
     fleet.silent.store(false, Ordering::Relaxed);
-    nodes[0].logs(PROVED);
-    served(&nodes[0], &mut backend, &key());
+    nodes[0].logs(CAUGHT_UP);
+    expect_served(&nodes[0], &mut backend, &key());
 }
 
-/// A node that is lost: its heir places nothing of it before its lease is over, and nothing afterwards that it may have placed. On its return it
-/// is home again.
+/// The node that takes over a lost node's range places none of the keys that the lost node may have placed; the lost node owns the
+/// range again when it returns.
 #[rstest]
-fn keys_of_a_lost_node_may_have_run_at_its_heir() {
+fn successor_rejects_keys_that_a_lost_node_may_have_placed() {
     let (fleet, servers) = (Fleet::new("lost"), [Party::new(), Party::new()]);
     let [west, east] = [0, 1].map(|k| fleet.start(k, config(&[servers[k].address])));
-    west.logs(PROVED);
+    west.logs(CAUGHT_UP);
     let mut keys = fleet.keys(0);
     let mut key = || keys.next().unwrap();
     let (known, unknown) = (key(), key());
@@ -169,18 +171,18 @@
     let id = backend.id();
     backend.serve(&id, "1");
     assert_eq!(client.message().status(), 200);
-    refused(&east, &known, (409, "served before"));
+    expect_rejected(&east, &known, (409, "served before"));
     drop(west);
     let lines = east.logs_until("home west/n0 is held");
     assert!(lines.iter().any(|l| l.contains("site west Lost")), "{lines:?}");
-    refused(&east, &known, (409, "served before"));
-    refused(&east, &unknown, (502, "may have run"));
+    expect_rejected(&east, &known, (409, "served before"));
+    expect_rejected(&east, &unknown, (502, "may have run"));
     assert!(servers[1].is_left_alone());
     let west = fleet.start(0, config(&[servers[0].address]));
-    // While both ask for it the unit goes round between them; whoever has it places by it.
+    // While both nodes claim the lease it alternates between them, and the current holder places keys.
     east.logs("this node asks for home:east/n1");
-    refused(&east, &unknown, (421, "home west/n0"));
-    west.logs(PROVED);
+    expect_rejected(&east, &unknown, (421, "home west/n0"));
+    west.logs(CAUGHT_UP);
     let mut client = ask(&west, &unknown);
     let mut backend = servers[0].accept();
     let id = backend.id();
@@ -189,12 +191,12 @@
     assert!(servers[1].is_left_alone());
 }
 
-/// A site that an operator declares lost, and that lives, hands its range over; its heir is told all that was placed, and places what was not.
+/// A running site that an operator declares lost hands its range over with all its placements, so that its successor can place new keys.
 #[rstest]
-fn a_site_declared_lost_hands_its_keys_over() {
+fn site_declared_lost_hands_over_its_range() {
     let (fleet, servers) = (Fleet::new("declared"), [Party::new(), Party::new()]);
     let nodes = [0, 1].map(|k| fleet.start(k, config(&[servers[k].address])));
-    nodes.iter().for_each(|n| drop(n.logs(PROVED)));
+    nodes.iter().for_each(|n| drop(n.logs(CAUGHT_UP)));
     let mut keys = fleet.keys(0);
     let mut key = || keys.next().unwrap();
     let known = key();
@@ -209,11 +211,11 @@
     }
     nodes[0].logs("home west/n0 is not held any more");
     let begin = Instant::now();
-    while !nodes[1].logs(PROVED).contains("west/n0") {
+    while !nodes[1].logs(CAUGHT_UP).contains("west/n0") {
         assert!(begin.elapsed() < LONG);
     }
-    refused(&nodes[0], &key(), (421, "home east/n1"));
-    refused(&nodes[1], &known, (409, "served before"));
+    expect_rejected(&nodes[0], &key(), (421, "home east/n1"));
+    expect_rejected(&nodes[1], &known, (409, "served before"));
     let mut client = ask(&nodes[1], &key());
     let mut backend = servers[1].accept();
     let id = backend.id();
@@ -221,44 +223,44 @@
     assert_eq!(client.message().status(), 200);
 }
 
-/// A process that stands still across the end of its lease, while a guarded job waits for its connection, sends nothing of it afterwards.
+/// A process that is paused past the end of its lease does not send a guarded job that was waiting for its connection.
 #[rstest]
-fn nothing_is_sent_once_a_lease_has_ended_in_standstill() {
+fn paused_process_sends_nothing_after_its_lease_expired() {
     let fleet = Fleet::new("still");
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let more = || TcpStream::connect_timeout(&address, Duration::from_millis(200)).ok();
-    let full: Vec<TcpStream> = std::iter::from_fn(more).collect();
-    let own: Vec<SocketAddr> = full.iter().map(|s| s.local_addr().unwrap()).collect();
+    let connect = || TcpStream::connect_timeout(&address, Duration::from_millis(200)).ok();
+    let filling: Vec<TcpStream> = std::iter::from_fn(connect).collect();
+    let filling_addresses: Vec<SocketAddr> = filling.iter().map(|s| s.local_addr().unwrap()).collect();
     let mut settings = config(&[address]);
     settings["settings"]["allowed"]["connect_timeout_ms"] = 4_000.0.into();
     let _other = fleet.start(1, config(&[closed()]));
     let node = fleet.start(0, settings);
-    node.logs(PROVED);
+    node.logs(CAUGHT_UP);
     let mut client = ask(&node, &fleet.keys(0).next().unwrap());
     let begin = Instant::now();
-    let written = || {
+    let placement_recorded = || {
         let mut operator = node.operator();
         operator.send("GET /ops/sites HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n");
         operator.message().body.contains("placements own=1 ")
     };
-    while !written() {
+    while !placement_recorded() {
         assert!(begin.elapsed() < LONG);
     }
-    // Its connection is on the way: the system knows of it, and nobody takes it.
+    // The connection attempt is pending (SYN_SENT): the listener's backlog is full.
     let to = format!(":{:04X} 02 ", address.port());
     while !std::fs::read_to_string("/proc/net/tcp").unwrap().contains(&to) {
         assert!(begin.elapsed() < LONG);
     }
     node.signal(Signal::STOP);
     fleet.silent.store(true, Ordering::Relaxed);
-    // The system makes the connection meanwhile.
+    // The kernel completes the connection while the process is paused.
     listener.set_nonblocking(true).unwrap();
     let mut backend = loop {
         assert!(begin.elapsed() < 2 * LONG, "no connection came up");
         let Ok((stream, from)) = listener.accept() else { continue };
         stream.set_nonblocking(false).unwrap();
-        if !own.contains(&from) {
+        if !filling_addresses.contains(&from) {
             break Peer::new(stream);
         }
     };
@@ -266,32 +268,32 @@
     node.signal(Signal::CONT);
     assert!(backend.ended(), "a job was sent after the lease");
     assert_eq!(client.message().status(), 503);
-    for mut again in listener.incoming().map_while(Result::ok).map(Peer::new) {
-        assert!(again.ended());
+    for mut further in listener.incoming().map_while(Result::ok).map(Peer::new) {
+        assert!(further.ended());
     }
 }
 
-/// Homes and budgets have to name the same nodes, before they are put into service.
+/// `check` requires a key lease budget for each owner in the sites file.
 #[rstest]
-#[case::good("west/n0", true, "would serve")]
-#[case::strange("west/n7", false, "no budget for home:west/n0")]
-fn check_tells_where_homes_and_budgets_differ(
-    #[case] home: &str,
-    #[case] good: bool,
-    #[case] notified: &str,
+#[case::matching("west/n0", true, "would serve")]
+#[case::unknown_node("west/n7", false, "no budget for home:west/n0")]
+fn check_reports_owners_without_a_lease_budget(
+    #[case] owner: &str,
+    #[case] is_valid: bool,
+    #[case] expected: &str,
 ) {
-    let fleet = Fleet::new(&format!("check-{good}"));
-    let text = std::fs::read_to_string(&fleet.budgets).unwrap().replace("west/n0", home);
+    let fleet = Fleet::new(&format!("check-{is_valid}"));
+    let text = std::fs::read_to_string(&fleet.budgets).unwrap().replace("west/n0", owner);
     std::fs::write(&fleet.budgets, text).unwrap();
     let (sites, budgets) = (fleet.files.of(0).join("sites.sexp"), fleet.budgets.to_str().unwrap());
-    let messages = [PROGRAM, "check", "--sites", sites.to_str().unwrap(), "--budgets", budgets];
-    let out = command(&messages, &config(&[]).to_string()).output().unwrap();
+    let arguments = [PROGRAM, "check", "--sites", sites.to_str().unwrap(), "--budgets", budgets];
+    let out = command(&arguments, &config(&[]).to_string()).output().unwrap();
     let text = String::from_utf8_lossy(&out.stdout) + String::from_utf8_lossy(&out.stderr);
-    assert!(out.status.success() == good && text.contains(notified), "{text}");
+    assert!(out.status.success() == is_valid && text.contains(expected), "{text}");
 }
 
-/// A third node joins by a new file of sites, which the nodes are handed one after the other under load: its keys are placed nowhere until
-/// all go by it, all others go on, and none runs twice, whoever is asked for it.
+/// A third node joins under load by a new sites file that reaches one node after the other: keys that move to it are placed nowhere
+/// until all nodes use the file, other keys stay available, and no key runs twice.
 #[rstest]
 fn keys_move_to_a_new_node_and_none_runs_twice() {
     let fleet = Fleet::of("moves", &["west/n0", "east/n1", "north/n2"]);
@@ -312,17 +314,17 @@
         .collect();
     let start = |k: usize| fleet.start(k, config(&[servers[k]]));
     let mut nodes = vec![start(0), start(1)];
-    nodes.iter().for_each(|n| drop(n.logs(PROVED)));
+    nodes.iter().for_each(|n| drop(n.logs(CAUGHT_UP)));
     let third = fleet.files.third();
-    // Clients ask every node for every key, at once.
-    let over = Arc::new(AtomicBool::new(false));
-    let next = Arc::new(AtomicUsize::new(0));
-    let load = |node: &Node, behind: usize| {
-        let (over, next, address) = (over.clone(), next.clone(), node.address);
+    // Clients send every key to every node concurrently.
+    let is_done = Arc::new(AtomicBool::new(false));
+    let next_key = Arc::new(AtomicUsize::new(0));
+    let load = |node: &Node, offset: usize| {
+        let (is_done, next_key, address) = (is_done.clone(), next_key.clone(), node.address);
         std::thread::spawn(move || {
             let mut count = 0;
-            while !over.load(Ordering::Relaxed) {
-                let key = next.fetch_add(1, Ordering::Relaxed).saturating_sub(behind);
+            while !is_done.load(Ordering::Relaxed) {
+                let key = next_key.fetch_add(1, Ordering::Relaxed).saturating_sub(offset);
                 let Ok(stream) = TcpStream::connect(address) else { continue };
                 let mut client = Peer::new(stream);
                 let tenant = format!("Idempotency-Key: load{key}\r\nTenant:");
@@ -332,7 +334,7 @@
                     client.message();
                 }
                 count += 1;
-                // Not all that the machine can do.
+                // Limits the load.
                 std::thread::sleep(Duration::from_millis(10));
             }
         })
@@ -344,29 +346,29 @@
     fleet.files.sites(0, 2, &third);
     nodes[0].hang_up();
     nodes[0].logs("read again: version 2");
-    let mut moved = fleet.keys(2);
-    let key = moved.next().unwrap();
-    refused(&nodes[2], &key, (503, "home becomes north/n2"));
-    refused(&nodes[0], &key, (421, "home north/n2"));
-    let stays = fleet.keys(0).next().unwrap();
-    // It is home by both files.
-    placed(&nodes[0], &stays);
+    let mut moved_keys = fleet.keys(2);
+    let key = moved_keys.next().unwrap();
+    expect_rejected(&nodes[2], &key, (503, "home becomes north/n2"));
+    expect_rejected(&nodes[0], &key, (421, "home north/n2"));
+    let unmoved_key = fleet.keys(0).next().unwrap();
+    // The node owns this key under both files.
+    expect_placed(&nodes[0], &unmoved_key);
     assert!(ran.lock().unwrap().iter().all(|(server, _)| *server != 2));
     fleet.files.sites(1, 2, &third);
     nodes[1].hang_up();
-    placed(&nodes[2], &key);
-    for key in moved.take(5) {
-        refused(&nodes[1], &key, (421, "home north/n2"));
-        placed(&nodes[2], &key);
-        refused(&nodes[0], &key, (409, "served before"));
+    expect_placed(&nodes[2], &key);
+    for key in moved_keys.take(5) {
+        expect_rejected(&nodes[1], &key, (421, "home north/n2"));
+        expect_placed(&nodes[2], &key);
+        expect_rejected(&nodes[0], &key, (409, "served before"));
     }
-    over.store(true, Ordering::Relaxed);
+    is_done.store(true, Ordering::Relaxed);
     clients.into_iter().for_each(|c| c.join().unwrap());
-    let mut times: BTreeMap<String, Vec<usize>> = BTreeMap::new();
+    let mut servers_by_key: BTreeMap<String, Vec<usize>> = BTreeMap::new();
     for (server, id) in ran.lock().unwrap().iter() {
-        times.entry(id.split('-').next().unwrap().to_string()).or_default().push(*server);
+        servers_by_key.entry(id.split('-').next().unwrap().to_string()).or_default().push(*server);
     }
-    let twice: Vec<_> = times.iter().filter(|(_, servers)| servers.len() > 1).collect();
-    assert!(twice.is_empty(), "{twice:?}");
-    assert!((0..3).all(|k| times.values().any(|servers| servers == &[k])), "{times:?}");
+    let repeated: Vec<_> = servers_by_key.iter().filter(|(_, servers)| servers.len() > 1).collect();
+    assert!(repeated.is_empty(), "{repeated:?}");
+    assert!((0..3).all(|k| servers_by_key.values().any(|servers| servers == &[k])), "{servers_by_key:?}");
 }
--- a/tests/node/recovery.rs
+++ b/tests/node/recovery.rs
@@ -1,4 +1,4 @@
-//! Nodes that lose power together and come back: several processes of the program, killed, with disks of their own.
+//! Recovery after a power loss of several nodes: real processes that are killed and restarted, with a state folder each.
 
 use crate::sites::refusal;
 use crate::support::*;
@@ -13,18 +13,18 @@
 use std::time::{Duration, Instant};
 
 const KEY: &str = "5f0c1d2e3b4a59687786950413223140feedfacecafebeef0011223344556677";
-const CLAUSE: &str = "(recover (outlive 1 s) (peers 1 s) (catch-up 1 s))";
+const RECOVERY_CLAUSE: &str = "(recover (outlive 1 s) (peers 1 s) (catch-up 1 s))";
 
-/// A backend server that serves all it is sent at once, and counts by key what it ran.
-pub struct Stand {
+/// A backend server that serves every request at once and counts the runs of each idempotency key.
+pub struct CountingBackend {
     pub address: SocketAddr,
     runs: Arc<Mutex<BTreeMap<String, u32>>>,
 }
 
-impl Stand {
-    pub fn new() -> Stand {
+impl CountingBackend {
+    pub fn new() -> CountingBackend {
         let (party, runs) = (Party::new(), Arc::new(Mutex::new(BTreeMap::new())));
-        let stand = Stand { address: party.address, runs: runs.clone() };
+        let backend = CountingBackend { address: party.address, runs: runs.clone() };
         party.attended(move |mut peer| {
             while peer.goes_on() {
                 let request = peer.message();
@@ -33,21 +33,21 @@
                 peer.serve(request.field("Request-Id").unwrap(), &format!("did {key}"));
             }
         });
-        stand
+        backend
     }
 
     pub fn runs(&self, key: &str) -> u32 {
         self.runs.lock().unwrap().get(key).copied().unwrap_or(0)
     }
 
-    /// All keys that ran more than once.
-    pub fn twice(&self) -> Vec<(String, u32)> {
+    /// Returns the keys that ran more than once, with their counts.
+    pub fn repeated(&self) -> Vec<(String, u32)> {
         let runs = self.runs.lock().unwrap();
         runs.iter().filter(|(key, n)| **n > 1 && *key != "none").map(|(k, n)| (k.clone(), *n)).collect()
     }
 }
 
-/// Nodes of one site, each with a folder of its own.
+/// Nodes of one site, each with its own state folder.
 pub struct Fleet {
     folder: PathBuf,
     addresses: Vec<SocketAddr>,
@@ -92,9 +92,9 @@
         config["settings"]["projects"][0]["quota_rps"] = 2000.0.into();
         change(&mut config);
         let (file, state) = (self.folder.join("sites.sexp"), self.state(node));
-        let messages =
+        let arguments =
             [PROGRAM, "serve", "-v", "--sites", file.to_str().unwrap(), "--state", state.to_str().unwrap()];
-        (messages.iter().chain(more).map(|w| w.to_string()).collect(), config)
+        (arguments.iter().chain(more).map(|w| w.to_string()).collect(), config)
     }
 
     pub fn start_as(
@@ -104,20 +104,20 @@
         more: &[&str],
         change: impl Fn(&mut serde_json::Value),
     ) -> Node {
-        let (messages, config) = self.command(node, servers, more, change);
-        Node::start_as(&messages.iter().map(String::as_str).collect::<Vec<_>>(), &config)
+        let (arguments, config) = self.command(node, servers, more, change);
+        Node::start_as(&arguments.iter().map(String::as_str).collect::<Vec<_>>(), &config)
     }
 
-    /// What it says where it does not start.
-    fn fails(&self, node: usize, name: &str) -> String {
-        let (messages, config) = self.command(node, &[], &[], |c| c["name"] = name.into());
-        let messages: Vec<&str> = messages.iter().map(String::as_str).collect();
-        let out = command(&messages, &config.to_string()).output().unwrap();
+    /// Starts a node that must fail, and returns its stderr.
+    fn start_error(&self, node: usize, name: &str) -> String {
+        let (arguments, config) = self.command(node, &[], &[], |c| c["name"] = name.into());
+        let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
+        let out = command(&arguments, &config.to_string()).output().unwrap();
         assert!(!out.status.success());
         String::from_utf8_lossy(&out.stderr).into_owned()
     }
 
-    /// Start all, in that order; the nodes by their numbers.
+    /// Starts the nodes in that order and returns them sorted by number.
     pub fn start_all(&self, order: &[usize], servers: &[SocketAddr]) -> Vec<Node> {
         let mut nodes: Vec<(usize, Node)> =
             order.iter().map(|k| (*k, self.start(*k, servers, &[]))).collect();
@@ -125,13 +125,13 @@
         nodes.into_iter().map(|(_, node)| node).collect()
     }
 
-    /// A fleet that begins: an operator says at one node that nothing is missing.
-    pub fn founded(&self, servers: &[SocketAddr]) -> Vec<Node> {
+    /// Starts a new fleet, whose guarded work an operator has to release at one node.
+    pub fn start_new(&self, servers: &[SocketAddr]) -> Vec<Node> {
         let order: Vec<usize> = (0..self.addresses.len()).collect();
         let nodes = self.start_all(&order, servers);
-        until(&nodes[0], "step \"guarded\"");
+        wait_for_recovery_page(&nodes[0], "step \"guarded\"");
         assert_eq!(nodes[0].call("POST", "/ops/recovery/release"), 200);
-        nodes.iter().for_each(|n| until(n, "step \"serving\""));
+        nodes.iter().for_each(|n| wait_for_recovery_page(n, "step \"serving\""));
         nodes
     }
 }
@@ -142,37 +142,37 @@
     }
 }
 
-/// What an operator is told of a node's way back.
-pub fn notified(node: &Node) -> String {
+/// Returns the page `/ops/recovery`.
+pub fn recovery_page(node: &Node) -> String {
     let mut operator = node.operator();
     operator.send("GET /ops/recovery HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n");
     operator.message().body
 }
 
-/// Wait until operators are told that, or that.
-pub fn until(node: &Node, text: &str) {
+/// Waits until `/ops/recovery` contains one of the texts, which are separated by `|`.
+pub fn wait_for_recovery_page(node: &Node, text: &str) {
     let begin = Instant::now();
     loop {
-        let notified = notified(node);
-        if text.split('|').any(|t| notified.contains(t)) {
+        let page = recovery_page(node);
+        if text.split('|').any(|t| page.contains(t)) {
             return;
         }
-        assert!(begin.elapsed() < 2 * LONG, "no {text} in:\n{notified}");
+        assert!(begin.elapsed() < 2 * LONG, "no {text} in:\n{page}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// How many placements a node knows of, its own and others'.
-fn placements(node: &Node) -> u64 {
+/// Returns how many placements a node knows, its own and those of other nodes.
+fn placement_count(node: &Node) -> u64 {
     let mut operator = node.operator();
     operator.send("GET /ops/sites HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n");
-    let notified = operator.message().body;
-    let all = notified.split_whitespace().find_map(|message| message.strip_prefix("all="));
-    all.unwrap_or_else(|| panic!("{notified}")).parse().unwrap()
+    let page = operator.message().body;
+    let all = page.split_whitespace().find_map(|message| message.strip_prefix("all="));
+    all.unwrap_or_else(|| panic!("{page}")).parse().unwrap()
 }
 
-/// Ask for a guarded job under a key, by a request of its own.
-pub fn guarded(node: &Node, key: &str) -> Message {
+/// Sends a guarded job with the key under a new request id and returns the response.
+pub fn send_guarded(node: &Node, key: &str) -> Message {
     static COUNT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     let number = COUNT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     let mut client = node.client();
@@ -181,17 +181,17 @@
     client.message()
 }
 
-/// A fleet that begins can't be told from one that lost all disks: what may be repeated is served, the rest waits for an operator's word, which one
-/// node is told for all. Then all are killed at once, and come back in another order without anybody's help.
+/// A new fleet, which looks like one that lost all its disks, serves guarded work after an operator's release at one node. After a kill
+/// of all nodes it recovers without an operator.
 #[rstest]
-fn a_fleet_begins_by_an_operators_word_and_returns_without_one() {
-    let (fleet, server) = (Fleet::new("steps", 3, CLAUSE), Stand::new());
+fn new_fleet_needs_an_operator_and_a_restarted_one_does_not() {
+    let (fleet, server) = (Fleet::new("steps", 3, RECOVERY_CLAUSE), CountingBackend::new());
     let mut nodes = fleet.start_all(&[0, 1, 2], &[server.address]);
     for node in &nodes {
-        until(node, "step \"guarded\"");
+        wait_for_recovery_page(node, "step \"guarded\"");
         assert_eq!(node.call("GET", "/ops/readiness"), 200);
         assert_eq!(node.ask("free", "/zone-plan").message().status(), 200);
-        let refused = guarded(node, "early");
+        let refused = send_guarded(node, "early");
         assert_eq!(refused.status(), 503);
         assert!(refusal(&refused).1.unwrap().starts_with("recovering: waits for an operator"));
         assert!(refused.field("Retry-After").is_some());
@@ -199,81 +199,78 @@
     assert_eq!(nodes[1].call("POST", "/ops/recovery/release"), 200);
     nodes[1].logs("an operator releases step=\"guarded\"");
     nodes[1].logs("why=\"an operator accepted that records may be missing\" by_hand=true");
-    nodes.iter().for_each(|n| until(n, "step \"serving\""));
-    // What is served needs nobody's word any more.
+    nodes.iter().for_each(|n| wait_for_recovery_page(n, "step \"serving\""));
+    // There is nothing left to release.
     assert_eq!(nodes[1].call("POST", "/ops/recovery/release"), 409);
-    assert_eq!(guarded(&nodes[0], "early").status(), 200);
-    // All are killed before any is back.
+    assert_eq!(send_guarded(&nodes[0], "early").status(), 200);
+    // Kills all nodes before the first restart.
     nodes.clear();
     let nodes = fleet.start_all(&[2, 0, 1], &[server.address]);
     for node in &nodes {
         for step in ["catching up", "guarded", "serving"] {
             node.logs(&format!("recovery step=\"{step}\""));
         }
-        let notified = notified(node);
-        assert!(notified.contains("disk Own") && notified.contains("boots=2 excused=false"), "{notified}");
-        assert!(notified.contains("loss \"of all\""), "{notified}");
+        let page = recovery_page(node);
+        assert!(page.contains("disk Own") && page.contains("boots=2 excused=false"), "{page}");
+        assert!(page.contains("loss \"of all\""), "{page}");
     }
-    // The node that gave the answer gives it again; the others say that it was served, or may have been where they were not told.
-    let answer = guarded(&nodes[0], "early");
+    // The node that served the job repeats its answer; the others know that it was served or may have run.
+    let answer = send_guarded(&nodes[0], "early");
     assert_eq!((answer.status(), answer.body.as_str()), (200, "did early"));
-    let notified = guarded(&nodes[1], "early");
-    assert!([(409, Some("served before")), (502, Some("may have run"))].contains(&refusal(&notified)));
-    assert_eq!(guarded(&nodes[2], "later").status(), 200);
-    assert_eq!((server.runs("early"), server.twice()), (1, Vec::new()));
+    let elsewhere = send_guarded(&nodes[1], "early");
+    assert!([(409, Some("served before")), (502, Some("may have run"))].contains(&refusal(&elsewhere)));
+    assert_eq!(send_guarded(&nodes[2], "later").status(), 200);
+    assert_eq!((server.runs("early"), server.repeated()), (1, Vec::new()));
 }
 
-/// One node of several loses its power, and its disk too: others lived on and remember it, so it does not take up guarded work by itself.
+/// A node that restarts without its disk while its peers run must not take guarded work before an operator releases it.
 #[rstest]
-fn a_node_whose_disk_is_gone_waits_for_an_operator_and_says_so() {
-    let (fleet, server) = (Fleet::new("gone", 3, CLAUSE), Stand::new());
-    let mut nodes = fleet.founded(&[server.address]);
+fn node_with_a_lost_disk_waits_for_an_operator() {
+    let (fleet, server) = (Fleet::new("gone", 3, RECOVERY_CLAUSE), CountingBackend::new());
+    let mut nodes = fleet.start_new(&[server.address]);
     drop(nodes.remove(0));
     std::fs::remove_dir_all(fleet.state(0)).unwrap();
     let node = fleet.start(0, &[server.address], &[]);
-    until(&node, "step \"guarded\"");
-    until(&node, "disk Lost");
-    let notified = notified(&node);
-    assert!(notified.contains("loss \"of this node: others had power\""), "{notified}");
-    assert!(
-        notified.contains("waits_for \"an operator: what must not run twice may be missing"),
-        "{notified}"
-    );
+    wait_for_recovery_page(&node, "step \"guarded\"");
+    wait_for_recovery_page(&node, "disk Lost");
+    let page = recovery_page(&node);
+    assert!(page.contains("loss \"of this node: others had power\""), "{page}");
+    assert!(page.contains("waits_for \"an operator: what must not run twice may be missing"), "{page}");
     assert_eq!(node.ask("free", "/zone-plan").message().status(), 200);
-    assert_eq!(guarded(&node, "k").status(), 503);
-    // Those that lived on serve all the while.
-    assert_eq!(guarded(&nodes[0], "k").status(), 200);
+    assert_eq!(send_guarded(&node, "k").status(), 503);
+    // The running peers keep serving.
+    assert_eq!(send_guarded(&nodes[0], "k").status(), 200);
     assert_eq!(node.call("POST", "/ops/recovery/release"), 200);
-    until(&node, "step \"serving\"");
+    wait_for_recovery_page(&node, "step \"serving\"");
     assert_eq!(server.runs("k"), 1);
 }
 
-/// A disk of some time ago is known by what others remember of its node.
+/// Peers recognize a node that restarts with an older copy of its disk; it does not place guarded keys.
 #[rstest]
-fn an_older_disk_is_not_believed_whole() {
-    let (fleet, server) = (Fleet::new("old", 2, CLAUSE), Stand::new());
-    let mut nodes = fleet.founded(&[server.address]);
+fn node_with_an_older_disk_rejects_guarded_work() {
+    let (fleet, server) = (Fleet::new("old", 2, RECOVERY_CLAUSE), CountingBackend::new());
+    let mut nodes = fleet.start_new(&[server.address]);
     drop(nodes.remove(0));
     let (file, copy) = (fleet.state(0).join("kept.redb"), fleet.state(0).join("copy"));
     std::fs::copy(&file, &copy).unwrap();
     let node = fleet.start(0, &[server.address], &[]);
-    until(&node, "step \"serving\"");
-    assert_eq!(guarded(&node, "k").status(), 200);
+    wait_for_recovery_page(&node, "step \"serving\"");
+    assert_eq!(send_guarded(&node, "k").status(), 200);
     drop(node);
     std::fs::copy(&copy, &file).unwrap();
     let node = fleet.start(0, &[server.address], &[]);
-    until(&node, "disk Old");
-    assert_eq!(guarded(&node, "new").status(), 503);
-    assert!(guarded(&node, "k").status() != 200);
+    wait_for_recovery_page(&node, "disk Old");
+    assert_eq!(send_guarded(&node, "new").status(), 503);
+    assert!(send_guarded(&node, "k").status() != 200);
     assert_eq!((server.runs("k"), server.runs("new")), (1, 0));
 }
 
-/// What was answered once is answered in the same way: to the same tenant, while it is kept, also by the next process.
+/// A stored final answer is repeated for its key, also after a restart, until newer answers displace it.
 #[rstest]
-fn a_final_answer_stays_the_one() {
+fn final_answer_is_repeated_across_a_restart() {
     let clause = "(recover (remember 1 KiB) (answer 100 B) (outlive 1 s) (peers 1 s))";
     let (fleet, server) = (Fleet::new("answers", 2, clause), Party::new());
-    let mut nodes = fleet.founded(&[server.address]);
+    let mut nodes = fleet.start_new(&[server.address]);
     let ask = |node: &Node, id: &str, key: &str| {
         let mut client = node.client();
         let text = job(id, "/actuator-cmd", "5000m", "");
@@ -294,10 +291,10 @@
     backend.state("c", "failed");
     assert_eq!(client.message().status(), 502);
     drop(nodes.remove(0));
-    let stand = Stand::new();
-    let node = fleet.start(0, &[stand.address], &[]);
-    // Also before it serves anything else of that class.
-    until(&node, "step \"guarded\"");
+    let backend = CountingBackend::new();
+    let node = fleet.start(0, &[backend.address], &[]);
+    // Stored answers are available before guarded work is.
+    wait_for_recovery_page(&node, "step \"guarded\"");
     let again = |id: &str, key: &str| {
         let answer = ask(&node, id, key).message();
         (answer.status(), answer.body)
@@ -305,11 +302,11 @@
     assert_eq!(again("d", "short"), (200, "done".to_string()));
     assert_eq!(again("e", "long").0, 409);
     assert_eq!(again("f", "broken"), (502, "failed\n".to_string()));
-    until(&node, "step \"serving\"");
-    // It gives way to newer ones: a kibibyte holds a few. One that is denied for the ramp is asked for again.
+    wait_for_recovery_page(&node, "step \"serving\"");
+    // Newer answers displace it from the store of 1 KiB. Jobs that the recovery ramp rejects are retried.
     for k in 0..20 {
         let begin = Instant::now();
-        while guarded(&node, &format!("newer{k}")).status() != 200 {
+        while send_guarded(&node, &format!("newer{k}")).status() != 200 {
             assert!(begin.elapsed() < LONG, "newer{k} is not served");
         }
     }
@@ -317,35 +314,35 @@
     assert_eq!(again("i", "newer19"), (200, "did newer19".to_string()));
 }
 
-/// Without a list of servers nothing is sent, and the node says what it waits for; peers that are not there hold up guarded work alone.
+/// A recovering node without an endpoint list rejects all jobs and names what it waits for; missing peers delay guarded work only.
 #[rstest]
-fn a_step_says_what_it_waits_for() {
-    let (fleet, server) = (Fleet::new("waits", 2, CLAUSE), Stand::new());
+fn recovery_step_names_what_it_waits_for() {
+    let (fleet, server) = (Fleet::new("waits", 2, RECOVERY_CLAUSE), CountingBackend::new());
     let node = fleet.start(0, &[], &[]);
-    until(&node, "waits_for \"discovery's list\"");
+    wait_for_recovery_page(&node, "waits_for \"discovery's list\"");
     assert_eq!(node.call("GET", "/ops/readiness"), 503);
     let refused = node.ask("a", "/zone-plan").message();
     assert_eq!(refusal(&refused), (503, Some("recovering: waits for discovery's list")));
     drop(node);
     let node = fleet.start(0, &[server.address], &[]);
     node.logs("why=\"peers did not reply in time\"");
-    until(&node, "peer n1 Silent");
-    until(&node, "step \"guarded\"");
+    wait_for_recovery_page(&node, "peer n1 Silent");
+    wait_for_recovery_page(&node, "step \"guarded\"");
     assert_eq!(node.ask("a", "/zone-plan").message().status(), 200);
-    assert_eq!(guarded(&node, "k").status(), 503);
+    assert_eq!(send_guarded(&node, "k").status(), 503);
 }
 
-/// Discovery that answers one watch, tells that list and then nothing.
-fn discovery(revision: u64, members: &[serde_json::Value]) -> SocketAddr {
+/// Starts a discovery service that returns one list and then no changes.
+fn start_discovery(revision: u64, members: &[serde_json::Value]) -> SocketAddr {
     let party = Party::new();
     let address = party.address;
     let list = serde_json::json!({"revision": revision, "complete": true, "members": members}).to_string();
     party.attended(move |mut peer| {
         while peer.goes_on() {
-            let whole = !peer.message().first.contains("watch=1");
+            let wants_list = !peer.message().first.contains("watch=1");
             peer.begin();
-            peer.line(if whole { &list } else { "" });
-            if whole {
+            peer.line(if wants_list { &list } else { "" });
+            if wants_list {
                 peer.send("0\r\n\r\n");
             }
         }
@@ -353,10 +350,10 @@
     address
 }
 
-/// Discovery comes back last: the last list is a beginning, with its age. Its own word is what holds, also where that is an empty list.
+/// A restarted node uses its stored endpoint list until discovery answers; discovery's list replaces it, even an empty one.
 #[rstest]
-fn the_last_list_is_a_beginning_until_discovery_answers() {
-    let (fleet, server) = (Fleet::new("list", 2, CLAUSE), Stand::new());
+fn stored_endpoint_list_is_used_until_discovery_answers() {
+    let (fleet, server) = (Fleet::new("list", 2, RECOVERY_CLAUSE), CountingBackend::new());
     let start = |node: usize, discovery: SocketAddr| {
         let change = |config: &mut serde_json::Value| {
             config["discovery"] = discovery.to_string().into();
@@ -364,229 +361,233 @@
         };
         fleet.start_as(node, &[], &[], change)
     };
-    let notified = discovery(7, &[entry("s-0", server.address, "active")]);
-    // One that begins has no revision to ask for changes of.
+    let discovery_address = start_discovery(7, &[entry("s-0", server.address, "active")]);
+    // A new node has no revision from which to watch for changes.
     let first = [0, 1].map(|k| {
         fleet.start_as(k, &[], &[], |config| {
-            config["discovery"] = notified.to_string().into();
+            config["discovery"] = discovery_address.to_string().into();
             config["known"] = serde_json::json!({"revision": 0, "complete": true, "members": [entry("s-0", server.address, "active")]});
         })
     });
-    until(&first[0], "step \"guarded\"");
+    wait_for_recovery_page(&first[0], "step \"guarded\"");
     assert_eq!(first[0].call("POST", "/ops/recovery/release"), 200);
-    first.iter().for_each(|n| until(n, "step \"serving\""));
-    // The disk has it once its file tells of it.
-    first.iter().for_each(|n| until(n, "list kept"));
+    first.iter().for_each(|n| wait_for_recovery_page(n, "step \"serving\""));
+    // The page reports the list once it is on the disk.
+    first.iter().for_each(|n| wait_for_recovery_page(n, "list kept"));
     drop(first);
     let nodes = [0, 1].map(|k| start(k, closed()));
     for node in &nodes {
-        until(node, "step \"serving\"");
-        until(node, "list \"as a beginning\" age_ms=");
+        wait_for_recovery_page(node, "step \"serving\"");
+        wait_for_recovery_page(node, "list \"as a beginning\" age_ms=");
         assert_eq!(node.ask("a", "/zone-plan").message().status(), 200);
     }
     drop(nodes);
-    let nodes = [0, 1].map(|k| start(k, discovery(1, &[])));
+    let nodes = [0, 1].map(|k| start(k, start_discovery(1, &[])));
     for node in &nodes {
-        until(node, "waits_for \"servers: discovery's list is empty\"");
+        wait_for_recovery_page(node, "waits_for \"servers: discovery's list is empty\"");
         assert_eq!(node.call("GET", "/ops/readiness"), 503);
         assert_eq!(node.ask("b", "/zone-plan").message().status(), 503);
     }
 }
 
-/// What an operator lets go lifts neither the wait for an earlier life nor the epoch.
+/// An operator's release does not skip the wait for what an earlier incarnation may still do.
 #[rstest]
-fn nobody_can_release_the_wait_for_an_earlier_life() {
-    let (fleet, server) = (Fleet::new("outlive", 2, "(recover (outlive 1 h) (peers 1 s))"), Stand::new());
+fn release_does_not_skip_the_wait_for_an_earlier_incarnation() {
+    let (fleet, server) =
+        (Fleet::new("outlive", 2, "(recover (outlive 1 h) (peers 1 s))"), CountingBackend::new());
     let nodes = fleet.start_all(&[0, 1], &[server.address]);
-    until(&nodes[0], "step \"guarded\"");
+    wait_for_recovery_page(&nodes[0], "step \"guarded\"");
     assert_eq!(nodes[0].call("POST", "/ops/recovery/release"), 200);
-    until(&nodes[0], "waits_for \"what an earlier life may still act under to be over\"");
-    until(&nodes[0], "peer n1 Counts");
+    wait_for_recovery_page(&nodes[0], "waits_for \"what an earlier life may still act under to be over\"");
+    wait_for_recovery_page(&nodes[0], "peer n1 Counts");
     assert_eq!(nodes[0].call("POST", "/ops/recovery/release"), 409);
-    assert_eq!(guarded(&nodes[0], "k").status(), 503);
+    assert_eq!(send_guarded(&nodes[0], "k").status(), 503);
     assert_eq!(server.runs("k"), 0);
 }
 
-/// A store that another process has, a copy of another node's disk, and one that may not be written: each ends the start with one line.
+/// A store in use by another process, one that belongs to another node and a read-only one fail the start.
 #[rstest]
-fn a_disk_that_can_not_be_had_ends_the_start() {
-    let (fleet, server) = (Fleet::new("store", 2, CLAUSE), Stand::new());
-    let mut nodes = fleet.founded(&[server.address]);
-    assert!(fleet.fails(0, "n0").contains("another process has it"));
+fn unusable_store_fails_the_start() {
+    let (fleet, server) = (Fleet::new("store", 2, RECOVERY_CLAUSE), CountingBackend::new());
+    let mut nodes = fleet.start_new(&[server.address]);
+    assert!(fleet.start_error(0, "n0").contains("another process has it"));
     nodes.clear();
-    let notified = fleet.fails(0, "n1");
-    assert!(notified.contains("the log belongs to node n0"), "{notified}");
-    // Whoever may do anything is not hindered by the mode.
+    let error = fleet.start_error(0, "n1");
+    assert!(error.contains("the log belongs to node n0"), "{error}");
+    // The mode does not restrict a privileged user.
     let file = fleet.state(0).join("kept.redb");
     std::fs::set_permissions(&file, std::fs::Permissions::from_mode(0o400)).unwrap();
     if std::fs::OpenOptions::new().write(true).open(&file).is_err() {
-        let notified = fleet.fails(0, "n0");
-        assert!(notified.contains("may not be written"), "{notified}");
+        let error = fleet.start_error(0, "n0");
+        assert!(error.contains("may not be written"), "{error}");
     }
 }
 
-/// A clock that is a year off, and one that went backwards: how long the outage was is not known then, and the list is not believed; what
-/// must not run twice does not go by clocks.
+/// After a clock jump of a year, forwards or backwards, the length of the outage is unknown and no guarded key runs twice.
 #[rstest]
-fn a_clock_a_year_off_changes_nothing_of_guarded_work() {
-    let (fleet, server) = (Fleet::new("clock", 2, CLAUSE), Stand::new());
-    let nodes = fleet.founded(&[server.address]);
-    assert_eq!(guarded(&nodes[0], "k").status(), 200);
+fn clock_jump_does_not_affect_guarded_work() {
+    let (fleet, server) = (Fleet::new("clock", 2, RECOVERY_CLAUSE), CountingBackend::new());
+    let nodes = fleet.start_new(&[server.address]);
+    assert_eq!(send_guarded(&nodes[0], "k").status(), 200);
     drop(nodes);
     for offset in ["31536000", "0"] {
         let more = ["--test-clock-offset", offset];
         let nodes = [0, 1].map(|k| fleet.start(k, &[server.address], &more));
         for node in &nodes {
-            until(node, "step \"serving\"");
-            assert!(notified(node).contains("outage unknown"), "{}", notified(node));
+            wait_for_recovery_page(node, "step \"serving\"");
+            assert!(recovery_page(node).contains("outage unknown"), "{}", recovery_page(node));
         }
-        assert_eq!(guarded(&nodes[0], "k").body, "did k");
-        assert_ne!(guarded(&nodes[1], "k").status(), 200);
+        assert_eq!(send_guarded(&nodes[0], "k").body, "did k");
+        assert_ne!(send_guarded(&nodes[1], "k").status(), 200);
     }
-    assert_eq!(server.twice(), []);
+    assert_eq!(server.repeated(), []);
 }
 
-/// A client asks for so many keys at most.
-const MOST_KEYS: u32 = 12;
+/// Limit of the keys that one client sends.
+const MAX_KEYS_PER_CLIENT: u32 = 12;
 
-/// Clients that each ask one node for guarded jobs, each key twice, and note what came.
+/// Clients that each send guarded jobs to one node, each key twice, and record the responses.
 struct Load {
-    ends: Arc<AtomicBool>,
-    clients: Vec<std::thread::JoinHandle<Asked>>,
+    stop_requested: Arc<AtomicBool>,
+    clients: Vec<std::thread::JoinHandle<SentKeys>>,
 }
 
-/// Keys with the node that was asked and the answer that came whole, if one did.
-type Asked = Vec<(String, usize, Option<(u16, String)>)>;
+/// Keys with the number of the node they were sent to and the complete response, if there was one.
+type SentKeys = Vec<(String, usize, Option<(u16, String)>)>;
 
 impl Load {
-    fn begin(doors: &[SocketAddr], round: u32) -> Load {
-        let ends = Arc::new(AtomicBool::new(false));
+    fn begin(addresses: &[SocketAddr], round: u32) -> Load {
+        let stop_requested = Arc::new(AtomicBool::new(false));
         let client = |c: usize| {
-            let (ends, node) = (ends.clone(), c % doors.len());
-            let admin = doors[node];
+            let (stop_requested, node) = (stop_requested.clone(), c % addresses.len());
+            let address = addresses[node];
             std::thread::spawn(move || {
-                let mut all = Asked::new();
-                for n in 0..MOST_KEYS {
+                let mut sent = SentKeys::new();
+                for n in 0..MAX_KEYS_PER_CLIENT {
                     let key = format!("r{round}c{c}n{n}");
-                    for time in 0..2 {
-                        let answer = ask_once(admin, &key, time);
-                        let ended = answer.is_none() || ends.load(Ordering::Relaxed);
-                        all.push((key.clone(), node, answer));
+                    for attempt in 0..2 {
+                        let answer = send_once(address, &key, attempt);
+                        let ended = answer.is_none() || stop_requested.load(Ordering::Relaxed);
+                        sent.push((key.clone(), node, answer));
                         if ended {
-                            return all;
+                            return sent;
                         }
                     }
                 }
-                all
+                sent
             })
         };
-        let clients = (0..2 * doors.len()).map(client).collect();
-        Load { ends, clients }
+        let clients = (0..2 * addresses.len()).map(client).collect();
+        Load { stop_requested, clients }
     }
 
-    fn end(self) -> Asked {
-        self.ends.store(true, Ordering::Relaxed);
+    fn end(self) -> SentKeys {
+        self.stop_requested.store(true, Ordering::Relaxed);
         self.clients.into_iter().flat_map(|c| c.join().unwrap()).collect()
     }
 }
 
-/// The answer, if one came whole.
-fn ask_once(admin: SocketAddr, key: &str, time: u32) -> Option<(u16, String)> {
-    let mut stream = TcpStream::connect(admin).ok()?;
+/// Sends a guarded job and returns the status and body of a complete response.
+fn send_once(address: SocketAddr, key: &str, attempt: u32) -> Option<(u16, String)> {
+    let mut stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(LONG)).ok()?;
-    let text = job(&format!("{key}-{time}"), "/actuator-cmd", "5000m", "");
+    let text = job(&format!("{key}-{attempt}"), "/actuator-cmd", "5000m", "");
     let text = text.replace("Tenant:", &format!("Connection: close\r\nIdempotency-Key: {key}\r\nTenant:"));
     stream.write_all(text.as_bytes()).ok()?;
-    let mut came = String::new();
-    stream.read_to_string(&mut came).ok()?;
-    let (head, body) = came.split_once("\r\n\r\n")?;
+    let mut response = String::new();
+    stream.read_to_string(&mut response).ok()?;
+    let (head, body) = response.split_once("\r\n\r\n")?;
     let length: usize = head.lines().find_map(|l| l.strip_prefix("Content-Length: "))?.parse().ok()?;
     let status = head.split(' ').nth(1)?.parse().ok()?;
     (body.len() == length).then(|| (status, body.to_string()))
 }
 
-/// What a disk is like when its node comes back.
+/// The state of a node's disk at its restart.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Kept {
+enum Disk {
     Own,
     Lost,
     Old,
 }
 
-/// All nodes are killed at once under load, three times, and come back in another order; some without their disk or with an older one. No
-/// guarded job runs twice, each answer that came stays the one at its node, and every node serves all or says why not.
+/// All nodes are killed under load three times and restart in another order, some with a lost or older disk: no guarded job runs twice,
+/// answers are repeated unchanged, and each node serves or reports what it waits for.
 #[rstest]
-#[case::all_keep_their_disks(1, [Kept::Own; 5])]
-#[case::half_of_the_disks_gone(2, [Kept::Lost, Kept::Own, Kept::Lost, Kept::Own, Kept::Own])]
-#[case::one_older_disk(3, [Kept::Own, Kept::Own, Kept::Own, Kept::Old, Kept::Own])]
-#[case::all_but_one_gone(4, [Kept::Lost, Kept::Lost, Kept::Lost, Kept::Lost, Kept::Own])]
-fn a_blackout_under_load_runs_nothing_twice(#[case] seed: u32, #[case] kept: [Kept; 5]) {
+#[case::all_disks_intact(1, [Disk::Own; 5])]
+#[case::two_disks_lost(2, [Disk::Lost, Disk::Own, Disk::Lost, Disk::Own, Disk::Own])]
+#[case::one_disk_older(3, [Disk::Own, Disk::Own, Disk::Own, Disk::Old, Disk::Own])]
+#[case::four_disks_lost(4, [Disk::Lost, Disk::Lost, Disk::Lost, Disk::Lost, Disk::Own])]
+fn power_loss_under_load_runs_no_key_twice(#[case] seed: u32, #[case] disks: [Disk; 5]) {
     let name = format!("blackout{seed}");
-    let (fleet, server) = (Fleet::new(&name, 5, CLAUSE), Stand::new());
-    let mut nodes = fleet.founded(&[server.address]);
+    let (fleet, server) = (Fleet::new(&name, 5, RECOVERY_CLAUSE), CountingBackend::new());
+    let mut nodes = fleet.start_new(&[server.address]);
     for k in 0..5 {
         std::fs::copy(fleet.state(k).join("kept.redb"), fleet.state(k).join("old")).unwrap();
     }
-    // An older disk is known by what others have on theirs of what came later: without that it is the last one.
-    for (k, _) in kept.iter().enumerate().filter(|(_, kept)| **kept == Kept::Old) {
+    // A peer must have stored a later placement of the node; otherwise the copy counts as its newest disk.
+    for (k, _) in disks.iter().enumerate().filter(|(_, disk)| **disk == Disk::Old) {
         let other = &nodes[(k + 1) % 5];
-        let (before, begun) = (placements(other), Instant::now());
-        assert_eq!(guarded(&nodes[k], "newer").status(), 200);
-        while placements(other) == before {
-            assert!(begun.elapsed() < LONG, "nobody hears of it");
+        let (before, begin) = (placement_count(other), Instant::now());
+        assert_eq!(send_guarded(&nodes[k], "newer").status(), 200);
+        while placement_count(other) == before {
+            assert!(begin.elapsed() < LONG, "the placement does not reach the other node");
         }
-        // With its own next one the other writes down what it has heard.
-        assert_eq!(guarded(other, "next").status(), 200);
+        // The other node writes what it received together with its own next placement.
+        assert_eq!(send_guarded(other, "next").status(), 200);
     }
-    let (mut asked, least) = (Asked::new(), server.runs.lock().unwrap().len() + 10);
+    let (mut sent, expected_runs) = (SentKeys::new(), server.runs.lock().unwrap().len() + 10);
     for round in 0..3 {
         let load = Load::begin(&nodes.iter().map(|n| n.address).collect::<Vec<_>>(), round);
-        // Guards against a load that is none where processes hardly get a processor. Once disks are lost nothing guarded runs.
-        let begun = Instant::now();
-        while round == 0 && server.runs.lock().unwrap().len() <= least {
-            assert!(begun.elapsed() < LONG, "the load runs nothing");
+        // Guards against rounds without load on a busy machine. Nothing guarded runs after disks were lost.
+        let begin = Instant::now();
+        while round == 0 && server.runs.lock().unwrap().len() <= expected_runs {
+            assert!(begin.elapsed() < LONG, "no job of the load has run");
             std::thread::sleep(Duration::from_millis(1));
         }
         std::thread::sleep(Duration::from_millis(u64::from(100 + (137 * (seed + round)) % 400)));
-        // Power goes for all before the first is back.
+        // Kills all nodes before the first restart.
         nodes.iter().for_each(|n| n.signal(Signal::KILL));
         nodes.clear();
-        asked.extend(load.end());
-        let now = if round == 0 { kept } else { [Kept::Own; 5] };
-        for (k, kept) in now.iter().enumerate() {
+        sent.extend(load.end());
+        let round_disks = if round == 0 { disks } else { [Disk::Own; 5] };
+        for (k, disk) in round_disks.iter().enumerate() {
             let (file, old) = (fleet.state(k).join("kept.redb"), fleet.state(k).join("old"));
-            match kept {
-                Kept::Own => {}
-                Kept::Lost => std::fs::remove_dir_all(fleet.state(k)).unwrap(),
-                Kept::Old => drop(std::fs::copy(old, file).unwrap()),
+            match disk {
+                Disk::Own => {}
+                Disk::Lost => std::fs::remove_dir_all(fleet.state(k)).unwrap(),
+                Disk::Old => drop(std::fs::copy(old, file).unwrap()),
             }
         }
         let order: Vec<usize> = (0..5).map(|k| (k * 2 + (seed + round) as usize) % 5).collect();
         nodes = fleet.start_all(&order, &[server.address]);
-        nodes.iter().for_each(|n| until(n, "step \"guarded\"|step \"serving\""));
-        // Clients ask again while nodes are on their way: at the next node, and at their own, where an answer stays the one.
-        for (key, at, answer) in &asked {
-            ask_once(nodes[(at + 1) % 5].address, key, 7);
-            if answer.as_ref().is_some_and(|a| a.0 == 200) && kept[*at] == Kept::Own {
-                assert_eq!(ask_once(nodes[*at].address, key, 8), *answer, "{key} at {at} seed={seed}");
+        nodes.iter().for_each(|n| wait_for_recovery_page(n, "step \"guarded\"|step \"serving\""));
+        // Clients retry while nodes recover: at another node, and at the first one, which must repeat its answer.
+        for (key, node_number, answer) in &sent {
+            send_once(nodes[(node_number + 1) % 5].address, key, 7);
+            if answer.as_ref().is_some_and(|a| a.0 == 200) && disks[*node_number] == Disk::Own {
+                assert_eq!(
+                    send_once(nodes[*node_number].address, key, 8),
+                    *answer,
+                    "{key} at {node_number} seed={seed}"
+                );
             }
         }
         for (k, node) in nodes.iter().enumerate() {
-            // What is lost is told: that disk's node waits for an operator, and the others for it.
-            until(
+            // A node with a lost or older disk waits for an operator, and its peers wait for it.
+            wait_for_recovery_page(
                 node,
-                match kept[k] {
-                    _ if kept == [Kept::Own; 5] => "step \"serving\"",
-                    Kept::Own => "waits_for \"its peers: they may know what must not run twice\"",
+                match disks[k] {
+                    _ if disks == [Disk::Own; 5] => "step \"serving\"",
+                    Disk::Own => "waits_for \"its peers: they may know what must not run twice\"",
                     _ => "waits_for \"an operator: what must not run twice may be missing on its disk\"",
                 },
             );
         }
-        for (key, at, _) in &asked {
-            ask_once(nodes[(at + 2) % 5].address, key, 9);
+        for (key, node_number, _) in &sent {
+            send_once(nodes[(node_number + 2) % 5].address, key, 9);
         }
     }
     let ran = server.runs.lock().unwrap().len();
-    assert!(ran > least, "{ran} ran, not over {least}: the load was none");
-    assert_eq!(server.twice(), [], "seed={seed}");
+    assert!(ran > expected_runs, "{ran} keys ran, {expected_runs} or fewer: the load was missing");
+    assert_eq!(server.repeated(), [], "seed={seed}");
 }
--- a/tests/node/spillover.rs
+++ b/tests/node/spillover.rs
@@ -1,4 +1,4 @@
-//! A site is lost and comes back: three processes of the program, a site each, with servers that serve all they are given.
+//! Spillover to other sites and load recovery while a site is lost and returns: three sites with a node each.
 
 use crate::support::*;
 use rstest::rstest;
@@ -8,8 +8,8 @@
 use std::path::PathBuf;
 use std::time::Instant;
 
-/// West lends a fifth of what it bears to one class, and nothing to the other.
-const LENDS: &str = "(lend west (class zone-plan (part 20)))";
+/// West offers a fifth of its capacity to remote requests of one class, and none to the other.
+const SPILLOVER_CLAUSE: &str = "(lend west (class zone-plan (part 20)))";
 const SITES: [&str; 3] = ["west", "east", "north"];
 
 struct Files {
@@ -18,35 +18,35 @@
 }
 
 impl Files {
-    fn new(name: &str, lends: &str) -> Files {
-        let folder =
-            PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("lending-{}-{name}", std::process::id()));
+    fn new(name: &str, spillover_clause: &str) -> Files {
+        let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
+            .join(format!("spillover-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let site =
             |(k, name): (usize, &&str)| format!("(site {name} (node n{k} \"{}\") (bears 100))", fresh());
         let sites: Vec<String> = SITES.iter().enumerate().map(site).collect();
         let text = format!(
-            "(sites (fleet \"odense\") (key \"fleet.key\") (confirm 2 s) (alone 2500 ms) (hold 3 s)\n{} {lends})",
+            "(sites (fleet \"odense\") (key \"fleet.key\") (confirm 2 s) (alone 2500 ms) (hold 3 s)\n{} {spillover_clause})",
             sites.join("\n")
         );
         std::fs::write(folder.join("sites.sexp"), text).unwrap();
         let key = folder.join("fleet.key");
         std::fs::write(&key, "5f0c1d2e3b4a59687786950413223140feedfacecafebeef0011223344556677").unwrap();
         std::fs::set_permissions(&key, std::fs::Permissions::from_mode(0o600)).unwrap();
-        Files { folder, server: serving() }
+        Files { folder, server: start_backend() }
     }
 
     fn start(&self, node: usize) -> Node {
         let mut config = config(&[self.server]);
         config["name"] = format!("n{node}").into();
         config["mgmt"] = "127.0.0.1:0".into();
-        // Only sites bound anything here.
+        // Keeps the tenant's quota from limiting the load.
         config["settings"]["projects"][0]["quota_rps"] = 100_000.0.into();
         config["settings"]["rules"]["cold_ms"] = 5_000.0.into();
         let (file, state) = (self.folder.join("sites.sexp"), self.folder.join(format!("state-{node}")));
-        let messages =
+        let arguments =
             [PROGRAM, "serve", "-v", "--sites", file.to_str().unwrap(), "--state", state.to_str().unwrap()];
-        Node::start_as(&messages, &config)
+        Node::start_as(&arguments, &config)
     }
 }
 
@@ -56,9 +56,9 @@
     }
 }
 
-/// A backend server that serves whatever comes, at once.
-fn serving() -> SocketAddr {
-    fn attend(stream: TcpStream) -> Option<()> {
+/// Starts a backend server that serves every request at once.
+fn start_backend() -> SocketAddr {
+    fn serve_connection(stream: TcpStream) -> Option<()> {
         let (mut lines, mut stream) = (BufReader::new(stream.try_clone().ok()?).lines(), stream);
         loop {
             let mut id = None;
@@ -80,20 +80,27 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
-        listener.incoming().flatten().for_each(|s| drop(std::thread::spawn(|| attend(s))))
+        listener.incoming().flatten().for_each(|s| drop(std::thread::spawn(|| serve_connection(s))))
     });
     address
 }
 
-/// Jobs handed in at once, each on a connection of its own, and their answers. Ids are counted on over all.
-fn ask(node: &Node, count: usize, target: &str, home: Option<&str>, ids: &mut usize) -> Vec<Message> {
-    let field = home.map_or(String::new(), |h| format!("Home-Site: {h}\r\n"));
+/// Sends jobs at once, each on its own connection, and returns their responses; `last_id` numbers the jobs of a test.
+fn send_jobs(
+    node: &Node,
+    count: usize,
+    target: &str,
+    home_site: Option<&str>,
+    last_id: &mut usize,
+) -> Vec<Message> {
+    let field = home_site.map_or(String::new(), |h| format!("Home-Site: {h}\r\n"));
     let mut clients: Vec<Peer> = (0..count)
         .map(|_| {
-            *ids += 1;
+            *last_id += 1;
             let mut client = node.client();
             client.send(
-                &job(&format!("j{ids}"), target, "5000m", "").replace("Tenant:", &format!("{field}Tenant:")),
+                &job(&format!("j{last_id}"), target, "5000m", "")
+                    .replace("Tenant:", &format!("{field}Tenant:")),
             );
             client
         })
@@ -101,6 +108,7 @@
     clients.iter_mut().map(Peer::message).collect()
 }
 
+/// Returns the status and the `Refused-Because` field of a response.
 fn refusal(answer: &Message) -> (u16, Option<&str>) {
     (answer.status(), answer.field("Refused-Because"))
 }
@@ -109,8 +117,8 @@
     answer.field(field).map(|t| t.parse().unwrap())
 }
 
-/// What the node lends that class now, in requests a second.
-fn lends(node: &Node, class: &str) -> u64 {
+/// Returns the current spillover rate of a class at the node, in requests per second.
+fn spillover_rate(node: &Node, class: &str) -> u64 {
     let mut operator = node.operator();
     operator.send("GET /ops/sites HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n");
     let text = operator.message().body;
@@ -118,13 +126,14 @@
     text.lines().find_map(|l| l.strip_prefix(&start)).unwrap_or_else(|| panic!("{text}")).parse().unwrap()
 }
 
-/// Guests ask in three bunches, and on until so many were refused. How many were served, while so much was allowed at most.
-fn guests_bound(node: &Node, rate: u64, least: u64, ids: &mut usize) -> usize {
-    let (begin, mut served, mut refused, mut bunches) = (Instant::now(), 0, 0, 0);
-    while refused < least || bunches < 3 {
-        bunches += 1;
-        assert!(begin.elapsed() < LONG, "{served} served, {refused} refused");
-        for answer in ask(node, 40, "/zone-plan", Some("east"), ids) {
+/// Sends remote requests in at least three batches until `min_rejected` are rejected; checks the rate limit and that local requests
+/// are served. Returns how many remote requests were served.
+fn check_remote_limit(node: &Node, rate: u64, min_rejected: u64, last_id: &mut usize) -> usize {
+    let (begin, mut served, mut rejected, mut batches) = (Instant::now(), 0, 0, 0);
+    while rejected < min_rejected || batches < 3 {
+        batches += 1;
+        assert!(begin.elapsed() < LONG, "{served} served, {rejected} rejected");
+        for answer in send_jobs(node, 40, "/zone-plan", Some("east"), last_id) {
             if answer.status() == 200 {
                 served += 1;
                 continue;
@@ -132,61 +141,61 @@
             assert_eq!(refusal(&answer), (503, Some("guest part used")));
             let wait = seconds(&answer, "Retry-After").unwrap();
             assert!((0.5..=2.0).contains(&wait), "{wait}");
-            refused += 1;
+            rejected += 1;
         }
-        // Home load is what names no site, its own, or one that nobody knows.
-        for home in [None, Some("west"), Some("nowhere")] {
-            let all = ask(node, 10, "/zone-plan", home, ids);
-            assert!(all.iter().all(|a| a.status() == 200), "{home:?}: {all:?}");
+        // A request is local if it names no site, its own site or an unknown one.
+        for home_site in [None, Some("west"), Some("nowhere")] {
+            let responses = send_jobs(node, 10, "/zone-plan", home_site, last_id);
+            assert!(responses.iter().all(|a| a.status() == 200), "{home_site:?}: {responses:?}");
         }
-        let most = rate as f64 * (begin.elapsed().as_secs_f64() + 0.25) + 1.0;
-        assert!(served as f64 <= most, "{served} of {most} were served");
+        let limit = rate as f64 * (begin.elapsed().as_secs_f64() + 0.25) + 1.0;
+        assert!(served as f64 <= limit, "{served} served, the limit is {limit}");
     }
     served
 }
 
-/// While no site is lost, guests have what is lent; once east is lost they have what is spare besides, as far as it was asked for.
-/// Beyond that they are refused at once with the reason, and home load is served all the while.
+/// Remote requests get the configured rate, and spare capacity as well while their site is lost. Beyond that they are rejected at
+/// once, and local requests stay unaffected.
 #[rstest]
-fn guests_of_a_lost_site_are_served_up_to_their_part_and_home_load_is_not_touched() {
-    let (files, mut ids) = (Files::new("lost", LENDS), 0);
+fn remote_requests_are_limited_and_local_requests_are_served() {
+    let (files, mut last_id) = (Files::new("lost", SPILLOVER_CLAUSE), 0);
     let [west, east, _north] = [0, 1, 2].map(|k| files.start(k));
     west.logs("sites: this is n0 of west");
     let begin = Instant::now();
-    // Nothing before it has servers.
-    while lends(&west, "zone-plan") == 0 {
-        assert!(begin.elapsed() < LONG, "nothing is lent");
+    // The rate is zero before the endpoint list is known.
+    while spillover_rate(&west, "zone-plan") == 0 {
+        assert!(begin.elapsed() < LONG, "the spillover rate stays zero");
     }
-    assert_eq!((lends(&west, "zone-plan"), lends(&west, "actuator-cmd")), (20, 0));
-    guests_bound(&west, 20, 40, &mut ids);
+    assert_eq!((spillover_rate(&west, "zone-plan"), spillover_rate(&west, "actuator-cmd")), (20, 0));
+    check_remote_limit(&west, 20, 40, &mut last_id);
     let begin = Instant::now();
-    let answer = ask(&west, 1, "/actuator-cmd", Some("east"), &mut ids).remove(0);
+    let answer = send_jobs(&west, 1, "/actuator-cmd", Some("east"), &mut last_id).remove(0);
     assert_eq!(refusal(&answer), (503, Some("guest part used")));
     assert!(begin.elapsed() < LONG / 4);
-    // What east is asked for is told before it is lost.
+    // East reports its demand before it is lost.
     let begin = Instant::now();
     while begin.elapsed().as_millis() < 2_500 {
-        assert!(ask(&east, 30, "/zone-plan", None, &mut ids).iter().all(|a| a.status() == 200));
-        ask(&west, 1, "/zone-plan", None, &mut ids);
+        assert!(send_jobs(&east, 30, "/zone-plan", None, &mut last_id).iter().all(|a| a.status() == 200));
+        send_jobs(&west, 1, "/zone-plan", None, &mut last_id);
     }
     drop(east);
     west.logs("site east Lost");
     let begin = Instant::now();
-    while lends(&west, "zone-plan") <= 20 {
-        assert!(begin.elapsed() < LONG, "nothing spare is lent");
+    while spillover_rate(&west, "zone-plan") <= 20 {
+        assert!(begin.elapsed() < LONG, "no spare capacity is offered");
     }
-    let rate = lends(&west, "zone-plan");
+    let rate = spillover_rate(&west, "zone-plan");
     assert!((21..=100).contains(&rate), "{rate}");
-    assert_eq!(lends(&west, "actuator-cmd"), 0);
-    assert!(guests_bound(&west, 100, 0, &mut ids) > 0);
+    assert_eq!(spillover_rate(&west, "actuator-cmd"), 0);
+    assert!(check_remote_limit(&west, 100, 0, &mut last_id) > 0);
 }
 
-/// A site that was lost takes its own clients' load in steps, the others see it return and be whole, and guests are told to go home.
+/// A returning site ramps up its own load; the others see it return and recover, and send its clients back.
 #[rstest]
-fn a_site_that_returns_takes_its_load_in_steps() {
-    let (files, mut ids) = (Files::new("return", LENDS), 0);
+fn returning_site_takes_its_load_in_steps() {
+    let (files, mut last_id) = (Files::new("return", SPILLOVER_CLAUSE), 0);
     let [west, east, north] = [0, 1, 2].map(|k| files.start(k));
-    // Others have heard it before it is lost.
+    // The other sites receive east's reports before it is lost.
     for node in [&east, &west, &north] {
         node.logs("guarded work is taken");
     }
@@ -194,23 +203,25 @@
     west.logs("site east Lost");
     let east = files.start(1);
     east.logs("load recovery east begins part=20");
-    let mut refused = 0;
-    for answer in ask(&east, 60, "/zone-plan", None, &mut ids) {
+    let mut rejected = 0;
+    for answer in send_jobs(&east, 60, "/zone-plan", None, &mut last_id) {
         if answer.status() != 200 {
             assert_eq!(refusal(&answer), (503, Some("site returning")));
             assert!((0.5..=2.0).contains(&seconds(&answer, "Retry-After").unwrap()));
-            refused += 1;
+            rejected += 1;
         }
     }
-    assert!(refused > 0, "all were served at the first step");
-    // It lends nothing meanwhile.
-    let answer = ask(&east, 1, "/zone-plan", Some("west"), &mut ids).remove(0);
+    assert!(rejected > 0, "the first recovery step rejected nothing");
+    // A recovering site accepts no remote requests.
+    let answer = send_jobs(&east, 1, "/zone-plan", Some("west"), &mut last_id).remove(0);
     assert_eq!(refusal(&answer), (503, Some("guest part used")));
     west.logs("site east Returning");
     let begin = Instant::now();
-    while !ask(&west, 1, "/zone-plan", Some("east"), &mut ids).iter().any(|a| a.field("Come-Back").is_some())
+    while !send_jobs(&west, 1, "/zone-plan", Some("east"), &mut last_id)
+        .iter()
+        .any(|a| a.field("Come-Back").is_some())
     {
-        assert!(begin.elapsed() < LONG, "no guest is told to go home");
+        assert!(begin.elapsed() < LONG, "no remote client is sent back");
     }
     let lines = east.logs_until("load recovery east part=100 before=100");
     let steps = lines
@@ -219,15 +230,15 @@
     let steps: Vec<u8> = steps.collect();
     assert!(steps.is_sorted() && steps.len() >= 4, "{lines:?}");
     west.logs("site east WholeAgain");
-    let answers = ask(&east, 60, "/zone-plan", None, &mut ids);
-    assert!(answers.iter().all(|a| a.status() == 200), "all is taken again");
+    let answers = send_jobs(&east, 60, "/zone-plan", None, &mut last_id);
+    assert!(answers.iter().all(|a| a.status() == 200), "the recovered site still rejects requests");
 }
 
-/// A file that lends nothing anywhere tells guests from nobody.
+/// Without a spillover clause remote requests count as local ones.
 #[rstest]
-fn where_nothing_is_lent_at_all_guests_are_home_load() {
-    let (files, mut ids) = (Files::new("none", ""), 0);
+fn without_spillover_clauses_remote_requests_are_local() {
+    let (files, mut last_id) = (Files::new("none", ""), 0);
     let west = files.start(0);
-    let answers = ask(&west, 60, "/zone-plan", Some("east"), &mut ids);
+    let answers = send_jobs(&west, 60, "/zone-plan", Some("east"), &mut last_id);
     assert!(answers.iter().all(|a| a.status() == 200), "{answers:?}");
 }
