--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Golden files: what an earlier version of the program wrote to disks, sockets and terminals, kept byte for byte.
 //!
-//! Names in the code may change; what processes of two versions say to each other and what lies on disks may not. To take the
-//! files anew, after a change of a format that was meant: `GOLDEN_RECORD=1 cargo test --test golden`, and say why in the commit.
+//! They guard the formats that processes of different versions share. To record them again after an intended change of a format, run
+//! `GOLDEN_RECORD=1 cargo test --test golden` and give the reason in the commit.
 
 #[path = "golden/command_line.rs"]
 mod command_line;
@@ -15,6 +15,6 @@
 mod site_datagrams;
 #[path = "golden/state_folder.rs"]
 mod state_folder;
-// The node's own tests use the rest of it.
+// Other test programs use the rest of this module.
 #[allow(dead_code)]
 mod support;
--- a/tests/golden/command_line.rs
+++ b/tests/golden/command_line.rs
@@ -1,6 +1,6 @@
-//! What commands print: complaints about bad files with their places, and figures of budgets for people and programs.
+//! Output of commands: errors in configuration files with their positions, and the status of budgets as text and JSON.
 
-use crate::files::matches;
+use crate::files::assert_golden;
 use crate::support::site_files::{sign, Files};
 use crate::support::{command, config, PROGRAM};
 use rstest::rstest;
@@ -11,12 +11,12 @@
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
 
-/// What a command prints on both outputs, and its code; the folder of its files is masked.
-fn printed(messages: &[&str], config: &str, folder: &Path) -> String {
-    let out = command(messages, config).output().unwrap();
+/// Runs a command and returns its exit code, stdout and stderr; the folder of its files is masked.
+fn run(arguments: &[&str], config: &str, folder: &Path) -> String {
+    let out = command(arguments, config).output().unwrap();
     let text = String::from_utf8_lossy(&out.stdout) + String::from_utf8_lossy(&out.stderr);
     let text = text.replace(folder.to_str().unwrap(), "DIR");
-    // The configuration's name is another one each time.
+    // The name of the configuration file differs between runs.
     let lines = text.lines().map(|line| match line.split_once(".json") {
         Some((_, rest)) => format!("shorepath: CONFIG.json{rest}"),
         None => line.to_string(),
@@ -25,7 +25,7 @@
     format!("exit {:?}\n{}\n", out.status.code(), lines.join("\n"))
 }
 
-fn bad_configurations() -> Vec<(&'static str, String)> {
+fn invalid_configurations() -> Vec<(&'static str, String)> {
     let with = |change: &dyn Fn(&mut Value)| {
         let mut config = config(&[]);
         change(&mut config);
@@ -49,49 +49,49 @@
 }
 
 #[rstest]
-fn complaints_about_configurations() {
+fn errors_in_configurations_match_the_golden_file() {
     let mut found = String::new();
-    for (name, config) in bad_configurations() {
-        found += &format!("# {name}\n{}", printed(&[PROGRAM, "check"], &config, Path::new("/nowhere")));
+    for (name, config) in invalid_configurations() {
+        found += &format!("# {name}\n{}", run(&[PROGRAM, "check"], &config, Path::new("/nowhere")));
     }
-    matches("complaints-configuration.txt", &found);
+    assert_golden("complaints-configuration.txt", &found);
 }
 
 #[rstest]
-fn complaints_about_files_of_budgets() {
+fn errors_in_budgets_files_match_the_golden_file() {
     let files = Files::new("golden-budgets");
     let file = files.of(0).join("budgets.sexp");
-    let own = "(divider d0 \"127.0.0.1:1\") (node n0 \"127.0.0.1:2\")";
+    let members = "(divider d0 \"127.0.0.1:1\") (node n0 \"127.0.0.1:2\")";
     let mut found = String::new();
     for (name, text) in [
         ("not closed", "(budgets (version 1)".to_string()),
         ("another form", "(sites (version 1))".to_string()),
-        ("unknown clause", format!("(budgets {own}\n  (budgte probes (whole 9)))")),
+        ("unknown clause", format!("(budgets {members}\n  (budgte probes (whole 9)))")),
         ("no divider", "(budgets (node n0 \"127.0.0.1:2\"))".to_string()),
         ("bad address", "(budgets (divider d0 \"here\") (node n0 \"127.0.0.1:2\"))".to_string()),
-        ("too many reserves", format!("(budgets {own} (budget probes (whole 9) (reserve 10)))")),
-        ("twice", format!("(budgets {own}\n  (budget probes (whole 9))\n  (budget probes (whole 8)))")),
-        ("bad time", format!("(budgets (term soon) {own} (budget probes (whole 9)))")),
-        ("unknown budget", format!("(budgets {own} (budget quota:nobody (whole 9)))")),
-        ("good", format!("(budgets {own} (budget probes (whole 9) (reserve 1)))")),
+        ("too many reserves", format!("(budgets {members} (budget probes (whole 9) (reserve 10)))")),
+        ("twice", format!("(budgets {members}\n  (budget probes (whole 9))\n  (budget probes (whole 8)))")),
+        ("bad time", format!("(budgets (term soon) {members} (budget probes (whole 9)))")),
+        ("unknown budget", format!("(budgets {members} (budget quota:nobody (whole 9)))")),
+        ("good", format!("(budgets {members} (budget probes (whole 9) (reserve 1)))")),
     ] {
         std::fs::write(&file, text).unwrap();
-        let messages = [PROGRAM, "check", "--budgets", file.to_str().unwrap()];
-        found += &format!("# {name}\n{}", printed(&messages, &config(&[]).to_string(), &files.of(0)));
+        let arguments = [PROGRAM, "check", "--budgets", file.to_str().unwrap()];
+        found += &format!("# {name}\n{}", run(&arguments, &config(&[]).to_string(), &files.of(0)));
     }
-    matches("complaints-budgets.txt", &found);
+    assert_golden("complaints-budgets.txt", &found);
 }
 
 #[rstest]
-fn complaints_about_files_of_sites_and_accounts() {
+fn errors_in_sites_and_accounts_files_match_the_golden_file() {
     let files = Files::new("golden-sites");
     let (folder, file) = (files.of(0), files.of(0).join("sites.sexp"));
     let check = |name: &str| {
-        let messages = [PROGRAM, "check", "--sites", file.to_str().unwrap()];
-        format!("# {name}\n{}", printed(&messages, &config(&[]).to_string(), &folder))
+        let arguments = [PROGRAM, "check", "--sites", file.to_str().unwrap()];
+        format!("# {name}\n{}", run(&arguments, &config(&[]).to_string(), &folder))
     };
     let mut found = check("good");
-    for (name, more) in [
+    for (name, clauses) in [
         ("a site twice", "(site east (node n1 \"127.0.0.1:1\") (bears 1))"),
         ("no bears", "(site north (node n3 \"127.0.0.1:1\"))"),
         ("strange tenant", "(credit fyn (jobs 8))"),
@@ -102,8 +102,8 @@
         ("bad audit", "(audit (bytes 1))"),
         ("lost without a number", "(lost east)"),
     ] {
-        // On a line of its own: the line before has addresses of this run.
-        files.sites(0, 1, &format!("\n{more}"));
+        // On its own line, because errors quote the line and the one before has addresses of this run.
+        files.sites(0, 1, &format!("\n{clauses}"));
         found += &check(name);
     }
     files.sites(0, 1, "");
@@ -133,7 +133,7 @@
     std::fs::write(&file, &text).unwrap();
     sign(&file, &text);
     found += &check("unlisted");
-    matches("complaints-sites.txt", &found);
+    assert_golden("complaints-sites.txt", &found);
 }
 
 fn status() -> Status {
@@ -178,29 +178,30 @@
 }
 
 #[rstest]
-fn figures_of_budgets() {
+fn output_of_budgets_commands_matches_the_golden_file() {
     let files = Files::new("golden-figures");
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let file = files.of(0).join("budgets.sexp");
-    let places = format!("(divider d0 \"{}\") (node n0 \"127.0.0.1:1\")", listener.local_addr().unwrap());
-    std::fs::write(&file, format!("(budgets {places} (budget probes (whole 9) (reserve 1)))")).unwrap();
-    let unsure = Status { leader: None, epoch: None, kept: vec![], ..status() };
-    let answers = [status(), status(), status(), status(), status(), status(), unsure.clone(), unsure];
+    let members = format!("(divider d0 \"{}\") (node n0 \"127.0.0.1:1\")", listener.local_addr().unwrap());
+    std::fs::write(&file, format!("(budgets {members} (budget probes (whole 9) (reserve 1)))")).unwrap();
+    let without_leader = Status { leader: None, epoch: None, kept: vec![], ..status() };
+    let replies =
+        [status(), status(), status(), status(), status(), status(), without_leader.clone(), without_leader];
     let serving = std::thread::spawn(move || {
-        for answer in answers {
-            let answer = json!({"Status": answer}).to_string();
+        for reply in replies {
+            let reply = json!({"Status": reply}).to_string();
             let (mut stream, _) = listener.accept().unwrap();
             let mut head = [0; 4];
             stream.read_exact(&mut head).unwrap();
-            let mut question = vec![0; u32::from_be_bytes(head) as usize];
-            stream.read_exact(&mut question).unwrap();
-            assert_eq!(question, b"\"Status\"");
-            stream.write_all(&(answer.len() as u32).to_be_bytes()).unwrap();
-            stream.write_all(answer.as_bytes()).unwrap();
+            let mut request = vec![0; u32::from_be_bytes(head) as usize];
+            stream.read_exact(&mut request).unwrap();
+            assert_eq!(request, b"\"Status\"");
+            stream.write_all(&(reply.len() as u32).to_be_bytes()).unwrap();
+            stream.write_all(reply.as_bytes()).unwrap();
         }
     });
     let mut found = String::new();
-    for messages in [
+    for arguments in [
         vec!["status"],
         vec!["status", "--json"],
         vec!["explain", "probes"],
@@ -210,10 +211,10 @@
         vec!["status"],
         vec!["explain", "connections", "n0"],
     ] {
-        let (first, rest) = messages.split_first().unwrap();
-        let all = [&[PROGRAM, "budgets", first, "--budgets", file.to_str().unwrap()], rest].concat();
-        found += &format!("# {}\n{}", messages.join(" "), printed(&all, "{}", &files.of(0)));
+        let (first, rest) = arguments.split_first().unwrap();
+        let command = [&[PROGRAM, "budgets", first, "--budgets", file.to_str().unwrap()], rest].concat();
+        found += &format!("# {}\n{}", arguments.join(" "), run(&command, "{}", &files.of(0)));
     }
     serving.join().unwrap();
-    matches("figures-budgets.txt", &found);
+    assert_golden("figures-budgets.txt", &found);
 }
--- a/tests/golden/files.rs
+++ b/tests/golden/files.rs
@@ -2,26 +2,26 @@
 
 use std::path::PathBuf;
 
-/// A golden file, by its name.
+/// Returns the path of a golden file.
 pub fn path(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden/data").join(name)
 }
 
-/// Whether the golden files are to be written anew instead of being compared.
-pub fn records() -> bool {
+/// Returns whether golden files are recorded instead of compared.
+pub fn is_recording() -> bool {
     std::env::var_os("GOLDEN_RECORD").is_some()
 }
 
-/// The text of a golden file; where files are recorded it is `found`, which is written to it first.
+/// Returns the text of a golden file; in recording mode, writes `found` to it first.
 pub fn text(name: &str, found: &str) -> String {
-    if records() {
+    if is_recording() {
         std::fs::write(path(name), found).unwrap();
     }
     std::fs::read_to_string(path(name)).unwrap_or_else(|e| panic!("{name}: {e}"))
 }
 
-/// The golden file says exactly that, line by line.
-pub fn matches(name: &str, found: &str) {
+/// Asserts that the golden file equals `found`, line by line.
+pub fn assert_golden(name: &str, found: &str) {
     let golden = text(name, found);
     for (number, (golden, found)) in golden.lines().zip(found.lines()).enumerate() {
         assert_eq!(found, golden, "{name}, line {}", number + 1);
@@ -29,22 +29,22 @@
     assert_eq!(found.lines().count(), golden.lines().count(), "{name}: the number of lines");
 }
 
-/// Bytes as hexadecimal digits.
+/// Encodes bytes as hexadecimal digits.
 pub fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The bytes that hexadecimal digits stand for.
+/// Decodes hexadecimal digits.
 pub fn unhex(digits: &str) -> Vec<u8> {
     let byte = |at: usize| u8::from_str_radix(&digits[at..at + 2], 16).unwrap();
     (0..digits.len()).step_by(2).map(byte).collect()
 }
 
-/// The text with each number that stands after one of these names masked: times and what is drawn by chance.
+/// Replaces the value after each of these names by `*`, for times and random values.
 pub fn masked(text: &str, names: &[&str]) -> String {
-    let mask = |message: &str| {
-        let name = names.iter().find(|name| message.starts_with(**name));
-        name.map_or_else(|| message.to_string(), |name| format!("{name}*"))
+    let mask = |field: &str| {
+        let name = names.iter().find(|name| field.starts_with(**name));
+        name.map_or_else(|| field.to_string(), |name| format!("{name}*"))
     };
     let line = |line: &str| line.split(' ').map(mask).collect::<Vec<_>>().join(" ");
     text.lines().map(line).collect::<Vec<_>>().join("\n")
--- a/tests/golden/hot_restart.rs
+++ b/tests/golden/hot_restart.rs
@@ -1,4 +1,4 @@
-//! The lines that two processes of one node exchange while the next one takes over, with a test in the place of either.
+//! The lines that two processes of one node exchange during a hot restart; the test takes the role of one of them.
 
 use crate::support::*;
 use rstest::rstest;
@@ -15,25 +15,26 @@
 use std::path::PathBuf;
 use std::time::Instant;
 
-/// Where the serving process of an address is found.
+/// Returns the path of the socket on which the serving process accepts its successor.
 fn socket_path(address: SocketAddr) -> PathBuf {
     meeting_place().join(format!("shorepath-{address}.sock"))
 }
 
-fn operated(servers: &[SocketAddr], listen: SocketAddr) -> serde_json::Value {
+/// Returns a configuration with a listening address and an operator address.
+fn hot_restart_config(servers: &[SocketAddr], listen: SocketAddr) -> serde_json::Value {
     let mut config = config(servers);
     config["mgmt"] = json!("127.0.0.1:0");
     config["listen"] = json!(listen.to_string());
     config
 }
 
-/// The listening socket that comes with the first byte.
-fn receive(link: &UnixStream) -> OwnedFd {
+/// Receives the listening socket, which comes with the first byte.
+fn receive_listener(link: &UnixStream) -> OwnedFd {
     let (mut space, mut byte) = ([MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))], [0]);
-    let mut handed = RecvAncillaryBuffer::new(&mut space);
-    recvmsg(link, &mut [IoSliceMut::new(&mut byte)], &mut handed, RecvFlags::CMSG_CLOEXEC).unwrap();
+    let mut control = RecvAncillaryBuffer::new(&mut space);
+    recvmsg(link, &mut [IoSliceMut::new(&mut byte)], &mut control, RecvFlags::CMSG_CLOEXEC).unwrap();
     assert_eq!(&byte, b"L");
-    let descriptors = handed.drain().filter_map(|message| match message {
+    let descriptors = control.drain().filter_map(|message| match message {
         RecvAncillaryMessage::ScmRights(descriptors) => Some(descriptors),
         _ => None,
     });
@@ -41,25 +42,25 @@
     all.into_iter().next().unwrap()
 }
 
-/// A server that serves all that comes.
-fn serves(mut peer: Peer) {
+/// Serves every request on a connection.
+fn serve_all(mut peer: Peer) {
     while peer.goes_on() {
         let id = peer.id();
         peer.serve(&id, "1");
     }
 }
 
-fn line(lines: &mut BufReader<UnixStream>) -> String {
+fn read_line(lines: &mut BufReader<UnixStream>) -> String {
     let mut line = String::new();
     lines.read_line(&mut line).unwrap();
     line.trim_end().to_string()
 }
 
-/// The serving process hands its socket to a next one, which the test plays, and tells it each id that it takes and frees.
+/// The serving process hands its socket to its successor, the test, and sends each job id that it takes and frees.
 #[rstest]
-fn what_the_serving_process_says() {
+fn serving_process_hands_over_its_socket_and_job_ids() {
     let server = Party::new();
-    let node = Node::start(&operated(&[server.address], fresh()));
+    let node = Node::start(&hot_restart_config(&[server.address], fresh()));
     let path = socket_path(node.address);
     let begin = Instant::now();
     let link = loop {
@@ -69,19 +70,19 @@
         }
     };
     link.set_read_timeout(Some(LONG)).unwrap();
-    let listener = TcpListener::from(receive(&link));
+    let listener = TcpListener::from(receive_listener(&link));
     assert_eq!(listener.local_addr().unwrap(), node.address);
     let mut lines = BufReader::new(link.try_clone().unwrap());
     let mut client = node.ask("job 1", "/actuator-cmd");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "job 1");
-    assert_eq!(line(&mut lines), "take job 1");
+    assert_eq!(read_line(&mut lines), "take job 1");
     backend.serve("job 1", "1");
     assert_eq!(client.message().body, "1");
-    assert_eq!(line(&mut lines), "free job 1");
-    // An id that the next process has in use is not taken here, and is again once it is free there.
-    std::thread::spawn(move || serves(backend));
-    server.attended(serves);
+    assert_eq!(read_line(&mut lines), "free job 1");
+    // A job id in use by the successor is rejected until the successor frees it.
+    std::thread::spawn(move || serve_all(backend));
+    server.attended(serve_all);
     for (sent, status) in [("take theirs\n", 409), ("free theirs\n", 200)] {
         (&link).write_all(sent.as_bytes()).unwrap();
         let begin = Instant::now();
@@ -92,46 +93,46 @@
     (&link).write_all(b"serving\n").unwrap();
     let begin = Instant::now();
     while node.call("GET", "/ops/readiness") != 503 {
-        assert!(begin.elapsed() < LONG, "it goes on taking clients");
+        assert!(begin.elapsed() < LONG, "the process still accepts clients");
     }
     (&link).write_all(b"leaving\n").unwrap();
     let begin = Instant::now();
     while node.call("GET", "/ops/readiness") != 200 {
-        assert!(begin.elapsed() < LONG, "it takes no clients again");
+        assert!(begin.elapsed() < LONG, "the process does not accept clients again");
     }
 }
 
-/// The next process takes the socket of a serving one, which the test plays, and says when it serves and when it is told to stop.
+/// The next process takes the socket of the serving one, the test, and reports when it serves and when it leaves.
 #[rstest]
-fn what_the_next_process_says() {
+fn next_process_takes_the_socket_and_reports_its_state() {
     let server = Party::new();
     let listening = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listening.local_addr().unwrap();
     let path = socket_path(address);
-    let place = UnixListener::bind(&path).unwrap();
-    let config = operated(&[server.address], address);
+    let socket = UnixListener::bind(&path).unwrap();
+    let config = hot_restart_config(&[server.address], address);
     let serving = std::thread::spawn(move || {
-        let (link, _) = place.accept().unwrap();
+        let (link, _) = socket.accept().unwrap();
         let descriptors = [listening.as_fd()];
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-        let mut handing = SendAncillaryBuffer::new(&mut space);
-        handing.push(SendAncillaryMessage::ScmRights(&descriptors));
-        sendmsg(&link, &[IoSlice::new(b"L")], &mut handing, SendFlags::empty()).unwrap();
+        let mut control = SendAncillaryBuffer::new(&mut space);
+        control.push(SendAncillaryMessage::ScmRights(&descriptors));
+        sendmsg(&link, &[IoSlice::new(b"L")], &mut control, SendFlags::empty()).unwrap();
         link.set_read_timeout(Some(LONG)).unwrap();
         link
     });
     let node = Node::start(&config);
     let link = serving.join().unwrap();
     let mut lines = BufReader::new(link.try_clone().unwrap());
-    assert_eq!(line(&mut lines), "serving");
+    assert_eq!(read_line(&mut lines), "serving");
     assert_eq!(node.address, address);
     let mut client = node.ask("job 2", "/zone-plan");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "job 2");
-    assert_eq!(line(&mut lines), "take job 2");
+    assert_eq!(read_line(&mut lines), "take job 2");
     backend.serve("job 2", "1");
     assert_eq!(client.message().body, "1");
-    assert_eq!(line(&mut lines), "free job 2");
+    assert_eq!(read_line(&mut lines), "free job 2");
     node.terminate();
-    assert_eq!(line(&mut lines), "leaving");
+    assert_eq!(read_line(&mut lines), "leaving");
 }
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -1,6 +1,6 @@
-//! Messages between processes and records on disks, as each package encodes them: one line a value, with its kind.
+//! Encoded messages between processes and stored records of each package, one value with its kind per line.
 
-use crate::files::{hex, matches, text, unhex};
+use crate::files::{assert_golden, hex, text, unhex};
 use rstest::rstest;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -30,7 +30,7 @@
 use shorepath_scheduler::KeyId;
 use shorepath_sites::catch_up;
 use shorepath_sites::health::{self, Load, SiteReport};
-use shorepath_sites::key_ownership::{Fence, KeyOwnership, PersistedOwnership as KeptHomes};
+use shorepath_sites::key_ownership::{Fence, KeyOwnership, PersistedOwnership};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
 
@@ -46,10 +46,10 @@
   (site west (node n0 \"127.0.0.1:7101\") (node n1 \"127.0.0.1:7102\") (bears 100))
   (site east (node n2 \"127.0.0.1:7103\") (bears 50)))";
 
-/// What reads a line of the golden file and fails unless it finds the value.
+/// Decodes a line of the golden file and asserts that it yields the value.
 type Reader = Box<dyn Fn(&str)>;
 
-/// The values of one golden file, encoded.
+/// The encoded values of one golden file.
 #[derive(Default)]
 struct Samples {
     lines: Vec<(String, String)>,
@@ -78,7 +78,7 @@
         });
     }
 
-    /// A value that is only ever computed: a hash, a number that stands for a name.
+    /// Adds a value that is never decoded, such as a hash.
     fn computed(&mut self, kind: &str, value: impl Debug) {
         self.add(kind, format!("{value:?}"), |_| {});
     }
@@ -86,14 +86,14 @@
     fn check(self, file: &str) {
         let found: String = self.lines.iter().map(|(kind, line)| format!("{kind} {line}\n")).collect();
         let golden = text(file, &found);
-        matches(file, &found);
+        assert_golden(file, &found);
         for (line, read) in golden.lines().zip(&self.readers) {
             read(line.split_once(' ').unwrap().1);
         }
     }
 }
 
-fn life() -> NodeIncarnation {
+fn incarnation() -> NodeIncarnation {
     NodeIncarnation { node: NodeId::of("n0"), incarnation: 0x1234_5678_9abc_def0 }
 }
 
@@ -113,7 +113,7 @@
         used: 55,
         in_force: (7, 12),
     };
-    let granting = BudgetGrant {
+    let grant = BudgetGrant {
         budget: "quota:acme".into(),
         epoch: 7,
         number: 13,
@@ -121,23 +121,23 @@
         answers: 9,
         length: 1_500_000,
     };
-    let held = vec![("quota:acme".to_string(), 7, 13), ("flight:valve".to_string(), 7, 4)];
+    let held_grants = vec![("quota:acme".to_string(), 7, 13), ("flight:valve".to_string(), 7, 4)];
     vec![
-        budgets::Message::Ask { holder: life(), plan: 3, claims: vec![claim] },
-        budgets::Message::Acknowledge { holder: life(), grants: held.clone() },
-        budgets::Message::Returns { holder: life(), grants: held },
-        budgets::Message::Grants { holder: life(), plan: 3, grants: vec![granting] },
-        budgets::Message::AskAgain { holder: life() },
+        budgets::Message::Ask { holder: incarnation(), plan: 3, claims: vec![claim] },
+        budgets::Message::Acknowledge { holder: incarnation(), grants: held_grants.clone() },
+        budgets::Message::Returns { holder: incarnation(), grants: held_grants },
+        budgets::Message::Grants { holder: incarnation(), plan: 3, grants: vec![grant] },
+        budgets::Message::AskAgain { holder: incarnation() },
         budgets::Message::NotLeader { leader: Some("d1".into()) },
         budgets::Message::NotLeader { leader: None },
     ]
 }
 
 fn grant() -> Grant {
-    Grant { holder: life(), epoch: 7, number: 13, amount: 60, answers: 9, length: 1_500_000 }
+    Grant { holder: incarnation(), epoch: 7, number: 13, amount: 60, answers: 9, length: 1_500_000 }
 }
 
-/// What a divider has agreed on after a file, its opening and a grant.
+/// Returns the replicated state of a quota server after a plan, the start of its leadership and a grant.
 fn allocator() -> Allocator {
     let mut allocator = Allocator::new("d0", plan(), 7);
     allocator.apply(&Entry::Plan(Box::new(plan())), 1_000);
@@ -185,7 +185,7 @@
 }
 
 #[rstest]
-fn budgets_between_nodes_and_dividers() {
+fn quota_messages_and_state_match_the_golden_file() {
     let mut samples = Samples::default();
     budget_messages().into_iter().for_each(|message| samples.json("message", message));
     samples.json("status", status());
@@ -208,13 +208,13 @@
     samples.check("budgets.txt");
 }
 
-/// Three members that greet each other; one leaves. The transcript is the same for the same seeds, and each datagram is taken.
+/// Three members join and one leaves: the datagrams are the same for the same seeds, and each is accepted.
 #[rstest]
-fn membership_between_members() {
-    let me = |node| Peer { node, incarnation: 1_000 + u64::from(node) };
+fn membership_datagrams_match_the_golden_file() {
+    let peer = |node| Peer { node, incarnation: 1_000 + u64::from(node) };
     let others = |node: u32| (1..=3).filter(|n| *n != node).collect();
     let mut members: Vec<Membership> =
-        (1..=3).map(|n| Membership::new(me(n), others(n), u64::from(n), 0)).collect();
+        (1..=3).map(|n| Membership::new(peer(n), others(n), u64::from(n), 0)).collect();
     let mut samples = Samples::default();
     for step in 0..40i64 {
         let now = step * 100_000;
@@ -264,8 +264,8 @@
     AccountsFile::new(number, BTreeMap::from([("acme".to_string(), change)]))
 }
 
-fn book() -> AccountRegistry {
-    let mut book = AccountRegistry::new();
+fn registry() -> AccountRegistry {
+    let mut registry = AccountRegistry::new();
     for (number, standing) in [
         (1, AccountStatus::Good),
         (2, AccountStatus::Warned),
@@ -273,29 +273,29 @@
         (4, AccountStatus::Closed),
         (5, AccountStatus::Reopened),
     ] {
-        book.add_file(&accounts_file(number, standing));
+        registry.add_file(&accounts_file(number, standing));
     }
-    // Two files of one number.
-    book.add_file(&accounts_file(5, AccountStatus::Closed));
-    book
+    // A second, conflicting file with number 5.
+    registry.add_file(&accounts_file(5, AccountStatus::Closed));
+    registry
 }
 
 #[rstest]
-fn accounts_between_nodes_and_on_disks() {
+fn account_messages_and_records_match_the_golden_file() {
     let mut samples = Samples::default();
     for message in account_messages() {
         samples.json("message", message.clone());
         samples.postcard("packed", message);
     }
-    samples.json("book", book());
-    samples.computed("hash", book().hash());
+    samples.json("book", registry());
+    samples.computed("hash", registry().hash());
     samples.json("decree", accounts_file(4, AccountStatus::Closed));
     samples.json("note", CreditRecord { spent: 3, debt: 2, shrunk: true });
     samples.check("accounts.txt");
 }
 
 fn site_message() -> health::Message {
-    let notified =
+    let report =
         SiteReport { site: 11, heartbeat: 500, heartbeat_age: 20, direct: 499, direct_age: 30, echo_age: 40 };
     let load = Load { load_percent: 60, capacity: 100, demand: vec![(health::class_number("valve"), 12)] };
     health::Message {
@@ -303,7 +303,7 @@
         heartbeat: 501,
         version: 4,
         digest: 77,
-        others: vec![notified],
+        others: vec![report],
         load: Some(load),
     }
 }
@@ -312,7 +312,7 @@
     Fence { epoch: 7, number: 3 }
 }
 
-fn proof_messages() -> Vec<catch_up::Message> {
+fn catch_up_messages() -> Vec<catch_up::Message> {
     vec![
         catch_up::Message::Ask { home: "west/n0".into(), fence: fence() },
         catch_up::Message::Reply { home: "west/n0".into(), fence: fence(), log: 0xfeed, last: 12 },
@@ -320,14 +320,14 @@
 }
 
 #[rstest]
-fn sites_between_nodes_and_on_disks() {
+fn site_messages_and_records_match_the_golden_file() {
     let mut samples = Samples::default();
     samples.json("health", site_message());
     samples.json("health", health::Message { load: None, digest: 0, ..site_message() });
-    proof_messages().into_iter().for_each(|message| samples.json("proof", message));
+    catch_up_messages().into_iter().for_each(|message| samples.json("proof", message));
     samples.json(
         "homes",
-        KeptHomes {
+        PersistedOwnership {
             fences: BTreeMap::from([("west/n0".to_string(), fence())]),
             settled_nodes: BTreeSet::from([1, 2]),
             current_nodes: BTreeSet::from([1, 2, 3]),
@@ -340,7 +340,7 @@
     samples.computed("digest", sites().digest());
     samples.computed("fence", fence().as_u64());
     let ownership =
-        KeyOwnership::new(sites().node_named("n0").unwrap().number, &sites(), &KeptHomes::default());
+        KeyOwnership::new(sites().node_named("n0").unwrap().number, &sites(), &PersistedOwnership::default());
     for key in ["key1", "key2", "key3", "valve-7", "x"] {
         samples.computed("home", ownership.home(key));
     }
@@ -358,17 +358,17 @@
             other_alive: false,
             complete: false,
             kept_power: true,
-            ..tell_of(me)
+            ..reply_to(me)
         }),
     ]
 }
 
-fn tell_of(me: recovery::DiskIncarnation) -> Reply {
+fn reply_to(me: recovery::DiskIncarnation) -> Reply {
     Reply { to: me.process, known: Some(me), other_alive: false, complete: false, kept_power: false }
 }
 
 #[rstest]
-fn recovery_between_nodes() {
+fn recovery_messages_match_the_golden_file() {
     let mut samples = Samples::default();
     recovery_messages().into_iter().for_each(|message| samples.json("message", message));
     samples.check("recovery.txt");
@@ -398,7 +398,7 @@
     Timed { at: 1_700_000_000_000_200, entry: shorepath_placements::Entry::Ended { of: 1, how } }
 }
 
-fn remembered() -> RetainedKey {
+fn retained_key() -> RetainedKey {
     RetainedKey {
         class: "valve".into(),
         key: "valve-7".into(),
@@ -420,7 +420,7 @@
 
 fn placement_messages() -> Vec<anti_entropy::Message> {
     let point = (2, Digest([3; 32]));
-    let known = LogSummary {
+    let summary = LogSummary {
         writer: writer(),
         sealed: (1, Digest([1; 32])),
         points: vec![point],
@@ -432,7 +432,7 @@
             summary_number: 3,
             part: 0,
             parts: 1,
-            logs: vec![known],
+            logs: vec![summary],
         },
         anti_entropy::Message::Piece { piece: piece() },
         anti_entropy::Message::Sealed {
@@ -440,14 +440,14 @@
             point,
             from: 0,
             total: 1,
-            retained_keys: vec![remembered()],
+            retained_keys: vec![retained_key()],
             check: Digest([9; 32]),
         },
     ]
 }
 
 #[rstest]
-fn placements_between_nodes_and_on_disks() {
+fn placement_messages_and_records_match_the_golden_file() {
     let mut samples = Samples::default();
     for message in placement_messages() {
         assert_eq!(message.encode(), postcard::to_stdvec(&message).unwrap());
@@ -458,7 +458,7 @@
         samples.postcard("entry", ended(how));
     }
     assert_eq!(hash_chain::encode(&placed()).unwrap(), postcard::to_stdvec(&placed()).unwrap());
-    samples.json("base", Base { point: (2, Digest([3; 32])), retained_keys: vec![remembered()] });
+    samples.json("base", Base { point: (2, Digest([3; 32])), retained_keys: vec![retained_key()] });
     samples.json("writer", writer());
     samples.json("piece", piece());
     samples.computed("origin", hex(&hash_chain::origin(&writer()).1 .0));
@@ -490,18 +490,18 @@
 
 fn audit_message() -> audit::Message {
     let head = ChainPoint::origin("n0", 0x42).successor(b"entry");
-    let story = NodeReport {
+    let report = NodeReport {
         node: 5,
         at: 1_700_000_000_000_000,
         log_id: 0x42,
         head,
         content: vector().content_hash(),
     };
-    audit::Message { reports: vec![story], vectors: vec![vector().shared()], disputed: vec![(0x42, head)] }
+    audit::Message { reports: vec![report], vectors: vec![vector().shared()], disputed: vec![(0x42, head)] }
 }
 
-fn records() -> Vec<audit_log::Entry> {
-    let taken = vector().set(Item::Sites, ContentHash::of_number(9), Some(9)).unwrap();
+fn audit_entries() -> Vec<audit_log::Entry> {
+    let change = vector().set(Item::Sites, ContentHash::of_number(9), Some(9)).unwrap();
     let decision = Decision {
         request: 77,
         class: "valve".into(),
@@ -509,19 +509,19 @@
         reason: "dispatched".into(),
     };
     let mut all = vec![audit_log::Entry::ProcessStarted { vector: vector() }];
-    for why in [
+    for source in [
         ChangeSource::Start,
         ChangeSource::Operator,
         ChangeSource::Discovery,
         ChangeSource::Peers,
         ChangeSource::Agreement,
     ] {
-        all.push(audit_log::Entry::VersionChanged { change: taken, source: why });
+        all.push(audit_log::Entry::VersionChanged { change, source });
     }
-    for because in [VersionError::Older { held: 5, offered: 4 }, VersionError::Conflict(5)] {
+    for error in [VersionError::Older { held: 5, offered: 4 }, VersionError::Conflict(5)] {
         all.push(audit_log::Entry::VersionRejected {
             item: Item::Accounts,
-            error: because,
+            error,
             source: ChangeSource::Operator,
         });
     }
@@ -539,10 +539,10 @@
 }
 
 #[rstest]
-fn audit_between_nodes_and_on_disks() {
+fn audit_messages_and_records_match_the_golden_file() {
     let mut samples = Samples::default();
     samples.postcard("message", audit_message());
-    for entry in records() {
+    for entry in audit_entries() {
         let timed = audit_log::Timed { at: 1_700_000_000_000_000, entry };
         let encoded = audit_log::encode(&timed).unwrap();
         let kept = timed.clone();
@@ -559,56 +559,56 @@
 }
 
 #[rstest]
-fn numbers_that_stand_for_keys_and_servers() {
+fn key_and_server_hashes_match_the_golden_file() {
     let mut samples = Samples::default();
     for text in ["s-0", "s-1", "valve-7"] {
-        let mark = shorepath_scheduler::name_hash(text);
-        samples.computed("mark", mark);
-        samples.computed("rank", KeyId(mark).rank(1));
+        let hash = shorepath_scheduler::name_hash(text);
+        samples.computed("mark", hash);
+        samples.computed("rank", KeyId(hash).rank(1));
     }
     samples.check("numbers.txt");
 }
 
-/// Every datagram above, under a key: sealed to the same bytes, opened by whoever has the key and by nobody else.
+/// Messages signed with a key yield the same bytes; only a receiver with that key accepts them.
 #[rstest]
-fn datagrams_under_a_key() {
-    let as_json = |message: &dyn erased::Json| message.json();
+fn signed_datagrams_match_the_golden_file() {
+    let as_json = |message: &dyn type_erased::Json| message.json();
     let mut bodies: Vec<(&str, Vec<u8>)> = Vec::new();
     bodies.extend(budget_messages().iter().map(|m| ("budgets", m.bytes())));
     bodies.extend(account_messages().iter().map(|m| ("accounts", as_json(m))));
     bodies.push(("health", as_json(&site_message())));
-    bodies.extend(proof_messages().iter().map(|m| ("proof", as_json(m))));
+    bodies.extend(catch_up_messages().iter().map(|m| ("proof", as_json(m))));
     bodies.extend(recovery_messages().iter().map(|m| ("recovery", as_json(m))));
     bodies.extend(placement_messages().iter().map(|m| ("placements", m.encode())));
     bodies.push(("audit", postcard::to_stdvec(&audit_message()).unwrap()));
     let keys = Keys::read(KEY).unwrap();
     let other = Keys::read(&KEY.replace('5', "6")).unwrap();
-    fn line(sender: u32, keys: &Keys) -> Channel {
+    fn channel(sender: u32, keys: &Keys) -> Channel {
         Channel::new(sender, 1_700_000_000_000_000, "tidal", Some(keys))
     }
     let mut samples = Samples::default();
-    let mut sender = line(7, &keys);
+    let mut sender = channel(7, &keys);
     for (kind, body) in bodies {
         let plain = Channel::new(7, 1, "tidal", None).sign(body.clone());
-        assert_eq!(plain, body, "without a key datagrams go as they are");
-        let sealed = sender.sign(body.clone());
+        assert_eq!(plain, body, "messages are sent unchanged without a key");
+        let signed = sender.sign(body.clone());
         let (keys, other) = (keys.clone(), other.clone());
-        samples.add(kind, hex(&sealed), move |golden| {
+        samples.add(kind, hex(&signed), move |golden| {
             let golden = unhex(golden);
-            let mut receiver = line(8, &keys);
-            let opened = receiver.verify(&golden, 0).unwrap();
-            assert_eq!((opened.sender, opened.body), (Some(7), body.as_slice()));
-            assert!(line(8, &other).verify(&golden, 0).is_err(), "another key");
+            let mut receiver = channel(8, &keys);
+            let verified = receiver.verify(&golden, 0).unwrap();
+            assert_eq!((verified.sender, verified.body), (Some(7), body.as_slice()));
+            assert!(channel(8, &other).verify(&golden, 0).is_err(), "another key");
             let mut changed = golden.clone();
             changed[40] ^= 1;
-            assert!(line(8, &keys).verify(&changed, 0).is_err(), "a changed byte");
+            assert!(channel(8, &keys).verify(&changed, 0).is_err(), "a changed byte");
         });
     }
     samples.check("datagrams.txt");
 }
 
-/// JSON of values of different types.
-mod erased {
+/// JSON encoding of values of different types behind one trait object.
+mod type_erased {
     pub trait Json {
         fn json(&self) -> Vec<u8>;
     }
--- a/tests/golden/site_datagrams.rs
+++ b/tests/golden/site_datagrams.rs
@@ -1,6 +1,6 @@
-//! Datagrams between nodes of sites as the real program sends and takes them; the test plays the other site's node.
+//! Datagrams between nodes of different sites, as the real program sends and accepts them; the test acts as the other site's node.
 
-use crate::files::matches;
+use crate::files::assert_golden;
 use crate::support::site_files::{Files, KEY};
 use crate::support::*;
 use rstest::rstest;
@@ -17,35 +17,35 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The other site's node.
-struct Other {
+/// A node of another site that the test controls.
+struct TestPeer {
     socket: UdpSocket,
-    line: Channel,
+    channel: Channel,
     to: std::net::SocketAddr,
 }
 
-impl Other {
-    fn new(files: &Files) -> Other {
+impl TestPeer {
+    fn new(files: &Files) -> TestPeer {
         let socket = UdpSocket::bind(files.address(1)).unwrap();
         socket.set_read_timeout(Some(LONG)).unwrap();
-        let line = Channel::new(NodeId::of("n1").0, 1, "odense", Some(&Keys::read(KEY).unwrap()));
-        Other { socket, line, to: files.address(0) }
+        let channel = Channel::new(NodeId::of("n1").0, 1, "odense", Some(&Keys::read(KEY).unwrap()));
+        TestPeer { socket, channel, to: files.address(0) }
     }
 
     fn send(&mut self, body: &[u8]) {
-        let datagram = self.line.sign(body.to_vec());
+        let datagram = self.channel.sign(body.to_vec());
         self.socket.send_to(&datagram, self.to).unwrap();
     }
 
     fn receive(&mut self) -> Vec<u8> {
         let mut buffer = [0; 4_000];
         let (n, _) = self.socket.recv_from(&mut buffer).unwrap();
-        self.line.verify(&buffer[..n], 0).unwrap().body.to_vec()
+        self.channel.verify(&buffer[..n], 0).unwrap().body.to_vec()
     }
 
-    /// Send a message until one in JSON of that kind comes for which something is found: datagrams may be lost, above all those
-    /// that come before the node listens.
-    fn answered<T>(&mut self, message: &[u8], kind: &str, found: impl Fn(&Value) -> Option<T>) -> T {
+    /// Sends a message repeatedly until `found` accepts a JSON message of that kind. Datagrams may be lost, in particular before the
+    /// node listens.
+    fn request<T>(&mut self, message: &[u8], kind: &str, found: impl Fn(&Value) -> Option<T>) -> T {
         let begin = Instant::now();
         loop {
             assert!(begin.elapsed() < LONG, "no such {kind}");
@@ -58,11 +58,11 @@
     }
 }
 
-/// The form of a message: its fields and the kinds of their values.
-fn form(value: &Value) -> Value {
+/// Returns the schema of a message: its fields and the types of their values.
+fn schema(value: &Value) -> Value {
     match value {
-        Value::Object(fields) => fields.iter().map(|(name, value)| (name.clone(), form(value))).collect(),
-        Value::Array(all) => all.first().map(form).into_iter().collect(),
+        Value::Object(fields) => fields.iter().map(|(name, value)| (name.clone(), schema(value))).collect(),
+        Value::Array(all) => all.first().map(schema).into_iter().collect(),
         Value::Number(_) => "number".into(),
         Value::String(_) => "text".into(),
         Value::Bool(_) => "yes or no".into(),
@@ -70,7 +70,7 @@
     }
 }
 
-fn placed(node: &Node, server: &Party) {
+fn place_job(node: &Node, server: &Party) {
     let mut client = node.ask("k1", "/actuator-cmd");
     let mut backend = server.accept();
     let id = backend.id();
@@ -78,57 +78,57 @@
     assert_eq!(client.message().status(), 200);
 }
 
-fn operators(node: &Node, path: &str) -> String {
+fn operator_page(node: &Node, path: &str) -> String {
     let mut operator = node.operator();
     operator.send(&format!("GET {path} HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"));
     operator.message().body
 }
 
-/// What a node says unasked, by kind: JSON in its form, binary by its first byte.
+/// The kinds of datagrams that a node sends on its own: JSON by its schema, binary by the first byte.
 #[rstest]
-fn what_a_node_says() {
+fn sent_datagrams_match_the_golden_file() {
     let (files, server) = (Files::new("golden-says"), Party::new());
     files.sites(0, 1, "(audit (one-in 1) (sum 100 ms)) (recover (outlive 1 s) (peers 1 s) (catch-up 1 s))");
-    let mut other = Other::new(&files);
+    let mut peer = TestPeer::new(&files);
     let _node = files.start(0, &server);
-    let mut forms: BTreeMap<String, String> = BTreeMap::new();
+    let mut schemas: BTreeMap<String, String> = BTreeMap::new();
     let begin = Instant::now();
-    while forms.len() < 5 {
-        assert!(begin.elapsed() < LONG, "only {forms:?}");
-        let body = other.receive();
-        let (kind, form) = match serde_json::from_slice::<Value>(&body) {
+    while schemas.len() < 5 {
+        assert!(begin.elapsed() < LONG, "only {schemas:?}");
+        let body = peer.receive();
+        let (kind, schema) = match serde_json::from_slice::<Value>(&body) {
             Ok(message) => {
-                (message.as_object().unwrap().keys().next().unwrap().clone(), form(&message).to_string())
+                (message.as_object().unwrap().keys().next().unwrap().clone(), schema(&message).to_string())
             }
             Err(_) => (char::from(body[0]).to_string(), "binary".to_string()),
         };
-        // What it bears is told once it is known.
-        if !form.contains("null") {
-            forms.insert(kind, form);
+        // The capacity is null until it is known.
+        if !schema.contains("null") {
+            schemas.insert(kind, schema);
         }
     }
-    let found: String = forms.iter().map(|(kind, form)| format!("{kind} {form}\n")).collect();
-    matches("site-datagrams.txt", &found);
+    let found: String = schemas.iter().map(|(kind, schema)| format!("{kind} {schema}\n")).collect();
+    assert_golden("site-datagrams.txt", &found);
 }
 
-/// What an earlier version said is taken, and answered in its form.
+/// A node accepts the datagrams of an earlier version and replies in that format.
 #[rstest]
-fn what_a_node_takes() {
+fn datagrams_of_an_earlier_version_are_accepted() {
     let (files, server) = (Files::new("golden-takes"), Party::new());
     files.sites(0, 1, "(audit (one-in 1) (sum 100 ms))");
     files.accounts(0, 3, "(account bravo (standing closing) (reason \"unpaid\"))");
-    let mut other = Other::new(&files);
+    let mut peer = TestPeer::new(&files);
     let node = files.start(0, &server);
-    // A digest of nothing brings what is known.
+    // An empty digest is answered with the known account lines.
     let digest = br#"{"accounts":{"w":1,"n":[0,0],"h":0,"p":[],"q":false,"t":{"p":[0,0],"b":[0,0],"o":0},"k":[],"i":0,"l":[]}}"#;
-    let notified =
-        other.answered(digest, "accounts", |m| (m["w"] == 3 && m["t"]["p"][0] == 3).then(|| m["l"].clone()));
-    assert_eq!(notified.to_string(), r#"[{"a":"bravo","f":0,"r":"unpaid","s":"closing"}]"#);
-    // A piece of a newer file is taken over once its digest fits; one whose digest does not is refused.
-    other.send(br#"{"accounts":{"w":3,"n":[0,0],"h":0,"p":[],"q":true,"t":{"p":[9,77],"b":[0,0],"o":1},"k":[],"i":0,"l":[]}}"#);
-    assert!(operators(&node, "/ops/sites").contains("account bravo Closing number=3 reason=\"unpaid\""));
-    // The health of sites, over and over: a message that comes as the process was held up is passed over.
-    let (site, to) = (NodeId::of("east").0, files.address(0));
+    let lines =
+        peer.request(digest, "accounts", |m| (m["w"] == 3 && m["t"]["p"][0] == 3).then(|| m["l"].clone()));
+    assert_eq!(lines.to_string(), r#"[{"a":"bravo","f":0,"r":"unpaid","s":"closing"}]"#);
+    // A piece of a newer file whose digest does not match is rejected.
+    peer.send(br#"{"accounts":{"w":3,"n":[0,0],"h":0,"p":[],"q":true,"t":{"p":[9,77],"b":[0,0],"o":1},"k":[],"i":0,"l":[]}}"#);
+    assert!(operator_page(&node, "/ops/sites").contains("account bravo Closing number=3 reason=\"unpaid\""));
+    // Site health messages are repeated, because the node skips one that arrives while it was held up.
+    let (site, node_address) = (NodeId::of("east").0, files.address(0));
     let is_logged = Arc::new(AtomicBool::new(false));
     let sending = std::thread::spawn({
         let is_logged = is_logged.clone();
@@ -139,8 +139,8 @@
             for number in 5.. {
                 let health =
                     format!(r#"{{"seeing":{{"s":{site},"n":{number},"v":9,"d":7,"o":[],"l":null}}}}"#);
-                socket.send_to(&channel.sign(health.into_bytes()), to).unwrap();
-                // Nobody answers there: a pause.
+                socket.send_to(&channel.sign(health.into_bytes()), node_address).unwrap();
+                // A pause: no datagram arrives on this socket.
                 let _ = socket.recv(&mut [0; 1]);
                 if is_logged.load(Ordering::Relaxed) {
                     return;
@@ -151,58 +151,58 @@
     node.logs("version 9");
     is_logged.store(true, Ordering::Relaxed);
     sending.join().unwrap();
-    // What was placed: a message of nothing brings a piece of the log.
-    let nothing = [b'p', 0, 6, 0, 9, 1, 0, 1, 0];
-    other.send(&nothing);
-    // Its only partner has said all that it has.
+    // An empty log summary is answered with a piece of the placement log.
+    let empty_summary = [b'p', 0, 6, 0, 9, 1, 0, 1, 0];
+    peer.send(&empty_summary);
+    // The node's only peer has sent its summary.
     node.logs("peers have answered");
-    placed(&node, &server);
+    place_job(&node, &server);
     let begin = Instant::now();
     loop {
         assert!(begin.elapsed() < LONG, "no piece of a log");
-        other.send(&nothing);
-        let body = other.receive();
+        peer.send(&empty_summary);
+        let body = peer.receive();
         if body[0] == b'p' && body[3] == 1 {
             assert_eq!(&body[4..12], b"\x04west\x02n0");
             break;
         }
     }
-    // Versions of other nodes.
+    // A report of a peer's versions shows on the audit page.
     let head = ChainPoint::origin("n1", 7).successor(b"entry");
     let content = ContentHash::of(b"steers");
-    let story = NodeReport { node: NodeId::of("n1").0, at: 1, log_id: 7, head, content };
-    let notified = postcard::to_stdvec(&(vec![story], Vec::<u8>::new(), Vec::<u8>::new())).unwrap();
-    other.send(&[b"a", notified.as_slice()].concat());
+    let report = NodeReport { node: NodeId::of("n1").0, at: 1, log_id: 7, head, content };
+    let encoded = postcard::to_stdvec(&(vec![report], Vec::<u8>::new(), Vec::<u8>::new())).unwrap();
+    peer.send(&[b"a", encoded.as_slice()].concat());
     let begin = Instant::now();
-    let wanted = format!("node n1 content={content} last=1 ");
-    while !operators(&node, "/ops/audit").contains(&wanted) {
-        assert!(begin.elapsed() < LONG, "{}", operators(&node, "/ops/audit"));
+    let expected = format!("node n1 content={content} last=1 ");
+    while !operator_page(&node, "/ops/audit").contains(&expected) {
+        assert!(begin.elapsed() < LONG, "{}", operator_page(&node, "/ops/audit"));
     }
 }
 
-/// A node on its way back is asked who remembers it, and answers.
+/// A recovering node accepts the recovery messages of an earlier version and replies in that format.
 #[rstest]
-fn what_a_returning_node_takes() {
+fn recovery_messages_of_an_earlier_version_are_accepted() {
     let (files, server) = (Files::new("golden-returns"), Party::new());
     files.sites(0, 1, "(recover (outlive 1 s) (peers 1 s) (catch-up 1 s))");
-    let mut other = Other::new(&files);
+    let mut peer = TestPeer::new(&files);
     let node = files.start(0, &server);
     let ask = r#"{"recovery":{"ask":{"me":{"disk":8,"boots":2,"life":5},"claims":true}}}"#;
-    let reply = other.answered(ask.as_bytes(), "recovery", |m| {
+    let reply = peer.request(ask.as_bytes(), "recovery", |m| {
         m.get("tell").filter(|reply| reply["known"] != Value::Null).cloned()
     });
     assert_eq!(
         reply.to_string(),
         r#"{"known":{"boots":2,"disk":8,"life":5},"lives":false,"outlived":false,"to":5,"whole":false}"#
     );
-    let own = other.answered(ask.as_bytes(), "recovery", |m| m["ask"].get("me").cloned());
+    let own = peer.request(ask.as_bytes(), "recovery", |m| m["ask"].get("me").cloned());
     let message = format!(
         r#"{{"recovery":{{"tell":{{"to":{},"known":{own},"lives":false,"whole":true,"outlived":true}}}}}}"#,
         own["life"]
     );
-    other.send(message.as_bytes());
+    peer.send(message.as_bytes());
     let begin = Instant::now();
-    while !operators(&node, "/ops/recovery").contains("peer n1 Counts") {
-        assert!(begin.elapsed() < LONG, "{}", operators(&node, "/ops/recovery"));
+    while !operator_page(&node, "/ops/recovery").contains("peer n1 Counts") {
+        assert!(begin.elapsed() < LONG, "{}", operator_page(&node, "/ops/recovery"));
     }
 }
--- a/tests/golden/state_folder.rs
+++ b/tests/golden/state_folder.rs
@@ -1,9 +1,9 @@
-//! State folders that an earlier version left: the program opens each and finds in it what was there.
+//! State folders of an earlier version: the program opens them and reads all stored data.
 //!
-//! The folders are those of two nodes of two sites, with accounts, credit, leases of key ranges, placements, kept answers, recovery
-//! and audit in use. They are recorded by the first test below.
+//! The folders belong to two nodes of two sites that used accounts, credit, key leases, placements, stored answers, recovery and audit.
+//! In recording mode the test writes them first.
 
-use crate::files::{masked, matches, path, records};
+use crate::files::{assert_golden, is_recording, masked, path};
 use crate::support::allocator::divide;
 use crate::support::site_files::Files;
 use crate::support::*;
@@ -25,17 +25,17 @@
 
 const CLAUSES: &str = "(home actuator-cmd) (credit acme (jobs 8) (reserve 2) (shrink 1 h))
     (audit (one-in 1) (sum 100 ms)) (recover (outlive 1 s) (peers 1 s) (catch-up 1 s))";
-/// What differs from one run to the next: times, and what is counted by time.
-const TIMES: &[&str] = &["for_ms=", "heard_ms=", "ms=", "age_ms=", "until_ms="];
+/// Fields that differ between runs.
+const VARIABLE_FIELDS: &[&str] = &["for_ms=", "heard_ms=", "ms=", "age_ms=", "until_ms="];
 
-/// A divider of the homes of keys that runs until it is dropped.
-struct KeyOwnership {
+/// A quota server that grants the key leases until it is dropped.
+struct KeyLeaseServer {
     file: PathBuf,
     over: Arc<AtomicBool>,
 }
 
-impl KeyOwnership {
-    fn new(files: &Files) -> KeyOwnership {
+impl KeyLeaseServer {
+    fn new(files: &Files) -> KeyLeaseServer {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         let own = socket.local_addr().unwrap();
         let mut text = format!("(budgets (version 1) (term 1 s) (divider d0 \"{own}\")");
@@ -50,44 +50,44 @@
         let over = Arc::new(AtomicBool::new(false));
         let flags = (Arc::new(AtomicBool::new(false)), over.clone());
         std::thread::spawn(move || divide(&socket, Allocator::new("d0", plan, 7), &flags));
-        KeyOwnership { file, over }
+        KeyLeaseServer { file, over }
     }
 }
 
-impl Drop for KeyOwnership {
+impl Drop for KeyLeaseServer {
     fn drop(&mut self) {
         self.over.store(true, Ordering::Relaxed);
     }
 }
 
-fn operators(node: &Node, path: &str) -> String {
+fn operator_page(node: &Node, path: &str) -> String {
     let mut operator = node.operator();
     operator.send(&format!("GET {path} HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"));
     operator.message().body
 }
 
-fn until(node: &Node, path: &str, text: &str) {
+fn wait_for_page(node: &Node, path: &str, text: &str) {
     let begin = Instant::now();
     loop {
-        let notified = operators(node, path);
-        if notified.contains(text) {
+        let page = operator_page(node, path);
+        if page.contains(text) {
             return;
         }
-        assert!(begin.elapsed() < 2 * LONG, "no {text} in:\n{notified}");
+        assert!(begin.elapsed() < 2 * LONG, "no {text} in:\n{page}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Ask for a guarded job under a key.
-fn guarded(node: &Node, id: &str, key: &str) -> Peer {
+/// Sends a guarded job with the key.
+fn send_guarded(node: &Node, id: &str, key: &str) -> Peer {
     let mut client = node.client();
     let text = job(id, "/actuator-cmd", "5000m", "");
     client.send(&text.replace("Tenant:", &format!("Idempotency-Key: {key}\r\nTenant:")));
     client
 }
 
-/// Serve what comes to a backend server: keys that begin with `lost` are begun and never finished.
-fn serves(mut peer: Peer) {
+/// Serves the requests of a connection; jobs whose key begins with `lost` are started and never finished.
+fn serve_or_lose(mut peer: Peer) {
     while peer.goes_on() {
         let request = peer.message();
         let key = request.field("Idempotency-Key").unwrap_or("none").to_string();
@@ -99,13 +99,13 @@
     }
 }
 
-fn start(files: &Files, ownership: &KeyOwnership, version: u32) -> [Node; 2] {
+fn start(files: &Files, key_lease_server: &KeyLeaseServer, version: u32) -> [Node; 2] {
     let server = Party::new();
     let address = server.address;
-    server.attended(serves);
+    server.attended(serve_or_lose);
     let node = |k: usize| {
         files.sites(k, version, CLAUSES);
-        files.start_with(k, config(&[address]), &["--budgets", ownership.file.to_str().unwrap()])
+        files.start_with(k, config(&[address]), &["--budgets", key_lease_server.file.to_str().unwrap()])
     };
     [node(0), node(1)]
 }
@@ -121,7 +121,7 @@
     io::copy(&mut GzDecoder::new(File::open(from).unwrap()), &mut File::create(to).unwrap()).unwrap();
 }
 
-/// Four keys whose home is the first node: two that are served, and two of which nobody knows whether they ran.
+/// Returns four keys that the first node owns: two that are served and two whose outcome is unknown.
 fn keys(files: &Files) -> Vec<String> {
     let text = std::fs::read_to_string(files.of(0).join("sites.sexp")).unwrap();
     let plan = shorepath_sites::config::read("t", &text).unwrap();
@@ -137,8 +137,8 @@
     [of("key"), of("lost")].concat()
 }
 
-/// What a folder holds, by the names under which it is kept.
-fn kept(folder: &Path) -> String {
+/// Returns the facts that a folder holds, one per line with its name.
+fn stored_facts(folder: &Path) -> String {
     let store = Store::open(folder, 1 << 20).unwrap();
     let peers = ["n0", "n1"].map(|name| format!("recovery/peer/{}", NodeId::of(name).0));
     let names = [
@@ -162,30 +162,30 @@
     text
 }
 
-/// Have two nodes do all that is kept on disks, and pack their folders.
+/// Runs two nodes so that they store each kind of data, and packs their folders.
 fn record() {
     let mut files = Files::new("golden-recording");
     files.times = "(confirm 1 s) (alone 1 s) (hold 1 s)";
-    let ownership = KeyOwnership::new(&files);
+    let key_lease_server = KeyLeaseServer::new(&files);
     files.accounts(
         0,
         3,
         "(account bravo (standing closing) (reason \"unpaid\")) (account cato (standing warned))",
     );
-    let mut nodes = start(&files, &ownership, 1);
-    until(&nodes[0], "/ops/recovery", "step \"guarded\"");
+    let mut nodes = start(&files, &key_lease_server, 1);
+    wait_for_page(&nodes[0], "/ops/recovery", "step \"guarded\"");
     assert_eq!(nodes[0].call("POST", "/ops/recovery/release"), 200);
-    nodes.iter().for_each(|node| until(node, "/ops/recovery", "step \"serving\""));
+    nodes.iter().for_each(|node| wait_for_page(node, "/ops/recovery", "step \"serving\""));
     for key in keys(&files) {
         let begin = Instant::now();
-        while guarded(&nodes[0], &format!("id-{key}"), &key).message().status() == 503 {
+        while send_guarded(&nodes[0], &format!("id-{key}"), &key).message().status() == 503 {
             assert!(begin.elapsed() < LONG, "{key}");
         }
     }
     assert_eq!(nodes[0].ask("free", "/zone-plan").message().status(), 200);
-    // Alone: what is begun now is begun on credit.
+    // The first node is isolated now and starts jobs on credit.
     let [first, second] = &mut nodes;
-    until(second, "/ops/sites", "account bravo Closing");
+    wait_for_page(second, "/ops/sites", "account bravo Closing");
     std::thread::sleep(Duration::from_secs(3));
     second.terminate();
     assert!(second.exit().success());
@@ -200,43 +200,44 @@
     }
 }
 
-/// Both folders are opened under a newer file of sites. What operators are told and what clients of known keys get is what it was.
+/// Nodes open the folders of an earlier version: their pages and the answers for known keys are the recorded ones.
 #[rstest]
-fn a_node_finds_what_an_earlier_version_kept() {
-    if records() {
+fn state_folders_of_an_earlier_version_are_read() {
+    if is_recording() {
         record();
     }
     let mut files = Files::new("golden-state");
     files.times = "(confirm 1 s) (alone 1 s) (hold 1 s)";
-    let ownership = KeyOwnership::new(&files);
+    let key_lease_server = KeyLeaseServer::new(&files);
     let mut found = String::new();
     for k in 0..2 {
         unpack(&path(&format!("node-{k}.redb.gz")), &files.of(k).join("state/kept.redb"));
-        found += &format!("# n{k} kept\n{}", kept(&files.of(k).join("state")));
+        found += &format!("# n{k} kept\n{}", stored_facts(&files.of(k).join("state")));
     }
-    // The authority's newest file is on the disk, not in the folder of files.
-    let nodes = start(&files, &ownership, 9);
-    nodes.iter().for_each(|node| until(node, "/ops/recovery", "step \"serving\""));
+    // The newest accounts file comes from the stored state, not from the folder.
+    let nodes = start(&files, &key_lease_server, 9);
+    nodes.iter().for_each(|node| wait_for_page(node, "/ops/recovery", "step \"serving\""));
     for (k, node) in nodes.iter().enumerate() {
-        for (path, lines) in [
+        for (path, prefixes) in [
             ("/ops/sites", ["account ", "credit ", "own ", "standing "].as_slice()),
             ("/ops/recovery", ["disk ", "peer "].as_slice()),
             ("/ops/audit", ["record "].as_slice()),
         ] {
             found += &format!("# n{k} {path}\n");
-            let notified = masked(&operators(node, path), TIMES);
-            let kept = notified.lines().filter(|line| lines.iter().any(|begin| line.starts_with(begin)));
-            kept.for_each(|line| found += &format!("{line}\n"));
+            let page = masked(&operator_page(node, path), VARIABLE_FIELDS);
+            let lines_to_compare =
+                page.lines().filter(|line| prefixes.iter().any(|prefix| line.starts_with(prefix)));
+            lines_to_compare.for_each(|line| found += &format!("{line}\n"));
         }
     }
-    // What was served has the answer that it had, and what may have run still may have.
+    // Served keys have their stored answers, and keys with an unknown outcome are still rejected.
     for key in keys(&files) {
-        let answer = guarded(&nodes[0], &format!("again-{key}"), &key).message();
+        let answer = send_guarded(&nodes[0], &format!("again-{key}"), &key).message();
         found +=
             &format!("{key} {} {:?} {}\n", answer.status(), answer.field("Refused-Because"), answer.body);
     }
-    // The audit's record goes on by what was written meanwhile.
+    // The audit log has grown since it was recorded, so its positions are masked.
     let found =
         masked(&found, &["last=", "on_disk=", "digest=", "bytes=", "vector=", "content=", "unrecorded="]);
-    matches("state-folder.txt", &(found + "\n"));
+    assert_golden("state-folder.txt", &(found + "\n"));
 }
