--- a/tests/golden/state_folder.rs
+++ b/tests/golden/state_folder.rs
@@ -31,32 +31,32 @@
 /// A quota server that grants the key leases until it is dropped.
 struct KeyLeaseServer {
     file: PathBuf,
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
 }
 
 impl KeyLeaseServer {
     fn new(files: &Files) -> KeyLeaseServer {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-        let own = socket.local_addr().unwrap();
-        let mut text = format!("(budgets (version 1) (term 1 s) (divider d0 \"{own}\")");
-        for (k, home) in ["west/n0", "east/n1"].iter().enumerate() {
+        let server_address = socket.local_addr().unwrap();
+        let mut text = format!("(budgets (version 1) (term 1 s) (divider d0 \"{server_address}\")");
+        for (k, owner) in ["west/n0", "east/n1"].iter().enumerate() {
             text += &format!(" (node n{k} \"{}\")", fresh());
-            text += &format!(" (budget home:{home} (per moment) (whole 1) (longest 500 ms))");
+            text += &format!(" (budget home:{owner} (per moment) (whole 1) (longest 500 ms))");
         }
         text += ")";
         let file = files.of(0).join("budgets.sexp");
         std::fs::write(&file, &text).unwrap();
         let plan = shorepath_quota::config::read("b", &text).unwrap();
-        let over = Arc::new(AtomicBool::new(false));
-        let flags = (Arc::new(AtomicBool::new(false)), over.clone());
+        let stopped = Arc::new(AtomicBool::new(false));
+        let flags = (Arc::new(AtomicBool::new(false)), stopped.clone());
         std::thread::spawn(move || divide(&socket, Allocator::new("d0", plan, 7), &flags));
-        KeyLeaseServer { file, over }
+        KeyLeaseServer { file, stopped }
     }
 }
 
 impl Drop for KeyLeaseServer {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopped.store(true, Ordering::Relaxed);
     }
 }
 
--- a/tests/node/fleet.rs
+++ b/tests/node/fleet.rs
@@ -49,9 +49,9 @@
     }
 
     fn write(&self, version: u64, budgets: &str) {
-        let quota_server = self.socket.local_addr().unwrap();
+        let server_address = self.socket.local_addr().unwrap();
         let text = format!(
-            "(budgets (version {version}) (term 1 s) {} (divider d0 \"{quota_server}\") (node n0 \"{}\") {budgets})",
+            "(budgets (version {version}) (term 1 s) {} (divider d0 \"{server_address}\") (node n0 \"{}\") {budgets})",
             self.key_clauses, self.node_address
         );
         std::fs::write(&self.budgets_file, text).unwrap();
@@ -119,7 +119,7 @@
 }
 
 /// Sends `count` jobs at once and returns how many are served; the others must be rejected with 503.
-fn served(node: &Node, server: &mut Party, name: &str, count: usize) -> usize {
+fn count_served(node: &Node, server: &mut Party, name: &str, count: usize) -> usize {
     let done = AtomicBool::new(false);
     let is_done = &done;
     std::thread::scope(|scope| {
@@ -148,14 +148,14 @@
     let incarnation = quota_server.grant(40);
     assert_eq!(incarnation.node, NodeId::of("n0"));
     node.logs("all are granted");
-    assert_eq!(served(&node, &mut server, "a", 4), 4);
+    assert_eq!(count_served(&node, &mut server, "a", 4), 4);
     let ((), _) = quota_server.receive_matching(|message| match message {
         Message::Ask { claims, .. } if claims[0].in_force == (7, 1) && claims[0].demand > 0 => Some(()),
         _ => None,
     });
     // Without an answer for a term, only the reserve of two requests per second is left.
     node.logs("no grant for quota:acme");
-    let served_count = served(&node, &mut server, "b", 30);
+    let served_count = count_served(&node, &mut server, "b", 30);
     assert!((1..=8).contains(&served_count), "{served_count} of 30");
     quota_server.grant(30);
     node.logs("all are granted");
--- a/tests/node/key_ownership.rs
+++ b/tests/node/key_ownership.rs
@@ -19,7 +19,7 @@
     budgets: PathBuf,
     /// While set, the quota server ignores messages and sends none.
     silent: Arc<AtomicBool>,
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
 }
 
 impl Fleet {
@@ -44,10 +44,10 @@
         let budgets = files.of(0).join("budgets.sexp");
         std::fs::write(&budgets, &text).unwrap();
         let plan = shorepath_quota::config::read("t", &text).unwrap();
-        let (silent, over) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
-        let flags = (silent.clone(), over.clone());
+        let (silent, stopped) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
+        let flags = (silent.clone(), stopped.clone());
         std::thread::spawn(move || divide(&socket, Allocator::new("d0", plan, 7), &flags));
-        Fleet { files, budgets, silent, over }
+        Fleet { files, budgets, silent, stopped }
     }
 
     fn start(&self, node: usize, config: serde_json::Value) -> Node {
@@ -66,7 +66,7 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopped.store(true, Ordering::Relaxed);
     }
 }
 
--- a/tests/node/recovery.rs
+++ b/tests/node/recovery.rs
@@ -75,15 +75,15 @@
         self.folder.join(format!("state{node}"))
     }
 
-    pub fn start(&self, node: usize, servers: &[SocketAddr], more: &[&str]) -> Node {
-        self.start_as(node, servers, more, |_| {})
+    pub fn start(&self, node: usize, servers: &[SocketAddr], options: &[&str]) -> Node {
+        self.start_as(node, servers, options, |_| {})
     }
 
     fn command(
         &self,
         node: usize,
         servers: &[SocketAddr],
-        more: &[&str],
+        options: &[&str],
         change: impl Fn(&mut serde_json::Value),
     ) -> (Vec<String>, serde_json::Value) {
         let mut config = config(servers);
@@ -94,17 +94,17 @@
         let (file, state) = (self.folder.join("sites.sexp"), self.state(node));
         let arguments =
             [PROGRAM, "serve", "-v", "--sites", file.to_str().unwrap(), "--state", state.to_str().unwrap()];
-        (arguments.iter().chain(more).map(|w| w.to_string()).collect(), config)
+        (arguments.iter().chain(options).map(|argument| argument.to_string()).collect(), config)
     }
 
     pub fn start_as(
         &self,
         node: usize,
         servers: &[SocketAddr],
-        more: &[&str],
+        options: &[&str],
         change: impl Fn(&mut serde_json::Value),
     ) -> Node {
-        let (arguments, config) = self.command(node, servers, more, change);
+        let (arguments, config) = self.command(node, servers, options, change);
         Node::start_as(&arguments.iter().map(String::as_str).collect::<Vec<_>>(), &config)
     }
 
@@ -167,8 +167,8 @@
     let mut operator = node.operator();
     operator.send("GET /ops/sites HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n");
     let page = operator.message().body;
-    let all = page.split_whitespace().find_map(|message| message.strip_prefix("all="));
-    all.unwrap_or_else(|| panic!("{page}")).parse().unwrap()
+    let count = page.split_whitespace().find_map(|field| field.strip_prefix("all="));
+    count.unwrap_or_else(|| panic!("{page}")).parse().unwrap()
 }
 
 /// Sends a guarded job with the key under a new request id and returns the response.
@@ -431,8 +431,8 @@
     assert_eq!(send_guarded(&nodes[0], "k").status(), 200);
     drop(nodes);
     for offset in ["31536000", "0"] {
-        let more = ["--test-clock-offset", offset];
-        let nodes = [0, 1].map(|k| fleet.start(k, &[server.address], &more));
+        let options = ["--test-clock-offset", offset];
+        let nodes = [0, 1].map(|k| fleet.start(k, &[server.address], &options));
         for node in &nodes {
             wait_for_recovery_page(node, "step \"serving\"");
             assert!(recovery_page(node).contains("outage unknown"), "{}", recovery_page(node));
--- a/tests/node/sites.rs
+++ b/tests/node/sites.rs
@@ -44,19 +44,19 @@
 }
 
 /// Returns the connection on which the next job arrives: a new one, or the kept one.
-pub fn accept_job(server: &Party, mut kept: Option<Peer>) -> Peer {
+pub fn accept_job(server: &Party, mut kept_connection: Option<Peer>) -> Peer {
     let begin = Instant::now();
     loop {
         assert!(begin.elapsed() < LONG, "no job arrived");
         if let Some(peer) = server.came() {
             return peer;
         }
-        let Some(peer) = &mut kept else { return server.accept() };
+        let Some(peer) = &mut kept_connection else { return server.accept() };
         if !peer.hears_nothing(Duration::from_millis(10)) && !peer.ended_early() {
             break;
         }
     }
-    kept.take().unwrap_or_else(|| server.accept())
+    kept_connection.take().unwrap_or_else(|| server.accept())
 }
 
 /// Returns the status and the `Refused-Because` field of a response.
@@ -547,7 +547,7 @@
 struct Link {
     address: SocketAddr,
     cut: Arc<AtomicBool>,
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
 }
 
 impl Link {
@@ -555,11 +555,11 @@
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         socket.set_read_timeout(Some(Duration::from_millis(20))).unwrap();
         let address = socket.local_addr().unwrap();
-        let [cut, over] = [(); 2].map(|()| Arc::new(AtomicBool::new(false)));
-        let link = Link { address, cut: cut.clone(), over: over.clone() };
+        let [cut, stopped] = [(); 2].map(|()| Arc::new(AtomicBool::new(false)));
+        let link = Link { address, cut: cut.clone(), stopped: stopped.clone() };
         std::thread::spawn(move || {
             let mut buffer = [0; 1 << 16];
-            while !over.load(Ordering::Relaxed) {
+            while !stopped.load(Ordering::Relaxed) {
                 if let Ok((n, _)) = socket.recv_from(&mut buffer) {
                     if !cut.load(Ordering::Relaxed) {
                         // The target may not be running.
@@ -574,7 +574,7 @@
 
 impl Drop for Link {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopped.store(true, Ordering::Relaxed);
     }
 }
 
