--- a/tests/node/dispatch_writes.rs
+++ b/tests/node/dispatch_writes.rs
@@ -1,7 +1,7 @@
 //! Changes between the decision to dispatch a job and the write of its first byte: a job is not written once its client has
 //! disconnected, its server has moved, or its deduplication window is over, and is judged by the settings it was sent with.
 
-use crate::sites::comes;
+use crate::sites::accept_job;
 use crate::support::*;
 use crate::{following, listing, load, pair, probing, watch};
 use rstest::rstest;
@@ -226,7 +226,7 @@
 /// Asserts that the server receives nothing of a disconnected client, on `backend` or on a new connection, before the next job.
 fn assert_only_next_job_arrives(node: &Node, server: &Party, backend: Peer) {
     let mut next = send_job(node, "next", "/zone-plan");
-    let mut backend = comes(server, Some(backend));
+    let mut backend = accept_job(server, Some(backend));
     if !backend.goes_on() {
         // The earlier probe timed out, which closed its connection.
         backend = server.accept();
@@ -534,7 +534,7 @@
     }
     node.stand_still(false);
     let mut next = node.ask("b", "/zone-plan");
-    let mut backend = comes(&server, Some(backend));
+    let mut backend = accept_job(&server, Some(backend));
     assert_eq!(backend.id(), "b");
     backend.serve("b", "2");
     assert_eq!(next.message().body, "2");
@@ -656,7 +656,7 @@
     }
     let never_ran = ["returned", "503"].contains(&outcome);
     if never_ran || semantics != "single_shot" {
-        let mut backend = comes(&server, Some(backend));
+        let mut backend = accept_job(&server, Some(backend));
         assert_eq!(backend.id(), "a");
         backend.serve("a", "1");
         assert_eq!(client.message().body, "1");
--- a/tests/node/rare.rs
+++ b/tests/node/rare.rs
@@ -4,7 +4,7 @@
     keyed_job, log_seconds, long_timeout_config, StallableServer, NOT_STARTED_AND_CLOSE,
 };
 use crate::notified::Failure;
-use crate::sites::comes;
+use crate::sites::accept_job;
 use crate::stopping::sleep_until;
 use crate::support::*;
 use crate::{following, listing, watch};
@@ -519,7 +519,7 @@
     for id in ["a", "b"] {
         let result = format!("{id}: \"é\u{1f600}\\\n\" {}", "0123456789".repeat(5));
         client.send(&job(id, "/zone-plan", "30000m", ""));
-        let mut backend = comes(&server, connection.take());
+        let mut backend = accept_job(&server, connection.take());
         assert_eq!(backend.id(), id);
         let lines = [
             json!({"id": id, "from": "s", "state": "started"}),
