--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -105,10 +105,10 @@
             match self.pool.next(connection).await {
                 None => return CloseReason::PeerClosed,
                 Some(Err(ReadError::Io(_))) => return CloseReason::PeerBroke,
-                Some(Err(ReadError::Bad { status, reason })) => {
+                Some(Err(ReadError::Malformed { status, reason })) => {
                     break (Answer::text(status, reason, true), CloseReason::Malformed)
                 }
-                Some(Ok(Incoming::Expects)) => {
+                Some(Ok(Incoming::ExpectsContinue)) => {
                     if self.pool.send(connection, Answer::Continue).await.is_err() {
                         return CloseReason::PeerBroke;
                     }
--- a/src/net/auditing.rs
+++ b/src/net/auditing.rs
@@ -394,7 +394,7 @@
         self.record_decision(class, None, how, guarded, job);
     }
 
-    fn listed(&self, revision: u64) {
+    fn list_applied(&self, revision: u64) {
         self.record_version(Item::List, ContentHash::of_number(revision), None, ChangeSource::Discovery);
     }
 }
--- a/src/net/backend.rs
+++ b/src/net/backend.rs
@@ -1,5 +1,5 @@
-//! The backend: connections to backend servers, and one attempt at a time on each. It carries out the
-//! exchange's orders, reports what becomes of them, and sends nothing again by itself.
+//! The backend: holds connections to backend servers and makes one attempt at a time on each. It executes the commands of the
+//! exchange, reports their outcomes, and never retries by itself.
 
 mod attempt;
 mod connection;
@@ -7,10 +7,10 @@
 use super::close_reason::{CloseReason, Side};
 use super::config::Config;
 use super::deadlines::Deadlines;
-use super::exchange::{DispatchId, Exchange, Order};
+use super::exchange::{Command, DispatchId, Exchange};
 use super::pool::Pool;
 use super::Job;
-use attempt::Call;
+use attempt::ConnectionCommand;
 use connection::{Dispatch, Target, Task};
 use shorepath_scheduler::{AttemptStatus, EndpointId, Idempotency};
 use std::cell::{Cell, RefCell};
@@ -21,232 +21,241 @@
 use tokio::sync::{mpsc, oneshot, watch, Notify};
 use tracing::{debug, warn};
 
-/// Connections to backend servers are closed after this part of the time that those allow.
-const IDLE_PART: f64 = 0.7;
-/// How long a probe waits for its answer. A server that has no room answers when it has: the connection
-/// is kept for that long, so that it need not be opened again.
-const PROBE: Duration = Duration::from_millis(1_000);
-/// A second answer may come some milliseconds after the first, and nothing in it says whose it is. A job that must not run
-/// twice is put on a connection only this long after the last answer there: what comes until then ends that connection.
-const QUIET: Duration = Duration::from_millis(30);
-/// How long the end of an answer may take after its last line.
-const TAIL: Duration = Duration::from_millis(200);
-
-/// What the backend may use.
+/// An idle connection is closed after this fraction of the idle timeout of backend servers, so that they don't close it first.
+const IDLE_FRACTION: f64 = 0.7;
+/// How long a probe waits for its answer. A server without free capacity answers once it has some; its connection is kept open
+/// meanwhile.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// A faulty second answer may arrive some milliseconds after the first, and could be taken for the answer to the next job. A job
+/// that must not run twice is sent on a connection only this long after the last answer there; data received before that closes
+/// the connection.
+const QUIET_PERIOD: Duration = Duration::from_millis(30);
+/// How long the end of an answer may take to arrive after its last line.
+const TAIL_TIMEOUT: Duration = Duration::from_millis(200);
+
+/// Limits on the connections to backend servers.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
-    /// Connections that may be open.
-    pub connections: usize,
-    /// How long one may take to come up.
+pub struct ConnectionLimits {
+    /// Most connections that may be open at once.
+    pub max_connections: usize,
+    /// How long connecting may take.
     pub connect_timeout: Duration,
-    /// How long one may stand idle.
-    pub idle: Duration,
+    /// How long a connection may be idle.
+    pub idle_timeout: Duration,
 }
 
-impl Bounds {
-    /// Those of a configuration, for one of so many processes that share it.
-    pub fn of(config: &Config, parts: u32) -> Self {
+impl ConnectionLimits {
+    /// Returns the limits of one of `process_count` processes that share the limits of a configuration.
+    pub fn from_config(config: &Config, process_count: u32) -> Self {
         let micros = |t: i64| Duration::from_micros(t.max(0) as u64);
-        Bounds {
-            connections: config.limits.connections(parts),
+        ConnectionLimits {
+            max_connections: config.limits.connections(process_count),
             connect_timeout: micros(config.setup.connect_timeout()),
-            idle: micros(config.setup.idle_timeout()).mul_f64(IDLE_PART),
+            idle_timeout: micros(config.setup.idle_timeout()).mul_f64(IDLE_FRACTION),
         }
     }
 }
 
-/// The connections to backend servers.
+/// The backend of a node, with its connections to backend servers.
 #[derive(Debug)]
 pub struct Backend {
     exchange: Rc<Exchange<Job>>,
     deadlines: Rc<Deadlines>,
     pool: Rc<Pool>,
-    bounds: Cell<Bounds>,
+    limits: Cell<ConnectionLimits>,
     servers: RefCell<HashMap<EndpointId, Server>>,
-    /// What calls off the attempts that are out.
-    out: RefCell<HashMap<DispatchId, oneshot::Sender<()>>>,
+    /// The attempts in flight. Dropping the sender cancels the attempt.
+    in_flight: RefCell<HashMap<DispatchId, oneshot::Sender<()>>>,
     connections: Cell<usize>,
-    /// Told whenever a connection has ended.
-    ended: Notify,
-    parked: Cell<u64>,
+    /// Notified when a connection was closed.
+    connection_ended: Notify,
+    next_idle_number: Cell<u64>,
 }
 
 #[derive(Debug)]
 struct Server {
     address: SocketAddr,
-    /// Where it may be sent anything new, if it may.
-    takes_at: watch::Sender<Option<SocketAddr>>,
-    /// Idle connections, the one used last at the back, by their number, with the time at which one last brought a job's answer.
-    idle: VecDeque<(u64, Option<Instant>, mpsc::Sender<Call>)>,
+    /// Address that accepts new requests; `None` if the server accepts none.
+    accepts_at: watch::Sender<Option<SocketAddr>>,
+    /// Idle connections, the most recently used one at the back: a number, the time of the last answer to a job, and the sender of
+    /// commands.
+    idle: VecDeque<(u64, Option<Instant>, mpsc::Sender<ConnectionCommand>)>,
 }
 
 impl Backend {
-    /// A backend without connections.
+    /// Creates a backend without backend servers and connections.
     pub fn new(
         exchange: Rc<Exchange<Job>>,
         deadlines: Rc<Deadlines>,
         pool: Rc<Pool>,
-        bounds: Bounds,
+        limits: ConnectionLimits,
     ) -> Rc<Self> {
         Rc::new(Backend {
             exchange,
             deadlines,
             pool,
-            bounds: Cell::new(bounds),
+            limits: Cell::new(limits),
             servers: RefCell::default(),
-            out: RefCell::default(),
+            in_flight: RefCell::default(),
             connections: Cell::new(0),
-            ended: Notify::new(),
-            parked: Cell::new(0),
+            connection_ended: Notify::new(),
+            next_idle_number: Cell::new(0),
         })
     }
 
-    /// Keep to other bounds from now on.
-    pub fn bound(&self, bounds: Bounds) {
-        self.bounds.set(bounds);
-        for _ in bounds.connections..self.connections.get() {
+    /// Changes the limits and closes idle connections beyond them.
+    pub fn set_limits(&self, limits: ConnectionLimits) {
+        self.limits.set(limits);
+        for _ in limits.max_connections..self.connections.get() {
             self.evict();
         }
     }
 
-    /// What it may use.
-    pub fn bounds(&self) -> Bounds {
-        self.bounds.get()
+    /// Returns the current limits.
+    pub fn limits(&self) -> ConnectionLimits {
+        self.limits.get()
     }
 
-    /// Carry out orders for as long as the exchange lasts.
-    pub async fn run(self: Rc<Self>, mut orders: mpsc::UnboundedReceiver<Order<Job>>) {
-        while let Some(order) = orders.recv().await {
-            match order {
-                Order::Dispatch { id, worker, effect, payload, written_by, until, wanted } => {
+    /// Executes commands until the exchange is dropped.
+    pub async fn run(self: Rc<Self>, mut commands: mpsc::UnboundedReceiver<Command<Job>>) {
+        while let Some(command) = commands.recv().await {
+            match command {
+                Command::Dispatch { id, endpoint, idempotency, payload, write_by, deadline, open } => {
                     let (cancel, cancelled) = oneshot::channel();
-                    self.out.borrow_mut().insert(id, cancel);
-                    let dispatch = Dispatch { id, effect, payload, written_by, until, wanted, cancelled };
-                    self.begin(worker, Task::Dispatch(dispatch));
+                    self.in_flight.borrow_mut().insert(id, cancel);
+                    let dispatch = Dispatch { id, idempotency, payload, write_by, deadline, open, cancelled };
+                    self.start(endpoint, Task::Dispatch(dispatch));
+                }
+                Command::Cancel(id) => drop(self.in_flight.borrow_mut().remove(&id)),
+                Command::Probe(endpoint) => self.start(endpoint, Task::Probe(Instant::now() + PROBE_TIMEOUT)),
+                Command::CloseIdle(endpoint) => self.close_idle(endpoint, CloseReason::ClosedIdle),
+                Command::Server { endpoint, address, active } => {
+                    self.update_server(endpoint, address, active)
                 }
-                Order::Cancel(id) => drop(self.out.borrow_mut().remove(&id)),
-                Order::Probe(worker) => self.begin(worker, Task::Probe(Instant::now() + PROBE)),
-                Order::CloseIdle(worker) => self.close_idle(worker, CloseReason::ClosedIdle),
-                Order::Server { worker, address, active } => self.server(worker, address, active),
             }
         }
     }
 
-    /// Close all connections, once nobody waits for an answer any more. Ready when all have ended; one
-    /// that is still reading the tail of an answer is not waited for longer than that may take.
+    /// Closes all connections and cancels all attempts. Returns once all are closed, at the latest after the time that the end of
+    /// an answer may take.
     pub async fn shut_down(&self) {
         let all: Vec<_> = self.servers.borrow().keys().copied().collect();
-        all.into_iter().for_each(|worker| self.close_idle(worker, CloseReason::Shutdown));
-        self.out.borrow_mut().clear();
+        all.into_iter().for_each(|endpoint| self.close_idle(endpoint, CloseReason::Shutdown));
+        self.in_flight.borrow_mut().clear();
         let all_ended = async {
             while self.connections.get() > 0 {
-                self.ended.notified().await;
+                self.connection_ended.notified().await;
             }
         };
         tokio::select! {
             () = all_ended => {}
-            () = self.deadlines.after(TAIL) => {}
+            () = self.deadlines.after(TAIL_TIMEOUT) => {}
         }
     }
 
-    fn server(&self, worker: EndpointId, address: Option<SocketAddr>, active: bool) {
-        let moved = {
+    fn update_server(&self, endpoint: EndpointId, address: Option<SocketAddr>, active: bool) {
+        let has_moved = {
             let mut servers = self.servers.borrow_mut();
-            match (servers.get_mut(&worker), address) {
+            match (servers.get_mut(&endpoint), address) {
                 (Some(server), address) => {
-                    let before = server.address;
-                    server.address = address.unwrap_or(before);
-                    server.takes_at.send_replace(active.then_some(server.address));
-                    before != server.address
+                    let previous = server.address;
+                    server.address = address.unwrap_or(previous);
+                    server.accepts_at.send_replace(active.then_some(server.address));
+                    previous != server.address
                 }
                 (None, Some(address)) => {
-                    let (takes_at, _) = watch::channel(active.then_some(address));
-                    servers.insert(worker, Server { address, takes_at, idle: VecDeque::new() });
+                    let (accepts_at, _) = watch::channel(active.then_some(address));
+                    servers.insert(endpoint, Server { address, accepts_at, idle: VecDeque::new() });
                     false
                 }
                 (None, None) => false,
             }
         };
-        if moved || !active {
-            self.close_idle(worker, CloseReason::ServerLeft);
+        if has_moved || !active {
+            self.close_idle(endpoint, CloseReason::ServerLeft);
         }
     }
 
-    fn close_idle(&self, worker: EndpointId, close_reason: CloseReason) {
+    fn close_idle(&self, endpoint: EndpointId, close_reason: CloseReason) {
         let mut servers = self.servers.borrow_mut();
-        for (_, _, connection) in servers.get_mut(&worker).into_iter().flat_map(|s| s.idle.drain(..)) {
-            // One that has just ended by itself needs no telling.
-            let _ = connection.try_send(Call::Close(close_reason));
+        for (_, _, connection) in servers.get_mut(&endpoint).into_iter().flat_map(|s| s.idle.drain(..)) {
+            // The receiver is dropped if the connection has just closed by itself.
+            let _ = connection.try_send(ConnectionCommand::Close(close_reason));
         }
     }
 
-    /// Close the connection that has been idle for longest, wherever it goes, if there is one.
+    /// Closes the connection that has been idle for longest, to any server. Returns false if none is idle.
     fn evict(&self) -> bool {
         let mut servers = self.servers.borrow_mut();
         let oldest = servers.iter_mut().filter(|(_, s)| !s.idle.is_empty()).min_by_key(|(_, s)| s.idle[0].0);
-        let Some((worker, server)) = oldest else { return false };
-        let (worker, Some((_, _, connection))) = (*worker, server.idle.pop_front()) else { return false };
+        let Some((endpoint, server)) = oldest else { return false };
+        let (endpoint, Some((_, _, connection))) = (*endpoint, server.idle.pop_front()) else { return false };
         drop(servers);
-        self.exchange.idle_closed(worker, 0);
-        connection.try_send(Call::Close(CloseReason::Evicted)).is_ok()
+        self.exchange.idle_closed(endpoint, 0);
+        connection.try_send(ConnectionCommand::Close(CloseReason::Evicted)).is_ok()
     }
 
-    fn report(&self, id: DispatchId, status: AttemptStatus) {
-        self.out.borrow_mut().remove(&id);
-        self.exchange.ended(id, status);
+    fn report_end(&self, id: DispatchId, status: AttemptStatus) {
+        self.in_flight.borrow_mut().remove(&id);
+        self.exchange.attempt_ended(id, status);
     }
 
-    /// How a task that never got a connection, or lost it, has ended.
-    fn ended(&self, worker: EndpointId, task: &Task, status: AttemptStatus) {
+    /// Reports the end of a task for which nothing was written.
+    fn task_ended(&self, endpoint: EndpointId, task: &Task, status: AttemptStatus) {
         match task {
-            Task::Dispatch(dispatch) => self.report(dispatch.id, status),
-            Task::Probe(_) => self.exchange.probed(worker, status, |_| None),
+            Task::Dispatch(dispatch) => self.report_end(dispatch.id, status),
+            Task::Probe(_) => self.exchange.probe_ended(endpoint, status, |_| None),
         }
     }
 
-    /// Put an attempt, or a probe, on the idle connection used last, or on a new one.
-    fn begin(self: &Rc<Self>, worker: EndpointId, mut task: Task) {
+    /// Starts an attempt or a probe on the most recently used idle connection, or on a new one.
+    fn start(self: &Rc<Self>, endpoint: EndpointId, mut task: Task) {
         let target = {
             let mut servers = self.servers.borrow_mut();
-            let Some(server) = servers.get_mut(&worker) else {
+            let Some(server) = servers.get_mut(&endpoint) else {
                 drop(servers);
-                warn!("a dispatch to a server without an address was not made");
-                return self.ended(worker, &task, AttemptStatus::ConnectFailed);
+                warn!("no attempt or probe was made because its backend server has no address");
+                return self.task_ended(endpoint, &task, AttemptStatus::ConnectFailed);
             };
             if let Task::Dispatch(dispatch) = &task {
                 debug!("dispatch {}.{} to {}", dispatch.id.request.0, dispatch.id.attempt, server.address);
             }
-            let wary =
-                matches!(&task, Task::Dispatch(dispatch) if dispatch.effect == Idempotency::NonIdempotent);
-            let quiet = |answered: &Option<Instant>| !wary || answered.is_none_or(|at| at.elapsed() >= QUIET);
-            while let Some(place) = server.idle.iter().rposition(|(_, answered, _)| quiet(answered)) {
-                let Some((_, _, connection)) = server.idle.remove(place) else { break };
-                match connection.try_send(Call::Do(task)) {
+            let needs_quiet = matches!(&task, Task::Dispatch(dispatch) if dispatch.idempotency == Idempotency::NonIdempotent);
+            let is_quiet = |answered_at: &Option<Instant>| {
+                !needs_quiet || answered_at.is_none_or(|at| at.elapsed() >= QUIET_PERIOD)
+            };
+            while let Some(position) =
+                server.idle.iter().rposition(|(_, answered_at, _)| is_quiet(answered_at))
+            {
+                let Some((_, _, connection)) = server.idle.remove(position) else { break };
+                match connection.try_send(ConnectionCommand::Run(task)) {
                     Ok(()) => return,
-                    Err(mpsc::error::TrySendError::Closed(Call::Do(back)))
-                    | Err(mpsc::error::TrySendError::Full(Call::Do(back))) => task = back,
+                    Err(mpsc::error::TrySendError::Closed(ConnectionCommand::Run(returned)))
+                    | Err(mpsc::error::TrySendError::Full(ConnectionCommand::Run(returned))) => {
+                        task = returned
+                    }
                     Err(_) => return,
                 }
             }
-            Target { worker, address: server.address, takes_at: server.takes_at.subscribe() }
+            Target { endpoint, address: server.address, accepts_at: server.accepts_at.subscribe() }
         };
-        // Guards against running out of descriptors. The place of one that is evicted is free a moment
-        // later, so the bound is one over for that long.
-        if self.connections.get() >= self.bounds.get().connections && !self.evict() {
-            warn!("no connection is left for a dispatch");
-            return self.ended(worker, &task, AttemptStatus::ConnectFailed);
+        // Guards against running out of file descriptors. An evicted connection closes a moment later, so the limit is exceeded by
+        // one until then.
+        if self.connections.get() >= self.limits.get().max_connections && !self.evict() {
+            warn!("no attempt or probe was made because the connection limit is reached");
+            return self.task_ended(endpoint, &task, AttemptStatus::ConnectFailed);
         }
         self.connections.set(self.connections.get() + 1);
         let backend = self.clone();
         tokio::task::spawn_local(async move {
             let address = target.address;
-            let (close_reason, messages, left) = backend.connection(target, task).await;
+            let (close_reason, messages, unstarted) = backend.run_connection(target, task).await;
             backend.connections.set(backend.connections.get() - 1);
             close_reason.log(Side::Backend, address, messages);
-            backend.ended.notify_one();
-            // It was dead before anything was written to it, so this is no repeat.
-            if let Some(task) = left {
-                backend.begin(worker, task);
+            backend.connection_ended.notify_one();
+            // Nothing was written for this task, so this is not a retry.
+            if let Some(task) = unstarted {
+                backend.start(endpoint, task);
             }
         });
     }
--- a/src/net/backend/attempt.rs
+++ b/src/net/backend/attempt.rs
@@ -1,9 +1,9 @@
-//! One attempt on a connection: writing the request, reading the answer.
+//! One attempt on a connection to a backend server: writes the request and reads the answer.
 
 use super::connection::{Connection, Dispatch, Target, Task};
-use super::{Backend, QUIET, TAIL};
+use super::{Backend, QUIET_PERIOD, TAIL_TIMEOUT};
 use crate::net::close_reason::CloseReason;
-use crate::net::codec::{Outgoing, Piece, ReadError};
+use crate::net::codec::{OutgoingRequest, ReadError, ResponsePart};
 use crate::net::exchange::DispatchId;
 use crate::net::Job;
 use serde::Deserialize;
@@ -11,25 +11,27 @@
 use std::time::Instant;
 use tracing::{debug, warn};
 
-/// What an idle connection is told.
+/// A command for an idle connection.
 #[derive(Debug)]
-pub(super) enum Call {
-    Do(Task),
+pub(super) enum ConnectionCommand {
+    Run(Task),
     Close(CloseReason),
 }
 
-/// A line of a backend server's answer.
+/// A line of the answer of a backend server, in JSON.
 #[derive(Debug, Deserialize)]
-pub(super) struct Line {
+pub(super) struct AnswerLine {
     pub(super) id: String,
-    pub(super) state: State,
-    pub(super) share: Option<f64>,
+    pub(super) state: JobState,
+    /// Fraction of the job that is done, from 0 to 1.
+    #[serde(rename = "share")]
+    pub(super) progress: Option<f64>,
     pub(super) result: Option<String>,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub(super) enum State {
+pub(super) enum JobState {
     Started,
     Running,
     Done,
@@ -38,28 +40,28 @@
     Lost,
 }
 
-/// How an attempt ended, and what that means for its connection.
-pub(super) struct End {
+/// The outcome of an attempt, and what happens to its connection.
+pub(super) struct AttemptEnd {
     pub(super) status: AttemptStatus,
-    pub(super) after: After,
+    pub(super) next_step: NextStep,
 }
 
-pub(super) enum After {
-    /// The rest of the answer has to be read before it is used again.
-    Tail,
-    /// It ends.
-    Ends(CloseReason),
+pub(super) enum NextStep {
+    /// The rest of the answer is read before the connection is reused.
+    ReadTail,
+    /// The connection is closed.
+    Close(CloseReason),
 }
 
-impl End {
+impl AttemptEnd {
     pub(super) fn closing(status: AttemptStatus, close_reason: CloseReason) -> Self {
-        End { status, after: After::Ends(close_reason) }
+        AttemptEnd { status, next_step: NextStep::Close(close_reason) }
     }
 }
 
 impl Backend {
-    /// Make one attempt, on a connection that last brought an answer then, and report its end; why the connection ends, if it does,
-    /// and whether an answer had come.
+    /// Makes one attempt on a connection that received its last answer to a job at `answered_at`, and reports its end. Returns why
+    /// the connection has to be closed, if it has to, and whether there was an answer.
     pub(super) async fn attempt(
         &self,
         connection: &mut Connection,
@@ -68,42 +70,42 @@
         answered_at: Option<Instant>,
     ) -> (Option<CloseReason>, bool) {
         let id = dispatch.id;
-        let ended = match self.write(connection, target, &mut dispatch).await {
+        let end = match self.write_request(connection, target, &mut dispatch).await {
             Err(end) => end,
             Ok(()) => {
-                let answer = self.answer(connection, id, &dispatch.payload);
+                let answer = self.read_answer(connection, id, &dispatch.payload);
                 tokio::select! {
                     biased;
-                    _ = &mut dispatch.cancelled => End::closing(AttemptStatus::Cancelled, CloseReason::Cancelled),
+                    _ = &mut dispatch.cancelled => AttemptEnd::closing(AttemptStatus::Cancelled, CloseReason::Cancelled),
                     end = answer => end,
-                    () = self.deadlines.at(dispatch.until) => End::closing(AttemptStatus::Timeout, CloseReason::TimedOut),
+                    () = self.deadlines.at(dispatch.deadline) => AttemptEnd::closing(AttemptStatus::Timeout, CloseReason::TimedOut),
                 }
             }
         };
-        // Guards against a second answer to the job before: so soon, "turned away" may be about that one. Taken for this one's it would
-        // prove that nothing ran, and a keyed job go where its key is not known.
-        let doubtful =
-            ended.status == AttemptStatus::Overloaded && dispatch.effect != Idempotency::Idempotent;
-        let ended = match answered_at.filter(|at| doubtful && at.elapsed() < QUIET) {
-            Some(_) => End::closing(AttemptStatus::Cancelled, CloseReason::Cancelled),
-            None => ended,
+        // Guards against a second answer to the previous job: a rejection that arrives so soon may be meant for that job. If it were
+        // taken for this one, it would prove that nothing ran, and a keyed job could go to a server that doesn't know its key.
+        let is_ambiguous =
+            end.status == AttemptStatus::Overloaded && dispatch.idempotency != Idempotency::Idempotent;
+        let end = match answered_at.filter(|at| is_ambiguous && at.elapsed() < QUIET_PERIOD) {
+            Some(_) => AttemptEnd::closing(AttemptStatus::Cancelled, CloseReason::Cancelled),
+            None => end,
         };
-        if ended.status != AttemptStatus::Ok {
-            self.report(id, ended.status);
+        if end.status != AttemptStatus::Ok {
+            self.report_end(id, end.status);
         }
-        let answered = ended.status.has_response();
-        if let After::Ends(close_reason) = ended.after {
-            return (Some(close_reason), answered);
+        let is_answered = end.status.has_response();
+        if let NextStep::Close(close_reason) = end.next_step {
+            return (Some(close_reason), is_answered);
         }
-        // With it goes the claim on its id: the attempt is over.
+        // Releases the claim on the request id, as the attempt has ended.
         drop(dispatch);
         let tail = async {
             loop {
                 match self.pool.next(connection).await {
-                    Some(Ok(Piece::Line(_) | Piece::Part(_))) => {}
-                    Some(Ok(Piece::End { reusable: true })) => break None,
-                    Some(Ok(Piece::End { reusable: false })) => break Some(CloseReason::LastMessage),
-                    Some(Ok(Piece::Head { .. }) | Err(ReadError::Bad { .. })) => {
+                    Some(Ok(ResponsePart::Line(_) | ResponsePart::Data(_))) => {}
+                    Some(Ok(ResponsePart::End { reusable: true })) => break None,
+                    Some(Ok(ResponsePart::End { reusable: false })) => break Some(CloseReason::LastMessage),
+                    Some(Ok(ResponsePart::Head { .. }) | Err(ReadError::Malformed { .. })) => {
                         break Some(CloseReason::Malformed)
                     }
                     None | Some(Err(ReadError::Io(_))) => break Some(CloseReason::PeerBroke),
@@ -113,34 +115,34 @@
         let close_reason = tokio::select! {
             biased;
             close_reason = tail => close_reason,
-            () = self.deadlines.after(TAIL) => Some(CloseReason::TooSlow),
+            () = self.deadlines.after(TAIL_TIMEOUT) => Some(CloseReason::TooSlow),
         };
-        (close_reason, answered)
+        (close_reason, is_answered)
     }
 
-    /// Write a request whole. Until its last byte is written nothing can have run.
-    pub(super) async fn write(
+    /// Writes the complete request. Before its last byte is written, nothing can have run.
+    pub(super) async fn write_request(
         &self,
         connection: &mut Connection,
         target: &Target,
         dispatch: &mut Dispatch,
-    ) -> Result<(), End> {
-        // Nothing is begun once the server is known to leave, or to be elsewhere.
-        if !target.takes() {
-            return Err(End::closing(AttemptStatus::NotSent, CloseReason::ServerLeft));
+    ) -> Result<(), AttemptEnd> {
+        // Nothing is sent to a server that leaves or has moved.
+        if !target.accepts_new() {
+            return Err(AttemptEnd::closing(AttemptStatus::NotSent, CloseReason::ServerLeft));
         }
-        // Guards against sending what is over: where the process stood still the connection and the end of the request's
-        // time are seen together, and its client may have been told that it failed. And against a repeat that its server takes for
-        // a new job, as it has forgotten the key.
-        if Instant::now() >= dispatch.written_by {
-            return Err(End::closing(AttemptStatus::NotSent, CloseReason::TimedOut));
+        // Guards against sending an expired request: if the process was suspended, the connection may become available after the
+        // deadline, when the client may have got a failure. Also guards against a retry that the server runs as a new job because
+        // it no longer knows the idempotency key.
+        if Instant::now() >= dispatch.write_by {
+            return Err(AttemptEnd::closing(AttemptStatus::NotSent, CloseReason::TimedOut));
         }
-        // Guards keys that must not run twice: another node may be home to this one by now.
+        // Guards requests that must run at most once: another node may hold the lease of the key's range by now.
         if !self.exchange.may_send(dispatch.id) {
-            return Err(End::closing(AttemptStatus::NotSent, CloseReason::TimedOut));
+            return Err(AttemptEnd::closing(AttemptStatus::NotSent, CloseReason::TimedOut));
         }
         let job = &dispatch.payload;
-        let left = dispatch.until.saturating_duration_since(Instant::now());
+        let left = dispatch.deadline.saturating_duration_since(Instant::now());
         let mut fields = format!("Host: {}\r\nRequest-Id: {}\r\n", job.host, job.id);
         fields.push_str(&format!("Request-Timeout: {}u\r\n", left.as_micros().max(1)));
         if let Some(tenant) = &job.tenant {
@@ -149,54 +151,60 @@
         if let Some(key) = &job.repeat_key {
             fields.push_str(&format!("Idempotency-Key: {key}\r\n"));
         }
-        let request = Outgoing { method: "POST", target: &job.target, fields, body: Some(&job.body) };
+        let request = OutgoingRequest { method: "POST", target: &job.target, fields, body: Some(&job.body) };
         tokio::select! {
             biased;
-            _ = &mut dispatch.cancelled => Err(End::closing(AttemptStatus::Cancelled, CloseReason::Cancelled)),
+            _ = &mut dispatch.cancelled => Err(AttemptEnd::closing(AttemptStatus::Cancelled, CloseReason::Cancelled)),
             sent = self.pool.send(connection, request) => sent.map_err(|e| {
-                debug!("writing a dispatch: {e}");
-                End::closing(AttemptStatus::ConnectFailed, CloseReason::PeerBroke)
+                debug!("could not write a request to a backend server: {e}");
+                AttemptEnd::closing(AttemptStatus::ConnectFailed, CloseReason::PeerBroke)
             }),
-            () = self.deadlines.at(dispatch.written_by) => {
-                Err(End::closing(AttemptStatus::ConnectFailed, CloseReason::TooSlow))
+            () = self.deadlines.at(dispatch.write_by) => {
+                Err(AttemptEnd::closing(AttemptStatus::ConnectFailed, CloseReason::TooSlow))
             }
         }
     }
 
-    /// Read the answer up to what ends the attempt.
-    pub(super) async fn answer(&self, connection: &mut Connection, id: DispatchId, job: &Job) -> End {
-        let nonsense = |reason: &str| {
-            warn!("a backend server's answer to {} makes no sense: {reason}", job.id);
-            End::closing(AttemptStatus::Error, CloseReason::Malformed)
+    /// Reads the answer up to the line that ends the attempt.
+    pub(super) async fn read_answer(
+        &self,
+        connection: &mut Connection,
+        id: DispatchId,
+        job: &Job,
+    ) -> AttemptEnd {
+        let invalid_answer = |reason: &str| {
+            warn!("invalid answer of a backend server to request {}: {reason}", job.id);
+            AttemptEnd::closing(AttemptStatus::Error, CloseReason::Malformed)
         };
         loop {
             match self.pool.next(connection).await {
-                Some(Ok(Piece::Head { status: 200, .. } | Piece::Part(_))) => {}
-                Some(Ok(Piece::Head { status, fields })) => {
-                    debug!("a backend server answered {} with {status}", job.id);
-                    let unstarted = matches!(fields.get("not-started"), Ok(Some("1")));
+                Some(Ok(ResponsePart::Head { status: 200, .. } | ResponsePart::Data(_))) => {}
+                Some(Ok(ResponsePart::Head { status, fields })) => {
+                    debug!("a backend server answered request {} with status {status}", job.id);
+                    let is_not_started = matches!(fields.get("not-started"), Ok(Some("1")));
                     let status = match status {
-                        503 | 504 if unstarted => AttemptStatus::Overloaded,
+                        503 | 504 if is_not_started => AttemptStatus::Overloaded,
                         400..=499 => AttemptStatus::BadRequest,
                         _ => AttemptStatus::Error,
                     };
-                    return End { status, after: After::Tail };
+                    return AttemptEnd { status, next_step: NextStep::ReadTail };
                 }
-                Some(Ok(Piece::Line(line))) => match self.line(id, job, &line) {
+                Some(Ok(ResponsePart::Line(line))) => match self.handle_line(id, job, &line) {
                     Ok(None) => {}
-                    Ok(Some(status)) => return End { status, after: After::Tail },
-                    Err(reason) => return nonsense(&reason),
+                    Ok(Some(status)) => return AttemptEnd { status, next_step: NextStep::ReadTail },
+                    Err(reason) => return invalid_answer(&reason),
                 },
-                Some(Err(ReadError::Bad { reason, .. })) => return nonsense(reason),
-                Some(Ok(Piece::End { .. })) | Some(Err(ReadError::Io(_))) | None => {
-                    return End::closing(AttemptStatus::Reset, CloseReason::PeerBroke)
+                Some(Err(ReadError::Malformed { reason, .. })) => return invalid_answer(reason),
+                Some(Ok(ResponsePart::End { .. })) | Some(Err(ReadError::Io(_))) | None => {
+                    return AttemptEnd::closing(AttemptStatus::Reset, CloseReason::PeerBroke)
                 }
             }
         }
     }
 
-    /// Take a line of the answer in: how the attempt has ended, if it tells that.
-    pub(super) fn line(
+    /// Handles a line of the answer. Returns the outcome of the attempt if the line ends it; fails with a description of an invalid
+    /// line.
+    pub(super) fn handle_line(
         &self,
         id: DispatchId,
         job: &Job,
@@ -205,35 +213,35 @@
         if text.trim_ascii().is_empty() {
             return Ok(None);
         }
-        let line: Line = serde_json::from_slice(text).map_err(|e| e.to_string())?;
-        // Guards against passing on what was made for another request.
+        let line: AnswerLine = serde_json::from_slice(text).map_err(|e| e.to_string())?;
+        // Guards against using the result of another request.
         if line.id != *job.id {
-            return Err(format!("it is about '{}'", line.id));
+            return Err(format!("the line is for request '{}'", line.id));
         }
         Ok(match line.state {
-            State::Started => {
-                self.exchange.started(id);
+            JobState::Started => {
+                self.exchange.attempt_started(id);
                 None
             }
-            State::Running => {
-                self.exchange.progress(id, line.share.unwrap_or(0.0));
+            JobState::Running => {
+                self.exchange.attempt_progress(id, line.progress.unwrap_or(0.0));
                 None
             }
-            State::Done => {
-                let result = line.result.ok_or("it is done without a result")?;
-                self.out.borrow_mut().remove(&id);
-                self.exchange.served(id, result.into_bytes());
+            JobState::Done => {
+                let result = line.result.ok_or("the state is done but there is no result")?;
+                self.in_flight.borrow_mut().remove(&id);
+                self.exchange.attempt_served(id, result.into_bytes());
                 Some(AttemptStatus::Ok)
             }
-            State::Failed => Some(AttemptStatus::Error),
-            State::Returned => Some(AttemptStatus::Overloaded),
-            State::Lost => Some(AttemptStatus::Reset),
+            JobState::Failed => Some(AttemptStatus::Error),
+            JobState::Returned => Some(AttemptStatus::Overloaded),
+            JobState::Lost => Some(AttemptStatus::Reset),
         })
     }
 }
 
-/// The figures of a load report as text, `TEXT inflight=7, queue=2`; what is no figure is passed over.
-pub(super) fn figures(line: &[u8]) -> Vec<(String, f64)> {
+/// Parses a load report of the form `TEXT inflight=7, queue=2`. Ignores everything that is not a field with a finite number.
+pub(super) fn parse_load_report(line: &[u8]) -> Vec<(String, f64)> {
     let text = String::from_utf8_lossy(line);
     let messages = text.split([' ', ',']).filter_map(|message| message.split_once('='));
     let figure = |(name, value): (&str, &str)| Some((name.to_string(), value.parse().ok()?));
--- a/src/net/backend/connection.rs
+++ b/src/net/backend/connection.rs
@@ -1,10 +1,10 @@
-//! Connections to endpoints: connecting, probing, parking.
+//! One connection to a backend server: connecting, probing, and waiting for the next task while idle.
 
-use super::attempt::{figures, Call};
+use super::attempt::{parse_load_report, ConnectionCommand};
 use super::Backend;
 use crate::net::close_reason::CloseReason;
-use crate::net::codec::{ClientCodec, Outgoing, Piece, ReadError, MAX_BODY};
-use crate::net::exchange::{DispatchId, Wanted};
+use crate::net::codec::{ClientCodec, OutgoingRequest, ReadError, ResponsePart, MAX_BODY_BYTES};
+use crate::net::exchange::{DispatchId, OpenWatch};
 use crate::net::{turn, Job};
 use shorepath_scheduler::{AttemptStatus, EndpointId, Idempotency};
 use std::io::ErrorKind;
@@ -18,114 +18,118 @@
 
 pub(super) type Connection = Framed<TcpStream, ClientCodec>;
 
-/// A backend server as a connection to it was begun.
+/// The backend server of a connection, with the address to which it was made.
 #[derive(Debug)]
 pub(super) struct Target {
-    pub(super) worker: EndpointId,
+    pub(super) endpoint: EndpointId,
     pub(super) address: SocketAddr,
-    pub(super) takes_at: watch::Receiver<Option<SocketAddr>>,
+    pub(super) accepts_at: watch::Receiver<Option<SocketAddr>>,
 }
 
 impl Target {
-    /// Whether it may be sent anything new there. Guards drains, and whoever has that address once the server has moved.
-    pub(super) fn takes(&self) -> bool {
-        *self.takes_at.borrow() == Some(self.address)
+    /// Returns whether new requests may be sent there. Guards draining servers, and others that get the address after the server
+    /// has moved.
+    pub(super) fn accepts_new(&self) -> bool {
+        *self.accepts_at.borrow() == Some(self.address)
     }
 
-    /// Ready once it may no longer.
-    pub(super) async fn left(&mut self) {
+    /// Waits until no new requests may be sent there.
+    pub(super) async fn until_left(&mut self) {
         let address = self.address;
-        if self.takes_at.wait_for(|at| *at != Some(address)).await.is_err() {
-            // A server is never taken out of the map, so it stays where it is.
+        if self.accepts_at.wait_for(|at| *at != Some(address)).await.is_err() {
+            // Unreachable, as the sender is never removed from the map of servers.
             std::future::pending::<()>().await;
         }
     }
 }
 
-/// One attempt on its way to a connection.
+/// One attempt to be made on a connection.
 #[derive(Debug)]
 pub(super) struct Dispatch {
     pub(super) id: DispatchId,
-    /// What running it twice would do.
-    pub(super) effect: Idempotency,
+    /// Whether the request may run more than once.
+    pub(super) idempotency: Idempotency,
     pub(super) payload: Rc<Job>,
-    pub(super) written_by: Instant,
-    pub(super) until: Instant,
-    pub(super) wanted: Wanted,
+    pub(super) write_by: Instant,
+    pub(super) deadline: Instant,
+    pub(super) open: OpenWatch,
     pub(super) cancelled: oneshot::Receiver<()>,
 }
 
-/// What a connection is to do next.
+/// A task for a connection.
 #[derive(Debug)]
 pub(super) enum Task {
     Dispatch(Dispatch),
-    /// A probe, which waits until then.
+    /// A probe, with the time until which it waits for its answer.
     Probe(Instant),
 }
 
 impl Task {
-    /// When its connection has to be up, and whether one that is not is no fault of the server's.
-    pub(super) fn connects_by(&self) -> (Instant, bool) {
+    /// Returns the time by which its connection must be established, and whether a failure to do so is not counted against the
+    /// server.
+    pub(super) fn connect_deadline(&self) -> (Instant, bool) {
         match self {
-            Task::Dispatch(dispatch) => (dispatch.written_by, dispatch.written_by < dispatch.until),
-            Task::Probe(until) => (*until, false),
+            Task::Dispatch(dispatch) => (dispatch.write_by, dispatch.write_by < dispatch.deadline),
+            Task::Probe(deadline) => (*deadline, false),
         }
     }
-    /// Ready, with what that is to the decisions, once it is called off or not wanted any more.
-    pub(super) async fn over(&mut self) -> AttemptStatus {
+    /// Waits until the task is cancelled or its request is closed, and returns the status to report.
+    pub(super) async fn withdrawn(&mut self) -> AttemptStatus {
         match self {
             Task::Dispatch(dispatch) => tokio::select! {
                 biased;
                 _ = &mut dispatch.cancelled => AttemptStatus::Cancelled,
-                () = dispatch.wanted.over() => AttemptStatus::NotSent,
+                () = dispatch.open.closed() => AttemptStatus::NotSent,
             },
             Task::Probe(_) => std::future::pending().await,
         }
     }
-    /// Whether it is still to be carried out, asked right before its first byte is written. Guards against work for nobody: a client
-    /// may leave in the turn in which the connection comes up, and nothing calls that attempt off.
-    pub(super) fn is_wanted(&self) -> bool {
+    /// Returns whether the task is still needed; checked right before its first byte is written. Guards against work without a
+    /// client, which may disconnect in the same turn of the runtime in which the connection is established.
+    pub(super) fn is_open(&self) -> bool {
         match self {
-            Task::Dispatch(dispatch) => dispatch.wanted.is_still(),
+            Task::Dispatch(dispatch) => dispatch.open.is_open(),
             Task::Probe(_) => true,
         }
     }
 }
 
 impl Backend {
-    /// Open a connection and use it until it ends: why, after how many attempts, and an attempt that
-    /// was handed over too late to be written.
-    pub(super) async fn connection(
+    /// Opens a connection and uses it until it ends. Returns the reason, the number of requests sent, and a task that was assigned
+    /// to it but for which nothing was written.
+    pub(super) async fn run_connection(
         self: &Rc<Self>,
         mut target: Target,
         mut task: Task,
     ) -> (CloseReason, u64, Option<Task>) {
-        let worker = target.worker;
+        let endpoint = target.endpoint;
         let mut connection = match self.connect(&mut target, &mut task).await {
-            Ok(stream) => self.pool.framed::<Outgoing, _>(stream, ClientCodec::new(&self.pool, MAX_BODY)),
+            Ok(stream) => {
+                self.pool.framed::<OutgoingRequest, _>(stream, ClientCodec::new(&self.pool, MAX_BODY_BYTES))
+            }
             Err((status, close_reason)) => {
-                self.ended(worker, &task, status);
+                self.task_ended(endpoint, &task, status);
                 return (close_reason, 0, None);
             }
         };
-        // What came in the same turn is heard first. Guards against writing for a client whose leaving waits to be read, as where the
-        // process stood still.
+        // Lets other tasks handle input of the same turn of the runtime first. Guards against sending a request whose client has
+        // disconnected unnoticed, as when the process was suspended.
         turn().await;
         let (mut messages, mut answered_at, mut used_at) = (0, None, Instant::now());
-        let (close_reason, left) = loop {
-            if task.is_wanted() {
+        let (close_reason, unstarted) = loop {
+            if task.is_open() {
                 messages += 1;
                 let is_job = matches!(task, Task::Dispatch(_));
-                let (close_reason, answered) = match task {
+                let (close_reason, is_answered) = match task {
                     Task::Dispatch(dispatch) => {
                         self.attempt(&mut connection, &target, dispatch, answered_at).await
                     }
-                    Task::Probe(until) => self.probe(&target, &mut connection, until).await,
+                    Task::Probe(deadline) => self.probe(&target, &mut connection, deadline).await,
                 };
                 if let Some(close_reason) = close_reason {
-                    if answered {
-                        // It counts as idle from its answer on.
-                        self.exchange.idle_closed(worker, usize::MAX);
+                    if is_answered {
+                        // The scheduler counts the connection as idle since its answer.
+                        self.exchange.idle_closed(endpoint, usize::MAX);
                     }
                     break (close_reason, None);
                 }
@@ -134,35 +138,35 @@
                     answered_at = Some(used_at);
                 }
             } else {
-                // Nothing was written, so the connection is as good as it was.
-                self.ended(worker, &task, AttemptStatus::NotSent);
+                // Nothing was written, so the connection stays usable.
+                self.task_ended(endpoint, &task, AttemptStatus::NotSent);
                 drop(task);
             }
-            let (call, calls) = mpsc::channel(1);
-            let number = self.parked.get();
-            self.parked.set(number + 1);
-            match self.servers.borrow_mut().get_mut(&worker) {
-                // Guards against a server that has left, or moved, while it answered.
-                Some(s) if target.takes() => s.idle.push_back((number, answered_at, call)),
+            let (command, commands) = mpsc::channel(1);
+            let number = self.next_idle_number.get();
+            self.next_idle_number.set(number + 1);
+            match self.servers.borrow_mut().get_mut(&endpoint) {
+                // Guards against a server that left or moved while it answered.
+                Some(s) if target.accepts_new() => s.idle.push_back((number, answered_at, command)),
                 _ => break (CloseReason::ServerLeft, None),
             }
-            match self.parked(&mut connection, calls, used_at).await {
+            match self.wait_idle(&mut connection, commands, used_at).await {
                 Ok(next) => task = next,
                 Err(end) => {
-                    let place = self.servers.borrow_mut().get_mut(&worker).and_then(|server| {
-                        let place = server.idle.iter().position(|(n, _, _)| *n == number)?;
-                        server.idle.remove(place).map(|_| place)
+                    let position = self.servers.borrow_mut().get_mut(&endpoint).and_then(|server| {
+                        let position = server.idle.iter().position(|(n, _, _)| *n == number)?;
+                        server.idle.remove(position).map(|_| position)
                     });
-                    // What the decisions hold to be idle has to be.
-                    if let Some(place) = place {
-                        self.exchange.idle_closed(worker, place);
+                    // The scheduler must not count a closed connection as idle.
+                    if let Some(position) = position {
+                        self.exchange.idle_closed(endpoint, position);
                     }
                     break end;
                 }
             }
         };
         self.pool.release(connection);
-        (close_reason, messages, left)
+        (close_reason, messages, unstarted)
     }
 
     pub(super) async fn connect(
@@ -171,60 +175,68 @@
         task: &mut Task,
     ) -> Result<TcpStream, (AttemptStatus, CloseReason)> {
         let address = target.address;
-        let wait = Instant::now() + self.bounds.get().connect_timeout;
-        let (by, excused) = task.connects_by();
-        let late = if excused && by < wait { AttemptStatus::NotSent } else { AttemptStatus::ConnectFailed };
+        let timeout_at = Instant::now() + self.limits.get().connect_timeout;
+        let (connect_by, is_excused) = task.connect_deadline();
+        let late_status = if is_excused && connect_by < timeout_at {
+            AttemptStatus::NotSent
+        } else {
+            AttemptStatus::ConnectFailed
+        };
         let stream = tokio::select! {
             biased;
-            // Guards the places of those that are wanted: a server whose connections come up late holds what it is given for long.
-            status = task.over() => return Err((status, CloseReason::Cancelled)),
-            () = target.left() => return Err((AttemptStatus::NotSent, CloseReason::ServerLeft)),
+            // Guards capacity for open requests: a withdrawn attempt must not hold its slot while a slow server accepts the
+            // connection.
+            status = task.withdrawn() => return Err((status, CloseReason::Cancelled)),
+            () = target.until_left() => return Err((AttemptStatus::NotSent, CloseReason::ServerLeft)),
             stream = TcpStream::connect(address) => stream,
-            () = self.deadlines.at(wait.min(by)) => return Err((late, CloseReason::ConnectTimeout)),
+            () = self.deadlines.at(timeout_at.min(connect_by)) => return Err((late_status, CloseReason::ConnectTimeout)),
         };
         let stream = stream.and_then(|s| s.set_nodelay(true).map(|()| s));
         stream.map_err(|e| {
-            debug!("connecting to {address}: {e}");
-            let remote = matches!(e.kind(), ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset);
-            (AttemptStatus::ConnectFailed, if remote { CloseReason::Refused } else { CloseReason::NoSockets })
+            debug!("could not connect to {address}: {e}");
+            let is_remote = matches!(e.kind(), ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset);
+            (
+                AttemptStatus::ConnectFailed,
+                if is_remote { CloseReason::Refused } else { CloseReason::NoSockets },
+            )
         })
     }
 
-    /// Probe the server over its connection; why that ends, if it does, and whether an answer had come.
-    /// The module hears of the answer once the connection can be used again.
+    /// Probes the server. Returns why the connection has to be closed, if it has to, and whether there was an answer, which is
+    /// reported to the scheduler once the connection is reusable.
     pub(super) async fn probe(
         &self,
         target: &Target,
         connection: &mut Connection,
-        until: Instant,
+        deadline: Instant,
     ) -> (Option<CloseReason>, bool) {
-        let (worker, address) = (target.worker, target.address);
-        // A server that leaves is sent nothing at all.
-        if !target.takes() {
-            self.exchange.probed(worker, AttemptStatus::NotSent, |_| None);
+        let (endpoint, address) = (target.endpoint, target.address);
+        // Nothing is sent to a server that leaves.
+        if !target.accepts_new() {
+            self.exchange.probe_ended(endpoint, AttemptStatus::NotSent, |_| None);
             return (Some(CloseReason::ServerLeft), false);
         }
-        let asked = async {
+        let exchange = async {
             let fields = format!("Host: {address}\r\n");
-            let request = Outgoing { method: "GET", target: "/_load", fields, body: None };
+            let request = OutgoingRequest { method: "GET", target: "/_load", fields, body: None };
             self.pool.send(connection, request).await.map_err(|_| CloseReason::PeerBroke)?;
             let (mut status, mut values) = (AttemptStatus::Error, Vec::new());
             loop {
                 match self.pool.next(connection).await {
-                    Some(Ok(Piece::Head { status: 200, .. })) => status = AttemptStatus::Ok,
-                    Some(Ok(Piece::Head { status: 503, .. })) => status = AttemptStatus::Overloaded,
-                    Some(Ok(Piece::Head { .. } | Piece::Part(_))) => {}
-                    Some(Ok(Piece::Line(line))) => values.extend(figures(&line)),
-                    Some(Ok(Piece::End { reusable })) => return Ok((status, values, reusable)),
-                    Some(Err(ReadError::Bad { .. })) => return Err(CloseReason::Malformed),
+                    Some(Ok(ResponsePart::Head { status: 200, .. })) => status = AttemptStatus::Ok,
+                    Some(Ok(ResponsePart::Head { status: 503, .. })) => status = AttemptStatus::Overloaded,
+                    Some(Ok(ResponsePart::Head { .. } | ResponsePart::Data(_))) => {}
+                    Some(Ok(ResponsePart::Line(line))) => values.extend(parse_load_report(&line)),
+                    Some(Ok(ResponsePart::End { reusable })) => return Ok((status, values, reusable)),
+                    Some(Err(ReadError::Malformed { .. })) => return Err(CloseReason::Malformed),
                     None | Some(Err(ReadError::Io(_))) => return Err(CloseReason::PeerBroke),
                 }
             }
         };
         let answer = tokio::select! {
             biased;
-            answer = asked => answer,
-            () = self.deadlines.at(until) => Err(CloseReason::TimedOut),
+            answer = exchange => answer,
+            () = self.deadlines.at(deadline) => Err(CloseReason::TimedOut),
         };
         let (status, values, close_reason) = match answer {
             Ok((status, values, reusable)) => {
@@ -234,36 +246,37 @@
             Err(close_reason) => (AttemptStatus::Reset, Vec::new(), Some(close_reason)),
         };
         let value = |name: &str| values.iter().find(|(n, _)| n == name).map(|(_, v)| *v);
-        self.exchange.probed(worker, status, value);
+        self.exchange.probe_ended(endpoint, status, value);
         (close_reason, matches!(status, AttemptStatus::Ok | AttemptStatus::Overloaded | AttemptStatus::Error))
     }
 
-    /// Wait on a connection that has been idle since then for its next task, or why it ends.
-    pub(super) async fn parked(
+    /// Waits for the next task of a connection that has been idle since `since`. Fails with the reason if the connection ends, and
+    /// with the task that was assigned to it meanwhile.
+    pub(super) async fn wait_idle(
         &self,
         connection: &mut Connection,
-        mut calls: mpsc::Receiver<Call>,
+        mut commands: mpsc::Receiver<ConnectionCommand>,
         since: Instant,
     ) -> Result<Task, (CloseReason, Option<Task>)> {
         let close_reason = tokio::select! {
             biased;
-            // First, so that a connection known to be dead is never used again.
+            // Polled first, so that a closed connection is never used again.
             piece = self.pool.next(connection) => match piece {
                 None | Some(Err(ReadError::Io(_))) => CloseReason::PeerClosed,
                 Some(_) => CloseReason::Malformed,
             },
-            call = calls.recv() => match call {
-                Some(Call::Do(task)) if connection.read_buffer().is_empty() => return Ok(task),
-                // Guards against half of a second answer, which would make one with what the next job is answered.
-                Some(Call::Do(task)) => return Err((CloseReason::Malformed, Some(task))),
-                Some(Call::Close(close_reason)) => close_reason,
+            command = commands.recv() => match command {
+                Some(ConnectionCommand::Run(task)) if connection.read_buffer().is_empty() => return Ok(task),
+                // Guards against part of a second answer, which would be read as the start of the answer to the next job.
+                Some(ConnectionCommand::Run(task)) => return Err((CloseReason::Malformed, Some(task))),
+                Some(ConnectionCommand::Close(close_reason)) => close_reason,
                 None => CloseReason::Shutdown,
             },
-            () = self.deadlines.at(since + self.bounds.get().idle) => CloseReason::Idle,
+            () = self.deadlines.at(since + self.limits.get().idle_timeout) => CloseReason::Idle,
         };
-        calls.close();
-        match calls.try_recv() {
-            Ok(Call::Do(task)) => Err((close_reason, Some(task))),
+        commands.close();
+        match commands.try_recv() {
+            Ok(ConnectionCommand::Run(task)) => Err((close_reason, Some(task))),
             _ => Err((close_reason, None)),
         }
     }
--- a/src/net/codec/client.rs
+++ b/src/net/codec/client.rs
@@ -1,7 +1,7 @@
-//! The codec of connections on which answers come.
+//! Codec of a connection on which the node sends requests and reads the answers.
 
-use super::framing::{bad, Fields, Framing, ReadError, Step};
-use super::{MAX_FIELDS, MAX_HEAD};
+use super::framing::{malformed, BodyStep, Fields, Framing, ReadError};
+use super::{MAX_FIELDS, MAX_HEAD_BYTES};
 use crate::net::pool::{Buffer, Pool};
 use bytes::{Buf, BytesMut};
 use std::fmt::Write as _;
@@ -9,71 +9,71 @@
 use std::rc::Rc;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// A request that the node makes.
+/// A request that the node sends.
 #[derive(Debug)]
-pub struct Outgoing<'a> {
-    /// The method.
+pub struct OutgoingRequest<'a> {
+    /// Method of the request line, such as `GET`.
     pub method: &'a str,
-    /// Path and query.
+    /// Path and query, as in the request line.
     pub target: &'a str,
-    /// Host and further fields, each with its line end.
+    /// `Host` and further fields, each ending in CRLF. `Content-Length` is added for the body.
     pub fields: String,
-    /// The body, if there may be one.
+    /// `None` for a request without a body, which then has no `Content-Length`.
     pub body: Option<&'a [u8]>,
 }
 
-/// What comes in answer to a request of the node.
+/// A part of an answer to a request of the node, in the order in which the parts arrive.
 #[derive(Debug)]
-pub enum Piece {
-    /// The head.
+pub enum ResponsePart {
+    /// The status line and the fields.
     Head {
-        /// The status.
+        /// HTTP status code.
         status: u16,
-        /// The fields.
+        /// Header fields.
         fields: Fields,
     },
-    /// A line of the body, without its end.
+    /// A line of the body, without its line feed.
     Line(Buffer),
-    /// Some of the body as it came, where no lines are asked for.
-    Part(Buffer),
-    /// The answer is complete; whether the connection can be used again.
+    /// Bytes of the body, from a codec that does not split it into lines.
+    Data(Buffer),
+    /// The answer is complete.
     End {
-        /// The connection can be used again.
+        /// Whether the connection can be used for another request.
         reusable: bool,
     },
 }
 
-/// The node's side of a connection that it has opened.
+/// Decodes answers and encodes requests on a connection that the node has opened.
 #[derive(Debug)]
 pub struct ClientCodec {
     pub(super) pool: Rc<Pool>,
-    /// `None` where the body is handed on as it comes.
-    pub(super) longest_line: Option<usize>,
-    /// How the body goes on and whether the connection lasts; `None` between answers.
+    /// Longest line of a body, in bytes; `None` if bodies are not split into lines.
+    pub(super) max_line_bytes: Option<usize>,
+    /// Framing of the current body and whether the connection is reusable after it; `None` between answers.
     pub(super) body: Option<(Framing, bool)>,
-    /// What has come of a line; none is held between lines.
+    /// The start of a line whose end has not been received.
     pub(super) line: Option<Buffer>,
 }
 
 impl ClientCodec {
-    /// For one connection, with the longest line of an answer.
-    pub fn new(pool: &Rc<Pool>, longest_line: usize) -> Self {
-        ClientCodec { pool: pool.clone(), longest_line: Some(longest_line), body: None, line: None }
+    /// Creates a codec that splits bodies into lines of at most `max_line_bytes`.
+    pub fn new(pool: &Rc<Pool>, max_line_bytes: usize) -> Self {
+        ClientCodec { pool: pool.clone(), max_line_bytes: Some(max_line_bytes), body: None, line: None }
     }
 
-    /// For one connection whose bodies are handed on as they come.
-    pub fn in_parts(pool: &Rc<Pool>) -> Self {
-        ClientCodec { pool: pool.clone(), longest_line: None, body: None, line: None }
+    /// Creates a codec that passes bodies on in pieces, as they are received.
+    pub fn streaming(pool: &Rc<Pool>) -> Self {
+        ClientCodec { pool: pool.clone(), max_line_bytes: None, body: None, line: None }
     }
 
-    pub(super) fn head(&mut self, src: &mut BytesMut) -> Result<Option<Piece>, ReadError> {
+    pub(super) fn head(&mut self, src: &mut BytesMut) -> Result<Option<ResponsePart>, ReadError> {
         loop {
-            let mut raw = [httparse::EMPTY_HEADER; MAX_FIELDS];
-            let mut head = httparse::Response::new(&mut raw);
+            let mut raw_headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
+            let mut head = httparse::Response::new(&mut raw_headers);
             let n = match head.parse(src) {
-                Ok(httparse::Status::Complete(n)) if n <= MAX_HEAD => n,
-                Ok(httparse::Status::Partial) if src.len() <= MAX_HEAD => return Ok(None),
-                _ => return Err(bad(502, "a malformed head")),
+                Ok(httparse::Status::Complete(n)) if n <= MAX_HEAD_BYTES => n,
+                Ok(httparse::Status::Partial) if src.len() <= MAX_HEAD_BYTES => return Ok(None),
+                _ => return Err(malformed(502, "a malformed head")),
             };
             let (status, version) = (head.code.unwrap_or(0), head.version.unwrap_or(1));
             let fields = Fields::read(head.headers)?;
@@ -86,71 +86,72 @@
                 Some(framing) => framing,
                 None => Framing::UntilClose,
             };
-            let lasts = version == 1 && !fields.has_token("connection", "close");
-            self.body = Some((framing, lasts && framing != Framing::UntilClose));
+            let is_persistent = version == 1 && !fields.has_token("connection", "close");
+            self.body = Some((framing, is_persistent && framing != Framing::UntilClose));
             self.line = None;
-            return Ok(Some(Piece::Head { status, fields }));
+            return Ok(Some(ResponsePart::Head { status, fields }));
         }
     }
 
-    pub(super) fn has_line(&self) -> bool {
+    pub(super) fn has_partial_line(&self) -> bool {
         self.line.as_ref().is_some_and(|l| !l.is_empty())
     }
 
-    pub(super) fn next_line(&mut self) -> Piece {
-        Piece::Line(self.line.take().unwrap_or_else(|| self.pool.buffer()))
+    pub(super) fn take_line(&mut self) -> ResponsePart {
+        ResponsePart::Line(self.line.take().unwrap_or_else(|| self.pool.buffer()))
     }
 }
 
 impl Decoder for ClientCodec {
-    type Item = Piece;
+    type Item = ResponsePart;
     type Error = ReadError;
 
-    fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Piece>, ReadError> {
+    fn decode(&mut self, src: &mut BytesMut) -> Result<Option<ResponsePart>, ReadError> {
         let Some((framing, reusable)) = self.body.as_mut() else { return self.head(src) };
         let reusable = *reusable;
         loop {
             match framing.step(src)? {
-                Step::Body(n) if self.longest_line.is_none() => {
+                BodyStep::Data(n) if self.max_line_bytes.is_none() => {
                     let mut part = self.pool.buffer();
-                    part.append(&src[..n]).map_err(|_| bad(502, "no memory is left for a part"))?;
-                    framing.took(src, n);
-                    return Ok(Some(Piece::Part(part)));
+                    part.append(&src[..n]).map_err(|_| malformed(502, "no memory is left for a part"))?;
+                    framing.consume(src, n);
+                    return Ok(Some(ResponsePart::Data(part)));
                 }
-                Step::Body(n) => {
-                    // Only up to the end of a line, so that one is handed on at a time.
+                BodyStep::Data(n) => {
+                    // Stops at the line feed, so that each call returns one line.
                     let end = src[..n].iter().position(|b| *b == b'\n');
-                    let text = end.unwrap_or(n);
+                    let line_bytes = end.unwrap_or(n);
                     let line = self.line.get_or_insert_with(|| self.pool.buffer());
-                    if self.longest_line.is_some_and(|most| line.len() + text > most) {
-                        return Err(bad(502, "a line that is too long"));
+                    if self.max_line_bytes.is_some_and(|max| line.len() + line_bytes > max) {
+                        return Err(malformed(502, "a line that is too long"));
                     }
-                    line.append(&src[..text]).map_err(|_| bad(502, "no memory is left for a line"))?;
-                    framing.took(src, end.map_or(n, |at| at + 1));
+                    line.append(&src[..line_bytes])
+                        .map_err(|_| malformed(502, "no memory is left for a line"))?;
+                    framing.consume(src, end.map_or(n, |end_index| end_index + 1));
                     if end.is_some() {
-                        return Ok(Some(self.next_line()));
+                        return Ok(Some(self.take_line()));
                     }
                 }
-                Step::Wait => return Ok(None),
-                Step::Complete if self.has_line() => return Ok(Some(self.next_line())),
-                Step::Complete => {
+                BodyStep::NeedsMore => return Ok(None),
+                BodyStep::Complete if self.has_partial_line() => return Ok(Some(self.take_line())),
+                BodyStep::Complete => {
                     self.body = None;
-                    return Ok(Some(Piece::End { reusable }));
+                    return Ok(Some(ResponsePart::End { reusable }));
                 }
             }
         }
     }
 
-    fn decode_eof(&mut self, src: &mut BytesMut) -> Result<Option<Piece>, ReadError> {
+    fn decode_eof(&mut self, src: &mut BytesMut) -> Result<Option<ResponsePart>, ReadError> {
         if let Some(piece) = self.decode(src)? {
             return Ok(Some(piece));
         }
         if matches!(self.body, Some((Framing::UntilClose, _))) {
-            if self.has_line() {
-                return Ok(Some(self.next_line()));
+            if self.has_partial_line() {
+                return Ok(Some(self.take_line()));
             }
             self.body = None;
-            return Ok(Some(Piece::End { reusable: false }));
+            return Ok(Some(ResponsePart::End { reusable: false }));
         }
         match src.is_empty() && self.body.is_none() {
             true => Ok(None),
@@ -159,10 +160,10 @@
     }
 }
 
-impl Encoder<Outgoing<'_>> for ClientCodec {
+impl Encoder<OutgoingRequest<'_>> for ClientCodec {
     type Error = ReadError;
 
-    fn encode(&mut self, request: Outgoing<'_>, dst: &mut BytesMut) -> Result<(), ReadError> {
+    fn encode(&mut self, request: OutgoingRequest<'_>, dst: &mut BytesMut) -> Result<(), ReadError> {
         let mut head = format!("{} {} HTTP/1.1\r\n{}", request.method, request.target, request.fields);
         if let Some(body) = request.body {
             let _ = write!(head, "Content-Length: {}\r\n", body.len());
--- a/src/net/codec/server.rs
+++ b/src/net/codec/server.rs
@@ -1,7 +1,7 @@
-//! The codec of connections on which requests come.
+//! Codec of a connection on which the node reads requests and answers them.
 
-use super::framing::{bad, Fields, Framing, ReadError, Step};
-use super::{MAX_FIELDS, MAX_HEAD};
+use super::framing::{malformed, BodyStep, Fields, Framing, ReadError};
+use super::{MAX_FIELDS, MAX_HEAD_BYTES};
 use crate::net::pool::{Buffer, Pool};
 use bytes::{Buf, BytesMut};
 use std::fmt::Write as _;
@@ -10,62 +10,62 @@
 use tokio::sync::Notify;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// A body holds this much at most.
-pub const MAX_BODY: usize = 64 * 1024;
+/// Largest body of a request.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// A request as a client sent it.
+/// A complete request of a client.
 #[derive(Debug)]
 pub struct Request {
-    /// The method.
+    /// Method of the request line, such as `POST`.
     pub method: String,
-    /// Path and query, unchanged.
+    /// Path and query, as in the request line.
     pub target: String,
-    /// The fields.
+    /// Header fields.
     pub fields: Fields,
-    /// The client wants to go on using the connection.
+    /// Whether the client wants to send further requests on the connection.
     pub keep_alive: bool,
-    /// The body.
+    /// The body; empty if there is none.
     pub body: Buffer,
-    /// When its last byte had come.
+    /// Time at which its last byte was received.
     pub arrived: Instant,
 }
 
-/// What comes from a client.
+/// An item read from a client.
 #[derive(Debug)]
 pub enum Incoming {
-    /// The client waits to be told to go on with its body.
-    Expects,
-    /// A whole request.
+    /// The client sent `Expect: 100-continue` and waits before it sends the body.
+    ExpectsContinue,
+    /// A complete request.
     Request(Request),
 }
 
-/// What a client is answered.
+/// An answer to a client.
 #[derive(Debug)]
 pub enum Answer {
-    /// Go on with the body.
+    /// `100 Continue`: the client should send the body.
     Continue,
-    /// A whole answer.
+    /// A final answer.
     Full {
-        /// The status.
+        /// HTTP status code.
         status: u16,
-        /// Further fields, each with its line end.
+        /// Further fields, each ending in CRLF. `Content-Length` and `Connection` are added.
         fields: String,
-        /// The body, unless only its head was asked for.
+        /// The body; with `head_only` just its length is sent.
         body: Vec<u8>,
-        /// The connection ends after it.
+        /// Whether the connection is closed after this answer.
         close: bool,
-        /// Only the head was asked for.
+        /// Whether the body is left out, as in the answer to a `HEAD` request.
         head_only: bool,
     },
 }
 
 impl Answer {
-    /// Whether the connection ends after it.
+    /// Returns whether the connection is closed after this answer.
     pub fn is_last(&self) -> bool {
         matches!(self, Answer::Full { close: true, .. })
     }
 
-    /// The answer to a method that its path doesn't take.
+    /// Creates a `405` answer; `methods` are those that the path supports, separated by commas.
     pub fn not_allowed(methods: &str, close: bool) -> Answer {
         let mut answer = Answer::text(405, "method not allowed", close);
         if let Answer::Full { fields, .. } = &mut answer {
@@ -74,14 +74,14 @@
         answer
     }
 
-    /// An answer with a line of text as its body.
+    /// Creates an answer whose body is `text` and a line feed.
     pub fn text(status: u16, text: &str, close: bool) -> Answer {
         let body = format!("{text}\n").into_bytes();
         Answer::Full { status, fields: String::new(), body, close, head_only: false }
     }
 }
 
-pub(super) fn reason(status: u16) -> &'static str {
+pub(super) fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
@@ -99,49 +99,51 @@
     }
 }
 
-/// The frontend's side of a connection.
+/// Decodes requests and encodes answers on a connection that the node has accepted.
 #[derive(Debug)]
 pub struct FrontendCodec {
     pub(super) pool: Rc<Pool>,
-    /// A request of which the body is to come.
+    /// A request whose body is not complete, and the framing of the rest.
     pub(super) partial: Option<(Request, Framing)>,
-    /// Told when a part of a request has come.
-    pub(super) begun: Rc<Notify>,
+    /// Notified when bytes of a request were received.
+    pub(super) bytes_received: Rc<Notify>,
 }
 
 impl FrontendCodec {
-    /// For one connection.
+    /// Creates a codec for one connection, with bodies in buffers of `pool`.
     pub fn new(pool: &Rc<Pool>) -> Self {
-        FrontendCodec { pool: pool.clone(), partial: None, begun: Rc::default() }
+        FrontendCodec { pool: pool.clone(), partial: None, bytes_received: Rc::default() }
     }
 
-    /// Told when a part of a request has come; perhaps once too often.
-    pub fn begun(&self) -> Rc<Notify> {
-        self.begun.clone()
+    /// Returns a notification that bytes of a request were received. It may also fire once without new bytes.
+    pub fn bytes_received(&self) -> Rc<Notify> {
+        self.bytes_received.clone()
     }
 
-    /// Whether a request has begun and is not complete.
+    /// Returns whether the head of a request was read and its body is not complete.
     pub fn is_partial(&self) -> bool {
         self.partial.is_some()
     }
 
     pub(super) fn head(&self, src: &mut BytesMut) -> Result<Option<(Request, Framing)>, ReadError> {
-        let mut raw = [httparse::EMPTY_HEADER; MAX_FIELDS];
-        let mut head = httparse::Request::new(&mut raw);
+        let mut raw_headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
+        let mut head = httparse::Request::new(&mut raw_headers);
         let n = match head.parse(src) {
-            Ok(httparse::Status::Complete(n)) if n <= MAX_HEAD => n,
-            Ok(httparse::Status::Partial) if src.len() <= MAX_HEAD => return Ok(None),
-            Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(bad(431, "a head that is too large")),
-            Err(_) => return Err(bad(400, "a malformed head")),
+            Ok(httparse::Status::Complete(n)) if n <= MAX_HEAD_BYTES => n,
+            Ok(httparse::Status::Partial) if src.len() <= MAX_HEAD_BYTES => return Ok(None),
+            Ok(_) | Err(httparse::Error::TooManyHeaders) => {
+                return Err(malformed(431, "a head that is too large"))
+            }
+            Err(_) => return Err(malformed(400, "a malformed head")),
         };
         let version = head.version.unwrap_or(1);
         let fields = Fields::read(head.headers)?;
         if version == 1 && fields.get("host")?.is_none() {
-            return Err(bad(400, "no Host"));
+            return Err(malformed(400, "no Host"));
         }
         let framing = Framing::read(&fields, version)?.unwrap_or(Framing::Length(0));
-        if matches!(framing, Framing::Length(n) if n > MAX_BODY) {
-            return Err(bad(413, "a body that is too large"));
+        if matches!(framing, Framing::Length(n) if n > MAX_BODY_BYTES) {
+            return Err(malformed(413, "a body that is too large"));
         }
         let keep_alive = match version {
             0 => fields.has_token("connection", "keep-alive"),
@@ -159,30 +161,32 @@
     type Error = ReadError;
 
     fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Incoming>, ReadError> {
-        let mut expects = false;
+        let mut expects_continue = false;
         if !src.is_empty() {
-            self.begun.notify_one();
+            self.bytes_received.notify_one();
         }
         if self.partial.is_none() {
             self.partial = self.head(src)?;
-            expects =
+            expects_continue =
                 self.partial.as_ref().is_some_and(|(r, _)| r.fields.has_token("expect", "100-continue"));
         }
         let Some((request, framing)) = &mut self.partial else { return Ok(None) };
         loop {
             match framing.step(src)? {
-                Step::Body(n) if request.body.len() + n > MAX_BODY => {
-                    return Err(bad(413, "a body that is too large"))
+                BodyStep::Data(n) if request.body.len() + n > MAX_BODY_BYTES => {
+                    return Err(malformed(413, "a body that is too large"))
+                }
+                BodyStep::Data(n) => {
+                    let out_of_memory = |_| malformed(503, "no memory is left for the request");
+                    request.body.append_asked(&src[..n]).map_err(out_of_memory)?;
+                    framing.consume(src, n);
                 }
-                Step::Body(n) => {
-                    let full = |_| bad(503, "no memory is left for the request");
-                    request.body.append_asked(&src[..n]).map_err(full)?;
-                    framing.took(src, n);
+                // A client that has started to send the body needs no `100 Continue`.
+                BodyStep::NeedsMore if expects_continue && request.body.is_empty() => {
+                    return Ok(Some(Incoming::ExpectsContinue))
                 }
-                // A client that has begun its body does not wait.
-                Step::Wait if expects && request.body.is_empty() => return Ok(Some(Incoming::Expects)),
-                Step::Wait => return Ok(None),
-                Step::Complete => break,
+                BodyStep::NeedsMore => return Ok(None),
+                BodyStep::Complete => break,
             }
         }
         Ok(self.partial.take().map(|(mut request, _)| {
@@ -199,7 +203,7 @@
         match answer {
             Answer::Continue => dst.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n"),
             Answer::Full { status, fields, body, close, head_only } => {
-                let mut head = format!("HTTP/1.1 {status} {}\r\n{fields}", reason(status));
+                let mut head = format!("HTTP/1.1 {status} {}\r\n{fields}", reason_phrase(status));
                 let _ = write!(head, "Content-Length: {}\r\n", body.len());
                 head.push_str(if close { "Connection: close\r\n\r\n" } else { "\r\n" });
                 dst.extend_from_slice(head.as_bytes());
--- a/src/net/exchange.rs
+++ b/src/net/exchange.rs
@@ -1,7 +1,6 @@
-//! The one object in which frontend and backend meet. It drives the decision module: what either
-//! side reports goes in as an event, and what the module decides goes out as an answer to the
-//! frontend or an order to the backend. Payloads pass through unseen, so that any protocol can be put
-//! before the same decisions.
+//! Connects the frontend, the backend and the scheduler. Reports of the frontend and the backend become events of the
+//! scheduler; its actions become answers to the frontend and commands to the backend. Payloads are opaque here, so that the
+//! exchange does not depend on the protocol.
 
 mod clock;
 mod inner;
@@ -10,7 +9,7 @@
 
 use super::deadlines::Deadlines;
 use clock::Clock;
-use inner::{Inner, Taken};
+use inner::{Inner, OpenRequest};
 use shorepath_quota::config::BudgetKind;
 use shorepath_scheduler::{
     name_hash, AttemptStatus, ClassId, EndpointId, Event, Idempotency, KeyId, Micros, QuotaKind, QuotaShare,
@@ -25,47 +24,49 @@
 use tokio::sync::{mpsc, oneshot, watch, Notify};
 use tracing::debug;
 pub use types::{
-    Ask, Attempt, Auditor, DispatchId, Order, Ran, Recorder, ResponseOutcome, Server, Source, Wanted,
+    Attempt, Auditor, Command, DispatchId, OpenWatch, QuotaSource, Recorder, RequestParams, ResponseOutcome,
+    RunOutcome, ServerEntry,
 };
 
-/// An answer leaves this much before the client gives up: it still has to arrive.
-const MARGIN: Duration = Duration::from_millis(10);
+/// An answer is sent this long before the client gives up, for its transmission.
+const ANSWER_MARGIN: Duration = Duration::from_millis(10);
 
-/// Where frontend and backend meet.
+/// The scheduler of a node with its open requests. `P` is the payload that is sent to backend servers.
 #[derive(Debug)]
 pub struct Exchange<P> {
     inner: RefCell<Inner<P>>,
     deadlines: Rc<Deadlines>,
+    /// Notified when the scheduler asks for another wake-up time.
     rearmed: Notify,
-    /// Lists of servers taken in, and changes of them.
+    /// Number of full endpoint lists and of changes to them.
     lists: watch::Sender<u64>,
 }
 
 impl<P> Exchange<P> {
-    /// An exchange that knows no servers yet, and the orders that it will give.
+    /// Creates an exchange without backend servers, and the receiver of its commands to the backend.
     pub fn new(
         setup: &SettingsObject,
         seed: u64,
         deadlines: Rc<Deadlines>,
-    ) -> (Rc<Self>, mpsc::UnboundedReceiver<Order<P>>) {
+    ) -> (Rc<Self>, mpsc::UnboundedReceiver<Command<P>>) {
         let (settings, names) = setup.to_settings();
-        let (orders, given) = mpsc::unbounded_channel();
+        let (commands, receiver) = mpsc::unbounded_channel();
         let inner = Inner {
-            balancer: Scheduler::new(settings, seed),
+            scheduler: Scheduler::new(settings, seed),
             setup: setup.clone(),
-            parts: 1,
+            process_count: 1,
             names,
             clock: Clock::start(),
             open: HashMap::new(),
-            taken: 0,
+            last_request_id: 0,
             active: BTreeSet::new(),
-            orders,
-            wake: None,
-            held: BTreeMap::new(),
+            commands,
+            wake_at: None,
+            quota_shares: BTreeMap::new(),
             recorder: None,
             auditor: None,
             outcomes: (0, 0),
-            unwritten: HashMap::new(),
+            unrecorded: HashMap::new(),
         };
         (
             Rc::new(Exchange {
@@ -74,50 +75,50 @@
                 rearmed: Notify::new(),
                 lists: watch::channel(0).0,
             }),
-            given,
+            receiver,
         )
     }
 
-    /// The class of that name.
+    /// Returns the id of the class with that name, or `None` if the settings name no such class.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         self.inner.borrow().names.classes.get(name).map(|n| ClassId(n as usize))
     }
 
-    /// The tenant of that name.
+    /// Returns the id of the tenant with that name, or `None` if the settings name no such tenant.
     pub fn tenant(&self, name: &str) -> Option<TenantId> {
         self.inner.borrow().names.tenants.get(name).map(|n| TenantId(n as usize))
     }
 
-    /// Whether backend servers drop repeats of such requests by a key that each has to carry.
+    /// Returns whether requests of the class must carry an idempotency key, by which backend servers drop repeats.
     pub fn is_keyed(&self, class: ClassId) -> bool {
         let inner = self.inner.borrow();
-        let class = inner.balancer.settings().classes.get(class.0);
+        let class = inner.scheduler.settings().classes.get(class.0);
         class.is_some_and(|c| matches!(c.idempotency, Idempotency::Keyed { .. }))
     }
 
-    /// Whether the settings name tenants.
+    /// Returns whether the settings name tenants.
     pub fn has_tenants(&self) -> bool {
         self.inner.borrow().names.tenants.name(0).is_some()
     }
 
-    /// Whether the server table holds anyone to dispatch to.
+    /// Returns whether there is a backend server to which new requests may be sent.
     pub fn has_servers(&self) -> bool {
         !self.inner.borrow().active.is_empty()
     }
 
-    /// Other settings hold for what comes from now on.
+    /// Replaces the settings, for requests that arrive from now on.
     pub fn reconfigure(&self, setup: SettingsObject) {
-        self.renew(|inner| inner.setup = setup);
+        self.update_settings(|inner| inner.setup = setup);
     }
 
-    /// So many processes are this one node, and share its rations. Guards the backend servers that have
-    /// just started, which all nodes together must not send too much.
-    pub fn share(&self, parts: u32) {
-        self.renew(|inner| inner.parts = parts);
+    /// Sets the number of processes that serve as this node and divide its limits among them. Guards backend servers in slow
+    /// start against the load of two processes with full limits.
+    pub fn set_process_count(&self, process_count: u32) {
+        self.update_settings(|inner| inner.process_count = process_count);
     }
 
-    /// What a budget of that name bounds here, if it is anything that the module knows of.
-    pub fn bound(&self, budget: &str) -> Option<QuotaKind> {
+    /// Returns the quota that a budget with that name limits; `None` if the scheduler has no such quota.
+    pub fn quota_kind(&self, budget: &str) -> Option<QuotaKind> {
         Some(match BudgetKind::of(budget)? {
             BudgetKind::Quota(tenant) => QuotaKind::TenantRate(self.tenant(tenant)?),
             BudgetKind::Flight(class) => QuotaKind::ClassConcurrency(self.class(class)?),
@@ -129,207 +130,207 @@
         })
     }
 
-    /// These parts may be used from now on, as one of those that tell of parts says.
-    pub fn parts_hold(&self, source: Source, parts: Vec<QuotaShare>) {
+    /// Replaces the quota shares that `source` has set.
+    pub fn set_quota_shares(&self, source: QuotaSource, shares: Vec<QuotaShare>) {
         let all = {
             let mut inner = self.inner.borrow_mut();
-            inner.held.insert(source, parts);
-            inner.held.values().flatten().cloned().collect()
+            inner.quota_shares.insert(source, shares);
+            inner.quota_shares.values().flatten().cloned().collect()
         };
-        self.report(Event::QuotaShares(all));
+        self.handle_event(Event::QuotaShares(all));
     }
 
-    /// What is dispatched is written down from now on.
-    pub fn record(&self, recorder: Rc<dyn Recorder<P>>) {
+    /// Records all further attempts with `recorder` before they are sent.
+    pub fn set_recorder(&self, recorder: Rc<dyn Recorder<P>>) {
         self.inner.borrow_mut().recorder = Some(recorder);
     }
 
-    /// Decisions are written down from now on.
-    pub fn audit(&self, auditor: Rc<dyn Auditor<P>>) {
+    /// Reports all further decisions to `auditor`.
+    pub fn set_auditor(&self, auditor: Rc<dyn Auditor<P>>) {
         self.inner.borrow_mut().auditor = Some(auditor);
     }
 
-    /// A list of that revision is in force.
-    pub fn listed(&self, revision: u64) {
+    /// Reports to the auditor that the endpoint list with that revision is in use.
+    pub fn list_applied(&self, revision: u64) {
         if let Some(auditor) = &self.inner.borrow().auditor {
-            auditor.listed(revision);
+            auditor.list_applied(revision);
         }
     }
 
-    /// An attempt that had to wait for that is written down, or it can't be: then its request is denied, since nothing of it ran.
-    pub fn recorded(&self, id: DispatchId, done: bool) {
-        let Some(order) = self.inner.borrow_mut().unwritten.remove(&id) else { return };
-        if done {
-            return self.inner.borrow_mut().order(order);
+    /// Sends an attempt that waited to be recorded. If `succeeded` is false, its request is shed instead; nothing of it ran.
+    pub fn attempt_recorded(&self, id: DispatchId, succeeded: bool) {
+        let Some(command) = self.inner.borrow_mut().unrecorded.remove(&id) else { return };
+        if succeeded {
+            return self.inner.borrow_mut().send_command(command);
         }
         self.inner.borrow_mut().answer(id.request, ResponseOutcome::Shed { retry_after: None });
-        self.ended(id, AttemptStatus::NotSent);
+        self.attempt_ended(id, AttemptStatus::NotSent);
     }
 
-    /// Whether an attempt may still be sent, see [`Recorder::may_send`].
+    /// Returns whether an attempt may still be sent, see [`Recorder::may_send`].
     pub fn may_send(&self, id: DispatchId) -> bool {
         let recorder = self.inner.borrow().recorder.clone();
         recorder.is_none_or(|r| r.may_send(id))
     }
 
-    /// Whether no attempt of a class may be made twice.
-    pub fn is_unsafe(&self, class: ClassId) -> bool {
+    /// Returns whether no request of the class may run twice.
+    pub fn is_non_idempotent(&self, class: ClassId) -> bool {
         let inner = self.inner.borrow();
         inner
-            .balancer
+            .scheduler
             .settings()
             .classes
             .get(class.0)
             .is_some_and(|c| c.idempotency == Idempotency::NonIdempotent)
     }
 
-    /// The name of a class.
+    /// Returns the name of a class; empty if there is none with that id.
     pub fn class_name(&self, class: ClassId) -> String {
         self.inner.borrow().names.classes.name(class.0 as u32).unwrap_or_default().to_string()
     }
 
-    /// Requests of a tenant that were taken as new while that was bounded, since the start.
-    pub fn begun(&self, tenant: TenantId) -> u64 {
-        self.inner.borrow().balancer.new_work_count(tenant)
+    /// Returns how many requests of a tenant were accepted as new work, since the start, while new work was limited.
+    pub fn new_work_count(&self, tenant: TenantId) -> u64 {
+        self.inner.borrow().scheduler.new_work_count(tenant)
     }
 
-    /// Attempts that were served and that failed since that was last asked, where attempts are written down.
-    pub fn outcomes(&self) -> (u64, u64) {
+    /// Returns the numbers of served and of failed attempts since the last call. Both are 0 without a recorder.
+    pub fn take_outcomes(&self) -> (u64, u64) {
         std::mem::take(&mut self.inner.borrow_mut().outcomes)
     }
 
-    /// All classes by their numbers, with what a request is worth, in thousandths.
-    pub fn classes(&self) -> Vec<(String, u64)> {
+    /// Returns the name of each class, ordered by id, and its priority weight in thousandths.
+    pub fn class_weights(&self) -> Vec<(String, u64)> {
         let inner = self.inner.borrow();
-        let classes = inner.balancer.settings().classes.iter().enumerate();
+        let classes = inner.scheduler.settings().classes.iter().enumerate();
         let name = |k: usize| inner.names.classes.name(k as u32).unwrap_or_default().to_string();
         classes.map(|(k, c)| (name(k), (c.priority_weight.max(0.0) * 1_000.0) as u64)).collect()
     }
 
-    /// The longest deadline of the settings in force.
+    /// Returns the longest deadline of the current settings.
     pub fn longest_deadline(&self) -> Duration {
         Duration::from_micros(self.inner.borrow().setup.longest_deadline().max(0) as u64)
     }
 
-    /// How many nodes ask discovery for their lists, by the settings in force, and how long after it was told that a server
-    /// leaves a node may send it something new.
-    pub fn notified(&self) -> (u32, Duration) {
+    /// Returns how many nodes poll discovery, and how long a node may send new requests to a backend server after discovery
+    /// was told that the server leaves.
+    pub fn discovery_timing(&self) -> (u32, Duration) {
         let inner = self.inner.borrow();
         (inner.setup.polling_nodes(), Duration::from_micros(inner.setup.drain_grace().max(0) as u64))
     }
 
-    /// What a client that is turned away may be told of how long to stay away: nothing where clients don't heed it.
-    pub fn advice(&self, wait: Duration) -> Option<Duration> {
+    /// Returns the `Retry-After` time to send for a wait of `wait`, capped by the settings; `None` if clients ignore it.
+    pub fn capped_retry_after(&self, wait: Duration) -> Option<Duration> {
         let inner = self.inner.borrow();
-        let set = inner.balancer.settings();
-        let most = Duration::from_micros(set.max_retry_after.max(0) as u64);
-        set.sends_retry_after.then_some(wait.min(most))
+        let settings = inner.scheduler.settings();
+        let max = Duration::from_micros(settings.max_retry_after.max(0) as u64);
+        settings.sends_retry_after.then_some(wait.min(max))
     }
 
-    /// How backend servers warm up.
-    pub fn pace(&self) -> SlowStart {
+    /// Returns the slow start of backend servers.
+    pub fn slow_start(&self) -> SlowStart {
         let inner = self.inner.borrow();
-        let set = inner.balancer.settings();
-        SlowStart { min_share: set.slow_start_min_share, duration: set.slow_start_duration }
+        let settings = inner.scheduler.settings();
+        SlowStart { min_share: settings.slow_start_min_share, duration: settings.slow_start_duration }
     }
 
-    /// What was done with each part since that was last asked.
-    pub fn parts_used(&self) -> Vec<(QuotaKind, QuotaUsage)> {
+    /// Returns the use of each quota since the last call.
+    pub fn take_quota_usage(&self) -> Vec<(QuotaKind, QuotaUsage)> {
         let inner = &mut *self.inner.borrow_mut();
-        inner.balancer.take_quota_usage(inner.clock.now())
+        inner.scheduler.take_quota_usage(inner.clock.now())
     }
 
-    fn renew(&self, change: impl FnOnce(&mut Inner<P>)) {
-        let renewed = {
+    fn update_settings(&self, change: impl FnOnce(&mut Inner<P>)) {
+        let update = {
             let mut inner = self.inner.borrow_mut();
             change(&mut inner);
-            let Inner { balancer, setup, names, parts, .. } = &mut *inner;
-            let mut renewed =
-                setup.reconfigure(names, balancer.settings(), |class| balancer.uses_class(class));
-            renewed.settings.processes = *parts;
-            renewed
+            let Inner { scheduler, setup, names, process_count, .. } = &mut *inner;
+            let mut update =
+                setup.reconfigure(names, scheduler.settings(), |class| scheduler.uses_class(class));
+            update.settings.processes = *process_count;
+            update
         };
-        self.report(Event::Reconfigure(Box::new(renewed)));
+        self.handle_event(Event::Reconfigure(Box::new(update)));
     }
 
-    /// Told of each list of servers, and each change, with their number.
-    pub fn lists(&self) -> watch::Receiver<u64> {
+    /// Subscribes to the number of endpoint lists and changes of them so far.
+    pub fn subscribe_lists(&self) -> watch::Receiver<u64> {
         self.lists.subscribe()
     }
 
-    /// How many processes are this one node.
-    pub fn parts(&self) -> u32 {
-        self.inner.borrow().parts
+    /// Returns the number of processes that serve as this node.
+    pub fn process_count(&self) -> u32 {
+        self.inner.borrow().process_count
     }
 
-    /// Requests that have no final answer yet.
-    pub fn open(&self) -> usize {
+    /// Returns the number of requests without a final answer.
+    pub fn open_count(&self) -> usize {
         self.inner.borrow().open.len()
     }
 
-    /// Take a request. The ticket brings its one final answer; dropped before, the client is gone.
-    pub fn take(self: &Rc<Self>, ask: Ask, payload: P) -> Ticket<P> {
-        let (answer, answered) = oneshot::channel();
-        let margin = MARGIN.min(ask.timeout / 4);
-        let until = ask.arrived + ask.timeout - margin;
+    /// Submits a request. The returned ticket yields its final answer; dropping it earlier abandons the request.
+    pub fn submit(self: &Rc<Self>, params: RequestParams, payload: P) -> Ticket<P> {
+        let (answer, answer_receiver) = oneshot::channel();
+        let margin = ANSWER_MARGIN.min(params.timeout / 4);
+        let deadline = params.arrived + params.timeout - margin;
         let id = {
             let mut inner = self.inner.borrow_mut();
-            inner.taken += 1;
-            let id = RequestId(inner.taken);
-            let class = ask.class;
-            let (payload, wanted) = (Rc::new(payload), watch::channel(()).0);
-            inner.open.insert(id, Taken { class, payload, until, attempts: 0, answer, wanted });
+            inner.last_request_id += 1;
+            let id = RequestId(inner.last_request_id);
+            let class = params.class;
+            let (payload, open) = (Rc::new(payload), watch::channel(()).0);
+            inner.open.insert(id, OpenRequest { class, payload, deadline, attempts: 0, answer, open });
             id
         };
-        let time_left = until.saturating_duration_since(Instant::now()).as_micros() as Micros;
-        self.report(Event::RequestArrived(Request {
+        let time_left = deadline.saturating_duration_since(Instant::now()).as_micros() as Micros;
+        self.handle_event(Event::RequestArrived(Request {
             id,
-            class: ask.class,
-            tenant: ask.tenant,
-            key: ask.key.as_deref().map(|k| KeyId(name_hash(k))),
+            class: params.class,
+            tenant: params.tenant,
+            key: params.key.as_deref().map(|k| KeyId(name_hash(k))),
             time_remaining: time_left,
-            work_hint: ask.hint,
-            slots: ask.slots,
-            is_retry: ask.repeat,
-            work_state: ask.entry,
-            is_remote: ask.guest,
+            work_hint: params.work_hint,
+            slots: params.slots,
+            is_retry: params.is_retry,
+            work_state: params.work_state,
+            is_remote: params.is_remote,
         }));
-        Ticket { exchange: self.clone(), id, answered, overdue: until + margin / 2 }
+        Ticket { exchange: self.clone(), id, answer_receiver, deadline: deadline + margin / 2 }
     }
 
-    /// The job of an attempt has started.
-    pub fn started(&self, id: DispatchId) {
-        self.report(Event::AttemptStarted { id: id.request, attempt: id.attempt });
+    /// Reports that the backend server has started to run an attempt.
+    pub fn attempt_started(&self, id: DispatchId) {
+        self.handle_event(Event::AttemptStarted { id: id.request, attempt: id.attempt });
     }
 
-    /// The job of an attempt has got this far.
-    pub fn progress(&self, id: DispatchId, done: f64) {
-        self.report(Event::AttemptProgress { id: id.request, attempt: id.attempt, done });
+    /// Reports the progress of an attempt, as a fraction from 0 to 1.
+    pub fn attempt_progress(&self, id: DispatchId, done: f64) {
+        self.handle_event(Event::AttemptProgress { id: id.request, attempt: id.attempt, done });
     }
 
-    /// An attempt was served with this result. The first one is the request's answer.
-    pub fn served(&self, id: DispatchId, result: Vec<u8>) {
-        let taken = self.inner.borrow_mut().open.remove(&id.request);
-        if let Some(taken) = taken {
-            self.inner.borrow().audited(&taken, "served");
-            // A client that has just gone has no use for it.
-            let _ = taken.answer.send(ResponseOutcome::Served(result));
+    /// Reports the result of an attempt. The first result becomes the answer to the request.
+    pub fn attempt_served(&self, id: DispatchId, result: Vec<u8>) {
+        let request = self.inner.borrow_mut().open.remove(&id.request);
+        if let Some(request) = request {
+            self.inner.borrow().audit_answer(&request, "served");
+            // The receiver is dropped if the client has just disconnected.
+            let _ = request.answer.send(ResponseOutcome::Served(result));
         }
-        self.ended(id, AttemptStatus::Ok);
+        self.attempt_ended(id, AttemptStatus::Ok);
     }
 
-    /// An attempt has ended, without a result if that is not told by [`Exchange::served`].
-    pub fn ended(&self, id: DispatchId, status: AttemptStatus) {
-        let (settled, recorder, ran) = {
+    /// Reports the end of an attempt. [`Exchange::attempt_served`] includes it for an attempt with a result.
+    pub fn attempt_ended(&self, id: DispatchId, status: AttemptStatus) {
+        let (is_settled, recorder, outcome) = {
             let inner = self.inner.borrow();
-            let never = inner.balancer.proves_not_run(id.request, id.attempt, status);
-            let ran = if never { Ran::Never } else { Ran::Perhaps };
-            let ran = if status == AttemptStatus::Ok { Ran::Served } else { ran };
-            (!inner.open.contains_key(&id.request), inner.recorder.clone(), ran)
+            let never_ran = inner.scheduler.proves_not_run(id.request, id.attempt, status);
+            let outcome = if never_ran { RunOutcome::NeverRan } else { RunOutcome::MayHaveRun };
+            let outcome = if status == AttemptStatus::Ok { RunOutcome::Served } else { outcome };
+            (!inner.open.contains_key(&id.request), inner.recorder.clone(), outcome)
         };
         if let Some(recorder) = recorder {
-            recorder.ended(id, ran);
-            let fails = matches!(
+            recorder.attempt_ended(id, outcome);
+            let failed = matches!(
                 status,
                 AttemptStatus::Error
                     | AttemptStatus::Overloaded
@@ -339,40 +340,55 @@
             );
             let outcomes = &mut self.inner.borrow_mut().outcomes;
             outcomes.0 += u64::from(status == AttemptStatus::Ok);
-            outcomes.1 += u64::from(fails);
+            outcomes.1 += u64::from(failed);
         }
-        debug!("dispatch {}.{} ended {status:?} settled={settled}", id.request.0, id.attempt);
-        self.report(Event::AttemptEnded { id: id.request, attempt: id.attempt, status, is_final: settled });
-    }
-
-    /// A probe of a backend server has ended.
-    pub fn probed(&self, worker: EndpointId, status: AttemptStatus, value: impl Fn(&str) -> Option<f64>) {
+        debug!("dispatch {}.{} ended {status:?} settled={is_settled}", id.request.0, id.attempt);
+        self.handle_event(Event::AttemptEnded {
+            id: id.request,
+            attempt: id.attempt,
+            status,
+            is_final: is_settled,
+        });
+    }
+
+    /// Reports the end of a probe; `value` returns a field of the load report by its name.
+    pub fn probe_ended(
+        &self,
+        server: EndpointId,
+        status: AttemptStatus,
+        value: impl Fn(&str) -> Option<f64>,
+    ) {
         let report = self.inner.borrow().setup.load_report(value);
-        debug!("probe of {} ended {status:?} {report:?}", worker.0);
-        self.report(Event::ProbeEnded { endpoint: worker, status, report });
+        debug!("probe of {} ended {status:?} {report:?}", server.0);
+        self.handle_event(Event::ProbeEnded { endpoint: server, status, report });
     }
 
-    /// An idle connection to a backend server has ended unasked, the one in that place by its age.
-    pub fn idle_closed(&self, worker: EndpointId, place: usize) {
-        self.report(Event::IdleConnectionClosed { endpoint: worker, position: place });
+    /// Reports that an idle connection to a backend server was closed without a command. `age_rank` counts from the one that
+    /// has been idle for longest.
+    pub fn idle_closed(&self, server: EndpointId, age_rank: usize) {
+        self.handle_event(Event::IdleConnectionClosed { endpoint: server, position: age_rank });
     }
 
-    /// The server table has changed, or is all of this.
-    pub fn servers(&self, list: Vec<Server>, whole: bool) {
-        let members = self.inner.borrow_mut().members(list, whole);
-        self.report(if whole { Event::EndpointList(members) } else { Event::EndpointUpdate(members) });
+    /// Updates the server table: replaces it if `is_full`, else changes the entries in `list`.
+    pub fn update_servers(&self, list: Vec<ServerEntry>, is_full: bool) {
+        let endpoints = self.inner.borrow_mut().update_endpoints(list, is_full);
+        self.handle_event(if is_full {
+            Event::EndpointList(endpoints)
+        } else {
+            Event::EndpointUpdate(endpoints)
+        });
         self.lists.send_modify(|n| *n += 1);
     }
 
-    /// Hand the module its wake-ups, for as long as the node runs.
-    pub async fn wake(&self) {
+    /// Wakes the scheduler whenever it has asked for it. Never returns.
+    pub async fn run_wakeups(&self) {
         loop {
-            let due = self.inner.borrow().wake;
+            let due = self.inner.borrow().wake_at;
             match due {
                 Some(at) => tokio::select! {
                     () = self.deadlines.at(at) => {
-                        self.inner.borrow_mut().wake = None;
-                        self.report(Event::Wake);
+                        self.inner.borrow_mut().wake_at = None;
+                        self.handle_event(Event::Wake);
                     }
                     () = self.rearmed.notified() => {}
                 },
@@ -381,19 +397,19 @@
         }
     }
 
-    /// The frontend has waited for a request's answer too long, or its client has gone.
+    /// Gives up a request whose client has disconnected or whose answer is overdue. Does nothing if it was answered.
     fn abandon(&self, id: RequestId) {
-        let open = self.inner.borrow_mut().open.remove(&id).is_some();
-        if open {
-            self.report(Event::ClientLeft(id));
+        let was_open = self.inner.borrow_mut().open.remove(&id).is_some();
+        if was_open {
+            self.handle_event(Event::ClientLeft(id));
         }
     }
 
-    fn report(&self, event: Event) {
+    fn handle_event(&self, event: Event) {
         let mut inner = self.inner.borrow_mut();
-        let before = inner.wake;
-        inner.report(event);
-        if inner.wake != before {
+        let before = inner.wake_at;
+        inner.handle_event(event);
+        if inner.wake_at != before {
             self.rearmed.notify_one();
         }
     }
--- a/src/net/exchange/ticket.rs
+++ b/src/net/exchange/ticket.rs
@@ -1,4 +1,4 @@
-//! A request that waits for its answer.
+//! The handle of a submitted request, which yields its final answer.
 
 use super::types::ResponseOutcome;
 use super::Exchange;
@@ -8,34 +8,34 @@
 use tokio::sync::oneshot;
 use tracing::warn;
 
-/// A request that was taken.
+/// A submitted request. Dropping the ticket before the answer abandons the request, as when its client disconnects.
 #[derive(Debug)]
 pub struct Ticket<P> {
     pub(super) exchange: Rc<Exchange<P>>,
     pub(super) id: RequestId,
-    pub(super) answered: oneshot::Receiver<ResponseOutcome>,
-    pub(super) overdue: Instant,
+    pub(super) answer_receiver: oneshot::Receiver<ResponseOutcome>,
+    pub(super) deadline: Instant,
 }
 
 impl<P> Ticket<P> {
-    /// Whether it was turned away at once: its answer is there already.
+    /// Returns whether the request has its final answer, as when it was rejected on submission.
     pub fn is_answered(&self) -> bool {
         !self.exchange.inner.borrow().open.contains_key(&self.id)
     }
 
-    /// When its client's time is up, less what an answer needs to arrive.
-    pub fn overdue(&self) -> Instant {
-        self.overdue
+    /// Returns the time by which the answer must be sent, slightly before the client gives up.
+    pub fn deadline(&self) -> Instant {
+        self.deadline
     }
 
-    /// Its final answer, in time.
+    /// Waits for the final answer, at most until the deadline.
     pub async fn outcome(&mut self) -> ResponseOutcome {
         tokio::select! {
             biased;
-            outcome = &mut self.answered => outcome.unwrap_or(ResponseOutcome::Failed),
-            // Guards against a request that the module has lost: the client is answered all the same.
-            () = self.exchange.deadlines.at(self.overdue) => {
-                warn!("request {} was overdue", self.id.0);
+            outcome = &mut self.answer_receiver => outcome.unwrap_or(ResponseOutcome::Failed),
+            // Guards against a request that the scheduler has lost.
+            () = self.exchange.deadlines.at(self.deadline) => {
+                warn!("request {} got no answer from the scheduler by its deadline", self.id.0);
                 ResponseOutcome::Failed
             }
         }
--- a/src/net/exchange/types.rs
+++ b/src/net/exchange/types.rs
@@ -1,4 +1,4 @@
-//! What frontend and backend exchange: requests, outcomes, attempts and orders.
+//! Types that the frontend, the exchange and the backend share: requests, outcomes, attempts and commands.
 
 use shorepath_scheduler::{
     ClassId, EndpointId, EndpointState, Idempotency, Micros, QuotaKind, RequestId, TenantId, WorkState,
@@ -8,188 +8,192 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// A request, as far as the decisions need it.
+/// The properties of a request on which scheduling decisions depend.
 #[derive(Debug)]
-pub struct Ask {
-    /// Its class.
+pub struct RequestParams {
+    /// The class, whose settings decide objective, deadline and idempotency.
     pub class: ClassId,
-    /// Its tenant, where there are tenants.
+    /// The tenant, or `None` where the settings name no tenants.
     pub tenant: Option<TenantId>,
-    /// What it is about, where it says so.
+    /// The object that the request is about, or `None` if it names none.
     pub key: Option<String>,
-    /// When it had come.
+    /// Time at which the last byte of the request was received.
     pub arrived: Instant,
-    /// How long the client waits from then on.
+    /// How long the client waits for the answer, counted from `arrived`.
     pub timeout: Duration,
-    /// The client's guess at its work, in microseconds at speed 1.
-    pub hint: Option<Micros>,
-    /// Slots that it takes.
+    /// The client's estimate of the work in microseconds on a standard core, or `None` without an estimate.
+    pub work_hint: Option<Micros>,
+    /// Number of slots that the request occupies at a backend server.
     pub slots: u32,
-    /// A client's repeat.
-    pub repeat: bool,
-    /// What it is to its tenant's work.
-    pub entry: WorkState,
-    /// Its client belongs to another site.
-    pub guest: bool,
+    /// Whether the client marked the request as a retry.
+    pub is_retry: bool,
+    /// Whether the request is new work, a repeat of accepted work, or work that this node must not accept.
+    pub work_state: WorkState,
+    /// Whether the client belongs to another site.
+    pub is_remote: bool,
 }
 
 /// The final answer to a request.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ResponseOutcome {
-    /// A backend server made this result for it.
+    /// A backend server returned this result.
     Served(Vec<u8>),
-    /// Shed: trying again is harmless.
+    /// The request was shed. It never ran, so the client may retry it.
     Shed {
-        /// How long the client should stay away.
+        /// How long the client should wait before it retries; `None` to state no time.
         retry_after: Option<Duration>,
     },
-    /// Not taken here: nothing is left of a part that it needs from the start, or it belongs elsewhere.
+    /// The request was not accepted: a quota is exhausted, or the request belongs to another node.
     Rejected {
-        /// The part.
+        /// The exhausted quota, or `None` if no quota is the reason.
         of: Option<QuotaKind>,
     },
-    /// Failed, no promise.
+    /// The request failed and may have run.
     Failed,
 }
 
-/// One attempt of a request.
+/// Identifies one attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct DispatchId {
-    /// The request.
+    /// The request that the attempt is for.
     pub request: RequestId,
-    /// The number of the attempt.
+    /// The attempt's number, counted from 0 for each request.
     pub attempt: u32,
 }
 
-/// Whether a request still waits for its answer: its client has not gone, and it has none yet.
+/// Watches whether a request is open: its client is connected and it has no final answer.
 #[derive(Clone, Debug)]
-pub struct Wanted(watch::Receiver<()>);
+pub struct OpenWatch(watch::Receiver<()>);
 
-impl Wanted {
-    /// As long as that lasts.
-    pub fn by(request: &watch::Sender<()>) -> Self {
-        Wanted(request.subscribe())
+impl OpenWatch {
+    /// Creates a watch on a request that is open until `request` is dropped.
+    pub fn new(request: &watch::Sender<()>) -> Self {
+        OpenWatch(request.subscribe())
     }
 
-    /// Whether it does.
-    pub fn is_still(&self) -> bool {
+    /// Returns whether the request is still open.
+    pub fn is_open(&self) -> bool {
         self.0.has_changed().is_ok()
     }
 
-    /// Ready once it does not.
-    pub async fn over(&mut self) {
+    /// Waits until the request is no longer open.
+    pub async fn closed(&mut self) {
         while self.0.changed().await.is_ok() {}
     }
 }
 
-/// What the backend is to do.
+/// A command of the exchange to the backend.
 #[derive(Debug)]
-pub enum Order<P> {
-    /// Make one attempt.
+pub enum Command<P> {
+    /// Makes one attempt of a request.
     Dispatch {
-        /// Which.
+        /// The attempt.
         id: DispatchId,
-        /// The backend server.
-        worker: EndpointId,
-        /// What running it twice would do.
-        effect: Idempotency,
-        /// What to send.
+        /// The backend server to send it to.
+        endpoint: EndpointId,
+        /// Whether the request may run more than once.
+        idempotency: Idempotency,
+        /// The request to send.
         payload: Rc<P>,
-        /// When all of it has to be on its way: at `until` at the latest.
-        written_by: Instant,
-        /// When to stop waiting.
-        until: Instant,
-        /// For how long its request waits for an answer.
-        wanted: Wanted,
+        /// Time by which its last byte must be written; not after `deadline`.
+        write_by: Instant,
+        /// Time at which the attempt is given up.
+        deadline: Instant,
+        /// Whether the request still needs an answer.
+        open: OpenWatch,
     },
-    /// Call an attempt off.
+    /// Cancels an attempt, if it has not ended.
     Cancel(DispatchId),
-    /// Ask a backend server whether it would start a job now.
+    /// Probes whether a backend server would start a job now.
     Probe(EndpointId),
-    /// Close the idle connections to a backend server.
+    /// Closes the idle connections to a backend server.
     CloseIdle(EndpointId),
-    /// Where a backend server is, and whether it may be sent anything new.
+    /// Updates the address and the state of a backend server.
     Server {
-        /// Which.
-        worker: EndpointId,
-        /// Where; `None` if that is as before.
+        /// The backend server.
+        endpoint: EndpointId,
+        /// The address, or `None` if it is unchanged.
         address: Option<SocketAddr>,
-        /// Whether it is active.
+        /// Whether new requests may be sent to the server.
         active: bool,
     },
 }
 
 /// One entry of the server table.
 #[derive(Clone, Debug)]
-pub struct Server {
-    /// Its name, the same at every node.
+pub struct ServerEntry {
+    /// Name of the backend server, the same at every node.
     pub name: String,
-    /// Where it is reached; not told of one that is gone.
+    /// Its address, or `None` for a server that has left.
     pub address: Option<SocketAddr>,
-    /// Its zone.
+    /// Name of the zone in which it runs.
     pub zone: String,
-    /// Its kind.
+    /// Name of its kind, which decides which classes it runs.
     pub kind: String,
-    /// Its cell.
+    /// Number of the cell to which it belongs.
     pub cell: u32,
-    /// Its size.
-    pub size: f64,
-    /// Where it stands.
-    pub standing: EndpointState,
-    /// When it last started, in Unix time; 0 for long ago.
-    pub started: Micros,
+    /// Its capacity, as the scheduler counts it.
+    pub capacity: f64,
+    /// Whether it is live, draining or removed.
+    pub state: EndpointState,
+    /// Unix time of its last start in microseconds; 0 for a start long ago.
+    pub started_at: Micros,
 }
 
-/// What is known of an attempt that has ended.
+/// Whether the request of an attempt that has ended was run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ran {
-    /// It was served.
+pub enum RunOutcome {
+    /// The request was served.
     Served,
-    /// It surely never ran.
-    Never,
-    /// It may have run.
-    Perhaps,
+    /// The request certainly never ran.
+    NeverRan,
+    /// The request may have run.
+    MayHaveRun,
 }
 
-/// An attempt, as it is written down.
+/// The description of an attempt that a [`Recorder`] or an [`Auditor`] writes.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt<'a> {
-    /// The name of its class.
+    /// Name of the request's class.
     pub class: &'a str,
-    /// None of that class may be made twice.
-    pub is_unsafe: bool,
-    /// The name of the backend server.
+    /// Whether no request of the class may run twice.
+    pub is_non_idempotent: bool,
+    /// Name of the backend server.
     pub server: &'a str,
 }
 
-/// Writes down what is given to which backend server.
+/// Records which attempts are sent to which backend server, before they are sent.
 pub trait Recorder<P>: std::fmt::Debug {
-    /// An attempt is to be made. Whether it may go out at once; where not, [`super::Exchange::recorded`] has to be told later. The
-    /// exchange must not be asked anything meanwhile.
-    fn places(&self, id: DispatchId, attempt: Attempt<'_>, payload: &P) -> bool;
-    /// Whether an attempt may still be sent, asked right before its first byte is.
+    /// Records an attempt and returns whether it may be sent at once. If not, [`super::Exchange::attempt_recorded`] must be
+    /// called later.
+    ///
+    /// Must not call the exchange, which is borrowed meanwhile.
+    fn record_attempt(&self, id: DispatchId, attempt: Attempt<'_>, payload: &P) -> bool;
+    /// Returns whether an attempt may still be sent. Called right before its first byte is written.
     fn may_send(&self, _id: DispatchId) -> bool {
         true
     }
-    /// An attempt that was written down has ended.
-    fn ended(&self, id: DispatchId, how: Ran);
+    /// Records the end of an attempt.
+    fn attempt_ended(&self, id: DispatchId, outcome: RunOutcome);
 }
 
-/// Writes down which decisions were taken.
+/// Records scheduling decisions in the audit log.
 pub trait Auditor<P>: std::fmt::Debug {
-    /// An attempt goes out, the first one or a further one. The exchange must not be asked anything meanwhile.
+    /// Records that an attempt is sent; `first` is false for further attempts of a request.
+    ///
+    /// Must not call the exchange, which is borrowed meanwhile.
     fn dispatched(&self, attempt: Attempt<'_>, first: bool, payload: &P);
-    /// A request has its final answer: how, and whether it was refused and none of its class may be made twice.
-    fn answered(&self, class: &str, how: &'static str, guarded: bool, payload: &P);
-    /// A list of that revision is in force.
-    fn listed(&self, revision: u64);
+    /// Records the final answer of a request; `guarded` is set if a request that must not run twice was not served.
+    fn answered(&self, class: &str, outcome: &'static str, guarded: bool, payload: &P);
+    /// Records that the endpoint list with that revision is in use.
+    fn list_applied(&self, revision: u64);
 }
 
-/// Who tells of parts.
+/// The component that sets quota shares; each one's shares are replaced separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Source {
+pub enum QuotaSource {
     /// The budgets of the fleet.
     Budgets,
-    /// The accounts and sites.
+    /// The accounts and the load shifting between sites.
     Sites,
 }
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -8,7 +8,7 @@
 mod list_calls;
 
 use super::deadlines::Deadlines;
-use super::exchange::{Exchange, Source};
+use super::exchange::{Exchange, QuotaSource};
 use super::frontend::Frontend;
 use super::key_leases::KeyLeases;
 use super::Job;
@@ -259,12 +259,12 @@
 
     /// Reports the usage since the last call to the quota client.
     fn report_usage(&self) {
-        let used = self.exchange.parts_used();
+        let used = self.exchange.take_quota_usage();
         let discovery_calls = self.discovery_limit.take_usage();
         let mut quota_client = self.quota_client.borrow_mut();
         let names: Vec<String> = quota_client.plan().budgets.iter().map(|b| b.name.clone()).collect();
         for name in names {
-            let kind = self.exchange.bound(&name);
+            let kind = self.exchange.quota_kind(&name);
             let exchange_usage = used.iter().find(|(bound, _)| Some(*bound) == kind);
             let usage = match exchange_usage {
                 Some((_, part)) => Usage { wanted: part.demand, used: part.used },
@@ -307,7 +307,7 @@
             };
             if name == "lists" {
                 discovery_rate = Some((units, window_us));
-            } else if let Some(quota_kind) = self.exchange.bound(name) {
+            } else if let Some(quota_kind) = self.exchange.quota_kind(name) {
                 shares.push(QuotaShare { kind: quota_kind, units, total: *total, window: window_us });
             }
             let is_home = matches!(BudgetKind::of(name), Some(BudgetKind::Home(_)));
@@ -333,7 +333,7 @@
         if shares != *self.applied_shares.borrow() {
             debug!("budgets: {shares:?}");
             self.applied_shares.replace(shares.clone());
-            self.exchange.parts_hold(Source::Budgets, shares);
+            self.exchange.set_quota_shares(QuotaSource::Budgets, shares);
         }
     }
 
--- a/src/net/frontend.rs
+++ b/src/net/frontend.rs
@@ -1,10 +1,10 @@
-//! The frontend: connections from clients, and what they ask for. Jobs go to the exchange; all else
-//! is answered here.
+//! The frontend: accepts connections from clients and reads their requests. Jobs go to the exchange; other requests, such as
+//! health checks, are answered here.
 
 mod connection;
 mod eviction;
-mod ids;
 mod request;
+mod request_ids;
 
 use super::deadlines::Deadlines;
 use super::exchange::Exchange;
@@ -12,8 +12,8 @@
 use super::sites::Sites;
 use super::stopping::Stopping;
 use super::{turn, Job};
-use eviction::Standing;
-pub use ids::{Claim, Ids};
+use eviction::EvictionQueue;
+pub use request_ids::{Claim, RequestIds};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -21,147 +21,148 @@
 use tokio::sync::{watch, Notify};
 use tracing::warn;
 
-/// The pause after a connection could not be accepted.
-const PAUSE: Duration = Duration::from_millis(10);
+/// Delay after a failure to accept a connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// How far the node has come with stopping.
+/// How far the node has got with its shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Stage {
+enum ShutdownStage {
     Serving,
-    /// Served as before, but no longer healthy.
-    Leaving,
-    /// No new connection is accepted; those that there are go on.
+    /// The health check fails; clients are served as before.
+    Unhealthy,
+    /// No new connection is accepted; the open ones are served.
     Refusing,
-    /// Nothing new is taken.
+    /// Idle connections are closed, the others after their current answer.
     Closing,
 }
 
-/// What the frontend does with clients: how far it has come with stopping, and whether it is being
-/// emptied, which can be taken back.
+/// The state that decides how clients are treated. A shutdown cannot be undone, a drain can.
 #[derive(Clone, Copy, Debug)]
 struct State {
-    stage: Stage,
-    /// Since when an operator has it emptied.
-    drained: Option<Instant>,
-    /// Whether the listener is attended.
-    accepts: bool,
-    /// Whether another process takes the clients at this address.
-    replaced: bool,
-    /// The times that hold once the node is stopping.
+    stage: ShutdownStage,
+    /// Time at which an operator started a drain; `None` if the node is not draining.
+    drained_since: Option<Instant>,
+    /// Whether connections are accepted from the listener.
+    is_accepting: bool,
+    /// Whether another process accepts the clients at this address.
+    is_replaced: bool,
+    /// The schedule of the shutdown; `None` before it.
     stopping: Option<Stopping>,
 }
 
 impl State {
-    /// Why no clients should be sent here, if they should not.
-    fn avoids(&self) -> Option<&'static str> {
+    /// Returns why the health check fails; `None` if the node is healthy.
+    fn unhealthy_reason(&self) -> Option<&'static str> {
         match self {
-            // The front must not hear that the address is gone: the next process serves there.
-            State { replaced: true, .. } => None,
-            State { stage, .. } if *stage > Stage::Serving => Some("stopping"),
-            State { drained: Some(_), .. } => Some("draining"),
+            // The check of the upstream balancer must not fail: the next process serves at this address.
+            State { is_replaced: true, .. } => None,
+            State { stage, .. } if *stage > ShutdownStage::Serving => Some("stopping"),
+            State { drained_since: Some(_), .. } => Some("draining"),
             _ => None,
         }
     }
 
-    /// Whether a connection ends after its next answer, unless more has come.
-    fn sends_away(&self) -> bool {
-        self.stage == Stage::Closing || self.drained.is_some() || self.replaced
+    /// Returns whether a connection is closed after its next answer, unless another request has arrived.
+    fn closes_after_answer(&self) -> bool {
+        self.stage == ShutdownStage::Closing || self.drained_since.is_some() || self.is_replaced
     }
 }
 
-/// The connections from clients.
+/// The frontend of a node, with its connections from clients.
 #[derive(Debug)]
 pub struct Frontend {
     exchange: Rc<Exchange<Job>>,
     deadlines: Rc<Deadlines>,
     pool: Rc<Pool>,
-    most: Cell<usize>,
-    connections: Cell<usize>,
-    /// Told whenever a connection has ended or become idle.
-    changed: Notify,
-    /// What closes those on which nothing moves, by their rank.
-    idle: RefCell<[Standing; 3]>,
-    idled: Cell<u64>,
-    /// How many of them were told to go and have neither ended nor gone on yet.
-    going: Cell<usize>,
-    ids: Rc<RefCell<Ids>>,
+    max_connections: Cell<usize>,
+    open_connections: Cell<usize>,
+    /// Notified when a connection was closed or has become idle.
+    connection_changed: Notify,
+    /// Idle connections, by [`eviction::EvictionRank`].
+    eviction_queues: RefCell<[EvictionQueue; 3]>,
+    next_queue_number: Cell<u64>,
+    /// Number of connections that were chosen for eviction and neither have closed nor go on with a request.
+    evicting: Cell<usize>,
+    request_ids: Rc<RefCell<RequestIds>>,
     state: watch::Sender<State>,
-    /// This node among sites, where there are any.
+    /// The sites and accounts; `None` in a deployment without sites.
     sites: RefCell<Option<Rc<Sites>>>,
 }
 
 impl Frontend {
-    /// A frontend with so many connections at most.
+    /// Creates a frontend that holds at most `max_connections` connections.
     pub fn new(
         exchange: Rc<Exchange<Job>>,
         deadlines: Rc<Deadlines>,
         pool: Rc<Pool>,
-        most: usize,
+        max_connections: usize,
     ) -> Rc<Self> {
-        let stage = Stage::Serving;
-        let state = State { stage, drained: None, accepts: false, replaced: false, stopping: None };
+        let stage = ShutdownStage::Serving;
+        let state =
+            State { stage, drained_since: None, is_accepting: false, is_replaced: false, stopping: None };
         Rc::new(Frontend {
             exchange,
             deadlines,
             pool,
-            most: Cell::new(most),
-            connections: Cell::new(0),
-            changed: Notify::new(),
-            idle: RefCell::default(),
-            idled: Cell::new(0),
-            going: Cell::new(0),
-            ids: Rc::default(),
+            max_connections: Cell::new(max_connections),
+            open_connections: Cell::new(0),
+            connection_changed: Notify::new(),
+            eviction_queues: RefCell::default(),
+            next_queue_number: Cell::new(0),
+            evicting: Cell::new(0),
+            request_ids: Rc::default(),
             state: watch::channel(state).0,
             sites: RefCell::default(),
         })
     }
 
-    /// Accounts are asked from now on.
-    pub fn among(&self, sites: Rc<Sites>) {
+    /// Subjects all further requests to the accounts and the rules of `sites`.
+    pub fn set_sites(&self, sites: Rc<Sites>) {
         self.sites.replace(Some(sites));
     }
 
-    /// Whether clients are taken, or why not.
+    /// Returns whether the node accepts clients; fails with the reason why it does not.
     pub fn ready(&self) -> Result<(), &'static str> {
         let state = *self.state.borrow();
-        match state.avoids() {
-            Some(why) => Err(why),
-            None if state.replaced => Err("replaced"),
-            None if !state.accepts => Err("starting"),
+        match state.unhealthy_reason() {
+            Some(reason) => Err(reason),
+            None if state.is_replaced => Err("replaced"),
+            None if !state.is_accepting => Err("starting"),
             None if !self.exchange.has_servers() => Err("no server table"),
             None => Ok(()),
         }
     }
 
-    /// Send clients away, or take them again; the listener stays open all the while. Asked again it
-    /// changes nothing. Fails once the node is stopping, which can't be taken back.
+    /// Starts or ends a drain, in which connections are closed and the health check fails; the listener stays open. Idempotent.
+    ///
+    /// Fails with the reason once the node is stopping or replaced by another process.
     pub fn drain(&self, drain: bool) -> Result<(), &'static str> {
         match *self.state.borrow() {
-            State { replaced: true, .. } => return Err("replaced"),
-            State { stage, .. } if stage > Stage::Serving => return Err("stopping"),
+            State { is_replaced: true, .. } => return Err("replaced"),
+            State { stage, .. } if stage > ShutdownStage::Serving => return Err("stopping"),
             _ => {}
         }
         self.state.send_if_modified(|s| {
-            let changes = s.drained.is_some() != drain;
-            if changes {
-                s.drained = drain.then(Instant::now);
+            let is_change = s.drained_since.is_some() != drain;
+            if is_change {
+                s.drained_since = drain.then(Instant::now);
             }
-            changes
+            is_change
         });
         Ok(())
     }
 
-    /// Another process takes the clients at this address, or none does any more. What this one has is
-    /// served to its end, and answers send its clients over.
-    pub fn hand_over(&self, replaced: bool) {
-        self.state.send_modify(|s| s.replaced = replaced);
+    /// Sets whether another process accepts the clients at this address. If so, the open connections are closed after their next
+    /// answer, so that clients reconnect to that process.
+    pub fn set_replaced(&self, is_replaced: bool) {
+        self.state.send_modify(|s| s.is_replaced = is_replaced);
     }
 
-    /// Ready as soon as clients are taken.
-    pub async fn serving(&self) {
-        let (mut state, mut lists) = (self.state.subscribe(), self.exchange.lists());
+    /// Waits until the node accepts clients.
+    pub async fn wait_until_ready(&self) {
+        let (mut state, mut lists) = (self.state.subscribe(), self.exchange.subscribe_lists());
         while self.ready().is_err() {
-            // Neither ends before the frontend.
+            // The senders live as long as the frontend.
             tokio::select! {
                 _ = state.changed() => {}
                 _ = lists.changed() => {}
@@ -169,52 +170,52 @@
         }
     }
 
-    /// Ready once the node is going to stop.
-    pub async fn leaving(&self) {
-        // It does not end before the frontend.
-        let _ = self.state.subscribe().wait_for(|s| s.stage > Stage::Serving).await;
+    /// Waits until the node has started to stop.
+    pub async fn wait_until_stopping(&self) {
+        // The sender lives as long as the frontend.
+        let _ = self.state.subscribe().wait_for(|s| s.stage > ShutdownStage::Serving).await;
     }
 
-    /// The ids of open jobs.
-    pub fn ids(&self) -> &RefCell<Ids> {
-        &self.ids
+    /// Returns the ids of open jobs.
+    pub fn request_ids(&self) -> &RefCell<RequestIds> {
+        &self.request_ids
     }
 
-    /// Hold so many connections at most from now on.
-    pub fn bound(&self, most: usize) {
-        self.most.set(most);
-        for _ in most..self.connections.get() {
-            let _ = self.free_capacity();
+    /// Changes the connection limit and evicts idle connections beyond it.
+    pub fn set_max_connections(&self, max_connections: usize) {
+        self.max_connections.set(max_connections);
+        for _ in max_connections..self.open_connections.get() {
+            let _ = self.evict_excess();
         }
     }
 
-    fn enter(&self, stage: Stage) {
+    fn set_stage(&self, stage: ShutdownStage) {
         self.state.send_modify(|s| s.stage = stage);
     }
 
-    /// The node is going to stop by these times: it is no longer healthy, but serves as before. What comes late
-    /// has its answer in time; from now on, or what comes right before connections are refused would be missed.
-    pub fn leave(&self, stopping: Stopping) {
-        self.state.send_modify(|s| (s.stage, s.stopping) = (Stage::Leaving, Some(stopping)));
+    /// Starts the shutdown with the given schedule: the health check fails, clients are served as before. From now on the timeouts
+    /// of requests are cut to the schedule, so that those that arrive right before connections are refused get an answer, too.
+    pub fn start_stopping(&self, stopping: Stopping) {
+        self.state.send_modify(|s| (s.stage, s.stopping) = (ShutdownStage::Unhealthy, Some(stopping)));
     }
 
-    /// Other settings hold while the node stops. Guards against a reload that was asked for before the stop and is
-    /// found after it: the system hands two signals to any thread, in any order.
-    pub fn hasten(&self, longest: Duration) {
-        self.state.send_modify(|s| s.stopping = s.stopping.map(|s| s.hastened(longest)));
+    /// Shortens the schedule of the shutdown to settings with that longest deadline. Guards against a reload that was requested
+    /// before the shutdown and is handled after it, as the order of two signals is not kept.
+    pub fn shorten_stopping(&self, longest_deadline: Duration) {
+        self.state.send_modify(|s| s.stopping = s.stopping.map(|s| s.hastened(longest_deadline)));
     }
 
-    /// Ready when connections close, as the node is stopping.
-    pub async fn closes(&self) {
-        self.reaches(|s| s.stopping.map(|s| s.closes())).await;
+    /// Waits until the time at which the shutdown closes connections.
+    pub async fn wait_until_closing(&self) {
+        self.wait_until(|s| s.stopping.map(|s| s.closes())).await;
     }
 
-    /// Ready once that time has come, as the state says by then.
-    async fn reaches(&self, time: impl Fn(State) -> Option<Instant>) {
+    /// Waits until the time that `time` returns, which may change with the state; `None` is never.
+    async fn wait_until(&self, time: impl Fn(State) -> Option<Instant>) {
         let mut state = self.state.subscribe();
         loop {
             let at = time(*state.borrow_and_update());
-            let reached = async {
+            let timer = async {
                 match at {
                     Some(at) => self.deadlines.at(at).await,
                     None => std::future::pending().await,
@@ -222,84 +223,85 @@
             };
             tokio::select! {
                 biased;
-                // It does not end before the frontend.
+                // The sender lives as long as the frontend.
                 _ = state.changed() => {}
-                () = reached => return,
+                () = timer => return,
             }
         }
     }
 
-    /// Accept no new connection but those that wait already.
-    pub fn refuse(&self) {
-        self.enter(Stage::Refusing);
+    /// Stops accepting connections, except those in the listener's backlog.
+    pub fn refuse_connections(&self) {
+        self.set_stage(ShutdownStage::Refusing);
     }
 
-    /// Take nothing new: idle connections close, the others after their answer.
-    pub fn close(&self) {
-        self.enter(Stage::Closing);
+    /// Closes idle connections, and the others after their current answer.
+    pub fn close_connections(&self) {
+        self.set_stage(ShutdownStage::Closing);
     }
 
-    /// Ready once all connections have ended.
-    pub async fn ended(&self) {
-        while self.connections.get() > 0 {
-            self.changed.notified().await;
+    /// Waits until all connections are closed.
+    pub async fn wait_until_closed(&self) {
+        while self.open_connections.get() > 0 {
+            self.connection_changed.notified().await;
         }
     }
 
-    /// Accept connections until told to refuse them; of those that wait by then all, as there is room, until
-    /// told to close.
+    /// Accepts connections until they are refused. At the connection limit, those in the backlog are accepted until connections
+    /// are closed.
     pub async fn accept(self: Rc<Self>, listener: Rc<TcpListener>) {
         let (mut state, mut replaced) = (self.state.subscribe(), self.state.subscribe());
-        self.state.send_modify(|s| s.accepts = true);
-        let mut looked = false;
+        self.state.send_modify(|s| s.is_accepting = true);
+        let mut was_rechecked = false;
         loop {
-            // One more than allowed shows that another has to go. Only one that has ended makes room:
-            // one that was told to go may have begun a request.
-            let full = self.connections.get() > self.most.get();
-            let waits = self.state.borrow().replaced;
-            // Guards those that wait at a full node: a listener that closes over them resets them, with the
-            // requests that they have sent. Where another process has the socket, they are its own.
-            let ends = if full && !waits { Stage::Closing } else { Stage::Refusing };
-            let mut again = None;
-            if full {
-                // Those just accepted come to stand idle first, and give way before usual clients do.
+            // One connection above the limit shows that another has to be evicted. Only a closed connection makes the count fall:
+            // one that was chosen for eviction may have started a request.
+            let is_full = self.open_connections.get() > self.max_connections.get();
+            let is_replaced = self.state.borrow().is_replaced;
+            // Guards connections in the backlog of a full node: closing the listener would reset them with the requests that they
+            // have sent. If another process has the socket, it accepts them.
+            let end_stage =
+                if is_full && !is_replaced { ShutdownStage::Closing } else { ShutdownStage::Refusing };
+            let mut retry_at = None;
+            if is_full {
+                // Lets new connections become candidates for eviction, which precede those of active clients.
                 tokio::task::yield_now().await;
-                again = self.free_capacity().err().flatten();
+                retry_at = self.evict_excess().err().flatten();
             }
-            let again = async {
-                match again {
+            let retry = async {
+                match retry_at {
                     Some(at) => self.deadlines.at(at).await,
                     None => std::future::pending().await,
                 }
             };
             let accepted = tokio::select! {
                 biased;
-                // All that waits is taken before the listener closes: its requests may have come.
-                accepted = listener.accept(), if !full && !waits => accepted,
-                () = self.changed.notified(), if full => continue,
-                () = again => continue,
-                _ = replaced.wait_for(|s| s.replaced != waits) => continue,
-                _ = state.wait_for(|s| s.stage >= ends) => {
-                    // Guards those that came while the process stood still, as far as the time to refuse them: the
-                    // clock may have been looked at before the listener was.
-                    if full || waits || std::mem::replace(&mut looked, true) {
+                // Accepts the whole backlog before the listener closes, as its requests may have arrived.
+                accepted = listener.accept(), if !is_full && !is_replaced => accepted,
+                () = self.connection_changed.notified(), if is_full => continue,
+                () = retry => continue,
+                _ = replaced.wait_for(|s| s.is_replaced != is_replaced) => continue,
+                _ = state.wait_for(|s| s.stage >= end_stage) => {
+                    // Guards connections that arrived while the process was suspended, before they are refused: the timer may have
+                    // been handled before the listener.
+                    if is_full || is_replaced || std::mem::replace(&mut was_rechecked, true) {
                         return;
                     }
                     turn().await;
                     continue;
                 }
             };
-            looked = false;
+            was_rechecked = false;
             match accepted {
                 Ok((stream, peer)) => self.serve(stream, peer),
-                // Guards against running out of descriptors: it passes, and must not spin or end us.
+                // Guards against running out of file descriptors, which is temporary: the loop must neither spin nor end.
                 Err(e) => {
-                    warn!("accepting: {e}");
-                    if self.state.borrow().stage == Stage::Closing {
+                    warn!("could not accept a connection: {e}");
+                    if self.state.borrow().stage == ShutdownStage::Closing {
                         return;
                     }
                     let _ = self.evict();
-                    self.deadlines.after(PAUSE).await;
+                    self.deadlines.after(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
--- a/src/net/frontend/connection.rs
+++ b/src/net/frontend/connection.rs
@@ -1,8 +1,8 @@
-//! One connection of a client, from its first byte to its close.
+//! Serves one connection of a client until it is closed.
 
-use super::eviction::Rank;
-use super::request::{answer_to, last_if};
-use super::{Frontend, Stage, State};
+use super::eviction::EvictionRank;
+use super::request::{answer_for, close_if};
+use super::{Frontend, ShutdownStage, State};
 use crate::net::close_reason::{CloseReason, Side};
 use crate::net::codec::{Answer, FrontendCodec, Incoming, ReadError, Request};
 use crate::net::exchange::{ResponseOutcome, Ticket};
@@ -18,97 +18,100 @@
 use tokio::net::TcpStream;
 use tokio_util::codec::Framed;
 
-/// While clients are sent away, a connection that has nothing to say has at least this long to begin.
-const DRAIN_FIRST: Duration = Duration::from_millis(400);
-/// Idle connections close this long after the node is told to send clients away: by then the front
-/// sends it no new ones, so that clients who come back go elsewhere, and all jobs on others have time.
-const DRAIN_IDLE: Duration = Duration::from_millis(800);
-/// Where more lies unread than is read ahead, how often the end behind it is looked for: well within the 0.1 s
-/// after which nothing may begin for a client that has gone.
-const LOOK: Duration = Duration::from_millis(25);
-/// The pause after each piece of that: a client that sends megabytes at full speed must not cost the
-/// node its CPU.
-const SIP: Duration = Duration::from_millis(5);
-/// How long what a client still sends is read after the last answer, so that it sees that answer.
-const LINGER: Duration = Duration::from_millis(1_000);
-/// How long a client may take to read its answer.
-const WRITE: Duration = Duration::from_secs(10);
-/// How long the first request of a connection may take to come, from the connection's beginning, and
-/// each later one from its own. Usual clients connect when they have a request to send.
-const REQUEST: Duration = Duration::from_millis(2_300);
-/// How long a connection may stand idle between requests.
-const IDLE: Duration = Duration::from_secs(60);
+/// During a drain, an idle connection stays open for at least this long after it became idle.
+const DRAIN_MIN_IDLE: Duration = Duration::from_millis(400);
+/// Idle connections close this long after the start of a drain. By then the upstream balancer sends no new connections here, so
+/// that clients which reconnect reach other nodes.
+const DRAIN_IDLE_DELAY: Duration = Duration::from_millis(800);
+/// Interval of checks for the end of a connection whose read-ahead buffer is full; well within the 0.1 s after which no attempt
+/// may start for a client that has disconnected.
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Pause after each read of discarded input, so that a client which sends megabytes at full speed does not use up the CPU.
+const DISCARD_PAUSE: Duration = Duration::from_millis(5);
+/// How long input is read and discarded after the last answer, so that the client receives that answer.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// How long writing an answer may take.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long the first request may take to arrive, counted from the start of the connection, and a later one, counted from its
+/// first byte. Clients usually connect when they have a request to send.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_300);
+/// How long a connection may be idle between requests.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 pub(super) type Connection = Framed<TcpStream, FrontendCodec>;
 
-/// What a request is answered with, or what brings its answer.
+/// The answer to a request, or the source of the answer.
 pub(super) enum Reply {
-    Now(Answer),
-    /// Its answer is to come; and what its account is told of it, where there are accounts.
-    Later(Ticket<Job>, Option<RequestAdmission>),
-    /// Nothing: the job was not taken, as its client has gone.
-    Gone,
+    Immediate(Answer),
+    /// A submitted job, and its admission by accounts and sites, if there are any.
+    Pending(Ticket<Job>, Option<RequestAdmission>),
+    /// No answer: the job was not submitted because its client has disconnected.
+    ClientDisconnected,
 }
 
 impl Frontend {
     pub(super) fn serve(self: &Rc<Self>, stream: TcpStream, peer: SocketAddr) {
-        self.connections.set(self.connections.get() + 1);
+        self.open_connections.set(self.open_connections.get() + 1);
         let frontend = self.clone();
         tokio::task::spawn_local(async move {
-            // Without it answers only come later.
+            // Without this option answers are only delayed.
             let _ = stream.set_nodelay(true);
             let mut connection =
                 frontend.pool.framed::<Answer, _>(stream, FrontendCodec::new(&frontend.pool));
             let mut messages = 0;
-            let close_reason = frontend.connection(&mut connection, &mut messages).await;
+            let close_reason = frontend.serve_connection(&mut connection, &mut messages).await;
             if !matches!(close_reason, CloseReason::PeerClosed | CloseReason::PeerBroke) {
                 frontend.linger(&mut connection, close_reason == CloseReason::Evicted).await;
             }
             frontend.pool.release(connection);
             close_reason.log(Side::Frontend, peer, messages);
-            frontend.connections.set(frontend.connections.get() - 1);
-            frontend.changed.notify_one();
+            frontend.open_connections.set(frontend.open_connections.get() - 1);
+            frontend.connection_changed.notify_one();
         });
     }
 
-    /// End the sending and read on for a moment: a socket closed over unread bytes is reset, which
-    /// can cost the client the answer that it was just sent. One whose room is needed reads what is there.
-    pub(super) async fn linger(&self, connection: &mut Connection, frees_capacity: bool) {
+    /// Shuts down the write side and discards input for a moment: closing a socket with unread input resets the connection, and
+    /// the client could lose the answer that was just sent. An evicted connection only discards what has arrived.
+    pub(super) async fn linger(&self, connection: &mut Connection, is_evicted: bool) {
         if connection.get_mut().shutdown().await.is_err() {
             return;
         }
         connection.read_buffer_mut().clear();
-        if !frees_capacity {
-            let (place, mut closed) = self.stay_idle(Rank::Silent);
+        if !is_evicted {
+            let (queue_entry, mut closed) = self.enter_eviction_queue(EvictionRank::NoRequest);
             tokio::select! {
-                () = self.read_out(connection) => {}
+                () = self.discard_input(connection) => {}
                 _ = &mut closed => {}
-                () = self.deadlines.after(LINGER) => {}
+                () = self.deadlines.after(LINGER_TIMEOUT) => {}
             }
-            self.rise(place);
+            self.leave_eviction_queue(queue_entry);
         }
         let _ = self.pool.scrap(connection);
     }
 
-    /// Read and drop what still comes, until the client ends it.
-    pub(super) async fn read_out(&self, connection: &Connection) {
+    /// Reads and discards input until the client closes the connection.
+    pub(super) async fn discard_input(&self, connection: &Connection) {
         loop {
             let _ = connection.get_ref().readable().await;
             match self.pool.scrap(connection) {
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-                Ok(n) if n > 0 => self.deadlines.after(SIP).await,
+                Ok(n) if n > 0 => self.deadlines.after(DISCARD_PAUSE).await,
                 _ => return,
             }
         }
     }
 
-    /// Answer requests, one at a time, until the connection ends.
-    pub(super) async fn connection(&self, connection: &mut Connection, messages: &mut u64) -> CloseReason {
+    /// Answers requests, one at a time, until the connection has to be closed. Counts them in `messages`.
+    pub(super) async fn serve_connection(
+        &self,
+        connection: &mut Connection,
+        messages: &mut u64,
+    ) -> CloseReason {
         let (mut next, mut opened, mut has_served) = (None, Some(Instant::now()), false);
         loop {
             let item = match next.take() {
                 Some(item) => Ok(item),
-                None => self.next(connection, opened, has_served).await,
+                None => self.next_item(connection, opened, has_served).await,
             };
             let request = match item {
                 Err(close_reason) => {
@@ -120,14 +123,15 @@
                     return close_reason;
                 }
                 Ok(None) | Ok(Some(Err(ReadError::Io(_)))) => {
-                    let broke = connection.codec().is_partial() || !connection.read_buffer().is_empty();
-                    return if broke { CloseReason::PeerBroke } else { CloseReason::PeerClosed };
+                    let is_incomplete =
+                        connection.codec().is_partial() || !connection.read_buffer().is_empty();
+                    return if is_incomplete { CloseReason::PeerBroke } else { CloseReason::PeerClosed };
                 }
-                Ok(Some(Err(ReadError::Bad { status, reason }))) => {
+                Ok(Some(Err(ReadError::Malformed { status, reason }))) => {
                     let _ = self.write(connection, Answer::text(status, reason, true)).await;
                     return CloseReason::Malformed;
                 }
-                Ok(Some(Ok(Incoming::Expects))) => {
+                Ok(Some(Ok(Incoming::ExpectsContinue))) => {
                     if let Err(close_reason) = self.write(connection, Answer::Continue).await {
                         return close_reason;
                     }
@@ -138,10 +142,10 @@
             *messages += 1;
             opened = None;
             let keep_alive = request.keep_alive;
-            let answer = match self.reply(connection, request).await {
-                Reply::Now(answer) => answer,
-                Reply::Gone => return CloseReason::PeerBroke,
-                Reply::Later(mut ticket, mark) => {
+            let answer = match self.handle_request(connection, request).await {
+                Reply::Immediate(answer) => answer,
+                Reply::ClientDisconnected => return CloseReason::PeerBroke,
+                Reply::Pending(mut ticket, admission) => {
                     has_served = true;
                     let outcome = {
                         let outcome = std::pin::pin!(ticket.outcome());
@@ -150,10 +154,10 @@
                             tokio::select! {
                                 biased;
                                 outcome = &mut outcome => break Some(outcome),
-                                item = self.early(connection, next.is_some()) => match item {
-                                    // The client has gone: dropping the ticket tells the exchange.
+                                item = self.next_while_pending(connection, next.is_some()) => match item {
+                                    // The client has disconnected. Dropping the ticket abandons the request.
                                     None | Some(Err(ReadError::Io(_))) => break None,
-                                    // It has sent its next request already.
+                                    // The next request of the client arrived early.
                                     item => next = Some(item),
                                 },
                             }
@@ -161,154 +165,160 @@
                     };
                     match outcome {
                         Some(outcome) => {
-                            let notifies = mark.as_ref().and_then(|mark| mark.response_field(&outcome));
-                            let mut keeping = None;
-                            if let Some(mark) = mark.as_ref() {
-                                keeping = match &outcome {
-                                    ResponseOutcome::Served(body) => mark.store_answer(200, body),
-                                    ResponseOutcome::Failed => mark.store_answer(502, b"failed\n"),
+                            let extra_field =
+                                admission.as_ref().and_then(|admission| admission.response_field(&outcome));
+                            let mut pending_answer = None;
+                            if let Some(admission) = admission.as_ref() {
+                                pending_answer = match &outcome {
+                                    ResponseOutcome::Served(body) => admission.store_answer(200, body),
+                                    ResponseOutcome::Failed => admission.store_answer(502, b"failed\n"),
                                     ResponseOutcome::Shed { .. } | ResponseOutcome::Rejected { .. } => None,
                                 };
                             }
-                            let rejection = mark.and_then(|mark| mark.finish(&outcome));
-                            if let Some(keeping) = keeping {
-                                keeping.stored(&self.deadlines, ticket.overdue()).await;
+                            let rejection = admission.and_then(|admission| admission.finish(&outcome));
+                            if let Some(pending_answer) = pending_answer {
+                                pending_answer.stored(&self.deadlines, ticket.deadline()).await;
                             }
-                            answer_to(outcome, rejection, notifies, |wait| self.exchange.advice(wait))
+                            answer_for(outcome, rejection, extra_field, |wait| {
+                                self.exchange.capped_retry_after(wait)
+                            })
                         }
                         None => return CloseReason::PeerBroke,
                     }
                 }
             };
-            let sends_away = self.state.borrow().sends_away();
-            if sends_away && next.is_none() && connection.read_buffer().is_empty() {
-                // Guards what has come by now, as in [`Frontend::next`].
+            let closes_after_answer = self.state.borrow().closes_after_answer();
+            if closes_after_answer && next.is_none() && connection.read_buffer().is_empty() {
+                // Guards a request that has just arrived, as in [`Frontend::next_item`].
                 turn().await;
                 next = self.pool.next(connection).now_or_never();
             }
-            // A request that has come already is still served.
-            let pending = next.is_some() || !connection.read_buffer().is_empty();
-            let closing = self.state.borrow().stage == Stage::Closing && !pending;
-            // A client that is sent away hears it with its answer, and connects elsewhere next.
-            let last = !keep_alive || (sends_away && !pending) || answer.is_last();
-            if let Err(close_reason) = self.write(connection, last_if(answer, last)).await {
+            // A request that has arrived is still served.
+            let has_next = next.is_some() || !connection.read_buffer().is_empty();
+            let is_closing = self.state.borrow().stage == ShutdownStage::Closing && !has_next;
+            // `Connection: close` in the answer makes the client reconnect, to another node.
+            let is_last = !keep_alive || (closes_after_answer && !has_next) || answer.is_last();
+            if let Err(close_reason) = self.write(connection, close_if(answer, is_last)).await {
                 return close_reason;
             }
-            if last {
-                return if closing { CloseReason::Shutdown } else { CloseReason::LastMessage };
+            if is_last {
+                return if is_closing { CloseReason::Shutdown } else { CloseReason::LastMessage };
             }
         }
     }
 
-    /// What comes while an answer is awaited: the next thing or, where one waits already, the end alone.
-    pub(super) async fn early(
+    /// Returns the next item that arrives while an answer is pending. With `has_next`, an item is waiting already and only the end
+    /// of the connection is returned, as `None`.
+    pub(super) async fn next_while_pending(
         &self,
         connection: &mut Connection,
-        waits: bool,
+        has_next: bool,
     ) -> Option<Result<Incoming, ReadError>> {
-        if !waits {
+        if !has_next {
             return self.pool.next(connection).await;
         }
         loop {
             match self.pool.read_ahead(connection) {
                 Ahead::Ended => return None,
-                // An error shows again as that of the read.
+                // The next read returns the same error.
                 Ahead::Open => drop(connection.get_ref().readable().await),
-                // Readable all the time: guards against a loop without end.
-                Ahead::Full => self.deadlines.after(LOOK).await,
+                // Guards against a busy loop, as the socket stays readable.
+                Ahead::Full => self.deadlines.after(CLOSE_POLL_INTERVAL).await,
             }
         }
     }
 
-    /// The next thing that comes, or why the connection ends without one.
-    pub(super) async fn next(
+    /// Returns the next item that arrives; fails with the reason if the connection has to be closed before.
+    pub(super) async fn next_item(
         &self,
         connection: &mut Connection,
         opened: Option<Instant>,
         has_served: bool,
     ) -> Result<Option<Result<Incoming, ReadError>>, CloseReason> {
-        let rank = if has_served { Rank::Served } else { Rank::Silent };
-        let (mut place, mut closed) = self.stay_idle(rank);
-        let mut unwanted = std::pin::pin!(self.unwanted(true));
-        // Guards the end of the node against requests that are never completed.
-        let closing = |s: State| s.stopping.filter(|_| s.stage == Stage::Closing);
-        let mut pressed = std::pin::pin!(self.reaches(|s| closing(s).map(|s| s.whole_by())));
-        // Guards against connections that say nothing, or send a request without end.
-        let due = opened.map_or_else(|| self.deadlines.after(IDLE), |o| self.deadlines.at(o + REQUEST));
+        let rank = if has_served { EvictionRank::Served } else { EvictionRank::NoRequest };
+        let (mut queue_entry, mut closed) = self.enter_eviction_queue(rank);
+        let mut unwanted = std::pin::pin!(self.wait_until_unwanted(true));
+        // Guards the shutdown against requests that are never completed.
+        let shutdown = |s: State| s.stopping.filter(|_| s.stage == ShutdownStage::Closing);
+        let mut completion_due = std::pin::pin!(self.wait_until(|s| shutdown(s).map(|s| s.whole_by())));
+        // Guards against connections that send nothing, or a request without end.
+        let due = opened
+            .map_or_else(|| self.deadlines.after(IDLE_TIMEOUT), |o| self.deadlines.at(o + REQUEST_TIMEOUT));
         let mut due = std::pin::pin!(due);
-        let begun = connection.codec().begun();
-        let (mut close_reason, mut has_begun) = (None, opened.is_some());
+        let bytes_received = connection.codec().bytes_received();
+        let (mut deferred_reason, mut has_begun) = (None, opened.is_some());
         let item = loop {
-            // What has come is read before anything closes the connection.
-            let mut over = tokio::select! {
+            // Reads what has arrived before any other reason closes the connection.
+            let mut reason = tokio::select! {
                 biased;
                 item = self.pool.next(connection) => break Ok(item),
-                () = begun.notified() => None,
+                () = bytes_received.notified() => None,
                 _ = &mut closed => Some(CloseReason::Evicted),
-                over = &mut unwanted, if close_reason != Some(CloseReason::Shutdown) => Some(over),
+                reason = &mut unwanted, if deferred_reason != Some(CloseReason::Shutdown) => Some(reason),
                 () = &mut due => Some(CloseReason::Idle),
-                () = &mut pressed, if close_reason == Some(CloseReason::Shutdown) => Some(CloseReason::Idle),
+                () = &mut completion_due, if deferred_reason == Some(CloseReason::Shutdown) => Some(CloseReason::Idle),
             };
-            if over.is_some() {
-                // Guards what has come by now: the clock may have been looked at before the sockets were, as
-                // where the process stood still. It would be read and thrown away.
+            if reason.is_some() {
+                // Guards requests that have arrived: if the process was suspended, timers may be handled before sockets, and the
+                // requests would be discarded.
                 turn().await;
                 if let Some(item) = self.pool.next(connection).now_or_never() {
                     break Ok(item);
                 }
-                // A part of a request has come: it did not stand still.
-                if over == Some(CloseReason::Evicted) && begun.notified().now_or_never().is_some() {
-                    self.rise(place);
-                    (place, closed) = self.stay_idle(Rank::Begun);
-                    over = None;
+                // A part of a request has arrived, so the connection is not idle.
+                if reason == Some(CloseReason::Evicted) && bytes_received.notified().now_or_never().is_some()
+                {
+                    self.leave_eviction_queue(queue_entry);
+                    (queue_entry, closed) = self.enter_eviction_queue(EvictionRank::PartialRequest);
+                    reason = None;
                 }
             }
-            // One on which a request has begun is not idle: it may go on until its time is up.
-            let partial = connection.codec().is_partial() || !connection.read_buffer().is_empty();
-            match (partial, over) {
+            // A connection with a partial request is not idle; it may go on until the timeout of the request.
+            let is_partial = connection.codec().is_partial() || !connection.read_buffer().is_empty();
+            match (is_partial, reason) {
                 (true, None) => {
                     if !std::mem::replace(&mut has_begun, true) {
-                        due.set(self.deadlines.after(REQUEST));
+                        due.set(self.deadlines.after(REQUEST_TIMEOUT));
                     }
-                    // It moves: guards slow clients against going before those that stand still.
-                    if let Some(close) = self.stir(place) {
-                        place = self.readiness(Rank::Begun, close);
+                    // Moves to the end of the queue. Guards slow clients, so that stalled ones are evicted first.
+                    if let Some(close) = self.remove_from_queue(queue_entry) {
+                        queue_entry = self.enqueue(EvictionRank::PartialRequest, close);
                     }
                 }
                 (false, None) => {}
                 (true, Some(CloseReason::Evicted)) => break Err(CloseReason::Evicted),
-                (false, Some(over)) => break Err(over),
+                (false, Some(reason)) => break Err(reason),
                 (true, Some(CloseReason::Idle)) if !has_begun => {
-                    due.set(self.deadlines.after(REQUEST));
+                    due.set(self.deadlines.after(REQUEST_TIMEOUT));
                     has_begun = true;
                 }
                 (true, Some(CloseReason::Idle)) => break Err(CloseReason::TooSlow),
-                // It has its time: what has begun is served before the node counts as emptied.
+                // The partial request is still served before the drain is complete.
                 (true, Some(CloseReason::Drained)) => {
                     if !std::mem::replace(&mut has_begun, true) {
-                        due.set(self.deadlines.after(REQUEST));
+                        due.set(self.deadlines.after(REQUEST_TIMEOUT));
                     }
-                    close_reason = Some(CloseReason::Drained);
-                    // The node may be told to stop, too, and then it has less.
-                    unwanted.set(self.unwanted(false));
+                    deferred_reason = Some(CloseReason::Drained);
+                    // A shutdown may follow, which leaves less time.
+                    unwanted.set(self.wait_until_unwanted(false));
                 }
-                (true, Some(over)) => (close_reason, has_begun) = (Some(over), true),
+                (true, Some(reason)) => (deferred_reason, has_begun) = (Some(reason), true),
             }
         };
-        self.rise(place);
+        self.leave_eviction_queue(queue_entry);
         item
     }
 
-    /// Why a connection should no longer stand idle, once that is so; that the node is being emptied may be known.
-    pub(super) async fn unwanted(&self, drains: bool) -> CloseReason {
-        let (begun, mut state) = (Instant::now(), self.state.subscribe());
+    /// Waits until an idle connection should be closed and returns the reason; with `drains` unset, a drain is no reason.
+    pub(super) async fn wait_until_unwanted(&self, drains: bool) -> CloseReason {
+        let (idle_since, mut state) = (Instant::now(), self.state.subscribe());
         loop {
             let now = *state.borrow_and_update();
-            if now.stage == Stage::Closing {
+            if now.stage == ShutdownStage::Closing {
                 return CloseReason::Shutdown;
             }
-            let drained = now.drained.filter(|_| drains);
-            let due = drained.map(|since| (since + DRAIN_IDLE).max(begun + DRAIN_FIRST));
+            let drained_since = now.drained_since.filter(|_| drains);
+            let due = drained_since.map(|since| (since + DRAIN_IDLE_DELAY).max(idle_since + DRAIN_MIN_IDLE));
             let drained = async {
                 match due {
                     Some(due) => self.deadlines.at(due).await,
@@ -329,30 +339,30 @@
         tokio::select! {
             biased;
             sent = self.pool.send(connection, answer) => sent.map_err(|_| CloseReason::PeerBroke),
-            () = self.deadlines.after(WRITE) => Err(CloseReason::TooSlow),
+            () = self.deadlines.after(WRITE_TIMEOUT) => Err(CloseReason::TooSlow),
         }
     }
 
-    /// What is to be done about a request.
-    pub(super) async fn reply(&self, connection: &mut Connection, request: Request) -> Reply {
+    /// Answers a request at once or submits its job.
+    pub(super) async fn handle_request(&self, connection: &mut Connection, request: Request) -> Reply {
         let path = request.target.split('?').next().unwrap_or("");
         if path == "/_health" {
-            return Reply::Now(self.health(&request));
+            return Reply::Immediate(self.health(&request));
         }
-        // The sockets get a turn first, as what is known of them may be older than what was read. From there on to the taking
-        // nothing comes between. Guards against a reload after which the class that a job was read by stands for another one.
+        // Lets the runtime poll the sockets, whose known state may be older than the request. There is no further await before the
+        // submission. Guards against a reload in between, after which the id of the parsed class means another class.
         turn().await;
-        match self.job(request) {
-            Ok((mut ask, job)) => {
-                // Guards against sending on what nobody waits for: the end may have come along with the job.
+        match self.parse_job(request) {
+            Ok((mut params, job)) => {
+                // Guards against dispatching a job whose client disconnected right after sending it.
                 if self.pool.read_ahead(connection) == Ahead::Ended {
-                    return Reply::Gone;
+                    return Reply::ClientDisconnected;
                 }
-                let mut mark = None;
+                let mut admission = None;
                 if let Some(sites) = &*self.sites.borrow() {
-                    if let Some((status, body)) = sites.stored_answer(ask.class, &job) {
+                    if let Some((status, body)) = sites.stored_answer(params.class, &job) {
                         let fields = String::new();
-                        return Reply::Now(Answer::Full {
+                        return Reply::Immediate(Answer::Full {
                             status,
                             fields,
                             body,
@@ -360,16 +370,16 @@
                             head_only: false,
                         });
                     }
-                    (ask.entry, mark) = sites.admit(ask.class, &job);
-                    ask.guest = mark.as_ref().is_some_and(RequestAdmission::is_remote);
+                    (params.work_state, admission) = sites.admit(params.class, &job);
+                    params.is_remote = admission.as_ref().is_some_and(RequestAdmission::is_remote);
                 }
-                let ticket = self.exchange.take(ask, job);
-                if let Some(mark) = &mut mark {
-                    mark.record_submitted(ticket.is_answered());
+                let ticket = self.exchange.submit(params, job);
+                if let Some(admission) = &mut admission {
+                    admission.record_submitted(ticket.is_answered());
                 }
-                Reply::Later(ticket, mark)
+                Reply::Pending(ticket, admission)
             }
-            Err(answer) => Reply::Now(answer),
+            Err(answer) => Reply::Immediate(answer),
         }
     }
 }
--- a/src/net/frontend/eviction.rs
+++ b/src/net/frontend/eviction.rs
@@ -1,108 +1,114 @@
-//! Idle connections, and which of them gives way when there are too many.
+//! Selects the idle connections to close when there are too many connections from clients.
 
 use super::Frontend;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// Under pressure, how long a request that has begun may stand still; slow ones come in pieces about
-/// 0.1 s apart.
-const STILL: Duration = Duration::from_millis(500);
-/// Under pressure, how long a new connection may say nothing: its request may be on the way.
-const ANNOUNCE_GRACE: Duration = Duration::from_millis(10);
+/// At the connection limit, how long a partly received request may get no further bytes. Slow clients send pieces about 0.1 s
+/// apart.
+const STALLED_REQUEST_GRACE: Duration = Duration::from_millis(500);
+/// At the connection limit, how long a new connection may be without a request, which may be in flight.
+const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(10);
 
-/// How soon a connection has to go when another needs its place, the first one first. Guards the
-/// connections of usual clients against hundreds that were opened to say nothing, or half a request.
+/// The order in which idle connections are evicted, the first rank first. Guards connections of active clients against
+/// hundreds that send nothing, or half a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Rank {
-    /// It never handed in a job, and nothing has begun.
-    Silent,
-    /// A request has begun; since then, or since more of it came, it stands still.
-    Begun,
-    /// It has handed in a job before.
+pub(super) enum EvictionRank {
+    /// The connection has not submitted a job, and no request has started.
+    NoRequest,
+    /// A request has been received in part.
+    PartialRequest,
+    /// The connection has submitted a job before.
     Served,
 }
 
-impl Rank {
-    const ALL: [Rank; 3] = [Rank::Silent, Rank::Begun, Rank::Served];
+impl EvictionRank {
+    const ALL: [EvictionRank; 3] =
+        [EvictionRank::NoRequest, EvictionRank::PartialRequest, EvictionRank::Served];
 
-    /// How long one of that rank may stand still before it can be made to go.
+    /// Returns how long a connection of this rank must have been idle before it can be evicted.
     pub(super) fn grace(self) -> Duration {
         match self {
-            Rank::Silent => ANNOUNCE_GRACE,
-            Rank::Begun => STILL,
-            Rank::Served => Duration::ZERO,
+            EvictionRank::NoRequest => FIRST_REQUEST_GRACE,
+            EvictionRank::PartialRequest => STALLED_REQUEST_GRACE,
+            EvictionRank::Served => Duration::ZERO,
         }
     }
 }
 
-/// Where a connection stands among those that may have to go: since when in its rank, and how many
-/// had come to stand there before.
-pub(super) type Place = (Rank, (Instant, u64));
+/// The position of a connection in the eviction queues: its rank, since when it has been queued, and a number that makes the
+/// position unique.
+pub(super) type QueueEntry = (EvictionRank, (Instant, u64));
 
-/// What closes the connections of one rank, the one that has stood still for longest first.
-pub(super) type Standing = BTreeMap<(Instant, u64), oneshot::Sender<()>>;
+/// Signals that close the connections of one rank, ordered by idle time, the longest first.
+pub(super) type EvictionQueue = BTreeMap<(Instant, u64), oneshot::Sender<()>>;
 
 impl Frontend {
-    /// Evict one if there are more connections than there may be without those that were told to go already.
-    /// Guards against closing more than one for each that comes: those look for what has come before they end.
-    pub(super) fn free_capacity(&self) -> Result<(), Option<Instant>> {
-        match self.connections.get() > self.most.get() + self.going.get() {
+    /// Evicts a connection if there are more than allowed, not counting those that are being evicted. Guards against closing
+    /// more than one for each new connection: an evicted one still reads what has arrived before it closes.
+    ///
+    /// Fails with the time at which one can be evicted, or `None` if there is none to evict.
+    pub(super) fn evict_excess(&self) -> Result<(), Option<Instant>> {
+        match self.open_connections.get() > self.max_connections.get() + self.evicting.get() {
             true => self.evict(),
             false => Err(None),
         }
     }
 
-    /// Close the connection that can best be done without, or tell when the first may be.
+    /// Closes the idle connection of the lowest rank that has been idle for longest.
+    ///
+    /// Fails with the time at which one can be evicted, or `None` if there is none to evict.
     pub(super) fn evict(&self) -> Result<(), Option<Instant>> {
-        let (now, mut soonest) = (Instant::now(), None::<Instant>);
-        for (rank, standing) in Rank::ALL.into_iter().zip(self.idle.borrow_mut().iter_mut()) {
-            let Some(due) = standing.first_key_value().map(|(key, _)| key.0 + rank.grace()) else { continue };
-            // What has served is spared for the moment in which one that says nothing may be let go.
-            let spared = rank == Rank::Served && soonest.is_some_and(|at| at <= now + ANNOUNCE_GRACE);
-            if spared {
+        let (now, mut next_due) = (Instant::now(), None::<Instant>);
+        for (rank, queue) in EvictionRank::ALL.into_iter().zip(self.eviction_queues.borrow_mut().iter_mut()) {
+            let Some(due) = queue.first_key_value().map(|(key, _)| key.0 + rank.grace()) else { continue };
+            // Connections of active clients are kept if one without a request can be evicted shortly.
+            let is_spared =
+                rank == EvictionRank::Served && next_due.is_some_and(|at| at <= now + FIRST_REQUEST_GRACE);
+            if is_spared {
                 break;
             }
             if due > now {
-                soonest = Some(soonest.map_or(due, |s| s.min(due)));
-            } else if let Some((_, close)) = standing.pop_first() {
-                self.going.set(self.going.get() + 1);
-                // One that is just ending by itself needs no telling.
+                next_due = Some(next_due.map_or(due, |s| s.min(due)));
+            } else if let Some((_, close)) = queue.pop_first() {
+                self.evicting.set(self.evicting.get() + 1);
+                // The receiver is dropped if the connection is closing by itself.
                 let _ = close.send(());
                 return Ok(());
             }
         }
-        Err(soonest)
+        Err(next_due)
     }
 
-    /// Take a place among the connections that may have to go.
-    pub(super) fn stay_idle(&self, rank: Rank) -> (Place, oneshot::Receiver<()>) {
+    /// Makes a connection a candidate for eviction. The returned receiver yields once it has to close.
+    pub(super) fn enter_eviction_queue(&self, rank: EvictionRank) -> (QueueEntry, oneshot::Receiver<()>) {
         let (close, closed) = oneshot::channel();
-        (self.readiness(rank, close), closed)
+        (self.enqueue(rank, close), closed)
     }
 
-    pub(super) fn readiness(&self, rank: Rank, close: oneshot::Sender<()>) -> Place {
-        let number = self.idled.get();
-        self.idled.set(number + 1);
+    pub(super) fn enqueue(&self, rank: EvictionRank, close: oneshot::Sender<()>) -> QueueEntry {
+        let number = self.next_queue_number.get();
+        self.next_queue_number.set(number + 1);
         let key = (Instant::now(), number);
-        self.idle.borrow_mut()[rank as usize].insert(key, close);
-        // Guards against a full node that waits for an end although one can be evicted: a burst is
-        // accepted before any of its connections has come to stand idle.
-        self.changed.notify_one();
+        self.eviction_queues.borrow_mut()[rank as usize].insert(key, close);
+        // Guards against a full node that waits for a connection to close although one can be evicted: a burst is accepted
+        // before any of its connections is queued here.
+        self.connection_changed.notify_one();
         (rank, key)
     }
 
-    /// Stand idle no more, be it to go on or to end. One that was told to go and goes on makes no room: another
-    /// may have to.
-    pub(super) fn rise(&self, place: Place) {
-        if self.stir(place).is_none() {
-            self.going.set(self.going.get() - 1);
-            self.changed.notify_one();
+    /// Ends the candidacy for eviction of a connection that goes on or closes. If it goes on though it was to be evicted, another
+    /// one may be evicted instead.
+    pub(super) fn leave_eviction_queue(&self, entry: QueueEntry) {
+        if self.remove_from_queue(entry).is_none() {
+            self.evicting.set(self.evicting.get() - 1);
+            self.connection_changed.notify_one();
         }
     }
 
-    /// Give the place up, unless it was told to go.
-    pub(super) fn stir(&self, place: Place) -> Option<oneshot::Sender<()>> {
-        self.idle.borrow_mut()[place.0 as usize].remove(&place.1)
+    /// Removes a connection from the eviction queues; `None` if it was chosen for eviction before.
+    pub(super) fn remove_from_queue(&self, entry: QueueEntry) -> Option<oneshot::Sender<()>> {
+        self.eviction_queues.borrow_mut()[entry.0 as usize].remove(&entry.1)
     }
 }
--- a/src/net/frontend/request.rs
+++ b/src/net/frontend/request.rs
@@ -1,22 +1,23 @@
-//! Requests of clients: from HTTP fields to what the decisions need, and from outcomes to answers.
+//! Parses requests of clients into jobs, and turns outcomes into HTTP answers.
 
-use super::ids::Claim;
+use super::request_ids::Claim;
 use super::Frontend;
 use crate::net::codec::{Answer, Request};
-use crate::net::exchange::{Ask, ResponseOutcome};
+use crate::net::exchange::{RequestParams, ResponseOutcome};
 use crate::net::sites::Rejection;
 use crate::net::Job;
 use shorepath_scheduler::{Micros, WorkState};
 use std::time::Duration;
 use tracing::warn;
 
-/// One that was barred for want of confirmation may ask again after this, which links usually take to come back.
+/// `Retry-After` of a rejection that may be retried, such as one because of an unconfirmed account; links usually recover
+/// within this time.
 const REJECTION_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 impl Frontend {
     pub(super) fn health(&self, request: &Request) -> Answer {
-        let avoids = self.state.borrow().avoids();
-        let (status, text) = avoids.map_or((200, "ok"), |why| (503, why));
+        let unhealthy_reason = self.state.borrow().unhealthy_reason();
+        let (status, text) = unhealthy_reason.map_or((200, "ok"), |reason| (503, reason));
         match request.method.as_str() {
             "GET" => Answer::text(status, text, false),
             "HEAD" => head_only(Answer::text(status, text, false)),
@@ -24,9 +25,9 @@
         }
     }
 
-    /// The job that a request hands in, or why it is none. That ends the connection, which guards
-    /// against clients that send such requests by hundreds: each has one of them answered.
-    pub(super) fn job(&self, request: Request) -> Result<(Ask, Job), Answer> {
+    /// Parses a request into a job. Fails with an answer that closes the connection, which guards against clients that send
+    /// hundreds of invalid requests.
+    pub(super) fn parse_job(&self, request: Request) -> Result<(RequestParams, Job), Answer> {
         let malformed = |reason: &str| Answer::text(400, reason, true);
         let (path, query) = request.target.split_once('?').unwrap_or((&request.target, ""));
         let name = path.strip_prefix('/').map(|p| p.split('/').next().unwrap_or(p));
@@ -42,11 +43,11 @@
         let id = field("request-id")?.ok_or_else(|| malformed("no Request-Id"))?.to_string();
         let timeout = field("request-timeout")?.ok_or_else(|| malformed("no Request-Timeout"))?;
         let timeout = parse_timeout(timeout).ok_or_else(|| malformed("Request-Timeout is no time"))?;
-        let most = self.state.borrow().stopping.and_then(|s| s.timeout(request.arrived));
-        let timeout = most.map_or(timeout, |most| timeout.min(most));
+        let max_timeout = self.state.borrow().stopping.and_then(|s| s.timeout(request.arrived));
+        let timeout = max_timeout.map_or(timeout, |max_timeout| timeout.min(max_timeout));
         let tenant = field("tenant")?.map(str::to_string);
-        let number = tenant.as_deref().and_then(|t| self.exchange.tenant(t));
-        if self.exchange.has_tenants() && number.is_none() {
+        let tenant_id = tenant.as_deref().and_then(|t| self.exchange.tenant(t));
+        if self.exchange.has_tenants() && tenant_id.is_none() {
             return Err(malformed("Tenant names no tenant"));
         }
         let home_site = match &*self.sites.borrow() {
@@ -57,34 +58,38 @@
         if repeat_key.is_none() && self.exchange.is_keyed(class) {
             return Err(malformed("no Idempotency-Key, which this class needs"));
         }
-        // Guards against losing a request for a guess: one that makes no sense is none.
-        let guess = field("work-hint")?;
-        let hint = guess.and_then(work);
-        if let (Some(text), None) = (guess, hint) {
-            warn!("Work-Hint is no time in microseconds: '{text}'");
+        // An invalid hint is ignored, as the request can be served without it.
+        let hint_text = field("work-hint")?;
+        let work_hint = hint_text.and_then(parse_work_hint);
+        if let (Some(text), None) = (hint_text, work_hint) {
+            warn!("ignoring a Work-Hint that is not a time in microseconds: '{text}'");
         }
-        let slots = figure(field("request-info")?.unwrap_or(""), "slots").unwrap_or(1.0);
+        let slots = parse_number_field(field("request-info")?.unwrap_or(""), "slots").unwrap_or(1.0);
         let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
         let key = pairs.filter(|(name, _)| *name == "obj").map(|(_, value)| value.to_string()).next();
-        let ask = Ask {
+        let params = RequestParams {
             class,
-            tenant: number,
+            tenant: tenant_id,
             key,
             arrived: request.arrived,
             timeout,
-            hint,
+            work_hint,
             slots: slots.clamp(1.0, 1e6) as u32,
-            repeat: field("client-retry")? == Some("1"),
-            entry: WorkState::New,
-            guest: false,
+            is_retry: field("client-retry")? == Some("1"),
+            work_state: WorkState::New,
+            is_remote: false,
         };
         let host = field("host")?.unwrap_or("").to_string();
-        let id = Claim::on(id, &self.ids).ok_or_else(|| Answer::text(409, "Request-Id is in use", true))?;
-        Ok((ask, Job { host, id, tenant, home_site, repeat_key, target: request.target, body: request.body }))
+        let id = Claim::acquire(id, &self.request_ids)
+            .ok_or_else(|| Answer::text(409, "Request-Id is in use", true))?;
+        Ok((
+            params,
+            Job { host, id, tenant, home_site, repeat_key, target: request.target, body: request.body },
+        ))
     }
 }
 
-/// The time that a client waits: a number with its unit.
+/// Parses the time that a client waits: a number followed by the unit `m` (milliseconds) or `u` (microseconds).
 pub(super) fn parse_timeout(text: &str) -> Option<Duration> {
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let number: f64 = number.parse().ok().filter(|n: &f64| n.is_finite() && *n > 0.0)?;
@@ -93,19 +98,19 @@
         "u" => number / 1e6,
         _ => return None,
     };
-    // An hour is longer than anything that is waited for.
+    // The cap keeps the conversion within the range of `Duration`.
     Some(Duration::from_secs_f64(seconds.min(3600.0)))
 }
 
-/// A guess at the work of a job, in microseconds; `None` where it can't be one.
-pub(super) fn work(text: &str) -> Option<Micros> {
-    // As long as the longest time that a client waits.
-    let guess = text.parse().ok().filter(|n: &f64| *n > 0.0 && *n <= 3.6e9);
-    guess.map(|n| n.max(1.0) as Micros)
+/// Parses the client's estimate of the work of a job, in microseconds; `None` if it is invalid.
+pub(super) fn parse_work_hint(text: &str) -> Option<Micros> {
+    // One hour, like the longest timeout of a client.
+    let hint = text.parse().ok().filter(|n: &f64| *n > 0.0 && *n <= 3.6e9);
+    hint.map(|n| n.max(1.0) as Micros)
 }
 
-/// One of the figures `name=value,name=value`.
-pub(super) fn figure(text: &str, name: &str) -> Option<f64> {
+/// Returns the value of `name` in a list of the form `name=value,name=value`; `None` if it is missing or not finite.
+pub(super) fn parse_number_field(text: &str, name: &str) -> Option<f64> {
     let pairs = text.split(',').filter_map(|pair| pair.split_once('='));
     let found = pairs.filter(|(n, _)| n.trim() == name).find_map(|(_, value)| value.trim().parse().ok());
     found.filter(|n: &f64| n.is_finite())
@@ -118,36 +123,37 @@
     answer
 }
 
-pub(super) fn last_if(mut answer: Answer, last: bool) -> Answer {
+pub(super) fn close_if(mut answer: Answer, is_last: bool) -> Answer {
     if let Answer::Full { close, .. } = &mut answer {
-        *close |= last;
+        *close |= is_last;
     }
     answer
 }
 
-/// The words of HTTP for a final answer; `tells` is one more field of it, with a time. Whoever says how long to stay away, it is what
-/// the settings allow to advise.
-pub(super) fn answer_to(
+/// Returns the HTTP answer for an outcome. `extra_field` is an additional field with a time in seconds; each `Retry-After` time
+/// passes through `capped_retry_after`, which returns `None` if the field is not sent.
+pub(super) fn answer_for(
     outcome: ResponseOutcome,
     rejection: Option<Rejection>,
-    notifies: Option<(&str, Duration)>,
-    advice: impl Fn(Duration) -> Option<Duration>,
+    extra_field: Option<(&str, Duration)>,
+    capped_retry_after: impl Fn(Duration) -> Option<Duration>,
 ) -> Answer {
-    let mut answer = answer_text(outcome, rejection, advice(REJECTION_RETRY_AFTER));
-    let notifies = notifies.and_then(|(name, time)| match name {
-        "Retry-After" => Some((name, advice(time)?)),
+    let mut answer = base_answer(outcome, rejection, capped_retry_after(REJECTION_RETRY_AFTER));
+    let extra_field = extra_field.and_then(|(name, time)| match name {
+        "Retry-After" => Some((name, capped_retry_after(time)?)),
         _ => Some((name, time)),
     });
-    if let (Answer::Full { fields, .. }, Some((name, time))) = (&mut answer, notifies) {
+    if let (Answer::Full { fields, .. }, Some((name, time))) = (&mut answer, extra_field) {
         *fields += &format!("{name}: {:.3}\r\n", time.as_secs_f64());
     }
     answer
 }
 
-pub(super) fn answer_text(
+/// Returns the answer for an outcome without the extra field of [`answer_for`].
+pub(super) fn base_answer(
     outcome: ResponseOutcome,
     rejection: Option<Rejection>,
-    again: Option<Duration>,
+    rejection_retry_after: Option<Duration>,
 ) -> Answer {
     match outcome {
         ResponseOutcome::Served(body) => {
@@ -161,13 +167,14 @@
             answer
         }
         ResponseOutcome::Rejected { .. } => {
-            let unknown = || Rejection { status: 403, why: "not taken here".to_string(), retry: false };
-            let rejection = rejection.unwrap_or_else(unknown);
-            let mut answer = Answer::text(rejection.status, &rejection.why, false);
+            let default_rejection =
+                || Rejection { status: 403, reason: "not taken here".to_string(), retry: false };
+            let rejection = rejection.unwrap_or_else(default_rejection);
+            let mut answer = Answer::text(rejection.status, &rejection.reason, false);
             if let Answer::Full { fields, .. } = &mut answer {
-                *fields = format!("Refused-Because: {}\r\n", rejection.why);
-                if let Some(again) = again.filter(|_| rejection.retry) {
-                    *fields += &format!("Retry-After: {:.3}\r\n", again.as_secs_f64());
+                *fields = format!("Refused-Because: {}\r\n", rejection.reason);
+                if let Some(retry_after) = rejection_retry_after.filter(|_| rejection.retry) {
+                    *fields += &format!("Retry-After: {:.3}\r\n", retry_after.as_secs_f64());
                 }
             }
             answer
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -3,7 +3,7 @@
 
 use super::close_reason::{CloseReason, Side};
 use super::deadlines::Deadlines;
-use super::frontend::{Frontend, Ids};
+use super::frontend::{Frontend, RequestIds};
 use bytes::BytesMut;
 use futures_util::{SinkExt, StreamExt};
 use rustix::io::retry_on_intr;
@@ -208,7 +208,7 @@
         }
         // Guards against a node without a process that accepts clients: the successor has ended first.
         info!("the next process has ended: this one takes clients");
-        self.frontend.hand_over(false);
+        self.frontend.set_replaced(false);
         (self.set_process_count)(1);
     }
 
@@ -217,8 +217,8 @@
         let mut link = Framed::new(link, LinesCodec::new_with_max_length(MAX_LINE_BYTES));
         // The default buffers are larger than the lines of this protocol.
         (*link.read_buffer_mut(), *link.write_buffer_mut()) = (BytesMut::new(), BytesMut::new());
-        let ids = self.frontend.ids();
-        let mut messages = Ids::share(ids);
+        let ids = self.frontend.request_ids();
+        let mut messages = RequestIds::connect_peer(ids);
         let (mut announce_serving, mut announce_leaving, mut received) = (is_successor, is_successor, 0);
         let close_reason = loop {
             let sent = tokio::select! {
@@ -232,11 +232,11 @@
                     None => break CloseReason::PeerClosed,
                 },
                 Some(message) = messages.recv() => link.send(message).await,
-                () = self.frontend.serving(), if announce_serving => {
+                () = self.frontend.wait_until_ready(), if announce_serving => {
                     announce_serving = false;
                     link.send("serving".to_string()).await
                 }
-                () = self.frontend.leaving(), if announce_leaving => {
+                () = self.frontend.wait_until_stopping(), if announce_leaving => {
                     announce_leaving = false;
                     link.send("leaving".to_string()).await
                 }
@@ -246,23 +246,23 @@
                 break CloseReason::PeerBroke;
             }
         };
-        Ids::part(ids);
+        RequestIds::disconnect_peer(ids);
         let path = self.path.as_deref().unwrap_or(Path::new("-"));
         close_reason.log(Side::Handover, path.display(), received);
     }
 
-    fn receive(&self, ids: &std::cell::RefCell<Ids>, message: &str) {
+    fn receive(&self, ids: &std::cell::RefCell<RequestIds>, message: &str) {
         match message.split_once(' ') {
-            Some(("take", id)) => ids.borrow_mut().received(id, true),
-            Some(("free", id)) => ids.borrow_mut().received(id, false),
+            Some(("take", id)) => ids.borrow_mut().set_remote(id, true),
+            Some(("free", id)) => ids.borrow_mut().set_remote(id, false),
             None if message == "serving" => {
                 info!("the next process takes clients: this one serves what it has");
-                self.frontend.hand_over(true);
+                self.frontend.set_replaced(true);
             }
             // Guards against a node without a process that accepts clients while the successor stops.
             None if message == "leaving" => {
                 info!("the next process is stopping: this one takes clients");
-                self.frontend.hand_over(false);
+                self.frontend.set_replaced(false);
             }
             _ => warn!("the other process sent an unknown message"),
         }
