--- a/src/net/load_shifting.rs
+++ b/src/net/load_shifting.rs
@@ -31,7 +31,7 @@
 impl Spillover {
     /// Creates the state of a node that starts at `now`.
     pub fn new(exchange: &Exchange<Job>, seed: u64, now: Micros) -> Spillover {
-        let load_shifting = LoadShifting::new(exchange.pace(), now);
+        let load_shifting = LoadShifting::new(exchange.slow_start(), now);
         let random = RefCell::new(Rand64::new(u128::from(seed)));
         Spillover { load_shifting: RefCell::new(load_shifting), random, next_tick: Cell::new(now) }
     }
@@ -79,8 +79,8 @@
         }
         self.next_tick.set(now + MIN_TICK_INTERVAL);
         let classes: Vec<Class> =
-            exchange.classes().into_iter().map(|(name, value)| Class { name, value }).collect();
-        let outcomes = exchange.outcomes();
+            exchange.class_weights().into_iter().map(|(name, value)| Class { name, value }).collect();
+        let outcomes = exchange.take_outcomes();
         let mut load_shifting = self.load_shifting.borrow_mut();
         for moved in load_shifting.tick(site_health, &classes, outcomes, exchange.has_servers(), now) {
             let (to, from, why) = (moved.to, moved.from, moved.reason);
@@ -111,7 +111,7 @@
             _ => return None,
         };
         // `Spillover::response_field` adds a random `Retry-After`.
-        Some(Rejection { status: 503, why: why.to_string(), retry: false })
+        Some(Rejection { status: 503, reason: why.to_string(), retry: false })
     }
 
     /// Returns an additional HTTP field of the answer with its delay: when a rejected client may retry, or when a client of
@@ -143,7 +143,7 @@
             text += &format!("homecoming part={part}\n");
         }
         let remote_rates = load_shifting.limits().remote.iter().flatten();
-        for ((class, _), rate) in exchange.classes().into_iter().zip(remote_rates) {
+        for ((class, _), rate) in exchange.class_weights().into_iter().zip(remote_rates) {
             text += &format!("lends {class} per_s={rate}\n");
         }
         text
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -25,7 +25,7 @@
 pub mod stopping;
 
 use admin::AdminServer;
-use backend::{Backend, Bounds};
+use backend::{Backend, ConnectionLimits};
 use backoff::Backoff;
 use config::{Config, ConfigError};
 use deadlines::Deadlines;
@@ -207,7 +207,8 @@
             if let Some(auditing) = self.sites.as_ref().and_then(|s| s.audit_recorder()) {
                 auditing.record_version(Item::Settings, self.config.settings, None, ChangeSource::Operator);
             }
-            self.backend.bound(Bounds::of(&self.config, self.exchange.parts()));
+            self.backend
+                .set_limits(ConnectionLimits::from_config(&self.config, self.exchange.process_count()));
         }
         if let Some(address) = renewed.moved {
             self.discovery.send_replace(address);
@@ -267,7 +268,12 @@
     let deadlines = Rc::new(Deadlines::default());
     let pool = Rc::new(Pool::new(config.limits.messages()));
     let (exchange, orders) = Exchange::new(&config.setup, config.seed, deadlines.clone());
-    let backend = Backend::new(exchange.clone(), deadlines.clone(), pool.clone(), Bounds::of(&config, 1));
+    let backend = Backend::new(
+        exchange.clone(),
+        deadlines.clone(),
+        pool.clone(),
+        ConnectionLimits::from_config(&config, 1),
+    );
     let (discovery, notified) = watch::channel(config.discovery);
     let backoff = Backoff::new(config.seed, config.setup.polling_nodes(), Instant::now());
     let lists = Rc::new(DiscoveryCallLimit::default());
@@ -281,10 +287,13 @@
         Handover::new(frontend.clone(), deadlines.clone(), (address, handing), Rc::downgrade(&listener), {
             let (exchange, backend, frontend) = (exchange.clone(), backend.clone(), frontend.clone());
             move |parts| {
-                exchange.share(parts);
+                exchange.set_process_count(parts);
                 pool.share(parts);
-                frontend.bound(limits.connections(parts));
-                backend.bound(Bounds { connections: limits.connections(parts), ..backend.bounds() });
+                frontend.set_max_connections(limits.connections(parts));
+                backend.set_limits(ConnectionLimits {
+                    max_connections: limits.connections(parts),
+                    ..backend.limits()
+                });
             }
         });
 
@@ -304,8 +313,8 @@
             let (exchange, deadlines) = (exchange.clone(), deadlines.clone());
             let (sites, written) =
                 Sites::new(&config.name, siting, exchange.clone(), deadlines, fleet.as_deref())?;
-            frontend.among(sites.clone());
-            exchange.record(sites.clone());
+            frontend.set_sites(sites.clone());
+            exchange.set_recorder(sites.clone());
             if let Some((last, kept)) = sites.last_list() {
                 table.keep(last, kept.filter(|_| config.known.is_empty()));
             }
@@ -316,7 +325,7 @@
                     auditing.record_version(Item::Budgets, content, Some(version), ChangeSource::Start);
                 }
                 auditing.start();
-                exchange.audit(auditing.clone());
+                exchange.set_auditor(auditing.clone());
             }
             Some((sites, written))
         }
@@ -328,7 +337,7 @@
     });
     let wake = spawn_local({
         let exchange = exchange.clone();
-        async move { exchange.wake().await }
+        async move { exchange.run_wakeups().await }
     });
     let orders = spawn_local(backend.clone().run(orders));
     let table = spawn_local(table.follow(std::mem::take(&mut config.known)));
@@ -338,7 +347,7 @@
         async move {
             // Until then the process before it serves.
             if follows {
-                let mut lists = exchange.lists();
+                let mut lists = exchange.subscribe_lists();
                 tokio::select! {
                     _ = lists.wait_for(|n| *n > 1) => {}
                     () = deadlines.after(FIRST_LIST) => {}
@@ -413,23 +422,23 @@
             _ = &mut accepting => return Err(ServeError::Part("frontend")),
         }
     }
-    info!("told to stop: {} requests are open", exchange.open());
+    info!("told to stop: {} requests are open", exchange.open_count());
     let stopping = Stopping::new(Instant::now(), exchange.longest_deadline());
-    frontend.leave(stopping);
+    frontend.start_stopping(stopping);
     let drained = async {
         deadlines.at(stopping.refuses()).await;
-        frontend.refuse();
+        frontend.refuse_connections();
         let accepted = async {
             let _ = accepting.await;
             info!("new connections are refused");
         };
         let closes = async {
-            frontend.closes().await;
-            frontend.close();
+            frontend.wait_until_closing().await;
+            frontend.close_connections();
         };
         // Those that wait at a full node are no reason to close any later.
         tokio::join!(accepted, closes);
-        frontend.ended().await;
+        frontend.wait_until_closed().await;
         backend.shut_down().await;
         if let Some(fleet) = &fleet {
             fleet.leave().await;
@@ -441,7 +450,7 @@
             biased;
             Some(()) = hangup.recv() => {
                 reload.reload();
-                frontend.hasten(exchange.longest_deadline());
+                frontend.shorten_stopping(exchange.longest_deadline());
             }
             () = &mut drained => break,
             part = &mut parts => return Err(ServeError::Part(part)),
--- a/src/net/placing.rs
+++ b/src/net/placing.rs
@@ -5,7 +5,7 @@
 mod exchange;
 mod startup;
 
-use super::exchange::{DispatchId, Ran};
+use super::exchange::{DispatchId, RunOutcome};
 use super::sites::DiskEvent;
 use shorepath_placements::anti_entropy::Exchange;
 use shorepath_placements::history::History;
@@ -327,12 +327,12 @@
     }
 
     /// Records the end of an attempt.
-    pub fn record_end(&self, id: DispatchId, ran: Ran, at: Micros) {
+    pub fn record_end(&self, id: DispatchId, ran: RunOutcome, at: Micros) {
         let Some(placement) = self.outstanding.borrow_mut().remove(&id) else { return };
         let how = match ran {
-            Ran::Served => End::Served,
-            Ran::Never => End::NeverRan,
-            Ran::Perhaps => End::Unknown,
+            RunOutcome::Served => End::Served,
+            RunOutcome::NeverRan => End::NeverRan,
+            RunOutcome::MayHaveRun => End::Unknown,
         };
         match placement {
             PlacementRef::Buffered(ticket) => self.log_recovery.borrow_mut().buffer_end(ticket, at, how),
--- a/src/net/server_table.rs
+++ b/src/net/server_table.rs
@@ -2,9 +2,9 @@
 
 use super::backoff::{Backoff, Watched, NOTIFIED_AFTER, SILENCE};
 use super::close_reason::{CloseReason, Side};
-use super::codec::{ClientCodec, Outgoing, Piece, ReadError};
+use super::codec::{ClientCodec, OutgoingRequest, ReadError, ResponsePart};
 use super::deadlines::Deadlines;
-use super::exchange::{Exchange, Server};
+use super::exchange::{Exchange, ServerEntry};
 use super::fleet::DiscoveryCallLimit;
 use super::objects::Objects;
 use super::pool::Pool;
@@ -87,25 +87,25 @@
 }
 
 impl Entry {
-    fn server(&self) -> Result<Server, EntryError> {
+    fn server(&self) -> Result<ServerEntry, EntryError> {
         let wrong = || EntryError { id: self.id.clone(), address: self.host_port.clone() };
         let address = match self.phase {
             Phase::Left => None,
             _ => Some(self.host_port.parse().map_err(|_| wrong())?),
         };
-        Ok(Server {
+        Ok(ServerEntry {
             name: self.id.clone(),
             address,
             zone: self.locality.clone(),
             kind: self.flavor.clone(),
             cell: self.cell,
-            size: self.size,
-            standing: match self.phase {
+            capacity: self.size,
+            state: match self.phase {
                 Phase::Active => EndpointState::Live,
                 Phase::Leaving => EndpointState::Draining,
                 Phase::Left => EndpointState::Removed,
             },
-            started: micros_from_ms(self.up_since_ms),
+            started_at: micros_from_ms(self.up_since_ms),
         })
     }
 }
@@ -204,7 +204,7 @@
         let servers = kept.map(|kept| kept.members.iter().map(Entry::server).collect::<Result<Vec<_>, _>>());
         match servers {
             Some(Ok(servers)) => {
-                self.exchange.servers(servers, true);
+                self.exchange.update_servers(servers, true);
                 self.begins = true;
             }
             Some(Err(e)) => warn!("the list that was kept: {e}"),
@@ -224,7 +224,7 @@
             warn!("the list as last held: {e}");
         }
         let mut notified = self.discovery.clone();
-        let (nodes, grace) = self.exchange.notified();
+        let (nodes, grace) = self.exchange.discovery_timing();
         self.backoff.keep_to(nodes, grace);
         let mut pause = self.backoff.pause(Watched::Never, None, since);
         // By then what was missed counted as told, as the log has it.
@@ -262,7 +262,7 @@
             };
             moves = close_reason == CloseReason::Moved;
             if !moves {
-                let (nodes, grace) = self.exchange.notified();
+                let (nodes, grace) = self.exchange.discovery_timing();
                 self.backoff.keep_to(nodes, grace);
                 pause = self.backoff.pause(watched, held.begun, now);
                 let due = self.backoff.due();
@@ -286,7 +286,8 @@
             () = self.deadlines.after(self.backoff.connect()) => return CloseReason::ConnectTimeout,
         };
         let Ok(stream) = stream else { return CloseReason::Refused };
-        let mut connection = self.pool.framed::<Outgoing, _>(stream, ClientCodec::in_parts(&self.pool));
+        let mut connection =
+            self.pool.framed::<OutgoingRequest, _>(stream, ClientCodec::streaming(&self.pool));
         let Err(close_reason) = self.listen(&mut connection, discovery, held).await;
         self.pool.release(connection);
         close_reason
@@ -305,14 +306,14 @@
             let before = held.lines;
             loop {
                 match self.next(connection, held).await? {
-                    Piece::Part(part) => self.take(&part, &mut list, held)?,
-                    Piece::Head { .. } | Piece::Line(_) => {}
-                    Piece::End { .. } if !list.is_between() || held.lines == before => {
+                    ResponsePart::Data(part) => self.take(&part, &mut list, held)?,
+                    ResponsePart::Head { .. } | ResponsePart::Line(_) => {}
+                    ResponsePart::End { .. } if !list.is_between() || held.lines == before => {
                         warn!("discovery's list ends before it is whole");
                         return Err(CloseReason::Malformed);
                     }
-                    Piece::End { reusable: false } => return Err(CloseReason::LastMessage),
-                    Piece::End { reusable: true } => break,
+                    ResponsePart::End { reusable: false } => return Err(CloseReason::LastMessage),
+                    ResponsePart::End { reusable: true } => break,
                 }
             }
         }
@@ -322,7 +323,7 @@
         loop {
             // Guards against a watch that is cut off: nothing else would ever tell.
             match self.next(connection, held).await? {
-                Piece::Part(part) => {
+                ResponsePart::Data(part) => {
                     self.take(&part, &mut changes, held)?;
                     // Space tells that nothing has changed. Guards against an answer to a call for the whole list that never
                     // ends: after that it tells nothing, and no watch would be opened.
@@ -330,8 +331,8 @@
                         self.received(held);
                     }
                 }
-                Piece::Head { .. } | Piece::Line(_) => {}
-                Piece::End { .. } => return Err(CloseReason::PeerClosed),
+                ResponsePart::Head { .. } | ResponsePart::Line(_) => {}
+                ResponsePart::End { .. } => return Err(CloseReason::PeerClosed),
             }
         }
     }
@@ -345,13 +346,13 @@
     ) -> Result<(), CloseReason> {
         held.since = Instant::now();
         let fields = format!("Host: {discovery}\r\n");
-        let request = Outgoing { method: "GET", target, fields, body: None };
+        let request = OutgoingRequest { method: "GET", target, fields, body: None };
         self.pool.send(connection, request).await.map_err(|_| CloseReason::PeerBroke)
     }
 
     /// The next piece of an answer, or why nothing more comes. An object of which parts come and come puts
     /// nothing off.
-    async fn next(&self, connection: &mut Connection, held: &mut Held) -> Result<Piece, CloseReason> {
+    async fn next(&self, connection: &mut Connection, held: &mut Held) -> Result<ResponsePart, CloseReason> {
         let piece = tokio::select! {
             biased;
             piece = self.pool.next(connection) => piece,
@@ -367,20 +368,20 @@
         };
         match piece {
             // Not ours to blame: the list held stays what the next watch builds on.
-            Some(Ok(Piece::Head { status: 429 | 503, .. })) => Err(CloseReason::Busy),
-            Some(Ok(Piece::Head { status, .. })) if status != 200 => {
+            Some(Ok(ResponsePart::Head { status: 429 | 503, .. })) => Err(CloseReason::Busy),
+            Some(Ok(ResponsePart::Head { status, .. })) if status != 200 => {
                 warn!("discovery answered with {status}");
                 Err(CloseReason::Malformed)
             }
             Some(Ok(piece)) => {
-                if matches!(piece, Piece::Head { .. }) {
+                if matches!(piece, ResponsePart::Head { .. }) {
                     held.since = Instant::now();
                 }
                 Ok(piece)
             }
             None => Err(CloseReason::PeerClosed),
             Some(Err(ReadError::Io(_))) => Err(CloseReason::PeerBroke),
-            Some(Err(ReadError::Bad { reason, .. })) => {
+            Some(Err(ReadError::Malformed { reason, .. })) => {
                 warn!("discovery makes no sense: {reason}");
                 Err(CloseReason::Malformed)
             }
@@ -416,8 +417,8 @@
         }
         info!("server table {}: {} entries, whole={}", listing.revision, servers.len(), listing.complete);
         held.revision = Some(listing.revision);
-        self.exchange.servers(servers, listing.complete);
-        self.exchange.listed(listing.revision);
+        self.exchange.update_servers(servers, listing.complete);
+        self.exchange.list_applied(listing.revision);
         Ok(())
     }
 }
--- a/src/net/sites/admission.rs
+++ b/src/net/sites/admission.rs
@@ -3,7 +3,7 @@
 use super::persistence::DiskEvent;
 use super::{unix_micros, Sites, ACCEPTED_RETENTION};
 use crate::net::answers::PendingAnswer;
-use crate::net::exchange::{Attempt, DispatchId, Ran, Recorder, ResponseOutcome, Source};
+use crate::net::exchange::{Attempt, DispatchId, QuotaSource, Recorder, ResponseOutcome, RunOutcome};
 use crate::net::Job;
 use shorepath_accounts::admission::{refusal, restrictions, Refusal};
 use shorepath_accounts::in_flight::Key;
@@ -48,7 +48,7 @@
     /// HTTP status of the answer.
     pub status: u16,
     /// Short explanation for the client.
-    pub why: String,
+    pub reason: String,
     /// Whether the client may retry the request later.
     pub retry: bool,
 }
@@ -95,7 +95,7 @@
 
     /// Returns whether requests of the class must run at most once.
     pub(super) fn is_guarded(&self, class: ClassId) -> bool {
-        self.exchange.is_unsafe(class)
+        self.exchange.is_non_idempotent(class)
             || self.settings.borrow().config.guarded_classes.contains(&self.exchange.class_name(class))
     }
 
@@ -118,7 +118,7 @@
         if let Some((Admits::Nothing, waiting_for)) = admission {
             return Some(Rejection {
                 status: 503,
-                why: format!("recovering: waits for {waiting_for}"),
+                reason: format!("recovering: waits for {waiting_for}"),
                 retry: true,
             });
         }
@@ -127,15 +127,15 @@
             return None;
         }
         let rejection =
-            |status, why: &str| Some(Rejection { status, why: why.to_string(), retry: status == 503 });
+            |status, why: &str| Some(Rejection { status, reason: why.to_string(), retry: status == 503 });
         let known = self.placements.key_state(&name, key);
         if let (KeyState::Free, Some(key_leases)) = (known, &self.key_leases) {
             match key_leases.may_place(key) {
                 Ok(_) => {}
                 Err((_, true)) => return rejection(503, "catching up"),
                 Err((refused, false)) => {
-                    let (status, why, retry) = refused.response(self.is_site_reachable(refused.home()));
-                    return Some(Rejection { status, why, retry });
+                    let (status, reason, retry) = refused.response(self.is_site_reachable(refused.home()));
+                    return Some(Rejection { status, reason, retry });
                 }
             }
         }
@@ -199,7 +199,7 @@
         for (tenant, restriction) in all {
             let Some(tenant_id) = self.exchange.tenant(&tenant) else { continue };
             if let Some(units) = restriction.max_new_jobs {
-                let units = units.saturating_add(self.exchange.begun(tenant_id));
+                let units = units.saturating_add(self.exchange.new_work_count(tenant_id));
                 shares.push(QuotaShare {
                     kind: QuotaKind::NewWork(tenant_id),
                     units,
@@ -220,16 +220,16 @@
         if shares != *self.applied_shares.borrow() {
             debug!("sites: {shares:?}");
             self.applied_shares.replace(shares.clone());
-            self.exchange.parts_hold(Source::Sites, shares);
+            self.exchange.set_quota_shares(QuotaSource::Sites, shares);
         }
     }
 }
 
 impl Recorder<Job> for Sites {
-    fn places(&self, id: DispatchId, attempt: Attempt<'_>, job: &Job) -> bool {
+    fn record_attempt(&self, id: DispatchId, attempt: Attempt<'_>, job: &Job) -> bool {
         let now = self.times();
-        let Attempt { class, is_unsafe, server } = attempt;
-        let guarded = is_unsafe || self.settings.borrow().config.guarded_classes.contains(class);
+        let Attempt { class, is_non_idempotent, server } = attempt;
+        let guarded = is_non_idempotent || self.settings.borrow().config.guarded_classes.contains(class);
         let tenant = job.tenant.clone();
         let standing =
             tenant.as_deref().map_or(0, |t| self.gossip.borrow().registry().change_at(t, now.unix).number);
@@ -285,7 +285,7 @@
         self.key_leases.as_ref().is_none_or(|leases| leases.may_send(id))
     }
 
-    fn ended(&self, id: DispatchId, ran: Ran) {
+    fn attempt_ended(&self, id: DispatchId, ran: RunOutcome) {
         if let Some(key_leases) = &self.key_leases {
             key_leases.attempt_ended(id);
         }
@@ -365,6 +365,6 @@
         let balances = self.sites.balances.borrow();
         let Refusal { reason: why, retry } =
             refusal(gossip.registry(), balances.get(&self.tenant), &self.tenant, now);
-        Some(Rejection { status: if retry { 503 } else { 403 }, why: why.to_string(), retry })
+        Some(Rejection { status: if retry { 503 } else { 403 }, reason: why.to_string(), retry })
     }
 }
--- a/src/net/sites/persistence.rs
+++ b/src/net/sites/persistence.rs
@@ -64,7 +64,7 @@
             DiskEvent::Placed(id, result) => self.on_placement_written(id, result),
             DiskEvent::Refused(id, why) => {
                 info!("rejecting a guarded job: {why}");
-                self.exchange.recorded(id, false);
+                self.exchange.attempt_recorded(id, false);
             }
             DiskEvent::Reopened(result) => self.on_reopened(result),
             DiskEvent::Resumed(result) => self.on_resumed(result),
@@ -82,7 +82,7 @@
                 "rejecting a guarded job: the lease of its key range ended before the placement was written"
             );
         }
-        self.exchange.recorded(id, sent);
+        self.exchange.attempt_recorded(id, sent);
     }
 
     fn on_ownership_written(&self, persisted: PersistedOwnership, result: Result<(), Arc<StoreError>>) {
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -72,10 +72,10 @@
 #[rstest]
 #[case::failed("{\"id\":\"a\",\"from\":\"s\",\"state\":\"failed\"}", "")]
 #[case::lost("{\"id\":\"a\",\"from\":\"s\",\"state\":\"lost\"}", "")]
-#[case::anothers("{\"id\":\"z\",\"from\":\"s\",\"state\":\"done\",\"result\":\"theirs\"}", "makes no sense")]
-#[case::no_result("{\"id\":\"a\",\"from\":\"s\",\"state\":\"done\"}", "makes no sense")]
-#[case::nonsense("{]", "makes no sense")]
-#[case::unknown_state("{\"id\":\"a\",\"from\":\"s\",\"state\":\"asleep\"}", "makes no sense")]
+#[case::anothers("{\"id\":\"z\",\"from\":\"s\",\"state\":\"done\",\"result\":\"theirs\"}", "invalid answer")]
+#[case::no_result("{\"id\":\"a\",\"from\":\"s\",\"state\":\"done\"}", "invalid answer")]
+#[case::nonsense("{]", "invalid answer")]
+#[case::unknown_state("{\"id\":\"a\",\"from\":\"s\",\"state\":\"asleep\"}", "invalid answer")]
 fn a_line_that_is_no_result_fails_the_job(#[case] line: &str, #[case] logged: &str) {
     let (node, server) = pair();
     let mut client = node.ask("a", "/actuator-cmd");
@@ -943,7 +943,7 @@
     client.send(&job("a", "/zone-plan", "5000m", "").replace("Request-Timeout: 5000m", &head));
     server.accept().serve("a", "1");
     assert_eq!(client.message().body, "1");
-    node.logs("Work-Hint is no time");
+    node.logs("Work-Hint that is not a time");
 }
 
 /// A guess is heeded: a job that by it can't be in time any more is denied at once, one without is sent.
--- a/tests/node/gone.rs
+++ b/tests/node/gone.rs
@@ -423,7 +423,7 @@
     // More of them than it has descriptors for.
     let _held: Vec<Peer> = (0..32).map(|k| node.ask(&format!("held-{k}"), "/zone-plan")).collect();
     for _ in 0..4 {
-        node.logs("accepting: ");
+        node.logs("could not accept a connection: ");
         piece(&mut slow, 1);
         assert!(slow.hears_nothing(Duration::from_millis(10)));
     }
