--- a/src/net/backend/connection.rs
+++ b/src/net/backend/connection.rs
@@ -216,7 +216,7 @@
             self.exchange.probe_ended(endpoint, AttemptStatus::NotSent, |_| None);
             return (Some(CloseReason::ServerLeft), false);
         }
-        let exchange = async {
+        let round_trip = async {
             let fields = format!("Host: {address}\r\n");
             let request = OutgoingRequest { method: "GET", target: "/_load", fields, body: None };
             self.pool.send(connection, request).await.map_err(|_| CloseReason::PeerBroke)?;
@@ -235,7 +235,7 @@
         };
         let answer = tokio::select! {
             biased;
-            answer = exchange => answer,
+            answer = round_trip => answer,
             () = self.deadlines.at(deadline) => Err(CloseReason::TimedOut),
         };
         let (status, values, close_reason) = match answer {
@@ -261,7 +261,7 @@
         let close_reason = tokio::select! {
             biased;
             // Polled first, so that a closed connection is never used again.
-            piece = self.pool.next(connection) => match piece {
+            part = self.pool.next(connection) => match part {
                 None | Some(Err(ReadError::Io(_))) => CloseReason::PeerClosed,
                 Some(_) => CloseReason::Malformed,
             },
--- a/src/net/codec/client.rs
+++ b/src/net/codec/client.rs
@@ -16,7 +16,7 @@
     pub method: &'a str,
     /// Path and query, as in the request line.
     pub target: &'a str,
-    /// `Host` and further fields, each ending in CRLF. `Content-Length` is added for the body.
+    /// `Host` and further fields, each terminated by CRLF. `Content-Length` is added for the body.
     pub fields: String,
     /// `None` for a request without a body, which then has no `Content-Length`.
     pub body: Option<&'a [u8]>,
--- a/src/net/codec/server.rs
+++ b/src/net/codec/server.rs
@@ -48,7 +48,7 @@
     Full {
         /// HTTP status code.
         status: u16,
-        /// Further fields, each ending in CRLF. `Content-Length` and `Connection` are added.
+        /// Further fields, each terminated by CRLF. `Content-Length` and `Connection` are added.
         fields: String,
         /// The body; with `head_only` just its length is sent.
         body: Vec<u8>,
--- a/src/net/exchange.rs
+++ b/src/net/exchange.rs
@@ -213,7 +213,7 @@
     }
 
     /// Returns how many nodes poll discovery, and how long a node may send new requests to a backend server after discovery
-    /// was told that the server leaves.
+    /// learned that the server leaves.
     pub fn discovery_timing(&self) -> (u32, Duration) {
         let inner = self.inner.borrow();
         (inner.setup.polling_nodes(), Duration::from_micros(inner.setup.drain_grace().max(0) as u64))
--- a/src/net/frontend/connection.rs
+++ b/src/net/frontend/connection.rs
@@ -50,6 +50,7 @@
 }
 
 impl Frontend {
+    /// Starts a task that serves a new connection until it is closed.
     pub(super) fn serve(self: &Rc<Self>, stream: TcpStream, peer: SocketAddr) {
         self.open_connections.set(self.open_connections.get() + 1);
         let frontend = self.clone();
