--- a/tests/backend.rs
+++ b/tests/backend.rs
@@ -16,7 +16,7 @@
 use tokio::sync::{mpsc, watch};
 
 /// A request whose time to be written has passed, as after a suspension of the process, is not sent on an idle connection.
-/// Guards against a job that runs after its client was told that it failed.
+/// Guards against a job that runs after its client got a failure.
 #[rstest]
 fn expired_request_is_not_sent_on_an_idle_connection() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
