--- a/tests/node/stopping.rs
+++ b/tests/node/stopping.rs
@@ -88,14 +88,14 @@
         deadlines(&mut config, new);
         node.replace(&config.to_string());
         node.hang_up();
-        node.logs("new settings hold");
+        node.logs("new settings are in force");
     }
     let counted = new.unwrap_or(old);
     let kill = ms(700 + counted.iter().max().unwrap().min(&3_000));
     let clients = known_clients(&node, 16);
     let notified = Instant::now();
     node.terminate();
-    node.logs("told to stop");
+    node.logs("shutting down");
     // One after the other from the time of new connections on, up to the kill.
     let step = (kill - ms(750)) / 16;
     let asking = |(k, mut client): (usize, Peer)| {
@@ -150,7 +150,7 @@
     }
     let notified = Instant::now();
     node.terminate();
-    node.logs("told to stop");
+    node.logs("shutting down");
     if connection != "drained" {
         client.send(begin);
     }
@@ -195,7 +195,7 @@
     });
     let mut clients = known_clients(&node, 8);
     node.terminate();
-    node.logs("told to stop");
+    node.logs("shutting down");
     let (notified, mut sent) = (Instant::now(), Vec::new());
     for (k, client) in clients.iter_mut().enumerate() {
         until(notified + ms(655 + 10 * k as u64));
@@ -236,7 +236,7 @@
     assert!(health.hears_nothing(ms(200)), "it is full");
     let mut waiting: Vec<Peer> = (0..6).map(|k| node.ask(&format!("waiting-{k}"), "/zone-plan")).collect();
     node.terminate();
-    node.logs("told to stop");
+    node.logs("shutting down");
     assert!(waiting[5].hears_nothing(ms(900)), "nobody has ended it");
     drop(shut);
     let all = busy.iter_mut().chain(&mut waiting);
@@ -257,7 +257,7 @@
     let (mut node, server) = pair();
     serving_behind(server, &Arc::default());
     node.terminate();
-    node.logs("told to stop");
+    node.logs("shutting down");
     let notified = Instant::now();
     node.stand_still(true);
     let mut clients: Vec<Peer> = (0..100).map(|k| node.ask(&k.to_string(), "/zone-plan")).collect();
@@ -287,7 +287,7 @@
     node.stand_still(at_once);
     signals.iter().for_each(|s| node.signal(*s));
     node.stand_still(false);
-    node.logs("told to stop");
+    node.logs("shutting down");
     signals.iter().for_each(|s| node.signal(*s));
     backend.serve("held", "1");
     assert_eq!(held.message().body, "1");
@@ -316,11 +316,11 @@
     node.replace(&config.to_string());
     node.stand_still(!after);
     node.signal(Signal::TERM);
-    let mut lines = if after { node.logs_until("told to stop") } else { Vec::new() };
+    let mut lines = if after { node.logs_until("shutting down") } else { Vec::new() };
     node.signal(Signal::HUP);
     node.stand_still(false);
     let notified = Instant::now();
-    for text in ["told to stop", "new settings hold"] {
+    for text in ["shutting down", "new settings are in force"] {
         if !lines.iter().any(|l| l.contains(text)) {
             lines.extend(node.logs_until(text));
         }
@@ -361,7 +361,7 @@
         assert!(rests.ended());
     }
     node.hang_up();
-    node.logs("new settings hold");
+    node.logs("new settings are in force");
     assert!(closed || rests.ended());
     assert_eq!(client.message().status(), 408);
     let (took, kill) = (notified.elapsed(), ms(700 + new[0]));
@@ -400,10 +400,10 @@
     drop(pipe);
     let mut node = node.serving();
     if signal == Signal::HUP {
-        node.logs("new settings hold");
+        node.logs("new settings are in force");
         node.terminate();
     }
-    node.logs("told to stop");
+    node.logs("shutting down");
     let mut client = node.ask("a", "/zone-plan");
     let mut backend = server.accept();
     backend.message();
@@ -420,7 +420,7 @@
     let _silent = discovery.accept();
     let mut clients: Vec<Peer> = (0..3).map(|k| node.ask(&k.to_string(), "/zone-plan")).collect();
     node.terminate();
-    node.logs("told to stop");
+    node.logs("shutting down");
     clients.push(node.ask("late", "/actuator-cmd"));
     for client in &mut clients {
         assert_eq!(client.message().status(), 503);
@@ -481,14 +481,14 @@
     deadlines(&mut config, [1_200, 1_800]);
     node.replace(&config.to_string());
     node.hang_up();
-    node.logs("new settings hold");
+    node.logs("new settings are in force");
     assert_eq!(node.call("GET", "/ops/readiness"), 503);
     let mut emptied = node.ask("emptied", "/zone-plan");
     backend.serve("held", "1");
     assert_eq!(held.message().body, "1");
     assert_eq!(backend.id(), "emptied");
     node.terminate();
-    node.logs("told to stop");
+    node.logs("shutting down");
     backend.serve("emptied", "2");
     assert_eq!(emptied.message().body, "2");
     let mut late = node.ask("late", "/zone-plan");
@@ -589,7 +589,7 @@
     let mut new = Node::start(&config);
     let _silent = discovery.accept();
     new.terminate();
-    new.logs("told to stop");
+    new.logs("shutting down");
     for k in 0..20 {
         let id = k.to_string();
         let mut client = old.ask(&id, "/actuator-cmd");
--- a/tests/node/told.rs
+++ b/tests/node/told.rs
@@ -395,7 +395,7 @@
     config["settings"]["rules"]["drain_grace_ms"] = json!(grace);
     node.replace(&config.to_string());
     node.hang_up();
-    node.logs("new settings hold");
+    node.logs("new settings are in force");
     // The pause that has begun may be a long one still.
     discovery.accept().reset();
     let begun = Instant::now();
--- a/tests/node/written.rs
+++ b/tests/node/written.rs
@@ -672,7 +672,7 @@
     config["settings"]["rules"]["shed_after_start"] = json!(after);
     node.replace(&config.to_string());
     node.hang_up();
-    node.logs("new settings hold");
+    node.logs("new settings are in force");
     backend.send("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
     while client.hears_nothing(Duration::from_millis(5)) {
         assert!(server.is_left_alone(), "a job that may have run was sent again");
