--- a/src/net/backend.rs
+++ b/src/net/backend.rs
@@ -50,8 +50,8 @@
         let micros = |t: i64| Duration::from_micros(t.max(0) as u64);
         ConnectionLimits {
             max_connections: config.limits.connections(process_count),
-            connect_timeout: micros(config.setup.connect_timeout()),
-            idle_timeout: micros(config.setup.idle_timeout()).mul_f64(IDLE_FRACTION),
+            connect_timeout: micros(config.settings.connect_timeout()),
+            idle_timeout: micros(config.settings.idle_timeout()).mul_f64(IDLE_FRACTION),
         }
     }
 }
--- a/src/net/backend/connection.rs
+++ b/src/net/backend/connection.rs
@@ -5,7 +5,7 @@
 use crate::net::close_reason::CloseReason;
 use crate::net::codec::{ClientCodec, OutgoingRequest, ReadError, ResponsePart, MAX_BODY_BYTES};
 use crate::net::exchange::{DispatchId, OpenWatch};
-use crate::net::{turn, Job};
+use crate::net::{poll_sockets, Job};
 use shorepath_scheduler::{AttemptStatus, EndpointId, Idempotency};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -114,7 +114,7 @@
         };
         // Lets other tasks handle input of the same turn of the runtime first. Guards against sending a request whose client has
         // disconnected unnoticed, as when the process was suspended.
-        turn().await;
+        poll_sockets().await;
         let (mut messages, mut answered_at, mut used_at) = (0, None, Instant::now());
         let (close_reason, unstarted) = loop {
             if task.is_open() {
--- a/src/net/codec/server.rs
+++ b/src/net/codec/server.rs
@@ -178,7 +178,7 @@
                 }
                 BodyStep::Data(n) => {
                     let out_of_memory = |_| malformed(503, "no memory is left for the request");
-                    request.body.append_asked(&src[..n]).map_err(out_of_memory)?;
+                    request.body.append_request(&src[..n]).map_err(out_of_memory)?;
                     framing.consume(src, n);
                 }
                 // A client that has started to send the body needs no `100 Continue`.
--- a/src/net/frontend.rs
+++ b/src/net/frontend.rs
@@ -11,7 +11,7 @@
 use super::pool::Pool;
 use super::sites::Sites;
 use super::stopping::Stopping;
-use super::{turn, Job};
+use super::{poll_sockets, Job};
 use eviction::EvictionQueue;
 pub use request_ids::{Claim, RequestIds};
 use std::cell::{Cell, RefCell};
@@ -202,12 +202,12 @@
     /// Shortens the schedule of the shutdown to settings with that longest deadline. Guards against a reload that was requested
     /// before the shutdown and is handled after it, as the order of two signals is not kept.
     pub fn shorten_stopping(&self, longest_deadline: Duration) {
-        self.state.send_modify(|s| s.stopping = s.stopping.map(|s| s.hastened(longest_deadline)));
+        self.state.send_modify(|s| s.stopping = s.stopping.map(|s| s.shortened(longest_deadline)));
     }
 
     /// Waits until the time at which the shutdown closes connections.
     pub async fn wait_until_closing(&self) {
-        self.wait_until(|s| s.stopping.map(|s| s.closes())).await;
+        self.wait_until(|s| s.stopping.map(|s| s.close_at())).await;
     }
 
     /// Waits until the time that `time` returns, which may change with the state; `None` is never.
@@ -287,7 +287,7 @@
                     if is_full || is_replaced || std::mem::replace(&mut was_rechecked, true) {
                         return;
                     }
-                    turn().await;
+                    poll_sockets().await;
                     continue;
                 }
             };
--- a/src/net/frontend/connection.rs
+++ b/src/net/frontend/connection.rs
@@ -6,9 +6,9 @@
 use crate::net::close_reason::{CloseReason, Side};
 use crate::net::codec::{Answer, FrontendCodec, Incoming, ReadError, Request};
 use crate::net::exchange::{ResponseOutcome, Ticket};
-use crate::net::pool::Ahead;
+use crate::net::pool::ReadAhead;
 use crate::net::sites::RequestAdmission;
-use crate::net::{turn, Job};
+use crate::net::{poll_sockets, Job};
 use futures_util::FutureExt;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -87,14 +87,14 @@
             }
             self.leave_eviction_queue(queue_entry);
         }
-        let _ = self.pool.scrap(connection);
+        let _ = self.pool.discard(connection);
     }
 
     /// Reads and discards input until the client closes the connection.
     pub(super) async fn discard_input(&self, connection: &Connection) {
         loop {
             let _ = connection.get_ref().readable().await;
-            match self.pool.scrap(connection) {
+            match self.pool.discard(connection) {
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {}
                 Ok(n) if n > 0 => self.deadlines.after(DISCARD_PAUSE).await,
                 _ => return,
@@ -191,7 +191,7 @@
             let closes_after_answer = self.state.borrow().closes_after_answer();
             if closes_after_answer && next.is_none() && connection.read_buffer().is_empty() {
                 // Guards a request that has just arrived, as in [`Frontend::next_item`].
-                turn().await;
+                poll_sockets().await;
                 next = self.pool.next(connection).now_or_never();
             }
             // A request that has arrived is still served.
@@ -220,11 +220,11 @@
         }
         loop {
             match self.pool.read_ahead(connection) {
-                Ahead::Ended => return None,
+                ReadAhead::Ended => return None,
                 // The next read returns the same error.
-                Ahead::Open => drop(connection.get_ref().readable().await),
+                ReadAhead::Open => drop(connection.get_ref().readable().await),
                 // Guards against a busy loop, as the socket stays readable.
-                Ahead::Full => self.deadlines.after(CLOSE_POLL_INTERVAL).await,
+                ReadAhead::Full => self.deadlines.after(CLOSE_POLL_INTERVAL).await,
             }
         }
     }
@@ -241,7 +241,7 @@
         let mut unwanted = std::pin::pin!(self.wait_until_unwanted(true));
         // Guards the shutdown against requests that are never completed.
         let shutdown = |s: State| s.stopping.filter(|_| s.stage == ShutdownStage::Closing);
-        let mut completion_due = std::pin::pin!(self.wait_until(|s| shutdown(s).map(|s| s.whole_by())));
+        let mut completion_due = std::pin::pin!(self.wait_until(|s| shutdown(s).map(|s| s.requests_complete_by())));
         // Guards against connections that send nothing, or a request without end.
         let due = opened
             .map_or_else(|| self.deadlines.after(IDLE_TIMEOUT), |o| self.deadlines.at(o + REQUEST_TIMEOUT));
@@ -262,7 +262,7 @@
             if reason.is_some() {
                 // Guards requests that have arrived: if the process was suspended, timers may be handled before sockets, and the
                 // requests would be discarded.
-                turn().await;
+                poll_sockets().await;
                 if let Some(item) = self.pool.next(connection).now_or_never() {
                     break Ok(item);
                 }
@@ -352,11 +352,11 @@
         }
         // Lets the runtime poll the sockets, whose known state may be older than the request. There is no further await before the
         // submission. Guards against a reload in between, after which the id of the parsed class means another class.
-        turn().await;
+        poll_sockets().await;
         match self.parse_job(request) {
             Ok((mut params, job)) => {
                 // Guards against dispatching a job whose client disconnected right after sending it.
-                if self.pool.read_ahead(connection) == Ahead::Ended {
+                if self.pool.read_ahead(connection) == ReadAhead::Ended {
                     return Reply::ClientDisconnected;
                 }
                 let mut admission = None;
--- a/tests/node/event_order.rs
+++ b/tests/node/event_order.rs
@@ -73,7 +73,7 @@
     std::fs::remove_file(node.file()).unwrap();
     node.replace(&after.to_string());
     second.write(&before);
-    let lines = node.logs_until("new settings hold");
+    let lines = node.logs_until("new settings are in force");
     assert_eq!(client.message().body, "1");
     assert_eq!(client.message().status(), status, "{lines:#?}");
     assert!(backend.ended_early() && server.is_left_alone(), "the job was sent by another class's settings");
--- a/tests/node/fleet.rs
+++ b/tests/node/fleet.rs
@@ -317,13 +317,17 @@
     let file = quota_server.budgets_file.to_str().unwrap();
     quota_server.write(1, "(budget quota:nobody (whole 50))");
     let (code, stderr) = run(&[PROGRAM, "check", "--budgets", file]);
-    assert!(code == Some(1) && stderr.contains("nothing here is bounded by quota:nobody"), "{stderr}");
+    assert!(
+        code == Some(1)
+            && stderr.contains("the settings have no tenant or class for the budget quota:nobody"),
+        "{stderr}"
+    );
     let other = text.replace("\"n0\"", "\"n9\"");
     let output = command(&[PROGRAM, "serve", "--budgets", file], &other).output().unwrap();
     let stderr = String::from_utf8_lossy(&output.stderr);
     assert!(output.status.code() == Some(1) && stderr.contains("n9 is no (node ...)"), "{stderr}");
     let (code, stderr) = run(&[PROGRAM, "budgets", "status", "--budgets", file]);
-    assert!(code == Some(1) && stderr.contains("no divider answers"), "{stderr}");
+    assert!(code == Some(1) && stderr.contains("no quota server responds"), "{stderr}");
 }
 
 /// `budgets status` and `budgets explain` print where the units of a budget are and why a node has its part.
--- a/tests/node/rare.rs
+++ b/tests/node/rare.rs
@@ -460,7 +460,7 @@
     let mut answers: Vec<(f64, u16)> = clients.into_iter().flat_map(|c| c.join().unwrap()).collect();
     answers.sort_by(|a, b| a.0.total_cmp(&b.0));
     node.terminate();
-    let lines = node.logs_until("told to stop");
+    let lines = node.logs_until("shutting down");
     assert!(node.exit().success());
     let attempts: Vec<f64> =
         lines.iter().filter(|l| l.contains(" to 127.0.0.1:")).map(|l| log_seconds(l)).collect();
@@ -803,7 +803,7 @@
     ]);
     node.replace(&config.to_string());
     node.hang_up();
-    let lines = node.logs_until("new settings hold");
+    let lines = node.logs_until("new settings are in force");
     assert!(
         stage != Stage::BetweenAttempts || lines.iter().all(|l| !l.contains("dispatch 1.1")),
         "{lines:?}"
--- a/tests/node/sites.rs
+++ b/tests/node/sites.rs
@@ -394,8 +394,8 @@
 /// `check` validates the sites and accounts files and names what the settings do not define.
 #[rstest]
 #[case::valid("", "", true, "east: 1 nodes, bears 100 a second")]
-#[case::unknown_tenant("(credit fyn (jobs 8))", "", false, "the settings know nothing of fyn")]
-#[case::unknown_class("(home valve)", "", false, "the settings know nothing of valve")]
+#[case::unknown_tenant("(credit fyn (jobs 8))", "", false, "the settings do not define fyn")]
+#[case::unknown_class("(home valve)", "", false, "the settings do not define valve")]
 #[case::duplicate_site("(site east (node n1 \"127.0.0.1:1\"))", "", false, "sites.sexp:3:")]
 #[case::unknown_account_status("", "(account acme (standing shut))", false, "accounts.sexp:1:")]
 fn check_reports_errors_in_sites_and_accounts_files(
--- a/tests/node/stopping.rs
+++ b/tests/node/stopping.rs
@@ -84,14 +84,14 @@
         set_deadlines(&mut config, new);
         node.replace(&config.to_string());
         node.hang_up();
-        node.logs("new settings hold");
+        node.logs("new settings are in force");
     }
     let current_deadlines = new.unwrap_or(old);
     let kill_after = ms(700 + current_deadlines.iter().max().unwrap().min(&3_000));
     let clients = clients_with_answered_request(&node, 16);
     let signalled_at = Instant::now();
     node.terminate();
-    node.logs("told to stop");
+    node.logs("shutting down");
     // One request after the other, from the refusal of new connections up to the kill.
     let step = (kill_after - ms(750)) / 16;
     let send_late_job = |(k, mut client): (usize, Peer)| {
@@ -152,7 +152,7 @@
     }
     let signalled_at = Instant::now();
     node.terminate();
-    node.logs("told to stop");
+    node.logs("shutting down");
     if connection != "drained" {
         client.send(begin);
     }
@@ -197,7 +197,7 @@
     });
     let mut clients = clients_with_answered_request(&node, 8);
     node.terminate();
-    node.logs("told to stop");
+    node.logs("shutting down");
     let (signalled_at, mut sent) = (Instant::now(), Vec::new());
     for (k, client) in clients.iter_mut().enumerate() {
         sleep_until(signalled_at + ms(655 + 10 * k as u64));
@@ -238,7 +238,7 @@
     assert!(health.hears_nothing(ms(200)), "the node is not full");
     let mut waiting: Vec<Peer> = (0..6).map(|k| node.ask(&format!("waiting-{k}"), "/zone-plan")).collect();
     node.terminate();
-    node.logs("told to stop");
+    node.logs("shutting down");
     assert!(waiting[5].hears_nothing(ms(900)), "a waiting connection was closed");
     drop(gate_guard);
     let all = busy.iter_mut().chain(&mut waiting);
@@ -259,7 +259,7 @@
     let (mut node, server) = pair();
     serve_once_unlocked(server, &Arc::default());
     node.terminate();
-    node.logs("told to stop");
+    node.logs("shutting down");
     let signalled_at = Instant::now();
     node.stand_still(true);
     let mut clients: Vec<Peer> = (0..100).map(|k| node.ask(&k.to_string(), "/zone-plan")).collect();
@@ -292,7 +292,7 @@
     node.stand_still(while_paused);
     signals.iter().for_each(|s| node.signal(*s));
     node.stand_still(false);
-    node.logs("told to stop");
+    node.logs("shutting down");
     signals.iter().for_each(|s| node.signal(*s));
     backend.serve("held", "1");
     assert_eq!(held.message().body, "1");
@@ -321,11 +321,11 @@
     node.replace(&config.to_string());
     node.stand_still(!after);
     node.signal(Signal::TERM);
-    let mut lines = if after { node.logs_until("told to stop") } else { Vec::new() };
+    let mut lines = if after { node.logs_until("shutting down") } else { Vec::new() };
     node.signal(Signal::HUP);
     node.stand_still(false);
     let resumed_at = Instant::now();
-    for text in ["told to stop", "new settings hold"] {
+    for text in ["shutting down", "new settings are in force"] {
         if !lines.iter().any(|l| l.contains(text)) {
             lines.extend(node.logs_until(text));
         }
@@ -366,7 +366,7 @@
         assert!(idle_client.ended());
     }
     node.hang_up();
-    node.logs("new settings hold");
+    node.logs("new settings are in force");
     assert!(connections_closed || idle_client.ended());
     assert_eq!(client.message().status(), 408);
     let (took, kill_after) = (signalled_at.elapsed(), ms(700 + new[0]));
@@ -404,10 +404,10 @@
     drop(pipe);
     let mut node = node.serving();
     if signal == Signal::HUP {
-        node.logs("new settings hold");
+        node.logs("new settings are in force");
         node.terminate();
     }
-    node.logs("told to stop");
+    node.logs("shutting down");
     let mut client = node.ask("a", "/zone-plan");
     let mut backend = server.accept();
     backend.message();
@@ -424,7 +424,7 @@
     let _silent = discovery.accept();
     let mut clients: Vec<Peer> = (0..3).map(|k| node.ask(&k.to_string(), "/zone-plan")).collect();
     node.terminate();
-    node.logs("told to stop");
+    node.logs("shutting down");
     clients.push(node.ask("late", "/actuator-cmd"));
     for client in &mut clients {
         assert_eq!(client.message().status(), 503);
@@ -486,14 +486,14 @@
     set_deadlines(&mut config, [1_200, 1_800]);
     node.replace(&config.to_string());
     node.hang_up();
-    node.logs("new settings hold");
+    node.logs("new settings are in force");
     assert_eq!(node.call("GET", "/ops/readiness"), 503);
     let mut drained_client = node.ask("emptied", "/zone-plan");
     backend.serve("held", "1");
     assert_eq!(held.message().body, "1");
     assert_eq!(backend.id(), "emptied");
     node.terminate();
-    node.logs("told to stop");
+    node.logs("shutting down");
     backend.serve("emptied", "2");
     assert_eq!(drained_client.message().body, "2");
     let mut late = node.ask("late", "/zone-plan");
@@ -594,7 +594,7 @@
     let mut new = Node::start(&config);
     let _silent = discovery.accept();
     new.terminate();
-    new.logs("told to stop");
+    new.logs("shutting down");
     for k in 0..20 {
         let id = k.to_string();
         let mut client = old.ask(&id, "/actuator-cmd");
