--- a/src/net/frontend/connection.rs
+++ b/src/net/frontend/connection.rs
@@ -241,7 +241,8 @@
         let mut unwanted = std::pin::pin!(self.wait_until_unwanted(true));
         // Guards the shutdown against requests that are never completed.
         let shutdown = |s: State| s.stopping.filter(|_| s.stage == ShutdownStage::Closing);
-        let mut completion_due = std::pin::pin!(self.wait_until(|s| shutdown(s).map(|s| s.requests_complete_by())));
+        let mut completion_due =
+            std::pin::pin!(self.wait_until(|s| shutdown(s).map(|s| s.requests_complete_by())));
         // Guards against connections that send nothing, or a request without end.
         let due = opened
             .map_or_else(|| self.deadlines.after(IDLE_TIMEOUT), |o| self.deadlines.at(o + REQUEST_TIMEOUT));
