--- a/tests/golden/command_line.rs
+++ b/tests/golden/command_line.rs
@@ -1,7 +1,7 @@
 //! What commands print: complaints about bad files with their places, and figures of budgets for people and programs.
 
 use crate::files::matches;
-use crate::support::site_files::{sign, Files};
+use crate::support::site_files::{sign, SiteFiles};
 use crate::support::{command, config, PROGRAM};
 use rstest::rstest;
 use serde_json::{json, Value};
@@ -59,8 +59,8 @@
 
 #[rstest]
 fn complaints_about_files_of_budgets() {
-    let files = Files::new("golden-budgets");
-    let file = files.of(0).join("budgets.sexp");
+    let files = SiteFiles::new("golden-budgets");
+    let file = files.node_folder(0).join("budgets.sexp");
     let own = "(divider d0 \"127.0.0.1:1\") (node n0 \"127.0.0.1:2\")";
     let mut found = String::new();
     for (name, text) in [
@@ -77,15 +77,16 @@
     ] {
         std::fs::write(&file, text).unwrap();
         let messages = [PROGRAM, "check", "--budgets", file.to_str().unwrap()];
-        found += &format!("# {name}\n{}", printed(&messages, &config(&[]).to_string(), &files.of(0)));
+        found +=
+            &format!("# {name}\n{}", printed(&messages, &config(&[]).to_string(), &files.node_folder(0)));
     }
     matches("complaints-budgets.txt", &found);
 }
 
 #[rstest]
 fn complaints_about_files_of_sites_and_accounts() {
-    let files = Files::new("golden-sites");
-    let (folder, file) = (files.of(0), files.of(0).join("sites.sexp"));
+    let files = SiteFiles::new("golden-sites");
+    let (folder, file) = (files.node_folder(0), files.node_folder(0).join("sites.sexp"));
     let check = |name: &str| {
         let messages = [PROGRAM, "check", "--sites", file.to_str().unwrap()];
         format!("# {name}\n{}", printed(&messages, &config(&[]).to_string(), &folder))
@@ -103,24 +104,24 @@
         ("lost without a number", "(lost east)"),
     ] {
         // On a line of its own: the line before has addresses of this run.
-        files.sites(0, 1, &format!("\n{more}"));
+        files.write_sites(0, 1, &format!("\n{more}"));
         found += &check(name);
     }
-    files.sites(0, 1, "");
+    files.write_sites(0, 1, "");
     for (name, accounts) in [
         ("unknown standing", "(account acme (standing shut))"),
         ("an account twice", "(account acme (standing good))\n (account acme (standing closed))"),
         ("no standing", "(account acme)"),
     ] {
-        files.accounts(0, 1, accounts);
+        files.write_accounts(0, 1, accounts);
         found += &check(name);
     }
-    files.accounts(0, 1, "");
+    files.write_accounts(0, 1, "");
     std::fs::write(folder.join("accounts.sexp"), "(accounts (number 2))").unwrap();
     found += &check("another code");
     std::fs::remove_file(folder.join("accounts.sexp.hmac")).unwrap();
     found += &check("no code");
-    files.accounts(0, 1, "");
+    files.write_accounts(0, 1, "");
     let key = folder.join("fleet.key");
     std::fs::set_permissions(&key, std::fs::Permissions::from_mode(0o644)).unwrap();
     found += &check("open key");
@@ -179,9 +180,9 @@
 
 #[rstest]
 fn figures_of_budgets() {
-    let files = Files::new("golden-figures");
+    let files = SiteFiles::new("golden-figures");
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let file = files.of(0).join("budgets.sexp");
+    let file = files.node_folder(0).join("budgets.sexp");
     let places = format!("(divider d0 \"{}\") (node n0 \"127.0.0.1:1\")", listener.local_addr().unwrap());
     std::fs::write(&file, format!("(budgets {places} (budget probes (whole 9) (reserve 1)))")).unwrap();
     let unsure = Status { leader: None, epoch: None, kept: vec![], ..status() };
@@ -212,7 +213,7 @@
     ] {
         let (first, rest) = messages.split_first().unwrap();
         let all = [&[PROGRAM, "budgets", first, "--budgets", file.to_str().unwrap()], rest].concat();
-        found += &format!("# {}\n{}", messages.join(" "), printed(&all, "{}", &files.of(0)));
+        found += &format!("# {}\n{}", messages.join(" "), printed(&all, "{}", &files.node_folder(0)));
     }
     serving.join().unwrap();
     matches("figures-budgets.txt", &found);
--- a/tests/golden/hot_restart.rs
+++ b/tests/golden/hot_restart.rs
@@ -17,7 +17,7 @@
 
 /// Where the serving process of an address is found.
 fn socket_path(address: SocketAddr) -> PathBuf {
-    meeting_place().join(format!("shorepath-{address}.sock"))
+    handover_directory().join(format!("shorepath-{address}.sock"))
 }
 
 fn operated(servers: &[SocketAddr], listen: SocketAddr) -> serde_json::Value {
@@ -42,8 +42,8 @@
 }
 
 /// A server that serves all that comes.
-fn serves(mut peer: Peer) {
-    while peer.goes_on() {
+fn serves(mut peer: Connection) {
+    while peer.receives_data() {
         let id = peer.id();
         peer.serve(&id, "1");
     }
@@ -58,21 +58,21 @@
 /// The serving process hands its socket to a next one, which the test plays, and tells it each id that it takes and frees.
 #[rstest]
 fn what_the_serving_process_says() {
-    let server = Party::new();
-    let node = Node::start(&operated(&[server.address], fresh()));
+    let server = TestServer::new();
+    let node = Node::start(&operated(&[server.address], unused_address()));
     let path = socket_path(node.address);
     let begin = Instant::now();
     let link = loop {
         match UnixStream::connect(&path) {
             Ok(link) => break link,
-            Err(e) => assert!(begin.elapsed() < LONG, "{e}"),
+            Err(e) => assert!(begin.elapsed() < TEST_TIMEOUT, "{e}"),
         }
     };
-    link.set_read_timeout(Some(LONG)).unwrap();
+    link.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let listener = TcpListener::from(receive(&link));
     assert_eq!(listener.local_addr().unwrap(), node.address);
     let mut lines = BufReader::new(link.try_clone().unwrap());
-    let mut client = node.ask("job 1", "/actuator-cmd");
+    let mut client = node.send_job("job 1", "/actuator-cmd");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "job 1");
     assert_eq!(line(&mut lines), "take job 1");
@@ -81,30 +81,30 @@
     assert_eq!(line(&mut lines), "free job 1");
     // An id that the next process has in use is not taken here, and is again once it is free there.
     std::thread::spawn(move || serves(backend));
-    server.attended(serves);
+    server.handle_connections(serves);
     for (sent, status) in [("take theirs\n", 409), ("free theirs\n", 200)] {
         (&link).write_all(sent.as_bytes()).unwrap();
         let begin = Instant::now();
-        while node.ask("theirs", "/zone-plan").message().status() != status {
-            assert!(begin.elapsed() < LONG, "{sent}");
+        while node.send_job("theirs", "/zone-plan").message().status() != status {
+            assert!(begin.elapsed() < TEST_TIMEOUT, "{sent}");
         }
     }
     (&link).write_all(b"serving\n").unwrap();
     let begin = Instant::now();
     while node.call("GET", "/ops/readiness") != 503 {
-        assert!(begin.elapsed() < LONG, "it goes on taking clients");
+        assert!(begin.elapsed() < TEST_TIMEOUT, "it goes on taking clients");
     }
     (&link).write_all(b"leaving\n").unwrap();
     let begin = Instant::now();
     while node.call("GET", "/ops/readiness") != 200 {
-        assert!(begin.elapsed() < LONG, "it takes no clients again");
+        assert!(begin.elapsed() < TEST_TIMEOUT, "it takes no clients again");
     }
 }
 
 /// The next process takes the socket of a serving one, which the test plays, and says when it serves and when it is told to stop.
 #[rstest]
 fn what_the_next_process_says() {
-    let server = Party::new();
+    let server = TestServer::new();
     let listening = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listening.local_addr().unwrap();
     let path = socket_path(address);
@@ -117,7 +117,7 @@
         let mut handing = SendAncillaryBuffer::new(&mut space);
         handing.push(SendAncillaryMessage::ScmRights(&descriptors));
         sendmsg(&link, &[IoSlice::new(b"L")], &mut handing, SendFlags::empty()).unwrap();
-        link.set_read_timeout(Some(LONG)).unwrap();
+        link.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         link
     });
     let node = Node::start(&config);
@@ -125,7 +125,7 @@
     let mut lines = BufReader::new(link.try_clone().unwrap());
     assert_eq!(line(&mut lines), "serving");
     assert_eq!(node.address, address);
-    let mut client = node.ask("job 2", "/zone-plan");
+    let mut client = node.send_job("job 2", "/zone-plan");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "job 2");
     assert_eq!(line(&mut lines), "take job 2");
--- a/tests/golden/site_datagrams.rs
+++ b/tests/golden/site_datagrams.rs
@@ -1,7 +1,7 @@
 //! Datagrams between nodes of sites as the real program sends and takes them; the test plays the other site's node.
 
 use crate::files::matches;
-use crate::support::site_files::{Files, KEY};
+use crate::support::site_files::{SiteFiles, KEY};
 use crate::support::*;
 use rstest::rstest;
 use serde_json::Value;
@@ -25,9 +25,9 @@
 }
 
 impl Other {
-    fn new(files: &Files) -> Other {
+    fn new(files: &SiteFiles) -> Other {
         let socket = UdpSocket::bind(files.address(1)).unwrap();
-        socket.set_read_timeout(Some(LONG)).unwrap();
+        socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let line = Channel::new(NodeId::of("n1").0, 1, "odense", Some(&Keys::read(KEY).unwrap()));
         Other { socket, line, to: files.address(0) }
     }
@@ -48,7 +48,7 @@
     fn answered<T>(&mut self, message: &[u8], kind: &str, found: impl Fn(&Value) -> Option<T>) -> T {
         let begin = Instant::now();
         loop {
-            assert!(begin.elapsed() < LONG, "no such {kind}");
+            assert!(begin.elapsed() < TEST_TIMEOUT, "no such {kind}");
             self.send(message);
             let Ok(message) = serde_json::from_slice::<Value>(&self.receive()) else { continue };
             if let Some(found) = message.get(kind).and_then(&found) {
@@ -70,8 +70,8 @@
     }
 }
 
-fn placed(node: &Node, server: &Party) {
-    let mut client = node.ask("k1", "/actuator-cmd");
+fn placed(node: &Node, server: &TestServer) {
+    let mut client = node.send_job("k1", "/actuator-cmd");
     let mut backend = server.accept();
     let id = backend.id();
     backend.serve(&id, "1");
@@ -87,14 +87,18 @@
 /// What a node says unasked, by kind: JSON in its form, binary by its first byte.
 #[rstest]
 fn what_a_node_says() {
-    let (files, server) = (Files::new("golden-says"), Party::new());
-    files.sites(0, 1, "(audit (one-in 1) (sum 100 ms)) (recover (outlive 1 s) (peers 1 s) (catch-up 1 s))");
+    let (files, server) = (SiteFiles::new("golden-says"), TestServer::new());
+    files.write_sites(
+        0,
+        1,
+        "(audit (one-in 1) (sum 100 ms)) (recover (outlive 1 s) (peers 1 s) (catch-up 1 s))",
+    );
     let mut other = Other::new(&files);
     let _node = files.start(0, &server);
     let mut forms: BTreeMap<String, String> = BTreeMap::new();
     let begin = Instant::now();
     while forms.len() < 5 {
-        assert!(begin.elapsed() < LONG, "only {forms:?}");
+        assert!(begin.elapsed() < TEST_TIMEOUT, "only {forms:?}");
         let body = other.receive();
         let (kind, form) = match serde_json::from_slice::<Value>(&body) {
             Ok(message) => {
@@ -114,9 +118,9 @@
 /// What an earlier version said is taken, and answered in its form.
 #[rstest]
 fn what_a_node_takes() {
-    let (files, server) = (Files::new("golden-takes"), Party::new());
-    files.sites(0, 1, "(audit (one-in 1) (sum 100 ms))");
-    files.accounts(0, 3, "(account bravo (standing closing) (reason \"unpaid\"))");
+    let (files, server) = (SiteFiles::new("golden-takes"), TestServer::new());
+    files.write_sites(0, 1, "(audit (one-in 1) (sum 100 ms))");
+    files.write_accounts(0, 3, "(account bravo (standing closing) (reason \"unpaid\"))");
     let mut other = Other::new(&files);
     let node = files.start(0, &server);
     // A digest of nothing brings what is known.
@@ -159,7 +163,7 @@
     placed(&node, &server);
     let begin = Instant::now();
     loop {
-        assert!(begin.elapsed() < LONG, "no piece of a log");
+        assert!(begin.elapsed() < TEST_TIMEOUT, "no piece of a log");
         other.send(&nothing);
         let body = other.receive();
         if body[0] == b'p' && body[3] == 1 {
@@ -176,15 +180,15 @@
     let begin = Instant::now();
     let wanted = format!("node n1 content={content} last=1 ");
     while !operators(&node, "/ops/audit").contains(&wanted) {
-        assert!(begin.elapsed() < LONG, "{}", operators(&node, "/ops/audit"));
+        assert!(begin.elapsed() < TEST_TIMEOUT, "{}", operators(&node, "/ops/audit"));
     }
 }
 
 /// A node on its way back is asked who remembers it, and answers.
 #[rstest]
 fn what_a_returning_node_takes() {
-    let (files, server) = (Files::new("golden-returns"), Party::new());
-    files.sites(0, 1, "(recover (outlive 1 s) (peers 1 s) (catch-up 1 s))");
+    let (files, server) = (SiteFiles::new("golden-returns"), TestServer::new());
+    files.write_sites(0, 1, "(recover (outlive 1 s) (peers 1 s) (catch-up 1 s))");
     let mut other = Other::new(&files);
     let node = files.start(0, &server);
     let ask = r#"{"recovery":{"ask":{"me":{"disk":8,"boots":2,"life":5},"claims":true}}}"#;
@@ -203,6 +207,6 @@
     other.send(message.as_bytes());
     let begin = Instant::now();
     while !operators(&node, "/ops/recovery").contains("peer n1 Counts") {
-        assert!(begin.elapsed() < LONG, "{}", operators(&node, "/ops/recovery"));
+        assert!(begin.elapsed() < TEST_TIMEOUT, "{}", operators(&node, "/ops/recovery"));
     }
 }
--- a/tests/golden/state_folder.rs
+++ b/tests/golden/state_folder.rs
@@ -4,8 +4,8 @@
 //! and audit in use. They are recorded by the first test below.
 
 use crate::files::{masked, matches, path, records};
-use crate::support::allocator::divide;
-use crate::support::site_files::Files;
+use crate::support::quota_server::run_quota_server;
+use crate::support::site_files::SiteFiles;
 use crate::support::*;
 use flate2::read::GzDecoder;
 use flate2::write::GzEncoder;
@@ -35,21 +35,21 @@
 }
 
 impl KeyOwnership {
-    fn new(files: &Files) -> KeyOwnership {
+    fn new(files: &SiteFiles) -> KeyOwnership {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         let own = socket.local_addr().unwrap();
         let mut text = format!("(budgets (version 1) (term 1 s) (divider d0 \"{own}\")");
         for (k, home) in ["west/n0", "east/n1"].iter().enumerate() {
-            text += &format!(" (node n{k} \"{}\")", fresh());
+            text += &format!(" (node n{k} \"{}\")", unused_address());
             text += &format!(" (budget home:{home} (per moment) (whole 1) (longest 500 ms))");
         }
         text += ")";
-        let file = files.of(0).join("budgets.sexp");
+        let file = files.node_folder(0).join("budgets.sexp");
         std::fs::write(&file, &text).unwrap();
         let plan = shorepath_quota::config::read("b", &text).unwrap();
         let over = Arc::new(AtomicBool::new(false));
         let flags = (Arc::new(AtomicBool::new(false)), over.clone());
-        std::thread::spawn(move || divide(&socket, Allocator::new("d0", plan, 7), &flags));
+        std::thread::spawn(move || run_quota_server(&socket, Allocator::new("d0", plan, 7), &flags));
         KeyOwnership { file, over }
     }
 }
@@ -73,13 +73,13 @@
         if notified.contains(text) {
             return;
         }
-        assert!(begin.elapsed() < 2 * LONG, "no {text} in:\n{notified}");
+        assert!(begin.elapsed() < 2 * TEST_TIMEOUT, "no {text} in:\n{notified}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 /// Ask for a guarded job under a key.
-fn guarded(node: &Node, id: &str, key: &str) -> Peer {
+fn guarded(node: &Node, id: &str, key: &str) -> Connection {
     let mut client = node.client();
     let text = job(id, "/actuator-cmd", "5000m", "");
     client.send(&text.replace("Tenant:", &format!("Idempotency-Key: {key}\r\nTenant:")));
@@ -87,8 +87,8 @@
 }
 
 /// Serve what comes to a backend server: keys that begin with `lost` are begun and never finished.
-fn serves(mut peer: Peer) {
-    while peer.goes_on() {
+fn serves(mut peer: Connection) {
+    while peer.receives_data() {
         let request = peer.message();
         let key = request.field("Idempotency-Key").unwrap_or("none").to_string();
         if key.starts_with("lost") {
@@ -99,12 +99,12 @@
     }
 }
 
-fn start(files: &Files, ownership: &KeyOwnership, version: u32) -> [Node; 2] {
-    let server = Party::new();
+fn start(files: &SiteFiles, ownership: &KeyOwnership, version: u32) -> [Node; 2] {
+    let server = TestServer::new();
     let address = server.address;
-    server.attended(serves);
+    server.handle_connections(serves);
     let node = |k: usize| {
-        files.sites(k, version, CLAUSES);
+        files.write_sites(k, version, CLAUSES);
         files.start_with(k, config(&[address]), &["--budgets", ownership.file.to_str().unwrap()])
     };
     [node(0), node(1)]
@@ -122,8 +122,8 @@
 }
 
 /// Four keys whose home is the first node: two that are served, and two of which nobody knows whether they ran.
-fn keys(files: &Files) -> Vec<String> {
-    let text = std::fs::read_to_string(files.of(0).join("sites.sexp")).unwrap();
+fn keys(files: &SiteFiles) -> Vec<String> {
+    let text = std::fs::read_to_string(files.node_folder(0).join("sites.sexp")).unwrap();
     let plan = shorepath_sites::config::read("t", &text).unwrap();
     let ownership = shorepath_sites::key_ownership::KeyOwnership::new(
         0,
@@ -164,10 +164,10 @@
 
 /// Have two nodes do all that is kept on disks, and pack their folders.
 fn record() {
-    let mut files = Files::new("golden-recording");
-    files.times = "(confirm 1 s) (alone 1 s) (hold 1 s)";
+    let mut files = SiteFiles::new("golden-recording");
+    files.timeouts = "(confirm 1 s) (alone 1 s) (hold 1 s)";
     let ownership = KeyOwnership::new(&files);
-    files.accounts(
+    files.write_accounts(
         0,
         3,
         "(account bravo (standing closing) (reason \"unpaid\")) (account cato (standing warned))",
@@ -179,10 +179,10 @@
     for key in keys(&files) {
         let begin = Instant::now();
         while guarded(&nodes[0], &format!("id-{key}"), &key).message().status() == 503 {
-            assert!(begin.elapsed() < LONG, "{key}");
+            assert!(begin.elapsed() < TEST_TIMEOUT, "{key}");
         }
     }
-    assert_eq!(nodes[0].ask("free", "/zone-plan").message().status(), 200);
+    assert_eq!(nodes[0].send_job("free", "/zone-plan").message().status(), 200);
     // Alone: what is begun now is begun on credit.
     let [first, second] = &mut nodes;
     until(second, "/ops/sites", "account bravo Closing");
@@ -190,13 +190,13 @@
     second.terminate();
     assert!(second.exit().success());
     first.logs("standing can't be confirmed");
-    let credited = first.ask("credited", "/zone-plan").message();
+    let credited = first.send_job("credited", "/zone-plan").message();
     assert_eq!(credited.status(), 200);
     std::thread::sleep(Duration::from_secs(3));
     first.terminate();
     assert!(first.exit().success());
     for k in 0..2 {
-        pack(&files.of(k).join("state/kept.redb"), &path(&format!("node-{k}.redb.gz")));
+        pack(&files.node_folder(k).join("state/kept.redb"), &path(&format!("node-{k}.redb.gz")));
     }
 }
 
@@ -206,13 +206,13 @@
     if records() {
         record();
     }
-    let mut files = Files::new("golden-state");
-    files.times = "(confirm 1 s) (alone 1 s) (hold 1 s)";
+    let mut files = SiteFiles::new("golden-state");
+    files.timeouts = "(confirm 1 s) (alone 1 s) (hold 1 s)";
     let ownership = KeyOwnership::new(&files);
     let mut found = String::new();
     for k in 0..2 {
-        unpack(&path(&format!("node-{k}.redb.gz")), &files.of(k).join("state/kept.redb"));
-        found += &format!("# n{k} kept\n{}", kept(&files.of(k).join("state")));
+        unpack(&path(&format!("node-{k}.redb.gz")), &files.node_folder(k).join("state/kept.redb"));
+        found += &format!("# n{k} kept\n{}", kept(&files.node_folder(k).join("state")));
     }
     // The authority's newest file is on the disk, not in the folder of files.
     let nodes = start(&files, &ownership, 9);
--- a/tests/node/audit.rs
+++ b/tests/node/audit.rs
@@ -1,6 +1,6 @@
 //! What a node writes down of its versions and decisions: the real program, killed, and its disk read.
 
-use crate::sites::{refusal, Files, KEY};
+use crate::sites::{refusal, SiteFiles, KEY};
 use crate::support::*;
 use rstest::rstest;
 use serde_json::Value;
@@ -12,15 +12,15 @@
 use std::collections::BTreeMap;
 
 /// All of a node's record as it lies on its disk, by number; and its journal's name.
-fn record(files: &Files, node: usize) -> (String, Vec<(u64, Vec<u8>)>) {
-    let store = Store::open(&files.of(node).join("state"), 1 << 20).unwrap();
+fn record(files: &SiteFiles, node: usize) -> (String, Vec<(u64, Vec<u8>)>) {
+    let store = Store::open(&files.node_folder(node).join("state"), 1 << 20).unwrap();
     let kept: Value = store.fact("audit/record").unwrap().expect("a record");
     let name = format!("audit {:016x}", kept["life"].as_u64().unwrap());
     let all = store.journal(&name, 0, 1 << 24).unwrap();
     (name, all)
 }
 
-fn entries(files: &Files, node: usize) -> Vec<Entry> {
+fn entries(files: &SiteFiles, node: usize) -> Vec<Entry> {
     let (_, all) = record(files, node);
     all.iter().map(|(n, kept)| decode(*n, &kept[32..]).unwrap().entry).collect()
 }
@@ -56,28 +56,28 @@
 /// disk, the decisions under the vector that was in force. Started anew, its record goes on.
 #[rstest]
 fn what_steered_a_node_and_what_it_decided_under_that_is_on_its_disk_after_a_kill() {
-    let (files, server) = (Files::new("audit"), Party::new());
-    files.sites(0, 1, AUDIT);
+    let (files, server) = (SiteFiles::new("audit"), TestServer::new());
+    files.write_sites(0, 1, AUDIT);
     let mut node = files.start(0, &server);
-    let mut client = node.ask("r1", "/zone-plan");
+    let mut client = node.send_job("r1", "/zone-plan");
     let mut backend = server.accept();
     backend.message();
     backend.serve("r1", "1");
     client.message();
-    files.sites(0, 2, AUDIT);
-    node.hang_up();
+    files.write_sites(0, 2, AUDIT);
+    node.reload();
     until(&node, |text| text.lines().any(|l| l.starts_with("sites 2/")));
-    let mut client = node.ask("r2", "/zone-plan");
+    let mut client = node.send_job("r2", "/zone-plan");
     backend.message();
     backend.serve("r2", "2");
     client.message();
-    files.accounts(0, 7, "(account acme (standing closed))");
-    node.hang_up();
+    files.write_accounts(0, 7, "(account acme (standing closed))");
+    node.reload();
     node.logs("account acme Closed number=7");
-    assert_eq!(refusal(&node.ask("r3", "/zone-plan").message()), (403, Some("account closed")));
+    assert_eq!(refusal(&node.send_job("r3", "/zone-plan").message()), (403, Some("account closed")));
     // What was counted is written down before the next change is.
-    files.sites(0, 3, AUDIT);
-    node.hang_up();
+    files.write_sites(0, 3, AUDIT);
+    node.reload();
     until(&node, |text| text.contains("\nsites 3/") && is_on_disk(text, 1));
     node.signal(Signal::KILL);
     node.exit();
@@ -138,8 +138,8 @@
 /// An entry of the record is changed on the disk, with a checksum that fits. The node names it as it starts, and begins another record.
 #[rstest]
 fn an_entry_that_was_changed_on_the_disk_is_named_at_the_next_start() {
-    let (files, server) = (Files::new("tampered"), Party::new());
-    files.sites(0, 1, AUDIT);
+    let (files, server) = (SiteFiles::new("tampered"), TestServer::new());
+    files.write_sites(0, 1, AUDIT);
     let mut node = files.start(0, &server);
     until(&node, |text| is_on_disk(text, 2));
     node.signal(Signal::KILL);
@@ -149,7 +149,7 @@
     let end = kept.len() - 1;
     kept[end] ^= 1;
     {
-        let store = Store::open(&files.of(0).join("state"), 1 << 20).unwrap();
+        let store = Store::open(&files.node_folder(0).join("state"), 1 << 20).unwrap();
         store.commit(&[Op::Append(name.clone(), number, kept)]).unwrap();
     }
     let node = files.start(0, &server);
@@ -162,8 +162,8 @@
 /// has told: it learns that from the other, and begins another record; the other has named it.
 #[rstest]
 fn nodes_know_where_others_stand_and_that_a_record_went_back() {
-    let (files, servers) = (Files::new("audits"), [Party::new(), Party::new()]);
-    (0..2).for_each(|k| files.sites(k, 1, AUDIT));
+    let (files, servers) = (SiteFiles::new("audits"), [TestServer::new(), TestServer::new()]);
+    (0..2).for_each(|k| files.write_sites(k, 1, AUDIT));
     let mut nodes = [0, 1].map(|k| files.start(k, &servers[k]));
     let of = |text: &str, node: &str, version: &str| {
         text.lines()
@@ -173,15 +173,15 @@
     until(&nodes[0], |text| of(text, "n1", "1"));
     nodes[0].signal(Signal::KILL);
     nodes[0].exit();
-    let (state, copy) = (files.of(0).join("state"), files.of(0).join("copy"));
+    let (state, copy) = (files.node_folder(0).join("state"), files.node_folder(0).join("copy"));
     std::fs::create_dir(&copy).unwrap();
     for file in std::fs::read_dir(&state).unwrap() {
         let file = file.unwrap();
         std::fs::copy(file.path(), copy.join(file.file_name())).unwrap();
     }
     nodes[0] = files.start(0, &servers[0]);
-    (0..2).for_each(|k| files.sites(k, 2, AUDIT));
-    nodes.iter().for_each(|n| n.hang_up());
+    (0..2).for_each(|k| files.write_sites(k, 2, AUDIT));
+    nodes.iter().for_each(|n| n.reload());
     let notified = until(&nodes[0], |text| of(text, "n0", "2") && is_on_disk(text, 1));
     let last = notified
         .lines()
@@ -204,11 +204,11 @@
 /// Without the clause in its file a node has no record and no such door.
 #[rstest]
 fn without_the_clause_nothing_is_written_down() {
-    let (files, server) = (Files::new("unaudited"), Party::new());
+    let (files, server) = (SiteFiles::new("unaudited"), TestServer::new());
     let mut node = files.start(0, &server);
     assert_eq!(node.call("GET", "/ops/audit"), 404);
     node.signal(Signal::KILL);
     node.exit();
-    let store = Store::open(&files.of(0).join("state"), 1 << 20).unwrap();
+    let store = Store::open(&files.node_folder(0).join("state"), 1 << 20).unwrap();
     assert_eq!(store.fact::<Value>("audit/record").unwrap(), None);
 }
--- a/tests/node/deployments.rs
+++ b/tests/node/deployments.rs
@@ -36,7 +36,7 @@
 }
 
 /// A job goes to that server, and its result comes back.
-fn serves(node: &Node, server: &Party) {
+fn serves(node: &Node, server: &TestServer) {
     let mut client = node.client();
     client.send(&asked("a"));
     let mut backend = server.accept();
@@ -55,7 +55,7 @@
 /// comes after the end of the answer, and the next job is served.
 #[rstest]
 fn news_of_an_attempt_that_ended_harms_no_other(#[values(large(), small())] settings: Value) {
-    let server = Party::new();
+    let server = TestServer::new();
     let node = Node::start(&configured(settings, &[server.address]));
     let mut client = node.client();
     client.send(&asked("a"));
@@ -76,7 +76,7 @@
 /// A zone and a kind that the settings do not name are a zone and a kind like others.
 #[rstest]
 fn a_list_may_name_what_the_settings_do_not(#[values(large(), small())] settings: Value) {
-    let (server, discovery) = (Party::new(), Party::new());
+    let (server, discovery) = (TestServer::new(), TestServer::new());
     let mut config = configured(settings, &[]);
     config["discovery"] = json!(discovery.address.to_string());
     let node = Node::start(&config);
@@ -93,7 +93,7 @@
 /// A watch that is cut half-way through a line leaves the list in force; the next one brings the rest.
 #[rstest]
 fn a_watch_cut_half_way_changes_nothing(#[values(large(), small())] settings: Value) {
-    let (server, discovery) = (Party::new(), Party::new());
+    let (server, discovery) = (TestServer::new(), TestServer::new());
     let mut config = configured(settings, &[server.address]);
     config["discovery"] = json!(discovery.address.to_string());
     let node = Node::start(&config);
@@ -117,7 +117,7 @@
     #[values(true, false)] allowed: bool,
 ) {
     settings["allowed"]["retry_after"] = json!(allowed);
-    let node = Node::start(&configured(settings, &[closed()]));
+    let node = Node::start(&configured(settings, &[refusing_address()]));
     let mut client = node.client();
     client.send(&asked("a").replace("5000m", "400m"));
     let answer = client.message();
@@ -129,7 +129,7 @@
 #[case::same_zone("a", true)]
 #[case::another_zone("b", false)]
 fn a_keyed_job_that_may_have_run_stays_in_its_zone(#[case] zone: &str, #[case] again: bool) {
-    let servers = [Party::new(), Party::new()];
+    let servers = [TestServer::new(), TestServer::new()];
     let mut config = configured(small(), &[servers[0].address, servers[1].address]);
     config["known"]["members"][1]["locality"] = json!(zone);
     let node = Node::start(&config);
@@ -151,25 +151,25 @@
         // It has its answer, from the one that saw it first or without service.
         let pause = Duration::from_millis(10);
         let begun = Instant::now();
-        while client.hears_nothing(pause) && begun.elapsed() < LONG {
-            if let Some(mut backend) = servers[first].came() {
+        while client.is_silent_for(pause) && begun.elapsed() < TEST_TIMEOUT {
+            if let Some(mut backend) = servers[first].try_accept() {
                 backend.message();
                 backend.serve("a", "1");
             }
         }
         assert!([200, 502].contains(&client.message().status()));
-        assert!(servers[1 - first].is_left_alone());
+        assert!(servers[1 - first].has_no_connection());
     }
 }
 
 /// The first of these to whom a connection comes.
-fn whoever_came(servers: &[Party]) -> (usize, Peer) {
+fn whoever_came(servers: &[TestServer]) -> (usize, Connection) {
     let begun = Instant::now();
     loop {
-        if let Some(found) = servers.iter().enumerate().find_map(|(k, s)| Some((k, s.came()?))) {
+        if let Some(found) = servers.iter().enumerate().find_map(|(k, s)| Some((k, s.try_accept()?))) {
             return found;
         }
-        assert!(begun.elapsed() < LONG, "nobody came");
+        assert!(begun.elapsed() < TEST_TIMEOUT, "nobody came");
         std::thread::yield_now();
     }
 }
--- a/tests/node/lists.rs
+++ b/tests/node/discovery_streams.rs
@@ -4,7 +4,7 @@
 use serde_json::{json, Value};
 
 /// A change that takes the server out of use, on lines of its own.
-fn leaving(server: &Party, revision: u64) -> String {
+fn leaving(server: &TestServer, revision: u64) -> String {
     let change = json!({"revision": revision, "complete": false, "members": [entry("s-0", server.address, "leaving")]});
     format!("{change:#}")
 }
@@ -22,9 +22,9 @@
 #[case::some_bytes(13, "\n\n")]
 #[case::whole(10_000, "")]
 fn an_indented_change_is_in_force_without_a_further_call(#[case] size: usize, #[case] end: &str) {
-    let (server, discovery) = (Party::new(), Party::new());
-    let node = Node::start(&following(&[server.address], &discovery));
-    let (mut watch, _) = watch(&discovery);
+    let (server, discovery) = (TestServer::new(), TestServer::new());
+    let node = Node::start(&config_with_discovery(&[server.address], &discovery));
+    let (mut watch, _) = accept_watch(&discovery);
     for revision in 42..45 {
         watch.line("");
         let chunks = chunks(&(leaving(&server, revision) + end), size);
@@ -36,22 +36,22 @@
         // Well under a heartbeat, and loose enough for a busy machine; an ignored test measures the time itself.
         assert!(sent.elapsed() < Duration::from_secs(1), "{:?}", sent.elapsed());
     }
-    assert!(discovery.is_left_alone());
+    assert!(discovery.has_no_connection());
 }
 
 /// A change that is broken is told with its byte, the whole list is asked for, and that may be indented too.
 #[rstest]
 fn a_broken_change_is_followed_by_the_whole_list() {
-    let (server, discovery) = (Party::new(), Party::new());
-    let node = Node::start(&following(&[server.address], &discovery));
-    let (mut watch, _) = watch(&discovery);
+    let (server, discovery) = (TestServer::new(), TestServer::new());
+    let node = Node::start(&config_with_discovery(&[server.address], &discovery));
+    let (mut watch, _) = accept_watch(&discovery);
     watch.line("");
     watch.line("{\n \"revision\": ?");
     node.logs("makes no sense at byte 17: expected value");
     let mut peer = discovery.accept();
     assert_eq!(peer.message().first, "GET /catalog/members HTTP/1.1");
     let list: Value =
-        serde_json::from_str(&listing(50, true, &[entry("s-0", server.address, "active")])).unwrap();
+        serde_json::from_str(&server_list(50, true, &[entry("s-0", server.address, "active")])).unwrap();
     peer.begin();
     chunks(&format!("{list:#}"), 1).iter().for_each(|c| peer.send(c));
     node.logs("server table 50: 1 entries, whole=true");
@@ -60,8 +60,8 @@
 }
 
 /// A node among 300 that ask for their lists, and one to whose agent they are pushed.
-fn one_of(replicas: u32, asked: bool, server: &Party, discovery: &Party, seed: u64) -> Node {
-    let mut config = following(&[server.address], discovery);
+fn one_of(replicas: u32, asked: bool, server: &TestServer, discovery: &TestServer, seed: u64) -> Node {
+    let mut config = config_with_discovery(&[server.address], discovery);
     config["seed"] = json!(format!("{seed:x}"));
     config["settings"]["replicas_of_me"] = json!(replicas);
     config["settings"]["discovery"] = json!(if asked { "on_request" } else { "pushed" });
@@ -83,7 +83,7 @@
 }
 
 impl Call {
-    fn play(self, discovery: &Party) {
+    fn play(self, discovery: &TestServer) {
         let times =
             if let Call::Busy(times) = self { times } else { u32::from(!matches!(self, Call::Answered)) };
         for _ in 0..times {
@@ -96,21 +96,21 @@
             }
             if let Call::Half = self {
                 chunks("{\n \"revision\":", 1).iter().for_each(|c| peer.send(c));
-                peer.trickle_until_over("1\r\n \r\n");
+                peer.trickle_until_closed("1\r\n \r\n");
             } else {
-                peer.ended();
+                peer.is_closed();
             }
         }
     }
 }
 
 /// How long after an open watch has fallen silent a change is in force, after a call of that kind.
-fn silence(node: &Node, server: &Party, discovery: &Party, call: Call) -> Duration {
-    let (mut first, _) = watch(discovery);
-    first.line(&listing(41, true, &[entry("s-0", server.address, "active")]));
+fn silence(node: &Node, server: &TestServer, discovery: &TestServer, call: Call) -> Duration {
+    let (mut first, _) = accept_watch(discovery);
+    first.line(&server_list(41, true, &[entry("s-0", server.address, "active")]));
     let silent = Instant::now();
     call.play(discovery);
-    let (mut second, request) = watch(discovery);
+    let (mut second, request) = accept_watch(discovery);
     assert!(request.contains("watch=1&from=41"), "{request}");
     second.line(&leaving(server, 42));
     node.logs("server table 42");
@@ -124,11 +124,11 @@
     #[values((4, true), (300, true), (300, false))] (replicas, asked): (u32, bool),
     #[values(Call::Answered, Call::Busy(2), Call::Mute, Call::Head, Call::Half)] call: Call,
 ) {
-    let (server, discovery) = (Party::new(), Party::new());
+    let (server, discovery) = (TestServer::new(), TestServer::new());
     let node = one_of(replicas, asked, &server, &discovery, 1);
     let took = silence(&node, &server, &discovery, call);
     assert!(took < Duration::from_secs(6), "{took:?}");
-    assert!(discovery.is_left_alone());
+    assert!(discovery.has_no_connection());
 }
 
 /// A whole list that never comes, or stops half-way, is asked for again by the same clock.
@@ -136,15 +136,15 @@
 #[case::nothing("")]
 #[case::half("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\n \"revision\": 42,")]
 fn a_silent_poll_is_made_again_by_the_clock(#[case] begins: &str) {
-    let (server, discovery) = (Party::new(), Party::new());
+    let (server, discovery) = (TestServer::new(), TestServer::new());
     let node = one_of(300, true, &server, &discovery, 7);
-    let (mut first, _) = watch(&discovery);
+    let (mut first, _) = accept_watch(&discovery);
     first.line("nonsense");
     let mut poll = discovery.accept();
     let asked = Instant::now();
     poll.message();
     poll.send(begins);
-    whole_list(&discovery, &listing(42, true, &[entry("s-0", server.address, "leaving")]));
+    serve_complete_list(&discovery, &server_list(42, true, &[entry("s-0", server.address, "leaving")]));
     node.logs("server table 42");
     assert!(asked.elapsed() < Duration::from_secs(6), "{:?}", asked.elapsed());
 }
@@ -152,17 +152,17 @@
 /// Nor does a connection that never comes up put it off.
 #[rstest]
 fn a_connection_that_never_comes_up_keeps_to_the_clock() {
-    let server = Party::new();
+    let server = TestServer::new();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut config = config(&[server.address]);
     config["discovery"] = json!(listener.local_addr().unwrap().to_string());
     (config["settings"]["replicas_of_me"], config["settings"]["discovery"]) =
         (json!(300), json!("on_request"));
     let node = Node::start(&config);
-    let mut first = Peer::new(listener.accept().unwrap().0);
+    let mut first = Connection::new(listener.accept().unwrap().0);
     first.message();
     first.begin();
-    first.line(&listing(41, true, &[entry("s-0", server.address, "active")]));
+    first.line(&server_list(41, true, &[entry("s-0", server.address, "active")]));
     let silent = Instant::now();
     let address = listener.local_addr().unwrap();
     let more = || std::net::TcpStream::connect_timeout(&address, Duration::from_millis(200)).ok();
@@ -173,9 +173,10 @@
     let (sender, asks) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         let came = std::iter::from_fn(|| listener.accept().ok()).filter(|(_, from)| !ours.contains(from));
-        came.map(|(s, _)| Peer::new(s)).find_map(|mut p| (!p.ended_early()).then(|| sender.send(p)))
+        came.map(|(s, _)| Connection::new(s))
+            .find_map(|mut p| (!p.ends_without_data()).then(|| sender.send(p)))
     });
-    let mut peer = asks.recv_timeout(LONG).expect("nobody asks");
+    let mut peer = asks.recv_timeout(TEST_TIMEOUT).expect("nobody asks");
     peer.message();
     peer.begin();
     peer.line(&leaving(&server, 42));
@@ -188,7 +189,7 @@
 #[ignore = "prints figures"]
 fn measure_silence_and_indented_changes() {
     let play = |replicas: u32, asked: bool, seed: u64| {
-        let (server, discovery) = (Party::new(), Party::new());
+        let (server, discovery) = (TestServer::new(), TestServer::new());
         let node = one_of(replicas, asked, &server, &discovery, seed);
         let took = silence(&node, &server, &discovery, Call::Answered);
         println!("{replicas} replicas, asked {asked}, seed {seed}: in force after {took:?}");
@@ -200,9 +201,9 @@
             }
         }
     });
-    let (server, discovery) = (Party::new(), Party::new());
+    let (server, discovery) = (TestServer::new(), TestServer::new());
     let node = one_of(300, true, &server, &discovery, 1);
-    let (mut watch, _) = watch(&discovery);
+    let (mut watch, _) = accept_watch(&discovery);
     for revision in 42..48 {
         let chunks = chunks(&leaving(&server, revision), 1);
         chunks.iter().for_each(|c| watch.send(c));
@@ -211,7 +212,7 @@
         println!(
             "indented change in force after {:?}, calls: {}",
             sent.elapsed(),
-            u32::from(!discovery.is_left_alone())
+            u32::from(!discovery.has_no_connection())
         );
     }
 }
--- a/tests/node/fleet.rs
+++ b/tests/node/fleet.rs
@@ -31,8 +31,8 @@
 impl Allocator {
     fn new(name: &str) -> Allocator {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-        socket.set_read_timeout(Some(LONG)).unwrap();
-        let own = fresh();
+        socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        let own = unused_address();
         let file =
             PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{name}.sexp", std::process::id()));
         let line = RefCell::new(Channel::new(NodeId::of("d0").0, 1, "tidal", None));
@@ -52,14 +52,14 @@
 
     fn start(&self, config: &serde_json::Value) -> Node {
         let file = self.file.to_str().unwrap();
-        Node::start_as(&[PROGRAM, "serve", "-v", "--budgets", file], config)
+        Node::start_command(&[PROGRAM, "serve", "-v", "--budgets", file], config)
     }
 
     /// The next word of a kind, and who said it.
     fn hears<T>(&self, read: impl Fn(Message) -> Option<T>) -> (T, SocketAddr) {
         let begin = Instant::now();
         let mut buffer = [0; 4_000];
-        while begin.elapsed() < LONG {
+        while begin.elapsed() < TEST_TIMEOUT {
             let (n, from) = self.socket.recv_from(&mut buffer).unwrap();
             // The membership speaks, too.
             let mut line = self.line.borrow_mut();
@@ -112,20 +112,21 @@
 }
 
 /// How many of so many jobs, handed in at once, are served; the others are denied.
-fn served(node: &Node, server: &mut Party, name: &str, count: usize) -> usize {
+fn served(node: &Node, server: &mut TestServer, name: &str, count: usize) -> usize {
     let done = AtomicBool::new(false);
     let over = &done;
     std::thread::scope(|scope| {
         let server = &mut *server;
         scope.spawn(move || {
             while !over.load(Ordering::Relaxed) {
-                if let Some(mut backend) = server.came() {
+                if let Some(mut backend) = server.try_accept() {
                     let id = backend.id();
                     backend.serve(&id, "1");
                 }
             }
         });
-        let clients: Vec<Peer> = (0..count).map(|k| node.ask(&format!("{name}{k}"), "/zone-plan")).collect();
+        let clients: Vec<Connection> =
+            (0..count).map(|k| node.send_job(&format!("{name}{k}"), "/zone-plan")).collect();
         let statuses: Vec<u16> = clients.into_iter().map(|mut c| c.message().status()).collect();
         done.store(true, Ordering::Relaxed);
         assert!(statuses.iter().all(|s| *s == 200 || *s == 503), "{statuses:?}");
@@ -136,7 +137,7 @@
 /// It serves by its grant, falls back to its reserve once that is over, and hands back what it has as it leaves.
 #[rstest]
 fn a_node_keeps_to_its_grant_and_hands_it_back() {
-    let (mut allocator, mut server) = (Allocator::new("keeps"), Party::new());
+    let (mut allocator, mut server) = (Allocator::new("keeps"), TestServer::new());
     let mut node = allocator.start(&config(&[server.address]));
     let life = allocator.grant(40);
     assert_eq!(life.node, NodeId::of("n0"));
@@ -176,7 +177,7 @@
 #[rstest]
 fn only_words_under_the_key_are_heard() {
     const QUOTA: &str = "(budget quota:acme (whole 50) (reserve 2))";
-    let (mut allocator, server) = (Allocator::new("keyed"), Party::new());
+    let (mut allocator, server) = (Allocator::new("keyed"), TestServer::new());
     let name = allocator.file.with_extension("key");
     allocator.key = format!("(fleet tidal) (key \"{}\")", name.file_name().unwrap().to_str().unwrap());
     allocator.write(1, QUOTA);
@@ -223,7 +224,7 @@
     allocator.grant(38);
     in_force(&allocator, 3);
     write_keys(&allocator, &["5c", "4b"], 0o600);
-    node.hang_up();
+    node.reload();
     let lines = node.logs_until("read again: version 1");
     for why in ["a word without a code", "a word under another key", "a word that was heard before"] {
         let notified: Vec<&String> = lines.iter().filter(|l| l.contains(why)).collect();
@@ -239,7 +240,7 @@
     in_force(&allocator, 4);
     allocator.line.replace(coded(3, "4b"));
     write_keys(&allocator, &["4b"], 0o640);
-    node.hang_up();
+    node.reload();
     assert!(node.logs("the old file of budgets stays").contains("0640"));
     node.terminate();
     assert!(node.exit().success());
@@ -248,17 +249,17 @@
 /// Another file is in force after SIGHUP; one that can't be used changes nothing.
 #[rstest]
 fn a_file_is_read_again_and_a_bad_one_is_not() {
-    let (mut allocator, server) = (Allocator::new("again"), Party::new());
+    let (mut allocator, server) = (Allocator::new("again"), TestServer::new());
     let node = allocator.start(&config(&[server.address]));
     allocator.grant(40);
     node.logs("all are granted");
     allocator.write(2, "(budget quota:acme (whole 3) (reserve 9))");
-    node.hang_up();
+    node.reload();
     assert!(node.logs("the old file of budgets stays").contains(":1:"));
     allocator.grant(40);
     assert_eq!(allocator.asked().1, 1);
     allocator.write(2, "(budget quota:acme (whole 30) (reserve 1))");
-    node.hang_up();
+    node.reload();
     node.logs("version 2");
     let ((), _) = allocator.hears(|w| matches!(w, Message::Ask { plan: 2, .. }).then_some(()));
 }
@@ -267,17 +268,17 @@
 /// old one has let go of it.
 #[rstest]
 fn a_process_that_takes_over_is_another_life() {
-    let (mut allocator, server) = (Allocator::new("next"), Party::new());
+    let (mut allocator, server) = (Allocator::new("next"), TestServer::new());
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
     let mut old = allocator.start(&config);
     old.logs("this process is n0");
     let first = allocator.grant(20);
     config["listen"] = json!(old.address.to_string());
-    let path = meeting_place().join(format!("shorepath-{}.sock", old.address));
+    let path = handover_directory().join(format!("shorepath-{}.sock", old.address));
     let begin = Instant::now();
     while !path.exists() {
-        assert!(begin.elapsed() < LONG);
+        assert!(begin.elapsed() < TEST_TIMEOUT);
     }
     let new = allocator.start(&config);
     let mut lives = vec![first];
@@ -396,9 +397,9 @@
 /// unit called after nine seconds. Guards against one that waits for the turn of those that want nothing.
 #[rstest]
 fn a_call_to_discovery_is_wanted_for_as_long_as_it_waits() {
-    let (mut allocator, server, discovery) = (Allocator::new("lists"), Party::new(), Party::new());
+    let (mut allocator, server, discovery) = (Allocator::new("lists"), TestServer::new(), TestServer::new());
     allocator.write(1, "(budget lists (whole 2))");
-    let node = allocator.start(&crate::following(&[server.address], &discovery));
+    let node = allocator.start(&crate::config_with_discovery(&[server.address], &discovery));
     allocator.hears(|w| matches!(w, Message::Ask { claims, .. } if claims[0].demand > 0).then_some(()));
     for k in 0..10 {
         assert!(allocator.asked().2.demand > 0, "asking {k} after the first one wants nothing");
--- a/tests/node/gone.rs
+++ b/tests/node/gone.rs
@@ -2,7 +2,7 @@
 //! they sent early, and bytes that arrive while the node ends a connection.
 
 use crate::support::*;
-use crate::{pair, HEAD};
+use crate::{node_with_server, HEAD};
 use rstest::rstest;
 use rustix::net::sockopt::set_socket_recv_buffer_size;
 use rustix::net::{connect, connect_unspec, socket_with, AddressFamily, SocketFlags, SocketType};
@@ -53,7 +53,7 @@
 
 /// It is noticed that the client has gone, so that its job is not tried again once the attempt that is out is
 /// turned away.
-fn is_over(node: &Node, mut backend: Peer) {
+fn is_over(node: &Node, mut backend: Connection) {
     ends_early(node);
     backend.send("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
     goes_unused(node, backend);
@@ -65,20 +65,20 @@
 }
 
 /// Nothing more comes over a connection to the server, which is then closed.
-fn goes_unused(node: &Node, mut backend: Peer) {
-    assert!(backend.hears_nothing(Duration::from_millis(20)));
+fn goes_unused(node: &Node, mut backend: Connection) {
+    assert!(backend.is_silent_for(Duration::from_millis(20)));
     drop(backend);
     node.logs("end backend");
 }
 
 /// What comes next to the server is this job: nothing of a client that has gone came before.
-fn only_the_next_comes(node: &Node, server: &Party) {
-    let mut client = node.ask("next", "/zone-plan");
+fn only_the_next_comes(node: &Node, server: &TestServer) {
+    let mut client = node.send_job("next", "/zone-plan");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "next");
     backend.serve("next", "1");
     assert_eq!(client.message().body, "1");
-    assert!(server.is_left_alone());
+    assert!(server.has_no_connection());
 }
 
 /// A client leaves while its first job is out, with more behind it that has been read: that job is not tried again,
@@ -96,7 +96,7 @@
     #[case] behind: String,
     #[values(Leaves::Closes, Leaves::StopsSending, Leaves::Resets, Leaves::OverAnAnswer)] leaves: Leaves,
 ) {
-    let (node, server) = pair();
+    let (node, server) = node_with_server();
     let mut client = TcpStream::connect(node.address).unwrap();
     let before = if matches!(leaves, Leaves::OverAnAnswer) { HEALTH } else { "" };
     client.write_all(format!("{before}{}{behind}", patient("first", "")).as_bytes()).unwrap();
@@ -119,18 +119,18 @@
     #[values(Leaves::Closes, Leaves::StopsSending, Leaves::Resets)] leaves: Leaves,
     #[values(false, true)] opened_before: bool,
 ) {
-    let (node, server) = pair();
+    let (node, server) = node_with_server();
     let open = || TcpStream::connect(node.address).unwrap();
-    let mut before = opened_before.then(|| Peer::new(open()));
+    let mut before = opened_before.then(|| Connection::new(open()));
     if let Some(client) = &mut before {
         client.send(HEALTH);
         assert_eq!(client.message().status(), 200);
     }
-    node.stand_still(true);
-    let mut client = before.map_or_else(open, Peer::into_stream);
+    node.set_paused(true);
+    let mut client = before.map_or_else(open, Connection::into_stream);
     client.write_all(format!("{}{behind}", patient("first", "")).as_bytes()).unwrap();
     let _kept = leaves.go(client);
-    node.stand_still(false);
+    node.set_paused(false);
     ends_early(&node);
     only_the_next_comes(&node, &server);
 }
@@ -141,21 +141,21 @@
     #[values(Leaves::Closes, Leaves::StopsSending, Leaves::Resets)] leaves: Leaves,
     #[values(false, true)] at_once: bool,
 ) {
-    let (node, server) = pair();
+    let (node, server) = node_with_server();
     let bodies = [60_000, 60_000, 30_000].map(|length| "x".repeat(length));
     let behind: String = bodies.iter().enumerate().map(|(k, b)| patient(&format!("early-{k}"), b)).collect();
     let mut client = TcpStream::connect(node.address).unwrap();
     client.write_all(patient("first", "").as_bytes()).unwrap();
     let mut backend = server.accept();
     assert_eq!(backend.id(), "first");
-    node.stand_still(at_once);
+    node.set_paused(at_once);
     client.write_all(behind.as_bytes()).unwrap();
     if !at_once {
         // Whatever of it is read is read by then.
-        assert!(backend.hears_nothing(Duration::from_millis(100)));
+        assert!(backend.is_silent_for(Duration::from_millis(100)));
     }
     let _kept = leaves.go(client);
-    node.stand_still(false);
+    node.set_paused(false);
     is_over(&node, backend);
     only_the_next_comes(&node, &server);
 }
@@ -166,13 +166,13 @@
 #[case::long(8, 60_000)]
 #[case::in_between(40, 5_000)]
 fn early_requests_are_answered_in_their_order(#[case] count: usize, #[case] length: usize) {
-    let (node, server) = pair();
+    let (node, server) = node_with_server();
     let body = |k: usize| format!("{k:05}").chars().cycle().take(length).collect::<String>();
     let text: String = (0..count).map(|k| patient(&format!("early-{k}"), &body(k))).collect();
     let stream = TcpStream::connect(node.address).unwrap();
     let mut writes = stream.try_clone().unwrap();
     std::thread::spawn(move || text.as_bytes().chunks(7_001).try_for_each(|piece| writes.write_all(piece)));
-    let mut client = Peer::new(stream);
+    let mut client = Connection::new(stream);
     let mut backend = server.accept();
     for k in 0..count {
         let request = backend.message();
@@ -180,12 +180,12 @@
         assert!(request.body == body(k), "the body of {k} has changed");
         if k % 7 == 0 {
             // More of it is read meanwhile.
-            assert!(client.hears_nothing(Duration::from_millis(20)));
+            assert!(client.is_silent_for(Duration::from_millis(20)));
         }
         backend.serve(&format!("early-{k}"), &k.to_string());
         assert_eq!(client.message().body, k.to_string());
     }
-    assert!(server.is_left_alone());
+    assert!(server.has_no_connection());
 }
 
 /// What can't be read ends its connection, after the answers to what came before it.
@@ -194,7 +194,7 @@
 #[case::unknown("GET /other HTTP/1.1\r\nHost: h\r\n\r\n", 404)]
 #[case::too_long("POST /zone-plan HTTP/1.1\r\nHost: h\r\nContent-Length: 65537\r\n\r\n", 413)]
 fn bad_input_behind_a_job_is_answered_after_it(#[case] behind: &str, #[case] status: u16) {
-    let (node, server) = pair();
+    let (node, server) = node_with_server();
     let mut client = node.client();
     client.send(&format!("{}{behind}{}", patient("good", ""), patient("never", "")));
     let mut backend = server.accept();
@@ -203,7 +203,7 @@
     assert_eq!(client.message().body, "1");
     let answer = client.message();
     assert_eq!((answer.status(), answer.field("Connection")), (status, Some("close")));
-    assert!(client.ended());
+    assert!(client.is_closed());
     goes_unused(&node, backend);
     only_the_next_comes(&node, &server);
 }
@@ -218,7 +218,7 @@
     #[case] field: &str,
     #[values(false, true)] behind: bool,
 ) {
-    let (node, server) = pair();
+    let (node, server) = node_with_server();
     let mut client = node.client();
     let last = patient("last", "").replace("HTTP/1.1\r\n", &format!("{version}\r\n{field}"));
     client.send(&(last + if behind { patient("behind", "") } else { String::new() }.as_str()));
@@ -227,7 +227,7 @@
     backend.serve("last", "1");
     let answer = client.message();
     assert_eq!((answer.body.as_str(), answer.field("Connection")), ("1", Some("close")));
-    assert!(client.ended());
+    assert!(client.is_closed());
     client.send(&patient("after", ""));
     drop(client);
     node.logs("reason=last-message messages=1");
@@ -236,12 +236,12 @@
 }
 
 /// A client that takes in little of an answer until it reads it: the rest waits at the node.
-fn narrow(address: SocketAddr) -> Peer {
+fn narrow(address: SocketAddr) -> Connection {
     let none = SocketFlags::CLOEXEC;
     let socket = socket_with(AddressFamily::INET, SocketType::STREAM, none, None).unwrap();
     set_socket_recv_buffer_size(&socket, 4_096).unwrap();
     connect(&socket, &address).unwrap();
-    Peer::new(TcpStream::from(socket))
+    Connection::new(TcpStream::from(socket))
 }
 
 /// Bytes come to a connection that the node has just ended, whose last answer the client has not taken in yet. They cost it nothing
@@ -257,7 +257,7 @@
     )]
     close_reason: CloseReason,
 ) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
     let node = Node::start(&config);
@@ -274,7 +274,7 @@
     let result = "0123456789".repeat(6_000);
     backend.serve("a", &result);
     // Some of it has come, and the rest can't.
-    assert!(!client.hears_nothing(LONG));
+    assert!(!client.is_silent_for(TEST_TIMEOUT));
     let mut rests = node.client();
     if close_reason == CloseReason::TooSlow {
         rests.send(behind);
@@ -287,7 +287,7 @@
     // The end of another connection shows that of this one.
     match close_reason {
         CloseReason::TooSlow => assert_eq!(rests.message().status(), 408),
-        CloseReason::Drained | CloseReason::Shutdown => assert!(rests.ended()),
+        CloseReason::Drained | CloseReason::Shutdown => assert!(rests.is_closed()),
         _ => {}
     }
     for _ in 0..20 {
@@ -300,8 +300,8 @@
         CloseReason::TooSlow => assert_eq!(client.message().status(), 408),
         _ => {}
     }
-    assert!(client.ended());
-    assert!(backend.hears_nothing(Duration::from_millis(20)) && server.is_left_alone());
+    assert!(client.is_closed());
+    assert!(backend.is_silent_for(Duration::from_millis(20)) && server.has_no_connection());
 }
 
 /// A connection that has to give way at a full node, with half a request on it or none, costs its client nothing of the answer before,
@@ -310,7 +310,7 @@
 #[case::resting("")]
 #[case::half_a_request("POST /zone-plan HTT")]
 fn one_that_gives_way_has_its_answer_whole(#[case] behind: &str) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["limits"]["sockets"] = json!(70);
     config["settings"]["projects"][0]["quota_rps"] = json!(1000.0);
@@ -321,17 +321,17 @@
     assert_eq!(backend.id(), "a");
     let result = "0123456789".repeat(6_000);
     backend.serve("a", &result);
-    assert!(!client.hears_nothing(LONG));
+    assert!(!client.is_silent_for(TEST_TIMEOUT));
     // All others have jobs that wait, so this one has to go.
-    let _held: Vec<Peer> = (0..20).map(|k| node.ask(&format!("held-{k}"), "/zone-plan")).collect();
+    let _held: Vec<Connection> = (0..20).map(|k| node.send_job(&format!("held-{k}"), "/zone-plan")).collect();
     node.logs("reason=evicted messages=1");
     assert!(client.message().body == result, "the answer is not whole");
-    assert!(client.ended());
+    assert!(client.is_closed());
 }
 
 /// A node with one backend server and a door.
-fn attended() -> (Node, Party) {
-    let server = Party::new();
+fn attended() -> (Node, TestServer) {
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
     (Node::start(&config), server)
@@ -346,12 +346,12 @@
     client.send(HEALTH);
     assert_eq!(client.message().status(), 200);
     assert_eq!(node.call("POST", "/ops/drain/start"), 200);
-    node.stand_still(true);
+    node.set_paused(true);
     let text = patient("a", "");
     client.send(if whole { &text } else { &text[..40] });
     // Its end is due by then.
-    assert!(client.hears_nothing(Duration::from_millis(900)));
-    node.stand_still(false);
+    assert!(client.is_silent_for(Duration::from_millis(900)));
+    node.set_paused(false);
     let went_on = Instant::now();
     if whole {
         let mut backend = server.accept();
@@ -362,7 +362,7 @@
         assert_eq!(client.message().status(), 408);
         assert!(went_on.elapsed() < Duration::from_secs(3), "{:?}", went_on.elapsed());
     }
-    assert!(client.ended());
+    assert!(client.is_closed());
 }
 
 /// A request arrives behind the one whose answer is to be the last, in the moment in which that is written: it
@@ -373,7 +373,7 @@
     let mut rests = node.client();
     rests.send(HEALTH);
     assert_eq!(rests.message().status(), 200);
-    let mut client = node.ask("first", "/zone-plan");
+    let mut client = node.send_job("first", "/zone-plan");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "first");
     backend.begin();
@@ -384,17 +384,17 @@
         assert_eq!(node.call("POST", "/ops/drain/start"), 200);
     }
     // From then on nothing rests.
-    assert!(rests.ended());
-    node.stand_still(true);
+    assert!(rests.is_closed());
+    node.set_paused(true);
     backend.finish("first", "1");
     client.send(&job("second", "/zone-plan", "5000m", ""));
-    node.stand_still(false);
+    node.set_paused(false);
     assert_eq!(client.message().body, "1");
     assert_eq!(backend.id(), "second");
     backend.serve("second", "2");
     let answer = client.message();
     assert_eq!((answer.body.as_str(), answer.field("Connection")), ("2", Some("close")));
-    assert!(client.ended());
+    assert!(client.is_closed());
 }
 
 /// The node is out of descriptors and stands still. The rest of a slow request arrives meanwhile, and the time is
@@ -403,17 +403,17 @@
 #[case::whole(usize::MAX)]
 #[case::one_byte(1)]
 fn what_has_moved_by_then_does_not_give_way(#[case] more: usize) {
-    let server = Party::new();
+    let server = TestServer::new();
     let node = Node::start(&config(&[server.address]));
     // After the start, or it would keep to that and never be out of them.
-    node.may_have_descriptors(32);
+    node.limit_descriptors(32);
     let mut first = node.client();
     first.send(&patient("first", ""));
     let mut backend = server.accept();
     assert_eq!(backend.id(), "first");
     let text = patient("slow", "");
     let (mut slow, mut sent) = (node.client(), 0_usize);
-    let mut piece = |slow: &mut Peer, length: usize| {
+    let mut piece = |slow: &mut Connection, length: usize| {
         let end = sent.saturating_add(length).min(text.len());
         slow.send(&text[sent..end]);
         sent = end;
@@ -421,18 +421,18 @@
     piece(&mut slow, 1);
     // Jobs that wait can't give way: the server has one that has not started.
     // More of them than it has descriptors for.
-    let _held: Vec<Peer> = (0..32).map(|k| node.ask(&format!("held-{k}"), "/zone-plan")).collect();
+    let _held: Vec<Connection> = (0..32).map(|k| node.send_job(&format!("held-{k}"), "/zone-plan")).collect();
     for _ in 0..4 {
         node.logs("accepting: ");
         piece(&mut slow, 1);
-        assert!(slow.hears_nothing(Duration::from_millis(10)));
+        assert!(slow.is_silent_for(Duration::from_millis(10)));
     }
-    node.stand_still(true);
+    node.set_paused(true);
     piece(&mut slow, more);
-    assert!(slow.hears_nothing(Duration::from_millis(600)));
-    node.stand_still(false);
+    assert!(slow.is_silent_for(Duration::from_millis(600)));
+    node.set_paused(false);
     // It is known by then whether it has to go.
-    assert!(slow.hears_nothing(Duration::from_millis(100)), "it has to go");
+    assert!(slow.is_silent_for(Duration::from_millis(100)), "it has to go");
     piece(&mut slow, usize::MAX);
     backend.serve("first", "1");
     assert_eq!(first.message().body, "1");
@@ -449,37 +449,37 @@
     let mut config = config(&[]);
     config["limits"]["sockets"] = json!(70);
     let node = Node::start(&config);
-    let answered = |client: &mut Peer| {
+    let answered = |client: &mut Connection| {
         let sent = client.try_send(HEALTH);
-        sent && client.goes_on() && client.message().status() == 200
+        sent && client.receives_data() && client.message().status() == 200
     };
-    let mut clients: Vec<Peer> = (0..40).map(|_| node.client()).collect();
+    let mut clients: Vec<Connection> = (0..40).map(|_| node.client()).collect();
     clients.retain_mut(answered);
     // The last one that has to go may have to stand idle for a moment first.
-    assert!(clients.last_mut().unwrap().hears_nothing(Duration::from_millis(100)));
+    assert!(clients.last_mut().unwrap().is_silent_for(Duration::from_millis(100)));
     clients.retain_mut(answered);
     let before = clients.len();
-    node.stand_still(true);
-    let mut newcomers: Vec<Peer> = (0..5).map(|_| node.client()).collect();
+    node.set_paused(true);
+    let mut newcomers: Vec<Connection> = (0..5).map(|_| node.client()).collect();
     newcomers.iter_mut().for_each(|client| client.send(HEALTH));
-    node.stand_still(false);
+    node.set_paused(false);
     for client in &mut newcomers {
         assert_eq!(client.message().status(), 200);
     }
-    assert!(newcomers.last_mut().unwrap().hears_nothing(Duration::from_millis(100)));
+    assert!(newcomers.last_mut().unwrap().is_silent_for(Duration::from_millis(100)));
     clients.retain_mut(answered);
     newcomers.retain_mut(answered);
     assert_eq!(clients.len() + newcomers.len(), before);
 }
 
 /// Serve whatever comes with its own id as its result.
-fn serve_all(first: Peer, server: Party) {
-    let serve = |mut peer: Peer| {
-        while peer.goes_on() {
+fn serve_all(first: Connection, server: TestServer) {
+    let serve = |mut peer: Connection| {
+        while peer.receives_data() {
             let id = peer.id();
             peer.serve(&id, &id);
         }
     };
     std::thread::spawn(move || serve(first));
-    server.attended(serve);
+    server.handle_connections(serve);
 }
--- a/tests/node/homes.rs
+++ b/tests/node/homes.rs
@@ -1,7 +1,7 @@
 //! Guarded keys have one home: two sites with a node each, and a divider of the test's own, which divides as a real one does.
 
-use crate::sites::{refusal, Files};
-use crate::support::allocator::divide;
+use crate::sites::{refusal, SiteFiles};
+use crate::support::quota_server::run_quota_server;
 use crate::support::*;
 use rstest::rstest;
 use shorepath_quota::allocator::Allocator;
@@ -15,7 +15,7 @@
 
 /// A fleet with a divider that runs until it is dropped.
 struct Fleet {
-    files: Files,
+    files: SiteFiles,
     budgets: PathBuf,
     /// It hears nothing and says nothing.
     silent: Arc<AtomicBool>,
@@ -29,10 +29,10 @@
 
     /// With a budget for each of those homes.
     fn of(name: &str, ownership: &[&str]) -> Fleet {
-        let mut files = Files::new(&format!("homes-{name}"));
-        files.times = "(confirm 1 s) (alone 1 s) (hold 1 s)";
-        (0..2).for_each(|node| files.sites(node, 1, ""));
-        let addresses: Vec<SocketAddr> = ownership.iter().map(|_| fresh()).collect();
+        let mut files = SiteFiles::new(&format!("homes-{name}"));
+        files.timeouts = "(confirm 1 s) (alone 1 s) (hold 1 s)";
+        (0..2).for_each(|node| files.write_sites(node, 1, ""));
+        let addresses: Vec<SocketAddr> = ownership.iter().map(|_| unused_address()).collect();
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         let own = socket.local_addr().unwrap();
         let mut text = format!("(budgets (version 1) (term 1 s) (divider d0 \"{own}\")");
@@ -41,12 +41,12 @@
             text += &format!(" (budget home:{home} (per moment) (whole 1) (longest 500 ms))");
         }
         text += ")";
-        let budgets = files.of(0).join("budgets.sexp");
+        let budgets = files.node_folder(0).join("budgets.sexp");
         std::fs::write(&budgets, &text).unwrap();
         let plan = shorepath_quota::config::read("t", &text).unwrap();
         let (silent, over) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
         let flags = (silent.clone(), over.clone());
-        std::thread::spawn(move || divide(&socket, Allocator::new("d0", plan, 7), &flags));
+        std::thread::spawn(move || run_quota_server(&socket, Allocator::new("d0", plan, 7), &flags));
         Fleet { files, budgets, silent, over }
     }
 
@@ -56,7 +56,7 @@
 
     /// Keys whose home is that node.
     fn keys(&self, node: usize) -> impl Iterator<Item = String> {
-        let text = std::fs::read_to_string(self.files.of(0).join("sites.sexp")).unwrap();
+        let text = std::fs::read_to_string(self.files.node_folder(0).join("sites.sexp")).unwrap();
         let plan = shorepath_sites::config::read("t", &text).unwrap();
         let ownership = KeyOwnership::new(0, &plan, &PersistedOwnership::default());
         let home = ["west/n0", "east/n1", "north/n2"][node];
@@ -70,7 +70,7 @@
     }
 }
 
-fn ask(node: &Node, key: &str) -> Peer {
+fn ask(node: &Node, key: &str) -> Connection {
     static COUNT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     let id = format!("{key}-{}", COUNT.fetch_add(1, Ordering::Relaxed));
     let mut client = node.client();
@@ -80,7 +80,7 @@
 }
 
 /// Hand a key in, which a backend server serves.
-fn served(node: &Node, backend: &mut Peer, key: &str) {
+fn served(node: &Node, backend: &mut Connection, key: &str) {
     let mut client = ask(node, key);
     let id = backend.id();
     backend.serve(&id, "1");
@@ -98,8 +98,8 @@
             assert_eq!(answer.field("Retry-After").is_some(), status == 503);
             return;
         }
-        assert!(status != 200 && begin.elapsed() < LONG, "{key}: {status} {why:?}, not {wanted:?}");
-        client.hears_nothing(Duration::from_millis(20));
+        assert!(status != 200 && begin.elapsed() < TEST_TIMEOUT, "{key}: {status} {why:?}, not {wanted:?}");
+        client.is_silent_for(Duration::from_millis(20));
     }
 }
 
@@ -110,7 +110,7 @@
         let answer = ask(node, key).message();
         match answer.status() {
             200 => return,
-            status => assert!(status == 503 && begin.elapsed() < LONG, "{key}: {answer:?}"),
+            status => assert!(status == 503 && begin.elapsed() < TEST_TIMEOUT, "{key}: {answer:?}"),
         }
     }
 }
@@ -120,7 +120,7 @@
 /// The holder places; the other refuses, with the home's name. Once its lease is over, so does the holder, and places again under the next.
 #[rstest]
 fn only_the_holder_of_a_range_places_its_keys() {
-    let (fleet, servers) = (Fleet::new("holder"), [Party::new(), Party::new()]);
+    let (fleet, servers) = (Fleet::new("holder"), [TestServer::new(), TestServer::new()]);
     let nodes = [0, 1].map(|k| fleet.start(k, config(&[servers[k].address])));
     nodes[0].logs("a guarded key is placed by the node that holds its range");
     for (k, home) in ["west/n0", "east/n1"].iter().enumerate() {
@@ -148,7 +148,7 @@
     backend.serve(&id, "1");
     assert_eq!(client.message().status(), 200);
     refused(&nodes[0], &running, (409, "served before"));
-    assert!(servers[1].is_left_alone());
+    assert!(servers[1].has_no_connection());
     fleet.silent.store(false, Ordering::Relaxed);
     nodes[0].logs(PROVED);
     served(&nodes[0], &mut backend, &key());
@@ -158,7 +158,7 @@
 /// is home again.
 #[rstest]
 fn keys_of_a_lost_node_may_have_run_at_its_heir() {
-    let (fleet, servers) = (Fleet::new("lost"), [Party::new(), Party::new()]);
+    let (fleet, servers) = (Fleet::new("lost"), [TestServer::new(), TestServer::new()]);
     let [west, east] = [0, 1].map(|k| fleet.start(k, config(&[servers[k].address])));
     west.logs(PROVED);
     let mut keys = fleet.keys(0);
@@ -175,7 +175,7 @@
     assert!(lines.iter().any(|l| l.contains("site west Lost")), "{lines:?}");
     refused(&east, &known, (409, "served before"));
     refused(&east, &unknown, (502, "may have run"));
-    assert!(servers[1].is_left_alone());
+    assert!(servers[1].has_no_connection());
     let west = fleet.start(0, config(&[servers[0].address]));
     // While both ask for it the unit goes round between them; whoever has it places by it.
     east.logs("this node asks for home:east/n1");
@@ -186,13 +186,13 @@
     let id = backend.id();
     backend.serve(&id, "1");
     assert_eq!(client.message().status(), 200);
-    assert!(servers[1].is_left_alone());
+    assert!(servers[1].has_no_connection());
 }
 
 /// A site that an operator declares lost, and that lives, hands its range over; its heir is told all that was placed, and places what was not.
 #[rstest]
 fn a_site_declared_lost_hands_its_keys_over() {
-    let (fleet, servers) = (Fleet::new("declared"), [Party::new(), Party::new()]);
+    let (fleet, servers) = (Fleet::new("declared"), [TestServer::new(), TestServer::new()]);
     let nodes = [0, 1].map(|k| fleet.start(k, config(&[servers[k].address])));
     nodes.iter().for_each(|n| drop(n.logs(PROVED)));
     let mut keys = fleet.keys(0);
@@ -204,13 +204,13 @@
     backend.serve(&id, "1");
     assert_eq!(client.message().status(), 200);
     for (k, node) in nodes.iter().enumerate() {
-        fleet.files.sites(k, 2, "(lost west (number 1))");
-        node.hang_up();
+        fleet.files.write_sites(k, 2, "(lost west (number 1))");
+        node.reload();
     }
     nodes[0].logs("home west/n0 is not held any more");
     let begin = Instant::now();
     while !nodes[1].logs(PROVED).contains("west/n0") {
-        assert!(begin.elapsed() < LONG);
+        assert!(begin.elapsed() < TEST_TIMEOUT);
     }
     refused(&nodes[0], &key(), (421, "home east/n1"));
     refused(&nodes[1], &known, (409, "served before"));
@@ -232,7 +232,7 @@
     let own: Vec<SocketAddr> = full.iter().map(|s| s.local_addr().unwrap()).collect();
     let mut settings = config(&[address]);
     settings["settings"]["allowed"]["connect_timeout_ms"] = 4_000.0.into();
-    let _other = fleet.start(1, config(&[closed()]));
+    let _other = fleet.start(1, config(&[refusing_address()]));
     let node = fleet.start(0, settings);
     node.logs(PROVED);
     let mut client = ask(&node, &fleet.keys(0).next().unwrap());
@@ -243,31 +243,31 @@
         operator.message().body.contains("placements own=1 ")
     };
     while !written() {
-        assert!(begin.elapsed() < LONG);
+        assert!(begin.elapsed() < TEST_TIMEOUT);
     }
     // Its connection is on the way: the system knows of it, and nobody takes it.
     let to = format!(":{:04X} 02 ", address.port());
     while !std::fs::read_to_string("/proc/net/tcp").unwrap().contains(&to) {
-        assert!(begin.elapsed() < LONG);
+        assert!(begin.elapsed() < TEST_TIMEOUT);
     }
     node.signal(Signal::STOP);
     fleet.silent.store(true, Ordering::Relaxed);
     // The system makes the connection meanwhile.
     listener.set_nonblocking(true).unwrap();
     let mut backend = loop {
-        assert!(begin.elapsed() < 2 * LONG, "no connection came up");
+        assert!(begin.elapsed() < 2 * TEST_TIMEOUT, "no connection came up");
         let Ok((stream, from)) = listener.accept() else { continue };
         stream.set_nonblocking(false).unwrap();
         if !own.contains(&from) {
-            break Peer::new(stream);
+            break Connection::new(stream);
         }
     };
-    assert!(backend.hears_nothing(Duration::from_millis(1_500)), "longer than a lease");
+    assert!(backend.is_silent_for(Duration::from_millis(1_500)), "longer than a lease");
     node.signal(Signal::CONT);
-    assert!(backend.ended(), "a job was sent after the lease");
+    assert!(backend.is_closed(), "a job was sent after the lease");
     assert_eq!(client.message().status(), 503);
-    for mut again in listener.incoming().map_while(Result::ok).map(Peer::new) {
-        assert!(again.ended());
+    for mut again in listener.incoming().map_while(Result::ok).map(Connection::new) {
+        assert!(again.is_closed());
     }
 }
 
@@ -283,7 +283,7 @@
     let fleet = Fleet::new(&format!("check-{good}"));
     let text = std::fs::read_to_string(&fleet.budgets).unwrap().replace("west/n0", home);
     std::fs::write(&fleet.budgets, text).unwrap();
-    let (sites, budgets) = (fleet.files.of(0).join("sites.sexp"), fleet.budgets.to_str().unwrap());
+    let (sites, budgets) = (fleet.files.node_folder(0).join("sites.sexp"), fleet.budgets.to_str().unwrap());
     let messages = [PROGRAM, "check", "--sites", sites.to_str().unwrap(), "--budgets", budgets];
     let out = command(&messages, &config(&[]).to_string()).output().unwrap();
     let text = String::from_utf8_lossy(&out.stdout) + String::from_utf8_lossy(&out.stderr);
@@ -298,10 +298,10 @@
     let ran = Arc::new(Mutex::new(Vec::new()));
     let servers: Vec<SocketAddr> = (0..3)
         .map(|k| {
-            let (party, ran) = (Party::new(), ran.clone());
+            let (party, ran) = (TestServer::new(), ran.clone());
             let address = party.address;
-            party.attended(move |mut peer| {
-                while peer.goes_on() {
+            party.handle_connections(move |mut peer| {
+                while peer.receives_data() {
                     let id = peer.id();
                     ran.lock().unwrap().push((k, id.clone()));
                     peer.serve(&id, "1");
@@ -313,7 +313,7 @@
     let start = |k: usize| fleet.start(k, config(&[servers[k]]));
     let mut nodes = vec![start(0), start(1)];
     nodes.iter().for_each(|n| drop(n.logs(PROVED)));
-    let third = fleet.files.third();
+    let third = fleet.files.third_site();
     // Clients ask every node for every key, at once.
     let over = Arc::new(AtomicBool::new(false));
     let next = Arc::new(AtomicUsize::new(0));
@@ -324,11 +324,11 @@
             while !over.load(Ordering::Relaxed) {
                 let key = next.fetch_add(1, Ordering::Relaxed).saturating_sub(behind);
                 let Ok(stream) = TcpStream::connect(address) else { continue };
-                let mut client = Peer::new(stream);
+                let mut client = Connection::new(stream);
                 let tenant = format!("Idempotency-Key: load{key}\r\nTenant:");
                 let id = format!("load{key}-{address}-{count}");
                 client.send(&job(&id, "/actuator-cmd", "5000m", "").replace("Tenant:", &tenant));
-                if !client.ended_early() {
+                if !client.ends_without_data() {
                     client.message();
                 }
                 count += 1;
@@ -338,11 +338,11 @@
         })
     };
     let mut clients = vec![load(&nodes[0], 0), load(&nodes[1], 0), load(&nodes[0], 3), load(&nodes[1], 3)];
-    fleet.files.sites(2, 2, &third);
+    fleet.files.write_sites(2, 2, &third);
     nodes.push(start(2));
     clients.extend([load(&nodes[2], 0), load(&nodes[2], 6)]);
-    fleet.files.sites(0, 2, &third);
-    nodes[0].hang_up();
+    fleet.files.write_sites(0, 2, &third);
+    nodes[0].reload();
     nodes[0].logs("read again: version 2");
     let mut moved = fleet.keys(2);
     let key = moved.next().unwrap();
@@ -352,8 +352,8 @@
     // It is home by both files.
     placed(&nodes[0], &stays);
     assert!(ran.lock().unwrap().iter().all(|(server, _)| *server != 2));
-    fleet.files.sites(1, 2, &third);
-    nodes[1].hang_up();
+    fleet.files.write_sites(1, 2, &third);
+    nodes[1].reload();
     placed(&nodes[2], &key);
     for key in moved.take(5) {
         refused(&nodes[1], &key, (421, "home north/n2"));
--- a/tests/node/lending.rs
+++ b/tests/node/lending.rs
@@ -22,8 +22,9 @@
         let folder =
             PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("lending-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        let site =
-            |(k, name): (usize, &&str)| format!("(site {name} (node n{k} \"{}\") (bears 100))", fresh());
+        let site = |(k, name): (usize, &&str)| {
+            format!("(site {name} (node n{k} \"{}\") (bears 100))", unused_address())
+        };
         let sites: Vec<String> = SITES.iter().enumerate().map(site).collect();
         let text = format!(
             "(sites (fleet \"odense\") (key \"fleet.key\") (confirm 2 s) (alone 2500 ms) (hold 3 s)\n{} {lends})",
@@ -46,7 +47,7 @@
         let (file, state) = (self.folder.join("sites.sexp"), self.folder.join(format!("state-{node}")));
         let messages =
             [PROGRAM, "serve", "-v", "--sites", file.to_str().unwrap(), "--state", state.to_str().unwrap()];
-        Node::start_as(&messages, &config)
+        Node::start_command(&messages, &config)
     }
 }
 
@@ -88,7 +89,7 @@
 /// Jobs handed in at once, each on a connection of its own, and their answers. Ids are counted on over all.
 fn ask(node: &Node, count: usize, target: &str, home: Option<&str>, ids: &mut usize) -> Vec<Message> {
     let field = home.map_or(String::new(), |h| format!("Home-Site: {h}\r\n"));
-    let mut clients: Vec<Peer> = (0..count)
+    let mut clients: Vec<Connection> = (0..count)
         .map(|_| {
             *ids += 1;
             let mut client = node.client();
@@ -98,7 +99,7 @@
             client
         })
         .collect();
-    clients.iter_mut().map(Peer::message).collect()
+    clients.iter_mut().map(Connection::message).collect()
 }
 
 fn refusal(answer: &Message) -> (u16, Option<&str>) {
@@ -123,7 +124,7 @@
     let (begin, mut served, mut refused, mut bunches) = (Instant::now(), 0, 0, 0);
     while refused < least || bunches < 3 {
         bunches += 1;
-        assert!(begin.elapsed() < LONG, "{served} served, {refused} refused");
+        assert!(begin.elapsed() < TEST_TIMEOUT, "{served} served, {refused} refused");
         for answer in ask(node, 40, "/zone-plan", Some("east"), ids) {
             if answer.status() == 200 {
                 served += 1;
@@ -155,14 +156,14 @@
     let begin = Instant::now();
     // Nothing before it has servers.
     while lends(&west, "zone-plan") == 0 {
-        assert!(begin.elapsed() < LONG, "nothing is lent");
+        assert!(begin.elapsed() < TEST_TIMEOUT, "nothing is lent");
     }
     assert_eq!((lends(&west, "zone-plan"), lends(&west, "actuator-cmd")), (20, 0));
     guests_bound(&west, 20, 40, &mut ids);
     let begin = Instant::now();
     let answer = ask(&west, 1, "/actuator-cmd", Some("east"), &mut ids).remove(0);
     assert_eq!(refusal(&answer), (503, Some("guest part used")));
-    assert!(begin.elapsed() < LONG / 4);
+    assert!(begin.elapsed() < TEST_TIMEOUT / 4);
     // What east is asked for is told before it is lost.
     let begin = Instant::now();
     while begin.elapsed().as_millis() < 2_500 {
@@ -173,7 +174,7 @@
     west.logs("site east Lost");
     let begin = Instant::now();
     while lends(&west, "zone-plan") <= 20 {
-        assert!(begin.elapsed() < LONG, "nothing spare is lent");
+        assert!(begin.elapsed() < TEST_TIMEOUT, "nothing spare is lent");
     }
     let rate = lends(&west, "zone-plan");
     assert!((21..=100).contains(&rate), "{rate}");
@@ -210,7 +211,7 @@
     let begin = Instant::now();
     while !ask(&west, 1, "/zone-plan", Some("east"), &mut ids).iter().any(|a| a.field("Come-Back").is_some())
     {
-        assert!(begin.elapsed() < LONG, "no guest is told to go home");
+        assert!(begin.elapsed() < TEST_TIMEOUT, "no guest is told to go home");
     }
     let lines = east.logs_until("load recovery east part=100 before=100");
     let steps = lines
--- a/tests/node/operators.rs
+++ b/tests/node/operators.rs
@@ -12,8 +12,8 @@
 const RETURN: (&str, &str) = ("POST", "/ops/drain/stop");
 
 /// A node with a door, one backend server and an empty table of troubles.
-fn attended() -> (Node, Party) {
-    let server = Party::new();
+fn attended() -> (Node, TestServer) {
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
     (Node::start(&config), server)
@@ -53,13 +53,13 @@
 /// Callers that finish no call, and clients that fill the frontend, keep no operator waiting.
 #[rstest]
 fn idle_callers_and_a_full_frontend_hold_no_call_up() {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
     config["limits"]["sockets"] = json!(70);
     let node = Node::start(&config);
-    let _clients: Vec<Peer> = (0..60).map(|_| node.client()).collect();
-    let mut idle: Vec<Peer> = (0..20).map(|_| node.operator()).collect();
+    let _clients: Vec<Connection> = (0..60).map(|_| node.client()).collect();
+    let mut idle: Vec<Connection> = (0..20).map(|_| node.operator()).collect();
     idle.iter_mut().for_each(|c| c.send("GET /ops/readiness HTTP/1.1\r\nHost"));
     let began = Instant::now();
     assert_eq!(call(&node, READY), 200);
@@ -80,7 +80,7 @@
         client.send(HEALTH);
         assert_eq!(client.message().status(), 200);
     }
-    let mut held = node.ask("held", "/zone-plan");
+    let mut held = node.send_job("held", "/zone-plan");
     let mut backend = server.accept();
     backend.message();
     let text = job("slow", "/zone-plan", "5000m", "");
@@ -94,12 +94,12 @@
     let answer = held.message();
     assert_eq!((answer.body.as_str(), answer.field("Connection")), ("1", Some("close")));
     // New connections still come for a moment, and are served.
-    let mut late = node.ask("late", "/zone-plan");
+    let mut late = node.send_job("late", "/zone-plan");
     assert_eq!(backend.id(), "late");
     backend.serve("late", "2");
     let answer = late.message();
     assert_eq!((answer.body.as_str(), answer.field("Connection")), ("2", Some("close")));
-    assert!(idle.ended() && held.ended() && late.ended());
+    assert!(idle.is_closed() && held.is_closed() && late.is_closed());
     assert!(began.elapsed() < Duration::from_millis(1_500), "{:?}", began.elapsed());
     slow.send(&text[40..]);
     assert_eq!(backend.id(), "slow");
@@ -120,10 +120,10 @@
 /// rules that it came under, while new ones come under the new rules.
 #[rstest]
 fn new_settings_hold_for_what_comes_and_old_ones_for_what_is_open() {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     let node = Node::start(&config);
-    let mut open = node.ask("open", "/zone-plan");
+    let mut open = node.send_job("open", "/zone-plan");
     let mut backend = server.accept();
     backend.message();
     let classes = &mut config["settings"]["classes"];
@@ -131,10 +131,10 @@
     classes[1]["semantics"] = json!("free");
     classes[0]["semantics"] = json!("single_shot");
     config["settings"]["allowed"]["try_limit"] = json!(2);
-    node.replace(&config.to_string());
-    node.hang_up();
+    node.replace_config(&config.to_string());
+    node.reload();
     node.logs("new settings hold");
-    assert_eq!(node.ask("x", "/actuator-cmd").message().status(), 404);
+    assert_eq!(node.send_job("x", "/actuator-cmd").message().status(), 404);
     // Twice it may have run, and a third time it is tried: it was free, and had three attempts.
     for _ in 0..2 {
         backend.send("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n");
@@ -144,7 +144,7 @@
     assert_eq!(open.message().body, "1");
     // A new one of that class may not run twice, and one of the new class may, but has two attempts.
     for (target, attempts, status) in [("/zone-plan", 1, 502), ("/vent-plan", 2, 503)] {
-        let mut client = node.ask("new", target);
+        let mut client = node.send_job("new", target);
         if attempts == 1 {
             // What must not run twice is not put where an answer has just come.
             backend = server.accept();
@@ -155,7 +155,7 @@
         }
         assert_eq!(client.message().status(), status, "{target}");
     }
-    assert!(server.is_left_alone());
+    assert!(server.has_no_connection());
 }
 
 /// A file that can't be used changes nothing: neither classes nor where discovery is.
@@ -174,7 +174,7 @@
     #[case] value: Option<&str>,
     #[case] outgoing_messages: &str,
 ) {
-    let (server, first, second) = (Party::new(), Party::new(), Party::new());
+    let (server, first, second) = (TestServer::new(), TestServer::new(), TestServer::new());
     let mut config = config(&[server.address]);
     config["discovery"] = json!(first.address.to_string());
     let node = Node::start(&config);
@@ -194,16 +194,16 @@
             config.to_string()
         }
     };
-    node.replace(&text);
-    node.hang_up();
+    node.replace_config(&text);
+    node.reload();
     assert!(node.logs("the old configuration stays").contains(outgoing_messages));
-    assert_eq!(node.ask("x", "/vent-plan").message().status(), 404);
-    let mut client = node.ask("a", "/actuator-cmd");
+    assert_eq!(node.send_job("x", "/vent-plan").message().status(), 404);
+    let mut client = node.send_job("a", "/actuator-cmd");
     let mut backend = server.accept();
     backend.message();
     backend.serve("a", "1");
     assert_eq!(client.message().body, "1");
-    assert!(second.is_left_alone());
+    assert!(second.has_no_connection());
 }
 
 /// Requests that stand still while the node is emptied make room for others as at any time.
@@ -219,8 +219,8 @@
         client.send("POST /zone-plan HTTP/1.1\r\n");
         client
     };
-    let mut half: Vec<Peer> = (0..19).map(begin).collect();
-    assert!(half[18].hears_nothing(Duration::from_millis(1_000)));
+    let mut half: Vec<Connection> = (0..19).map(begin).collect();
+    assert!(half[18].is_silent_for(Duration::from_millis(1_000)));
     let _one_more = begin(19);
     let began = Instant::now();
     let mut client = node.client();
@@ -230,8 +230,8 @@
 }
 
 /// Wait until the next process can find this one, by a name to which others have no access.
-pub fn published(old: &Node) {
-    let place = meeting_place().join(format!("shorepath-{}.sock", old.address));
+pub fn wait_for_handover_socket(old: &Node) {
+    let place = handover_directory().join(format!("shorepath-{}.sock", old.address));
     while !place.exists() {
         std::thread::yield_now();
     }
@@ -239,13 +239,13 @@
 }
 
 /// A process with a door, and its backend server, and another one started in its place.
-pub fn replaced() -> (Node, Node, Party, Value) {
-    let server = Party::new();
+pub fn start_replacement() -> (Node, Node, TestServer, Value) {
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
-    config["listen"] = json!(fresh().to_string());
+    config["listen"] = json!(unused_address().to_string());
     let old = Node::start(&config);
-    published(&old);
+    wait_for_handover_socket(&old);
     let new = Node::start(&config);
     (old, new, server, config)
 }
@@ -254,7 +254,7 @@
 /// and knows which ids are open. Nobody hears that the address is gone.
 #[rstest]
 fn a_process_is_replaced_without_a_client_noticing() {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
     let mut old = Node::start(&config);
@@ -263,19 +263,19 @@
         client.send(HEALTH);
         assert_eq!(client.message().status(), 200);
     }
-    let mut held = old.ask("held", "/zone-plan");
+    let mut held = old.send_job("held", "/zone-plan");
     let mut on_old = server.accept();
     on_old.message();
     config["listen"] = json!(old.address.to_string());
-    published(&old);
+    wait_for_handover_socket(&old);
     let new = Node::start(&config);
     old.logs("the next process takes clients");
     assert_eq!((call(&new, READY), call(&old, READY), call(&old, DRAIN)), (200, 503, 409));
-    assert_eq!(new.ask("held", "/zone-plan").message().status(), 409, "the id is open");
+    assert_eq!(new.send_job("held", "/zone-plan").message().status(), 409, "the id is open");
     let mut on_new = None;
     for k in 0..20 {
         let id = format!("new-{k}");
-        let mut client = new.ask(&id, "/zone-plan");
+        let mut client = new.send_job(&id, "/zone-plan");
         let backend = on_new.get_or_insert_with(|| server.accept());
         assert_eq!(backend.id(), id);
         backend.serve(&id, "1");
@@ -294,7 +294,7 @@
     assert_eq!(kept.message().body, "3");
     assert!(old.exit().success());
     new.logs("this process is the only one of the node");
-    let mut again = new.ask("held", "/zone-plan");
+    let mut again = new.send_job("held", "/zone-plan");
     let mut backend = on_new.unwrap();
     assert_eq!(backend.id(), "held");
     backend.serve("held", "4");
@@ -305,14 +305,14 @@
 /// the new one is whole, and so is one that finds nothing but the name of a process that was killed.
 #[rstest]
 fn a_process_that_dies_leaves_the_node_to_the_other() {
-    let (old, new, server, config) = replaced();
+    let (old, new, server, config) = start_replacement();
     old.logs("the next process takes clients");
     let third = command(&[PROGRAM, "serve"], &config.to_string()).output().unwrap();
     assert!(String::from_utf8(third.stderr).unwrap().contains("can't listen"), "two are enough");
     drop(new);
     old.logs("this one takes clients");
     assert_eq!(call(&old, READY), 200);
-    let mut client = old.ask("a", "/zone-plan");
+    let mut client = old.send_job("a", "/zone-plan");
     let mut backend = server.accept();
     backend.message();
     backend.serve("a", "1");
@@ -332,7 +332,7 @@
 #[case::by_the_flag(&["--no-handover"], Some("127.0.0.1:0"))]
 #[case::without_a_door(&[], None)]
 fn without_handover_no_unix_socket_is_opened(#[case] flags: &[&str], #[case] admin: Option<&str>) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     let place = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!(
         "alone-{}-{}",
@@ -340,13 +340,13 @@
         std::process::id()
     ));
     std::fs::create_dir_all(&place).unwrap();
-    let free = fresh();
+    let free = unused_address();
     config["listen"] = json!(free.to_string());
     if let Some(admin) = admin {
         config["mgmt"] = json!(admin);
     }
     let messages = [&[PROGRAM, "serve"], flags].concat();
-    let node = Node::start_with_words(&messages, &config, |command| {
+    let node = Node::start_command_with(&messages, &config, |command| {
         command.env("TMPDIR", &place);
     });
     assert_eq!(node.address, free);
--- a/tests/node/orders.rs
+++ b/tests/node/orders.rs
@@ -1,8 +1,8 @@
 //! Two things in one moment, in the order in which they harm: each test forces that order, with nothing left to chance.
 
-use crate::operators::published;
+use crate::operators::wait_for_handover_socket;
 use crate::support::*;
-use crate::{following, listing, pair, watch, whole_list, HEAD};
+use crate::{accept_watch, config_with_discovery, node_with_server, serve_complete_list, server_list, HEAD};
 use rstest::rstest;
 use serde_json::{json, Value};
 use shorepath::net::deadlines::Deadlines;
@@ -24,13 +24,13 @@
 
 impl Gate {
     fn put(node: &Node) {
-        std::fs::remove_file(node.file()).unwrap();
-        assert!(std::process::Command::new("mkfifo").arg(node.file()).status().unwrap().success());
+        std::fs::remove_file(node.config_path()).unwrap();
+        assert!(std::process::Command::new("mkfifo").arg(node.config_path()).status().unwrap().success());
     }
 
     /// The node is in the reload once this returns.
     fn reached(node: &Node) -> Gate {
-        Gate(std::fs::OpenOptions::new().write(true).open(node.file()).unwrap())
+        Gate(std::fs::OpenOptions::new().write(true).open(node.config_path()).unwrap())
     }
 
     /// It reads this, and goes on.
@@ -47,7 +47,7 @@
 #[case::keyed_from_now_on("zone-plan", "guarded", 400)]
 #[case::left_out("vent-plan", "single_shot", 404)]
 fn a_job_is_judged_by_one_set_of_settings(#[case] name: &str, #[case] semantics: &str, #[case] status: u16) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut before = config(&[server.address]);
     // Nothing is called off, however long the signals take.
     before["settings"]["allowed"]["cancel"] = json!(false);
@@ -55,45 +55,48 @@
     after["settings"]["classes"][0]["name"] = json!(name);
     after["settings"]["classes"][0]["semantics"] = json!(semantics);
     let node = Node::start(&before);
-    let mut client = node.ask("first", "/zone-plan");
+    let mut client = node.send_job("first", "/zone-plan");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "first");
     Gate::put(&node);
-    node.hang_up();
+    node.reload();
     let first = Gate::reached(&node);
     backend.serve("first", "1");
     client.send(&job("early", "/zone-plan", "1000m", ""));
-    node.hang_up();
+    node.reload();
     Gate::put(&node);
     first.opens(&before);
     let second = Gate::reached(&node);
-    node.hang_up();
-    std::fs::remove_file(node.file()).unwrap();
-    node.replace(&after.to_string());
+    node.reload();
+    std::fs::remove_file(node.config_path()).unwrap();
+    node.replace_config(&after.to_string());
     second.opens(&before);
     let lines = node.logs_until("new settings hold");
     assert_eq!(client.message().body, "1");
     assert_eq!(client.message().status(), status, "{lines:#?}");
-    assert!(backend.ended_early() && server.is_left_alone(), "it was sent by the rules of another class");
+    assert!(
+        backend.ends_without_data() && server.has_no_connection(),
+        "it was sent by the rules of another class"
+    );
 }
 
 /// A client hands a job in on a resting connection and leaves, both while the process stands between hearing of the job and reading
 /// it: the job is not sent on, although an idle connection to the server is there at once.
 #[rstest]
 fn a_client_that_leaves_before_its_job_is_read_has_gone(#[values(false, true)] resets: bool) {
-    let server = Party::new();
+    let server = TestServer::new();
     let config = config(&[server.address]);
     let node = Node::start(&config);
-    let mut client = node.ask("first", "/zone-plan");
+    let mut client = node.send_job("first", "/zone-plan");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "first");
     backend.serve("first", "1");
     assert_eq!(client.message().body, "1");
     Gate::put(&node);
-    node.hang_up();
+    node.reload();
     let first = Gate::reached(&node);
     client.send(&job("gone", "/zone-plan", "5000m", ""));
-    node.hang_up();
+    node.reload();
     Gate::put(&node);
     first.opens(&config);
     let second = Gate::reached(&node);
@@ -103,54 +106,55 @@
     } else {
         gone.shutdown(std::net::Shutdown::Both).unwrap();
     }
-    std::fs::remove_file(node.file()).unwrap();
-    node.replace(&config.to_string());
+    std::fs::remove_file(node.config_path()).unwrap();
+    node.replace_config(&config.to_string());
     second.opens(&config);
     node.logs("end frontend");
-    let mut next = node.ask("next", "/zone-plan");
+    let mut next = node.send_job("next", "/zone-plan");
     assert_eq!(backend.id(), "next");
     backend.serve("next", "2");
     assert_eq!(next.message().body, "2");
-    assert!(server.is_left_alone());
+    assert!(server.has_no_connection());
 }
 
 /// Two other discoveries in a row, by two reloads that are found in two turns: the last one's whole list is in force, and nothing
 /// that another one says.
 #[rstest]
 fn two_moves_in_a_row_end_at_the_last_discovery() {
-    let (server, other, last) = (Party::new(), Party::new(), Party::new());
-    let (first, second, third) = (Party::new(), Party::new(), Party::new());
-    let mut config = following(&[server.address], &first);
+    let (server, other, last) = (TestServer::new(), TestServer::new(), TestServer::new());
+    let (first, second, third) = (TestServer::new(), TestServer::new(), TestServer::new());
+    let mut config = config_with_discovery(&[server.address], &first);
     let node = Node::start(&config);
-    let (mut before, _) = watch(&first);
-    before.line(&listing(42, true, &[entry("s-0", server.address, "active")]));
+    let (mut before, _) = accept_watch(&first);
+    before.line(&server_list(42, true, &[entry("s-0", server.address, "active")]));
     node.logs("server table 42");
     Gate::put(&node);
-    node.hang_up();
+    node.reload();
     let gate = Gate::reached(&node);
-    let wrong = listing(50, true, &[entry("s-other", other.address, "active")]);
+    let wrong = server_list(50, true, &[entry("s-other", other.address, "active")]);
     before.line(&wrong);
-    node.hang_up();
+    node.reload();
     config["discovery"] = json!(second.address.to_string());
     let moved = config.clone();
     config["discovery"] = json!(third.address.to_string());
-    std::fs::remove_file(node.file()).unwrap();
-    node.replace(&config.to_string());
+    std::fs::remove_file(node.config_path()).unwrap();
+    node.replace_config(&config.to_string());
     gate.opens(&moved);
-    second.attended(move |mut peer| {
+    second.handle_connections(move |mut peer| {
         let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{wrong}", wrong.len());
-        while peer.try_send(&whole) && peer.goes_on() {
+        while peer.try_send(&whole) && peer.receives_data() {
             peer.message();
         }
     });
-    let mut notified = whole_list(&third, &listing(7, true, &[entry("s-last", last.address, "active")]));
+    let mut notified =
+        serve_complete_list(&third, &server_list(7, true, &[entry("s-last", last.address, "active")]));
     assert_eq!(notified.message().first, "GET /catalog/members?watch=1&from=7 HTTP/1.1");
-    let mut client = node.ask("a", "/zone-plan");
+    let mut client = node.send_job("a", "/zone-plan");
     let mut backend = last.accept();
     assert_eq!(backend.id(), "a");
     backend.serve("a", "1");
     assert_eq!(client.message().body, "1");
-    assert!(other.is_left_alone() && first.is_left_alone());
+    assert!(other.has_no_connection() && first.has_no_connection());
 }
 
 /// A time that one task has waited for and that another goes on waiting for wakes the other one.
@@ -186,36 +190,36 @@
 /// connection, as the rest of that answer would be taken for its own.
 #[rstest]
 fn half_a_second_answer_is_not_the_next_jobs(#[values(false, true)] at_once: bool) {
-    let (node, server) = pair();
-    let mut client = node.ask("a", "/actuator-cmd");
+    let (node, server) = node_with_server();
+    let mut client = node.send_job("a", "/actuator-cmd");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
     backend.serve("a", "1");
     assert_eq!(client.message().body, "1");
     // Long enough that the connection counts as quiet.
-    assert!(client.hears_nothing(ms(60)));
-    node.stand_still(true);
+    assert!(client.is_silent_for(ms(60)));
+    node.set_paused(true);
     backend.send("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nX-No");
     if !at_once {
-        node.stand_still(false);
+        node.set_paused(false);
         let mut health = node.client();
         health.send("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n");
         assert_eq!(health.message().status(), 200);
     }
     client.send(&job("b", "/actuator-cmd", "5000m", ""));
-    node.stand_still(false);
+    node.set_paused(false);
     let mut other = server.accept();
     assert_eq!(other.id(), "b");
-    assert!(!backend.goes_on(), "nothing is written behind half an answer");
+    assert!(!backend.receives_data(), "nothing is written behind half an answer");
     other.serve("b", "2");
     assert_eq!(client.message().body, "2");
     node.logs("reason=malformed messages=1");
-    assert!(server.is_left_alone());
+    assert!(server.has_no_connection());
 }
 
 /// One of so many nodes that ask for their lists.
-fn asking(server: SocketAddr, discovery: &Party, replicas: u32) -> Value {
-    let mut config = following(&[server], discovery);
+fn asking(server: SocketAddr, discovery: &TestServer, replicas: u32) -> Value {
+    let mut config = config_with_discovery(&[server], discovery);
     config["settings"]["replicas_of_me"] = json!(replicas);
     config["settings"]["discovery"] = json!("on_request");
     config
@@ -225,25 +229,25 @@
 /// although nothing was heard for longer than a watch may be silent.
 #[rstest]
 fn what_came_while_the_process_stood_still_is_heard_before_silence_is(#[values(1, 20, 300)] replicas: u32) {
-    let (server, discovery) = (Party::new(), Party::new());
+    let (server, discovery) = (TestServer::new(), TestServer::new());
     let node = Node::start(&asking(server.address, &discovery, replicas));
-    let (mut watch, _) = watch(&discovery);
-    watch.line(&listing(42, true, &[entry("s-0", server.address, "active")]));
+    let (mut watch, _) = accept_watch(&discovery);
+    watch.line(&server_list(42, true, &[entry("s-0", server.address, "active")]));
     node.logs("server table 42");
-    node.stand_still(true);
-    watch.line(&listing(43, false, &[entry("s-0", server.address, "leaving")]));
+    node.set_paused(true);
+    watch.line(&server_list(43, false, &[entry("s-0", server.address, "leaving")]));
     std::thread::sleep(ms(2_600));
-    node.stand_still(false);
+    node.set_paused(false);
     let lines = node.logs_until("server table 43");
     assert!(lines.iter().all(|l| !l.contains("end server-table")), "{lines:?}");
     // And the watch goes on.
-    watch.line(&listing(44, false, &[entry("s-0", server.address, "active")]));
+    watch.line(&server_list(44, false, &[entry("s-0", server.address, "active")]));
     let lines = node.logs_until("server table 44");
     assert!(lines.iter().all(|l| !l.contains("end server-table")), "{lines:?}");
 }
 
 /// Clients that hold so much of bodies which never come whole that one more is refused for want of memory.
-fn holding(node: &Node) -> Vec<Peer> {
+fn holding(node: &Node) -> Vec<Connection> {
     let body = "x".repeat(65_500);
     let mut held = Vec::new();
     loop {
@@ -262,11 +266,11 @@
 /// However much clients hold of bodies, an answer that another one waits for can be taken in.
 #[rstest]
 fn clients_that_hold_all_memory_keep_no_answer_out() {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["limits"]["memory_mb"] = json!(1);
     let node = Node::start(&config);
-    let mut client = node.ask("a", "/actuator-cmd");
+    let mut client = node.send_job("a", "/actuator-cmd");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
     let _held = holding(&node);
@@ -279,12 +283,12 @@
 /// However much clients and servers hold together of what has not come whole, a list of discovery comes in.
 #[rstest]
 fn what_clients_and_servers_hold_keeps_no_list_out() {
-    let (server, discovery) = (Party::new(), Party::new());
-    let mut config = following(&[server.address], &discovery);
+    let (server, discovery) = (TestServer::new(), TestServer::new());
+    let mut config = config_with_discovery(&[server.address], &discovery);
     config["limits"]["memory_mb"] = json!(1);
     let node = Node::start(&config);
-    let (mut watch, _) = watch(&discovery);
-    let _client = node.ask("a", "/actuator-cmd");
+    let (mut watch, _) = accept_watch(&discovery);
+    let _client = node.send_job("a", "/actuator-cmd");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
     let _held = holding(&node);
@@ -294,7 +298,7 @@
     let mut health = node.client();
     health.send("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n");
     assert_eq!(health.message().status(), 200);
-    watch.line(&listing(42, false, &[entry("s-0", server.address, "leaving")]));
+    watch.line(&server_list(42, false, &[entry("s-0", server.address, "leaving")]));
     let lines = node.logs_until("server table 42");
     assert!(lines.iter().all(|l| !l.contains("no memory is left for a part")), "{lines:?}");
 }
@@ -303,21 +307,21 @@
 /// comes in as it returns, operators are answered, and new jobs go out.
 #[rstest]
 fn descriptors_filled_while_discovery_is_down_keep_nobody_out(#[values("pushed", "on_request")] lists: &str) {
-    let (server, discovery) = (Party::new(), Party::new());
-    let other = Party::new();
-    let mut config = following(&[server.address], &discovery);
+    let (server, discovery) = (TestServer::new(), TestServer::new());
+    let other = TestServer::new();
+    let mut config = config_with_discovery(&[server.address], &discovery);
     let members = [entry("s-0", server.address, "leaving"), entry("s-new", other.address, "active")];
     let is_back = Arc::new(AtomicBool::new(false));
-    discovery.attended({
-        let (is_back, list) = (is_back.clone(), listing(42, true, &members));
+    discovery.handle_connections({
+        let (is_back, list) = (is_back.clone(), server_list(42, true, &members));
         move |mut peer| {
             if !is_back.load(Ordering::Relaxed) {
-                return peer.reset();
+                return peer.reset_after_data();
             }
             peer.message();
             peer.begin();
             peer.line(&list);
-            while peer.hears_nothing(ms(500)) {
+            while peer.is_silent_for(ms(500)) {
                 peer.line("");
             }
         }
@@ -326,9 +330,9 @@
     config["settings"]["allowed"]["cancel"] = json!(false);
     config["mgmt"] = json!("127.0.0.1:0");
     config["limits"]["sockets"] = json!(70);
-    let node = Node::start_as(&["prlimit", "--nofile=70:70", PROGRAM, "serve", "-v"], &config);
-    let mut idle: Vec<Peer> = (0..60).map(|_| node.client()).collect();
-    let mut held: Vec<(Peer, Peer)> = (0..4)
+    let node = Node::start_command(&["prlimit", "--nofile=70:70", PROGRAM, "serve", "-v"], &config);
+    let mut idle: Vec<Connection> = (0..60).map(|_| node.client()).collect();
+    let mut held: Vec<(Connection, Connection)> = (0..4)
         .map(|k| {
             let mut client = node.client();
             client.send(&job(&format!("held-{k}"), "/zone-plan", "60000m", ""));
@@ -343,7 +347,7 @@
     let lines = node.logs_until("server table 42");
     assert!(lines.iter().all(|l| !l.contains("no-sockets") && !l.contains("accepting")), "{lines:?}");
     assert!(back.elapsed() < Duration::from_secs(4), "{:?}", back.elapsed());
-    let mut client = node.ask("new", "/zone-plan");
+    let mut client = node.send_job("new", "/zone-plan");
     let mut backend = other.accept();
     assert_eq!(backend.id(), "new");
     backend.serve("new", "1");
@@ -361,11 +365,11 @@
 fn standing(config: &mut Value) -> (Node, Node) {
     config["mgmt"] = json!("127.0.0.1:0");
     let old = Node::start(config);
-    published(&old);
+    wait_for_handover_socket(&old);
     config["listen"] = json!(old.address.to_string());
-    old.stand_still(true);
-    let new = Node::starting(command(&[PROGRAM, "serve", "-v"], &config.to_string()));
-    while !new.handles_hang_up() {
+    old.set_paused(true);
+    let new = Node::spawn(command(&[PROGRAM, "serve", "-v"], &config.to_string()));
+    while !new.handles_sighup() {
         std::thread::yield_now();
     }
     (old, new)
@@ -374,14 +378,14 @@
 /// The process before is killed before it has handed its socket over: the next one binds the address itself.
 #[rstest]
 fn a_process_killed_before_it_hands_its_socket_over_is_replaced() {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     let (mut old, new) = standing(&mut config);
     old.signal(Signal::KILL);
     old.exit();
-    let new = new.serving();
+    let new = new.wait_until_serving();
     assert_eq!(new.address, old.address);
-    let mut client = new.ask("a", "/zone-plan");
+    let mut client = new.send_job("a", "/zone-plan");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
     backend.serve("a", "1");
@@ -392,29 +396,29 @@
 /// process its sockets close one after another, and the one at which clients connect is the last.
 #[rstest]
 fn a_process_that_ends_is_replaced_whichever_of_its_sockets_closes_first(#[values(false, true)] found: bool) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
     let clients = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = clients.local_addr().unwrap();
     config["listen"] = json!(address.to_string());
-    let place = meeting_place().join(format!("shorepath-{address}.sock"));
+    let place = handover_directory().join(format!("shorepath-{address}.sock"));
     // Left by a node that was there before, perhaps.
     let _ = std::fs::remove_file(&place);
     let next = std::os::unix::net::UnixListener::bind(&place).unwrap();
     let new = if found {
-        let new = Node::starting(command(&[PROGRAM, "serve", "-v"], &config.to_string()));
+        let new = Node::spawn(command(&[PROGRAM, "serve", "-v"], &config.to_string()));
         drop(next.accept().unwrap());
         new.logs("hands nothing over");
         drop(next);
         new
     } else {
         drop(next);
-        Node::starting(command(&[PROGRAM, "serve", "-v"], &config.to_string()))
+        Node::spawn(command(&[PROGRAM, "serve", "-v"], &config.to_string()))
     };
     new.logs("is not free yet");
     drop(clients);
-    let new = new.serving();
+    let new = new.wait_until_serving();
     assert_eq!((new.address, new.call("GET", "/ops/readiness")), (address, 200));
 }
 
@@ -422,11 +426,11 @@
 /// between are served by that one, and no connection is refused.
 #[rstest]
 fn a_process_killed_once_it_has_handed_its_socket_over_costs_no_connection() {
-    let (server, discovery) = (Party::new(), Party::new());
+    let (server, discovery) = (TestServer::new(), TestServer::new());
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
     let mut old = Node::start(&config);
-    published(&old);
+    wait_for_handover_socket(&old);
     config["listen"] = json!(old.address.to_string());
     config["discovery"] = json!(discovery.address.to_string());
     let new = Node::start(&config);
@@ -435,9 +439,9 @@
     silent.message();
     old.signal(Signal::KILL);
     old.exit();
-    let mut client = new.ask("a", "/zone-plan");
+    let mut client = new.send_job("a", "/zone-plan");
     silent.begin();
-    silent.line(&listing(42, true, &[entry("s-0", server.address, "active")]));
+    silent.line(&server_list(42, true, &[entry("s-0", server.address, "active")]));
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
     backend.serve("a", "1");
@@ -448,11 +452,11 @@
 /// The next process is killed before it takes clients: the one before goes on, and can be replaced.
 #[rstest]
 fn a_next_process_killed_before_it_serves_costs_nothing() {
-    let (server, discovery) = (Party::new(), Party::new());
+    let (server, discovery) = (TestServer::new(), TestServer::new());
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
     let old = Node::start(&config);
-    published(&old);
+    wait_for_handover_socket(&old);
     config["listen"] = json!(old.address.to_string());
     config["discovery"] = json!(discovery.address.to_string());
     for k in 0..3 {
@@ -462,7 +466,7 @@
         drop(new);
         old.logs("this one takes clients");
         let id = format!("{k}");
-        let mut client = old.ask(&id, "/zone-plan");
+        let mut client = old.send_job(&id, "/zone-plan");
         let mut backend = server.accept();
         assert_eq!(backend.id(), id);
         backend.send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
@@ -496,8 +500,8 @@
 #[case::chunk_without_end("POST /zone-plan HTTP/1.1\r\n{H}Transfer-Encoding: chunked\r\n\r\n1\r\nxyz", 400)]
 #[case::coding_in_1_0("POST /zone-plan HTTP/1.0\r\n{H}Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400)]
 fn what_is_no_request_ends_its_connection_alone(#[case] text: &str, #[case] status: u16) {
-    let (node, server) = pair();
-    let mut other = node.ask("other", "/zone-plan");
+    let (node, server) = node_with_server();
+    let mut other = node.send_job("other", "/zone-plan");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "other");
     let text = text.replace("{H}", HEAD);
@@ -510,21 +514,21 @@
         let _ = client.try_send(&text[cut..]);
         let answer = client.message();
         assert_eq!((answer.status(), answer.field("Connection")), (status, Some("close")), "cut at {cut}");
-        assert!(client.ended());
+        assert!(client.is_closed());
     }
     backend.serve("other", "1");
     assert_eq!(other.message().body, "1");
-    assert!(server.is_left_alone());
+    assert!(server.has_no_connection());
 }
 
 /// A request in chunks with extensions and a trailer, cut at every byte, is one request.
 #[rstest]
 fn a_request_in_chunks_is_read_wherever_it_is_cut() {
-    let (node, server) = pair();
+    let (node, server) = node_with_server();
     let chunks = "4;a=\"b\"\r\nabcd\r\n1 ;x\r\ne\r\n0;z\r\nX: y\r\n\r\n";
     let begin = format!("POST /zone-plan HTTP/1.1\r\n{HEAD}Transfer-Encoding: chunked\r\n\r\n");
     let text = begin.clone() + chunks;
-    let mut backend: Option<Peer> = None;
+    let mut backend: Option<Connection> = None;
     let mut client = node.client();
     let mut health = node.client();
     for cut in begin.len() - 4..text.len() {
--- a/tests/node/rare.rs
+++ b/tests/node/rare.rs
@@ -1,11 +1,11 @@
 //! Orderings that come up once in thousands of requests, each made to come up every time.
 
-use crate::notified::Failure;
+use crate::discovery_updates::Failure;
 use crate::sites::comes;
 use crate::stopping::until;
 use crate::support::*;
 use crate::written::{keyed, patient, seconds, AdminServer, FULL};
-use crate::{following, listing, watch};
+use crate::{accept_watch, config_with_discovery, server_list};
 use rstest::rstest;
 use serde_json::{json, Value};
 use socket2::{Domain, Socket, Type};
@@ -28,7 +28,7 @@
 }
 
 /// A client that has had an answer on its connection.
-fn known_client(node: &Node) -> Peer {
+fn known_client(node: &Node) -> Connection {
     let mut client = node.client();
     client.send(HEALTH);
     assert_eq!(client.message().status(), 200);
@@ -62,17 +62,17 @@
 
 /// A server that counts the work of the requests whose last byte has come, in requests of mean work, and serves each in the
 /// time that its id names.
-fn counting(server: Party) -> Arc<Mutex<Vec<(f64, f64)>>> {
+fn counting(server: TestServer) -> Arc<Mutex<Vec<(f64, f64)>>> {
     let came = Arc::new(Mutex::new(Vec::new()));
     let count = came.clone();
-    server.attended(move |mut peer| {
-        while peer.goes_on() {
+    server.handle_connections(move |mut peer| {
+        while peer.receives_data() {
             let id = peer.id();
             let work: u64 = id.rsplit('-').next().unwrap().parse().unwrap();
             count.lock().unwrap().push((unix_ms(), work as f64 / WORK as f64));
             peer.begin();
             peer.state(&id, "started");
-            if peer.hears_nothing(ms(work)) {
+            if peer.is_silent_for(ms(work)) {
                 peer.finish(&id, &id);
             }
         }
@@ -88,11 +88,11 @@
 #[case::of_hinted_work(2, true)]
 #[case::of_equal_work_again(3, false)]
 fn twenty_processes_together_do_not_fell_a_cold_server(#[case] seed: u64, #[case] hinted: bool) {
-    let discovery = Party::new();
+    let discovery = TestServer::new();
     let (share, warm, fall, multiple) = WARMING;
     let nodes: Vec<Node> = (0..20)
         .map(|k| {
-            let mut config = following(&[], &discovery);
+            let mut config = config_with_discovery(&[], &discovery);
             config["name"] = json!(format!("n{k}"));
             config["seed"] = json!(format!("{:x}", seed * 100 + k));
             let settings = &mut config["settings"];
@@ -109,9 +109,9 @@
             Node::start(&config)
         })
         .collect();
-    let mut watches: Vec<Peer> = nodes.iter().map(|_| watch(&discovery).0).collect();
+    let mut watches: Vec<Connection> = nodes.iter().map(|_| accept_watch(&discovery).0).collect();
     // A watch on which nothing comes has fallen silent.
-    let pass = |watches: &mut Vec<Peer>, time: Duration| {
+    let pass = |watches: &mut Vec<Connection>, time: Duration| {
         let end = Instant::now() + time;
         while Instant::now() < end {
             watches.iter_mut().for_each(|w| w.line(""));
@@ -121,20 +121,20 @@
     let mut next = numbers(seed);
     let (mut before, mut all): (Vec<Value>, Vec<f64>) = Default::default();
     for round in 0..2 {
-        let server = Party::new();
+        let server = TestServer::new();
         let mut cold = entry(&format!("s-{round}"), server.address, "active");
         let started = unix_ms();
         cold["up_since_ms"] = json!(started);
         let came = counting(server);
         let revision = 42 + round;
         let members = [before.as_slice(), &[cold.clone()]].concat();
-        watches.iter_mut().for_each(|w| w.line(&listing(revision, false, &members)));
+        watches.iter_mut().for_each(|w| w.line(&server_list(revision, false, &members)));
         nodes.iter().for_each(|node| drop(node.logs(&format!("server table {revision}"))));
         cold["phase"] = json!("left");
         before = vec![cold];
         // In that time each could save a request at half of what the server is allowed.
         pass(&mut watches, ms(4_000));
-        let mut clients: Vec<(usize, Peer)> = nodes
+        let mut clients: Vec<(usize, Connection)> = nodes
             .iter()
             .enumerate()
             .flat_map(|(k, node)| (0..6).map(move |_| (k, known_client(node))))
@@ -178,9 +178,9 @@
     }
 
     /// From now on they come up.
-    fn listens(self) -> Party {
+    fn listens(self) -> TestServer {
         self.socket.listen(100).unwrap();
-        Party::behind(self.socket.into())
+        TestServer::from_listener(self.socket.into())
     }
 }
 
@@ -192,12 +192,12 @@
     #[values("pushed", "on_request")] lists: &str,
     #[values("exec \"$0\" serve -v", "ulimit -n 70; exec \"$0\" serve -v")] messages: &str,
 ) {
-    let (old, new, discovery) = (Party::new(), Party::new(), Reserved::new());
+    let (old, new, discovery) = (TestServer::new(), TestServer::new(), Reserved::new());
     let mut config = config(&[old.address]);
     config["discovery"] = json!(discovery.address.to_string());
     config["limits"]["sockets"] = json!(70);
     config["settings"]["discovery"] = json!(lists);
-    let node = Node::start_as(&["sh", "-c", messages, PROGRAM], &config);
+    let node = Node::start_command(&["sh", "-c", messages, PROGRAM], &config);
     let (address, over, opened) =
         (node.address, Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
     let (is_over, count) = (over.clone(), opened.clone());
@@ -221,9 +221,9 @@
         }
     };
     // Each needs a connection of its own to the server, and all descriptors are taken by then.
-    let served = |id: &str, server: &Party| {
+    let served = |id: &str, server: &TestServer| {
         fills_again();
-        let mut client = node.ask(id, "/zone-plan");
+        let mut client = node.send_job(id, "/zone-plan");
         fills_again();
         let mut backend = server.accept();
         assert_eq!(backend.id(), id);
@@ -240,16 +240,16 @@
     }
     let discovery = discovery.listens();
     let back = Instant::now();
-    let (mut watch, request) = watch(&discovery);
+    let (mut watch, request) = accept_watch(&discovery);
     assert_eq!(request, "GET /catalog/members?watch=1&from=41 HTTP/1.1");
-    watch.line(&listing(42, true, &[entry("s-new", new.address, "active")]));
+    watch.line(&server_list(42, true, &[entry("s-new", new.address, "active")]));
     node.logs("server table 42");
     assert!(back.elapsed() < Duration::from_secs(6), "{:?}", back.elapsed());
     served("back", &new);
     over.store(true, Ordering::Relaxed);
     println!("{opened:?} connections of the crowd");
     crowd.join().unwrap();
-    let mut client = node.ask("after", "/zone-plan");
+    let mut client = node.send_job("after", "/zone-plan");
     let mut backend = new.accept();
     assert_eq!(backend.id(), "after");
     backend.serve("after", "1");
@@ -263,21 +263,21 @@
 #[case::the_same_by_the_system("ulimit -n 70; exec \"$0\" serve -v")]
 #[case::fewer_by_the_system("ulimit -n 48; exec \"$0\" serve -v")]
 fn silent_clients_that_come_with_a_job_leave_it_a_descriptor(#[case] messages: &str) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["limits"]["sockets"] = json!(70);
-    let node = Node::start_as(&["sh", "-c", messages, PROGRAM], &config);
-    server.attended(|mut peer| {
+    let node = Node::start_command(&["sh", "-c", messages, PROGRAM], &config);
+    server.handle_connections(|mut peer| {
         let id = peer.id();
         peer.send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
         peer.send(&format!("{}\n", json!({"id": id, "state": "done", "result": "1"})));
     });
     let mut client = known_client(&node);
-    node.stand_still(true);
+    node.set_paused(true);
     // Less than the queue of those that wait holds.
-    let _crowd: Vec<Peer> = (0..90).map(|_| node.client()).collect();
+    let _crowd: Vec<Connection> = (0..90).map(|_| node.client()).collect();
     client.send(&job("a", "/actuator-cmd", "5000m", ""));
-    node.stand_still(false);
+    node.set_paused(false);
     let answer = client.message();
     assert_eq!((answer.status(), answer.body.as_str()), (200, "1"));
 }
@@ -286,22 +286,22 @@
 /// node keeps to what there is, so that each job has a connection to its server.
 #[rstest]
 fn clients_leave_servers_the_descriptors_that_the_system_gives(#[values(50, 60, 90)] most: usize) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["limits"]["sockets"] = json!(1024);
     let messages = format!("ulimit -n {most}; exec \"$0\" serve -v");
-    let node = Node::start_as(&["sh", "-c", &messages, PROGRAM], &config);
-    server.attended(|mut peer| {
+    let node = Node::start_command(&["sh", "-c", &messages, PROGRAM], &config);
+    server.handle_connections(|mut peer| {
         let id = peer.id();
         peer.send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
         peer.send(&format!("{}\n", json!({"id": id, "state": "done", "result": "1"})));
     });
     // One that has handed in a job before is spared.
-    let mut client = node.ask("before", "/actuator-cmd");
+    let mut client = node.send_job("before", "/actuator-cmd");
     assert_eq!(client.message().status(), 200);
     // All of them are accepted, and most are made to go again.
-    let mut crowd: Vec<Peer> = (0..200).map(|_| node.client()).collect();
-    let left = |crowd: &mut Vec<Peer>| crowd.retain_mut(|peer| peer.hears_nothing(ms(1)));
+    let mut crowd: Vec<Connection> = (0..200).map(|_| node.client()).collect();
+    let left = |crowd: &mut Vec<Connection>| crowd.retain_mut(|peer| peer.is_silent_for(ms(1)));
     while crowd.len() >= most {
         left(&mut crowd);
     }
@@ -347,19 +347,20 @@
     )]
     discovery: Discovery,
 ) {
-    let (server, agent, refusing, (deaf, _kept)) = (Party::new(), Party::new(), Reserved::new(), deaf());
+    let (server, agent, refusing, (deaf, _kept)) =
+        (TestServer::new(), TestServer::new(), Reserved::new(), saturated_listener());
     let mut config = config(&[server.address]);
     let address = match discovery {
         Discovery::Deaf => deaf,
         Discovery::Refuses => refusing.address,
         Discovery::Fails(_) | Discovery::Trickles => agent.address,
     };
-    agent.attended(move |mut peer| match discovery {
+    agent.handle_connections(move |mut peer| match discovery {
         Discovery::Fails(failure) => failure.play(peer),
         _ => {
             peer.message();
             peer.begin();
-            peer.trickle_until_over("1\r\n{\r\n");
+            peer.trickle_until_closed("1\r\n{\r\n");
         }
     });
     config["discovery"] = json!(address.to_string());
@@ -410,8 +411,8 @@
     let listen = |reserved: Vec<Reserved>| {
         for server in reserved.into_iter().map(Reserved::listens) {
             let back = back.clone();
-            server.attended(move |mut peer| {
-                while peer.goes_on() {
+            server.handle_connections(move |mut peer| {
+                while peer.receives_data() {
                     let id = peer.id();
                     if back.load(Ordering::Relaxed) {
                         peer.serve(&id, &id);
@@ -440,7 +441,7 @@
                     client.send(&job(&format!("{k}-{n}"), target, "5000m", ""));
                     let status = client.message().status();
                     answers.push((unix_ms() / 1e3, status));
-                    assert!(client.hears_nothing(ms(50)));
+                    assert!(client.is_silent_for(ms(50)));
                 }
                 answers
             })
@@ -498,7 +499,7 @@
     framed: Framed,
     #[values(1, 3, 50)] piece: usize,
 ) {
-    let server = Party::new();
+    let server = TestServer::new();
     let node = Node::start(&patient(server.address, false));
     let mut client = node.client();
     let mut kept = None;
@@ -538,7 +539,7 @@
             if piece == 1 {
                 std::thread::yield_now();
             } else {
-                backend.hears_nothing(ms(1));
+                backend.is_silent_for(ms(1));
             }
         }
         if !matches!(framed, Framed::Ends) {
@@ -547,7 +548,7 @@
         let answer = client.message();
         assert_eq!((answer.status(), answer.body), (200, result));
     }
-    assert!(server.is_left_alone());
+    assert!(server.has_no_connection());
 }
 
 /// How much of what was written to that address the writer's system holds, and the reader's.
@@ -601,7 +602,7 @@
     let mut backend = server.accept();
     match when {
         ResetAt::Before => {
-            assert!(backend.has_come(), "nothing came");
+            assert!(backend.has_unread_data(), "nothing came");
             std::thread::sleep(ms(100));
             // The buffers are full, and the last byte is still to be written.
             let before = queued(address);
@@ -614,7 +615,7 @@
         }
         ResetAt::Read => assert!(backend.message().body == body),
     }
-    backend.resets();
+    backend.reset_now();
     if when == ResetAt::Before || target == "/zone-plan" {
         let mut backend = server.accept();
         let request = backend.message();
@@ -624,8 +625,8 @@
     } else {
         assert_eq!(client.message().status(), 502);
     }
-    assert!(client.hears_nothing(ms(20)), "one answer");
-    assert!(server.is_left_alone());
+    assert!(client.is_silent_for(ms(20)), "one answer");
+    assert!(server.has_no_connection());
 }
 
 /// What a server is told to be left, in milliseconds.
@@ -671,7 +672,7 @@
             break;
         }
         if held > 0 {
-            backend.stays_silent(ms(held));
+            backend.assert_silent_for(ms(held));
         }
         if late {
             admin.shut();
@@ -693,7 +694,7 @@
 #[case::all("all", 503)]
 #[case::zone("zone", 502)]
 fn a_window_for_repeats_that_is_used_up_ends_the_attempts(#[case] group: &str, #[case] status: u16) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     let class = &mut config["settings"]["classes"][1];
     (class["semantics"], class["group"]) = (json!("guarded"), json!(group));
@@ -708,10 +709,10 @@
     assert_eq!(backend.id(), "a");
     assert!(first.elapsed() < ms(400), "the second is in time");
     // It waits in the server's queue until its key is forgotten.
-    backend.stays_silent(ms(450));
+    backend.assert_silent_for(ms(450));
     backend.send("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
     assert_eq!(client.message().status(), status);
-    assert!(backend.hears_nothing(ms(100)) && server.is_left_alone());
+    assert!(backend.is_silent_for(ms(100)) && server.has_no_connection());
 }
 
 /// Where a request is as other settings are read.
@@ -754,11 +755,11 @@
             kept = Some(backend);
         }
         Stage::Queued => {
-            let held = node.ask("before", "/zone-plan");
+            let held = node.send_job("before", "/zone-plan");
             let mut backend = admin.accept();
             assert_eq!(backend.id(), "before");
             client.send(&text);
-            assert!(backend.hears_nothing(ms(50)), "it is queued");
+            assert!(backend.is_silent_for(ms(50)), "it is queued");
             before = Some((held, backend));
         }
         Stage::Connecting => {
@@ -788,8 +789,8 @@
     settings["projects"] = json!([
         {"name": "second", "portion": 0.5, "quota_rps": 50.0}, {"name": "acme", "portion": 0.5, "quota_rps": 50.0}
     ]);
-    node.replace(&config.to_string());
-    node.hang_up();
+    node.replace_config(&config.to_string());
+    node.reload();
     let lines = node.logs_until("new settings hold");
     assert!(stage != Stage::Between || lines.iter().all(|l| !l.contains("dispatch 1.1")), "{lines:?}");
     if let Some((mut held, mut backend)) = before {
@@ -814,7 +815,7 @@
         kept = Some(backend);
     }
     assert_eq!(client.message().status(), if target == "/zone-plan" { 503 } else { 502 });
-    assert!(kept.unwrap().hears_nothing(ms(20)) && admin.came().is_none(), "no attempt more");
+    assert!(kept.unwrap().is_silent_for(ms(20)) && admin.came().is_none(), "no attempt more");
     // Whoever comes now comes under the new ones.
     client.send(&text.replace("Request-Id: a", "Request-Id: b"));
     assert_eq!(client.message().status(), 400, "there is no such tenant");
--- a/tests/node/recovery.rs
+++ b/tests/node/recovery.rs
@@ -23,10 +23,10 @@
 
 impl Stand {
     pub fn new() -> Stand {
-        let (party, runs) = (Party::new(), Arc::new(Mutex::new(BTreeMap::new())));
+        let (party, runs) = (TestServer::new(), Arc::new(Mutex::new(BTreeMap::new())));
         let stand = Stand { address: party.address, runs: runs.clone() };
-        party.attended(move |mut peer| {
-            while peer.goes_on() {
+        party.handle_connections(move |mut peer| {
+            while peer.receives_data() {
                 let request = peer.message();
                 let key = request.field("Idempotency-Key").unwrap_or("none").to_string();
                 *runs.lock().unwrap().entry(key.clone()).or_default() += 1;
@@ -57,7 +57,7 @@
     pub fn new(name: &str, nodes: usize, clause: &str) -> Fleet {
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
             .join(format!("recovery-{}-{name}", std::process::id()));
-        let addresses: Vec<SocketAddr> = (0..nodes).map(|_| fresh()).collect();
+        let addresses: Vec<SocketAddr> = (0..nodes).map(|_| unused_address()).collect();
         let listed: String =
             addresses.iter().enumerate().map(|(k, a)| format!("(node n{k} \"{a}\")")).collect();
         std::fs::create_dir_all(&folder).unwrap();
@@ -105,7 +105,7 @@
         change: impl Fn(&mut serde_json::Value),
     ) -> Node {
         let (messages, config) = self.command(node, servers, more, change);
-        Node::start_as(&messages.iter().map(String::as_str).collect::<Vec<_>>(), &config)
+        Node::start_command(&messages.iter().map(String::as_str).collect::<Vec<_>>(), &config)
     }
 
     /// What it says where it does not start.
@@ -157,7 +157,7 @@
         if text.split('|').any(|t| notified.contains(t)) {
             return;
         }
-        assert!(begin.elapsed() < 2 * LONG, "no {text} in:\n{notified}");
+        assert!(begin.elapsed() < 2 * TEST_TIMEOUT, "no {text} in:\n{notified}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
@@ -190,7 +190,7 @@
     for node in &nodes {
         until(node, "step \"guarded\"");
         assert_eq!(node.call("GET", "/ops/readiness"), 200);
-        assert_eq!(node.ask("free", "/zone-plan").message().status(), 200);
+        assert_eq!(node.send_job("free", "/zone-plan").message().status(), 200);
         let refused = guarded(node, "early");
         assert_eq!(refused.status(), 503);
         assert!(refusal(&refused).1.unwrap().starts_with("recovering: waits for an operator"));
@@ -239,7 +239,7 @@
         notified.contains("waits_for \"an operator: what must not run twice may be missing"),
         "{notified}"
     );
-    assert_eq!(node.ask("free", "/zone-plan").message().status(), 200);
+    assert_eq!(node.send_job("free", "/zone-plan").message().status(), 200);
     assert_eq!(guarded(&node, "k").status(), 503);
     // Those that lived on serve all the while.
     assert_eq!(guarded(&nodes[0], "k").status(), 200);
@@ -272,7 +272,7 @@
 #[rstest]
 fn a_final_answer_stays_the_one() {
     let clause = "(recover (remember 1 KiB) (answer 100 B) (outlive 1 s) (peers 1 s))";
-    let (fleet, server) = (Fleet::new("answers", 2, clause), Party::new());
+    let (fleet, server) = (Fleet::new("answers", 2, clause), TestServer::new());
     let mut nodes = fleet.founded(&[server.address]);
     let ask = |node: &Node, id: &str, key: &str| {
         let mut client = node.client();
@@ -310,7 +310,7 @@
     for k in 0..20 {
         let begin = Instant::now();
         while guarded(&node, &format!("newer{k}")).status() != 200 {
-            assert!(begin.elapsed() < LONG, "newer{k} is not served");
+            assert!(begin.elapsed() < TEST_TIMEOUT, "newer{k} is not served");
         }
     }
     assert_eq!(again("h", "short").0, 409);
@@ -324,24 +324,24 @@
     let node = fleet.start(0, &[], &[]);
     until(&node, "waits_for \"discovery's list\"");
     assert_eq!(node.call("GET", "/ops/readiness"), 503);
-    let refused = node.ask("a", "/zone-plan").message();
+    let refused = node.send_job("a", "/zone-plan").message();
     assert_eq!(refusal(&refused), (503, Some("recovering: waits for discovery's list")));
     drop(node);
     let node = fleet.start(0, &[server.address], &[]);
     node.logs("why=\"peers did not reply in time\"");
     until(&node, "peer n1 Silent");
     until(&node, "step \"guarded\"");
-    assert_eq!(node.ask("a", "/zone-plan").message().status(), 200);
+    assert_eq!(node.send_job("a", "/zone-plan").message().status(), 200);
     assert_eq!(guarded(&node, "k").status(), 503);
 }
 
 /// Discovery that answers one watch, tells that list and then nothing.
 fn discovery(revision: u64, members: &[serde_json::Value]) -> SocketAddr {
-    let party = Party::new();
+    let party = TestServer::new();
     let address = party.address;
     let list = serde_json::json!({"revision": revision, "complete": true, "members": members}).to_string();
-    party.attended(move |mut peer| {
-        while peer.goes_on() {
+    party.handle_connections(move |mut peer| {
+        while peer.receives_data() {
             let whole = !peer.message().first.contains("watch=1");
             peer.begin();
             peer.line(if whole { &list } else { "" });
@@ -378,18 +378,18 @@
     // The disk has it once its file tells of it.
     first.iter().for_each(|n| until(n, "list kept"));
     drop(first);
-    let nodes = [0, 1].map(|k| start(k, closed()));
+    let nodes = [0, 1].map(|k| start(k, refusing_address()));
     for node in &nodes {
         until(node, "step \"serving\"");
         until(node, "list \"as a beginning\" age_ms=");
-        assert_eq!(node.ask("a", "/zone-plan").message().status(), 200);
+        assert_eq!(node.send_job("a", "/zone-plan").message().status(), 200);
     }
     drop(nodes);
     let nodes = [0, 1].map(|k| start(k, discovery(1, &[])));
     for node in &nodes {
         until(node, "waits_for \"servers: discovery's list is empty\"");
         assert_eq!(node.call("GET", "/ops/readiness"), 503);
-        assert_eq!(node.ask("b", "/zone-plan").message().status(), 503);
+        assert_eq!(node.send_job("b", "/zone-plan").message().status(), 503);
     }
 }
 
@@ -493,7 +493,7 @@
 /// The answer, if one came whole.
 fn ask_once(admin: SocketAddr, key: &str, time: u32) -> Option<(u16, String)> {
     let mut stream = TcpStream::connect(admin).ok()?;
-    stream.set_read_timeout(Some(LONG)).ok()?;
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).ok()?;
     let text = job(&format!("{key}-{time}"), "/actuator-cmd", "5000m", "");
     let text = text.replace("Tenant:", &format!("Connection: close\r\nIdempotency-Key: {key}\r\nTenant:"));
     stream.write_all(text.as_bytes()).ok()?;
@@ -533,7 +533,7 @@
         let (before, begun) = (placements(other), Instant::now());
         assert_eq!(guarded(&nodes[k], "newer").status(), 200);
         while placements(other) == before {
-            assert!(begun.elapsed() < LONG, "nobody hears of it");
+            assert!(begun.elapsed() < TEST_TIMEOUT, "nobody hears of it");
         }
         // With its own next one the other writes down what it has heard.
         assert_eq!(guarded(other, "next").status(), 200);
@@ -544,7 +544,7 @@
         // Guards against a load that is none where processes hardly get a processor. Once disks are lost nothing guarded runs.
         let begun = Instant::now();
         while round == 0 && server.runs.lock().unwrap().len() <= least {
-            assert!(begun.elapsed() < LONG, "the load runs nothing");
+            assert!(begun.elapsed() < TEST_TIMEOUT, "the load runs nothing");
             std::thread::sleep(Duration::from_millis(1));
         }
         std::thread::sleep(Duration::from_millis(u64::from(100 + (137 * (seed + round)) % 400)));
--- a/tests/node/terms.rs
+++ b/tests/node/service_guarantees.rs
@@ -2,7 +2,7 @@
 //! answers, come up late or hang.
 
 use crate::support::*;
-use crate::{listing, pair};
+use crate::{node_with_server, server_list};
 use rstest::rstest;
 use serde_json::json;
 use std::collections::HashSet;
@@ -14,11 +14,11 @@
 type Ledger = Arc<Mutex<Vec<(String, Instant)>>>;
 
 /// Serve whatever comes with its own id as its result, and write it down.
-fn serving(server: Party) -> Ledger {
+fn serving(server: TestServer) -> Ledger {
     let ledger = Ledger::default();
     let written = ledger.clone();
-    server.attended(move |mut peer| {
-        while peer.goes_on() {
+    server.handle_connections(move |mut peer| {
+        while peer.receives_data() {
             let id = peer.id();
             written.lock().unwrap().push((id.clone(), Instant::now()));
             peer.serve(&id, &id);
@@ -40,28 +40,28 @@
 /// by threes: each has its one answer. The node stands still over that moment, so that they are surely there.
 #[rstest]
 fn what_comes_before_the_close_is_answered() {
-    let (mut node, server) = pair();
+    let (mut node, server) = node_with_server();
     let _ledger = serving(server);
-    let mut clients: Vec<Peer> = (0..8).map(|_| node.client()).collect();
+    let mut clients: Vec<Connection> = (0..8).map(|_| node.client()).collect();
     for client in &mut clients {
         client.send("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n");
         assert_eq!(client.message().status(), 200);
     }
     node.terminate();
     node.logs("new connections are refused");
-    node.stand_still(true);
+    node.set_paused(true);
     let ids = |k: usize| (0..if k.is_multiple_of(2) { 1 } else { 3 }).map(move |n| format!("{k}-{n}"));
     for (k, client) in clients.iter_mut().enumerate() {
         client.send(&ids(k).map(|id| job(&id, "/zone-plan", "5000m", "")).collect::<String>());
     }
-    assert!(clients[0].hears_nothing(Duration::from_millis(1_500)));
-    node.stand_still(false);
+    assert!(clients[0].is_silent_for(Duration::from_millis(1_500)));
+    node.set_paused(false);
     for (k, client) in clients.iter_mut().enumerate() {
         for id in ids(k) {
             let answer = client.message();
             assert!(is_final(&answer, &id), "{id}: {answer:?}");
         }
-        assert!(client.ended());
+        assert!(client.is_closed());
     }
     assert!(node.exit().success());
 }
@@ -70,17 +70,17 @@
 /// end between requests; one that crosses that end has gone to no server.
 #[rstest]
 fn clients_that_go_on_sending_after_sigterm_are_answered() {
-    let (mut node, server) = pair();
+    let (mut node, server) = node_with_server();
     let ledger = serving(server);
-    let clients: Vec<Peer> = (0..6).map(|_| node.client()).collect();
+    let clients: Vec<Connection> = (0..6).map(|_| node.client()).collect();
     node.terminate();
     let notified = Instant::now();
-    let going_on = |(k, mut client): (usize, Peer)| {
+    let going_on = |(k, mut client): (usize, Connection)| {
         std::thread::spawn(move || {
             for n in 0.. {
                 let id = format!("{k}-{n}");
                 client.send(&job(&id, "/zone-plan", "3000m", ""));
-                if !client.goes_on() {
+                if !client.receives_data() {
                     return (n, Some(id));
                 }
                 let answer = client.message();
@@ -89,10 +89,10 @@
                     "{answer:?}"
                 );
                 if answer.field("Connection") == Some("close") {
-                    assert!(client.ended());
+                    assert!(client.is_closed());
                     return (n, None);
                 }
-                assert!(client.hears_nothing(Duration::from_millis(5)) || !client.goes_on());
+                assert!(client.is_silent_for(Duration::from_millis(5)) || !client.receives_data());
             }
             unreachable!()
         })
@@ -107,15 +107,15 @@
 }
 
 /// Attend an agent's calls: whoever watches is told that list, and that nothing changes.
-fn report(mut peer: Peer, list: &str) {
-    while peer.goes_on() {
+fn report(mut peer: Connection, list: &str) {
+    while peer.receives_data() {
         if peer.message().first.starts_with("GET /catalog/members HTTP") {
             peer.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()));
             continue;
         }
         peer.begin();
         peer.line(list);
-        while peer.hears_nothing(Duration::from_millis(500)) {
+        while peer.is_silent_for(Duration::from_millis(500)) {
             peer.line("");
         }
     }
@@ -124,12 +124,12 @@
 /// A server that leaves, one that stays, a configuration that holds the first alone as one of 300 nodes to whom
 /// lists are pushed, and what the agent has.
 fn pushed(discovery: SocketAddr) -> (serde_json::Value, Ledger, Ledger, String) {
-    let (old, new) = (Party::new(), Party::new());
+    let (old, new) = (TestServer::new(), TestServer::new());
     let mut config = config(&[old.address]);
     config["discovery"] = json!(discovery.to_string());
     config["settings"]["replicas_of_me"] = json!(300);
     let members = [entry("s-0", old.address, "leaving"), entry("s-new", new.address, "active")];
-    (config, serving(old), serving(new), listing(43, true, &members))
+    (config, serving(old), serving(new), server_list(43, true, &members))
 }
 
 /// Nothing new goes to a server half a second after its leaving counts as told; one job after the other is handed
@@ -151,9 +151,9 @@
 /// What the agent has counts from the first moment of a process.
 #[rstest]
 fn a_pushed_list_counts_from_the_first_moment() {
-    let agent = Party::new();
+    let agent = TestServer::new();
     let (config, old, new, list) = pushed(agent.address);
-    agent.attended(move |peer| report(peer, &list));
+    agent.handle_connections(move |peer| report(peer, &list));
     let node = Node::start(&config);
     keeps_away(&node, (&old, &new), Instant::now());
 }
@@ -161,29 +161,29 @@
 /// And at once after an outage of the agent.
 #[rstest]
 fn a_pushed_list_counts_at_once_after_an_outage() {
-    let address = closed();
+    let address = refusing_address();
     let (config, old, new, list) = pushed(address);
     let node = Node::start(&config);
     (0..6).for_each(|_| drop(node.logs("end server-table")));
     let listener = TcpListener::bind(address).unwrap();
     let notified = Instant::now();
-    Party::behind(listener).attended(move |peer| report(peer, &list));
+    TestServer::from_listener(listener).handle_connections(move |peer| report(peer, &list));
     keeps_away(&node, (&old, &new), notified);
 }
 
 /// And 4 s after SIGHUP, although the first call of the agent that it names is not answered.
 #[rstest]
 fn a_pushed_list_counts_four_seconds_after_sighup() {
-    let (first, second) = (Party::new(), Party::new());
+    let (first, second) = (TestServer::new(), TestServer::new());
     let (mut config, old, new, list) = pushed(first.address);
     let node = Node::start(&config);
     let _before = first.accept();
     config["discovery"] = json!(second.address.to_string());
-    node.replace(&config.to_string());
-    node.hang_up();
+    node.replace_config(&config.to_string());
+    node.reload();
     let notified = Instant::now() + Duration::from_secs(4);
     let _silent = second.accept();
-    second.attended(move |peer| report(peer, &list));
+    second.handle_connections(move |peer| report(peer, &list));
     node.logs("server table 43");
     keeps_away(&node, (&old, &new), notified.min(Instant::now()));
     assert!(Instant::now() < notified + Duration::from_secs(2));
@@ -196,8 +196,8 @@
 #[case::error("500 Oh", "")]
 #[case::unstarted("503 Full\r\nNot-Started: 1", "")]
 fn a_second_answer_ends_an_idle_connection(#[case] status: &str, #[case] body: &str) {
-    let (node, server) = pair();
-    let mut client = node.ask("a", "/actuator-cmd");
+    let (node, server) = node_with_server();
+    let mut client = node.send_job("a", "/actuator-cmd");
     let mut backend = server.accept();
     backend.message();
     backend.serve("a", "1");
@@ -218,8 +218,8 @@
 #[case::error("500 Oh", "")]
 #[case::unstarted("503 Full\r\nNot-Started: 1", "")]
 fn a_second_answer_is_not_the_next_jobs(#[case] status: &str, #[case] body: &str) {
-    let (node, server) = pair();
-    let mut client = node.ask("a", "/actuator-cmd");
+    let (node, server) = node_with_server();
+    let mut client = node.send_job("a", "/actuator-cmd");
     let mut backend = server.accept();
     backend.message();
     backend.serve("a", "1");
@@ -231,14 +231,14 @@
     node.logs("end backend");
     other.serve("b", "2");
     assert_eq!(client.message().body, "2");
-    assert!(server.is_left_alone());
+    assert!(server.has_no_connection());
 }
 
 /// A safe job goes over that connection at once; one that such an answer ends is made again.
 #[rstest]
 fn a_second_answer_costs_a_safe_job_another_attempt_at_most() {
-    let (node, server) = pair();
-    let mut client = node.ask("a", "/zone-plan");
+    let (node, server) = node_with_server();
+    let mut client = node.send_job("a", "/zone-plan");
     let mut backend = server.accept();
     backend.message();
     backend.serve("a", "1");
@@ -247,7 +247,7 @@
     assert_eq!(backend.id(), "b");
     backend.send("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
     let ledger = serving(server);
-    if backend.goes_on() {
+    if backend.receives_data() {
         let id = backend.id();
         backend.serve(&id, &id);
     }
@@ -267,7 +267,7 @@
 #[case::given_up("5000m", 150.0, Some(503))]
 #[case::too_late("500m", 3_000.0, None)]
 fn a_connection_that_comes_up_late(#[case] time: &str, #[case] connect: f64, #[case] status: Option<u16>) {
-    let (address, late) = deaf_for(Duration::from_millis(600));
+    let (address, late) = saturated_listener_for(Duration::from_millis(600));
     let mut config = config(&[address]);
     config["settings"]["allowed"]["connect_timeout_ms"] = json!(connect);
     let node = Node::start(&config);
@@ -280,7 +280,7 @@
         Some(status) => assert_eq!(answer.status(), status),
         None => assert!(answer.status() != 200 && begun.elapsed() < Duration::from_millis(900)),
     }
-    assert!(client.hears_nothing(Duration::from_millis(1_500)), "one answer");
+    assert!(client.is_silent_for(Duration::from_millis(1_500)), "one answer");
     assert_eq!(ledger.lock().unwrap().len(), usize::from(status == Some(200)));
 }
 
@@ -288,15 +288,15 @@
 /// time, what may not be repeated runs nowhere else, and most are served.
 #[rstest]
 fn a_server_that_hangs_costs_no_answer() {
-    let all: Vec<Party> = (0..20).map(|_| Party::new()).collect();
+    let all: Vec<TestServer> = (0..20).map(|_| TestServer::new()).collect();
     let mut config = config(&all.iter().map(|s| s.address).collect::<Vec<_>>());
     config["settings"]["projects"][0]["quota_rps"] = json!(1000.0);
     let node = Node::start(&config);
     let (ledger, hung) = (Ledger::default(), Ledger::default());
     for (k, server) in all.into_iter().enumerate() {
         let ledger = if k == 7 { hung.clone() } else { ledger.clone() };
-        server.attended(move |mut peer| {
-            while peer.goes_on() {
+        server.handle_connections(move |mut peer| {
+            while peer.receives_data() {
                 let id = peer.id();
                 ledger.lock().unwrap().push((id.clone(), Instant::now()));
                 if k != 7 {
@@ -313,14 +313,14 @@
     };
     let mut served = 0;
     for round in 0..5 {
-        let clients: Vec<Peer> = (0..24).map(|k| ask(round * 24 + k)).collect();
+        let clients: Vec<Connection> = (0..24).map(|k| ask(round * 24 + k)).collect();
         for (k, mut client) in clients.into_iter().enumerate() {
             let (id, answer) = (format!("j-{}", round * 24 + k), client.message());
             served += usize::from(answer.status() == 200);
             let once = k % 2 == 1 && came(&hung).contains(&id);
             assert!(answer.status() != 200 || answer.body == id);
             assert!(!once || (answer.status() == 502 && !came(&ledger).contains(&id)), "{id}: {answer:?}");
-            assert!(client.hears_nothing(Duration::from_millis(1)), "one answer");
+            assert!(client.is_silent_for(Duration::from_millis(1)), "one answer");
         }
     }
     let (hung, ids) = (hung.lock().unwrap().len(), ledger.lock().unwrap().len());
--- a/tests/node/sites.rs
+++ b/tests/node/sites.rs
@@ -1,6 +1,6 @@
 //! Nodes of several sites: two processes of the program, with the operators' files between them.
 
-pub use crate::support::site_files::{sign, Files, KEY};
+pub use crate::support::site_files::{sign, SiteFiles, KEY};
 use crate::support::*;
 use rstest::rstest;
 use std::net::{SocketAddr, UdpSocket};
@@ -20,7 +20,7 @@
         if body.contains(text) {
             return;
         }
-        assert!(begin.elapsed() < LONG, "no {text} in {body}");
+        assert!(begin.elapsed() < TEST_TIMEOUT, "no {text} in {body}");
     }
 }
 
@@ -35,23 +35,23 @@
 }
 
 /// A server that serves all that comes.
-pub fn serves(mut peer: Peer) {
-    while peer.goes_on() {
+pub fn serves(mut peer: Connection) {
+    while peer.receives_data() {
         let id = peer.id();
         peer.serve(&id, "1");
     }
 }
 
 /// The connection on which a job comes: a new one, or one that was kept.
-pub fn comes(server: &Party, mut kept: Option<Peer>) -> Peer {
+pub fn comes(server: &TestServer, mut kept: Option<Connection>) -> Connection {
     let begin = Instant::now();
     loop {
-        assert!(begin.elapsed() < LONG, "nobody came");
-        if let Some(peer) = server.came() {
+        assert!(begin.elapsed() < TEST_TIMEOUT, "nobody came");
+        if let Some(peer) = server.try_accept() {
             return peer;
         }
         let Some(peer) = &mut kept else { return server.accept() };
-        if !peer.hears_nothing(Duration::from_millis(10)) && !peer.ended_early() {
+        if !peer.is_silent_for(Duration::from_millis(10)) && !peer.ends_without_data() {
             break;
         }
     }
@@ -66,17 +66,17 @@
 /// runs to its one final answer, and so does a client's repeat of it. Reopened, the account is served again.
 #[rstest]
 fn new_work_of_a_closing_account_is_refused_at_both_sites_and_running_work_is_finished() {
-    let (files, servers) = (Files::new("closing"), [Party::new(), Party::new()]);
+    let (files, servers) = (SiteFiles::new("closing"), [TestServer::new(), TestServer::new()]);
     let nodes = [0, 1].map(|k| files.start(k, &servers[k]));
     nodes.iter().for_each(|n| drop(n.logs("standing is confirmed")));
-    let mut clients = [0, 1].map(|k| nodes[k].ask(&format!("before-{k}"), "/actuator-cmd"));
+    let mut clients = [0, 1].map(|k| nodes[k].send_job(&format!("before-{k}"), "/actuator-cmd"));
     let mut backends = [0, 1].map(|k| servers[k].accept());
     backends.iter_mut().for_each(|b| drop(b.message()));
-    files.accounts(0, 2, "(account acme (standing closing) (reason \"unpaid\"))");
-    nodes[0].hang_up();
+    files.write_accounts(0, 2, "(account acme (standing closing) (reason \"unpaid\"))");
+    nodes[0].reload();
     for node in &nodes {
         node.logs("account acme Closing number=2");
-        let answer = node.ask("after", "/zone-plan").message();
+        let answer = node.send_job("after", "/zone-plan").message();
         assert_eq!(refusal(&answer), (403, Some("account closing")));
         assert_eq!(answer.field("Retry-After"), None);
     }
@@ -84,37 +84,37 @@
         backends[k].serve(&format!("before-{k}"), "done");
         assert_eq!(clients[k].message().body, "done");
         // A client's repeat under the id of what was taken is running work; one of what was refused is not.
-        let mut again = nodes[k].ask(&format!("before-{k}"), "/zone-plan");
+        let mut again = nodes[k].send_job(&format!("before-{k}"), "/zone-plan");
         assert_eq!(backends[k].message().field("Request-Id"), Some(format!("before-{k}").as_str()));
         backends[k].serve(&format!("before-{k}"), "again");
         assert_eq!(again.message().body, "again");
-        assert_eq!(nodes[k].ask("after", "/zone-plan").message().status(), 403);
+        assert_eq!(nodes[k].send_job("after", "/zone-plan").message().status(), 403);
     }
-    files.accounts(1, 3, "(account acme (standing reopened))");
-    nodes[1].hang_up();
+    files.write_accounts(1, 3, "(account acme (standing reopened))");
+    nodes[1].reload();
     for k in 0..2 {
         nodes[k].logs("account acme Reopened number=3");
-        let mut client = nodes[k].ask("reopened", "/zone-plan");
+        let mut client = nodes[k].send_job("reopened", "/zone-plan");
         assert_eq!(backends[k].message().field("Request-Id"), Some("reopened"));
         backends[k].serve("reopened", "1");
         assert_eq!(client.message().status(), 200);
     }
-    assert!(servers.iter().all(|s| s.is_left_alone()));
+    assert!(servers.iter().all(|s| s.has_no_connection()));
 }
 
 /// Work that another node took before an account was closed is running work here as well, once its placement is known here: a guarded repeat
 /// is told what became of it, a free one is served. Nothing else is.
 #[rstest]
 fn a_repeat_of_running_work_is_known_at_other_nodes() {
-    let (files, servers) = (Files::new("elsewhere"), [Party::new(), Party::new()]);
+    let (files, servers) = (SiteFiles::new("elsewhere"), [TestServer::new(), TestServer::new()]);
     let nodes = [0, 1].map(|k| files.start(k, &servers[k]));
     nodes.iter().for_each(|n| drop(n.logs("standing is confirmed")));
-    servers.into_iter().for_each(|s| s.attended(serves));
-    let mut guarded = nodes[0].ask("guarded", "/actuator-cmd");
-    let mut free = nodes[0].ask("free", "/zone-plan");
+    servers.into_iter().for_each(|s| s.handle_connections(serves));
+    let mut guarded = nodes[0].send_job("guarded", "/actuator-cmd");
+    let mut free = nodes[0].send_job("free", "/zone-plan");
     assert_eq!((guarded.message().status(), free.message().status()), (200, 200));
-    files.accounts(1, 2, "(account acme (standing closing))");
-    nodes[1].hang_up();
+    files.write_accounts(1, 2, "(account acme (standing closing))");
+    nodes[1].reload();
     nodes[1].logs("account acme Closing number=2");
     for (id, class, wanted) in [
         ("guarded", "/actuator-cmd", (409, Some("served before"))),
@@ -123,13 +123,16 @@
     ] {
         let begin = Instant::now();
         loop {
-            let answer = nodes[1].ask(id, class).message();
+            let answer = nodes[1].send_job(id, class).message();
             if refusal(&answer) == wanted {
                 break;
             }
             // Until its placement is known here it is new.
             let notified = [(403, Some("account closing")), (502, Some("may have run"))];
-            assert!(notified.contains(&refusal(&answer)) && begin.elapsed() < LONG, "{id}: {answer:?}");
+            assert!(
+                notified.contains(&refusal(&answer)) && begin.elapsed() < TEST_TIMEOUT,
+                "{id}: {answer:?}"
+            );
         }
     }
 }
@@ -138,32 +141,32 @@
 /// another key.
 #[rstest]
 fn a_file_of_accounts_that_is_not_believed_changes_nothing() {
-    let (files, server) = (Files::new("believed"), Party::new());
+    let (files, server) = (SiteFiles::new("believed"), TestServer::new());
     let node = files.start(0, &server);
-    files.accounts(0, 7, "(account acme (standing closed))");
-    node.hang_up();
+    files.write_accounts(0, 7, "(account acme (standing closed))");
+    node.reload();
     node.logs("account acme Closed number=7");
-    assert_eq!(refusal(&node.ask("a", "/zone-plan").message()), (403, Some("account closed")));
-    files.accounts(0, 5, "(account acme (standing good))");
-    node.hang_up();
+    assert_eq!(refusal(&node.send_job("a", "/zone-plan").message()), (403, Some("account closed")));
+    files.write_accounts(0, 5, "(account acme (standing good))");
+    node.reload();
     node.logs("OldFile");
-    let path = files.of(0).join("accounts.sexp");
+    let path = files.node_folder(0).join("accounts.sexp");
     std::fs::write(&path, "(accounts (number 9) (account acme (standing good)))").unwrap();
-    node.hang_up();
+    node.reload();
     node.logs("the authentication code does not match this file");
     std::fs::remove_file(path.with_extension("sexp.hmac")).unwrap();
-    node.hang_up();
+    node.reload();
     node.logs("the old files of sites and accounts stay");
-    assert_eq!(refusal(&node.ask("b", "/zone-plan").message()), (403, Some("account closed")));
-    assert!(server.is_left_alone());
+    assert_eq!(refusal(&node.send_job("b", "/zone-plan").message()), (403, Some("account closed")));
+    assert!(server.has_no_connection());
 }
 
 /// The newest file of sites that was ever in force is remembered: an older one changes nothing, another one of its version neither, nor an
 /// older word that a site is lost; and no node starts by one of them.
 #[rstest]
 fn an_older_file_of_sites_is_refused_also_by_the_next_process() {
-    let (files, server) = (Files::new("older"), Party::new());
-    files.sites(0, 3, "(lost east (number 4))");
+    let (files, server) = (SiteFiles::new("older"), TestServer::new());
+    files.write_sites(0, 3, "(lost east (number 4))");
     let mut node = files.start(0, &server);
     let lost = |node: &Node| {
         let mut operator = node.operator();
@@ -180,20 +183,20 @@
             "the file declares east lost by number 3, and number 4 was declared before",
         ),
     ] {
-        files.sites(0, version, more);
-        node.hang_up();
+        files.write_sites(0, version, more);
+        node.reload();
         let line = node.logs("the old files of sites and accounts stay");
         assert!(line.contains(notified) && line.contains("greater"), "{line}");
         assert!(lost(&node));
     }
-    files.sites(0, 4, "");
-    node.hang_up();
+    files.write_sites(0, 4, "");
+    node.reload();
     node.logs("read again: version 4");
     node.terminate();
     node.exit();
     let begins = |version, more| {
-        files.sites(0, version, more);
-        let (file, state) = (files.of(0).join("sites.sexp"), files.of(0).join("state"));
+        files.write_sites(0, version, more);
+        let (file, state) = (files.node_folder(0).join("sites.sexp"), files.node_folder(0).join("state"));
         let messages =
             [PROGRAM, "serve", "--sites", file.to_str().unwrap(), "--state", state.to_str().unwrap()];
         let out = command(&messages, &config(&[server.address]).to_string()).output().unwrap();
@@ -204,7 +207,7 @@
     assert!(text.contains("the file has (version 3), and this node has already used version 4"), "{text}");
     let text = begins(5, "(lost east (number 4))");
     assert!(text.contains("the file declares east lost by number 4"), "{text}");
-    files.sites(0, 5, "(lost east (number 5))");
+    files.write_sites(0, 5, "(lost east (number 5))");
     let node = files.start(0, &server);
     node.logs("site east Lost");
 }
@@ -212,13 +215,13 @@
 /// Two files of one version at two sites, and a newer one at one of them: each tells of the other.
 #[rstest]
 fn nodes_tell_of_other_files_of_sites_than_their_own() {
-    let (files, servers) = (Files::new("two-files"), [Party::new(), Party::new()]);
-    files.sites(1, 1, "(seal 9 min)");
+    let (files, servers) = (SiteFiles::new("two-files"), [TestServer::new(), TestServer::new()]);
+    files.write_sites(1, 1, "(seal 9 min)");
     let nodes = [0, 1].map(|k| files.start(k, &servers[k]));
     nodes[0].logs("n1 uses another file with version 1 than this node");
     nodes[1].logs("n0 uses another file with version 1 than this node");
-    files.sites(1, 2, "");
-    nodes[1].hang_up();
+    files.write_sites(1, 2, "");
+    nodes[1].reload();
     nodes[0].logs("n1 uses version 2 of the sites file, this node uses 1");
 }
 
@@ -232,25 +235,25 @@
     #[case] most: f64,
     #[case] advice: Option<f64>,
 ) {
-    let files = Files::new(&format!("advice-{allowed}-{most}"));
-    files.sites(0, 2, "(credit acme (jobs 8) (reserve 2) (shrink 1 h))");
-    let server = Party::new();
+    let files = SiteFiles::new(&format!("advice-{allowed}-{most}"));
+    files.write_sites(0, 2, "(credit acme (jobs 8) (reserve 2) (shrink 1 h))");
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["settings"]["allowed"]["retry_after"] = allowed.into();
     config["settings"]["allowed"]["max_retry_after_ms"] = most.into();
     let node = files.start_with(0, config, &[]);
-    let answer = node.ask("a", "/zone-plan").message();
+    let answer = node.send_job("a", "/zone-plan").message();
     assert_eq!(refusal(&answer), (503, Some("standing not confirmed")));
     assert_eq!(answer.field("Retry-After").map(|t| t.parse().unwrap()), advice);
-    assert!(server.is_left_alone());
+    assert!(server.has_no_connection());
 }
 
 /// A site that is alone begins so much on unconfirmed standing and no more, also after a restart; linked again, all is as before.
 #[rstest]
 fn a_site_alone_keeps_to_its_credit_also_over_a_restart() {
-    let (files, servers) = (Files::new("credit"), [Party::new(), Party::new()]);
+    let (files, servers) = (SiteFiles::new("credit"), [TestServer::new(), TestServer::new()]);
     for node in 0..2 {
-        files.sites(node, 2, "(credit acme (jobs 8) (reserve 2) (shrink 1 h))");
+        files.write_sites(node, 2, "(credit acme (jobs 8) (reserve 2) (shrink 1 h))");
     }
     let mut node = files.start(0, &servers[0]);
     let other = files.start(1, &servers[1]);
@@ -262,7 +265,7 @@
         let mut count = 0;
         for k in 0..10 {
             let id = format!("{name}{k}");
-            let mut client = node.ask(&id, "/zone-plan");
+            let mut client = node.send_job(&id, "/zone-plan");
             let begin = Instant::now();
             if count < 4 {
                 let backend = backend.get_or_insert_with(|| servers[0].accept());
@@ -273,7 +276,7 @@
                 continue;
             }
             let answer = client.message();
-            assert!(begin.elapsed() < LONG / 4);
+            assert!(begin.elapsed() < TEST_TIMEOUT / 4);
             assert_eq!(refusal(&answer), (503, Some("standing not confirmed")));
             assert!(answer.field("Retry-After").is_some());
         }
@@ -284,12 +287,12 @@
     drop(node);
     let node = files.start(0, &servers[0]);
     for k in 0..3 {
-        let answer = node.ask(&format!("again{k}"), "/zone-plan").message();
+        let answer = node.send_job(&format!("again{k}"), "/zone-plan").message();
         assert_eq!(refusal(&answer), (503, Some("standing not confirmed")));
     }
     let _other = files.start(1, &servers[1]);
     node.logs("standing is confirmed");
-    let mut client = node.ask("linked", "/zone-plan");
+    let mut client = node.send_job("linked", "/zone-plan");
     let mut backend = servers[0].accept();
     backend.message();
     backend.serve("linked", "1");
@@ -303,14 +306,14 @@
 #[case::used(true, false)]
 #[case::killed(true, true)]
 fn a_node_starts_on_a_full_disk_and_recovers_when_there_is_room(#[case] used: bool, #[case] killed: bool) {
-    let (files, server) = (Files::new(&format!("full-{used}-{killed}")), Party::new());
-    files.sites(0, 2, "(credit acme (jobs 8) (reserve 8))");
-    files.sites(1, 2, "(credit acme (jobs 8) (reserve 8))");
-    let other = files.start(1, &Party::new());
+    let (files, server) = (SiteFiles::new(&format!("full-{used}-{killed}")), TestServer::new());
+    files.write_sites(0, 2, "(credit acme (jobs 8) (reserve 8))");
+    files.write_sites(1, 2, "(credit acme (jobs 8) (reserve 8))");
+    let other = files.start(1, &TestServer::new());
     // A node keeps its connection for the next job.
-    let mut backend: Option<Peer> = None;
+    let mut backend: Option<Connection> = None;
     let mut serve = |node: &Node, id: &str, class: &str| {
-        let mut client = node.ask(id, class);
+        let mut client = node.send_job(id, class);
         let mut peer = comes(&server, backend.take());
         assert_eq!(peer.id(), id);
         peer.serve(id, "1");
@@ -323,46 +326,50 @@
         serve(&node, "before", "/actuator-cmd");
         let begin = Instant::now();
         while !history(&node).starts_with("all=2 ") {
-            assert!(begin.elapsed() < LONG, "{}", history(&node));
+            assert!(begin.elapsed() < TEST_TIMEOUT, "{}", history(&node));
         }
         if !killed {
             node.terminate();
             node.exit();
         }
     }
-    let node = files.start_full(0, &server);
+    let node = files.start_on_full_disk(0, &server);
     let begin = Instant::now();
-    while refusal(&node.ask("new", "/actuator-cmd").message()) != (503, Some("placements can't be recorded"))
+    while refusal(&node.send_job("new", "/actuator-cmd").message())
+        != (503, Some("placements can't be recorded"))
     {
-        assert!(begin.elapsed() < LONG);
+        assert!(begin.elapsed() < TEST_TIMEOUT);
     }
     if used {
-        assert_eq!(refusal(&node.ask("before", "/actuator-cmd").message()), (409, Some("served before")));
+        assert_eq!(
+            refusal(&node.send_job("before", "/actuator-cmd").message()),
+            (409, Some("served before"))
+        );
     }
     shows(&node, "standing confirmed");
     serve(&node, "free", "/zone-plan");
     drop(other);
     shows(&node, "standing not confirmed");
-    let answer = node.ask("credit", "/zone-plan").message();
+    let answer = node.send_job("credit", "/zone-plan").message();
     assert_eq!(refusal(&answer), (503, Some("standing not confirmed, disk not written")));
-    node.frees_its_disk();
+    node.lift_file_size_limit();
     node.logs("the disk accepts writes again");
-    let other = files.start(1, &Party::new());
+    let other = files.start(1, &TestServer::new());
     shows(&node, "standing confirmed");
     // It was refused, and surely never ran.
     serve(&node, "new", "/actuator-cmd");
     // What others are told is on the disk: the next process knows it.
     let begin = Instant::now();
-    while refusal(&other.ask("new", "/actuator-cmd").message()) != (409, Some("served before")) {
-        assert!(begin.elapsed() < LONG);
+    while refusal(&other.send_job("new", "/actuator-cmd").message()) != (409, Some("served before")) {
+        assert!(begin.elapsed() < TEST_TIMEOUT);
     }
     drop(node);
     let node = files.start(0, &server);
     node.logs("guarded work is taken");
     for id in ["new", "before"].iter().take(1 + usize::from(used)) {
-        assert_eq!(refusal(&node.ask(id, "/actuator-cmd").message()), (409, Some("served before")));
+        assert_eq!(refusal(&node.send_job(id, "/actuator-cmd").message()), (409, Some("served before")));
     }
-    assert!(server.is_left_alone());
+    assert!(server.has_no_connection());
 }
 
 /// A folder that another process has, a file that lists somebody else, keys that others may read: each ends the start with one line.
@@ -375,12 +382,14 @@
     #[case] mode: u32,
     #[case] notified: &str,
 ) {
-    let (files, server) = (Files::new(&format!("start-{name}-{mode}-{}", notified.len())), Party::new());
+    let (files, server) =
+        (SiteFiles::new(&format!("start-{name}-{mode}-{}", notified.len())), TestServer::new());
     let _first = files.start(0, &server);
-    std::fs::set_permissions(files.of(0).join("fleet.key"), std::fs::Permissions::from_mode(mode)).unwrap();
+    std::fs::set_permissions(files.node_folder(0).join("fleet.key"), std::fs::Permissions::from_mode(mode))
+        .unwrap();
     let mut config = config(&[server.address]);
     config["name"] = name.into();
-    let (file, state) = (files.of(0).join("sites.sexp"), files.of(0).join("state"));
+    let (file, state) = (files.node_folder(0).join("sites.sexp"), files.node_folder(0).join("state"));
     let messages = [PROGRAM, "serve", "--sites", file.to_str().unwrap(), "--state", state.to_str().unwrap()];
     let out = command(&messages, &config.to_string()).output().unwrap();
     let text = String::from_utf8_lossy(&out.stderr);
@@ -400,10 +409,10 @@
     #[case] good: bool,
     #[case] notified: &str,
 ) {
-    let files = Files::new(&format!("check-{}-{}", sites.len(), accounts.len()));
-    files.sites(0, 1, sites);
-    files.accounts(0, 1, accounts);
-    let file = files.of(0).join("sites.sexp");
+    let files = SiteFiles::new(&format!("check-{}-{}", sites.len(), accounts.len()));
+    files.write_sites(0, 1, sites);
+    files.write_accounts(0, 1, accounts);
+    let file = files.node_folder(0).join("sites.sexp");
     let messages = [PROGRAM, "check", "--sites", file.to_str().unwrap()];
     let out = command(&messages, &config(&[]).to_string()).output().unwrap();
     let text = String::from_utf8_lossy(&out.stdout) + String::from_utf8_lossy(&out.stderr);
@@ -413,10 +422,11 @@
 /// The files that operators begin with, once they have made a key and signed them.
 #[test]
 fn check_takes_the_files_to_begin_with() {
-    let files = Files::new("deploy");
+    let files = SiteFiles::new("deploy");
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy");
     for name in ["sites.sexp", "accounts.sexp"] {
-        let (text, path) = (std::fs::read_to_string(deploy.join(name)).unwrap(), files.of(0).join(name));
+        let (text, path) =
+            (std::fs::read_to_string(deploy.join(name)).unwrap(), files.node_folder(0).join(name));
         std::fs::write(&path, &text).unwrap();
         sign(&path, &text);
     }
@@ -429,7 +439,7 @@
     info["class_stretch"] = serde_json::json!([2.0, 2.0, 2.0]);
     let tenant = |name| serde_json::json!({"name": name, "portion": 0.5, "quota_rps": 50.0});
     config["settings"]["projects"] = ["fyn-gartnerier", "sjaelland-syd"].map(tenant).to_vec().into();
-    let file = files.of(0).join("sites.sexp");
+    let file = files.node_folder(0).join("sites.sexp");
     let messages = [PROGRAM, "check", "--sites", file.to_str().unwrap()];
     let out = command(&messages, &config.to_string()).output().unwrap();
     let text = String::from_utf8_lossy(&out.stdout) + String::from_utf8_lossy(&out.stderr);
@@ -440,8 +450,8 @@
 /// process was killed. What surely never ran may be asked for again.
 #[rstest]
 fn a_guarded_key_is_not_placed_again_also_by_the_next_process() {
-    let (files, server) = (Files::new("guarded"), Party::new());
-    let other = files.start(1, &Party::new());
+    let (files, server) = (SiteFiles::new("guarded"), TestServer::new());
+    let other = files.start(1, &TestServer::new());
     let node = files.start(0, &server);
     node.logs("guarded work is taken");
     let ask = |node: &Node, id: &str| {
@@ -471,7 +481,7 @@
     backend.message();
     // Not by SIGTERM: it has no time to write anything more.
     drop(node);
-    assert!(client.ended());
+    assert!(client.is_closed());
     let node = files.start(0, &server);
     node.logs("guarded work is taken");
     for (id, notified) in [
@@ -487,12 +497,12 @@
     assert_eq!(backend.message().field("Request-Id"), Some("new"));
     backend.serve("new", "1");
     assert_eq!(client.message().status(), 200);
-    assert!(server.is_left_alone());
+    assert!(server.has_no_connection());
     // The other site was told meanwhile: it does not place them either, and both have one history.
     let begin = Instant::now();
     // Four placements and their ends.
     while history(&node) != history(&other) || !history(&node).starts_with("all=8 ") {
-        assert!(begin.elapsed() < LONG, "{} and {}", history(&node), history(&other));
+        assert!(begin.elapsed() < TEST_TIMEOUT, "{} and {}", history(&node), history(&other));
     }
     for id in ["served", "lost", "killed", "new"] {
         let answer = ask(&other, &format!("{id}-elsewhere")).message();
@@ -505,8 +515,8 @@
 /// What is old and known at all sites is dropped, at both in the same way; what must not run twice stays known, also by the next process.
 #[rstest]
 fn what_all_sites_have_is_sealed_and_guarded_keys_stay_known() {
-    let (files, servers) = (Files::new("seal"), [Party::new(), Party::new()]);
-    (0..2).for_each(|k| files.sites(k, 2, "(seal 300 ms)"));
+    let (files, servers) = (SiteFiles::new("seal"), [TestServer::new(), TestServer::new()]);
+    (0..2).for_each(|k| files.write_sites(k, 2, "(seal 300 ms)"));
     let [node, other] = [0, 1].map(|k| files.start(k, &servers[k]));
     node.logs("guarded work is taken");
     let mut client = node.client();
@@ -528,13 +538,13 @@
     }
     let begin = Instant::now();
     while history(&node) != history(&other) {
-        assert!(begin.elapsed() < LONG, "{} and {}", history(&node), history(&other));
+        assert!(begin.elapsed() < TEST_TIMEOUT, "{} and {}", history(&node), history(&other));
     }
     drop(node);
     let node = files.start(0, &servers[0]);
     node.logs("guarded work is taken");
     for node in [&node, &other] {
-        let answer = node.ask("first", "/actuator-cmd").message();
+        let answer = node.send_job("first", "/actuator-cmd").message();
         assert_eq!(refusal(&answer), (409, Some("served before")));
     }
 }
@@ -579,7 +589,7 @@
 /// named, and what ran is finished.
 #[rstest]
 fn an_account_closed_reopened_and_closed_while_a_node_stands_alone() {
-    let files = Files::new("cut-between");
+    let files = SiteFiles::new("cut-between");
     let links: Vec<Vec<Link>> =
         (0..3).map(|_| (0..3).map(|to| Link::to(files.address(to))).collect()).collect();
     let cut = |cut: bool| {
@@ -594,14 +604,14 @@
         let text = format!(
             "(sites (version 1) (fleet \"odense\") (key \"fleet.key\") (accounts \"accounts.sexp\") {}
              (site west (node n0 \"{}\") (bears 100)) (site east (node n1 \"{}\") (node n2 \"{}\") (bears 100)))",
-            files.times, at(0), at(1), at(2)
+            files.timeouts, at(0), at(1), at(2)
         );
-        std::fs::write(files.of(node).join("sites.sexp"), &text).unwrap();
+        std::fs::write(files.node_folder(node).join("sites.sexp"), &text).unwrap();
     }
-    let servers = [Party::new(), Party::new(), Party::new()];
+    let servers = [TestServer::new(), TestServer::new(), TestServer::new()];
     let nodes = [0, 1, 2].map(|k| files.start(k, &servers[k]));
     nodes.iter().for_each(|n| drop(n.logs("standing is confirmed")));
-    let mut running = nodes[2].ask("running", "/actuator-cmd");
+    let mut running = nodes[2].send_job("running", "/actuator-cmd");
     let mut backend = servers[2].accept();
     assert_eq!(backend.id(), "running");
     cut(true);
@@ -609,37 +619,40 @@
     for (number, standing, notified) in
         [(2, "closing", "Closing"), (3, "reopened", "Reopened"), (4, "closing", "Closing")]
     {
-        files.accounts(0, number, &format!("(account acme (standing {standing}))"));
-        nodes[0].hang_up();
+        files.write_accounts(0, number, &format!("(account acme (standing {standing}))"));
+        nodes[0].reload();
         for node in &nodes[..2] {
             node.logs(&format!("account acme {notified} number={number}"));
         }
     }
     let closing = (403, Some("account closing"));
-    assert_eq!(refusal(&nodes[1].ask("new-1", "/zone-plan").message()), closing);
-    let mut alone = nodes[2].ask("alone", "/zone-plan");
+    assert_eq!(refusal(&nodes[1].send_job("new-1", "/zone-plan").message()), closing);
+    let mut alone = nodes[2].send_job("alone", "/zone-plan");
     let mut other = comes(&servers[2], None);
     assert_eq!(other.id(), "alone");
     other.serve("alone", "1");
     assert_eq!(alone.message().status(), 200);
     cut(false);
     nodes[2].logs("account acme Closing number=4");
-    assert_eq!(refusal(&nodes[2].ask("new-2", "/zone-plan").message()), closing);
+    assert_eq!(refusal(&nodes[2].send_job("new-2", "/zone-plan").message()), closing);
     let notified = nodes[0].logs("account acme: work was started after file");
     assert!(notified.contains("Unaware at east/n2"), "{notified}");
     backend.serve("running", "done");
     assert_eq!(running.message().body, "done");
     let begin = Instant::now();
     while !(1..3).all(|k| history(&nodes[k]) == history(&nodes[0])) {
-        assert!(begin.elapsed() < LONG, "{:?}", [0, 1, 2].map(|k| history(&nodes[k])));
+        assert!(begin.elapsed() < TEST_TIMEOUT, "{:?}", [0, 1, 2].map(|k| history(&nodes[k])));
     }
     loop {
-        let answer = nodes[0].ask("running", "/actuator-cmd").message();
+        let answer = nodes[0].send_job("running", "/actuator-cmd").message();
         match refusal(&answer) {
             (409, Some("served before")) => break,
             // Its end has not come yet.
             notified => {
-                assert!(notified == (502, Some("may have run")) && begin.elapsed() < LONG, "{notified:?}")
+                assert!(
+                    notified == (502, Some("may have run")) && begin.elapsed() < TEST_TIMEOUT,
+                    "{notified:?}"
+                )
             }
         }
     }
