--- a/tests/node/stopping.rs
+++ b/tests/node/stopping.rs
@@ -1,8 +1,8 @@
 //! Signals, and the moments in which they come: a node that is told to stop, or to read its configuration again.
 
-use crate::operators::{published, replaced};
+use crate::operators::{start_replacement, wait_for_handover_socket};
 use crate::support::*;
-use crate::{following, listing, pair, watch, whole_list};
+use crate::{accept_watch, config_with_discovery, node_with_server, serve_complete_list, server_list};
 use rstest::rstest;
 use serde_json::{json, Value};
 use std::collections::HashSet;
@@ -19,11 +19,11 @@
 type Ids = Arc<Mutex<HashSet<String>>>;
 
 /// Take whatever comes and answer none of it.
-fn hanging(server: Party) -> Ids {
+fn hanging(server: TestServer) -> Ids {
     let ids = Ids::default();
     let written = ids.clone();
-    server.attended(move |mut peer| {
-        while peer.goes_on() {
+    server.handle_connections(move |mut peer| {
+        while peer.receives_data() {
             let id = peer.id();
             written.lock().unwrap().insert(id);
         }
@@ -32,10 +32,10 @@
 }
 
 /// Serve whatever comes with its own id, once nobody holds the gate.
-fn serving_behind(server: Party, gate: &Arc<Mutex<()>>) {
+fn serving_behind(server: TestServer, gate: &Arc<Mutex<()>>) {
     let gate = gate.clone();
-    server.attended(move |mut peer| {
-        while peer.goes_on() {
+    server.handle_connections(move |mut peer| {
+        while peer.receives_data() {
             let id = peer.id();
             drop(gate.lock());
             peer.serve(&id, &id);
@@ -52,8 +52,8 @@
 }
 
 /// Clients with a connection on which they have had an answer.
-fn known_clients(node: &Node, number: usize) -> Vec<Peer> {
-    let mut all: Vec<Peer> = (0..number).map(|_| node.client()).collect();
+fn known_clients(node: &Node, number: usize) -> Vec<Connection> {
+    let mut all: Vec<Connection> = (0..number).map(|_| node.client()).collect();
     for client in &mut all {
         client.send(HEALTH);
         assert_eq!(client.message().status(), 200);
@@ -79,15 +79,15 @@
     #[case] old: [u64; 2],
     #[case] new: Option<[u64; 2]>,
 ) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     deadlines(&mut config, old);
     let node = Node::start(&config);
     let ids = hanging(server);
     if let Some(new) = new {
         deadlines(&mut config, new);
-        node.replace(&config.to_string());
-        node.hang_up();
+        node.replace_config(&config.to_string());
+        node.reload();
         node.logs("new settings hold");
     }
     let counted = new.unwrap_or(old);
@@ -98,14 +98,14 @@
     node.logs("told to stop");
     // One after the other from the time of new connections on, up to the kill.
     let step = (kill - ms(750)) / 16;
-    let asking = |(k, mut client): (usize, Peer)| {
+    let asking = |(k, mut client): (usize, Connection)| {
         let ids = ids.clone();
         std::thread::spawn(move || {
             until(notified + ms(750) + step * k as u32);
             let (id, class) = (format!("r-{k}"), k % 2);
             let text = job(&id, ["/zone-plan", "/actuator-cmd"][class], &format!("{}m", counted[class]), "");
             let _ = client.try_send(&text);
-            if !client.goes_on() {
+            if !client.receives_data() {
                 assert!(
                     !ids.lock().unwrap().contains(&id),
                     "{id} was sent on, and its connection was closed"
@@ -132,7 +132,7 @@
     #[values("known", "new", "drained")] connection: &str,
     #[values(false, true)] completed: bool,
 ) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
     deadlines(&mut config, all);
@@ -146,7 +146,7 @@
         // It is known to have begun: it does not end with the others.
         let mut rests = known_clients(&node, 1).remove(0);
         assert_eq!(node.call("POST", "/ops/drain/start"), 200);
-        assert!(rests.ended());
+        assert!(rests.is_closed());
     }
     let notified = Instant::now();
     node.terminate();
@@ -172,7 +172,7 @@
         notified.elapsed()
     );
     assert!(if in_time { [200, 503].contains(&status) } else { completed || status == 408 }, "{status}");
-    assert!(client.ended());
+    assert!(client.is_closed());
     drop(client);
     assert!(node.exit().success());
 }
@@ -181,11 +181,11 @@
 /// bound to the last answer, too. The time that a server is told shows it.
 #[rstest]
 fn what_comes_right_before_the_refusal_is_answered_before_the_kill() {
-    let (node, server) = pair();
+    let (node, server) = node_with_server();
     let told_times = Arc::new(Mutex::new(Vec::new()));
     let times = told_times.clone();
-    server.attended(move |mut peer| {
-        while peer.goes_on() {
+    server.handle_connections(move |mut peer| {
+        while peer.receives_data() {
             let request = peer.message();
             let id = request.field("Request-Id").unwrap().to_string();
             let left = request.field("Request-Timeout").and_then(|t| t.strip_suffix('u')).unwrap();
@@ -221,7 +221,7 @@
 /// the time of new connections; the listener does not close over them.
 #[rstest]
 fn what_waits_at_a_full_node_is_answered_after_sigterm() {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["limits"]["sockets"] = json!(70);
     config["settings"]["projects"][0]["quota_rps"] = json!(1000.0);
@@ -230,14 +230,16 @@
     let shut = gate.lock().unwrap();
     serving_behind(server, &gate);
     // One more than the 19 that are allowed, each with a job that is not answered yet.
-    let mut busy: Vec<Peer> = (0..20).map(|k| node.ask(&format!("busy-{k}"), "/zone-plan")).collect();
+    let mut busy: Vec<Connection> =
+        (0..20).map(|k| node.send_job(&format!("busy-{k}"), "/zone-plan")).collect();
     let mut health = node.client();
     health.send(HEALTH);
-    assert!(health.hears_nothing(ms(200)), "it is full");
-    let mut waiting: Vec<Peer> = (0..6).map(|k| node.ask(&format!("waiting-{k}"), "/zone-plan")).collect();
+    assert!(health.is_silent_for(ms(200)), "it is full");
+    let mut waiting: Vec<Connection> =
+        (0..6).map(|k| node.send_job(&format!("waiting-{k}"), "/zone-plan")).collect();
     node.terminate();
     node.logs("told to stop");
-    assert!(waiting[5].hears_nothing(ms(900)), "nobody has ended it");
+    assert!(waiting[5].is_silent_for(ms(900)), "nobody has ended it");
     drop(shut);
     let all = busy.iter_mut().chain(&mut waiting);
     for (k, client) in all.enumerate() {
@@ -254,16 +256,17 @@
 #[case::refusing(1_000)]
 #[case::closing(2_300)]
 fn what_came_while_the_process_stood_still_is_answered_after_sigterm(#[case] still: u64) {
-    let (mut node, server) = pair();
+    let (mut node, server) = node_with_server();
     serving_behind(server, &Arc::default());
     node.terminate();
     node.logs("told to stop");
     let notified = Instant::now();
-    node.stand_still(true);
-    let mut clients: Vec<Peer> = (0..100).map(|k| node.ask(&k.to_string(), "/zone-plan")).collect();
+    node.set_paused(true);
+    let mut clients: Vec<Connection> =
+        (0..100).map(|k| node.send_job(&k.to_string(), "/zone-plan")).collect();
     assert!(notified.elapsed() < ms(700), "they come in time");
     until(notified + ms(still));
-    node.stand_still(false);
+    node.set_paused(false);
     for (k, client) in clients.iter_mut().enumerate() {
         let answer = client.message();
         assert!(answer.status() == 503 || answer.body == k.to_string(), "{k}: {answer:?}");
@@ -280,20 +283,20 @@
 #[case::then_reload(&[Signal::TERM, Signal::HUP, Signal::HUP])]
 #[case::after_reload(&[Signal::HUP, Signal::TERM])]
 fn signals_that_stop_a_node_cost_no_answer(#[case] signals: &[Signal], #[values(false, true)] at_once: bool) {
-    let (mut node, server) = pair();
-    let mut held = node.ask("held", "/actuator-cmd");
+    let (mut node, server) = node_with_server();
+    let mut held = node.send_job("held", "/actuator-cmd");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "held");
-    node.stand_still(at_once);
+    node.set_paused(at_once);
     signals.iter().for_each(|s| node.signal(*s));
-    node.stand_still(false);
+    node.set_paused(false);
     node.logs("told to stop");
     signals.iter().for_each(|s| node.signal(*s));
     backend.serve("held", "1");
     assert_eq!(held.message().body, "1");
-    assert!(held.ended(), "one answer");
+    assert!(held.is_closed(), "one answer");
     assert!(node.exit().success());
-    assert!(server.is_left_alone());
+    assert!(server.has_no_connection());
 }
 
 /// A reload that comes with the stop, in whatever order the system hands both over, or right after it: the settings with
@@ -307,18 +310,18 @@
     #[case] new: [u64; 2],
     #[case] after: bool,
 ) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     deadlines(&mut config, old);
     let node = Node::start(&config);
     let mut clients = known_clients(&node, 1);
     deadlines(&mut config, new);
-    node.replace(&config.to_string());
-    node.stand_still(!after);
+    node.replace_config(&config.to_string());
+    node.set_paused(!after);
     node.signal(Signal::TERM);
     let mut lines = if after { node.logs_until("told to stop") } else { Vec::new() };
     node.signal(Signal::HUP);
-    node.stand_still(false);
+    node.set_paused(false);
     let notified = Instant::now();
     for text in ["told to stop", "new settings hold"] {
         if !lines.iter().any(|l| l.contains(text)) {
@@ -345,24 +348,24 @@
     #[case] new: [u64; 2],
     #[case] closed: bool,
 ) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     deadlines(&mut config, old);
     let mut node = Node::start(&config);
     let mut rests = known_clients(&node, 1).remove(0);
     let mut client = known_clients(&node, 1).remove(0);
     deadlines(&mut config, new);
-    node.replace(&config.to_string());
+    node.replace_config(&config.to_string());
     let notified = Instant::now();
     node.terminate();
     node.logs("new connections are refused");
     client.send("POST /zone-plan HTT");
     if closed {
-        assert!(rests.ended());
+        assert!(rests.is_closed());
     }
-    node.hang_up();
+    node.reload();
     node.logs("new settings hold");
-    assert!(closed || rests.ended());
+    assert!(closed || rests.is_closed());
     assert_eq!(client.message().status(), 408);
     let (took, kill) = (notified.elapsed(), ms(700 + new[0]));
     assert!(took < kill, "{took:?}, and the kill may come after {kill:?}");
@@ -377,7 +380,7 @@
     let file = std::path::PathBuf::from(named.unwrap());
     std::fs::remove_file(&file).unwrap();
     assert!(std::process::Command::new("mkfifo").arg(&file).status().unwrap().success());
-    (Node::starting(command), file)
+    (Node::spawn(command), file)
 }
 
 /// Signals that come while a node starts don't end it: it serves, by the configuration as it is by then, or stops in
@@ -387,7 +390,7 @@
 #[case::stop(Signal::TERM)]
 #[case::interrupt(Signal::INT)]
 fn a_signal_during_the_start_ends_no_node_out_of_order(#[case] signal: Signal) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     let (node, file) = starting(&config);
     // It is open once the node reads it, and the node goes on only once all of it has come.
@@ -396,15 +399,15 @@
     std::io::Write::write_all(&mut pipe, config.to_string().as_bytes()).unwrap();
     std::fs::remove_file(&file).unwrap();
     config["settings"]["classes"][1]["name"] = json!("vent-plan");
-    node.replace(&config.to_string());
+    node.replace_config(&config.to_string());
     drop(pipe);
-    let mut node = node.serving();
+    let mut node = node.wait_until_serving();
     if signal == Signal::HUP {
         node.logs("new settings hold");
         node.terminate();
     }
     node.logs("told to stop");
-    let mut client = node.ask("a", "/zone-plan");
+    let mut client = node.send_job("a", "/zone-plan");
     let mut backend = server.accept();
     backend.message();
     backend.serve("a", "1");
@@ -415,16 +418,16 @@
 /// Told to stop before any list has come: whoever asks is denied, and the program ends well.
 #[rstest]
 fn a_node_without_a_list_stops_in_order() {
-    let discovery = Party::new();
-    let mut node = Node::start(&following(&[], &discovery));
+    let discovery = TestServer::new();
+    let mut node = Node::start(&config_with_discovery(&[], &discovery));
     let _silent = discovery.accept();
-    let mut clients: Vec<Peer> = (0..3).map(|k| node.ask(&k.to_string(), "/zone-plan")).collect();
+    let mut clients: Vec<Connection> = (0..3).map(|k| node.send_job(&k.to_string(), "/zone-plan")).collect();
     node.terminate();
     node.logs("told to stop");
-    clients.push(node.ask("late", "/actuator-cmd"));
+    clients.push(node.send_job("late", "/actuator-cmd"));
     for client in &mut clients {
         assert_eq!(client.message().status(), 503);
-        assert!(client.ended());
+        assert!(client.is_closed());
     }
     assert!(node.exit().success());
 }
@@ -435,33 +438,34 @@
 #[case::serving(false)]
 #[case::stopping(true)]
 fn half_a_list_is_dropped_when_discovery_moves(#[case] stops: bool) {
-    let (known, wrong, right) = (Party::new(), Party::new(), Party::new());
-    let (first, second) = (Party::new(), Party::new());
-    let mut config = following(&[known.address], &first);
+    let (known, wrong, right) = (TestServer::new(), TestServer::new(), TestServer::new());
+    let (first, second) = (TestServer::new(), TestServer::new());
+    let mut config = config_with_discovery(&[known.address], &first);
     let mut node = Node::start(&config);
-    let (mut before, _) = watch(&first);
-    let list = listing(42, true, &[entry("s-wrong", wrong.address, "active")]);
+    let (mut before, _) = accept_watch(&first);
+    let list = server_list(42, true, &[entry("s-wrong", wrong.address, "active")]);
     before.send(&format!("{:x}\r\n{}", list.len() + 1, &list[..list.len() / 2]));
-    before.is_read();
+    before.wait_until_read();
     config["discovery"] = json!(second.address.to_string());
-    node.replace(&config.to_string());
-    node.hang_up();
+    node.replace_config(&config.to_string());
+    node.reload();
     if stops {
         node.terminate();
     }
     let rest = format!("{}\n\r\n", &list[list.len() / 2..]);
     node.logs("configuration read again");
     let _ = before.try_send(&rest);
-    let mut after = whole_list(&second, &listing(7, true, &[entry("s-right", right.address, "active")]));
+    let mut after =
+        serve_complete_list(&second, &server_list(7, true, &[entry("s-right", right.address, "active")]));
     assert_eq!(after.message().first, "GET /catalog/members?watch=1&from=7 HTTP/1.1");
     // The rest may have come before the node closed it.
-    assert!(before.ended_or_reset());
-    let mut client = node.ask("a", "/actuator-cmd");
+    assert!(before.is_closed_or_reset());
+    let mut client = node.send_job("a", "/actuator-cmd");
     let mut backend = right.accept();
     assert_eq!(backend.id(), "a");
     backend.serve("a", "1");
     assert_eq!(client.message().body, "1");
-    assert!(known.is_left_alone() && wrong.is_left_alone());
+    assert!(known.has_no_connection() && wrong.has_no_connection());
     if stops {
         assert!(node.exit().success());
     }
@@ -470,20 +474,20 @@
 /// A node that an operator has emptied stays so over a reload, and stops in order; jobs are served all the while.
 #[rstest]
 fn an_emptied_node_stays_so_over_a_reload_and_stops_in_order() {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
     let mut node = Node::start(&config);
-    let mut held = node.ask("held", "/zone-plan");
+    let mut held = node.send_job("held", "/zone-plan");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "held");
     assert_eq!(node.call("POST", "/ops/drain/start"), 200);
     deadlines(&mut config, [1_200, 1_800]);
-    node.replace(&config.to_string());
-    node.hang_up();
+    node.replace_config(&config.to_string());
+    node.reload();
     node.logs("new settings hold");
     assert_eq!(node.call("GET", "/ops/readiness"), 503);
-    let mut emptied = node.ask("emptied", "/zone-plan");
+    let mut emptied = node.send_job("emptied", "/zone-plan");
     backend.serve("held", "1");
     assert_eq!(held.message().body, "1");
     assert_eq!(backend.id(), "emptied");
@@ -491,7 +495,7 @@
     node.logs("told to stop");
     backend.serve("emptied", "2");
     assert_eq!(emptied.message().body, "2");
-    let mut late = node.ask("late", "/zone-plan");
+    let mut late = node.send_job("late", "/zone-plan");
     assert_eq!(backend.id(), "late");
     backend.serve("late", "3");
     assert_eq!(late.message().body, "3");
@@ -504,7 +508,7 @@
 #[case::silent(true)]
 #[case::deaf(false)]
 fn a_restart_is_ready_while_discovery_is_slow(#[case] silent: bool) {
-    let (server, agent, (deaf, _kept)) = (Party::new(), Party::new(), deaf());
+    let (server, agent, (deaf, _kept)) = (TestServer::new(), TestServer::new(), saturated_listener());
     let mut config = config(&[server.address]);
     config["discovery"] = json!(if silent { agent.address } else { deaf }.to_string());
     for replicas in [1, 300] {
@@ -527,24 +531,24 @@
 /// A signal that comes while the next process waits for the listening socket costs it neither that nor its start.
 #[rstest]
 fn a_signal_while_the_socket_is_handed_over_ends_no_process() {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
     let old = Node::start(&config);
-    published(&old);
+    wait_for_handover_socket(&old);
     config["listen"] = json!(old.address.to_string());
     // It can connect, and is handed nothing yet.
-    old.stand_still(true);
-    let new = Node::starting(command(&[PROGRAM, "serve", "-v"], &config.to_string()));
-    while !new.handles_hang_up() {
+    old.set_paused(true);
+    let new = Node::spawn(command(&[PROGRAM, "serve", "-v"], &config.to_string()));
+    while !new.handles_sighup() {
         std::thread::yield_now();
     }
     let begun = Instant::now();
     while begun.elapsed() < ms(700) {
         new.signal(Signal::HUP);
     }
-    old.stand_still(false);
-    let new = new.serving();
+    old.set_paused(false);
+    let new = new.wait_until_serving();
     old.logs("the next process takes clients");
     assert_eq!((new.call("GET", "/ops/readiness"), old.call("GET", "/ops/readiness")), (200, 503));
 }
@@ -553,21 +557,21 @@
 /// when the other has answered all that it had.
 #[rstest]
 fn the_process_before_takes_clients_again_once_the_next_is_told_to_stop() {
-    let (old, mut new, server, _) = replaced();
+    let (old, mut new, server, _) = start_replacement();
     old.logs("the next process takes clients");
-    let mut held = new.ask("held", "/zone-plan");
+    let mut held = new.send_job("held", "/zone-plan");
     let mut on_new = server.accept();
     assert_eq!(on_new.id(), "held");
     on_new.begin();
     on_new.state("held", "started");
     new.terminate();
     new.logs("new connections are refused");
-    let mut client = old.ask("a", "/actuator-cmd");
+    let mut client = old.send_job("a", "/actuator-cmd");
     let mut on_old = server.accept();
     assert_eq!(on_old.id(), "a");
     on_old.serve("a", "1");
     assert_eq!(client.message().body, "1");
-    assert!(held.hears_nothing(ms(1)), "the other is still there");
+    assert!(held.is_silent_for(ms(1)), "the other is still there");
     on_new.finish("held", "2");
     assert_eq!(held.message().body, "2");
     assert!(new.exit().success());
@@ -579,12 +583,12 @@
 /// it serves on, and no client hears of it.
 #[rstest]
 fn a_process_that_stops_before_it_takes_over_costs_nothing() {
-    let (server, discovery) = (Party::new(), Party::new());
-    let mut config = following(&[server.address], &discovery);
+    let (server, discovery) = (TestServer::new(), TestServer::new());
+    let mut config = config_with_discovery(&[server.address], &discovery);
     config["mgmt"] = json!("127.0.0.1:0");
     let old = Node::start(&config);
     let _watched = discovery.accept();
-    published(&old);
+    wait_for_handover_socket(&old);
     config["listen"] = json!(old.address.to_string());
     let mut new = Node::start(&config);
     let _silent = discovery.accept();
@@ -592,7 +596,7 @@
     new.logs("told to stop");
     for k in 0..20 {
         let id = k.to_string();
-        let mut client = old.ask(&id, "/actuator-cmd");
+        let mut client = old.send_job(&id, "/actuator-cmd");
         let mut backend = server.accept();
         assert_eq!(backend.id(), id);
         backend.send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
--- a/tests/node/written.rs
+++ b/tests/node/written.rs
@@ -3,7 +3,9 @@
 
 use crate::sites::comes;
 use crate::support::*;
-use crate::{following, listing, load, pair, probing, watch};
+use crate::{
+    accept_watch, config_with_discovery, enable_probing, load_report, node_with_server, server_list,
+};
 use rstest::rstest;
 use serde_json::{json, Value};
 use std::io::Write;
@@ -41,54 +43,54 @@
 
     /// Whoever has connected. From the first call on connections come up again: whoever began to connect meanwhile comes once the
     /// system tries again, a second after the first time.
-    pub fn came(&self) -> Option<Peer> {
+    pub fn came(&self) -> Option<Connection> {
         loop {
             let (stream, from) = self.listener.accept().ok()?;
             if !self.filled.iter().any(|f| f.local_addr().is_ok_and(|own| own == from)) {
                 stream.set_nonblocking(false).unwrap();
-                return Some(Peer::new(stream));
+                return Some(Connection::new(stream));
             }
         }
     }
 
     /// Wait until somebody has begun to connect, as the system sees it, and doesn't come up.
     pub fn waits_for_one(&self) {
-        system_has(&format!(":{:04X} 02 ", self.address.port()));
+        wait_for_tcp_entry(&format!(":{:04X} 02 ", self.address.port()));
     }
 
-    pub fn accept(&self) -> Peer {
+    pub fn accept(&self) -> Connection {
         let begin = Instant::now();
         loop {
             if let Some(peer) = self.came() {
                 return peer;
             }
-            assert!(begin.elapsed() < LONG, "nobody came");
+            assert!(begin.elapsed() < TEST_TIMEOUT, "nobody came");
             std::thread::sleep(Duration::from_millis(1));
         }
     }
 
     /// Whatever comes next, over the connection that is kept or over another one.
-    pub fn comes(&self, mut kept: Option<Peer>) -> Peer {
+    pub fn comes(&self, mut kept: Option<Connection>) -> Connection {
         let begin = Instant::now();
         loop {
             if let Some(peer) = self.came() {
                 return peer;
             }
-            if let Some(mut peer) = kept.take_if(|p| !p.hears_nothing(Duration::from_millis(1))) {
-                if peer.goes_on() {
+            if let Some(mut peer) = kept.take_if(|p| !p.is_silent_for(Duration::from_millis(1))) {
+                if peer.receives_data() {
                     return peer;
                 }
             }
-            assert!(begin.elapsed() < LONG, "nobody came");
+            assert!(begin.elapsed() < TEST_TIMEOUT, "nobody came");
         }
     }
 }
 
 /// A client that leaves, which the node's machine knows by the end of this.
-fn leaves_surely(node: &Node, client: Peer) {
+fn leaves_surely(node: &Node, client: Connection) {
     let from = client.address();
     drop(client);
-    system_has(&format!(":{:04X} 0100007F:{:04X} 05 ", from.port(), node.address.port()));
+    wait_for_tcp_entry(&format!(":{:04X} 0100007F:{:04X} 05 ", from.port(), node.address.port()));
 }
 
 /// A configuration with that server, whose connections and jobs may take long, and where attempts can or can't be called off.
@@ -108,7 +110,7 @@
 }
 
 /// A client with much time.
-fn ask(node: &Node, id: &str, target: &str) -> Peer {
+fn ask(node: &Node, id: &str, target: &str) -> Connection {
     let mut client = node.client();
     client.send(&job(id, target, "30000m", ""));
     client
@@ -177,11 +179,11 @@
     let node = Node::start(&hasty(patient(admin.address, false)));
     let client = ask(&node, "a", target);
     admin.waits_for_one();
-    node.stand_still(true);
+    node.set_paused(true);
     let mut backend = admin.accept();
     leaves_surely(&node, client);
-    node.stand_still(false);
-    assert!(backend.ended_early(), "a job was written after its client had gone");
+    node.set_paused(false);
+    assert!(backend.ends_without_data(), "a job was written after its client had gone");
     assert!(node.logs("dispatch 1.0 ended").contains("NotSent"));
 }
 
@@ -190,7 +192,7 @@
 fn nothing_is_written_on_an_idle_connection_for_a_client_that_has_gone(
     #[values(false, true)] same_turn: bool,
 ) {
-    let server = Party::new();
+    let server = TestServer::new();
     let node = Node::start(&patient(server.address, false));
     let mut first = ask(&node, "first", "/zone-plan");
     let mut backend = server.accept();
@@ -200,7 +202,7 @@
     let mut health = node.client();
     health.send("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n");
     assert_eq!(health.message().status(), 200);
-    node.stand_still(same_turn);
+    node.set_paused(same_turn);
     if same_turn {
         backend.serve("first", "1");
         leaves_surely(&node, gone);
@@ -209,33 +211,33 @@
         node.logs("reason=peer-broke");
         backend.serve("first", "1");
     }
-    node.stand_still(false);
+    node.set_paused(false);
     assert_eq!(first.message().body, "1");
     // On the same connection: nothing was written there.
     let mut last = ask(&node, "last", "/zone-plan");
     assert_eq!(backend.id(), "last", "a job was written after its client had gone");
     backend.serve("last", "2");
     assert_eq!(last.message().body, "2");
-    assert!(server.is_left_alone());
+    assert!(server.has_no_connection());
 }
 
 /// Nothing of a client that has gone comes over that connection to the server, nor over another: the next job does.
-fn only_the_next_comes(node: &Node, server: &Party, backend: Peer) {
+fn only_the_next_comes(node: &Node, server: &TestServer, backend: Connection) {
     let mut next = ask(node, "next", "/zone-plan");
     let mut backend = comes(server, Some(backend));
-    if !backend.goes_on() {
+    if !backend.receives_data() {
         // The probe before had waited too long for its answer, which ends its connection.
         backend = server.accept();
     }
     let mut request = backend.message();
     if request.first == "GET /_load HTTP/1.1" {
-        backend.send(&load(1, 0));
+        backend.send(&load_report(1, 0));
         request = backend.message();
     }
     assert_eq!(request.field("Request-Id"), Some("next"), "a job was written after its client had gone");
     backend.serve("next", "1");
     assert_eq!(next.message().body, "1");
-    assert!(server.is_left_alone());
+    assert!(server.has_no_connection());
 }
 
 /// A client leaves between two attempts of its job, which the server had turned away: it is not tried again.
@@ -244,12 +246,12 @@
     #[values("/zone-plan", "/actuator-cmd")] target: &str,
     #[values(false, true)] same_turn: bool,
 ) {
-    let server = Party::new();
+    let server = TestServer::new();
     let node = Node::start(&patient(server.address, false));
     let client = ask(&node, "a", target);
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
-    node.stand_still(same_turn);
+    node.set_paused(same_turn);
     backend.send("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
     if same_turn {
         leaves_surely(&node, client);
@@ -257,7 +259,7 @@
         node.logs("dispatch 1.0 ended Overloaded");
         drop(client);
     }
-    node.stand_still(false);
+    node.set_paused(false);
     node.logs("reason=peer-broke");
     only_the_next_comes(&node, &server, backend);
 }
@@ -268,37 +270,37 @@
     #[values("/zone-plan", "/actuator-cmd")] target: &str,
     #[values(false, true)] same_turn: bool,
 ) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = patient(server.address, false);
-    probing(&mut config);
+    enable_probing(&mut config);
     let node = Node::start(&config);
     let client = ask(&node, "a", target);
     let mut backend = server.accept();
     assert_eq!(backend.message().first, "GET /_load HTTP/1.1");
-    node.stand_still(same_turn);
+    node.set_paused(same_turn);
     if same_turn {
-        backend.send(&load(1, 0));
+        backend.send(&load_report(1, 0));
         leaves_surely(&node, client);
     } else {
         drop(client);
         node.logs("reason=peer-broke");
-        backend.send(&load(1, 0));
+        backend.send(&load_report(1, 0));
     }
-    node.stand_still(false);
+    node.set_paused(false);
     node.logs("probe of 0 ended");
     only_the_next_comes(&node, &server, backend);
 }
 
 /// A watch on which the usual empty lines come: beside much load a test may take longer than one may be silent.
-fn kept_watch(discovery: &Party) -> Peer {
-    let stream = watch(discovery).0.into_stream();
+fn kept_watch(discovery: &TestServer) -> Connection {
+    let stream = accept_watch(discovery).0.into_stream();
     let mut beats = stream.try_clone().unwrap();
     std::thread::spawn(move || {
         while beats.write_all(b"1\r\n\n\r\n").is_ok() {
             std::thread::sleep(Duration::from_millis(500));
         }
     });
-    Peer::new(stream)
+    Connection::new(stream)
 }
 
 /// A server moves while the connection to where it was comes up: nothing is written there, whoever has that address now, and the job
@@ -308,7 +310,7 @@
     #[values("/zone-plan", "/actuator-cmd")] target: &str,
     #[values(false, true)] stands_still: bool,
 ) {
-    let (mut admin, new, discovery) = (AdminServer::new(), Party::new(), Party::new());
+    let (mut admin, new, discovery) = (AdminServer::new(), TestServer::new(), TestServer::new());
     admin.shut();
     let mut config = patient(admin.address, false);
     config["discovery"] = json!(discovery.address.to_string());
@@ -319,33 +321,33 @@
     admin.waits_for_one();
     let mut old = None;
     if stands_still {
-        node.stand_still(true);
+        node.set_paused(true);
         old = Some(admin.accept());
     }
-    watch.line(&listing(42, false, &[entry("s-0", new.address, "active")]));
-    node.stand_still(false);
+    watch.line(&server_list(42, false, &[entry("s-0", new.address, "active")]));
+    node.set_paused(false);
     assert!(node.logs("dispatch 1.0 ended").contains("NotSent"));
     let mut backend = new.accept();
     assert_eq!(backend.id(), "a");
     backend.serve("a", "1");
     assert_eq!(client.message().body, "1");
-    assert!(old.is_none_or(|mut old| old.ended_early()), "a job was written where the server had been");
+    assert!(old.is_none_or(|mut old| old.ends_without_data()), "a job was written where the server had been");
 }
 
 /// The same for an idle connection, to which a job is handed in the turn in which the server moves.
 #[rstest]
 fn nothing_is_written_on_an_idle_connection_to_where_a_server_was(#[values(false, true)] job_first: bool) {
-    let (server, new, discovery) = (Party::new(), Party::new(), Party::new());
-    let node = Node::start(&following(&[server.address], &discovery));
+    let (server, new, discovery) = (TestServer::new(), TestServer::new(), TestServer::new());
+    let node = Node::start(&config_with_discovery(&[server.address], &discovery));
     let mut watch = kept_watch(&discovery);
     let mut client = ask(&node, "first", "/zone-plan");
     let mut old = server.accept();
     assert_eq!(old.id(), "first");
     old.serve("first", "1");
     assert_eq!(client.message().body, "1");
-    node.stand_still(true);
+    node.set_paused(true);
     let text = job("a", "/actuator-cmd", "5000m", "");
-    let moved = listing(42, false, &[entry("s-0", new.address, "active")]);
+    let moved = server_list(42, false, &[entry("s-0", new.address, "active")]);
     if job_first {
         client.send(&text);
         watch.line(&moved);
@@ -353,12 +355,12 @@
         watch.line(&moved);
         client.send(&text);
     }
-    node.stand_still(false);
+    node.set_paused(false);
     let mut backend = new.accept();
     assert_eq!(backend.id(), "a");
     backend.serve("a", "2");
     assert_eq!(client.message().body, "2");
-    assert!(old.ended_early() && server.is_left_alone());
+    assert!(old.ends_without_data() && server.has_no_connection());
 }
 
 /// A keyed job may have run, and the connection for its further attempt comes up when servers no longer know its key: nothing is
@@ -390,18 +392,18 @@
     drop(backend);
     if stands_still {
         admin.waits_for_one();
-        node.stand_still(true);
+        node.set_paused(true);
     } else {
         node.logs("dispatch 2.1 to");
     }
     let mut attempts = 0;
-    while client.hears_nothing(Duration::from_millis(5)) {
+    while client.is_silent_for(Duration::from_millis(5)) {
         let Some(mut peer) = admin.came() else { continue };
         while stands_still && begun.elapsed() < Duration::from_millis(window as u64 + 200) {
             std::thread::sleep(Duration::from_millis(10));
         }
-        node.stand_still(false);
-        if peer.goes_on() {
+        node.set_paused(false);
+        if peer.receives_data() {
             attempts += 1;
             let request = peer.message();
             // What it is told to be left was counted after the connection came up.
@@ -428,7 +430,7 @@
 #[case::trailers("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", "X: {X}\r\n")]
 #[case::slow_trailers("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", "X: y\r\n")]
 fn an_answer_without_end_is_a_failure_in_time(#[case] begin: &str, #[case] more: &str) {
-    let (node, server) = pair();
+    let (node, server) = node_with_server();
     let sent = Instant::now();
     let mut client = node.client();
     client.send(&job("a", "/actuator-cmd", "700m", ""));
@@ -436,10 +438,11 @@
     assert_eq!(backend.id(), "a");
     backend.send(begin);
     let filler = "x".repeat(4_000);
-    backend.trickle_until_over(&more.replace("{L}", &format!("{:x}", filler.len())).replace("{X}", &filler));
+    backend
+        .trickle_until_closed(&more.replace("{L}", &format!("{:x}", filler.len())).replace("{X}", &filler));
     assert_eq!(client.message().status(), 502);
     assert!(sent.elapsed() < Duration::from_millis(900), "{:?}", sent.elapsed());
-    assert!(client.hears_nothing(Duration::from_millis(20)), "one answer");
+    assert!(client.is_silent_for(Duration::from_millis(20)), "one answer");
     client.send(&job("b", "/zone-plan", "5000m", ""));
     let mut other = server.accept();
     assert_eq!(other.id(), "b");
@@ -453,8 +456,8 @@
 #[case::trailers("0\r\n")]
 #[case::nothing("")]
 fn what_never_ends_behind_a_result_costs_the_connection(#[case] more: &str) {
-    let (node, server) = pair();
-    let mut client = node.ask("a", "/actuator-cmd");
+    let (node, server) = node_with_server();
+    let mut client = node.send_job("a", "/actuator-cmd");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
     backend.begin();
@@ -466,20 +469,20 @@
     other.serve("b", "2");
     assert_eq!(client.message().body, "2");
     backend.send(more);
-    backend.trickle_until_over("X: y\r\n");
+    backend.trickle_until_closed("X: y\r\n");
 }
 
 /// A job and the end of the idle connection that it is handed to come while the node stands still, in either order: it is written
 /// once, on another connection.
 #[rstest]
 fn a_job_for_a_connection_that_has_just_ended_is_written_once(#[values(false, true)] job_first: bool) {
-    let (node, server) = pair();
-    let mut client = node.ask("a", "/zone-plan");
+    let (node, server) = node_with_server();
+    let mut client = node.send_job("a", "/zone-plan");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
     backend.serve("a", "1");
     assert_eq!(client.message().body, "1");
-    node.stand_still(true);
+    node.set_paused(true);
     let text = job("b", "/zone-plan", "5000m", "");
     if job_first {
         client.send(&text);
@@ -488,12 +491,12 @@
         drop(backend);
         client.send(&text);
     }
-    node.stand_still(false);
+    node.set_paused(false);
     let mut other = server.accept();
     assert_eq!(other.id(), "b");
     other.serve("b", "2");
     assert_eq!(client.message().body, "2");
-    assert!(client.hears_nothing(Duration::from_millis(20)) && server.is_left_alone());
+    assert!(client.is_silent_for(Duration::from_millis(20)) && server.has_no_connection());
 }
 
 /// The answer and the end of the request's time, or the client's leaving, come while the node stands still: there is one answer at
@@ -503,55 +506,55 @@
     #[values("/zone-plan", "/actuator-cmd")] target: &str,
     #[values(false, true)] leaves: bool,
 ) {
-    let (node, server) = pair();
+    let (node, server) = node_with_server();
     let mut client = node.client();
     client.send(&job("a", target, "400m", ""));
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
-    node.stand_still(true);
+    node.set_paused(true);
     if leaves {
         backend.serve("a", "1");
         drop(client);
     } else {
         backend.serve("a", "1");
-        assert!(client.hears_nothing(Duration::from_millis(500)));
-        node.stand_still(false);
+        assert!(client.is_silent_for(Duration::from_millis(500)));
+        node.set_paused(false);
         let answer = client.message();
         let failed = if target == "/zone-plan" { 503 } else { 502 };
         assert!(answer.status() == failed || (answer.status(), answer.body.as_str()) == (200, "1"));
-        assert!(client.hears_nothing(Duration::from_millis(50)), "one answer");
+        assert!(client.is_silent_for(Duration::from_millis(50)), "one answer");
     }
-    node.stand_still(false);
-    let mut next = node.ask("b", "/zone-plan");
+    node.set_paused(false);
+    let mut next = node.send_job("b", "/zone-plan");
     let mut backend = comes(&server, Some(backend));
     assert_eq!(backend.id(), "b");
     backend.serve("b", "2");
     assert_eq!(next.message().body, "2");
-    assert!(server.is_left_alone());
+    assert!(server.has_no_connection());
 }
 
 /// An attempt that has not started is called off after a quarter of the deadline; here its answer is there by then. It is the answer,
 /// or it is dropped and the job, which is free to repeat, made once more.
 #[rstest]
 fn an_answer_in_the_turn_of_a_cancel_is_one_answer() {
-    let (node, server) = pair();
-    let mut client = node.ask("a", "/zone-plan");
+    let (node, server) = node_with_server();
+    let mut client = node.send_job("a", "/zone-plan");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
-    node.stand_still(true);
-    assert!(client.hears_nothing(Duration::from_millis(1_400)));
+    node.set_paused(true);
+    assert!(client.is_silent_for(Duration::from_millis(1_400)));
     backend.serve("a", "1");
-    node.stand_still(false);
+    node.set_paused(false);
     let mut attempts = 1;
-    while client.hears_nothing(Duration::from_millis(5)) {
-        if let Some(mut other) = server.came() {
+    while client.is_silent_for(Duration::from_millis(5)) {
+        if let Some(mut other) = server.try_accept() {
             attempts += 1;
             assert_eq!(other.id(), "a");
             other.serve("a", "1");
         }
     }
     assert_eq!(client.message().body, "1");
-    assert!(attempts <= 2 && client.hears_nothing(Duration::from_millis(50)), "one answer");
+    assert!(attempts <= 2 && client.is_silent_for(Duration::from_millis(50)), "one answer");
 }
 
 /// The time of a line of the log within its minute.
@@ -566,7 +569,7 @@
 fn a_second_answer_does_not_prove_that_a_keyed_job_never_ran() {
     let window = Duration::from_millis(300);
     for round in 0..50 {
-        let server = Party::new();
+        let server = TestServer::new();
         let mut config = patient(server.address, false);
         config["settings"]["classes"][1]["semantics"] = json!("guarded");
         config["settings"]["classes"][1]["dedup_window_ms"] = json!(window.as_millis() as f64);
@@ -592,15 +595,15 @@
             continue;
         }
         let mut kept = Some(backend);
-        while client.hears_nothing(Duration::from_millis(5)) {
+        while client.is_silent_for(Duration::from_millis(5)) {
             let Some(peer) = &mut kept else {
-                kept = server.came();
+                kept = server.try_accept();
                 continue;
             };
-            if peer.hears_nothing(Duration::from_millis(1)) {
+            if peer.is_silent_for(Duration::from_millis(1)) {
                 continue;
             }
-            if !peer.goes_on() {
+            if !peer.receives_data() {
                 kept = None;
                 continue;
             }
@@ -621,7 +624,7 @@
     #[values("free", "guarded", "single_shot")] semantics: &str,
     #[values("returned", "lost", "503", "200")] notified: &str,
 ) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["settings"]["classes"][1]["semantics"] = json!(semantics);
     let node = Node::start(&config);
@@ -652,7 +655,7 @@
         assert_eq!(client.message().body, "1");
     } else {
         assert_eq!(client.message().status(), 502);
-        assert!(backend.hears_nothing(Duration::from_millis(20)) && server.is_left_alone());
+        assert!(backend.is_silent_for(Duration::from_millis(20)) && server.has_no_connection());
     }
 }
 
@@ -662,20 +665,20 @@
 #[case::no_longer(true, false)]
 #[case::from_now_on(false, true)]
 fn what_is_handed_back_after_a_reload_is_not_sent_again(#[case] before: bool, #[case] after: bool) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["settings"]["rules"]["shed_after_start"] = json!(before);
     let node = Node::start(&config);
-    let mut client = node.ask("a", "/actuator-cmd");
+    let mut client = node.send_job("a", "/actuator-cmd");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
     config["settings"]["rules"]["shed_after_start"] = json!(after);
-    node.replace(&config.to_string());
-    node.hang_up();
+    node.replace_config(&config.to_string());
+    node.reload();
     node.logs("new settings hold");
     backend.send("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-    while client.hears_nothing(Duration::from_millis(5)) {
-        assert!(server.is_left_alone(), "a job that may have run was sent again");
+    while client.is_silent_for(Duration::from_millis(5)) {
+        assert!(server.has_no_connection(), "a job that may have run was sent again");
     }
     assert_eq!(client.message().status(), 502);
 }
