--- a/tests/node.rs
+++ b/tests/node.rs
@@ -1,4 +1,4 @@
-//! The node as its neighbours see it: each test starts the program and speaks with it over sockets.
+//! Tests of the running program over its sockets, as clients, backend servers and discovery see it.
 
 #[path = "node/audit.rs"]
 mod audit;
@@ -12,10 +12,8 @@
 mod fleet;
 #[path = "node/gone.rs"]
 mod gone;
-
 #[path = "node/lending.rs"]
 mod load_shifting;
-
 #[path = "node/operators.rs"]
 mod operators;
 #[path = "node/orders.rs"]
@@ -33,7 +31,6 @@
 #[path = "node/stopping.rs"]
 mod stopping;
 mod support;
-
 #[path = "node/written.rs"]
 mod written;
 
@@ -42,14 +39,14 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// A node with one backend server and an empty table of troubles.
+/// Starts a node with one backend server.
 fn node_with_server() -> (Node, TestServer) {
     let server = TestServer::new();
     (Node::start(&config(&[server.address])), server)
 }
 
 #[rstest]
-fn a_job_goes_on_unchanged_and_its_result_comes_back() {
+fn a_job_is_forwarded_unchanged_and_its_result_returned() {
     let (node, server) = node_with_server();
     let mut client = node.client();
     client.send(&job("9b1f03aa5c7e2d41", "/zone-plan/x%20y?obj=7f3a&b=%2F", "5000m", "a body"));
@@ -63,7 +60,7 @@
     backend.serve("9b1f03aa5c7e2d41", "the \"result\"\n");
     let answer = client.message();
     assert_eq!((answer.status(), answer.body.as_str()), (200, "the \"result\"\n"));
-    // Both connections are used again.
+    // The client's and the backend server's connection carry a second job.
     client.send(&job("b", "/zone-plan", "5000m", ""));
     assert_eq!(backend.message().field("Request-Id"), Some("b"));
     backend.serve("b", "2");
@@ -71,15 +68,18 @@
     assert!(server.has_no_connection());
 }
 
-/// What may have run is never dispatched again where that does harm.
+/// Guards against a second dispatch of a job that may have run and must not run twice.
 #[rstest]
 #[case::failed("{\"id\":\"a\",\"from\":\"s\",\"state\":\"failed\"}", "")]
 #[case::lost("{\"id\":\"a\",\"from\":\"s\",\"state\":\"lost\"}", "")]
-#[case::anothers("{\"id\":\"z\",\"from\":\"s\",\"state\":\"done\",\"result\":\"theirs\"}", "makes no sense")]
+#[case::another_jobs_id(
+    "{\"id\":\"z\",\"from\":\"s\",\"state\":\"done\",\"result\":\"theirs\"}",
+    "makes no sense"
+)]
 #[case::no_result("{\"id\":\"a\",\"from\":\"s\",\"state\":\"done\"}", "makes no sense")]
 #[case::nonsense("{]", "makes no sense")]
 #[case::unknown_state("{\"id\":\"a\",\"from\":\"s\",\"state\":\"asleep\"}", "makes no sense")]
-fn a_line_that_is_no_result_fails_the_job(#[case] line: &str, #[case] logged: &str) {
+fn a_response_line_without_a_result_fails_the_job(#[case] line: &str, #[case] logged: &str) {
     let (node, server) = node_with_server();
     let mut client = node.send_job("a", "/actuator-cmd");
     let mut backend = server.accept();
@@ -96,12 +96,12 @@
 
 #[rstest]
 #[case::error("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n")]
-#[case::busy_but_silent_on_it("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")]
-#[case::head_of_nonsense("SMTP ready\r\n\r\n")]
+#[case::busy_without_not_started("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")]
+#[case::malformed_head("SMTP ready\r\n\r\n")]
 #[case::ends_early("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")]
 #[case::bad_chunk("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n")]
 #[case::breaks("")]
-fn an_answer_that_proves_nothing_fails_the_job(#[case] answer: &str) {
+fn a_response_that_leaves_the_outcome_open_fails_the_job(#[case] answer: &str) {
     let (node, server) = node_with_server();
     let mut client = node.send_job("a", "/actuator-cmd");
     let mut backend = server.accept();
@@ -112,9 +112,9 @@
     assert!(server.has_no_connection());
 }
 
-/// What a backend server can't use is no sign that it, or the class, is ill: the next jobs go through.
+/// Guards against counting a 400 response as a failure of the backend server or of the class.
 #[rstest]
-fn a_job_that_is_turned_away_as_malformed_fails_alone() {
+fn a_job_rejected_as_malformed_does_not_affect_others() {
     let (node, server) = node_with_server();
     let mut client = node.client();
     let mut backend = None;
@@ -134,9 +134,9 @@
     assert!(server.has_no_connection());
 }
 
-/// The id of an open job is its own, whoever sends it again; once it is answered the id is free.
+/// An id may be used again once the job that had it is answered.
 #[rstest]
-fn the_id_of_an_open_job_is_not_taken_again() {
+fn a_job_with_the_id_of_an_open_one_is_rejected() {
     let (node, server) = node_with_server();
     let mut client = node.send_job("a", "/actuator-cmd");
     let mut backend = server.accept();
@@ -153,14 +153,14 @@
     assert!(server.has_no_connection());
 }
 
-/// What never ran may be dispatched again, whatever it does.
+/// A job that has not started may be dispatched again, whatever its semantics.
 #[rstest]
 #[case::status_503("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 2\r\n\r\nno")]
 #[case::status_504("HTTP/1.1 504 Late\r\nnot-started: 1\r\nContent-Length: 0\r\n\r\n")]
 #[case::returned(
     "HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n{\"id\":\"a\",\"from\":\"s\",\"state\":\"returned\"}"
 )]
-fn a_job_turned_away_is_tried_again(#[case] answer: &str) {
+fn a_job_that_did_not_start_is_retried(#[case] answer: &str) {
     let (node, server) = node_with_server();
     let mut client = node.send_job("a", "/actuator-cmd");
     let mut backend = server.accept();
@@ -172,10 +172,10 @@
 }
 
 #[rstest]
-fn a_refused_connection_is_told_and_logged() {
+fn a_refused_connection_is_logged_and_fails_no_job() {
     let server = TestServer::new();
     let node = Node::start(&config(&[refusing_address(), server.address]));
-    // Of so many at least one comes to the server that is not there, and none is lost by that.
+    // At least one of these jobs is dispatched to the server that refuses connections.
     for k in 0..12 {
         let mut client = node.send_job(&k.to_string(), "/actuator-cmd");
         let mut backend = server.accept();
@@ -188,6 +188,7 @@
     node.logs("reason=refused");
 }
 
+/// The header fields of a valid job but for those of its body.
 const HEAD: &str = "Host: h\r\nRequest-Id: a\r\nTenant: acme\r\nRequest-Timeout: 900m\r\n";
 
 #[rstest]
@@ -199,7 +200,7 @@
     "POST /zone-plan HTTP/1.1\r\n{H}Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
     400
 )]
-#[case::signed_length("POST /zone-plan HTTP/1.1\r\n{H}Content-Length: +1\r\n\r\nx", 400)]
+#[case::length_with_a_sign("POST /zone-plan HTTP/1.1\r\n{H}Content-Length: +1\r\n\r\nx", 400)]
 #[case::bad_chunk("POST /zone-plan HTTP/1.1\r\n{H}Transfer-Encoding: chunked\r\n\r\nq\r\n", 400)]
 #[case::unknown_coding("POST /zone-plan HTTP/1.1\r\n{H}Transfer-Encoding: gzip, chunked\r\n\r\n", 501)]
 #[case::too_long("POST /zone-plan HTTP/1.1\r\n{H}Content-Length: 65537\r\n\r\n", 413)]
@@ -222,11 +223,11 @@
     "POST /zone-plan HTTP/1.1\r\nHost: h\r\nRequest-Id: a\r\nTenant: acme\r\nRequest-Timeout: NaNm\r\n\r\n",
     400
 )]
-#[case::stranger(
+#[case::unknown_tenant(
     "POST /zone-plan HTTP/1.1\r\nHost: h\r\nRequest-Id: a\r\nTenant: x\r\nRequest-Timeout: 9m\r\n\r\n",
     400
 )]
-fn bad_input_is_answered_and_harms_nobody(#[case] input: &str, #[case] status: u16) {
+fn a_malformed_request_is_rejected_and_the_node_serves_on(#[case] input: &str, #[case] status: u16) {
     let (node, server) = node_with_server();
     let input = input.replace("{H}", HEAD).replace("{X}", &"x".repeat(40_000));
     let mut client = node.client();
@@ -241,26 +242,26 @@
 #[rstest]
 #[case::chunked("POST /zone-plan HTTP/1.1\r\n{H}Transfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nT: t\r\n\r\n")]
 #[case::counted("POST /zone-plan HTTP/1.1\r\n{H}Content-Length: 5\r\n\r\nabcde")]
-fn split_and_pipelined_input_works(#[case] request: &str) {
+fn split_and_pipelined_requests_are_served(#[case] request: &str) {
     let (node, server) = node_with_server();
     let request = request.replace("{H}", HEAD);
     let mut client = node.client();
     for byte in request.chars() {
         client.send(&byte.to_string());
     }
-    // Two more before the first is answered.
+    // Two more requests before the first is answered.
     client.send(&format!("{request}{request}"));
     let mut backend = server.accept();
     for result in ["1", "2", "3"] {
-        let got = backend.message();
-        assert_eq!((got.body.as_str(), got.field("Content-Length")), ("abcde", Some("5")));
+        let received = backend.message();
+        assert_eq!((received.body.as_str(), received.field("Content-Length")), ("abcde", Some("5")));
         backend.serve("a", result);
         assert_eq!(client.message().body, result);
     }
 }
 
 #[rstest]
-fn a_client_that_expects_to_be_told_to_go_on_is() {
+fn a_client_that_expects_100_continue_gets_it() {
     let (node, server) = node_with_server();
     let mut client = node.client();
     client.send(&format!(
@@ -274,9 +275,9 @@
     assert_eq!(client.message().body, "fine");
 }
 
-/// The one server has a job that has not started, so the next ones are held.
+/// The only server has a job that has not started, so the next ones wait in the node.
 #[rstest]
-fn a_client_that_closes_is_gone() {
+fn the_waiting_job_of_a_closed_client_is_not_dispatched() {
     let (node, server) = node_with_server();
     let mut first = node.send_job("first", "/zone-plan");
     let mut backend = server.accept();
@@ -294,8 +295,8 @@
 #[rstest]
 #[case::milliseconds("300m", "/actuator-cmd", 502)]
 #[case::microseconds("300000u", "/actuator-cmd", 502)]
-#[case::harmless("300m", "/zone-plan", 503)]
-fn an_answer_comes_before_the_client_gives_up(#[case] time: &str, #[case] path: &str, #[case] status: u16) {
+#[case::may_run_twice("300m", "/zone-plan", 503)]
+fn a_job_is_answered_before_its_timeout(#[case] time: &str, #[case] path: &str, #[case] status: u16) {
     let (node, server) = node_with_server();
     let mut client = node.client();
     let sent = Instant::now();
@@ -305,12 +306,12 @@
     assert_eq!(client.message().status(), status);
     let took = sent.elapsed();
     assert!(took > Duration::from_millis(200) && took < Duration::from_millis(350), "{took:?}");
-    assert!(backend.is_closed(), "the attempt is given up");
+    assert!(backend.is_closed(), "the attempt is cancelled");
     node.logs("reason=timed-out");
 }
 
 #[rstest]
-fn a_deny_is_sent_at_once_and_advises() {
+fn a_rejection_is_sent_at_once_with_retry_after() {
     let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["settings"]["allowed"]["try_limit"] = json!(1);
@@ -318,17 +319,17 @@
     let mut client = node.send_job("a", "/actuator-cmd");
     let mut backend = server.accept();
     backend.message();
-    let turned_away = Instant::now();
+    let rejected = Instant::now();
     backend.send("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
     let answer = client.message();
     assert_eq!(answer.status(), 503);
-    assert!(turned_away.elapsed() < Duration::from_secs(1));
+    assert!(rejected.elapsed() < Duration::from_secs(1));
     let seconds: f64 = answer.field("Retry-After").unwrap().parse().unwrap();
     assert!(seconds > 0.0 && seconds <= 2.0);
 }
 
 #[rstest]
-fn idle_connections_close_in_time_and_dead_ones_are_not_used() {
+fn idle_backend_connections_time_out_and_closed_ones_are_not_used() {
     let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["settings"]["allowed"]["conn_idle_ms"] = json!(1000.0);
@@ -352,24 +353,24 @@
 }
 
 #[rstest]
-fn a_connection_that_does_not_come_up_has_its_time() {
-    let (address, _kept) = saturated_listener();
+fn a_connection_attempt_without_reply_times_out() {
+    let (address, _listener) = saturated_listener();
     let mut config = config(&[address]);
     config["settings"]["allowed"]["connect_timeout_ms"] = json!(150.0);
     let node = Node::start(&config);
     let mut client = node.send_job("a", "/actuator-cmd");
     node.logs("reason=connect-timeout messages=0");
-    assert_eq!(client.message().status(), 503, "it never ran, so a deny is true");
+    assert_eq!(client.message().status(), 503, "the job never ran, so the node may reject it");
 }
 
-/// A configuration with those backend servers and that discovery.
+/// Returns a configuration with the given backend servers and discovery.
 fn config_with_discovery(servers: &[std::net::SocketAddr], discovery: &TestServer) -> serde_json::Value {
     let mut config = config(servers);
     config["discovery"] = json!(discovery.address.to_string());
     config
 }
 
-/// Let a configuration be that of one node among a hundred that may probe.
+/// Changes a configuration to that of one node among a hundred, with probing.
 fn enable_probing(config: &mut serde_json::Value) {
     let settings = &mut config["settings"];
     settings["replicas_of_me"] = json!(100);
@@ -378,13 +379,13 @@
     settings["costs"] = json!({"probe": 0.01});
 }
 
-/// The answer to a probe.
+/// Returns the response to a probe.
 fn load_report(free: u32, held: u32) -> String {
     let text = format!("TEXT x0={free}, err_ps=nonsense, concurrent={held}");
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len())
 }
 
-/// Discovery's side of a watch, up to the list that it begins with.
+/// Accepts a watch as discovery and sends the head of the response. Returns the connection and the request line.
 fn accept_watch(discovery: &TestServer) -> (Connection, String) {
     let mut watch = discovery.accept();
     let request = watch.message();
@@ -392,23 +393,24 @@
     (watch, request.first)
 }
 
-/// Discovery is asked for its whole list and gives it.
+/// Accepts a request for the complete list as discovery and responds with `list`.
 fn serve_complete_list(discovery: &TestServer, list: &str) -> Connection {
-    let mut peer = discovery.accept();
-    assert_eq!(peer.message().first, "GET /catalog/members HTTP/1.1");
-    peer.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()));
-    peer
+    let mut connection = discovery.accept();
+    assert_eq!(connection.message().first, "GET /catalog/members HTTP/1.1");
+    connection.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()));
+    connection
 }
 
+/// Returns a list of discovery, or with `complete` unset the changes since the last one.
 fn server_list(revision: u64, complete: bool, members: &[serde_json::Value]) -> String {
     json!({"revision": revision, "complete": complete, "members": members}).to_string()
 }
 
 #[rstest]
 #[case::leaving("leaving")]
-#[case::gone("left")]
-fn nothing_is_written_to_a_server_known_to_leave(#[case] phase: &str) {
-    let ((address, _kept), discovery) = (saturated_listener(), TestServer::new());
+#[case::left("left")]
+fn nothing_is_sent_to_a_leaving_server(#[case] phase: &str) {
+    let ((address, _listener), discovery) = (saturated_listener(), TestServer::new());
     let mut config = config(&[address]);
     config["discovery"] = json!(discovery.address.to_string());
     config["settings"]["allowed"]["connect_timeout_ms"] = json!(9000.0);
@@ -423,7 +425,7 @@
 }
 
 #[rstest]
-fn the_watch_goes_on_from_the_last_revision_and_lists_replace() {
+fn a_watch_resumes_from_the_last_revision_and_complete_lists_replace_the_table() {
     let (old, new, discovery) = (TestServer::new(), TestServer::new(), TestServer::new());
     let node = Node::start(&config_with_discovery(&[old.address], &discovery));
     let (mut first, request) = accept_watch(&discovery);
@@ -440,7 +442,7 @@
     drop(first);
     let (mut second, request) = accept_watch(&discovery);
     assert_eq!(request, "GET /catalog/members?watch=1&from=43 HTTP/1.1");
-    // A line of nonsense ends the watch, and the whole list is asked for.
+    // A malformed line ends the watch, and the node requests the complete list.
     second.line("{\"revision\": 44}");
     node.logs("reason=malformed");
     let mut third = serve_complete_list(&discovery, &server_list(44, true, &[]));
@@ -448,16 +450,16 @@
     third.begin();
     third.line(&server_list(45, true, &[entry("s-new", new.address, "active")]));
     node.logs("server table 45");
-    // Then it says nothing more, as when it is cut off.
+    // Discovery sends nothing more, as in a network partition.
     node.logs("reason=silent");
     let (_fourth, request) = accept_watch(&discovery);
     assert_eq!(request, "GET /catalog/members?watch=1&from=45 HTTP/1.1");
 }
 
-/// On SIGHUP the discovery that the file names now is followed, whatever the environment named, and its
-/// list replaces the old one, although its revisions are lower; jobs that are out stay where they are.
+/// The file's discovery replaces the environment's, and its list the old one, although its revision is lower. Jobs that
+/// are dispatched already are not moved.
 #[rstest]
-fn a_replaced_configuration_is_followed() {
+fn sighup_switches_to_the_discovery_of_the_new_configuration() {
     let (old, kept, new) = (TestServer::new(), TestServer::new(), TestServer::new());
     let (first, second) = (TestServer::new(), TestServer::new());
     let mut config = config(&[]);
@@ -473,7 +475,7 @@
         ["a", "b"].map(|id| node.send_job(id, "/zone-plan")).into_iter().collect();
     let (mut on_old, mut on_kept) = (old.accept(), kept.accept());
     let (id_old, id_kept) = (on_old.id(), on_kept.id());
-    // Bad files first, more than one: each is one line of the log, and nothing changes.
+    // Invalid files are logged and change nothing.
     for bad in ["{", "{\"listen\": \"here\"}"] {
         node.replace_config(bad);
         node.reload();
@@ -492,13 +494,13 @@
     let mut after = serve_complete_list(&second, &list);
     assert_eq!(after.message().first, "GET /catalog/members?watch=1&from=2 HTTP/1.1");
     assert!(before.is_closed());
-    // Once more, with nothing changed: the watch stays.
+    // A reload of an unchanged file keeps the watch open.
     node.reload();
     node.logs("configuration read again");
     on_old.serve(&id_old, "served");
     on_kept.serve(&id_kept, "served");
     clients.iter_mut().for_each(|c| assert_eq!(c.message().body, "served"));
-    assert!(on_old.is_closed(), "nothing more goes to a server that the new list does not hold");
+    assert!(on_old.is_closed(), "a server that is not in the new list gets no further jobs");
     let mut more: Vec<Connection> =
         ["c", "d"].map(|id| node.send_job(id, "/zone-plan")).into_iter().collect();
     let mut on_new = new.accept();
@@ -510,7 +512,7 @@
 }
 
 #[rstest]
-fn a_node_told_to_stop_is_not_ended_by_a_reload() {
+fn sighup_does_not_end_a_draining_node() {
     let (mut node, server) = node_with_server();
     let mut held = node.send_job("held", "/zone-plan");
     let mut backend = server.accept();
@@ -526,7 +528,7 @@
 }
 
 #[rstest]
-fn a_node_told_to_stop_answers_all_it_takes() {
+fn a_draining_node_answers_every_job_it_accepts() {
     let (mut node, server) = node_with_server();
     let mut held = node.send_job("held", "/zone-plan");
     let mut backend = server.accept();
@@ -537,14 +539,14 @@
     node.terminate();
     node.logs("told to stop");
     let mut late = node.send_job("late", "/zone-plan");
-    // In one piece: the job that is late has to come on this connection.
+    // One write, so that the job `late` comes on this connection.
     backend.serve_at_once("held", "1");
     assert_eq!(held.message().body, "1");
     assert_eq!(backend.id(), "late");
-    // A job that has started is not called off, however long this test takes from here on.
+    // A job that has started is not cancelled, however long the rest of the test takes.
     backend.begin();
     backend.state("late", "started");
-    // New connections end first; those that clients have go on for a while, with answers in time.
+    // The node refuses new connections first; open ones serve jobs for a while, with shorter timeouts.
     node.logs("new connections are refused");
     assert!(node.refuses_connections());
     idle.send(&job("later", "/zone-plan", "60000m", ""));
@@ -557,21 +559,21 @@
     assert_eq!(idle.message().body, "3");
     backend.finish("late", "2");
     assert_eq!(late.message().body, "2");
-    assert!(idle.is_closed(), "an idle connection is closed in order");
+    assert!(idle.is_closed(), "an idle connection is closed without a reset");
     assert!(node.exit().success());
     node.logs("end backend");
     node.logs("stopped");
 }
 
-/// More clients than the limit allows: idle ones give way, and no answer is lost.
+/// More clients than the limit allows: idle connections are evicted, and no response is lost.
 #[rstest]
 #[case::own_limit(&[PROGRAM, "serve"], 70)]
 #[case::systems_limit(&["sh", "-c", "ulimit -n 32; exec \"$0\" serve", PROGRAM], 1024)]
-fn limits_on_sockets_hold(#[case] messages: &[&str], #[case] sockets: usize) {
+fn a_job_is_served_at_the_socket_limit(#[case] arguments: &[&str], #[case] sockets: usize) {
     let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["limits"]["sockets"] = json!(sockets);
-    let node = Node::start_command(messages, &config);
+    let node = Node::start_command(arguments, &config);
     let mut clients: Vec<Connection> = (0..60).map(|_| node.client()).collect();
     let last = clients.last_mut().unwrap();
     last.send(&job("a", "/zone-plan", "5000m", ""));
@@ -582,9 +584,9 @@
     node.logs("reason=evicted");
 }
 
-/// Requests that are never completed keep their places for a second at most, and none beyond the limit.
+/// Guards against incomplete requests that use up all sockets.
 #[rstest]
-fn requests_that_never_come_whole_take_no_more_than_their_places() {
+fn incomplete_requests_time_out_and_stay_within_the_socket_limit() {
     let mut config = config(&[]);
     config["limits"]["sockets"] = json!(70);
     let node = Node::start(&config);
@@ -598,9 +600,9 @@
     assert_eq!(health.message().status(), 200);
 }
 
-/// A slow request comes whole although many others began after it and stand still: those make room.
+/// At the socket limit the node evicts requests of which no more arrives before slow ones.
 #[rstest]
-fn a_slow_request_is_not_evicted_for_those_that_stand_still() {
+fn a_slow_request_is_kept_while_stalled_ones_are_evicted() {
     let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["limits"]["sockets"] = json!(70);
@@ -628,19 +630,14 @@
     assert!(node.descriptors() <= 70);
 }
 
-/// A connection's first request comes within three seconds, or the connection ends; one that says
-/// nothing, sends half a request, or sends one without end.
+/// The node closes a connection whose request is not complete within three seconds.
 #[rstest]
 #[case::silent("", "", None)]
 #[case::half("POST /zone-plan HTTP/1.1\r\nHost: h\r\n", "", Some(408))]
 #[case::endless("POST /zone-plan HTTP/1.1\r\nHost: h\r\n", "X: y\r\n", Some(408))]
 #[case::half_a_body("POST /zone-plan HTTP/1.1\r\n{H}Content-Length: 9\r\n\r\nx", "", Some(408))]
 #[case::pipelined("GET /_health HTTP/1.1\r\nHost: h\r\n\r\nPOST /zone", "", Some(200))]
-fn a_request_that_does_not_come_ends_its_connection_in_time(
-    #[case] input: &str,
-    #[case] more: &str,
-    #[case] status: Option<u16>,
-) {
+fn an_incomplete_request_times_out(#[case] input: &str, #[case] more: &str, #[case] status: Option<u16>) {
     let node = Node::start(&config(&[]));
     let opened = Instant::now();
     let mut client = node.client();
@@ -656,12 +653,12 @@
     assert!(opened.elapsed() < Duration::from_secs(3), "{:?}", opened.elapsed());
 }
 
-/// Whoever sends what is no job by hundreds has one answered, and sees that answer however much it sends.
+/// Guards against a reset that destroys the response while the client still sends.
 #[rstest]
 #[case::large_body("POST /zone-plan HTTP/1.1\r\n{H}Content-Length: 60000000\r\n\r\n", 413)]
 #[case::hundreds("POST /no-such HTTP/1.1\r\n{H}Content-Length: 60\r\n\r\n", 404)]
 #[case::without_id("POST /zone-plan HTTP/1.1\r\nHost: h\r\nContent-Length: 60\r\n\r\n", 400)]
-fn a_refused_client_that_goes_on_sending_sees_one_answer(#[case] input: &str, #[case] status: u16) {
+fn a_rejected_client_that_keeps_sending_gets_one_response(#[case] input: &str, #[case] status: u16) {
     let (node, server) = node_with_server();
     let mut client = node.client();
     client.send(&input.replace("{H}", HEAD));
@@ -672,9 +669,9 @@
     assert!(server.has_no_connection());
 }
 
-/// Connections that were opened by hundreds to say nothing make room before those of usual clients.
+/// At the socket limit the node evicts connections that have sent nothing before those that have had jobs.
 #[rstest]
-fn silent_connections_do_not_push_usual_clients_out() {
+fn silent_connections_do_not_evict_active_clients() {
     let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["limits"]["sockets"] = json!(100);
@@ -705,27 +702,27 @@
     "'s' has no address"
 )]
 #[case::few_sockets("{\"limits\":{\"memory_mb\":1,\"sockets\":9}}", "at least 48")]
-fn a_bad_configuration_is_one_clear_line(#[case] changed: &str, #[case] outgoing_messages: &str) {
+fn an_invalid_configuration_is_reported_on_one_line(#[case] changed: &str, #[case] expected: &str) {
     let mut text = changed.to_string();
     if let (Ok(serde_json::Value::Object(changes)), false) =
-        (serde_json::from_str(changed), outgoing_messages == "missing field")
+        (serde_json::from_str(changed), expected == "missing field")
     {
-        let mut whole = config(&[]);
-        changes.into_iter().for_each(|(name, value)| whole[name] = value);
-        text = whole.to_string();
+        let mut config = config(&[]);
+        changes.into_iter().for_each(|(name, value)| config[name] = value);
+        text = config.to_string();
     }
     for verb in ["serve", "check"] {
         let output = command(&[PROGRAM, verb], &text).output().unwrap();
         let error = String::from_utf8(output.stderr).unwrap();
         assert!(!output.status.success());
-        assert!(error.contains(outgoing_messages) && error.lines().count() == 1, "{error}");
+        assert!(error.contains(expected) && error.lines().count() == 1, "{error}");
     }
 }
 
 #[rstest]
-fn the_command_line_helps() {
-    let text = |messages: &[&str]| {
-        let output = command(messages, &config(&[]).to_string()).output().unwrap();
+fn help_version_and_check_print_to_standard_output() {
+    let text = |arguments: &[&str]| {
+        let output = command(arguments, &config(&[]).to_string()).output().unwrap();
         assert!(output.status.success());
         String::from_utf8(output.stdout).unwrap()
     };
@@ -734,9 +731,9 @@
     assert!(text(&[PROGRAM, "check"]).contains("would serve on 127.0.0.1:0"));
 }
 
-/// Its idle connections and those that are just answering are not used again.
+/// Connections to the old address carry no further job, even one that is answering when the address changes.
 #[rstest]
-fn a_server_that_moves_is_reached_at_its_new_address() {
+fn a_server_with_a_new_address_gets_jobs_there() {
     let (old, new, discovery) = (TestServer::new(), TestServer::new(), TestServer::new());
     let node = Node::start(&config_with_discovery(&[old.address], &discovery));
     let (mut watch, _) = accept_watch(&discovery);
@@ -758,7 +755,7 @@
 #[rstest]
 #[case::closed(false)]
 #[case::stalled(true)]
-fn a_log_that_nobody_reads_any_more_harms_nobody(#[case] stalls: bool) {
+fn a_log_that_nobody_reads_delays_no_job(#[case] stalls: bool) {
     let (node, server) = node_with_server();
     let node = node.with_unread_log(stalls);
     for id in ["a", "b"] {
@@ -772,7 +769,7 @@
 }
 
 #[rstest]
-fn the_largest_body_passes() {
+fn a_body_of_the_maximum_size_is_forwarded() {
     let (node, server) = node_with_server();
     let body = "x".repeat(65_536);
     let mut client = node.client();
@@ -784,39 +781,38 @@
     assert!(client.message().body == result);
 }
 
-/// Where many nodes share few servers, a job goes to the one that tells of a free slot, over the connection
-/// that the probe has opened.
+/// The job goes over the connection that the probe has opened.
 #[rstest]
-fn servers_are_probed_and_the_one_with_a_free_slot_gets_the_job() {
+fn a_job_goes_to_the_probed_server_with_a_free_slot() {
     let servers = [TestServer::new(), TestServer::new()];
     let mut config = config(&[servers[0].address, servers[1].address]);
     enable_probing(&mut config);
     let node = Node::start(&config);
     let mut client = node.client();
     client.send(&job("a", "/zone-plan", "5000m", ""));
-    let mut peers = servers.each_ref().map(TestServer::accept);
-    for peer in &mut peers {
-        assert_eq!(peer.message().first, "GET /_load HTTP/1.1");
+    let mut backends = servers.each_ref().map(TestServer::accept);
+    for backend in &mut backends {
+        assert_eq!(backend.message().first, "GET /_load HTTP/1.1");
     }
-    peers[1].send(&load_report(0, 3));
-    peers[0].send(&load_report(1, 1));
-    assert_eq!(peers[0].id(), "a");
-    peers[0].serve("a", "1");
+    backends[1].send(&load_report(0, 3));
+    backends[0].send(&load_report(1, 1));
+    assert_eq!(backends[0].id(), "a");
+    backends[0].serve("a", "1");
     assert_eq!(client.message().body, "1");
     assert!(servers.iter().all(TestServer::has_no_connection));
 }
 
-/// A discovery that has too much to do is asked again for changes only, never for its whole list.
+/// Guards against requests for the complete list that add to discovery's overload.
 #[rstest]
 #[case::unavailable(503)]
 #[case::too_many(429)]
-fn a_busy_discovery_is_asked_for_changes_only(#[case] status: u16) {
+fn an_overloaded_discovery_gets_requests_for_changes_only(#[case] status: u16) {
     let (server, discovery) = (TestServer::new(), TestServer::new());
     let node = Node::start(&config_with_discovery(&[server.address], &discovery));
     for _ in 0..3 {
-        let mut peer = discovery.accept();
-        assert_eq!(peer.message().first, "GET /catalog/members?watch=1&from=41 HTTP/1.1");
-        peer.send(&format!("HTTP/1.1 {status} Busy\r\nContent-Length: 0\r\n\r\n"));
+        let mut connection = discovery.accept();
+        assert_eq!(connection.message().first, "GET /catalog/members?watch=1&from=41 HTTP/1.1");
+        connection.send(&format!("HTTP/1.1 {status} Busy\r\nContent-Length: 0\r\n\r\n"));
         node.logs("reason=busy");
     }
     let (mut watch, request) = accept_watch(&discovery);
@@ -825,9 +821,9 @@
     node.logs("server table 42");
 }
 
-/// A watch that is closed half-way through a line is asked for anew from the last whole one.
+/// Guards against a revision that is counted as received when its line was cut off.
 #[rstest]
-fn a_watch_cut_off_inside_a_line_goes_on_from_the_last_whole_one() {
+fn a_watch_closed_inside_a_line_resumes_from_the_last_complete_line() {
     let (old, new, discovery) = (TestServer::new(), TestServer::new(), TestServer::new());
     let node = Node::start(&config_with_discovery(&[old.address], &discovery));
     let (mut first, _) = accept_watch(&discovery);
@@ -846,10 +842,9 @@
     assert!(old.has_no_connection());
 }
 
-/// A small node among a hundred, before sixty servers that are all replaced at once: it probes and serves at
-/// the new ones, and sends nothing more to the old.
+/// A node with small limits, one of a hundred, probes the new servers and sends nothing more to the old ones.
 #[rstest]
-fn sixty_servers_are_replaced_at_once_before_a_small_node() {
+fn a_small_node_follows_the_replacement_of_sixty_servers() {
     let (old, new, discovery) = (TestServer::new(), TestServer::new(), TestServer::new());
     let mut config = config_with_discovery(&[old.address; 60], &discovery);
     config["limits"] = json!({"cores": 0.2, "memory_mb": 24, "sockets": 128});
@@ -860,43 +855,43 @@
     watch.line(&server_list(42, true, &members));
     node.logs("server table 42: 60 entries");
     let mut client = node.send_job("a", "/actuator-cmd");
-    let mut peers = [new.accept(), new.accept()];
-    for peer in &mut peers {
-        assert_eq!(peer.message().first, "GET /_load HTTP/1.1");
+    let mut backends = [new.accept(), new.accept()];
+    for backend in &mut backends {
+        assert_eq!(backend.message().first, "GET /_load HTTP/1.1");
     }
-    peers[1].send(&load_report(2, 0));
-    assert_eq!(peers[1].id(), "a");
-    peers[1].serve("a", "1");
+    backends[1].send(&load_report(2, 0));
+    assert_eq!(backends[1].id(), "a");
+    backends[1].serve("a", "1");
     assert_eq!(client.message().body, "1");
     assert!(old.has_no_connection());
 }
 
-/// A file of budgets is checked by itself: what is left to divide, or where it is wrong.
+/// `check --budgets` prints how each budget is divided, or the place of an error.
 #[rstest]
-fn a_file_of_budgets_is_checked() {
+fn a_budgets_file_is_checked() {
     let check = |file: &std::path::Path| {
         let mut command = std::process::Command::new(PROGRAM);
         command.args(["check", "--budgets"]).arg(file).env_remove("ROUTER_CONFIG").output().unwrap()
     };
     let example = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/budgets.sexp");
-    let notified = check(&example);
-    assert!(notified.status.success());
-    let text = String::from_utf8_lossy(&notified.stdout);
+    let output = check(&example);
+    assert!(output.status.success());
+    let text = String::from_utf8_lossy(&output.stdout);
     assert!(
         text.contains("flight:actuator-cmd: 1200 at once: 300 floors, 300 reserves, 600 by demand"),
         "{text}"
     );
     let wrong = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("wrong-budgets.sexp");
     std::fs::write(&wrong, "(budgets (nodes 3)\n (budget probes (whole 5) (floor 2)))").unwrap();
-    let notified = check(&wrong);
-    let text = String::from_utf8_lossy(&notified.stderr);
+    let output = check(&wrong);
+    let text = String::from_utf8_lossy(&output.stderr);
     assert!(
-        !notified.status.success() && text.contains(":2:2") && text.contains("exceed the total of 5"),
+        !output.status.success() && text.contains(":2:2") && text.contains("exceed the total of 5"),
         "{text}"
     );
 }
 
-/// Settings of a deployment whose second class is keyed, as far as they differ from the usual ones.
+/// Starts a node whose second class requires an idempotency key, with one backend server.
 fn node_with_keyed_class() -> (Node, TestServer) {
     let server = TestServer::new();
     let mut config = config(&[server.address]);
@@ -905,12 +900,11 @@
     (Node::start(&config), server)
 }
 
-/// What backend servers drop repeats by goes on as it came, with further dispatches too, and also where
-/// the class needs none. Guards against a keyed job that runs twice.
+/// Backend servers drop repeated jobs by their key. Guards against a keyed job that runs twice.
 #[rstest]
 #[case::keyed("/actuator-cmd")]
 #[case::not_keyed("/zone-plan")]
-fn the_key_of_repeats_goes_on_unchanged(#[case] target: &str) {
+fn the_idempotency_key_is_forwarded_with_each_dispatch(#[case] target: &str) {
     let (node, server) = node_with_keyed_class();
     let key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
     let mut client = node.client();
@@ -924,10 +918,9 @@
     assert_eq!(client.message().body, "1");
 }
 
-/// Without its key nobody could drop a repeat: such a job is none, and the node says why. A class that
-/// has none needs none.
+/// Backend servers can't drop a repeated job without a key. Other classes need none.
 #[rstest]
-fn a_keyed_job_without_its_key_is_told_so() {
+fn a_job_without_its_required_idempotency_key_is_rejected() {
     let (node, server) = node_with_keyed_class();
     let answer = node.send_job("a", "/actuator-cmd").message();
     assert_eq!((answer.status(), answer.body.contains("Idempotency-Key")), (400, true));
@@ -938,25 +931,25 @@
     assert_eq!(client.message().body, "1");
 }
 
-/// A guess at the work that makes no sense is none: it leaves a line in the log, and the job is served.
+/// The job is served as if it had no hint, and the log has a line on it.
 #[rstest]
 #[case::no_number("soon")]
 #[case::negative("-5")]
 #[case::huge("18446744073709551616")]
 #[case::not_a_number("NaN")]
-fn a_guess_that_makes_no_sense_costs_no_job(#[case] guess: &str) {
+fn an_invalid_work_hint_is_ignored(#[case] hint: &str) {
     let (node, server) = node_with_server();
     let mut client = node.client();
-    let head = format!("Request-Timeout: 5000m\r\nWork-Hint: {guess}");
+    let head = format!("Request-Timeout: 5000m\r\nWork-Hint: {hint}");
     client.send(&job("a", "/zone-plan", "5000m", "").replace("Request-Timeout: 5000m", &head));
     server.accept().serve("a", "1");
     assert_eq!(client.message().body, "1");
     node.logs("Work-Hint is no time");
 }
 
-/// A guess is heeded: a job that by it can't be in time any more is denied at once, one without is sent.
+/// A job is rejected at once if by its work hint it can't be done before its timeout.
 #[rstest]
-fn a_job_is_judged_by_the_guess_at_its_work() {
+fn a_job_with_a_work_hint_beyond_its_timeout_is_rejected() {
     let (node, server) = node_with_server();
     let mut client = node.client();
     let head = "Request-Timeout: 5000m\r\nWork-Hint: 60000000";
--- a/tests/node/deployments.rs
+++ b/tests/node/deployments.rs
@@ -1,15 +1,16 @@
-//! The same program for deployments that differ: each test runs by the settings of both.
+//! Tests that run with the settings of two different deployments.
 
 use super::*;
 use rstest::rstest;
 use serde_json::{json, Value};
 
-/// Large and fast: lists are pushed, all jobs of one slot, none keyed, no hints.
+/// Returns the settings of a large deployment: discovery pushes its list, and no class needs an idempotency key.
 fn large() -> Value {
     settings()
 }
 
-/// Small and slow: lists are asked for, four zones, keyed jobs, no probes, a late grace, rough weights.
+/// Returns the settings of a small deployment: nodes request discovery's list, there are four zones, one class needs an
+/// idempotency key, nothing is probed, and servers' weights are rough.
 fn small() -> Value {
     let class = |name: &str, semantics: &str, group: &str| {
         json!({"name": name, "semantics": semantics, "group": group, "target_ms": 2500.0, "deadline_ms": 9000.0,
@@ -29,16 +30,16 @@
     })
 }
 
-/// A job of the first class with the key that it may need.
-fn asked(id: &str) -> String {
+/// Returns a request for a job of the first class, with an idempotency key and a work hint.
+fn keyed_job(id: &str) -> String {
     let head = "Request-Timeout: 5000m\r\nIdempotency-Key: k1\r\nWork-Hint: 20000";
     job(id, "/zone-plan", "5000m", "").replace("Request-Timeout: 5000m", head)
 }
 
-/// A job goes to that server, and its result comes back.
-fn serves(node: &Node, server: &TestServer) {
+/// Asserts that a job goes to `server` and that its result is returned.
+fn assert_served_by(node: &Node, server: &TestServer) {
     let mut client = node.client();
-    client.send(&asked("a"));
+    client.send(&keyed_job("a"));
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
     backend.serve("a", "1");
@@ -51,14 +52,13 @@
     config
 }
 
-/// Progress of a job that was never sent, or of one that has ended, changes nothing: it makes no sense to the node, or
-/// comes after the end of the answer, and the next job is served.
+/// Guards against progress of a finished attempt that is counted for the next job on the connection.
 #[rstest]
-fn news_of_an_attempt_that_ended_harms_no_other(#[values(large(), small())] settings: Value) {
+fn progress_after_the_result_is_ignored(#[values(large(), small())] settings: Value) {
     let server = TestServer::new();
     let node = Node::start(&configured(settings, &[server.address]));
     let mut client = node.client();
-    client.send(&asked("a"));
+    client.send(&keyed_job("a"));
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
     backend.begin();
@@ -67,15 +67,15 @@
     backend.line(&json!({"id": "a", "from": "s", "state": "running", "share": 0.5}).to_string());
     backend.send("0\r\n\r\n");
     assert_eq!(client.message().body, "1");
-    client.send(&asked("b"));
-    assert_eq!(backend.id(), "b", "the connection goes on");
+    client.send(&keyed_job("b"));
+    assert_eq!(backend.id(), "b", "the connection is used again");
     backend.serve("b", "2");
     assert_eq!(client.message().body, "2");
 }
 
-/// A zone and a kind that the settings do not name are a zone and a kind like others.
+/// A server is used although its zone and its kind are missing from the settings.
 #[rstest]
-fn a_list_may_name_what_the_settings_do_not(#[values(large(), small())] settings: Value) {
+fn a_server_of_an_unknown_zone_and_kind_gets_jobs(#[values(large(), small())] settings: Value) {
     let (server, discovery) = (TestServer::new(), TestServer::new());
     let mut config = configured(settings, &[]);
     config["discovery"] = json!(discovery.address.to_string());
@@ -83,16 +83,16 @@
     let mut watch = discovery.accept();
     watch.message();
     watch.begin();
-    let mut strange = entry("s-0", server.address, "active");
-    (strange["locality"], strange["flavor"]) = (json!("atlantis"), json!("abacus"));
-    watch.line(&json!({"revision": 42, "complete": true, "members": [strange]}).to_string());
+    let mut unknown = entry("s-0", server.address, "active");
+    (unknown["locality"], unknown["flavor"]) = (json!("atlantis"), json!("abacus"));
+    watch.line(&json!({"revision": 42, "complete": true, "members": [unknown]}).to_string());
     node.logs("server table 42: 1 entries");
-    serves(&node, &server);
+    assert_served_by(&node, &server);
 }
 
-/// A watch that is cut half-way through a line leaves the list in force; the next one brings the rest.
+/// The server table stays, and the next watch resumes from its revision.
 #[rstest]
-fn a_watch_cut_half_way_changes_nothing(#[values(large(), small())] settings: Value) {
+fn an_incomplete_line_of_a_watch_changes_nothing(#[values(large(), small())] settings: Value) {
     let (server, discovery) = (TestServer::new(), TestServer::new());
     let mut config = configured(settings, &[server.address]);
     config["discovery"] = json!(discovery.address.to_string());
@@ -100,55 +100,56 @@
     let mut watch = discovery.accept();
     watch.message();
     watch.begin();
-    let gone = json!({"revision": 43, "complete": false, "members": [entry("s-0", server.address, "left")]});
-    let text = gone.to_string();
+    let change =
+        json!({"revision": 43, "complete": false, "members": [entry("s-0", server.address, "left")]});
+    let text = change.to_string();
     watch.send(&format!("{:x}\r\n{}", text.len() + 1, &text[..text.len() / 2]));
     drop(watch);
     node.logs("end server-table");
-    serves(&node, &server);
+    assert_served_by(&node, &server);
     let mut again = discovery.accept();
-    assert!(again.message().first.contains("from=41"), "what was cut off is asked for again");
+    assert!(again.message().first.contains("from=41"), "the next watch requests the incomplete change again");
 }
 
-/// A denied client is told when to come back where clients heed it, and only there.
+/// `Retry-After` is sent only to clients that follow it.
 #[rstest]
-fn a_denial_says_when_to_come_back_where_that_is_allowed(
+fn a_rejection_has_retry_after_where_the_settings_allow_it(
     #[values(large(), small())] mut settings: Value,
     #[values(true, false)] allowed: bool,
 ) {
     settings["allowed"]["retry_after"] = json!(allowed);
     let node = Node::start(&configured(settings, &[refusing_address()]));
     let mut client = node.client();
-    client.send(&asked("a").replace("5000m", "400m"));
+    client.send(&keyed_job("a").replace("5000m", "400m"));
     let answer = client.message();
     assert_eq!((answer.status(), answer.field("Retry-After").is_some()), (503, allowed));
 }
 
-/// What never ran is tried elsewhere; a keyed job that may have run only in the zone that saw it first.
+/// Backend servers drop repeated jobs by key within their zone only, so a keyed job that may have run is retried there.
 #[rstest]
 #[case::same_zone("a", true)]
 #[case::another_zone("b", false)]
-fn a_keyed_job_that_may_have_run_stays_in_its_zone(#[case] zone: &str, #[case] again: bool) {
+fn a_keyed_job_that_may_have_run_is_retried_only_in_its_zone(#[case] zone: &str, #[case] again: bool) {
     let servers = [TestServer::new(), TestServer::new()];
     let mut config = configured(small(), &[servers[0].address, servers[1].address]);
     config["known"]["members"][1]["locality"] = json!(zone);
     let node = Node::start(&config);
     let mut client = node.client();
-    client.send(&asked("a"));
-    // Whoever gets it first breaks the connection after the start.
-    let (first, mut backend) = whoever_came(&servers);
+    client.send(&keyed_job("a"));
+    // The first server closes the connection after the job has started.
+    let (first, mut backend) = accept_from_any(&servers);
     assert_eq!(backend.id(), "a");
     backend.begin();
     backend.state("a", "started");
     drop(backend);
     if again {
-        let (_, mut backend) = whoever_came(&servers);
+        let (_, mut backend) = accept_from_any(&servers);
         let request = backend.message();
         assert_eq!((request.field("Request-Id"), request.field("Idempotency-Key")), (Some("a"), Some("k1")));
         backend.serve("a", "1");
         assert_eq!(client.message().body, "1");
     } else {
-        // It has its answer, from the one that saw it first or without service.
+        // The first server answers a retry; without one the node reports that the job failed.
         let pause = Duration::from_millis(10);
         let begun = Instant::now();
         while client.is_silent_for(pause) && begun.elapsed() < TEST_TIMEOUT {
@@ -162,14 +163,14 @@
     }
 }
 
-/// The first of these to whom a connection comes.
-fn whoever_came(servers: &[TestServer]) -> (usize, Connection) {
+/// Waits for a connection to any of `servers` and returns the server's index with it.
+fn accept_from_any(servers: &[TestServer]) -> (usize, Connection) {
     let begun = Instant::now();
     loop {
         if let Some(found) = servers.iter().enumerate().find_map(|(k, s)| Some((k, s.try_accept()?))) {
             return found;
         }
-        assert!(begun.elapsed() < TEST_TIMEOUT, "nobody came");
+        assert!(begun.elapsed() < TEST_TIMEOUT, "no connection arrived");
         std::thread::yield_now();
     }
 }
--- a/tests/node/discovery_streams.rs
+++ b/tests/node/discovery_streams.rs
@@ -1,157 +1,180 @@
-//! Discovery as it may be: lists that come indented and in pieces, and watches that fall silent.
+//! Tests of discovery's responses: lists that are indented and split into chunks, and watches that fall silent.
 
 use super::*;
 use serde_json::{json, Value};
 
-/// A change that takes the server out of use, on lines of its own.
-fn leaving(server: &TestServer, revision: u64) -> String {
+/// Returns a change by which `server` leaves, as indented JSON.
+fn indented_leave(server: &TestServer, revision: u64) -> String {
     let change = json!({"revision": revision, "complete": false, "members": [entry("s-0", server.address, "leaving")]});
     format!("{change:#}")
 }
 
-/// A chunk for each part of so many bytes.
+/// Splits `text` into HTTP chunks of `size` bytes.
 fn chunks(text: &str, size: usize) -> Vec<String> {
     let parts = text.as_bytes().chunks(size).map(|p| String::from_utf8(p.to_vec()).unwrap());
     parts.map(|p| format!("{:x}\r\n{p}\r\n", p.len())).collect()
 }
 
-/// A change is in force at once and the watch goes on, however it is laid out and cut, with the next heartbeat or a
-/// line end to come or not.
+/// Guards against a change that waits for the end of its line or for the next heartbeat.
 #[rstest]
-#[case::every_byte(1, "\n")]
-#[case::some_bytes(13, "\n\n")]
-#[case::whole(10_000, "")]
-fn an_indented_change_is_in_force_without_a_further_call(#[case] size: usize, #[case] end: &str) {
+#[case::chunks_of_one_byte(1, "\n")]
+#[case::chunks_of_some_bytes(13, "\n\n")]
+#[case::one_chunk(10_000, "")]
+fn an_indented_change_is_in_force_at_once(#[case] size: usize, #[case] end: &str) {
     let (server, discovery) = (TestServer::new(), TestServer::new());
     let node = Node::start(&config_with_discovery(&[server.address], &discovery));
     let (mut watch, _) = accept_watch(&discovery);
     for revision in 42..45 {
         watch.line("");
-        let chunks = chunks(&(leaving(&server, revision) + end), size);
-        let (last, first) = chunks.split_last().unwrap();
-        first.iter().for_each(|c| watch.send(c));
+        let chunks = chunks(&(indented_leave(&server, revision) + end), size);
+        let (last, others) = chunks.split_last().unwrap();
+        others.iter().for_each(|c| watch.send(c));
         let sent = Instant::now();
         watch.send(last);
         node.logs(&format!("server table {revision}: 1 entries, whole=false"));
-        // Well under a heartbeat, and loose enough for a busy machine; an ignored test measures the time itself.
+        // Less than the time between two heartbeats.
         assert!(sent.elapsed() < Duration::from_secs(1), "{:?}", sent.elapsed());
     }
     assert!(discovery.has_no_connection());
 }
 
-/// A change that is broken is told with its byte, the whole list is asked for, and that may be indented too.
+/// The log names the byte of the error. The complete list may be indented.
 #[rstest]
-fn a_broken_change_is_followed_by_the_whole_list() {
+fn a_malformed_change_makes_the_node_request_the_complete_list() {
     let (server, discovery) = (TestServer::new(), TestServer::new());
     let node = Node::start(&config_with_discovery(&[server.address], &discovery));
     let (mut watch, _) = accept_watch(&discovery);
     watch.line("");
     watch.line("{\n \"revision\": ?");
     node.logs("makes no sense at byte 17: expected value");
-    let mut peer = discovery.accept();
-    assert_eq!(peer.message().first, "GET /catalog/members HTTP/1.1");
+    let mut poll = discovery.accept();
+    assert_eq!(poll.message().first, "GET /catalog/members HTTP/1.1");
     let list: Value =
         serde_json::from_str(&server_list(50, true, &[entry("s-0", server.address, "active")])).unwrap();
-    peer.begin();
-    chunks(&format!("{list:#}"), 1).iter().for_each(|c| peer.send(c));
+    poll.begin();
+    chunks(&format!("{list:#}"), 1).iter().for_each(|c| poll.send(c));
     node.logs("server table 50: 1 entries, whole=true");
-    peer.send("0\r\n\r\n");
-    assert_eq!(peer.message().first, "GET /catalog/members?watch=1&from=50 HTTP/1.1");
+    poll.send("0\r\n\r\n");
+    assert_eq!(poll.message().first, "GET /catalog/members?watch=1&from=50 HTTP/1.1");
 }
 
-/// A node among 300 that ask for their lists, and one to whose agent they are pushed.
-fn one_of(replicas: u32, asked: bool, server: &TestServer, discovery: &TestServer, seed: u64) -> Node {
+/// Starts one of `replicas` nodes. With `on_request` it requests lists from discovery, otherwise from a local agent to
+/// which they are pushed.
+fn start_replica(
+    replicas: u32,
+    on_request: bool,
+    server: &TestServer,
+    discovery: &TestServer,
+    seed: u64,
+) -> Node {
     let mut config = config_with_discovery(&[server.address], discovery);
     config["seed"] = json!(format!("{seed:x}"));
     config["settings"]["replicas_of_me"] = json!(replicas);
-    config["settings"]["discovery"] = json!(if asked { "on_request" } else { "pushed" });
+    config["settings"]["discovery"] = json!(if on_request { "on_request" } else { "pushed" });
     Node::start(&config)
 }
 
-/// What becomes of the first call after a silence.
+/// How discovery responds to the first request after its watch has fallen silent.
 #[derive(Clone, Copy, Debug)]
-enum Call {
-    Answered,
-    /// Turned away, so often, at once.
+enum Response {
+    /// Serves the next watch at once.
+    Served,
+    /// Rejects that many requests at once.
     Busy(u32),
-    /// Not a byte comes.
-    Mute,
-    /// A head, and no more.
-    Head,
-    /// Half of a change, of which bytes go on coming.
-    Half,
+    /// Sends nothing.
+    Nothing,
+    /// Sends the head of a response only.
+    HeadOnly,
+    /// Sends half of a change and then spaces without end.
+    HalfChange,
 }
 
-impl Call {
+impl Response {
+    /// Plays discovery until the node gives up the requests that fail.
     fn play(self, discovery: &TestServer) {
-        let times =
-            if let Call::Busy(times) = self { times } else { u32::from(!matches!(self, Call::Answered)) };
+        let times = if let Response::Busy(times) = self {
+            times
+        } else {
+            u32::from(!matches!(self, Response::Served))
+        };
         for _ in 0..times {
-            let mut peer = discovery.accept();
-            peer.message();
+            let mut watch = discovery.accept();
+            watch.message();
             match self {
-                Call::Busy(_) => peer.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
-                Call::Head | Call::Half => peer.begin(),
+                Response::Busy(_) => watch.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
+                Response::HeadOnly | Response::HalfChange => watch.begin(),
                 _ => {}
             }
-            if let Call::Half = self {
-                chunks("{\n \"revision\":", 1).iter().for_each(|c| peer.send(c));
-                peer.trickle_until_closed("1\r\n \r\n");
+            if let Response::HalfChange = self {
+                chunks("{\n \"revision\":", 1).iter().for_each(|c| watch.send(c));
+                watch.trickle_until_closed("1\r\n \r\n");
             } else {
-                peer.is_closed();
+                watch.is_closed();
             }
         }
     }
 }
 
-/// How long after an open watch has fallen silent a change is in force, after a call of that kind.
-fn silence(node: &Node, server: &TestServer, discovery: &TestServer, call: Call) -> Duration {
+/// Lets an open watch fall silent, plays `response`, and returns the time from the last line of the silent watch until
+/// a change on the next one is in force.
+fn time_after_silence(
+    node: &Node,
+    server: &TestServer,
+    discovery: &TestServer,
+    response: Response,
+) -> Duration {
     let (mut first, _) = accept_watch(discovery);
     first.line(&server_list(41, true, &[entry("s-0", server.address, "active")]));
     let silent = Instant::now();
-    call.play(discovery);
+    response.play(discovery);
     let (mut second, request) = accept_watch(discovery);
     assert!(request.contains("watch=1&from=41"), "{request}");
-    second.line(&leaving(server, 42));
+    second.line(&indented_leave(server, 42));
     node.logs("server table 42");
     silent.elapsed()
 }
 
-/// A silent watch is taken up again within the 6 s after which a change counts as told, also where the call that follows
-/// is turned away, or answered with silence or the half of a change: by any number of nodes, asked for or pushed.
+/// A node has to apply a change within 6 s after discovery has it, with any number of nodes.
 #[rstest]
-fn a_change_missed_in_silence_is_in_force_by_the_clock(
-    #[values((4, true), (300, true), (300, false))] (replicas, asked): (u32, bool),
-    #[values(Call::Answered, Call::Busy(2), Call::Mute, Call::Head, Call::Half)] call: Call,
+fn a_change_during_a_silent_watch_is_in_force_in_time(
+    #[values((4, true), (300, true), (300, false))] (replicas, on_request): (u32, bool),
+    #[values(
+        Response::Served,
+        Response::Busy(2),
+        Response::Nothing,
+        Response::HeadOnly,
+        Response::HalfChange
+    )]
+    response: Response,
 ) {
     let (server, discovery) = (TestServer::new(), TestServer::new());
-    let node = one_of(replicas, asked, &server, &discovery, 1);
-    let took = silence(&node, &server, &discovery, call);
+    let node = start_replica(replicas, on_request, &server, &discovery, 1);
+    let took = time_after_silence(&node, &server, &discovery, response);
     assert!(took < Duration::from_secs(6), "{took:?}");
     assert!(discovery.has_no_connection());
 }
 
-/// A whole list that never comes, or stops half-way, is asked for again by the same clock.
+/// A node has to apply a change within 6 s although the response to its request for the complete list stalls.
 #[rstest]
 #[case::nothing("")]
 #[case::half("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\n \"revision\": 42,")]
-fn a_silent_poll_is_made_again_by_the_clock(#[case] begins: &str) {
+fn a_stalled_complete_list_is_requested_again_in_time(#[case] begin: &str) {
     let (server, discovery) = (TestServer::new(), TestServer::new());
-    let node = one_of(300, true, &server, &discovery, 7);
+    let node = start_replica(300, true, &server, &discovery, 7);
     let (mut first, _) = accept_watch(&discovery);
     first.line("nonsense");
     let mut poll = discovery.accept();
-    let asked = Instant::now();
+    let requested = Instant::now();
     poll.message();
-    poll.send(begins);
+    poll.send(begin);
     serve_complete_list(&discovery, &server_list(42, true, &[entry("s-0", server.address, "leaving")]));
     node.logs("server table 42");
-    assert!(asked.elapsed() < Duration::from_secs(6), "{:?}", asked.elapsed());
+    assert!(requested.elapsed() < Duration::from_secs(6), "{:?}", requested.elapsed());
 }
 
-/// Nor does a connection that never comes up put it off.
+/// A node has to apply a change within 6 s although a connection attempt to discovery hangs.
 #[rstest]
-fn a_connection_that_never_comes_up_keeps_to_the_clock() {
+fn a_change_after_a_hanging_connection_attempt_is_in_force_in_time() {
     let server = TestServer::new();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut config = config(&[server.address]);
@@ -159,58 +182,59 @@
     (config["settings"]["replicas_of_me"], config["settings"]["discovery"]) =
         (json!(300), json!("on_request"));
     let node = Node::start(&config);
-    let mut first = Connection::new(listener.accept().unwrap().0);
-    first.message();
-    first.begin();
-    first.line(&server_list(41, true, &[entry("s-0", server.address, "active")]));
+    let mut watch = Connection::new(listener.accept().unwrap().0);
+    watch.message();
+    watch.begin();
+    watch.line(&server_list(41, true, &[entry("s-0", server.address, "active")]));
     let silent = Instant::now();
     let address = listener.local_addr().unwrap();
     let more = || std::net::TcpStream::connect_timeout(&address, Duration::from_millis(200)).ok();
     let filled: Vec<_> = std::iter::from_fn(more).collect();
     node.logs("reason=connect-timeout");
     let ours: Vec<_> = filled.iter().map(|s| s.local_addr().unwrap()).collect();
-    // The one that was given up may come up late; the next one asks.
-    let (sender, asks) = std::sync::mpsc::channel();
+    // The attempt that timed out may be accepted too, without a request; the next connection has one.
+    let (sender, requests) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
-        let came = std::iter::from_fn(|| listener.accept().ok()).filter(|(_, from)| !ours.contains(from));
-        came.map(|(s, _)| Connection::new(s))
-            .find_map(|mut p| (!p.ends_without_data()).then(|| sender.send(p)))
+        let accepted = std::iter::from_fn(|| listener.accept().ok()).filter(|(_, from)| !ours.contains(from));
+        accepted
+            .map(|(s, _)| Connection::new(s))
+            .find_map(|mut c| (!c.ends_without_data()).then(|| sender.send(c)))
     });
-    let mut peer = asks.recv_timeout(TEST_TIMEOUT).expect("nobody asks");
-    peer.message();
-    peer.begin();
-    peer.line(&leaving(&server, 42));
+    let mut next = requests.recv_timeout(TEST_TIMEOUT).expect("no request to discovery");
+    next.message();
+    next.begin();
+    next.line(&indented_leave(&server, 42));
     node.logs("server table 42");
     assert!(silent.elapsed() < Duration::from_secs(6), "{:?}", silent.elapsed());
 }
 
-/// The figures of `docs/fleet.md`: `cargo test --release --test node measure -- --ignored --nocapture`.
+/// Prints figures: `cargo test --release --test node measure -- --ignored --nocapture`.
 #[rstest]
 #[ignore = "prints figures"]
 fn measure_silence_and_indented_changes() {
-    let play = |replicas: u32, asked: bool, seed: u64| {
+    let play = |replicas: u32, on_request: bool, seed: u64| {
         let (server, discovery) = (TestServer::new(), TestServer::new());
-        let node = one_of(replicas, asked, &server, &discovery, seed);
-        let took = silence(&node, &server, &discovery, Call::Answered);
-        println!("{replicas} replicas, asked {asked}, seed {seed}: in force after {took:?}");
+        let node = start_replica(replicas, on_request, &server, &discovery, seed);
+        let took = time_after_silence(&node, &server, &discovery, Response::Served);
+        println!("{replicas} replicas, on request {on_request}, seed {seed}: in force after {took:?}");
     };
-    std::thread::scope(|all| {
+    std::thread::scope(|scope| {
         for seed in 1..=6 {
-            for (replicas, asked) in [(4, true), (100, true), (300, true), (300, false)] {
-                all.spawn(move || play(replicas, asked, seed));
+            for (replicas, on_request) in [(4, true), (100, true), (300, true), (300, false)] {
+                scope.spawn(move || play(replicas, on_request, seed));
             }
         }
     });
     let (server, discovery) = (TestServer::new(), TestServer::new());
-    let node = one_of(300, true, &server, &discovery, 1);
+    let node = start_replica(300, true, &server, &discovery, 1);
     let (mut watch, _) = accept_watch(&discovery);
     for revision in 42..48 {
-        let chunks = chunks(&leaving(&server, revision), 1);
+        let chunks = chunks(&indented_leave(&server, revision), 1);
         chunks.iter().for_each(|c| watch.send(c));
         let sent = Instant::now();
         node.logs(&format!("server table {revision}"));
         println!(
-            "indented change in force after {:?}, calls: {}",
+            "indented change in force after {:?}, further requests: {}",
             sent.elapsed(),
             u32::from(!discovery.has_no_connection())
         );
--- a/tests/node/service_guarantees.rs
+++ b/tests/node/service_guarantees.rs
@@ -1,5 +1,5 @@
-//! The operators' standing terms, on the real program: restarts, lists that are pushed, and servers that spoil
-//! answers, come up late or hang.
+//! Tests of what operators are promised: no lost response in a restart, pushed lists in force in time, and one response
+//! per job when backend servers answer twice, connect late or hang.
 
 use crate::support::*;
 use crate::{node_with_server, server_list};
@@ -10,38 +10,38 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What came to a server, and when.
-type Ledger = Arc<Mutex<Vec<(String, Instant)>>>;
+/// The ids of the jobs that a backend server has received, each with the time.
+type ReceivedJobs = Arc<Mutex<Vec<(String, Instant)>>>;
 
-/// Serve whatever comes with its own id as its result, and write it down.
-fn serving(server: TestServer) -> Ledger {
-    let ledger = Ledger::default();
-    let written = ledger.clone();
-    server.handle_connections(move |mut peer| {
-        while peer.receives_data() {
-            let id = peer.id();
-            written.lock().unwrap().push((id.clone(), Instant::now()));
-            peer.serve(&id, &id);
+/// Serves each job with its id as its result, on threads of its own, and records it.
+fn serve_and_record(server: TestServer) -> ReceivedJobs {
+    let received = ReceivedJobs::default();
+    let record = received.clone();
+    server.handle_connections(move |mut backend| {
+        while backend.receives_data() {
+            let id = backend.id();
+            record.lock().unwrap().push((id.clone(), Instant::now()));
+            backend.serve(&id, &id);
         }
     });
-    ledger
+    received
 }
 
-fn came(ledger: &Ledger) -> HashSet<String> {
-    ledger.lock().unwrap().iter().map(|(id, _)| id.clone()).collect()
+fn ids_of(received: &ReceivedJobs) -> HashSet<String> {
+    received.lock().unwrap().iter().map(|(id, _)| id.clone()).collect()
 }
 
-/// A result of its own, or a refusal.
-fn is_final(answer: &Message, id: &str) -> bool {
+/// Returns whether the response has the job's own result, or rejects the job.
+fn is_result_or_rejection(answer: &Message, id: &str) -> bool {
     answer.status() == 503 || (answer.status() == 200 && answer.body == id)
 }
 
-/// Requests that come in the last moments before a node that was told to stop closes its connections, by ones and
-/// by threes: each has its one answer. The node stands still over that moment, so that they are surely there.
+/// Guards against requests that are lost when a draining node closes connections. The node is paused at that moment, so
+/// that one or three requests wait on each connection.
 #[rstest]
-fn what_comes_before_the_close_is_answered() {
+fn requests_that_arrive_before_a_draining_node_closes_are_answered() {
     let (mut node, server) = node_with_server();
-    let _ledger = serving(server);
+    let _received = serve_and_record(server);
     let mut clients: Vec<Connection> = (0..8).map(|_| node.client()).collect();
     for client in &mut clients {
         client.send("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -59,23 +59,23 @@
     for (k, client) in clients.iter_mut().enumerate() {
         for id in ids(k) {
             let answer = client.message();
-            assert!(is_final(&answer, &id), "{id}: {answer:?}");
+            assert!(is_result_or_rejection(&answer, &id), "{id}: {answer:?}");
         }
         assert!(client.is_closed());
     }
     assert!(node.exit().success());
 }
 
-/// Clients that go on sending for as long as their connections stay open are answered each time. A connection may
-/// end between requests; one that crosses that end has gone to no server.
+/// A draining node may close a connection between requests; a request that is sent at that moment must not have been
+/// dispatched.
 #[rstest]
-fn clients_that_go_on_sending_after_sigterm_are_answered() {
+fn clients_that_keep_sending_after_sigterm_are_answered() {
     let (mut node, server) = node_with_server();
-    let ledger = serving(server);
+    let received = serve_and_record(server);
     let clients: Vec<Connection> = (0..6).map(|_| node.client()).collect();
     node.terminate();
-    let notified = Instant::now();
-    let going_on = |(k, mut client): (usize, Connection)| {
+    let terminated = Instant::now();
+    let send_until_closed = |(k, mut client): (usize, Connection)| {
         std::thread::spawn(move || {
             for n in 0.. {
                 let id = format!("{k}-{n}");
@@ -97,45 +97,45 @@
             unreachable!()
         })
     };
-    let threads: Vec<_> = clients.into_iter().enumerate().map(going_on).collect();
+    let threads: Vec<_> = clients.into_iter().enumerate().map(send_until_closed).collect();
     for thread in threads {
-        let (answered, crossed) = thread.join().unwrap();
-        assert!(answered > 0 && crossed.is_none_or(|id| !came(&ledger).contains(&id)));
+        let (answered, unanswered) = thread.join().unwrap();
+        assert!(answered > 0 && unanswered.is_none_or(|id| !ids_of(&received).contains(&id)));
     }
-    assert!(notified.elapsed() > Duration::from_millis(1_900), "they may go on for a while");
+    assert!(terminated.elapsed() > Duration::from_millis(1_900), "connections stay open for a while");
     assert!(node.exit().success());
 }
 
-/// Attend an agent's calls: whoever watches is told that list, and that nothing changes.
-fn report(mut peer: Connection, list: &str) {
-    while peer.receives_data() {
-        if peer.message().first.starts_with("GET /catalog/members HTTP") {
-            peer.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()));
+/// Serves a connection as a discovery agent: sends `list` to each watch and then heartbeats.
+fn serve_as_agent(mut connection: Connection, list: &str) {
+    while connection.receives_data() {
+        if connection.message().first.starts_with("GET /catalog/members HTTP") {
+            connection.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()));
             continue;
         }
-        peer.begin();
-        peer.line(list);
-        while peer.is_silent_for(Duration::from_millis(500)) {
-            peer.line("");
+        connection.begin();
+        connection.line(list);
+        while connection.is_silent_for(Duration::from_millis(500)) {
+            connection.line("");
         }
     }
 }
 
-/// A server that leaves, one that stays, a configuration that holds the first alone as one of 300 nodes to whom
-/// lists are pushed, and what the agent has.
-fn pushed(discovery: SocketAddr) -> (serde_json::Value, Ledger, Ledger, String) {
+/// Starts a leaving and an active backend server. Returns the configuration of one of 300 nodes to which lists are pushed,
+/// which knows the leaving server only, the jobs that both receive, and the agent's list.
+fn pushed_leave(discovery: SocketAddr) -> (serde_json::Value, ReceivedJobs, ReceivedJobs, String) {
     let (old, new) = (TestServer::new(), TestServer::new());
     let mut config = config(&[old.address]);
     config["discovery"] = json!(discovery.to_string());
     config["settings"]["replicas_of_me"] = json!(300);
     let members = [entry("s-0", old.address, "leaving"), entry("s-new", new.address, "active")];
-    (config, serving(old), serving(new), server_list(43, true, &members))
+    (config, serve_and_record(old), serve_and_record(new), server_list(43, true, &members))
 }
 
-/// Nothing new goes to a server half a second after its leaving counts as told; one job after the other is handed
-/// in for so long.
-fn keeps_away(node: &Node, (old, new): (&Ledger, &Ledger), notified: Instant) {
-    let due = notified + Duration::from_millis(550);
+/// Sends one job after the other and asserts that the leaving server gets none later than the drain grace after `known`,
+/// the time from which the node has to know its state.
+fn assert_drained(node: &Node, (old, new): (&ReceivedJobs, &ReceivedJobs), known: Instant) {
+    let due = known + Duration::from_millis(550);
     let mut client = node.client();
     let mut n = 0;
     while Instant::now() < due + Duration::from_millis(250) {
@@ -145,57 +145,57 @@
     }
     let last = old.lock().unwrap().iter().map(|(_, at)| *at).max();
     assert!(last.is_none_or(|at| at <= due), "{:?} too late", last.map(|at| at - due));
-    assert!(!came(new).is_empty());
+    assert!(!ids_of(new).is_empty());
 }
 
-/// What the agent has counts from the first moment of a process.
+/// Guards against jobs that a new process sends to servers of its outdated configuration.
 #[rstest]
-fn a_pushed_list_counts_from_the_first_moment() {
+fn a_pushed_list_is_in_force_from_the_start_of_a_process() {
     let agent = TestServer::new();
-    let (config, old, new, list) = pushed(agent.address);
-    agent.handle_connections(move |peer| report(peer, &list));
+    let (config, old, new, list) = pushed_leave(agent.address);
+    agent.handle_connections(move |connection| serve_as_agent(connection, &list));
     let node = Node::start(&config);
-    keeps_away(&node, (&old, &new), Instant::now());
+    assert_drained(&node, (&old, &new), Instant::now());
 }
 
-/// And at once after an outage of the agent.
+/// Guards against a backoff that delays the list after an outage of the agent.
 #[rstest]
-fn a_pushed_list_counts_at_once_after_an_outage() {
+fn a_pushed_list_is_in_force_at_once_after_an_outage_of_the_agent() {
     let address = refusing_address();
-    let (config, old, new, list) = pushed(address);
+    let (config, old, new, list) = pushed_leave(address);
     let node = Node::start(&config);
     (0..6).for_each(|_| drop(node.logs("end server-table")));
     let listener = TcpListener::bind(address).unwrap();
-    let notified = Instant::now();
-    TestServer::from_listener(listener).handle_connections(move |peer| report(peer, &list));
-    keeps_away(&node, (&old, &new), notified);
+    let available = Instant::now();
+    TestServer::from_listener(listener)
+        .handle_connections(move |connection| serve_as_agent(connection, &list));
+    assert_drained(&node, (&old, &new), available);
 }
 
-/// And 4 s after SIGHUP, although the first call of the agent that it names is not answered.
+/// The list is in force in time although the new agent doesn't respond to the first request.
 #[rstest]
-fn a_pushed_list_counts_four_seconds_after_sighup() {
+fn a_pushed_list_is_in_force_four_seconds_after_sighup_names_another_agent() {
     let (first, second) = (TestServer::new(), TestServer::new());
-    let (mut config, old, new, list) = pushed(first.address);
+    let (mut config, old, new, list) = pushed_leave(first.address);
     let node = Node::start(&config);
     let _before = first.accept();
     config["discovery"] = json!(second.address.to_string());
     node.replace_config(&config.to_string());
     node.reload();
-    let notified = Instant::now() + Duration::from_secs(4);
+    let known = Instant::now() + Duration::from_secs(4);
     let _silent = second.accept();
-    second.handle_connections(move |peer| report(peer, &list));
+    second.handle_connections(move |connection| serve_as_agent(connection, &list));
     node.logs("server table 43");
-    keeps_away(&node, (&old, &new), notified.min(Instant::now()));
-    assert!(Instant::now() < notified + Duration::from_secs(2));
+    assert_drained(&node, (&old, &new), known.min(Instant::now()));
+    assert!(Instant::now() < known + Duration::from_secs(2));
 }
 
-/// A server that answers a job twice, the second time when the connection is idle: it is not used again, and the
-/// next job has its own answer.
+/// Guards against an unexpected second response that is taken for that of the next job.
 #[rstest]
 #[case::the_same("200 OK", "{\"id\":\"a\",\"from\":\"s\",\"state\":\"done\",\"result\":\"again\"}\n")]
 #[case::error("500 Oh", "")]
 #[case::unstarted("503 Full\r\nNot-Started: 1", "")]
-fn a_second_answer_ends_an_idle_connection(#[case] status: &str, #[case] body: &str) {
+fn a_second_response_closes_an_idle_backend_connection(#[case] status: &str, #[case] body: &str) {
     let (node, server) = node_with_server();
     let mut client = node.send_job("a", "/actuator-cmd");
     let mut backend = server.accept();
@@ -211,13 +211,13 @@
     assert_eq!(client.message().body, "2");
 }
 
-/// The second time when the next job that must not run twice has come: that one is not put on a connection which has just been
-/// answered on, so what comes there is nobody's, whatever it says.
+/// A job that must not run twice is not dispatched on a connection right after a response, so that a second response there
+/// can't be taken for its own.
 #[rstest]
 #[case::the_same("200 OK", "{\"id\":\"a\",\"from\":\"s\",\"state\":\"done\",\"result\":\"again\"}\n")]
 #[case::error("500 Oh", "")]
 #[case::unstarted("503 Full\r\nNot-Started: 1", "")]
-fn a_second_answer_is_not_the_next_jobs(#[case] status: &str, #[case] body: &str) {
+fn a_second_response_is_not_taken_for_that_of_the_next_job(#[case] status: &str, #[case] body: &str) {
     let (node, server) = node_with_server();
     let mut client = node.send_job("a", "/actuator-cmd");
     let mut backend = server.accept();
@@ -234,9 +234,9 @@
     assert!(server.has_no_connection());
 }
 
-/// A safe job goes over that connection at once; one that such an answer ends is made again.
+/// A job that may run twice is dispatched on that connection at once, and retried when a second response ends the attempt.
 #[rstest]
-fn a_second_answer_costs_a_safe_job_another_attempt_at_most() {
+fn a_second_response_costs_a_repeatable_job_one_attempt_at_most() {
     let (node, server) = node_with_server();
     let mut client = node.send_job("a", "/zone-plan");
     let mut backend = server.accept();
@@ -246,7 +246,7 @@
     client.send(&job("b", "/zone-plan", "5000m", ""));
     assert_eq!(backend.id(), "b");
     backend.send("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
-    let ledger = serving(server);
+    let received = serve_and_record(server);
     if backend.receives_data() {
         let id = backend.id();
         backend.serve(&id, &id);
@@ -257,16 +257,19 @@
         "{}",
         answer.status()
     );
-    drop(ledger);
+    drop(received);
 }
 
-/// A connection that comes up after a second: a job that can wait for it is written once and served; one that
-/// can't has its answer in time, and nothing of it is written.
+/// A job is sent once if connection and job time out later than the connection is established, and otherwise not at all.
 #[rstest]
-#[case::waited_for("5000m", 3_000.0, Some(200))]
-#[case::given_up("5000m", 150.0, Some(503))]
-#[case::too_late("500m", 3_000.0, None)]
-fn a_connection_that_comes_up_late(#[case] time: &str, #[case] connect: f64, #[case] status: Option<u16>) {
+#[case::established("5000m", 3_000.0, Some(200))]
+#[case::connect_timeout("5000m", 150.0, Some(503))]
+#[case::job_timeout("500m", 3_000.0, None)]
+fn a_job_on_a_slow_connection_attempt_is_sent_once_or_not_at_all(
+    #[case] time: &str,
+    #[case] connect: f64,
+    #[case] status: Option<u16>,
+) {
     let (address, late) = saturated_listener_for(Duration::from_millis(600));
     let mut config = config(&[address]);
     config["settings"]["allowed"]["connect_timeout_ms"] = json!(connect);
@@ -274,38 +277,38 @@
     let begun = Instant::now();
     let mut client = node.client();
     client.send(&job("a", "/actuator-cmd", time, ""));
-    let ledger = serving(late);
+    let received = serve_and_record(late);
     let answer = client.message();
     match status {
         Some(status) => assert_eq!(answer.status(), status),
         None => assert!(answer.status() != 200 && begun.elapsed() < Duration::from_millis(900)),
     }
-    assert!(client.is_silent_for(Duration::from_millis(1_500)), "one answer");
-    assert_eq!(ledger.lock().unwrap().len(), usize::from(status == Some(200)));
+    assert!(client.is_silent_for(Duration::from_millis(1_500)), "one response");
+    assert_eq!(received.lock().unwrap().len(), usize::from(status == Some(200)));
 }
 
-/// One of twenty servers hangs: it takes connections and jobs and says nothing. Each job has its one answer in
-/// time, what may not be repeated runs nowhere else, and most are served.
+/// One of twenty servers accepts jobs and never responds. Each job gets one response in time, a job that must not run twice
+/// is not retried elsewhere, and most jobs are served.
 #[rstest]
-fn a_server_that_hangs_costs_no_answer() {
-    let all: Vec<TestServer> = (0..20).map(|_| TestServer::new()).collect();
-    let mut config = config(&all.iter().map(|s| s.address).collect::<Vec<_>>());
+fn each_job_gets_one_response_while_a_server_hangs() {
+    let servers: Vec<TestServer> = (0..20).map(|_| TestServer::new()).collect();
+    let mut config = config(&servers.iter().map(|s| s.address).collect::<Vec<_>>());
     config["settings"]["projects"][0]["quota_rps"] = json!(1000.0);
     let node = Node::start(&config);
-    let (ledger, hung) = (Ledger::default(), Ledger::default());
-    for (k, server) in all.into_iter().enumerate() {
-        let ledger = if k == 7 { hung.clone() } else { ledger.clone() };
-        server.handle_connections(move |mut peer| {
-            while peer.receives_data() {
-                let id = peer.id();
-                ledger.lock().unwrap().push((id.clone(), Instant::now()));
+    let (received, hung) = (ReceivedJobs::default(), ReceivedJobs::default());
+    for (k, server) in servers.into_iter().enumerate() {
+        let record = if k == 7 { hung.clone() } else { received.clone() };
+        server.handle_connections(move |mut backend| {
+            while backend.receives_data() {
+                let id = backend.id();
+                record.lock().unwrap().push((id.clone(), Instant::now()));
                 if k != 7 {
-                    peer.serve(&id, &id);
+                    backend.serve(&id, &id);
                 }
             }
         });
     }
-    let ask = |k: usize| {
+    let send = |k: usize| {
         let class = if k.is_multiple_of(2) { "/zone-plan" } else { "/actuator-cmd" };
         let mut client = node.client();
         client.send(&job(&format!("j-{k}"), class, "1000m", ""));
@@ -313,19 +316,22 @@
     };
     let mut served = 0;
     for round in 0..5 {
-        let clients: Vec<Connection> = (0..24).map(|k| ask(round * 24 + k)).collect();
+        let clients: Vec<Connection> = (0..24).map(|k| send(round * 24 + k)).collect();
         for (k, mut client) in clients.into_iter().enumerate() {
             let (id, answer) = (format!("j-{}", round * 24 + k), client.message());
             served += usize::from(answer.status() == 200);
-            let once = k % 2 == 1 && came(&hung).contains(&id);
+            let once = k % 2 == 1 && ids_of(&hung).contains(&id);
             assert!(answer.status() != 200 || answer.body == id);
-            assert!(!once || (answer.status() == 502 && !came(&ledger).contains(&id)), "{id}: {answer:?}");
-            assert!(client.is_silent_for(Duration::from_millis(1)), "one answer");
+            assert!(
+                !once || (answer.status() == 502 && !ids_of(&received).contains(&id)),
+                "{id}: {answer:?}"
+            );
+            assert!(client.is_silent_for(Duration::from_millis(1)), "one response");
         }
     }
-    let (hung, ids) = (hung.lock().unwrap().len(), ledger.lock().unwrap().len());
+    let (hung, elsewhere) = (hung.lock().unwrap().len(), received.lock().unwrap().len());
     assert!(
         hung > 0 && served >= 60,
-        "{served} of 120 served, {hung} at the one that hangs, {ids} elsewhere"
+        "{served} of 120 served, {hung} at the server that hangs, {elsewhere} elsewhere"
     );
 }
