--- a/tests/node/discovery_updates.rs
+++ b/tests/node/discovery_updates.rs
@@ -1,5 +1,5 @@
-//! What discovery tells and when it counts as told: lists and watches that end, stall or come to nothing, calls that fail
-//! for long, and another discovery in the middle of it.
+//! Tests of when discovery's lists are in force: watches that end or stall, requests that fail for long, malformed and
+//! replaced lists, and reloads that name another discovery.
 
 use crate::support::*;
 use crate::{accept_watch, config_with_discovery, serve_complete_list, server_list};
@@ -7,13 +7,14 @@
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
-/// A change counts as told this long after discovery had it and could be reached.
-const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
-/// A call waits its turn for 2 s at most, and what it brings is in force 0.2 s later: by then the call has to begin.
-const CALLED: Duration = Duration::from_millis(3_800);
+/// A change is in force within this time from when discovery has it and can be reached.
+const UPDATE_LIMIT: Duration = Duration::from_secs(6);
+/// Each request to discovery has to begin within this time: discovery may queue it for 2 s, and its list is in force 0.2 s
+/// later.
+const REQUEST_LIMIT: Duration = Duration::from_millis(3_800);
 
-/// A node among so many that ask for their lists, with pauses from that seed.
-fn asking(server: &TestServer, discovery: &TestServer, replicas: u32, seed: u64) -> Value {
+/// Returns the configuration of one of `replicas` nodes that request their lists, whose backoff depends on `seed`.
+fn config_on_request(server: &TestServer, discovery: &TestServer, replicas: u32, seed: u64) -> Value {
     let mut config = config_with_discovery(&[server.address], discovery);
     config["seed"] = json!(format!("{seed:x}"));
     config["settings"]["replicas_of_me"] = json!(replicas);
@@ -21,125 +22,125 @@
     config
 }
 
-/// How a call fails.
+/// How a request to discovery fails.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Failure {
-    /// Turned away at once.
+    /// Rejected at once.
     Busy,
-    /// Turned away after it has waited its turn.
-    WaitedInVain,
-    /// Reset with its request unread.
+    /// Rejected after two seconds.
+    BusyAfterDelay,
+    /// The connection is reset with the request unread.
     Reset,
-    /// Taken, and not a byte comes until the node gives it up.
-    Mute,
+    /// Read, and not responded to until the node gives up.
+    NoResponse,
 }
 
 impl Failure {
-    pub fn play(self, mut peer: Connection) {
+    /// Plays discovery on one connection.
+    pub fn play(self, mut connection: Connection) {
         match self {
-            Failure::Busy | Failure::WaitedInVain => {
-                peer.message();
-                if self == Failure::WaitedInVain {
-                    peer.assert_silent_for(Duration::from_secs(2));
+            Failure::Busy | Failure::BusyAfterDelay => {
+                connection.message();
+                if self == Failure::BusyAfterDelay {
+                    connection.assert_silent_for(Duration::from_secs(2));
                 }
-                peer.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-                assert!(peer.is_closed());
+                connection.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+                assert!(connection.is_closed());
             }
-            Failure::Reset => peer.reset_after_data(),
-            Failure::Mute => {
-                peer.message();
-                assert!(peer.is_closed());
+            Failure::Reset => connection.reset_after_data(),
+            Failure::NoResponse => {
+                connection.message();
+                assert!(connection.is_closed());
             }
         }
     }
 }
 
-/// However long calls fail, a change that discovery has, and can be asked for, from just after one of them began is in
-/// force within 6 s. Calls fail in one way until the clock since the start has run out, and a few times more in another.
+/// A change that discovery has from the last failed request on is in force in time. Requests fail as `first` until the
+/// limit since the start has passed, and then some `times` as `then`.
 #[rstest]
 #[case::busy(Failure::Busy, Failure::Busy, 4)]
-#[case::waited_in_vain(Failure::Busy, Failure::WaitedInVain, 2)]
+#[case::busy_after_delay(Failure::Busy, Failure::BusyAfterDelay, 2)]
 #[case::reset(Failure::Reset, Failure::Reset, 2)]
-#[case::mute(Failure::Reset, Failure::Mute, 1)]
-fn a_change_while_calls_fail_is_in_force_by_the_clock(
+#[case::no_response(Failure::Reset, Failure::NoResponse, 1)]
+fn a_change_after_failed_requests_is_in_force_in_time(
     #[case] first: Failure,
     #[case] then: Failure,
     #[case] times: u32,
 ) {
     let (server, discovery) = (TestServer::new(), TestServer::new());
-    let node = Node::start(&asking(&server, &discovery, 300, 1));
+    let node = Node::start(&config_on_request(&server, &discovery, 300, 1));
     let begun = Instant::now();
     let mut last = None;
-    let mut called = |failure: Failure| {
-        let peer = discovery.accept();
+    let mut fail_next = |failure: Failure| {
+        let connection = discovery.accept();
         let apart = last.replace(Instant::now()).map_or(Duration::ZERO, |at: Instant| at.elapsed());
-        assert!(apart < CALLED, "{apart:?} between two calls");
-        failure.play(peer);
+        assert!(apart < REQUEST_LIMIT, "{apart:?} between two requests");
+        failure.play(connection);
     };
-    while begun.elapsed() < NOTIFIED_AFTER {
-        called(first);
+    while begun.elapsed() < UPDATE_LIMIT {
+        fail_next(first);
     }
-    (0..times).for_each(|_| called(then));
-    // From here on discovery could be reached.
-    let had = last.unwrap();
+    (0..times).for_each(|_| fail_next(then));
+    // The next request could reach discovery right after the last one that failed began.
+    let available = last.unwrap();
     let (mut watch, request) = accept_watch(&discovery);
-    assert!(had.elapsed() < CALLED, "called after {:?}", had.elapsed());
+    assert!(available.elapsed() < REQUEST_LIMIT, "requested after {:?}", available.elapsed());
     assert_eq!(request, "GET /catalog/members?watch=1&from=41 HTTP/1.1");
     watch.line(&server_list(42, false, &[entry("s-0", server.address, "leaving")]));
     node.logs("server table 42");
-    assert!(had.elapsed() < NOTIFIED_AFTER, "{:?}", had.elapsed());
+    assert!(available.elapsed() < UPDATE_LIMIT, "{:?}", available.elapsed());
 }
 
-/// A call that waited its turn in vain does not put off the clock of the silence before it.
+/// The limit runs from the start of the silence, not from a request that discovery rejects after a delay.
 #[rstest]
-#[case::soon(1)]
-#[case::late(2060)]
-fn a_call_that_waited_in_vain_does_not_put_the_clock_off(#[case] seed: u64) {
+#[case::short_backoff(1)]
+#[case::long_backoff(2060)]
+fn a_change_after_silence_and_a_late_rejection_is_in_force_in_time(#[case] seed: u64) {
     let (server, discovery) = (TestServer::new(), TestServer::new());
-    let node = Node::start(&asking(&server, &discovery, 300, seed));
+    let node = Node::start(&config_on_request(&server, &discovery, 300, seed));
     let (mut first, _) = accept_watch(&discovery);
     first.line(&server_list(41, true, &[entry("s-0", server.address, "active")]));
     let silent = Instant::now();
-    Failure::WaitedInVain.play(discovery.accept());
+    Failure::BusyAfterDelay.play(discovery.accept());
     let (mut second, _) = accept_watch(&discovery);
     second.line(&server_list(42, false, &[entry("s-0", server.address, "leaving")]));
     node.logs("server table 42");
-    assert!(silent.elapsed() < NOTIFIED_AFTER, "{:?}", silent.elapsed());
+    assert!(silent.elapsed() < UPDATE_LIMIT, "{:?}", silent.elapsed());
 }
 
-/// A watch that is reset after it has been silent may have fallen silent with the last that it told: the clock runs from there.
+/// The limit runs from the last data of a watch, not from its reset: changes may have been lost in between.
 #[rstest]
-#[case::soon(1)]
-#[case::late(2060)]
-fn a_reset_after_silence_does_not_put_the_clock_off(#[case] seed: u64) {
+#[case::short_backoff(1)]
+#[case::long_backoff(2060)]
+fn a_watch_that_is_reset_after_silence_is_resumed_in_time(#[case] seed: u64) {
     let (server, discovery) = (TestServer::new(), TestServer::new());
-    let node = Node::start(&asking(&server, &discovery, 300, seed));
+    let node = Node::start(&config_on_request(&server, &discovery, 300, seed));
     let (mut first, _) = accept_watch(&discovery);
     first.line(&server_list(41, true, &[entry("s-0", server.address, "active")]));
     let silent = Instant::now();
     first.assert_silent_for(Duration::from_millis(1_500));
     drop(first);
     let (mut second, _) = accept_watch(&discovery);
-    assert!(silent.elapsed() < CALLED, "called after {:?}", silent.elapsed());
+    assert!(silent.elapsed() < REQUEST_LIMIT, "requested after {:?}", silent.elapsed());
     second.line(&server_list(42, false, &[entry("s-0", server.address, "leaving")]));
     node.logs("server table 42");
 }
 
-/// A watch that is silent from its first byte, after a whole list that came over the same connection, and one that is
-/// silent right after it has told a list: each is given up and taken up from the last that came.
+/// The watch follows a complete list on the same connection, and resumes from the last revision received.
 #[rstest]
-#[case::from_the_first_byte(false)]
+#[case::without_any_byte(false)]
 #[case::after_its_first_list(true)]
-fn a_watch_that_says_nothing_after_the_whole_list_is_taken_up_from_there(#[case] notifies: bool) {
+fn a_silent_watch_after_a_complete_list_is_resumed_in_time(#[case] sends_list: bool) {
     let (server, discovery) = (TestServer::new(), TestServer::new());
-    let node = Node::start(&asking(&server, &discovery, 300, 1));
+    let node = Node::start(&config_on_request(&server, &discovery, 300, 1));
     let (mut first, _) = accept_watch(&discovery);
     first.line("nonsense");
     let mut poll =
         serve_complete_list(&discovery, &server_list(50, true, &[entry("s-0", server.address, "active")]));
     let mut silent = Instant::now();
     assert_eq!(poll.message().first, "GET /catalog/members?watch=1&from=50 HTTP/1.1");
-    let from = if notifies {
+    let from = if sends_list {
         poll.begin();
         poll.line(&server_list(51, true, &[entry("s-0", server.address, "active")]));
         silent = Instant::now();
@@ -151,13 +152,14 @@
     assert_eq!(request, format!("GET /catalog/members?watch=1&from={from} HTTP/1.1"));
     second.line(&server_list(52, false, &[entry("s-0", server.address, "leaving")]));
     node.logs("server table 52");
-    assert!(silent.elapsed() < NOTIFIED_AFTER, "{:?}", silent.elapsed());
+    assert!(silent.elapsed() < UPDATE_LIMIT, "{:?}", silent.elapsed());
     assert!(poll.is_closed());
 }
 
-/// Where the changes since a revision were asked for, a whole list takes their place: who is not in it has gone.
+/// Discovery may send a complete list on a watch that requested changes since a revision. Servers that are missing from it
+/// get no more jobs.
 #[rstest]
-fn a_whole_list_in_place_of_changes_replaces_all() {
+fn a_complete_list_on_a_watch_replaces_the_table() {
     let (old, new, discovery) = (TestServer::new(), TestServer::new(), TestServer::new());
     let node = Node::start(&config_with_discovery(&[old.address, old.address], &discovery));
     let (mut first, _) = accept_watch(&discovery);
@@ -168,7 +170,7 @@
     assert_eq!(request, "GET /catalog/members?watch=1&from=42 HTTP/1.1");
     second.line(&server_list(60, true, &[entry("s-new", new.address, "active")]));
     node.logs("server table 60: 1 entries, whole=true");
-    // And changes build on it.
+    // The next change is applied to the complete list.
     second.line(&server_list(61, false, &[entry("s-1", new.address, "active")]));
     node.logs("server table 61: 1 entries, whole=false");
     for k in 0..6 {
@@ -183,17 +185,16 @@
     assert!(old.has_no_connection());
 }
 
-/// Revisions that go backwards, as after discovery has lost what it knew: what it says holds, and the next watch goes on
-/// from there.
+/// Discovery's revisions restart when it loses its data. The list is applied, and the next watch resumes from it.
 #[rstest]
-#[case::whole(true)]
+#[case::complete_list(true)]
 #[case::changes(false)]
-fn revisions_that_go_backwards_are_followed(#[case] whole: bool) {
+fn a_list_with_a_lower_revision_is_applied(#[case] complete: bool) {
     let (old, new, discovery) = (TestServer::new(), TestServer::new(), TestServer::new());
     let node = Node::start(&config_with_discovery(&[old.address], &discovery));
     let (mut first, _) = accept_watch(&discovery);
     let members = [entry("s-0", old.address, "leaving"), entry("s-new", new.address, "active")];
-    first.line(&server_list(3, whole, &members));
+    first.line(&server_list(3, complete, &members));
     node.logs("server table 3: 2 entries");
     drop(first);
     let (_second, request) = accept_watch(&discovery);
@@ -206,9 +207,9 @@
     assert!(old.has_no_connection());
 }
 
-/// An empty whole list holds: nothing is sent to the servers that were, until another list names some.
+/// No job is dispatched until another list names a server.
 #[rstest]
-fn an_empty_whole_list_leaves_nobody_to_send_to() {
+fn an_empty_complete_list_empties_the_table() {
     let (server, discovery) = (TestServer::new(), TestServer::new());
     let node = Node::start(&config_with_discovery(&[server.address], &discovery));
     let (mut watch, _) = accept_watch(&discovery);
@@ -227,21 +228,20 @@
     assert_eq!(client.message().body, "1");
 }
 
-/// What makes no sense, in a watch or in place of the whole list, changes nothing: the old list serves on until the whole
-/// one has come, which is asked for each time.
+/// The old table stays in use, and the node requests the complete list until a valid one arrives.
 #[rstest]
 #[case::no_json("nonsense")]
 #[case::no_list("{\"revision\": 44}")]
 #[case::no_address("{\"revision\":44,\"complete\":true,\"members\":[{\"id\":\"s-0\",\"host_port\":\"here\",\"phase\":\"active\"}]}")]
-fn nonsense_keeps_the_old_list_and_asks_for_the_whole_one(#[case] nonsense: &str) {
+fn a_malformed_list_changes_nothing(#[case] malformed: &str) {
     let (old, new, discovery) = (TestServer::new(), TestServer::new(), TestServer::new());
     let node = Node::start(&config_with_discovery(&[old.address], &discovery));
     let (mut first, _) = accept_watch(&discovery);
-    first.line(nonsense);
+    first.line(malformed);
     assert!(first.is_closed());
-    // The whole list is nonsense, too, or stops before it is whole.
+    // The complete list is malformed, cut off, or empty.
     let list = server_list(45, true, &[entry("s-new", new.address, "active")]);
-    for text in [nonsense, &list[..list.len() - 1], ""] {
+    for text in [malformed, &list[..list.len() - 1], ""] {
         let mut poll = serve_complete_list(&discovery, text);
         assert!(poll.is_closed());
         node.logs("reason=malformed");
@@ -260,35 +260,35 @@
     assert_eq!(client.message().body, "from the new one");
 }
 
-/// Lists that name a server without an address confirm nothing of the one that is held, however often they come.
+/// Guards against a list that is rejected for a missing address but counted as a sign that the table is up to date.
 #[rstest]
-fn lists_that_cannot_be_used_confirm_nothing() {
+fn a_rejected_list_does_not_confirm_the_table() {
     let (server, agent) = (TestServer::new(), TestServer::new());
     let node = Node::start(&config_with_discovery(&[server.address], &agent));
     let list = server_list(44, true, &[json!({"id": "s-0", "host_port": "here", "phase": "active"})]);
-    agent.handle_connections(move |mut peer| {
-        peer.message();
-        peer.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()));
-        assert!(peer.is_closed());
+    agent.handle_connections(move |mut connection| {
+        connection.message();
+        connection.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()));
+        assert!(connection.is_closed());
     });
     node.logs("server 's-0' has no address with a port: 'here'");
     node.logs("discovery has confirmed nothing");
 }
 
-/// The answer to a call for the whole list goes on after it and never ends: only a watch tells changes, so one is opened.
+/// Only a watch brings changes, so the node opens one although the response with the complete list doesn't end.
 #[rstest]
 #[case::empty_lines("1\r\n\n\r\n")]
 #[case::nothing("")]
-fn an_answer_that_never_ends_is_no_watch(#[case] more: &str) {
+fn an_endless_complete_list_is_followed_by_a_watch(#[case] more: &str) {
     let (server, discovery) = (TestServer::new(), TestServer::new());
-    let node = Node::start(&asking(&server, &discovery, 300, 1));
+    let node = Node::start(&config_on_request(&server, &discovery, 300, 1));
     let (mut first, _) = accept_watch(&discovery);
     first.line("nonsense");
     let mut poll = discovery.accept();
     assert_eq!(poll.message().first, "GET /catalog/members HTTP/1.1");
     poll.begin();
     poll.line(&server_list(50, true, &[entry("s-0", server.address, "active")]));
-    let notified = Instant::now();
+    let received = Instant::now();
     node.logs("server table 50");
     if more.is_empty() {
         assert!(poll.is_closed());
@@ -299,21 +299,21 @@
     assert_eq!(request, "GET /catalog/members?watch=1&from=50 HTTP/1.1");
     second.line(&server_list(51, false, &[entry("s-0", server.address, "leaving")]));
     node.logs("server table 51");
-    assert!(notified.elapsed() < NOTIFIED_AFTER, "{:?}", notified.elapsed());
+    assert!(received.elapsed() < UPDATE_LIMIT, "{:?}", received.elapsed());
 }
 
-/// Another discovery comes with SIGHUP while the old one's list is half-way; its rest comes in the same moment, and later. Nothing
-/// of it is in force after the move, and the new one is asked for its whole list.
+/// SIGHUP names another discovery after half of a list, whose other half arrives with the signal. Guards against a list of
+/// the old discovery that is applied after the reload.
 #[rstest]
 #[case::on_a_watch(false)]
-#[case::whole_list(true)]
-fn nothing_of_the_old_discovery_comes_in_after_the_move(#[case] asked: bool) {
+#[case::complete_list(true)]
+fn lists_of_the_old_discovery_are_ignored_after_a_reload(#[case] polls: bool) {
     let (server, other) = (TestServer::new(), TestServer::new());
     let (first, second) = (TestServer::new(), TestServer::new());
     let mut config = config_with_discovery(&[server.address], &first);
     let node = Node::start(&config);
     let (mut before, _) = accept_watch(&first);
-    if asked {
+    if polls {
         before.line("nonsense");
         before = first.accept();
         before.message();
@@ -329,7 +329,7 @@
     before.send(&format!("{:x}\r\n{rest}\r\n", rest.len()));
     node.set_paused(false);
     node.logs("configuration read again");
-    // It may have been in force before the move, but not after it.
+    // The old discovery's list may have been applied before the reload, but not after it.
     let (mut poll, list) = (second.accept(), server_list(2, true, &[entry("s-0", server.address, "active")]));
     assert_eq!(poll.message().first, "GET /catalog/members HTTP/1.1");
     let _ = before.receives_data();
@@ -345,12 +345,12 @@
     assert!(other.has_no_connection() && second.has_no_connection());
 }
 
-/// Another discovery comes with SIGHUP before the first call, for which the node waits a part of its spread: the revision
-/// that it started with means nothing there, so the whole list is asked for.
+/// Revisions of one discovery mean nothing to another one, so the node requests the complete list after a reload, even
+/// while the first request still waits for its random delay.
 #[rstest]
-fn a_move_before_the_first_call_asks_for_the_whole_list() {
+fn a_reload_before_the_first_request_leads_to_a_complete_list() {
     let (server, first, second) = (TestServer::new(), TestServer::new(), TestServer::new());
-    let mut config = asking(&server, &first, 300, 1);
+    let mut config = config_on_request(&server, &first, 300, 1);
     let node = Node::start(&config);
     config["discovery"] = json!(second.address.to_string());
     node.replace_config(&config.to_string());
@@ -358,50 +358,50 @@
     node.logs("configuration read again");
     let mut poll = second.accept();
     assert_eq!(poll.message().first, "GET /catalog/members HTTP/1.1");
-    assert!(first.has_no_connection(), "the seed has it wait longer than that");
+    assert!(first.has_no_connection(), "with this seed the first request is delayed for longer");
 }
 
-/// An agent that is silent while discovery is down takes calls and answers the one that is open as discovery returns: that is
-/// in force well within the drains' grace, over whichever call.
+/// An agent accepts requests while discovery is down and responds when it returns. The list is in force within the drain
+/// grace, on whichever request is open then.
 #[rstest]
-fn a_call_that_waits_out_an_agents_silence_brings_the_list_at_once() {
+fn a_request_that_is_open_when_an_agent_recovers_brings_the_list_at_once() {
     let (server, agent) = (TestServer::new(), TestServer::new());
     let mut config = config_with_discovery(&[server.address], &agent);
     config["settings"]["replicas_of_me"] = json!(300);
     let node = Node::start(&config);
-    // The first is given up, the second is open as discovery returns.
-    Failure::Mute.play(agent.accept());
+    // The first request times out; the second one is open when discovery returns.
+    Failure::NoResponse.play(agent.accept());
     let mut open = agent.accept();
     assert_eq!(open.message().first, "GET /catalog/members?watch=1&from=41 HTTP/1.1");
-    let back = Instant::now();
+    let recovered = Instant::now();
     open.begin();
     open.line(&server_list(42, false, &[entry("s-0", server.address, "leaving")]));
     node.logs("server table 42");
-    assert!(back.elapsed() < Duration::from_millis(250), "{:?}", back.elapsed());
+    assert!(recovered.elapsed() < Duration::from_millis(250), "{:?}", recovered.elapsed());
 }
 
-/// Other settings say that lists are pushed from now on, and how soon nothing new may go to a server that leaves: the agent, which
-/// resets its calls, is called again within that from then on, as it may know of one.
+/// After a reload by which lists are pushed, the node retries a failing agent within the new drain grace, as the agent may
+/// know of a leaving server.
 #[rstest]
 #[case::short(150)]
-#[case::usual(500)]
-fn an_agent_is_called_again_within_the_grace_of_the_settings_in_force(#[case] grace: u64) {
-    const CALLS: u32 = 12;
+#[case::default(500)]
+fn a_failing_agent_is_retried_within_the_drain_grace_in_force(#[case] grace: u64) {
+    const REQUESTS: u32 = 12;
     let (server, discovery) = (TestServer::new(), TestServer::new());
-    let mut config = asking(&server, &discovery, 300, 1);
+    let mut config = config_on_request(&server, &discovery, 300, 1);
     let node = Node::start(&config);
-    // Three calls of a node among 300, which lie seconds apart.
+    // Requests of one of 300 nodes are seconds apart.
     (0..3).for_each(|_| discovery.accept().reset_after_data());
     config["settings"]["discovery"] = json!("pushed");
     config["settings"]["rules"]["drain_grace_ms"] = json!(grace);
     node.replace_config(&config.to_string());
     node.reload();
     node.logs("new settings hold");
-    // The pause that has begun may be a long one still.
+    // The backoff that has begun may still be long.
     discovery.accept().reset_after_data();
     let begun = Instant::now();
-    (0..CALLS).for_each(|_| discovery.accept().reset_after_data());
-    let all = Duration::from_millis(grace) * CALLS;
-    println!("{CALLS} calls in {:?}, of {all:?}", begun.elapsed());
-    assert!(begun.elapsed() < all, "{CALLS} calls in {:?}", begun.elapsed());
+    (0..REQUESTS).for_each(|_| discovery.accept().reset_after_data());
+    let limit = Duration::from_millis(grace) * REQUESTS;
+    println!("{REQUESTS} requests in {:?}, of {limit:?}", begun.elapsed());
+    assert!(begun.elapsed() < limit, "{REQUESTS} requests in {:?}", begun.elapsed());
 }
--- a/tests/node/operators.rs
+++ b/tests/node/operators.rs
@@ -1,4 +1,4 @@
-//! The node as its operators see it: the door, and what it does to clients.
+//! Tests of operation: readiness, drains, reloads of the configuration, and hot restarts.
 
 use crate::support::*;
 use rstest::rstest;
@@ -8,11 +8,11 @@
 
 const HEALTH: &str = "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n";
 const READY: (&str, &str) = ("GET", "/ops/readiness");
-const DRAIN: (&str, &str) = ("POST", "/ops/drain/start");
-const RETURN: (&str, &str) = ("POST", "/ops/drain/stop");
+const START_DRAIN: (&str, &str) = ("POST", "/ops/drain/start");
+const STOP_DRAIN: (&str, &str) = ("POST", "/ops/drain/stop");
 
-/// A node with a door, one backend server and an empty table of troubles.
-fn attended() -> (Node, TestServer) {
+/// Starts a node with an operators' listener and one backend server.
+fn node_with_operators() -> (Node, TestServer) {
     let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
@@ -24,22 +24,25 @@
 }
 
 #[rstest]
-fn the_door_says_whether_clients_are_taken() {
-    let (node, _server) = attended();
+fn readiness_follows_drains_and_sigterm() {
+    let (node, _server) = node_with_operators();
     assert_eq!(call(&node, READY), 200);
-    for (method, path, status) in
-        [("POST", READY.1, 405), ("GET", DRAIN.1, 405), ("GET", "/ops/other", 404), ("GET", "/_health", 404)]
-    {
+    for (method, path, status) in [
+        ("POST", READY.1, 405),
+        ("GET", START_DRAIN.1, 405),
+        ("GET", "/ops/other", 404),
+        ("GET", "/_health", 404),
+    ] {
         assert_eq!(node.call(method, path), status, "{method} {path}");
     }
-    assert_eq!((call(&node, DRAIN), call(&node, READY)), (200, 503));
-    assert_eq!((call(&node, RETURN), call(&node, READY)), (200, 200));
+    assert_eq!((call(&node, START_DRAIN), call(&node, READY)), (200, 503));
+    assert_eq!((call(&node, STOP_DRAIN), call(&node, READY)), (200, 200));
     node.terminate();
     node.logs("told to stop");
-    assert_eq!((call(&node, READY), call(&node, DRAIN), call(&node, RETURN)), (503, 409, 409));
+    assert_eq!((call(&node, READY), call(&node, START_DRAIN), call(&node, STOP_DRAIN)), (503, 409, 409));
 }
 
-/// Not constant: without anyone to dispatch to the node is not ready.
+/// Guards against a readiness that is constant: a node needs a server to dispatch to.
 #[rstest]
 fn a_node_without_a_server_table_is_not_ready() {
     let mut config = config(&[]);
@@ -50,17 +53,17 @@
     assert_eq!(call(&node, READY), 503);
 }
 
-/// Callers that finish no call, and clients that fill the frontend, keep no operator waiting.
+/// Guards against operators who are locked out by incomplete requests or by clients at the socket limit.
 #[rstest]
-fn idle_callers_and_a_full_frontend_hold_no_call_up() {
+fn operators_are_answered_beside_stalled_requests_and_a_full_frontend() {
     let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
     config["limits"]["sockets"] = json!(70);
     let node = Node::start(&config);
     let _clients: Vec<Connection> = (0..60).map(|_| node.client()).collect();
-    let mut idle: Vec<Connection> = (0..20).map(|_| node.operator()).collect();
-    idle.iter_mut().for_each(|c| c.send("GET /ops/readiness HTTP/1.1\r\nHost"));
+    let mut stalled: Vec<Connection> = (0..20).map(|_| node.operator()).collect();
+    stalled.iter_mut().for_each(|c| c.send("GET /ops/readiness HTTP/1.1\r\nHost"));
     let began = Instant::now();
     assert_eq!(call(&node, READY), 200);
     assert!(began.elapsed() < Duration::from_millis(500), "{:?}", began.elapsed());
@@ -70,11 +73,11 @@
     assert!(node.descriptors() <= 70);
 }
 
-/// While it is emptied, health says no at once, on kept connections too; jobs are served, and their
-/// connections and idle ones end well within four seconds; a request that has begun is not cut off.
+/// A draining node fails health checks at once, serves jobs, and closes their connections and idle ones, but not one with
+/// an incomplete request.
 #[rstest]
-fn a_drained_node_sends_clients_away_and_takes_them_again() {
-    let (node, server) = attended();
+fn a_draining_node_closes_client_connections_until_the_drain_stops() {
+    let (node, server) = node_with_operators();
     let [mut front, mut idle, mut slow] = [0, 1, 2].map(|_| node.client());
     for client in [&mut front, &mut idle] {
         client.send(HEALTH);
@@ -86,14 +89,14 @@
     let text = job("slow", "/zone-plan", "5000m", "");
     slow.send(&text[..40]);
     let began = Instant::now();
-    assert_eq!((call(&node, DRAIN), call(&node, DRAIN)), (200, 200));
+    assert_eq!((call(&node, START_DRAIN), call(&node, START_DRAIN)), (200, 200));
     front.send(HEALTH);
     let answer = front.message();
     assert_eq!((answer.status(), answer.field("Connection")), (503, Some("close")));
     backend.serve("held", "1");
     let answer = held.message();
     assert_eq!((answer.body.as_str(), answer.field("Connection")), ("1", Some("close")));
-    // New connections still come for a moment, and are served.
+    // New connections are still served.
     let mut late = node.send_job("late", "/zone-plan");
     assert_eq!(backend.id(), "late");
     backend.serve("late", "2");
@@ -106,7 +109,7 @@
     backend.serve("slow", "3");
     assert_eq!(slow.message().body, "3");
     node.logs("reason=drained");
-    assert_eq!(call(&node, RETURN), 200);
+    assert_eq!(call(&node, STOP_DRAIN), 200);
     let mut client = node.client();
     client.send(HEALTH);
     assert_eq!(client.message().status(), 200);
@@ -116,10 +119,9 @@
     assert_eq!(client.message().field("Connection"), None);
 }
 
-/// A configuration with other settings, of which the open job knows nothing: it is tried again by the
-/// rules that it came under, while new ones come under the new rules.
+/// Jobs keep the settings under which they were accepted when a reload brings others.
 #[rstest]
-fn new_settings_hold_for_what_comes_and_old_ones_for_what_is_open() {
+fn new_settings_apply_to_new_jobs_only() {
     let server = TestServer::new();
     let mut config = config(&[server.address]);
     let node = Node::start(&config);
@@ -135,18 +137,18 @@
     node.reload();
     node.logs("new settings hold");
     assert_eq!(node.send_job("x", "/actuator-cmd").message().status(), 404);
-    // Twice it may have run, and a third time it is tried: it was free, and had three attempts.
+    // The old settings let the open job run more than once, in three attempts.
     for _ in 0..2 {
         backend.send("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n");
         assert_eq!(backend.id(), "open");
     }
     backend.serve("open", "1");
     assert_eq!(open.message().body, "1");
-    // A new one of that class may not run twice, and one of the new class may, but has two attempts.
+    // By the new settings a job of its class must not run twice, and one of the new class may, in two attempts.
     for (target, attempts, status) in [("/zone-plan", 1, 502), ("/vent-plan", 2, 503)] {
         let mut client = node.send_job("new", target);
         if attempts == 1 {
-            // What must not run twice is not put where an answer has just come.
+            // A job that must not run twice is not dispatched on a connection right after a response.
             backend = server.accept();
         }
         for _ in 0..attempts {
@@ -158,21 +160,21 @@
     assert!(server.has_no_connection());
 }
 
-/// A file that can't be used changes nothing: neither classes nor where discovery is.
+/// After a reload of an invalid file, classes and the address of discovery stay.
 #[rstest]
 #[case::empty("", "", Some("0"), "EOF")]
 #[case::cut_off("", "", Some("400"), "EOF")]
 #[case::no_deadline("/settings/classes/0", "deadline_ms", Some("0.0"), "deadline")]
 #[case::no_attempts("/settings/allowed", "try_limit", Some("0"), "attempts")]
 #[case::negative("/settings/allowed", "try_limit", Some("-1"), "invalid value")]
-#[case::short_of_rules("/settings", "rules", None, "'settings.rules")]
-#[case::short_of_semantics("/settings/classes/1", "semantics", None, "'settings.classes.semantics'")]
-#[case::short_of_a_name("", "name", None, "'name'")]
-fn a_broken_file_changes_nothing(
+#[case::missing_rules("/settings", "rules", None, "'settings.rules")]
+#[case::missing_semantics("/settings/classes/1", "semantics", None, "'settings.classes.semantics'")]
+#[case::missing_name("", "name", None, "'name'")]
+fn an_invalid_configuration_is_rejected_on_reload(
     #[case] place: &str,
     #[case] key: &str,
     #[case] value: Option<&str>,
-    #[case] outgoing_messages: &str,
+    #[case] expected: &str,
 ) {
     let (server, first, second) = (TestServer::new(), TestServer::new(), TestServer::new());
     let mut config = config(&[server.address]);
@@ -196,7 +198,7 @@
     };
     node.replace_config(&text);
     node.reload();
-    assert!(node.logs("the old configuration stays").contains(outgoing_messages));
+    assert!(node.logs("the old configuration stays").contains(expected));
     assert_eq!(node.send_job("x", "/vent-plan").message().status(), 404);
     let mut client = node.send_job("a", "/actuator-cmd");
     let mut backend = server.accept();
@@ -206,21 +208,21 @@
     assert!(second.has_no_connection());
 }
 
-/// Requests that stand still while the node is emptied make room for others as at any time.
+/// Guards against stalled requests that keep a draining node from answering health checks at the socket limit.
 #[rstest]
-fn a_full_node_that_is_emptied_still_has_room() {
+fn a_draining_node_evicts_stalled_requests_at_the_socket_limit() {
     let mut config = config(&[]);
     config["mgmt"] = json!("127.0.0.1:0");
     config["limits"]["sockets"] = json!(70);
     let node = Node::start(&config);
-    assert_eq!(call(&node, DRAIN), 200);
+    assert_eq!(call(&node, START_DRAIN), 200);
     let begin = |_| {
         let mut client = node.client();
         client.send("POST /zone-plan HTTP/1.1\r\n");
         client
     };
-    let mut half: Vec<Connection> = (0..19).map(begin).collect();
-    assert!(half[18].is_silent_for(Duration::from_millis(1_000)));
+    let mut stalled: Vec<Connection> = (0..19).map(begin).collect();
+    assert!(stalled[18].is_silent_for(Duration::from_millis(1_000)));
     let _one_more = begin(19);
     let began = Instant::now();
     let mut client = node.client();
@@ -229,16 +231,17 @@
     assert!(began.elapsed() < Duration::from_millis(700), "{:?}", began.elapsed());
 }
 
-/// Wait until the next process can find this one, by a name to which others have no access.
+/// Waits until the next process can find `old` by its Unix socket, which only the owner may use.
 pub fn wait_for_handover_socket(old: &Node) {
-    let place = handover_directory().join(format!("shorepath-{}.sock", old.address));
-    while !place.exists() {
+    let socket = handover_directory().join(format!("shorepath-{}.sock", old.address));
+    while !socket.exists() {
         std::thread::yield_now();
     }
-    assert_eq!(std::fs::metadata(&place).unwrap().permissions().mode() & 0o777, 0o600);
+    assert_eq!(std::fs::metadata(&socket).unwrap().permissions().mode() & 0o777, 0o600);
 }
 
-/// A process with a door, and its backend server, and another one started in its place.
+/// Starts a process and another one in its place. Returns the old and the new one, their backend server and their
+/// configuration.
 pub fn start_replacement() -> (Node, Node, TestServer, Value) {
     let server = TestServer::new();
     let mut config = config(&[server.address]);
@@ -250,10 +253,10 @@
     (old, new, server, config)
 }
 
-/// The old process serves what it has and sends its clients over; the new one takes all that connect,
-/// and knows which ids are open. Nobody hears that the address is gone.
+/// The old process serves its open jobs and closes its connections; the new one accepts all new connections and knows
+/// the ids of the open jobs. No connection is refused.
 #[rstest]
-fn a_process_is_replaced_without_a_client_noticing() {
+fn a_hot_restart_fails_no_job() {
     let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
@@ -270,7 +273,7 @@
     wait_for_handover_socket(&old);
     let new = Node::start(&config);
     old.logs("the next process takes clients");
-    assert_eq!((call(&new, READY), call(&old, READY), call(&old, DRAIN)), (200, 503, 409));
+    assert_eq!((call(&new, READY), call(&old, READY), call(&old, START_DRAIN)), (200, 503, 409));
     assert_eq!(new.send_job("held", "/zone-plan").message().status(), 409, "the id is open");
     let mut on_new = None;
     for k in 0..20 {
@@ -279,7 +282,7 @@
         let backend = on_new.get_or_insert_with(|| server.accept());
         assert_eq!(backend.id(), id);
         backend.serve(&id, "1");
-        assert_eq!(client.message().field("Connection"), None, "the old one accepts no more");
+        assert_eq!(client.message().field("Connection"), None, "the old process accepts no more connections");
     }
     old.terminate();
     old.logs("told to stop");
@@ -301,14 +304,14 @@
     assert_eq!(again.message().body, "4");
 }
 
-/// Whoever dies, the other goes on: the old process takes clients again, and can be replaced once more;
-/// the new one is whole, and so is one that finds nothing but the name of a process that was killed.
+/// When either process of a hot restart is killed, the other one serves. A process also starts when only the socket of a
+/// killed one is left.
 #[rstest]
-fn a_process_that_dies_leaves_the_node_to_the_other() {
+fn either_process_of_a_hot_restart_survives_the_other() {
     let (old, new, server, config) = start_replacement();
     old.logs("the next process takes clients");
     let third = command(&[PROGRAM, "serve"], &config.to_string()).output().unwrap();
-    assert!(String::from_utf8(third.stderr).unwrap().contains("can't listen"), "two are enough");
+    assert!(String::from_utf8(third.stderr).unwrap().contains("can't listen"), "a third process can't start");
     drop(new);
     old.logs("this one takes clients");
     assert_eq!(call(&old, READY), 200);
@@ -326,37 +329,37 @@
     assert_eq!(call(&Node::start(&config), READY), 200);
 }
 
-/// Without an operators' address, or with `--no-handover`, no Unix socket is opened: nothing is published
-/// in `TMPDIR`, and a second process at a busy address fails to listen instead of taking over.
+/// Without an operators' address, or with `--no-handover`, no Unix socket is created in `TMPDIR`, and a second process at
+/// the same address fails to listen instead of taking over.
 #[rstest]
-#[case::by_the_flag(&["--no-handover"], Some("127.0.0.1:0"))]
-#[case::without_a_door(&[], None)]
+#[case::no_handover_option(&["--no-handover"], Some("127.0.0.1:0"))]
+#[case::no_operators_address(&[], None)]
 fn without_handover_no_unix_socket_is_opened(#[case] flags: &[&str], #[case] admin: Option<&str>) {
     let server = TestServer::new();
     let mut config = config(&[server.address]);
-    let place = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!(
+    let directory = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!(
         "alone-{}-{}",
         flags.len(),
         std::process::id()
     ));
-    std::fs::create_dir_all(&place).unwrap();
-    let free = unused_address();
-    config["listen"] = json!(free.to_string());
+    std::fs::create_dir_all(&directory).unwrap();
+    let address = unused_address();
+    config["listen"] = json!(address.to_string());
     if let Some(admin) = admin {
         config["mgmt"] = json!(admin);
     }
-    let messages = [&[PROGRAM, "serve"], flags].concat();
-    let node = Node::start_command_with(&messages, &config, |command| {
-        command.env("TMPDIR", &place);
+    let arguments = [&[PROGRAM, "serve"], flags].concat();
+    let node = Node::start_command_with(&arguments, &config, |command| {
+        command.env("TMPDIR", &directory);
     });
-    assert_eq!(node.address, free);
+    assert_eq!(node.address, address);
     let mut client = node.client();
     client.send(HEALTH);
     assert_eq!(client.message().status(), 200);
-    assert_eq!(std::fs::read_dir(&place).unwrap().count(), 0, "nothing is published");
-    let second = command(&messages, &config.to_string()).env("TMPDIR", &place).output().unwrap();
+    assert_eq!(std::fs::read_dir(&directory).unwrap().count(), 0, "no socket is created");
+    let second = command(&arguments, &config.to_string()).env("TMPDIR", &directory).output().unwrap();
     assert!(!second.status.success());
-    assert!(String::from_utf8_lossy(&second.stderr).contains(&free.to_string()));
+    assert!(String::from_utf8_lossy(&second.stderr).contains(&address.to_string()));
     client.send(HEALTH);
-    assert_eq!(client.message().status(), 200, "the first one serves on");
+    assert_eq!(client.message().status(), 200, "the first process serves on");
 }
--- a/tests/node/rare.rs
+++ b/tests/node/rare.rs
@@ -340,9 +340,9 @@
         Discovery::Deaf,
         Discovery::Refuses,
         Discovery::Fails(Failure::Busy),
-        Discovery::Fails(Failure::WaitedInVain),
+        Discovery::Fails(Failure::BusyAfterDelay),
         Discovery::Fails(Failure::Reset),
-        Discovery::Fails(Failure::Mute),
+        Discovery::Fails(Failure::NoResponse),
         Discovery::Trickles
     )]
     discovery: Discovery,
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -89,7 +89,7 @@
 pub struct Node {
     child: Child,
     config_path: PathBuf,
-    /// Where the process takes clients.
+    /// The address on which the process serves clients.
     pub address: SocketAddr,
     /// Address of the operators' listener, if the configuration has one.
     admin: Option<SocketAddr>,
