--- a/tests/node.rs
+++ b/tests/node.rs
@@ -77,7 +77,7 @@
     "makes no sense"
 )]
 #[case::no_result("{\"id\":\"a\",\"from\":\"s\",\"state\":\"done\"}", "makes no sense")]
-#[case::nonsense("{]", "makes no sense")]
+#[case::malformed_json("{]", "makes no sense")]
 #[case::unknown_state("{\"id\":\"a\",\"from\":\"s\",\"state\":\"asleep\"}", "makes no sense")]
 fn a_response_line_without_a_result_fails_the_job(#[case] line: &str, #[case] logged: &str) {
     let (node, server) = node_with_server();
@@ -100,7 +100,7 @@
 #[case::malformed_head("SMTP ready\r\n\r\n")]
 #[case::ends_early("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")]
 #[case::bad_chunk("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n")]
-#[case::breaks("")]
+#[case::closed_without_response("")]
 fn a_response_that_leaves_the_outcome_open_fails_the_job(#[case] answer: &str) {
     let (node, server) = node_with_server();
     let mut client = node.send_job("a", "/actuator-cmd");
@@ -610,7 +610,7 @@
     let text = job("slow", "/zone-plan", "5000m", "");
     let mut slow = node.client();
     slow.send(&text[..4]);
-    let _half: Vec<Connection> = (0..60)
+    let _stalled: Vec<Connection> = (0..60)
         .map(|_| {
             let mut client = node.client();
             client.send("POST /zone-plan HTTP/1.1\r\nHost: h\r\n");
--- a/tests/node/discovery_updates.rs
+++ b/tests/node/discovery_updates.rs
@@ -13,7 +13,7 @@
 /// later.
 const REQUEST_LIMIT: Duration = Duration::from_millis(3_800);
 
-/// Returns the configuration of one of `replicas` nodes that request their lists, whose backoff depends on `seed`.
+/// Returns the configuration of one of `replicas` nodes that request their lists, whose random delays depend on `seed`.
 fn config_on_request(server: &TestServer, discovery: &TestServer, replicas: u32, seed: u64) -> Value {
     let mut config = config_with_discovery(&[server.address], discovery);
     config["seed"] = json!(format!("{seed:x}"));
@@ -94,8 +94,8 @@
 
 /// The limit runs from the start of the silence, not from a request that discovery rejects after a delay.
 #[rstest]
-#[case::short_backoff(1)]
-#[case::long_backoff(2060)]
+#[case::short_delay(1)]
+#[case::long_delay(2060)]
 fn a_change_after_silence_and_a_late_rejection_is_in_force_in_time(#[case] seed: u64) {
     let (server, discovery) = (TestServer::new(), TestServer::new());
     let node = Node::start(&config_on_request(&server, &discovery, 300, seed));
@@ -111,8 +111,8 @@
 
 /// The limit runs from the last data of a watch, not from its reset: changes may have been lost in between.
 #[rstest]
-#[case::short_backoff(1)]
-#[case::long_backoff(2060)]
+#[case::short_delay(1)]
+#[case::long_delay(2060)]
 fn a_watch_that_is_reset_after_silence_is_resumed_in_time(#[case] seed: u64) {
     let (server, discovery) = (TestServer::new(), TestServer::new());
     let node = Node::start(&config_on_request(&server, &discovery, 300, seed));
