--- a/tests/golden/command_line.rs
+++ b/tests/golden/command_line.rs
@@ -1,7 +1,7 @@
 //! Output of commands: errors in configuration files with their positions, and the status of budgets as text and JSON.
 
 use crate::files::assert_golden;
-use crate::support::site_files::{sign, Files};
+use crate::support::site_files::{sign, SiteFiles};
 use crate::support::{command, config, PROGRAM};
 use rstest::rstest;
 use serde_json::{json, Value};
@@ -59,8 +59,8 @@
 
 #[rstest]
 fn errors_in_budgets_files_match_the_golden_file() {
-    let files = Files::new("golden-budgets");
-    let file = files.of(0).join("budgets.sexp");
+    let files = SiteFiles::new("golden-budgets");
+    let file = files.node_folder(0).join("budgets.sexp");
     let members = "(divider d0 \"127.0.0.1:1\") (node n0 \"127.0.0.1:2\")";
     let mut found = String::new();
     for (name, text) in [
@@ -77,15 +77,15 @@
     ] {
         std::fs::write(&file, text).unwrap();
         let arguments = [PROGRAM, "check", "--budgets", file.to_str().unwrap()];
-        found += &format!("# {name}\n{}", run(&arguments, &config(&[]).to_string(), &files.of(0)));
+        found += &format!("# {name}\n{}", run(&arguments, &config(&[]).to_string(), &files.node_folder(0)));
     }
     assert_golden("complaints-budgets.txt", &found);
 }
 
 #[rstest]
 fn errors_in_sites_and_accounts_files_match_the_golden_file() {
-    let files = Files::new("golden-sites");
-    let (folder, file) = (files.of(0), files.of(0).join("sites.sexp"));
+    let files = SiteFiles::new("golden-sites");
+    let (folder, file) = (files.node_folder(0), files.node_folder(0).join("sites.sexp"));
     let check = |name: &str| {
         let arguments = [PROGRAM, "check", "--sites", file.to_str().unwrap()];
         format!("# {name}\n{}", run(&arguments, &config(&[]).to_string(), &folder))
@@ -103,24 +103,24 @@
         ("lost without a number", "(lost east)"),
     ] {
         // On its own line, because errors quote the line and the one before has addresses of this run.
-        files.sites(0, 1, &format!("\n{clauses}"));
+        files.write_sites(0, 1, &format!("\n{clauses}"));
         found += &check(name);
     }
-    files.sites(0, 1, "");
+    files.write_sites(0, 1, "");
     for (name, accounts) in [
         ("unknown standing", "(account acme (standing shut))"),
         ("an account twice", "(account acme (standing good))\n (account acme (standing closed))"),
         ("no standing", "(account acme)"),
     ] {
-        files.accounts(0, 1, accounts);
+        files.write_accounts(0, 1, accounts);
         found += &check(name);
     }
-    files.accounts(0, 1, "");
+    files.write_accounts(0, 1, "");
     std::fs::write(folder.join("accounts.sexp"), "(accounts (number 2))").unwrap();
     found += &check("another code");
     std::fs::remove_file(folder.join("accounts.sexp.hmac")).unwrap();
     found += &check("no code");
-    files.accounts(0, 1, "");
+    files.write_accounts(0, 1, "");
     let key = folder.join("fleet.key");
     std::fs::set_permissions(&key, std::fs::Permissions::from_mode(0o644)).unwrap();
     found += &check("open key");
@@ -179,9 +179,9 @@
 
 #[rstest]
 fn output_of_budgets_commands_matches_the_golden_file() {
-    let files = Files::new("golden-figures");
+    let files = SiteFiles::new("golden-figures");
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let file = files.of(0).join("budgets.sexp");
+    let file = files.node_folder(0).join("budgets.sexp");
     let members = format!("(divider d0 \"{}\") (node n0 \"127.0.0.1:1\")", listener.local_addr().unwrap());
     std::fs::write(&file, format!("(budgets {members} (budget probes (whole 9) (reserve 1)))")).unwrap();
     let without_leader = Status { leader: None, epoch: None, kept: vec![], ..status() };
@@ -213,7 +213,7 @@
     ] {
         let (first, rest) = arguments.split_first().unwrap();
         let command = [&[PROGRAM, "budgets", first, "--budgets", file.to_str().unwrap()], rest].concat();
-        found += &format!("# {}\n{}", arguments.join(" "), run(&command, "{}", &files.of(0)));
+        found += &format!("# {}\n{}", arguments.join(" "), run(&command, "{}", &files.node_folder(0)));
     }
     serving.join().unwrap();
     assert_golden("figures-budgets.txt", &found);
--- a/tests/golden/hot_restart.rs
+++ b/tests/golden/hot_restart.rs
@@ -17,7 +17,7 @@
 
 /// Returns the path of the socket on which the serving process accepts its successor.
 fn socket_path(address: SocketAddr) -> PathBuf {
-    meeting_place().join(format!("shorepath-{address}.sock"))
+    handover_directory().join(format!("shorepath-{address}.sock"))
 }
 
 /// Returns a configuration with a listening address and an operator address.
@@ -43,8 +43,8 @@
 }
 
 /// Serves every request on a connection.
-fn serve_all(mut peer: Peer) {
-    while peer.goes_on() {
+fn serve_all(mut peer: Connection) {
+    while peer.receives_data() {
         let id = peer.id();
         peer.serve(&id, "1");
     }
@@ -59,21 +59,21 @@
 /// The serving process hands its socket to its successor, the test, and sends each job id that it takes and frees.
 #[rstest]
 fn serving_process_hands_over_its_socket_and_job_ids() {
-    let server = Party::new();
-    let node = Node::start(&hot_restart_config(&[server.address], fresh()));
+    let server = TestServer::new();
+    let node = Node::start(&hot_restart_config(&[server.address], unused_address()));
     let path = socket_path(node.address);
     let begin = Instant::now();
     let link = loop {
         match UnixStream::connect(&path) {
             Ok(link) => break link,
-            Err(e) => assert!(begin.elapsed() < LONG, "{e}"),
+            Err(e) => assert!(begin.elapsed() < TEST_TIMEOUT, "{e}"),
         }
     };
-    link.set_read_timeout(Some(LONG)).unwrap();
+    link.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let listener = TcpListener::from(receive_listener(&link));
     assert_eq!(listener.local_addr().unwrap(), node.address);
     let mut lines = BufReader::new(link.try_clone().unwrap());
-    let mut client = node.ask("job 1", "/actuator-cmd");
+    let mut client = node.send_job("job 1", "/actuator-cmd");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "job 1");
     assert_eq!(read_line(&mut lines), "take job 1");
@@ -82,30 +82,30 @@
     assert_eq!(read_line(&mut lines), "free job 1");
     // A job id in use by the successor is rejected until the successor frees it.
     std::thread::spawn(move || serve_all(backend));
-    server.attended(serve_all);
+    server.handle_connections(serve_all);
     for (sent, status) in [("take theirs\n", 409), ("free theirs\n", 200)] {
         (&link).write_all(sent.as_bytes()).unwrap();
         let begin = Instant::now();
-        while node.ask("theirs", "/zone-plan").message().status() != status {
-            assert!(begin.elapsed() < LONG, "{sent}");
+        while node.send_job("theirs", "/zone-plan").message().status() != status {
+            assert!(begin.elapsed() < TEST_TIMEOUT, "{sent}");
         }
     }
     (&link).write_all(b"serving\n").unwrap();
     let begin = Instant::now();
     while node.call("GET", "/ops/readiness") != 503 {
-        assert!(begin.elapsed() < LONG, "the process still accepts clients");
+        assert!(begin.elapsed() < TEST_TIMEOUT, "the process still accepts clients");
     }
     (&link).write_all(b"leaving\n").unwrap();
     let begin = Instant::now();
     while node.call("GET", "/ops/readiness") != 200 {
-        assert!(begin.elapsed() < LONG, "the process does not accept clients again");
+        assert!(begin.elapsed() < TEST_TIMEOUT, "the process does not accept clients again");
     }
 }
 
 /// The next process takes the socket of the serving one, the test, and reports when it serves and when it leaves.
 #[rstest]
 fn next_process_takes_the_socket_and_reports_its_state() {
-    let server = Party::new();
+    let server = TestServer::new();
     let listening = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listening.local_addr().unwrap();
     let path = socket_path(address);
@@ -118,7 +118,7 @@
         let mut control = SendAncillaryBuffer::new(&mut space);
         control.push(SendAncillaryMessage::ScmRights(&descriptors));
         sendmsg(&link, &[IoSlice::new(b"L")], &mut control, SendFlags::empty()).unwrap();
-        link.set_read_timeout(Some(LONG)).unwrap();
+        link.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         link
     });
     let node = Node::start(&config);
@@ -126,7 +126,7 @@
     let mut lines = BufReader::new(link.try_clone().unwrap());
     assert_eq!(read_line(&mut lines), "serving");
     assert_eq!(node.address, address);
-    let mut client = node.ask("job 2", "/zone-plan");
+    let mut client = node.send_job("job 2", "/zone-plan");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "job 2");
     assert_eq!(read_line(&mut lines), "take job 2");
--- a/tests/golden/site_datagrams.rs
+++ b/tests/golden/site_datagrams.rs
@@ -1,7 +1,7 @@
 //! Datagrams between nodes of different sites, as the real program sends and accepts them; the test acts as the other site's node.
 
 use crate::files::assert_golden;
-use crate::support::site_files::{Files, KEY};
+use crate::support::site_files::{SiteFiles, KEY};
 use crate::support::*;
 use rstest::rstest;
 use serde_json::Value;
@@ -25,9 +25,9 @@
 }
 
 impl TestPeer {
-    fn new(files: &Files) -> TestPeer {
+    fn new(files: &SiteFiles) -> TestPeer {
         let socket = UdpSocket::bind(files.address(1)).unwrap();
-        socket.set_read_timeout(Some(LONG)).unwrap();
+        socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let channel = Channel::new(NodeId::of("n1").0, 1, "odense", Some(&Keys::read(KEY).unwrap()));
         TestPeer { socket, channel, to: files.address(0) }
     }
@@ -48,7 +48,7 @@
     fn request<T>(&mut self, message: &[u8], kind: &str, found: impl Fn(&Value) -> Option<T>) -> T {
         let begin = Instant::now();
         loop {
-            assert!(begin.elapsed() < LONG, "no such {kind}");
+            assert!(begin.elapsed() < TEST_TIMEOUT, "no such {kind}");
             self.send(message);
             let Ok(message) = serde_json::from_slice::<Value>(&self.receive()) else { continue };
             if let Some(found) = message.get(kind).and_then(&found) {
@@ -70,8 +70,8 @@
     }
 }
 
-fn place_job(node: &Node, server: &Party) {
-    let mut client = node.ask("k1", "/actuator-cmd");
+fn place_job(node: &Node, server: &TestServer) {
+    let mut client = node.send_job("k1", "/actuator-cmd");
     let mut backend = server.accept();
     let id = backend.id();
     backend.serve(&id, "1");
@@ -87,14 +87,18 @@
 /// The kinds of datagrams that a node sends on its own: JSON by its schema, binary by the first byte.
 #[rstest]
 fn sent_datagrams_match_the_golden_file() {
-    let (files, server) = (Files::new("golden-says"), Party::new());
-    files.sites(0, 1, "(audit (one-in 1) (sum 100 ms)) (recover (outlive 1 s) (peers 1 s) (catch-up 1 s))");
+    let (files, server) = (SiteFiles::new("golden-says"), TestServer::new());
+    files.write_sites(
+        0,
+        1,
+        "(audit (one-in 1) (sum 100 ms)) (recover (outlive 1 s) (peers 1 s) (catch-up 1 s))",
+    );
     let mut peer = TestPeer::new(&files);
     let _node = files.start(0, &server);
     let mut schemas: BTreeMap<String, String> = BTreeMap::new();
     let begin = Instant::now();
     while schemas.len() < 5 {
-        assert!(begin.elapsed() < LONG, "only {schemas:?}");
+        assert!(begin.elapsed() < TEST_TIMEOUT, "only {schemas:?}");
         let body = peer.receive();
         let (kind, schema) = match serde_json::from_slice::<Value>(&body) {
             Ok(message) => {
@@ -114,9 +118,9 @@
 /// A node accepts the datagrams of an earlier version and replies in that format.
 #[rstest]
 fn datagrams_of_an_earlier_version_are_accepted() {
-    let (files, server) = (Files::new("golden-takes"), Party::new());
-    files.sites(0, 1, "(audit (one-in 1) (sum 100 ms))");
-    files.accounts(0, 3, "(account bravo (standing closing) (reason \"unpaid\"))");
+    let (files, server) = (SiteFiles::new("golden-takes"), TestServer::new());
+    files.write_sites(0, 1, "(audit (one-in 1) (sum 100 ms))");
+    files.write_accounts(0, 3, "(account bravo (standing closing) (reason \"unpaid\"))");
     let mut peer = TestPeer::new(&files);
     let node = files.start(0, &server);
     // An empty digest is answered with the known account lines.
@@ -159,7 +163,7 @@
     place_job(&node, &server);
     let begin = Instant::now();
     loop {
-        assert!(begin.elapsed() < LONG, "no piece of a log");
+        assert!(begin.elapsed() < TEST_TIMEOUT, "no piece of a log");
         peer.send(&empty_summary);
         let body = peer.receive();
         if body[0] == b'p' && body[3] == 1 {
@@ -176,15 +180,15 @@
     let begin = Instant::now();
     let expected = format!("node n1 content={content} last=1 ");
     while !operator_page(&node, "/ops/audit").contains(&expected) {
-        assert!(begin.elapsed() < LONG, "{}", operator_page(&node, "/ops/audit"));
+        assert!(begin.elapsed() < TEST_TIMEOUT, "{}", operator_page(&node, "/ops/audit"));
     }
 }
 
 /// A recovering node accepts the recovery messages of an earlier version and replies in that format.
 #[rstest]
 fn recovery_messages_of_an_earlier_version_are_accepted() {
-    let (files, server) = (Files::new("golden-returns"), Party::new());
-    files.sites(0, 1, "(recover (outlive 1 s) (peers 1 s) (catch-up 1 s))");
+    let (files, server) = (SiteFiles::new("golden-returns"), TestServer::new());
+    files.write_sites(0, 1, "(recover (outlive 1 s) (peers 1 s) (catch-up 1 s))");
     let mut peer = TestPeer::new(&files);
     let node = files.start(0, &server);
     let ask = r#"{"recovery":{"ask":{"me":{"disk":8,"boots":2,"life":5},"claims":true}}}"#;
@@ -203,6 +207,6 @@
     peer.send(message.as_bytes());
     let begin = Instant::now();
     while !operator_page(&node, "/ops/recovery").contains("peer n1 Counts") {
-        assert!(begin.elapsed() < LONG, "{}", operator_page(&node, "/ops/recovery"));
+        assert!(begin.elapsed() < TEST_TIMEOUT, "{}", operator_page(&node, "/ops/recovery"));
     }
 }
--- a/tests/golden/state_folder.rs
+++ b/tests/golden/state_folder.rs
@@ -4,8 +4,8 @@
 //! In recording mode the test writes them first.
 
 use crate::files::{assert_golden, is_recording, masked, path};
-use crate::support::allocator::divide;
-use crate::support::site_files::Files;
+use crate::support::quota_server::run_quota_server;
+use crate::support::site_files::SiteFiles;
 use crate::support::*;
 use flate2::read::GzDecoder;
 use flate2::write::GzEncoder;
@@ -35,21 +35,21 @@
 }
 
 impl KeyLeaseServer {
-    fn new(files: &Files) -> KeyLeaseServer {
+    fn new(files: &SiteFiles) -> KeyLeaseServer {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         let server_address = socket.local_addr().unwrap();
         let mut text = format!("(budgets (version 1) (term 1 s) (divider d0 \"{server_address}\")");
         for (k, owner) in ["west/n0", "east/n1"].iter().enumerate() {
-            text += &format!(" (node n{k} \"{}\")", fresh());
+            text += &format!(" (node n{k} \"{}\")", unused_address());
             text += &format!(" (budget home:{owner} (per moment) (whole 1) (longest 500 ms))");
         }
         text += ")";
-        let file = files.of(0).join("budgets.sexp");
+        let file = files.node_folder(0).join("budgets.sexp");
         std::fs::write(&file, &text).unwrap();
         let plan = shorepath_quota::config::read("b", &text).unwrap();
         let stopped = Arc::new(AtomicBool::new(false));
         let flags = (Arc::new(AtomicBool::new(false)), stopped.clone());
-        std::thread::spawn(move || divide(&socket, Allocator::new("d0", plan, 7), &flags));
+        std::thread::spawn(move || run_quota_server(&socket, Allocator::new("d0", plan, 7), &flags));
         KeyLeaseServer { file, stopped }
     }
 }
@@ -73,13 +73,13 @@
         if page.contains(text) {
             return;
         }
-        assert!(begin.elapsed() < 2 * LONG, "no {text} in:\n{page}");
+        assert!(begin.elapsed() < 2 * TEST_TIMEOUT, "no {text} in:\n{page}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 /// Sends a guarded job with the key.
-fn send_guarded(node: &Node, id: &str, key: &str) -> Peer {
+fn send_guarded(node: &Node, id: &str, key: &str) -> Connection {
     let mut client = node.client();
     let text = job(id, "/actuator-cmd", "5000m", "");
     client.send(&text.replace("Tenant:", &format!("Idempotency-Key: {key}\r\nTenant:")));
@@ -87,8 +87,8 @@
 }
 
 /// Serves the requests of a connection; jobs whose key begins with `lost` are started and never finished.
-fn serve_or_lose(mut peer: Peer) {
-    while peer.goes_on() {
+fn serve_or_lose(mut peer: Connection) {
+    while peer.receives_data() {
         let request = peer.message();
         let key = request.field("Idempotency-Key").unwrap_or("none").to_string();
         if key.starts_with("lost") {
@@ -99,12 +99,12 @@
     }
 }
 
-fn start(files: &Files, key_lease_server: &KeyLeaseServer, version: u32) -> [Node; 2] {
-    let server = Party::new();
+fn start(files: &SiteFiles, key_lease_server: &KeyLeaseServer, version: u32) -> [Node; 2] {
+    let server = TestServer::new();
     let address = server.address;
-    server.attended(serve_or_lose);
+    server.handle_connections(serve_or_lose);
     let node = |k: usize| {
-        files.sites(k, version, CLAUSES);
+        files.write_sites(k, version, CLAUSES);
         files.start_with(k, config(&[address]), &["--budgets", key_lease_server.file.to_str().unwrap()])
     };
     [node(0), node(1)]
@@ -122,8 +122,8 @@
 }
 
 /// Returns four keys that the first node owns: two that are served and two whose outcome is unknown.
-fn keys(files: &Files) -> Vec<String> {
-    let text = std::fs::read_to_string(files.of(0).join("sites.sexp")).unwrap();
+fn keys(files: &SiteFiles) -> Vec<String> {
+    let text = std::fs::read_to_string(files.node_folder(0).join("sites.sexp")).unwrap();
     let plan = shorepath_sites::config::read("t", &text).unwrap();
     let ownership = shorepath_sites::key_ownership::KeyOwnership::new(
         0,
@@ -164,10 +164,10 @@
 
 /// Runs two nodes so that they store each kind of data, and packs their folders.
 fn record() {
-    let mut files = Files::new("golden-recording");
-    files.times = "(confirm 1 s) (alone 1 s) (hold 1 s)";
+    let mut files = SiteFiles::new("golden-recording");
+    files.timeouts = "(confirm 1 s) (alone 1 s) (hold 1 s)";
     let key_lease_server = KeyLeaseServer::new(&files);
-    files.accounts(
+    files.write_accounts(
         0,
         3,
         "(account bravo (standing closing) (reason \"unpaid\")) (account cato (standing warned))",
@@ -179,10 +179,10 @@
     for key in keys(&files) {
         let begin = Instant::now();
         while send_guarded(&nodes[0], &format!("id-{key}"), &key).message().status() == 503 {
-            assert!(begin.elapsed() < LONG, "{key}");
+            assert!(begin.elapsed() < TEST_TIMEOUT, "{key}");
         }
     }
-    assert_eq!(nodes[0].ask("free", "/zone-plan").message().status(), 200);
+    assert_eq!(nodes[0].send_job("free", "/zone-plan").message().status(), 200);
     // The first node is isolated now and starts jobs on credit.
     let [first, second] = &mut nodes;
     wait_for_page(second, "/ops/sites", "account bravo Closing");
@@ -190,13 +190,13 @@
     second.terminate();
     assert!(second.exit().success());
     first.logs("standing can't be confirmed");
-    let credited = first.ask("credited", "/zone-plan").message();
+    let credited = first.send_job("credited", "/zone-plan").message();
     assert_eq!(credited.status(), 200);
     std::thread::sleep(Duration::from_secs(3));
     first.terminate();
     assert!(first.exit().success());
     for k in 0..2 {
-        pack(&files.of(k).join("state/kept.redb"), &path(&format!("node-{k}.redb.gz")));
+        pack(&files.node_folder(k).join("state/kept.redb"), &path(&format!("node-{k}.redb.gz")));
     }
 }
 
@@ -206,13 +206,13 @@
     if is_recording() {
         record();
     }
-    let mut files = Files::new("golden-state");
-    files.times = "(confirm 1 s) (alone 1 s) (hold 1 s)";
+    let mut files = SiteFiles::new("golden-state");
+    files.timeouts = "(confirm 1 s) (alone 1 s) (hold 1 s)";
     let key_lease_server = KeyLeaseServer::new(&files);
     let mut found = String::new();
     for k in 0..2 {
-        unpack(&path(&format!("node-{k}.redb.gz")), &files.of(k).join("state/kept.redb"));
-        found += &format!("# n{k} kept\n{}", stored_facts(&files.of(k).join("state")));
+        unpack(&path(&format!("node-{k}.redb.gz")), &files.node_folder(k).join("state/kept.redb"));
+        found += &format!("# n{k} kept\n{}", stored_facts(&files.node_folder(k).join("state")));
     }
     // The newest accounts file comes from the stored state, not from the folder.
     let nodes = start(&files, &key_lease_server, 9);
--- a/tests/node/audit.rs
+++ b/tests/node/audit.rs
@@ -1,6 +1,6 @@
 //! The audit log of a node: configuration versions and decisions on its disk after a kill.
 
-use crate::sites::{refusal, Files, KEY};
+use crate::sites::{refusal, SiteFiles, KEY};
 use crate::support::*;
 use rstest::rstest;
 use serde_json::Value;
@@ -12,15 +12,15 @@
 use std::collections::BTreeMap;
 
 /// Returns the name of the journal on a node's disk that holds its audit log, and its numbered entries.
-fn stored_log(files: &Files, node: usize) -> (String, Vec<(u64, Vec<u8>)>) {
-    let store = Store::open(&files.of(node).join("state"), 1 << 20).unwrap();
+fn stored_log(files: &SiteFiles, node: usize) -> (String, Vec<(u64, Vec<u8>)>) {
+    let store = Store::open(&files.node_folder(node).join("state"), 1 << 20).unwrap();
     let position: Value = store.fact("audit/record").unwrap().expect("an audit log");
     let name = format!("audit {:016x}", position["life"].as_u64().unwrap());
     let all = store.journal(&name, 0, 1 << 24).unwrap();
     (name, all)
 }
 
-fn entries(files: &Files, node: usize) -> Vec<Entry> {
+fn entries(files: &SiteFiles, node: usize) -> Vec<Entry> {
     let (_, all) = stored_log(files, node);
     all.iter().map(|(n, bytes)| decode(*n, &bytes[32..]).unwrap().entry).collect()
 }
@@ -56,28 +56,28 @@
 /// the log.
 #[rstest]
 fn audit_log_survives_a_kill_with_changes_and_decisions() {
-    let (files, server) = (Files::new("audit"), Party::new());
-    files.sites(0, 1, AUDIT_CLAUSE);
+    let (files, server) = (SiteFiles::new("audit"), TestServer::new());
+    files.write_sites(0, 1, AUDIT_CLAUSE);
     let mut node = files.start(0, &server);
-    let mut client = node.ask("r1", "/zone-plan");
+    let mut client = node.send_job("r1", "/zone-plan");
     let mut backend = server.accept();
     backend.message();
     backend.serve("r1", "1");
     client.message();
-    files.sites(0, 2, AUDIT_CLAUSE);
-    node.hang_up();
+    files.write_sites(0, 2, AUDIT_CLAUSE);
+    node.reload();
     wait_for_audit_page(&node, |text| text.lines().any(|l| l.starts_with("sites 2/")));
-    let mut client = node.ask("r2", "/zone-plan");
+    let mut client = node.send_job("r2", "/zone-plan");
     backend.message();
     backend.serve("r2", "2");
     client.message();
-    files.accounts(0, 7, "(account acme (standing closed))");
-    node.hang_up();
+    files.write_accounts(0, 7, "(account acme (standing closed))");
+    node.reload();
     node.logs("account acme Closed number=7");
-    assert_eq!(refusal(&node.ask("r3", "/zone-plan").message()), (403, Some("account closed")));
+    assert_eq!(refusal(&node.send_job("r3", "/zone-plan").message()), (403, Some("account closed")));
     // Decision counts are written before the next change.
-    files.sites(0, 3, AUDIT_CLAUSE);
-    node.hang_up();
+    files.write_sites(0, 3, AUDIT_CLAUSE);
+    node.reload();
     wait_for_audit_page(&node, |text| text.contains("\nsites 3/") && is_on_disk(text, 1));
     node.signal(Signal::KILL);
     node.exit();
@@ -141,8 +141,8 @@
 /// A tampered entry with a valid checksum is reported at the next start, and the node starts a new log.
 #[rstest]
 fn tampered_entry_is_reported_at_the_next_start() {
-    let (files, server) = (Files::new("tampered"), Party::new());
-    files.sites(0, 1, AUDIT_CLAUSE);
+    let (files, server) = (SiteFiles::new("tampered"), TestServer::new());
+    files.write_sites(0, 1, AUDIT_CLAUSE);
     let mut node = files.start(0, &server);
     wait_for_audit_page(&node, |text| is_on_disk(text, 2));
     node.signal(Signal::KILL);
@@ -152,7 +152,7 @@
     let end = bytes.len() - 1;
     bytes[end] ^= 1;
     {
-        let store = Store::open(&files.of(0).join("state"), 1 << 20).unwrap();
+        let store = Store::open(&files.node_folder(0).join("state"), 1 << 20).unwrap();
         store.commit(&[Op::Append(name.clone(), number, bytes)]).unwrap();
     }
     let node = files.start(0, &server);
@@ -165,8 +165,8 @@
 /// a new log.
 #[rstest]
 fn peers_detect_that_a_log_was_rolled_back() {
-    let (files, servers) = (Files::new("audits"), [Party::new(), Party::new()]);
-    (0..2).for_each(|k| files.sites(k, 1, AUDIT_CLAUSE));
+    let (files, servers) = (SiteFiles::new("audits"), [TestServer::new(), TestServer::new()]);
+    (0..2).for_each(|k| files.write_sites(k, 1, AUDIT_CLAUSE));
     let mut nodes = [0, 1].map(|k| files.start(k, &servers[k]));
     let reports_version = |text: &str, node: &str, version: &str| {
         text.lines()
@@ -176,15 +176,15 @@
     wait_for_audit_page(&nodes[0], |text| reports_version(text, "n1", "1"));
     nodes[0].signal(Signal::KILL);
     nodes[0].exit();
-    let (state, copy) = (files.of(0).join("state"), files.of(0).join("copy"));
+    let (state, copy) = (files.node_folder(0).join("state"), files.node_folder(0).join("copy"));
     std::fs::create_dir(&copy).unwrap();
     for file in std::fs::read_dir(&state).unwrap() {
         let file = file.unwrap();
         std::fs::copy(file.path(), copy.join(file.file_name())).unwrap();
     }
     nodes[0] = files.start(0, &servers[0]);
-    (0..2).for_each(|k| files.sites(k, 2, AUDIT_CLAUSE));
-    nodes.iter().for_each(|n| n.hang_up());
+    (0..2).for_each(|k| files.write_sites(k, 2, AUDIT_CLAUSE));
+    nodes.iter().for_each(|n| n.reload());
     let page = wait_for_audit_page(&nodes[0], |text| reports_version(text, "n0", "2") && is_on_disk(text, 1));
     let last =
         page.lines().find(|l| l.starts_with("node n0 ")).unwrap().split(' ').find(|w| w.starts_with("last="));
@@ -203,11 +203,11 @@
 /// Without the audit clause a node has neither an audit log nor the page `/ops/audit`.
 #[rstest]
 fn without_the_audit_clause_nothing_is_logged() {
-    let (files, server) = (Files::new("unaudited"), Party::new());
+    let (files, server) = (SiteFiles::new("unaudited"), TestServer::new());
     let mut node = files.start(0, &server);
     assert_eq!(node.call("GET", "/ops/audit"), 404);
     node.signal(Signal::KILL);
     node.exit();
-    let store = Store::open(&files.of(0).join("state"), 1 << 20).unwrap();
+    let store = Store::open(&files.node_folder(0).join("state"), 1 << 20).unwrap();
     assert_eq!(store.fact::<Value>("audit/record").unwrap(), None);
 }
--- a/tests/node/connection_close.rs
+++ b/tests/node/connection_close.rs
@@ -2,7 +2,7 @@
 //! the node closes a connection.
 
 use crate::support::*;
-use crate::{pair, HEAD};
+use crate::{node_with_server, HEAD};
 use rstest::rstest;
 use rustix::net::sockopt::set_socket_recv_buffer_size;
 use rustix::net::{connect, connect_unspec, socket_with, AddressFamily, SocketFlags, SocketType};
@@ -49,7 +49,7 @@
 }
 
 /// Asserts that the node notices the client's disconnect, and does not retry its job once the attempt in flight is rejected.
-fn assert_disconnect_prevents_retry(node: &Node, mut backend: Peer) {
+fn assert_disconnect_prevents_retry(node: &Node, mut backend: Connection) {
     assert_client_close_logged(node);
     backend.send("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
     assert_unused_until_closed(node, backend);
@@ -61,20 +61,20 @@
 }
 
 /// Asserts that no further request arrives over a connection to the server, and closes it.
-fn assert_unused_until_closed(node: &Node, mut backend: Peer) {
-    assert!(backend.hears_nothing(Duration::from_millis(20)));
+fn assert_unused_until_closed(node: &Node, mut backend: Connection) {
+    assert!(backend.is_silent_for(Duration::from_millis(20)));
     drop(backend);
     node.logs("end backend");
 }
 
 /// Asserts that the next request that reaches the server is that of a new client: nothing of the earlier ones was forwarded.
-fn assert_only_next_job_arrives(node: &Node, server: &Party) {
-    let mut client = node.ask("next", "/zone-plan");
+fn assert_only_next_job_arrives(node: &Node, server: &TestServer) {
+    let mut client = node.send_job("next", "/zone-plan");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "next");
     backend.serve("next", "1");
     assert_eq!(client.message().body, "1");
-    assert!(server.is_left_alone());
+    assert!(server.has_no_connection());
 }
 
 /// A client disconnects while its first job is in flight and more input behind it has been read. Guards against retrying that job
@@ -98,7 +98,7 @@
     )]
     disconnect: Disconnect,
 ) {
-    let (node, server) = pair();
+    let (node, server) = node_with_server();
     let mut client = TcpStream::connect(node.address).unwrap();
     let first_request =
         if matches!(disconnect, Disconnect::CloseWithUnreadAnswer) { HEALTH_REQUEST } else { "" };
@@ -124,18 +124,18 @@
     #[values(Disconnect::Close, Disconnect::StopSending, Disconnect::Reset)] disconnect: Disconnect,
     #[values(false, true)] opened_before: bool,
 ) {
-    let (node, server) = pair();
+    let (node, server) = node_with_server();
     let open = || TcpStream::connect(node.address).unwrap();
-    let mut earlier = opened_before.then(|| Peer::new(open()));
+    let mut earlier = opened_before.then(|| Connection::new(open()));
     if let Some(client) = &mut earlier {
         client.send(HEALTH_REQUEST);
         assert_eq!(client.message().status(), 200);
     }
-    node.stand_still(true);
-    let mut client = earlier.map_or_else(open, Peer::into_stream);
+    node.set_paused(true);
+    let mut client = earlier.map_or_else(open, Connection::into_stream);
     client.write_all(format!("{}{pipelined}", long_timeout_job("first", "")).as_bytes()).unwrap();
     let _half_open = disconnect.apply(client);
-    node.stand_still(false);
+    node.set_paused(false);
     assert_client_close_logged(&node);
     assert_only_next_job_arrives(&node, &server);
 }
@@ -146,7 +146,7 @@
     #[values(Disconnect::Close, Disconnect::StopSending, Disconnect::Reset)] disconnect: Disconnect,
     #[values(false, true)] at_once: bool,
 ) {
-    let (node, server) = pair();
+    let (node, server) = node_with_server();
     let bodies = [60_000, 60_000, 30_000].map(|length| "x".repeat(length));
     let pipelined: String =
         bodies.iter().enumerate().map(|(k, b)| long_timeout_job(&format!("early-{k}"), b)).collect();
@@ -154,14 +154,14 @@
     client.write_all(long_timeout_job("first", "").as_bytes()).unwrap();
     let mut backend = server.accept();
     assert_eq!(backend.id(), "first");
-    node.stand_still(at_once);
+    node.set_paused(at_once);
     client.write_all(pipelined.as_bytes()).unwrap();
     if !at_once {
         // Gives the node time to read as much as it does ahead.
-        assert!(backend.hears_nothing(Duration::from_millis(100)));
+        assert!(backend.is_silent_for(Duration::from_millis(100)));
     }
     let _half_open = disconnect.apply(client);
-    node.stand_still(false);
+    node.set_paused(false);
     assert_disconnect_prevents_retry(&node, backend);
     assert_only_next_job_arrives(&node, &server);
 }
@@ -172,13 +172,13 @@
 #[case::few_with_large_bodies(8, 60_000)]
 #[case::some_with_medium_bodies(40, 5_000)]
 fn pipelined_requests_are_answered_in_order(#[case] count: usize, #[case] length: usize) {
-    let (node, server) = pair();
+    let (node, server) = node_with_server();
     let body = |k: usize| format!("{k:05}").chars().cycle().take(length).collect::<String>();
     let text: String = (0..count).map(|k| long_timeout_job(&format!("early-{k}"), &body(k))).collect();
     let stream = TcpStream::connect(node.address).unwrap();
     let mut writes = stream.try_clone().unwrap();
     std::thread::spawn(move || text.as_bytes().chunks(7_001).try_for_each(|chunk| writes.write_all(chunk)));
-    let mut client = Peer::new(stream);
+    let mut client = Connection::new(stream);
     let mut backend = server.accept();
     for k in 0..count {
         let request = backend.message();
@@ -186,12 +186,12 @@
         assert!(request.body == body(k), "the body of {k} has changed");
         if k % 7 == 0 {
             // Gives the node time to read further requests.
-            assert!(client.hears_nothing(Duration::from_millis(20)));
+            assert!(client.is_silent_for(Duration::from_millis(20)));
         }
         backend.serve(&format!("early-{k}"), &k.to_string());
         assert_eq!(client.message().body, k.to_string());
     }
-    assert!(server.is_left_alone());
+    assert!(server.has_no_connection());
 }
 
 /// Input that cannot be parsed closes its connection, after the answers to the requests before it.
@@ -200,7 +200,7 @@
 #[case::unknown("GET /other HTTP/1.1\r\nHost: h\r\n\r\n", 404)]
 #[case::too_long("POST /zone-plan HTTP/1.1\r\nHost: h\r\nContent-Length: 65537\r\n\r\n", 413)]
 fn bad_input_after_a_job_is_answered_after_its_result(#[case] pipelined: &str, #[case] status: u16) {
-    let (node, server) = pair();
+    let (node, server) = node_with_server();
     let mut client = node.client();
     client.send(&format!("{}{pipelined}{}", long_timeout_job("good", ""), long_timeout_job("never", "")));
     let mut backend = server.accept();
@@ -209,7 +209,7 @@
     assert_eq!(client.message().body, "1");
     let answer = client.message();
     assert_eq!((answer.status(), answer.field("Connection")), (status, Some("close")));
-    assert!(client.ended());
+    assert!(client.is_closed());
     assert_unused_until_closed(&node, backend);
     assert_only_next_job_arrives(&node, &server);
 }
@@ -224,7 +224,7 @@
     #[case] field: &str,
     #[values(false, true)] pipelined: bool,
 ) {
-    let (node, server) = pair();
+    let (node, server) = node_with_server();
     let mut client = node.client();
     let last = long_timeout_job("last", "").replace("HTTP/1.1\r\n", &format!("{version}\r\n{field}"));
     client.send(&(last + if pipelined { long_timeout_job("behind", "") } else { String::new() }.as_str()));
@@ -233,7 +233,7 @@
     backend.serve("last", "1");
     let answer = client.message();
     assert_eq!((answer.body.as_str(), answer.field("Connection")), ("1", Some("close")));
-    assert!(client.ended());
+    assert!(client.is_closed());
     client.send(&long_timeout_job("after", ""));
     drop(client);
     node.logs("reason=last-message messages=1");
@@ -242,12 +242,12 @@
 }
 
 /// Connects a client with a small receive buffer, so that most of an unread answer stays at the node.
-fn client_with_small_receive_buffer(address: SocketAddr) -> Peer {
+fn client_with_small_receive_buffer(address: SocketAddr) -> Connection {
     let flags = SocketFlags::CLOEXEC;
     let socket = socket_with(AddressFamily::INET, SocketType::STREAM, flags, None).unwrap();
     set_socket_recv_buffer_size(&socket, 4_096).unwrap();
     connect(&socket, &address).unwrap();
-    Peer::new(TcpStream::from(socket))
+    Connection::new(TcpStream::from(socket))
 }
 
 /// Bytes arrive on a connection that the node has just closed, while its last answer is not delivered yet. Guards against a reset
@@ -263,7 +263,7 @@
     )]
     close_reason: CloseReason,
 ) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
     let node = Node::start(&config);
@@ -282,7 +282,7 @@
     let result = "0123456789".repeat(6_000);
     backend.serve("a", &result);
     // The client has received part of the answer, and its buffer is full.
-    assert!(!client.hears_nothing(LONG));
+    assert!(!client.is_silent_for(TEST_TIMEOUT));
     let mut idle_client = node.client();
     if close_reason == CloseReason::TooSlow {
         idle_client.send(pipelined);
@@ -295,7 +295,7 @@
     // The close of another idle connection shows that the node has closed this one, too.
     match close_reason {
         CloseReason::TooSlow => assert_eq!(idle_client.message().status(), 408),
-        CloseReason::Drained | CloseReason::Shutdown => assert!(idle_client.ended()),
+        CloseReason::Drained | CloseReason::Shutdown => assert!(idle_client.is_closed()),
         _ => {}
     }
     for _ in 0..20 {
@@ -308,8 +308,8 @@
         CloseReason::TooSlow => assert_eq!(client.message().status(), 408),
         _ => {}
     }
-    assert!(client.ended());
-    assert!(backend.hears_nothing(Duration::from_millis(20)) && server.is_left_alone());
+    assert!(client.is_closed());
+    assert!(backend.is_silent_for(Duration::from_millis(20)) && server.has_no_connection());
 }
 
 /// A full node evicts a connection whose last answer is mostly undelivered, idle or with half a request on it. Guards against a
@@ -318,7 +318,7 @@
 #[case::idle("")]
 #[case::half_a_request("POST /zone-plan HTT")]
 fn evicted_connection_delivers_its_complete_answer(#[case] pipelined: &str) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["limits"]["sockets"] = json!(70);
     config["settings"]["projects"][0]["quota_rps"] = json!(1000.0);
@@ -329,17 +329,17 @@
     assert_eq!(backend.id(), "a");
     let result = "0123456789".repeat(6_000);
     backend.serve("a", &result);
-    assert!(!client.hears_nothing(LONG));
+    assert!(!client.is_silent_for(TEST_TIMEOUT));
     // All other connections have pending jobs, so this one is evicted.
-    let _held: Vec<Peer> = (0..20).map(|k| node.ask(&format!("held-{k}"), "/zone-plan")).collect();
+    let _held: Vec<Connection> = (0..20).map(|k| node.send_job(&format!("held-{k}"), "/zone-plan")).collect();
     node.logs("reason=evicted messages=1");
     assert!(client.message().body == result, "the answer is not complete");
-    assert!(client.ended());
+    assert!(client.is_closed());
 }
 
 /// Starts a node with an operators' address and one backend server.
-fn node_with_admin_address() -> (Node, Party) {
-    let server = Party::new();
+fn node_with_admin_address() -> (Node, TestServer) {
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
     (Node::start(&config), server)
@@ -354,12 +354,12 @@
     client.send(HEALTH_REQUEST);
     assert_eq!(client.message().status(), 200);
     assert_eq!(node.call("POST", "/ops/drain/start"), 200);
-    node.stand_still(true);
+    node.set_paused(true);
     let text = long_timeout_job("a", "");
     client.send(if complete { &text } else { &text[..40] });
     // The drain's time for closing idle connections passes.
-    assert!(client.hears_nothing(Duration::from_millis(900)));
-    node.stand_still(false);
+    assert!(client.is_silent_for(Duration::from_millis(900)));
+    node.set_paused(false);
     let resumed_at = Instant::now();
     if complete {
         let mut backend = server.accept();
@@ -370,7 +370,7 @@
         assert_eq!(client.message().status(), 408);
         assert!(resumed_at.elapsed() < Duration::from_secs(3), "{:?}", resumed_at.elapsed());
     }
-    assert!(client.ended());
+    assert!(client.is_closed());
 }
 
 /// A request arrives just before the answer that is to be the last on its connection is written. Guards against dropping it.
@@ -380,7 +380,7 @@
     let mut idle_client = node.client();
     idle_client.send(HEALTH_REQUEST);
     assert_eq!(idle_client.message().status(), 200);
-    let mut client = node.ask("first", "/zone-plan");
+    let mut client = node.send_job("first", "/zone-plan");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "first");
     backend.begin();
@@ -391,17 +391,17 @@
         assert_eq!(node.call("POST", "/ops/drain/start"), 200);
     }
     // The close of an idle connection shows that the node closes connections from now on.
-    assert!(idle_client.ended());
-    node.stand_still(true);
+    assert!(idle_client.is_closed());
+    node.set_paused(true);
     backend.finish("first", "1");
     client.send(&job("second", "/zone-plan", "5000m", ""));
-    node.stand_still(false);
+    node.set_paused(false);
     assert_eq!(client.message().body, "1");
     assert_eq!(backend.id(), "second");
     backend.serve("second", "2");
     let answer = client.message();
     assert_eq!((answer.body.as_str(), answer.field("Connection")), ("2", Some("close")));
-    assert!(client.ended());
+    assert!(client.is_closed());
 }
 
 /// A node without free descriptors is paused beyond the time after which a slow request's connection may be evicted, and more of
@@ -410,17 +410,17 @@
 #[case::complete(usize::MAX)]
 #[case::one_byte(1)]
 fn connection_with_new_bytes_is_not_evicted(#[case] resumed_bytes: usize) {
-    let server = Party::new();
+    let server = TestServer::new();
     let node = Node::start(&config(&[server.address]));
     // Set after the start: the node would otherwise limit its connections accordingly and never run out of descriptors.
-    node.may_have_descriptors(32);
+    node.limit_descriptors(32);
     let mut first = node.client();
     first.send(&long_timeout_job("first", ""));
     let mut backend = server.accept();
     assert_eq!(backend.id(), "first");
     let text = long_timeout_job("slow", "");
     let (mut slow_client, mut sent) = (node.client(), 0_usize);
-    let mut send_piece = |slow_client: &mut Peer, length: usize| {
+    let mut send_piece = |slow_client: &mut Connection, length: usize| {
         let end = sent.saturating_add(length).min(text.len());
         slow_client.send(&text[sent..end]);
         sent = end;
@@ -428,18 +428,18 @@
     send_piece(&mut slow_client, 1);
     // Connections with pending jobs can't be evicted, and there are more of them than descriptors. The jobs stay pending, as the
     // server has one that has not started.
-    let _held: Vec<Peer> = (0..32).map(|k| node.ask(&format!("held-{k}"), "/zone-plan")).collect();
+    let _held: Vec<Connection> = (0..32).map(|k| node.send_job(&format!("held-{k}"), "/zone-plan")).collect();
     for _ in 0..4 {
         node.logs("could not accept a connection: ");
         send_piece(&mut slow_client, 1);
-        assert!(slow_client.hears_nothing(Duration::from_millis(10)));
+        assert!(slow_client.is_silent_for(Duration::from_millis(10)));
     }
-    node.stand_still(true);
+    node.set_paused(true);
     send_piece(&mut slow_client, resumed_bytes);
-    assert!(slow_client.hears_nothing(Duration::from_millis(600)));
-    node.stand_still(false);
+    assert!(slow_client.is_silent_for(Duration::from_millis(600)));
+    node.set_paused(false);
     // An eviction would happen within this time.
-    assert!(slow_client.hears_nothing(Duration::from_millis(100)), "the connection was evicted");
+    assert!(slow_client.is_silent_for(Duration::from_millis(100)), "the connection was evicted");
     send_piece(&mut slow_client, usize::MAX);
     backend.serve("first", "1");
     assert_eq!(first.message().body, "1");
@@ -456,37 +456,37 @@
     let mut config = config(&[]);
     config["limits"]["sockets"] = json!(70);
     let node = Node::start(&config);
-    let answered = |client: &mut Peer| {
+    let answered = |client: &mut Connection| {
         let sent = client.try_send(HEALTH_REQUEST);
-        sent && client.goes_on() && client.message().status() == 200
+        sent && client.receives_data() && client.message().status() == 200
     };
-    let mut clients: Vec<Peer> = (0..40).map(|_| node.client()).collect();
+    let mut clients: Vec<Connection> = (0..40).map(|_| node.client()).collect();
     clients.retain_mut(answered);
     // The last connection to be evicted may have to be idle for a moment first.
-    assert!(clients.last_mut().unwrap().hears_nothing(Duration::from_millis(100)));
+    assert!(clients.last_mut().unwrap().is_silent_for(Duration::from_millis(100)));
     clients.retain_mut(answered);
     let count_before = clients.len();
-    node.stand_still(true);
-    let mut newcomers: Vec<Peer> = (0..5).map(|_| node.client()).collect();
+    node.set_paused(true);
+    let mut newcomers: Vec<Connection> = (0..5).map(|_| node.client()).collect();
     newcomers.iter_mut().for_each(|client| client.send(HEALTH_REQUEST));
-    node.stand_still(false);
+    node.set_paused(false);
     for client in &mut newcomers {
         assert_eq!(client.message().status(), 200);
     }
-    assert!(newcomers.last_mut().unwrap().hears_nothing(Duration::from_millis(100)));
+    assert!(newcomers.last_mut().unwrap().is_silent_for(Duration::from_millis(100)));
     clients.retain_mut(answered);
     newcomers.retain_mut(answered);
     assert_eq!(clients.len() + newcomers.len(), count_before);
 }
 
 /// Serves every request on `first` and on new connections, with its id as the result.
-fn serve_with_id_as_result(first: Peer, server: Party) {
-    let serve = |mut peer: Peer| {
-        while peer.goes_on() {
+fn serve_with_id_as_result(first: Connection, server: TestServer) {
+    let serve = |mut peer: Connection| {
+        while peer.receives_data() {
             let id = peer.id();
             peer.serve(&id, &id);
         }
     };
     std::thread::spawn(move || serve(first));
-    server.attended(serve);
+    server.handle_connections(serve);
 }
--- a/tests/node/dispatch_writes.rs
+++ b/tests/node/dispatch_writes.rs
@@ -3,7 +3,9 @@
 
 use crate::sites::accept_job;
 use crate::support::*;
-use crate::{following, listing, load, pair, probing, watch};
+use crate::{
+    accept_watch, config_with_discovery, enable_probing, load_report, node_with_server, server_list,
+};
 use rstest::rstest;
 use serde_json::{json, Value};
 use std::io::Write;
@@ -42,54 +44,54 @@
 
     /// Accepts a connection that has been established, skipping those that fill the backlog. Connects complete again from the
     /// first call on: a pending one does when the system retransmits its SYN, one second after the first.
-    pub fn try_accept(&self) -> Option<Peer> {
+    pub fn try_accept(&self) -> Option<Connection> {
         loop {
             let (stream, from) = self.listener.accept().ok()?;
             if !self.backlog_fillers.iter().any(|f| f.local_addr().is_ok_and(|own| own == from)) {
                 stream.set_nonblocking(false).unwrap();
-                return Some(Peer::new(stream));
+                return Some(Connection::new(stream));
             }
         }
     }
 
     /// Waits until the system's table has a connect to this server in the SYN_SENT state.
     pub fn wait_for_pending_connect(&self) {
-        system_has(&format!(":{:04X} 02 ", self.address.port()));
+        wait_for_tcp_entry(&format!(":{:04X} 02 ", self.address.port()));
     }
 
-    pub fn accept(&self) -> Peer {
+    pub fn accept(&self) -> Connection {
         let begin = Instant::now();
         loop {
             if let Some(peer) = self.try_accept() {
                 return peer;
             }
-            assert!(begin.elapsed() < LONG, "no connection arrived");
+            assert!(begin.elapsed() < TEST_TIMEOUT, "no connection arrived");
             std::thread::sleep(Duration::from_millis(1));
         }
     }
 
     /// Returns the connection on which the next request arrives: a new one, or `idle`.
-    pub fn accept_or_reuse(&self, mut idle: Option<Peer>) -> Peer {
+    pub fn accept_or_reuse(&self, mut idle: Option<Connection>) -> Connection {
         let begin = Instant::now();
         loop {
             if let Some(peer) = self.try_accept() {
                 return peer;
             }
-            if let Some(mut peer) = idle.take_if(|p| !p.hears_nothing(Duration::from_millis(1))) {
-                if peer.goes_on() {
+            if let Some(mut peer) = idle.take_if(|p| !p.is_silent_for(Duration::from_millis(1))) {
+                if peer.receives_data() {
                     return peer;
                 }
             }
-            assert!(begin.elapsed() < LONG, "no connection arrived");
+            assert!(begin.elapsed() < TEST_TIMEOUT, "no connection arrived");
         }
     }
 }
 
 /// Closes a client's connection and waits until the system has delivered its FIN to the node.
-fn disconnect_and_wait(node: &Node, client: Peer) {
+fn disconnect_and_wait(node: &Node, client: Connection) {
     let from = client.address();
     drop(client);
-    system_has(&format!(":{:04X} 0100007F:{:04X} 05 ", from.port(), node.address.port()));
+    wait_for_tcp_entry(&format!(":{:04X} 0100007F:{:04X} 05 ", from.port(), node.address.port()));
 }
 
 /// Returns a configuration of one server with long connect timeouts and deadlines, and with cancellation of attempts on or off.
@@ -109,7 +111,7 @@
 }
 
 /// Sends a job with a timeout of 30 s on a new connection.
-fn send_job(node: &Node, id: &str, target: &str) -> Peer {
+fn send_job(node: &Node, id: &str, target: &str) -> Connection {
     let mut client = node.client();
     client.send(&job(id, target, "30000m", ""));
     client
@@ -180,11 +182,11 @@
     let node = Node::start(&with_short_idle_timeout(long_timeout_config(server.address, false)));
     let client = send_job(&node, "a", target);
     server.wait_for_pending_connect();
-    node.stand_still(true);
+    node.set_paused(true);
     let mut backend = server.accept();
     disconnect_and_wait(&node, client);
-    node.stand_still(false);
-    assert!(backend.ended_early(), "a job was written after its client had disconnected");
+    node.set_paused(false);
+    assert!(backend.ends_without_data(), "a job was written after its client had disconnected");
     assert!(node.logs("dispatch 1.0 ended").contains("NotSent"));
 }
 
@@ -194,7 +196,7 @@
 fn queued_job_is_not_written_on_an_idle_connection_if_its_client_leaves(
     #[values(false, true)] same_turn: bool,
 ) {
-    let server = Party::new();
+    let server = TestServer::new();
     let node = Node::start(&long_timeout_config(server.address, false));
     let mut first = send_job(&node, "first", "/zone-plan");
     let mut backend = server.accept();
@@ -204,7 +206,7 @@
     let mut health = node.client();
     health.send("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n");
     assert_eq!(health.message().status(), 200);
-    node.stand_still(same_turn);
+    node.set_paused(same_turn);
     if same_turn {
         backend.serve("first", "1");
         disconnect_and_wait(&node, disconnected);
@@ -213,27 +215,27 @@
         node.logs("reason=peer-broke");
         backend.serve("first", "1");
     }
-    node.stand_still(false);
+    node.set_paused(false);
     assert_eq!(first.message().body, "1");
     // The next request on the connection is the last job's: the queued one was not written.
     let mut last = send_job(&node, "last", "/zone-plan");
     assert_eq!(backend.id(), "last", "a job was written after its client had disconnected");
     backend.serve("last", "2");
     assert_eq!(last.message().body, "2");
-    assert!(server.is_left_alone());
+    assert!(server.has_no_connection());
 }
 
 /// Asserts that the server receives nothing of a disconnected client, on `backend` or on a new connection, before the next job.
-fn assert_only_next_job_arrives(node: &Node, server: &Party, backend: Peer) {
+fn assert_only_next_job_arrives(node: &Node, server: &TestServer, backend: Connection) {
     let mut next = send_job(node, "next", "/zone-plan");
     let mut backend = accept_job(server, Some(backend));
-    if !backend.goes_on() {
+    if !backend.receives_data() {
         // The earlier probe timed out, which closed its connection.
         backend = server.accept();
     }
     let mut request = backend.message();
     if request.first == "GET /_load HTTP/1.1" {
-        backend.send(&load(1, 0));
+        backend.send(&load_report(1, 0));
         request = backend.message();
     }
     assert_eq!(
@@ -243,7 +245,7 @@
     );
     backend.serve("next", "1");
     assert_eq!(next.message().body, "1");
-    assert!(server.is_left_alone());
+    assert!(server.has_no_connection());
 }
 
 /// Guards against retrying a job, rejected by the server, whose client has disconnected.
@@ -252,12 +254,12 @@
     #[values("/zone-plan", "/actuator-cmd")] target: &str,
     #[values(false, true)] same_turn: bool,
 ) {
-    let server = Party::new();
+    let server = TestServer::new();
     let node = Node::start(&long_timeout_config(server.address, false));
     let client = send_job(&node, "a", target);
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
-    node.stand_still(same_turn);
+    node.set_paused(same_turn);
     backend.send("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
     if same_turn {
         disconnect_and_wait(&node, client);
@@ -265,7 +267,7 @@
         node.logs("dispatch 1.0 ended Overloaded");
         drop(client);
     }
-    node.stand_still(false);
+    node.set_paused(false);
     node.logs("reason=peer-broke");
     assert_only_next_job_arrives(&node, &server, backend);
 }
@@ -276,37 +278,37 @@
     #[values("/zone-plan", "/actuator-cmd")] target: &str,
     #[values(false, true)] same_turn: bool,
 ) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = long_timeout_config(server.address, false);
-    probing(&mut config);
+    enable_probing(&mut config);
     let node = Node::start(&config);
     let client = send_job(&node, "a", target);
     let mut backend = server.accept();
     assert_eq!(backend.message().first, "GET /_load HTTP/1.1");
-    node.stand_still(same_turn);
+    node.set_paused(same_turn);
     if same_turn {
-        backend.send(&load(1, 0));
+        backend.send(&load_report(1, 0));
         disconnect_and_wait(&node, client);
     } else {
         drop(client);
         node.logs("reason=peer-broke");
-        backend.send(&load(1, 0));
+        backend.send(&load_report(1, 0));
     }
-    node.stand_still(false);
+    node.set_paused(false);
     node.logs("probe of 0 ended");
     assert_only_next_job_arrives(&node, &server, backend);
 }
 
 /// Opens discovery's watch and sends heartbeats on it, so that it does not time out however slow the test runs.
-fn watch_with_heartbeats(discovery: &Party) -> Peer {
-    let stream = watch(discovery).0.into_stream();
+fn watch_with_heartbeats(discovery: &TestServer) -> Connection {
+    let stream = accept_watch(discovery).0.into_stream();
     let mut heartbeats = stream.try_clone().unwrap();
     std::thread::spawn(move || {
         while heartbeats.write_all(b"1\r\n\n\r\n").is_ok() {
             std::thread::sleep(Duration::from_millis(500));
         }
     });
-    Peer::new(stream)
+    Connection::new(stream)
 }
 
 /// A server moves while a connection to its old address is being established. Guards against writing the job there, where another
@@ -316,7 +318,7 @@
     #[values("/zone-plan", "/actuator-cmd")] target: &str,
     #[values(false, true)] paused: bool,
 ) {
-    let (mut server, new, discovery) = (StallableServer::new(), Party::new(), Party::new());
+    let (mut server, new, discovery) = (StallableServer::new(), TestServer::new(), TestServer::new());
     server.stall_connects();
     let mut config = long_timeout_config(server.address, false);
     config["discovery"] = json!(discovery.address.to_string());
@@ -327,34 +329,37 @@
     server.wait_for_pending_connect();
     let mut old = None;
     if paused {
-        node.stand_still(true);
+        node.set_paused(true);
         old = Some(server.accept());
     }
-    watch.line(&listing(42, false, &[entry("s-0", new.address, "active")]));
-    node.stand_still(false);
+    watch.line(&server_list(42, false, &[entry("s-0", new.address, "active")]));
+    node.set_paused(false);
     assert!(node.logs("dispatch 1.0 ended").contains("NotSent"));
     let mut backend = new.accept();
     assert_eq!(backend.id(), "a");
     backend.serve("a", "1");
     assert_eq!(client.message().body, "1");
-    assert!(old.is_none_or(|mut old| old.ended_early()), "a job was written to the server's old address");
+    assert!(
+        old.is_none_or(|mut old| old.ends_without_data()),
+        "a job was written to the server's old address"
+    );
 }
 
 /// A job arrives in the event-loop turn in which its server moves. Guards against writing it on the idle connection to the
 /// server's old address.
 #[rstest]
 fn job_is_not_written_on_an_idle_connection_to_a_moved_server(#[values(false, true)] job_first: bool) {
-    let (server, new, discovery) = (Party::new(), Party::new(), Party::new());
-    let node = Node::start(&following(&[server.address], &discovery));
+    let (server, new, discovery) = (TestServer::new(), TestServer::new(), TestServer::new());
+    let node = Node::start(&config_with_discovery(&[server.address], &discovery));
     let mut watch = watch_with_heartbeats(&discovery);
     let mut client = send_job(&node, "first", "/zone-plan");
     let mut old = server.accept();
     assert_eq!(old.id(), "first");
     old.serve("first", "1");
     assert_eq!(client.message().body, "1");
-    node.stand_still(true);
+    node.set_paused(true);
     let text = job("a", "/actuator-cmd", "5000m", "");
-    let moved = listing(42, false, &[entry("s-0", new.address, "active")]);
+    let moved = server_list(42, false, &[entry("s-0", new.address, "active")]);
     if job_first {
         client.send(&text);
         watch.line(&moved);
@@ -362,12 +367,12 @@
         watch.line(&moved);
         client.send(&text);
     }
-    node.stand_still(false);
+    node.set_paused(false);
     let mut backend = new.accept();
     assert_eq!(backend.id(), "a");
     backend.serve("a", "2");
     assert_eq!(client.message().body, "2");
-    assert!(old.ended_early() && server.is_left_alone());
+    assert!(old.ends_without_data() && server.has_no_connection());
 }
 
 /// A keyed job may have run, and the connection for its second attempt is established one second later. Guards against writing that
@@ -398,18 +403,18 @@
     drop(backend);
     if paused {
         server.wait_for_pending_connect();
-        node.stand_still(true);
+        node.set_paused(true);
     } else {
         node.logs("dispatch 2.1 to");
     }
     let mut attempts = 0;
-    while client.hears_nothing(Duration::from_millis(5)) {
+    while client.is_silent_for(Duration::from_millis(5)) {
         let Some(mut peer) = server.try_accept() else { continue };
         while paused && begun.elapsed() < Duration::from_millis(window as u64 + 200) {
             std::thread::sleep(Duration::from_millis(10));
         }
-        node.stand_still(false);
-        if peer.goes_on() {
+        node.set_paused(false);
+        if peer.receives_data() {
             attempts += 1;
             let request = peer.message();
             // The forwarded timeout was computed after the connection was established.
@@ -436,7 +441,7 @@
 #[case::trailers("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", "X: {X}\r\n")]
 #[case::slow_trailers("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", "X: y\r\n")]
 fn unfinished_response_fails_the_job_by_its_timeout(#[case] begin: &str, #[case] repeated_part: &str) {
-    let (node, server) = pair();
+    let (node, server) = node_with_server();
     let sent = Instant::now();
     let mut client = node.client();
     client.send(&job("a", "/actuator-cmd", "700m", ""));
@@ -444,12 +449,12 @@
     assert_eq!(backend.id(), "a");
     backend.send(begin);
     let filler = "x".repeat(4_000);
-    backend.trickle_until_over(
+    backend.trickle_until_closed(
         &repeated_part.replace("{L}", &format!("{:x}", filler.len())).replace("{X}", &filler),
     );
     assert_eq!(client.message().status(), 502);
     assert!(sent.elapsed() < Duration::from_millis(900), "{:?}", sent.elapsed());
-    assert!(client.hears_nothing(Duration::from_millis(20)), "one answer");
+    assert!(client.is_silent_for(Duration::from_millis(20)), "one answer");
     client.send(&job("b", "/zone-plan", "5000m", ""));
     let mut other = server.accept();
     assert_eq!(other.id(), "b");
@@ -464,8 +469,8 @@
 #[case::trailers("0\r\n")]
 #[case::nothing("")]
 fn unfinished_response_after_a_result_closes_the_connection(#[case] repeated_part: &str) {
-    let (node, server) = pair();
-    let mut client = node.ask("a", "/actuator-cmd");
+    let (node, server) = node_with_server();
+    let mut client = node.send_job("a", "/actuator-cmd");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
     backend.begin();
@@ -477,20 +482,20 @@
     other.serve("b", "2");
     assert_eq!(client.message().body, "2");
     backend.send(repeated_part);
-    backend.trickle_until_over("X: y\r\n");
+    backend.trickle_until_closed("X: y\r\n");
 }
 
 /// A job and the close of the idle connection that would carry it arrive while the node is paused, in either order. Guards against
 /// a lost or doubled job.
 #[rstest]
 fn job_for_a_just_closed_connection_is_written_once(#[values(false, true)] job_first: bool) {
-    let (node, server) = pair();
-    let mut client = node.ask("a", "/zone-plan");
+    let (node, server) = node_with_server();
+    let mut client = node.send_job("a", "/zone-plan");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
     backend.serve("a", "1");
     assert_eq!(client.message().body, "1");
-    node.stand_still(true);
+    node.set_paused(true);
     let text = job("b", "/zone-plan", "5000m", "");
     if job_first {
         client.send(&text);
@@ -499,12 +504,12 @@
         drop(backend);
         client.send(&text);
     }
-    node.stand_still(false);
+    node.set_paused(false);
     let mut other = server.accept();
     assert_eq!(other.id(), "b");
     other.serve("b", "2");
     assert_eq!(client.message().body, "2");
-    assert!(client.hears_nothing(Duration::from_millis(20)) && server.is_left_alone());
+    assert!(client.is_silent_for(Duration::from_millis(20)) && server.has_no_connection());
 }
 
 /// The response and the request's timeout, or the client's disconnect, arrive while the node is paused. Guards against a second
@@ -514,55 +519,55 @@
     #[values("/zone-plan", "/actuator-cmd")] target: &str,
     #[values(false, true)] client_leaves: bool,
 ) {
-    let (node, server) = pair();
+    let (node, server) = node_with_server();
     let mut client = node.client();
     client.send(&job("a", target, "400m", ""));
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
-    node.stand_still(true);
+    node.set_paused(true);
     if client_leaves {
         backend.serve("a", "1");
         drop(client);
     } else {
         backend.serve("a", "1");
-        assert!(client.hears_nothing(Duration::from_millis(500)));
-        node.stand_still(false);
+        assert!(client.is_silent_for(Duration::from_millis(500)));
+        node.set_paused(false);
         let answer = client.message();
         let failed = if target == "/zone-plan" { 503 } else { 502 };
         assert!(answer.status() == failed || (answer.status(), answer.body.as_str()) == (200, "1"));
-        assert!(client.hears_nothing(Duration::from_millis(50)), "one answer");
+        assert!(client.is_silent_for(Duration::from_millis(50)), "one answer");
     }
-    node.stand_still(false);
-    let mut next = node.ask("b", "/zone-plan");
+    node.set_paused(false);
+    let mut next = node.send_job("b", "/zone-plan");
     let mut backend = accept_job(&server, Some(backend));
     assert_eq!(backend.id(), "b");
     backend.serve("b", "2");
     assert_eq!(next.message().body, "2");
-    assert!(server.is_left_alone());
+    assert!(server.has_no_connection());
 }
 
 /// An attempt that has not started is cancelled after a quarter of the deadline; here its response arrives while the node is paused
 /// over that time. The response is used, or dropped and the job, which is safe to repeat, attempted once more.
 #[rstest]
 fn response_at_the_cancellation_is_sent_once() {
-    let (node, server) = pair();
-    let mut client = node.ask("a", "/zone-plan");
+    let (node, server) = node_with_server();
+    let mut client = node.send_job("a", "/zone-plan");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
-    node.stand_still(true);
-    assert!(client.hears_nothing(Duration::from_millis(1_400)));
+    node.set_paused(true);
+    assert!(client.is_silent_for(Duration::from_millis(1_400)));
     backend.serve("a", "1");
-    node.stand_still(false);
+    node.set_paused(false);
     let mut attempts = 1;
-    while client.hears_nothing(Duration::from_millis(5)) {
-        if let Some(mut other) = server.came() {
+    while client.is_silent_for(Duration::from_millis(5)) {
+        if let Some(mut other) = server.try_accept() {
             attempts += 1;
             assert_eq!(other.id(), "a");
             other.serve("a", "1");
         }
     }
     assert_eq!(client.message().body, "1");
-    assert!(attempts <= 2 && client.hears_nothing(Duration::from_millis(50)), "one answer");
+    assert!(attempts <= 2 && client.is_silent_for(Duration::from_millis(50)), "one answer");
 }
 
 /// Returns the seconds within the minute of a log line's timestamp.
@@ -576,7 +581,7 @@
 fn second_response_does_not_prove_that_a_keyed_job_never_ran() {
     let window = Duration::from_millis(300);
     for round in 0..50 {
-        let server = Party::new();
+        let server = TestServer::new();
         let mut config = long_timeout_config(server.address, false);
         config["settings"]["classes"][1]["semantics"] = json!("guarded");
         config["settings"]["classes"][1]["dedup_window_ms"] = json!(window.as_millis() as f64);
@@ -602,15 +607,15 @@
             continue;
         }
         let mut open_connection = Some(backend);
-        while client.hears_nothing(Duration::from_millis(5)) {
+        while client.is_silent_for(Duration::from_millis(5)) {
             let Some(peer) = &mut open_connection else {
-                open_connection = server.came();
+                open_connection = server.try_accept();
                 continue;
             };
-            if peer.hears_nothing(Duration::from_millis(1)) {
+            if peer.is_silent_for(Duration::from_millis(1)) {
                 continue;
             }
-            if !peer.goes_on() {
+            if !peer.receives_data() {
                 open_connection = None;
                 continue;
             }
@@ -631,7 +636,7 @@
     #[values("free", "guarded", "single_shot")] semantics: &str,
     #[values("returned", "lost", "503", "200")] outcome: &str,
 ) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["settings"]["classes"][1]["semantics"] = json!(semantics);
     let node = Node::start(&config);
@@ -662,7 +667,7 @@
         assert_eq!(client.message().body, "1");
     } else {
         assert_eq!(client.message().status(), 502);
-        assert!(backend.hears_nothing(Duration::from_millis(20)) && server.is_left_alone());
+        assert!(backend.is_silent_for(Duration::from_millis(20)) && server.has_no_connection());
     }
 }
 
@@ -672,20 +677,20 @@
 #[case::no_longer(true, false)]
 #[case::from_now_on(false, true)]
 fn job_returned_after_a_reload_is_not_retried(#[case] before: bool, #[case] after: bool) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["settings"]["rules"]["shed_after_start"] = json!(before);
     let node = Node::start(&config);
-    let mut client = node.ask("a", "/actuator-cmd");
+    let mut client = node.send_job("a", "/actuator-cmd");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
     config["settings"]["rules"]["shed_after_start"] = json!(after);
-    node.replace(&config.to_string());
-    node.hang_up();
+    node.replace_config(&config.to_string());
+    node.reload();
     node.logs("new settings are in force");
     backend.send("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-    while client.hears_nothing(Duration::from_millis(5)) {
-        assert!(server.is_left_alone(), "a job that may have run was sent again");
+    while client.is_silent_for(Duration::from_millis(5)) {
+        assert!(server.has_no_connection(), "a job that may have run was sent again");
     }
     assert_eq!(client.message().status(), 502);
 }
--- a/tests/node/event_order.rs
+++ b/tests/node/event_order.rs
@@ -1,8 +1,8 @@
 //! Two events that happen at once: each test forces the order in which they would do harm.
 
-use crate::operators::published;
+use crate::operators::wait_for_handover_socket;
 use crate::support::*;
-use crate::{following, listing, pair, watch, whole_list, HEAD};
+use crate::{accept_watch, config_with_discovery, node_with_server, serve_complete_list, server_list, HEAD};
 use rstest::rstest;
 use serde_json::{json, Value};
 use shorepath::net::deadlines::Deadlines;
@@ -24,13 +24,13 @@
 
 impl ConfigPipe {
     fn install(node: &Node) {
-        std::fs::remove_file(node.file()).unwrap();
-        assert!(std::process::Command::new("mkfifo").arg(node.file()).status().unwrap().success());
+        std::fs::remove_file(node.config_path()).unwrap();
+        assert!(std::process::Command::new("mkfifo").arg(node.config_path()).status().unwrap().success());
     }
 
     /// Returns once the node has opened the pipe, and so blocks in the reload.
     fn wait_for_reload(node: &Node) -> ConfigPipe {
-        ConfigPipe(std::fs::OpenOptions::new().write(true).open(node.file()).unwrap())
+        ConfigPipe(std::fs::OpenOptions::new().write(true).open(node.config_path()).unwrap())
     }
 
     /// Lets the node finish the reload with this configuration.
@@ -49,7 +49,7 @@
     #[case] semantics: &str,
     #[case] status: u16,
 ) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut before = config(&[server.address]);
     // No attempt is cancelled, however long the signals take.
     before["settings"]["allowed"]["cancel"] = json!(false);
@@ -57,45 +57,48 @@
     after["settings"]["classes"][0]["name"] = json!(name);
     after["settings"]["classes"][0]["semantics"] = json!(semantics);
     let node = Node::start(&before);
-    let mut client = node.ask("first", "/zone-plan");
+    let mut client = node.send_job("first", "/zone-plan");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "first");
     ConfigPipe::install(&node);
-    node.hang_up();
+    node.reload();
     let first = ConfigPipe::wait_for_reload(&node);
     backend.serve("first", "1");
     client.send(&job("early", "/zone-plan", "1000m", ""));
-    node.hang_up();
+    node.reload();
     ConfigPipe::install(&node);
     first.write(&before);
     let second = ConfigPipe::wait_for_reload(&node);
-    node.hang_up();
-    std::fs::remove_file(node.file()).unwrap();
-    node.replace(&after.to_string());
+    node.reload();
+    std::fs::remove_file(node.config_path()).unwrap();
+    node.replace_config(&after.to_string());
     second.write(&before);
     let lines = node.logs_until("new settings are in force");
     assert_eq!(client.message().body, "1");
     assert_eq!(client.message().status(), status, "{lines:#?}");
-    assert!(backend.ended_early() && server.is_left_alone(), "the job was sent by another class's settings");
+    assert!(
+        backend.ends_without_data() && server.has_no_connection(),
+        "the job was sent by another class's settings"
+    );
 }
 
 /// A client sends a job on an idle connection and disconnects, both after the node was notified of the bytes and before it reads
 /// them. Guards against writing the job on an idle connection to the server.
 #[rstest]
 fn job_is_not_forwarded_if_its_client_leaves_before_it_is_read(#[values(false, true)] resets: bool) {
-    let server = Party::new();
+    let server = TestServer::new();
     let config = config(&[server.address]);
     let node = Node::start(&config);
-    let mut client = node.ask("first", "/zone-plan");
+    let mut client = node.send_job("first", "/zone-plan");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "first");
     backend.serve("first", "1");
     assert_eq!(client.message().body, "1");
     ConfigPipe::install(&node);
-    node.hang_up();
+    node.reload();
     let first = ConfigPipe::wait_for_reload(&node);
     client.send(&job("gone", "/zone-plan", "5000m", ""));
-    node.hang_up();
+    node.reload();
     ConfigPipe::install(&node);
     first.write(&config);
     let second = ConfigPipe::wait_for_reload(&node);
@@ -105,53 +108,54 @@
     } else {
         disconnected.shutdown(std::net::Shutdown::Both).unwrap();
     }
-    std::fs::remove_file(node.file()).unwrap();
-    node.replace(&config.to_string());
+    std::fs::remove_file(node.config_path()).unwrap();
+    node.replace_config(&config.to_string());
     second.write(&config);
     node.logs("end frontend");
-    let mut next = node.ask("next", "/zone-plan");
+    let mut next = node.send_job("next", "/zone-plan");
     assert_eq!(backend.id(), "next");
     backend.serve("next", "2");
     assert_eq!(next.message().body, "2");
-    assert!(server.is_left_alone());
+    assert!(server.has_no_connection());
 }
 
 /// Two reloads in a row name two other discovery addresses. Guards against using a list of the earlier ones.
 #[rstest]
 fn two_discovery_changes_in_a_row_end_at_the_last_one() {
-    let (server, other, last) = (Party::new(), Party::new(), Party::new());
-    let (first, second, third) = (Party::new(), Party::new(), Party::new());
-    let mut config = following(&[server.address], &first);
+    let (server, other, last) = (TestServer::new(), TestServer::new(), TestServer::new());
+    let (first, second, third) = (TestServer::new(), TestServer::new(), TestServer::new());
+    let mut config = config_with_discovery(&[server.address], &first);
     let node = Node::start(&config);
-    let (mut before, _) = watch(&first);
-    before.line(&listing(42, true, &[entry("s-0", server.address, "active")]));
+    let (mut before, _) = accept_watch(&first);
+    before.line(&server_list(42, true, &[entry("s-0", server.address, "active")]));
     node.logs("server table 42");
     ConfigPipe::install(&node);
-    node.hang_up();
+    node.reload();
     let pipe = ConfigPipe::wait_for_reload(&node);
-    let other_list = listing(50, true, &[entry("s-other", other.address, "active")]);
+    let other_list = server_list(50, true, &[entry("s-other", other.address, "active")]);
     before.line(&other_list);
-    node.hang_up();
+    node.reload();
     config["discovery"] = json!(second.address.to_string());
     let moved = config.clone();
     config["discovery"] = json!(third.address.to_string());
-    std::fs::remove_file(node.file()).unwrap();
-    node.replace(&config.to_string());
+    std::fs::remove_file(node.config_path()).unwrap();
+    node.replace_config(&config.to_string());
     pipe.write(&moved);
-    second.attended(move |mut peer| {
+    second.handle_connections(move |mut peer| {
         let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{other_list}", other_list.len());
-        while peer.try_send(&response) && peer.goes_on() {
+        while peer.try_send(&response) && peer.receives_data() {
             peer.message();
         }
     });
-    let mut new_watch = whole_list(&third, &listing(7, true, &[entry("s-last", last.address, "active")]));
+    let mut new_watch =
+        serve_complete_list(&third, &server_list(7, true, &[entry("s-last", last.address, "active")]));
     assert_eq!(new_watch.message().first, "GET /catalog/members?watch=1&from=7 HTTP/1.1");
-    let mut client = node.ask("a", "/zone-plan");
+    let mut client = node.send_job("a", "/zone-plan");
     let mut backend = last.accept();
     assert_eq!(backend.id(), "a");
     backend.serve("a", "1");
     assert_eq!(client.message().body, "1");
-    assert!(other.is_left_alone() && first.is_left_alone());
+    assert!(other.has_no_connection() && first.has_no_connection());
 }
 
 /// A future that is polled in one task and moved to another must wake the latter.
@@ -187,36 +191,36 @@
 /// this connection, where the rest of the response would be taken for its own.
 #[rstest]
 fn half_a_second_response_is_not_taken_for_the_next_jobs(#[values(false, true)] at_once: bool) {
-    let (node, server) = pair();
-    let mut client = node.ask("a", "/actuator-cmd");
+    let (node, server) = node_with_server();
+    let mut client = node.send_job("a", "/actuator-cmd");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
     backend.serve("a", "1");
     assert_eq!(client.message().body, "1");
     // Long enough that the connection counts as idle.
-    assert!(client.hears_nothing(ms(60)));
-    node.stand_still(true);
+    assert!(client.is_silent_for(ms(60)));
+    node.set_paused(true);
     backend.send("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nX-No");
     if !at_once {
-        node.stand_still(false);
+        node.set_paused(false);
         let mut health = node.client();
         health.send("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n");
         assert_eq!(health.message().status(), 200);
     }
     client.send(&job("b", "/actuator-cmd", "5000m", ""));
-    node.stand_still(false);
+    node.set_paused(false);
     let mut other = server.accept();
     assert_eq!(other.id(), "b");
-    assert!(!backend.goes_on(), "the job was written on the connection with half a response");
+    assert!(!backend.receives_data(), "the job was written on the connection with half a response");
     other.serve("b", "2");
     assert_eq!(client.message().body, "2");
     node.logs("reason=malformed messages=1");
-    assert!(server.is_left_alone());
+    assert!(server.has_no_connection());
 }
 
 /// Returns a configuration of one of `replicas` nodes, which requests its lists from discovery.
-fn replicated_node_config(server: SocketAddr, discovery: &Party, replicas: u32) -> Value {
-    let mut config = following(&[server], discovery);
+fn replicated_node_config(server: SocketAddr, discovery: &TestServer, replicas: u32) -> Value {
+    let mut config = config_with_discovery(&[server], discovery);
     config["settings"]["replicas_of_me"] = json!(replicas);
     config["settings"]["discovery"] = json!("on_request");
     config
@@ -226,25 +230,25 @@
 /// list is read.
 #[rstest]
 fn list_received_while_paused_is_read_before_the_watch_times_out(#[values(1, 20, 300)] replicas: u32) {
-    let (server, discovery) = (Party::new(), Party::new());
+    let (server, discovery) = (TestServer::new(), TestServer::new());
     let node = Node::start(&replicated_node_config(server.address, &discovery, replicas));
-    let (mut watch, _) = watch(&discovery);
-    watch.line(&listing(42, true, &[entry("s-0", server.address, "active")]));
+    let (mut watch, _) = accept_watch(&discovery);
+    watch.line(&server_list(42, true, &[entry("s-0", server.address, "active")]));
     node.logs("server table 42");
-    node.stand_still(true);
-    watch.line(&listing(43, false, &[entry("s-0", server.address, "leaving")]));
+    node.set_paused(true);
+    watch.line(&server_list(43, false, &[entry("s-0", server.address, "leaving")]));
     std::thread::sleep(ms(2_600));
-    node.stand_still(false);
+    node.set_paused(false);
     let lines = node.logs_until("server table 43");
     assert!(lines.iter().all(|l| !l.contains("end server-table")), "{lines:?}");
     // The watch stays open.
-    watch.line(&listing(44, false, &[entry("s-0", server.address, "active")]));
+    watch.line(&server_list(44, false, &[entry("s-0", server.address, "active")]));
     let lines = node.logs_until("server table 44");
     assert!(lines.iter().all(|l| !l.contains("end server-table")), "{lines:?}");
 }
 
 /// Opens clients with incomplete request bodies until a further body is rejected for lack of memory.
-fn fill_body_memory(node: &Node) -> Vec<Peer> {
+fn fill_body_memory(node: &Node) -> Vec<Connection> {
     let body = "x".repeat(65_500);
     let mut held = Vec::new();
     loop {
@@ -263,11 +267,11 @@
 /// Guards against rejecting a server's response while incomplete request bodies take all memory meant for them.
 #[rstest]
 fn partial_bodies_leave_memory_for_responses() {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["limits"]["memory_mb"] = json!(1);
     let node = Node::start(&config);
-    let mut client = node.ask("a", "/actuator-cmd");
+    let mut client = node.send_job("a", "/actuator-cmd");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
     let _held = fill_body_memory(&node);
@@ -280,12 +284,12 @@
 /// Guards against rejecting a discovery list while incomplete request bodies and responses take all memory meant for them.
 #[rstest]
 fn partial_bodies_and_responses_leave_memory_for_discovery() {
-    let (server, discovery) = (Party::new(), Party::new());
-    let mut config = following(&[server.address], &discovery);
+    let (server, discovery) = (TestServer::new(), TestServer::new());
+    let mut config = config_with_discovery(&[server.address], &discovery);
     config["limits"]["memory_mb"] = json!(1);
     let node = Node::start(&config);
-    let (mut watch, _) = watch(&discovery);
-    let _client = node.ask("a", "/actuator-cmd");
+    let (mut watch, _) = accept_watch(&discovery);
+    let _client = node.send_job("a", "/actuator-cmd");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
     let _held = fill_body_memory(&node);
@@ -295,7 +299,7 @@
     let mut health = node.client();
     health.send("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n");
     assert_eq!(health.message().status(), 200);
-    watch.line(&listing(42, false, &[entry("s-0", server.address, "leaving")]));
+    watch.line(&server_list(42, false, &[entry("s-0", server.address, "leaving")]));
     let lines = node.logs_until("server table 42");
     assert!(lines.iter().all(|l| !l.contains("no memory is left for a part")), "{lines:?}");
 }
@@ -304,21 +308,21 @@
 /// discovery, operators' calls, or the connections for new jobs.
 #[rstest]
 fn idle_clients_leave_descriptors_while_discovery_is_down(#[values("pushed", "on_request")] lists: &str) {
-    let (server, discovery) = (Party::new(), Party::new());
-    let other = Party::new();
-    let mut config = following(&[server.address], &discovery);
+    let (server, discovery) = (TestServer::new(), TestServer::new());
+    let other = TestServer::new();
+    let mut config = config_with_discovery(&[server.address], &discovery);
     let members = [entry("s-0", server.address, "leaving"), entry("s-new", other.address, "active")];
     let discovery_is_up = Arc::new(AtomicBool::new(false));
-    discovery.attended({
-        let (discovery_is_up, list) = (discovery_is_up.clone(), listing(42, true, &members));
+    discovery.handle_connections({
+        let (discovery_is_up, list) = (discovery_is_up.clone(), server_list(42, true, &members));
         move |mut peer| {
             if !discovery_is_up.load(Ordering::Relaxed) {
-                return peer.reset();
+                return peer.reset_after_data();
             }
             peer.message();
             peer.begin();
             peer.line(&list);
-            while peer.hears_nothing(ms(500)) {
+            while peer.is_silent_for(ms(500)) {
                 peer.line("");
             }
         }
@@ -327,9 +331,9 @@
     config["settings"]["allowed"]["cancel"] = json!(false);
     config["mgmt"] = json!("127.0.0.1:0");
     config["limits"]["sockets"] = json!(70);
-    let node = Node::start_as(&["prlimit", "--nofile=70:70", PROGRAM, "serve", "-v"], &config);
-    let mut idle: Vec<Peer> = (0..60).map(|_| node.client()).collect();
-    let mut held: Vec<(Peer, Peer)> = (0..4)
+    let node = Node::start_command(&["prlimit", "--nofile=70:70", PROGRAM, "serve", "-v"], &config);
+    let mut idle: Vec<Connection> = (0..60).map(|_| node.client()).collect();
+    let mut held: Vec<(Connection, Connection)> = (0..4)
         .map(|k| {
             let mut client = node.client();
             client.send(&job(&format!("held-{k}"), "/zone-plan", "60000m", ""));
@@ -347,7 +351,7 @@
         "{lines:?}"
     );
     assert!(recovered_at.elapsed() < Duration::from_secs(4), "{:?}", recovered_at.elapsed());
-    let mut client = node.ask("new", "/zone-plan");
+    let mut client = node.send_job("new", "/zone-plan");
     let mut backend = other.accept();
     assert_eq!(backend.id(), "new");
     backend.serve("new", "1");
@@ -366,11 +370,11 @@
 fn successor_waiting_for_handover(config: &mut Value) -> (Node, Node) {
     config["mgmt"] = json!("127.0.0.1:0");
     let old = Node::start(config);
-    published(&old);
+    wait_for_handover_socket(&old);
     config["listen"] = json!(old.address.to_string());
-    old.stand_still(true);
-    let new = Node::starting(command(&[PROGRAM, "serve", "-v"], &config.to_string()));
-    while !new.handles_hang_up() {
+    old.set_paused(true);
+    let new = Node::spawn(command(&[PROGRAM, "serve", "-v"], &config.to_string()));
+    while !new.handles_sighup() {
         std::thread::yield_now();
     }
     (old, new)
@@ -379,14 +383,14 @@
 /// The old process is killed before it has handed over its listening socket: its successor binds the address itself.
 #[rstest]
 fn successor_binds_the_address_of_a_process_killed_before_the_handover() {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     let (mut old, new) = successor_waiting_for_handover(&mut config);
     old.signal(Signal::KILL);
     old.exit();
-    let new = new.serving();
+    let new = new.wait_until_serving();
     assert_eq!(new.address, old.address);
-    let mut client = new.ask("a", "/zone-plan");
+    let mut client = new.send_job("a", "/zone-plan");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
     backend.serve("a", "1");
@@ -399,29 +403,29 @@
 fn successor_waits_until_the_listening_socket_of_the_old_process_closes(
     #[values(false, true)] accepted_first: bool,
 ) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
     let clients = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = clients.local_addr().unwrap();
     config["listen"] = json!(address.to_string());
-    let handover_path = meeting_place().join(format!("shorepath-{address}.sock"));
+    let handover_path = handover_directory().join(format!("shorepath-{address}.sock"));
     // An earlier node may have left it.
     let _ = std::fs::remove_file(&handover_path);
     let handover_listener = std::os::unix::net::UnixListener::bind(&handover_path).unwrap();
     let new = if accepted_first {
-        let new = Node::starting(command(&[PROGRAM, "serve", "-v"], &config.to_string()));
+        let new = Node::spawn(command(&[PROGRAM, "serve", "-v"], &config.to_string()));
         drop(handover_listener.accept().unwrap());
         new.logs("hands nothing over");
         drop(handover_listener);
         new
     } else {
         drop(handover_listener);
-        Node::starting(command(&[PROGRAM, "serve", "-v"], &config.to_string()))
+        Node::spawn(command(&[PROGRAM, "serve", "-v"], &config.to_string()))
     };
     new.logs("is not free yet");
     drop(clients);
-    let new = new.serving();
+    let new = new.wait_until_serving();
     assert_eq!((new.address, new.call("GET", "/ops/readiness")), (address, 200));
 }
 
@@ -429,11 +433,11 @@
 /// refusing or losing the clients that connect in between.
 #[rstest]
 fn clients_connecting_after_the_old_process_is_killed_are_served() {
-    let (server, discovery) = (Party::new(), Party::new());
+    let (server, discovery) = (TestServer::new(), TestServer::new());
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
     let mut old = Node::start(&config);
-    published(&old);
+    wait_for_handover_socket(&old);
     config["listen"] = json!(old.address.to_string());
     config["discovery"] = json!(discovery.address.to_string());
     let new = Node::start(&config);
@@ -442,9 +446,9 @@
     silent.message();
     old.signal(Signal::KILL);
     old.exit();
-    let mut client = new.ask("a", "/zone-plan");
+    let mut client = new.send_job("a", "/zone-plan");
     silent.begin();
-    silent.line(&listing(42, true, &[entry("s-0", server.address, "active")]));
+    silent.line(&server_list(42, true, &[entry("s-0", server.address, "active")]));
     let mut backend = server.accept();
     assert_eq!(backend.id(), "a");
     backend.serve("a", "1");
@@ -455,11 +459,11 @@
 /// The successor is killed before it accepts clients: the old process goes on serving, and can be replaced again.
 #[rstest]
 fn old_process_goes_on_after_its_successor_is_killed() {
-    let (server, discovery) = (Party::new(), Party::new());
+    let (server, discovery) = (TestServer::new(), TestServer::new());
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
     let old = Node::start(&config);
-    published(&old);
+    wait_for_handover_socket(&old);
     config["listen"] = json!(old.address.to_string());
     config["discovery"] = json!(discovery.address.to_string());
     for k in 0..3 {
@@ -469,7 +473,7 @@
         drop(new);
         old.logs("this one takes clients");
         let id = format!("{k}");
-        let mut client = old.ask(&id, "/zone-plan");
+        let mut client = old.send_job(&id, "/zone-plan");
         let mut backend = server.accept();
         assert_eq!(backend.id(), id);
         backend.send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
@@ -503,8 +507,8 @@
 #[case::chunk_without_end("POST /zone-plan HTTP/1.1\r\n{H}Transfer-Encoding: chunked\r\n\r\n1\r\nxyz", 400)]
 #[case::coding_in_1_0("POST /zone-plan HTTP/1.0\r\n{H}Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400)]
 fn malformed_request_closes_only_its_own_connection(#[case] text: &str, #[case] status: u16) {
-    let (node, server) = pair();
-    let mut other = node.ask("other", "/zone-plan");
+    let (node, server) = node_with_server();
+    let mut other = node.send_job("other", "/zone-plan");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "other");
     let text = text.replace("{H}", HEAD);
@@ -517,21 +521,21 @@
         let _ = client.try_send(&text[cut..]);
         let answer = client.message();
         assert_eq!((answer.status(), answer.field("Connection")), (status, Some("close")), "cut at {cut}");
-        assert!(client.ended());
+        assert!(client.is_closed());
     }
     backend.serve("other", "1");
     assert_eq!(other.message().body, "1");
-    assert!(server.is_left_alone());
+    assert!(server.has_no_connection());
 }
 
 /// Guards against misreading a chunked request with extensions and a trailer that arrives in two parts, split at any byte.
 #[rstest]
 fn chunked_request_is_read_wherever_it_is_split() {
-    let (node, server) = pair();
+    let (node, server) = node_with_server();
     let chunks = "4;a=\"b\"\r\nabcd\r\n1 ;x\r\ne\r\n0;z\r\nX: y\r\n\r\n";
     let begin = format!("POST /zone-plan HTTP/1.1\r\n{HEAD}Transfer-Encoding: chunked\r\n\r\n");
     let text = begin.clone() + chunks;
-    let mut backend: Option<Peer> = None;
+    let mut backend: Option<Connection> = None;
     let mut client = node.client();
     let mut health = node.client();
     for cut in begin.len() - 4..text.len() {
--- a/tests/node/fleet.rs
+++ b/tests/node/fleet.rs
@@ -31,8 +31,8 @@
 impl TestQuotaServer {
     fn new(name: &str) -> TestQuotaServer {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-        socket.set_read_timeout(Some(LONG)).unwrap();
-        let node_address = fresh();
+        socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        let node_address = unused_address();
         let budgets_file =
             PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{name}.sexp", std::process::id()));
         let channel = RefCell::new(Channel::new(NodeId::of("d0").0, 1, "tidal", None));
@@ -59,14 +59,14 @@
 
     fn start(&self, config: &serde_json::Value) -> Node {
         let budgets_file = self.budgets_file.to_str().unwrap();
-        Node::start_as(&[PROGRAM, "serve", "-v", "--budgets", budgets_file], config)
+        Node::start_command(&[PROGRAM, "serve", "-v", "--budgets", budgets_file], config)
     }
 
     /// Waits for the next message that `read` accepts; returns its value and its sender.
     fn receive_matching<T>(&self, read: impl Fn(Message) -> Option<T>) -> (T, SocketAddr) {
         let begin = Instant::now();
         let mut buffer = [0; 4_000];
-        while begin.elapsed() < LONG {
+        while begin.elapsed() < TEST_TIMEOUT {
             let (n, from) = self.socket.recv_from(&mut buffer).unwrap();
             // Datagrams of the membership protocol arrive here, too.
             let mut channel = self.channel.borrow_mut();
@@ -119,20 +119,21 @@
 }
 
 /// Sends `count` jobs at once and returns how many are served; the others must be rejected with 503.
-fn count_served(node: &Node, server: &mut Party, name: &str, count: usize) -> usize {
+fn count_served(node: &Node, server: &mut TestServer, name: &str, count: usize) -> usize {
     let done = AtomicBool::new(false);
     let is_done = &done;
     std::thread::scope(|scope| {
         let server = &mut *server;
         scope.spawn(move || {
             while !is_done.load(Ordering::Relaxed) {
-                if let Some(mut backend) = server.came() {
+                if let Some(mut backend) = server.try_accept() {
                     let id = backend.id();
                     backend.serve(&id, "1");
                 }
             }
         });
-        let clients: Vec<Peer> = (0..count).map(|k| node.ask(&format!("{name}{k}"), "/zone-plan")).collect();
+        let clients: Vec<Connection> =
+            (0..count).map(|k| node.send_job(&format!("{name}{k}"), "/zone-plan")).collect();
         let statuses: Vec<u16> = clients.into_iter().map(|mut c| c.message().status()).collect();
         done.store(true, Ordering::Relaxed);
         assert!(statuses.iter().all(|s| *s == 200 || *s == 503), "{statuses:?}");
@@ -143,7 +144,7 @@
 /// A node serves up to its grant, falls back to its reserve when the grant expires, and returns the grant when it stops.
 #[rstest]
 fn node_uses_its_grant_then_its_reserve_and_returns_the_grant_on_shutdown() {
-    let (mut quota_server, mut server) = (TestQuotaServer::new("keeps"), Party::new());
+    let (mut quota_server, mut server) = (TestQuotaServer::new("keeps"), TestServer::new());
     let mut node = quota_server.start(&config(&[server.address]));
     let incarnation = quota_server.grant(40);
     assert_eq!(incarnation.node, NodeId::of("n0"));
@@ -188,7 +189,7 @@
 #[rstest]
 fn node_ignores_messages_without_a_valid_signature() {
     const QUOTA: &str = "(budget quota:acme (whole 50) (reserve 2))";
-    let (mut quota_server, server) = (TestQuotaServer::new("keyed"), Party::new());
+    let (mut quota_server, server) = (TestQuotaServer::new("keyed"), TestServer::new());
     let name = quota_server.budgets_file.with_extension("key");
     quota_server.key_clauses =
         format!("(fleet tidal) (key \"{}\")", name.file_name().unwrap().to_str().unwrap());
@@ -237,7 +238,7 @@
     quota_server.grant(38);
     expect_in_force(&quota_server, 3);
     write_keys(&quota_server, &["5c", "4b"], 0o600);
-    node.hang_up();
+    node.reload();
     let lines = node.logs_until("read again: version 1");
     for reason in ["a word without a code", "a word under another key", "a word that was heard before"] {
         let matching_lines: Vec<&String> = lines.iter().filter(|l| l.contains(reason)).collect();
@@ -253,7 +254,7 @@
     expect_in_force(&quota_server, 4);
     quota_server.channel.replace(signing_channel(3, "4b"));
     write_keys(&quota_server, &["4b"], 0o640);
-    node.hang_up();
+    node.reload();
     assert!(node.logs("the old file of budgets stays").contains("0640"));
     node.terminate();
     assert!(node.exit().success());
@@ -262,17 +263,17 @@
 /// SIGHUP loads a new budgets file; an invalid one leaves the old one in force.
 #[rstest]
 fn sighup_loads_a_valid_budgets_file_and_rejects_an_invalid_one() {
-    let (mut quota_server, server) = (TestQuotaServer::new("again"), Party::new());
+    let (mut quota_server, server) = (TestQuotaServer::new("again"), TestServer::new());
     let node = quota_server.start(&config(&[server.address]));
     quota_server.grant(40);
     node.logs("all are granted");
     quota_server.write(2, "(budget quota:acme (whole 3) (reserve 9))");
-    node.hang_up();
+    node.reload();
     assert!(node.logs("the old file of budgets stays").contains(":1:"));
     quota_server.grant(40);
     assert_eq!(quota_server.receive_claim().1, 1);
     quota_server.write(2, "(budget quota:acme (whole 30) (reserve 1))");
-    node.hang_up();
+    node.reload();
     node.logs("version 2");
     let ((), _) = quota_server
         .receive_matching(|message| matches!(message, Message::Ask { plan: 2, .. }).then_some(()));
@@ -282,17 +283,17 @@
 /// address and reserve when the old one releases them.
 #[rstest]
 fn hot_restart_claims_under_a_new_incarnation() {
-    let (mut quota_server, server) = (TestQuotaServer::new("next"), Party::new());
+    let (mut quota_server, server) = (TestQuotaServer::new("next"), TestServer::new());
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
     let mut old_node = quota_server.start(&config);
     old_node.logs("this process is n0");
     let first_incarnation = quota_server.grant(20);
     config["listen"] = json!(old_node.address.to_string());
-    let socket_path = meeting_place().join(format!("shorepath-{}.sock", old_node.address));
+    let socket_path = handover_directory().join(format!("shorepath-{}.sock", old_node.address));
     let begin = Instant::now();
     while !socket_path.exists() {
-        assert!(begin.elapsed() < LONG);
+        assert!(begin.elapsed() < TEST_TIMEOUT);
     }
     let new_node = quota_server.start(&config);
     let mut incarnations = vec![first_incarnation];
@@ -411,9 +412,10 @@
 /// Guards against a waiting discovery call whose later claims ask for nothing, so that its unit comes with the idle nodes' grants.
 #[rstest]
 fn waiting_discovery_call_claims_a_unit_until_it_is_made() {
-    let (mut quota_server, server, discovery) = (TestQuotaServer::new("lists"), Party::new(), Party::new());
+    let (mut quota_server, server, discovery) =
+        (TestQuotaServer::new("lists"), TestServer::new(), TestServer::new());
     quota_server.write(1, "(budget lists (whole 2))");
-    let node = quota_server.start(&crate::following(&[server.address], &discovery));
+    let node = quota_server.start(&crate::config_with_discovery(&[server.address], &discovery));
     quota_server.receive_matching(|message| {
         matches!(message, Message::Ask { claims, .. } if claims[0].demand > 0).then_some(())
     });
--- a/tests/node/key_ownership.rs
+++ b/tests/node/key_ownership.rs
@@ -1,7 +1,7 @@
 //! Guarded keys have one owner each: sites with a node each, and a quota server in the test's process that grants the key leases.
 
-use crate::sites::{refusal, Files};
-use crate::support::allocator::divide;
+use crate::sites::{refusal, SiteFiles};
+use crate::support::quota_server::run_quota_server;
 use crate::support::*;
 use rstest::rstest;
 use shorepath_quota::allocator::Allocator;
@@ -15,7 +15,7 @@
 
 /// A fleet with a quota server that runs until it is dropped.
 struct Fleet {
-    files: Files,
+    files: SiteFiles,
     budgets: PathBuf,
     /// While set, the quota server ignores messages and sends none.
     silent: Arc<AtomicBool>,
@@ -29,10 +29,10 @@
 
     /// Creates a fleet with a key lease for each of these owners.
     fn of(name: &str, owners: &[&str]) -> Fleet {
-        let mut files = Files::new(&format!("homes-{name}"));
-        files.times = "(confirm 1 s) (alone 1 s) (hold 1 s)";
-        (0..2).for_each(|node| files.sites(node, 1, ""));
-        let addresses: Vec<SocketAddr> = owners.iter().map(|_| fresh()).collect();
+        let mut files = SiteFiles::new(&format!("homes-{name}"));
+        files.timeouts = "(confirm 1 s) (alone 1 s) (hold 1 s)";
+        (0..2).for_each(|node| files.write_sites(node, 1, ""));
+        let addresses: Vec<SocketAddr> = owners.iter().map(|_| unused_address()).collect();
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         let server_address = socket.local_addr().unwrap();
         let mut text = format!("(budgets (version 1) (term 1 s) (divider d0 \"{server_address}\")");
@@ -41,12 +41,12 @@
             text += &format!(" (budget home:{owner} (per moment) (whole 1) (longest 500 ms))");
         }
         text += ")";
-        let budgets = files.of(0).join("budgets.sexp");
+        let budgets = files.node_folder(0).join("budgets.sexp");
         std::fs::write(&budgets, &text).unwrap();
         let plan = shorepath_quota::config::read("t", &text).unwrap();
         let (silent, stopped) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
         let flags = (silent.clone(), stopped.clone());
-        std::thread::spawn(move || divide(&socket, Allocator::new("d0", plan, 7), &flags));
+        std::thread::spawn(move || run_quota_server(&socket, Allocator::new("d0", plan, 7), &flags));
         Fleet { files, budgets, silent, stopped }
     }
 
@@ -56,7 +56,7 @@
 
     /// Returns keys that the node owns.
     fn keys(&self, node: usize) -> impl Iterator<Item = String> {
-        let text = std::fs::read_to_string(self.files.of(0).join("sites.sexp")).unwrap();
+        let text = std::fs::read_to_string(self.files.node_folder(0).join("sites.sexp")).unwrap();
         let plan = shorepath_sites::config::read("t", &text).unwrap();
         let ownership = KeyOwnership::new(0, &plan, &PersistedOwnership::default());
         let owner = ["west/n0", "east/n1", "north/n2"][node];
@@ -70,7 +70,7 @@
     }
 }
 
-fn ask(node: &Node, key: &str) -> Peer {
+fn ask(node: &Node, key: &str) -> Connection {
     static COUNT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     let id = format!("{key}-{}", COUNT.fetch_add(1, Ordering::Relaxed));
     let mut client = node.client();
@@ -80,7 +80,7 @@
 }
 
 /// Sends a job with the key and serves it from the backend connection.
-fn expect_served(node: &Node, backend: &mut Peer, key: &str) {
+fn expect_served(node: &Node, backend: &mut Connection, key: &str) {
     let mut client = ask(node, key);
     let id = backend.id();
     backend.serve(&id, "1");
@@ -98,8 +98,11 @@
             assert_eq!(answer.field("Retry-After").is_some(), status == 503);
             return;
         }
-        assert!(status != 200 && begin.elapsed() < LONG, "{key}: {status} {reason:?}, not {wanted:?}");
-        client.hears_nothing(Duration::from_millis(20));
+        assert!(
+            status != 200 && begin.elapsed() < TEST_TIMEOUT,
+            "{key}: {status} {reason:?}, not {wanted:?}"
+        );
+        client.is_silent_for(Duration::from_millis(20));
     }
 }
 
@@ -110,7 +113,7 @@
         let answer = ask(node, key).message();
         match answer.status() {
             200 => return,
-            status => assert!(status == 503 && begin.elapsed() < LONG, "{key}: {answer:?}"),
+            status => assert!(status == 503 && begin.elapsed() < TEST_TIMEOUT, "{key}: {answer:?}"),
         }
     }
 }
@@ -122,7 +125,7 @@
 /// places them.
 #[rstest]
 fn only_the_lease_holder_places_keys_of_its_range() {
-    let (fleet, servers) = (Fleet::new("holder"), [Party::new(), Party::new()]);
+    let (fleet, servers) = (Fleet::new("holder"), [TestServer::new(), TestServer::new()]);
     let nodes = [0, 1].map(|k| fleet.start(k, config(&[servers[k].address])));
     nodes[0].logs("a guarded key is placed by the node that holds its range");
     for (k, owner) in ["west/n0", "east/n1"].iter().enumerate() {
@@ -150,7 +153,7 @@
     backend.serve(&id, "1");
     assert_eq!(client.message().status(), 200);
     expect_rejected(&nodes[0], &running, (409, "served before"));
-    assert!(servers[1].is_left_alone());
+    assert!(servers[1].has_no_connection());
     fleet.silent.store(false, Ordering::Relaxed);
     nodes[0].logs(CAUGHT_UP);
     expect_served(&nodes[0], &mut backend, &key());
@@ -160,7 +163,7 @@
 /// range again when it returns.
 #[rstest]
 fn successor_rejects_keys_that_a_lost_node_may_have_placed() {
-    let (fleet, servers) = (Fleet::new("lost"), [Party::new(), Party::new()]);
+    let (fleet, servers) = (Fleet::new("lost"), [TestServer::new(), TestServer::new()]);
     let [west, east] = [0, 1].map(|k| fleet.start(k, config(&[servers[k].address])));
     west.logs(CAUGHT_UP);
     let mut keys = fleet.keys(0);
@@ -177,7 +180,7 @@
     assert!(lines.iter().any(|l| l.contains("site west Lost")), "{lines:?}");
     expect_rejected(&east, &known, (409, "served before"));
     expect_rejected(&east, &unknown, (502, "may have run"));
-    assert!(servers[1].is_left_alone());
+    assert!(servers[1].has_no_connection());
     let west = fleet.start(0, config(&[servers[0].address]));
     // While both nodes claim the lease it alternates between them, and the current holder places keys.
     east.logs("this node asks for home:east/n1");
@@ -188,13 +191,13 @@
     let id = backend.id();
     backend.serve(&id, "1");
     assert_eq!(client.message().status(), 200);
-    assert!(servers[1].is_left_alone());
+    assert!(servers[1].has_no_connection());
 }
 
 /// A running site that an operator declares lost hands its range over with all its placements, so that its successor can place new keys.
 #[rstest]
 fn site_declared_lost_hands_over_its_range() {
-    let (fleet, servers) = (Fleet::new("declared"), [Party::new(), Party::new()]);
+    let (fleet, servers) = (Fleet::new("declared"), [TestServer::new(), TestServer::new()]);
     let nodes = [0, 1].map(|k| fleet.start(k, config(&[servers[k].address])));
     nodes.iter().for_each(|n| drop(n.logs(CAUGHT_UP)));
     let mut keys = fleet.keys(0);
@@ -206,13 +209,13 @@
     backend.serve(&id, "1");
     assert_eq!(client.message().status(), 200);
     for (k, node) in nodes.iter().enumerate() {
-        fleet.files.sites(k, 2, "(lost west (number 1))");
-        node.hang_up();
+        fleet.files.write_sites(k, 2, "(lost west (number 1))");
+        node.reload();
     }
     nodes[0].logs("home west/n0 is not held any more");
     let begin = Instant::now();
     while !nodes[1].logs(CAUGHT_UP).contains("west/n0") {
-        assert!(begin.elapsed() < LONG);
+        assert!(begin.elapsed() < TEST_TIMEOUT);
     }
     expect_rejected(&nodes[0], &key(), (421, "home east/n1"));
     expect_rejected(&nodes[1], &known, (409, "served before"));
@@ -234,7 +237,7 @@
     let filling_addresses: Vec<SocketAddr> = filling.iter().map(|s| s.local_addr().unwrap()).collect();
     let mut settings = config(&[address]);
     settings["settings"]["allowed"]["connect_timeout_ms"] = 4_000.0.into();
-    let _other = fleet.start(1, config(&[closed()]));
+    let _other = fleet.start(1, config(&[refusing_address()]));
     let node = fleet.start(0, settings);
     node.logs(CAUGHT_UP);
     let mut client = ask(&node, &fleet.keys(0).next().unwrap());
@@ -245,31 +248,31 @@
         operator.message().body.contains("placements own=1 ")
     };
     while !placement_recorded() {
-        assert!(begin.elapsed() < LONG);
+        assert!(begin.elapsed() < TEST_TIMEOUT);
     }
     // The connection attempt is pending (SYN_SENT): the listener's backlog is full.
     let to = format!(":{:04X} 02 ", address.port());
     while !std::fs::read_to_string("/proc/net/tcp").unwrap().contains(&to) {
-        assert!(begin.elapsed() < LONG);
+        assert!(begin.elapsed() < TEST_TIMEOUT);
     }
     node.signal(Signal::STOP);
     fleet.silent.store(true, Ordering::Relaxed);
     // The kernel completes the connection while the process is paused.
     listener.set_nonblocking(true).unwrap();
     let mut backend = loop {
-        assert!(begin.elapsed() < 2 * LONG, "no connection came up");
+        assert!(begin.elapsed() < 2 * TEST_TIMEOUT, "no connection came up");
         let Ok((stream, from)) = listener.accept() else { continue };
         stream.set_nonblocking(false).unwrap();
         if !filling_addresses.contains(&from) {
-            break Peer::new(stream);
+            break Connection::new(stream);
         }
     };
-    assert!(backend.hears_nothing(Duration::from_millis(1_500)), "longer than a lease");
+    assert!(backend.is_silent_for(Duration::from_millis(1_500)), "longer than a lease");
     node.signal(Signal::CONT);
-    assert!(backend.ended(), "a job was sent after the lease");
+    assert!(backend.is_closed(), "a job was sent after the lease");
     assert_eq!(client.message().status(), 503);
-    for mut further in listener.incoming().map_while(Result::ok).map(Peer::new) {
-        assert!(further.ended());
+    for mut further in listener.incoming().map_while(Result::ok).map(Connection::new) {
+        assert!(further.is_closed());
     }
 }
 
@@ -285,7 +288,7 @@
     let fleet = Fleet::new(&format!("check-{is_valid}"));
     let text = std::fs::read_to_string(&fleet.budgets).unwrap().replace("west/n0", owner);
     std::fs::write(&fleet.budgets, text).unwrap();
-    let (sites, budgets) = (fleet.files.of(0).join("sites.sexp"), fleet.budgets.to_str().unwrap());
+    let (sites, budgets) = (fleet.files.node_folder(0).join("sites.sexp"), fleet.budgets.to_str().unwrap());
     let arguments = [PROGRAM, "check", "--sites", sites.to_str().unwrap(), "--budgets", budgets];
     let out = command(&arguments, &config(&[]).to_string()).output().unwrap();
     let text = String::from_utf8_lossy(&out.stdout) + String::from_utf8_lossy(&out.stderr);
@@ -300,10 +303,10 @@
     let ran = Arc::new(Mutex::new(Vec::new()));
     let servers: Vec<SocketAddr> = (0..3)
         .map(|k| {
-            let (party, ran) = (Party::new(), ran.clone());
+            let (party, ran) = (TestServer::new(), ran.clone());
             let address = party.address;
-            party.attended(move |mut peer| {
-                while peer.goes_on() {
+            party.handle_connections(move |mut peer| {
+                while peer.receives_data() {
                     let id = peer.id();
                     ran.lock().unwrap().push((k, id.clone()));
                     peer.serve(&id, "1");
@@ -315,7 +318,7 @@
     let start = |k: usize| fleet.start(k, config(&[servers[k]]));
     let mut nodes = vec![start(0), start(1)];
     nodes.iter().for_each(|n| drop(n.logs(CAUGHT_UP)));
-    let third = fleet.files.third();
+    let third = fleet.files.third_site();
     // Clients send every key to every node concurrently.
     let is_done = Arc::new(AtomicBool::new(false));
     let next_key = Arc::new(AtomicUsize::new(0));
@@ -326,11 +329,11 @@
             while !is_done.load(Ordering::Relaxed) {
                 let key = next_key.fetch_add(1, Ordering::Relaxed).saturating_sub(offset);
                 let Ok(stream) = TcpStream::connect(address) else { continue };
-                let mut client = Peer::new(stream);
+                let mut client = Connection::new(stream);
                 let tenant = format!("Idempotency-Key: load{key}\r\nTenant:");
                 let id = format!("load{key}-{address}-{count}");
                 client.send(&job(&id, "/actuator-cmd", "5000m", "").replace("Tenant:", &tenant));
-                if !client.ended_early() {
+                if !client.ends_without_data() {
                     client.message();
                 }
                 count += 1;
@@ -340,11 +343,11 @@
         })
     };
     let mut clients = vec![load(&nodes[0], 0), load(&nodes[1], 0), load(&nodes[0], 3), load(&nodes[1], 3)];
-    fleet.files.sites(2, 2, &third);
+    fleet.files.write_sites(2, 2, &third);
     nodes.push(start(2));
     clients.extend([load(&nodes[2], 0), load(&nodes[2], 6)]);
-    fleet.files.sites(0, 2, &third);
-    nodes[0].hang_up();
+    fleet.files.write_sites(0, 2, &third);
+    nodes[0].reload();
     nodes[0].logs("read again: version 2");
     let mut moved_keys = fleet.keys(2);
     let key = moved_keys.next().unwrap();
@@ -354,8 +357,8 @@
     // The node owns this key under both files.
     expect_placed(&nodes[0], &unmoved_key);
     assert!(ran.lock().unwrap().iter().all(|(server, _)| *server != 2));
-    fleet.files.sites(1, 2, &third);
-    nodes[1].hang_up();
+    fleet.files.write_sites(1, 2, &third);
+    nodes[1].reload();
     expect_placed(&nodes[2], &key);
     for key in moved_keys.take(5) {
         expect_rejected(&nodes[1], &key, (421, "home north/n2"));
--- a/tests/node/rare.rs
+++ b/tests/node/rare.rs
@@ -1,13 +1,13 @@
 //! Event orders that occur once in thousands of requests, each forced to occur in every run.
 
+use crate::discovery_updates::Failure;
 use crate::dispatch_writes::{
     keyed_job, log_seconds, long_timeout_config, StallableServer, NOT_STARTED_AND_CLOSE,
 };
-use crate::notified::Failure;
 use crate::sites::accept_job;
 use crate::stopping::sleep_until;
 use crate::support::*;
-use crate::{following, listing, watch};
+use crate::{accept_watch, config_with_discovery, server_list};
 use rstest::rstest;
 use serde_json::{json, Value};
 use socket2::{Domain, Socket, Type};
@@ -30,7 +30,7 @@
 }
 
 /// Connects a client and completes a health check on its connection.
-fn client_with_answered_request(node: &Node) -> Peer {
+fn client_with_answered_request(node: &Node) -> Connection {
     let mut client = node.client();
     client.send(HEALTH_REQUEST);
     assert_eq!(client.message().status(), 200);
@@ -65,17 +65,17 @@
 
 /// Serves each request in the milliseconds that the end of its id names, and records its arrival (Unix time in milliseconds) and
 /// its work in requests of mean work.
-fn serve_and_record_work(server: Party) -> Arc<Mutex<Vec<(f64, f64)>>> {
+fn serve_and_record_work(server: TestServer) -> Arc<Mutex<Vec<(f64, f64)>>> {
     let arrivals = Arc::new(Mutex::new(Vec::new()));
     let count = arrivals.clone();
-    server.attended(move |mut peer| {
-        while peer.goes_on() {
+    server.handle_connections(move |mut peer| {
+        while peer.receives_data() {
             let id = peer.id();
             let work: u64 = id.rsplit('-').next().unwrap().parse().unwrap();
             count.lock().unwrap().push((unix_ms(), work as f64 / MEAN_WORK_MS as f64));
             peer.begin();
             peer.state(&id, "started");
-            if peer.hears_nothing(ms(work)) {
+            if peer.is_silent_for(ms(work)) {
                 peer.finish(&id, &id);
             }
         }
@@ -90,11 +90,11 @@
 #[case::hinted_work(2, true)]
 #[case::equal_work_second_seed(3, false)]
 fn twenty_nodes_do_not_overload_a_server_in_slow_start(#[case] seed: u64, #[case] hinted: bool) {
-    let discovery = Party::new();
+    let discovery = TestServer::new();
     let (share, slow_start_ms, overload_window_ms, overload_multiple) = SLOW_START;
     let nodes: Vec<Node> = (0..20)
         .map(|k| {
-            let mut config = following(&[], &discovery);
+            let mut config = config_with_discovery(&[], &discovery);
             config["name"] = json!(format!("n{k}"));
             config["seed"] = json!(format!("{:x}", seed * 100 + k));
             let settings = &mut config["settings"];
@@ -111,9 +111,9 @@
             Node::start(&config)
         })
         .collect();
-    let mut watches: Vec<Peer> = nodes.iter().map(|_| watch(&discovery).0).collect();
+    let mut watches: Vec<Connection> = nodes.iter().map(|_| accept_watch(&discovery).0).collect();
     // Without heartbeats the watches would time out.
-    let send_heartbeats_for = |watches: &mut Vec<Peer>, time: Duration| {
+    let send_heartbeats_for = |watches: &mut Vec<Connection>, time: Duration| {
         let end = Instant::now() + time;
         while Instant::now() < end {
             watches.iter_mut().for_each(|w| w.line(""));
@@ -123,20 +123,20 @@
     let mut next = random_numbers(seed);
     let (mut before, mut all): (Vec<Value>, Vec<f64>) = Default::default();
     for round in 0..2 {
-        let server = Party::new();
+        let server = TestServer::new();
         let mut new_server = entry(&format!("s-{round}"), server.address, "active");
         let started = unix_ms();
         new_server["up_since_ms"] = json!(started);
         let arrivals = serve_and_record_work(server);
         let revision = 42 + round;
         let members = [before.as_slice(), &[new_server.clone()]].concat();
-        watches.iter_mut().for_each(|w| w.line(&listing(revision, false, &members)));
+        watches.iter_mut().for_each(|w| w.line(&server_list(revision, false, &members)));
         nodes.iter().for_each(|node| drop(node.logs(&format!("server table {revision}"))));
         new_server["phase"] = json!("left");
         before = vec![new_server];
         // Long enough for each node to accumulate an allowance of one request at half of the server's rate.
         send_heartbeats_for(&mut watches, ms(4_000));
-        let mut clients: Vec<(usize, Peer)> = nodes
+        let mut clients: Vec<(usize, Connection)> = nodes
             .iter()
             .enumerate()
             .flat_map(|(k, node)| (0..6).map(move |_| (k, client_with_answered_request(node))))
@@ -183,9 +183,9 @@
         ReservedAddress { socket, address }
     }
 
-    fn listen(self) -> Party {
+    fn listen(self) -> TestServer {
         self.socket.listen(100).unwrap();
-        Party::behind(self.socket.into())
+        TestServer::from_listener(self.socket.into())
     }
 }
 
@@ -196,12 +196,12 @@
     #[values("pushed", "on_request")] lists: &str,
     #[values("exec \"$0\" serve -v", "ulimit -n 70; exec \"$0\" serve -v")] messages: &str,
 ) {
-    let (old, new, discovery) = (Party::new(), Party::new(), ReservedAddress::new());
+    let (old, new, discovery) = (TestServer::new(), TestServer::new(), ReservedAddress::new());
     let mut config = config(&[old.address]);
     config["discovery"] = json!(discovery.address.to_string());
     config["limits"]["sockets"] = json!(70);
     config["settings"]["discovery"] = json!(lists);
-    let node = Node::start_as(&["sh", "-c", messages, PROGRAM], &config);
+    let node = Node::start_command(&["sh", "-c", messages, PROGRAM], &config);
     let (address, over, opened) =
         (node.address, Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
     let (is_over, count) = (over.clone(), opened.clone());
@@ -225,9 +225,9 @@
         }
     };
     // Each job needs a new connection to the server while all descriptors are taken.
-    let served = |id: &str, server: &Party| {
+    let served = |id: &str, server: &TestServer| {
         refill_descriptors();
-        let mut client = node.ask(id, "/zone-plan");
+        let mut client = node.send_job(id, "/zone-plan");
         refill_descriptors();
         let mut backend = server.accept();
         assert_eq!(backend.id(), id);
@@ -244,16 +244,16 @@
     }
     let discovery = discovery.listen();
     let back = Instant::now();
-    let (mut watch, request) = watch(&discovery);
+    let (mut watch, request) = accept_watch(&discovery);
     assert_eq!(request, "GET /catalog/members?watch=1&from=41 HTTP/1.1");
-    watch.line(&listing(42, true, &[entry("s-new", new.address, "active")]));
+    watch.line(&server_list(42, true, &[entry("s-new", new.address, "active")]));
     node.logs("server table 42");
     assert!(back.elapsed() < Duration::from_secs(6), "{:?}", back.elapsed());
     served("back", &new);
     over.store(true, Ordering::Relaxed);
     println!("{opened:?} connections of idle clients");
     idle_clients.join().unwrap();
-    let mut client = node.ask("after", "/zone-plan");
+    let mut client = node.send_job("after", "/zone-plan");
     let mut backend = new.accept();
     assert_eq!(backend.id(), "after");
     backend.serve("after", "1");
@@ -267,21 +267,21 @@
 #[case::equal_limit_by_the_system("ulimit -n 70; exec \"$0\" serve -v")]
 #[case::lower_limit_by_the_system("ulimit -n 48; exec \"$0\" serve -v")]
 fn silent_clients_arriving_with_a_job_leave_it_a_descriptor(#[case] shell_command: &str) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["limits"]["sockets"] = json!(70);
-    let node = Node::start_as(&["sh", "-c", shell_command, PROGRAM], &config);
-    server.attended(|mut peer| {
+    let node = Node::start_command(&["sh", "-c", shell_command, PROGRAM], &config);
+    server.handle_connections(|mut peer| {
         let id = peer.id();
         peer.send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
         peer.send(&format!("{}\n", json!({"id": id, "state": "done", "result": "1"})));
     });
     let mut client = client_with_answered_request(&node);
-    node.stand_still(true);
+    node.set_paused(true);
     // Fewer than the accept backlog holds.
-    let _crowd: Vec<Peer> = (0..90).map(|_| node.client()).collect();
+    let _crowd: Vec<Connection> = (0..90).map(|_| node.client()).collect();
     client.send(&job("a", "/actuator-cmd", "5000m", ""));
-    node.stand_still(false);
+    node.set_paused(false);
     let answer = client.message();
     assert_eq!((answer.status(), answer.body.as_str()), (200, "1"));
 }
@@ -290,23 +290,23 @@
 /// against leaving jobs without a connection to their server.
 #[rstest]
 fn silent_clients_leave_descriptors_for_servers_under_a_low_system_limit(#[values(50, 60, 90)] limit: usize) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["limits"]["sockets"] = json!(1024);
     let shell_command = format!("ulimit -n {limit}; exec \"$0\" serve -v");
-    let node = Node::start_as(&["sh", "-c", &shell_command, PROGRAM], &config);
-    server.attended(|mut peer| {
+    let node = Node::start_command(&["sh", "-c", &shell_command, PROGRAM], &config);
+    server.handle_connections(|mut peer| {
         let id = peer.id();
         peer.send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
         peer.send(&format!("{}\n", json!({"id": id, "state": "done", "result": "1"})));
     });
     // A client that has sent a job before is not evicted.
-    let mut client = node.ask("before", "/actuator-cmd");
+    let mut client = node.send_job("before", "/actuator-cmd");
     assert_eq!(client.message().status(), 200);
     // All of them are accepted, and most are evicted.
-    let mut idle_clients: Vec<Peer> = (0..200).map(|_| node.client()).collect();
+    let mut idle_clients: Vec<Connection> = (0..200).map(|_| node.client()).collect();
     let drop_closed =
-        |idle_clients: &mut Vec<Peer>| idle_clients.retain_mut(|peer| peer.hears_nothing(ms(1)));
+        |idle_clients: &mut Vec<Connection>| idle_clients.retain_mut(|peer| peer.is_silent_for(ms(1)));
     while idle_clients.len() >= limit {
         drop_closed(&mut idle_clients);
     }
@@ -344,27 +344,27 @@
         Discovery::NeverConnects,
         Discovery::RefusesConnections,
         Discovery::Fails(Failure::Busy),
-        Discovery::Fails(Failure::WaitedInVain),
+        Discovery::Fails(Failure::BusyAfterDelay),
         Discovery::Fails(Failure::Reset),
-        Discovery::Fails(Failure::Mute),
+        Discovery::Fails(Failure::NoResponse),
         Discovery::TricklesBytes
     )]
     discovery: Discovery,
 ) {
     let (server, failing_discovery, refusing, (unreachable, _kept)) =
-        (Party::new(), Party::new(), ReservedAddress::new(), deaf());
+        (TestServer::new(), TestServer::new(), ReservedAddress::new(), saturated_listener());
     let mut config = config(&[server.address]);
     let address = match discovery {
         Discovery::NeverConnects => unreachable,
         Discovery::RefusesConnections => refusing.address,
         Discovery::Fails(_) | Discovery::TricklesBytes => failing_discovery.address,
     };
-    failing_discovery.attended(move |mut peer| match discovery {
+    failing_discovery.handle_connections(move |mut peer| match discovery {
         Discovery::Fails(failure) => failure.play(peer),
         _ => {
             peer.message();
             peer.begin();
-            peer.trickle_until_over("1\r\n{\r\n");
+            peer.trickle_until_closed("1\r\n{\r\n");
         }
     });
     config["discovery"] = json!(address.to_string());
@@ -415,8 +415,8 @@
     let listen = |reserved: Vec<ReservedAddress>| {
         for server in reserved.into_iter().map(ReservedAddress::listen) {
             let back = back.clone();
-            server.attended(move |mut peer| {
-                while peer.goes_on() {
+            server.handle_connections(move |mut peer| {
+                while peer.receives_data() {
                     let id = peer.id();
                     if back.load(Ordering::Relaxed) {
                         peer.serve(&id, &id);
@@ -445,7 +445,7 @@
                     client.send(&job(&format!("{k}-{n}"), target, "5000m", ""));
                     let status = client.message().status();
                     answers.push((unix_ms() / 1e3, status));
-                    assert!(client.hears_nothing(ms(50)));
+                    assert!(client.is_silent_for(ms(50)));
                 }
                 answers
             })
@@ -512,7 +512,7 @@
     framing: Framing,
     #[values(1, 3, 50)] piece: usize,
 ) {
-    let server = Party::new();
+    let server = TestServer::new();
     let node = Node::start(&long_timeout_config(server.address, false));
     let mut client = node.client();
     let mut connection = None;
@@ -552,7 +552,7 @@
             if piece == 1 {
                 std::thread::yield_now();
             } else {
-                backend.hears_nothing(ms(1));
+                backend.is_silent_for(ms(1));
             }
         }
         if !matches!(framing, Framing::UntilClose) {
@@ -561,7 +561,7 @@
         let answer = client.message();
         assert_eq!((answer.status(), answer.body), (200, result));
     }
-    assert!(server.is_left_alone());
+    assert!(server.has_no_connection());
 }
 
 /// Returns the bytes in the socket buffers of both sides of the connections to `server`: not yet sent, or not yet read.
@@ -615,7 +615,7 @@
     let mut backend = server.accept();
     match when {
         ResetTime::BeforeWritten => {
-            assert!(backend.has_come(), "nothing arrived");
+            assert!(backend.has_unread_data(), "nothing arrived");
             std::thread::sleep(ms(100));
             // The buffers are full, and the last byte is not written yet.
             let before = unread_bytes(address);
@@ -628,7 +628,7 @@
         }
         ResetTime::Read => assert!(backend.message().body == body),
     }
-    backend.resets();
+    backend.reset_now();
     if when == ResetTime::BeforeWritten || target == "/zone-plan" {
         let mut backend = server.accept();
         let request = backend.message();
@@ -638,8 +638,8 @@
     } else {
         assert_eq!(client.message().status(), 502);
     }
-    assert!(client.hears_nothing(ms(20)), "one answer");
-    assert!(server.is_left_alone());
+    assert!(client.is_silent_for(ms(20)), "one answer");
+    assert!(server.has_no_connection());
 }
 
 /// Returns the timeout that the node forwards with a request, in milliseconds.
@@ -685,7 +685,7 @@
             break;
         }
         if hold_ms > 0 {
-            backend.stays_silent(ms(hold_ms));
+            backend.assert_silent_for(ms(hold_ms));
         }
         if stalls_connect {
             server.stall_connects();
@@ -707,7 +707,7 @@
 #[case::all("all", 503)]
 #[case::zone("zone", 502)]
 fn no_attempt_is_made_after_the_dedup_window(#[case] group: &str, #[case] status: u16) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     let class = &mut config["settings"]["classes"][1];
     (class["semantics"], class["group"]) = (json!("guarded"), json!(group));
@@ -722,10 +722,10 @@
     assert_eq!(backend.id(), "a");
     assert!(first.elapsed() < ms(400), "the second attempt was made after the window");
     // The second attempt is held until the window is over.
-    backend.stays_silent(ms(450));
+    backend.assert_silent_for(ms(450));
     backend.send("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
     assert_eq!(client.message().status(), status);
-    assert!(backend.hears_nothing(ms(100)) && server.is_left_alone());
+    assert!(backend.is_silent_for(ms(100)) && server.has_no_connection());
 }
 
 /// The state of a request while new settings are read.
@@ -767,11 +767,11 @@
             connection = Some(backend);
         }
         Stage::Queued => {
-            let earlier_client = node.ask("before", "/zone-plan");
+            let earlier_client = node.send_job("before", "/zone-plan");
             let mut backend = server.accept();
             assert_eq!(backend.id(), "before");
             client.send(&text);
-            assert!(backend.hears_nothing(ms(50)), "the request is not queued");
+            assert!(backend.is_silent_for(ms(50)), "the request is not queued");
             before = Some((earlier_client, backend));
         }
         Stage::Connecting => {
@@ -801,8 +801,8 @@
     settings["projects"] = json!([
         {"name": "second", "portion": 0.5, "quota_rps": 50.0}, {"name": "acme", "portion": 0.5, "quota_rps": 50.0}
     ]);
-    node.replace(&config.to_string());
-    node.hang_up();
+    node.replace_config(&config.to_string());
+    node.reload();
     let lines = node.logs_until("new settings are in force");
     assert!(
         stage != Stage::BetweenAttempts || lines.iter().all(|l| !l.contains("dispatch 1.1")),
@@ -831,7 +831,7 @@
     }
     assert_eq!(client.message().status(), if target == "/zone-plan" { 503 } else { 502 });
     assert!(
-        connection.unwrap().hears_nothing(ms(20)) && server.try_accept().is_none(),
+        connection.unwrap().is_silent_for(ms(20)) && server.try_accept().is_none(),
         "a further attempt was made"
     );
     // A new request is judged by the new settings.
--- a/tests/node/recovery.rs
+++ b/tests/node/recovery.rs
@@ -23,10 +23,10 @@
 
 impl CountingBackend {
     pub fn new() -> CountingBackend {
-        let (party, runs) = (Party::new(), Arc::new(Mutex::new(BTreeMap::new())));
+        let (party, runs) = (TestServer::new(), Arc::new(Mutex::new(BTreeMap::new())));
         let backend = CountingBackend { address: party.address, runs: runs.clone() };
-        party.attended(move |mut peer| {
-            while peer.goes_on() {
+        party.handle_connections(move |mut peer| {
+            while peer.receives_data() {
                 let request = peer.message();
                 let key = request.field("Idempotency-Key").unwrap_or("none").to_string();
                 *runs.lock().unwrap().entry(key.clone()).or_default() += 1;
@@ -57,7 +57,7 @@
     pub fn new(name: &str, nodes: usize, clause: &str) -> Fleet {
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
             .join(format!("recovery-{}-{name}", std::process::id()));
-        let addresses: Vec<SocketAddr> = (0..nodes).map(|_| fresh()).collect();
+        let addresses: Vec<SocketAddr> = (0..nodes).map(|_| unused_address()).collect();
         let listed: String =
             addresses.iter().enumerate().map(|(k, a)| format!("(node n{k} \"{a}\")")).collect();
         std::fs::create_dir_all(&folder).unwrap();
@@ -105,7 +105,7 @@
         change: impl Fn(&mut serde_json::Value),
     ) -> Node {
         let (arguments, config) = self.command(node, servers, options, change);
-        Node::start_as(&arguments.iter().map(String::as_str).collect::<Vec<_>>(), &config)
+        Node::start_command(&arguments.iter().map(String::as_str).collect::<Vec<_>>(), &config)
     }
 
     /// Starts a node that must fail, and returns its stderr.
@@ -157,7 +157,7 @@
         if text.split('|').any(|t| page.contains(t)) {
             return;
         }
-        assert!(begin.elapsed() < 2 * LONG, "no {text} in:\n{page}");
+        assert!(begin.elapsed() < 2 * TEST_TIMEOUT, "no {text} in:\n{page}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
@@ -190,7 +190,7 @@
     for node in &nodes {
         wait_for_recovery_page(node, "step \"guarded\"");
         assert_eq!(node.call("GET", "/ops/readiness"), 200);
-        assert_eq!(node.ask("free", "/zone-plan").message().status(), 200);
+        assert_eq!(node.send_job("free", "/zone-plan").message().status(), 200);
         let refused = send_guarded(node, "early");
         assert_eq!(refused.status(), 503);
         assert!(refusal(&refused).1.unwrap().starts_with("recovering: waits for an operator"));
@@ -236,7 +236,7 @@
     let page = recovery_page(&node);
     assert!(page.contains("loss \"of this node: others had power\""), "{page}");
     assert!(page.contains("waits_for \"an operator: what must not run twice may be missing"), "{page}");
-    assert_eq!(node.ask("free", "/zone-plan").message().status(), 200);
+    assert_eq!(node.send_job("free", "/zone-plan").message().status(), 200);
     assert_eq!(send_guarded(&node, "k").status(), 503);
     // The running peers keep serving.
     assert_eq!(send_guarded(&nodes[0], "k").status(), 200);
@@ -269,7 +269,7 @@
 #[rstest]
 fn final_answer_is_repeated_across_a_restart() {
     let clause = "(recover (remember 1 KiB) (answer 100 B) (outlive 1 s) (peers 1 s))";
-    let (fleet, server) = (Fleet::new("answers", 2, clause), Party::new());
+    let (fleet, server) = (Fleet::new("answers", 2, clause), TestServer::new());
     let mut nodes = fleet.start_new(&[server.address]);
     let ask = |node: &Node, id: &str, key: &str| {
         let mut client = node.client();
@@ -307,7 +307,7 @@
     for k in 0..20 {
         let begin = Instant::now();
         while send_guarded(&node, &format!("newer{k}")).status() != 200 {
-            assert!(begin.elapsed() < LONG, "newer{k} is not served");
+            assert!(begin.elapsed() < TEST_TIMEOUT, "newer{k} is not served");
         }
     }
     assert_eq!(again("h", "short").0, 409);
@@ -321,24 +321,24 @@
     let node = fleet.start(0, &[], &[]);
     wait_for_recovery_page(&node, "waits_for \"discovery's list\"");
     assert_eq!(node.call("GET", "/ops/readiness"), 503);
-    let refused = node.ask("a", "/zone-plan").message();
+    let refused = node.send_job("a", "/zone-plan").message();
     assert_eq!(refusal(&refused), (503, Some("recovering: waits for discovery's list")));
     drop(node);
     let node = fleet.start(0, &[server.address], &[]);
     node.logs("why=\"peers did not reply in time\"");
     wait_for_recovery_page(&node, "peer n1 Silent");
     wait_for_recovery_page(&node, "step \"guarded\"");
-    assert_eq!(node.ask("a", "/zone-plan").message().status(), 200);
+    assert_eq!(node.send_job("a", "/zone-plan").message().status(), 200);
     assert_eq!(send_guarded(&node, "k").status(), 503);
 }
 
 /// Starts a discovery service that returns one list and then no changes.
 fn start_discovery(revision: u64, members: &[serde_json::Value]) -> SocketAddr {
-    let party = Party::new();
+    let party = TestServer::new();
     let address = party.address;
     let list = serde_json::json!({"revision": revision, "complete": true, "members": members}).to_string();
-    party.attended(move |mut peer| {
-        while peer.goes_on() {
+    party.handle_connections(move |mut peer| {
+        while peer.receives_data() {
             let wants_list = !peer.message().first.contains("watch=1");
             peer.begin();
             peer.line(if wants_list { &list } else { "" });
@@ -375,18 +375,18 @@
     // The page reports the list once it is on the disk.
     first.iter().for_each(|n| wait_for_recovery_page(n, "list kept"));
     drop(first);
-    let nodes = [0, 1].map(|k| start(k, closed()));
+    let nodes = [0, 1].map(|k| start(k, refusing_address()));
     for node in &nodes {
         wait_for_recovery_page(node, "step \"serving\"");
         wait_for_recovery_page(node, "list \"as a beginning\" age_ms=");
-        assert_eq!(node.ask("a", "/zone-plan").message().status(), 200);
+        assert_eq!(node.send_job("a", "/zone-plan").message().status(), 200);
     }
     drop(nodes);
     let nodes = [0, 1].map(|k| start(k, start_discovery(1, &[])));
     for node in &nodes {
         wait_for_recovery_page(node, "waits_for \"servers: discovery's list is empty\"");
         assert_eq!(node.call("GET", "/ops/readiness"), 503);
-        assert_eq!(node.ask("b", "/zone-plan").message().status(), 503);
+        assert_eq!(node.send_job("b", "/zone-plan").message().status(), 503);
     }
 }
 
@@ -490,7 +490,7 @@
 /// Sends a guarded job and returns the status and body of a complete response.
 fn send_once(address: SocketAddr, key: &str, attempt: u32) -> Option<(u16, String)> {
     let mut stream = TcpStream::connect(address).ok()?;
-    stream.set_read_timeout(Some(LONG)).ok()?;
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).ok()?;
     let text = job(&format!("{key}-{attempt}"), "/actuator-cmd", "5000m", "");
     let text = text.replace("Tenant:", &format!("Connection: close\r\nIdempotency-Key: {key}\r\nTenant:"));
     stream.write_all(text.as_bytes()).ok()?;
@@ -530,7 +530,7 @@
         let (before, begin) = (placement_count(other), Instant::now());
         assert_eq!(send_guarded(&nodes[k], "newer").status(), 200);
         while placement_count(other) == before {
-            assert!(begin.elapsed() < LONG, "the placement does not reach the other node");
+            assert!(begin.elapsed() < TEST_TIMEOUT, "the placement does not reach the other node");
         }
         // The other node writes what it received together with its own next placement.
         assert_eq!(send_guarded(other, "next").status(), 200);
@@ -541,7 +541,7 @@
         // Guards against rounds without load on a busy machine. Nothing guarded runs after disks were lost.
         let begin = Instant::now();
         while round == 0 && server.runs.lock().unwrap().len() <= expected_runs {
-            assert!(begin.elapsed() < LONG, "no job of the load has run");
+            assert!(begin.elapsed() < TEST_TIMEOUT, "no job of the load has run");
             std::thread::sleep(Duration::from_millis(1));
         }
         std::thread::sleep(Duration::from_millis(u64::from(100 + (137 * (seed + round)) % 400)));
--- a/tests/node/sites.rs
+++ b/tests/node/sites.rs
@@ -1,6 +1,6 @@
 //! Nodes of several sites: placements, accounts and their configuration files, with a real process per node.
 
-pub use crate::support::site_files::{sign, Files, KEY};
+pub use crate::support::site_files::{sign, SiteFiles, KEY};
 use crate::support::*;
 use rstest::rstest;
 use std::net::{SocketAddr, UdpSocket};
@@ -20,7 +20,7 @@
         if body.contains(text) {
             return;
         }
-        assert!(begin.elapsed() < LONG, "no {text} in {body}");
+        assert!(begin.elapsed() < TEST_TIMEOUT, "no {text} in {body}");
     }
 }
 
@@ -36,23 +36,23 @@
 }
 
 /// Serves every request on a connection.
-pub fn serve_all(mut peer: Peer) {
-    while peer.goes_on() {
+pub fn serve_all(mut peer: Connection) {
+    while peer.receives_data() {
         let id = peer.id();
         peer.serve(&id, "1");
     }
 }
 
 /// Returns the connection on which the next job arrives: a new one, or the kept one.
-pub fn accept_job(server: &Party, mut kept_connection: Option<Peer>) -> Peer {
+pub fn accept_job(server: &TestServer, mut kept_connection: Option<Connection>) -> Connection {
     let begin = Instant::now();
     loop {
-        assert!(begin.elapsed() < LONG, "no job arrived");
-        if let Some(peer) = server.came() {
+        assert!(begin.elapsed() < TEST_TIMEOUT, "no job arrived");
+        if let Some(peer) = server.try_accept() {
             return peer;
         }
         let Some(peer) = &mut kept_connection else { return server.accept() };
-        if !peer.hears_nothing(Duration::from_millis(10)) && !peer.ended_early() {
+        if !peer.is_silent_for(Duration::from_millis(10)) && !peer.ends_without_data() {
             break;
         }
     }
@@ -68,17 +68,17 @@
 /// and serve the account again after it is reopened.
 #[rstest]
 fn closing_an_account_rejects_new_jobs_at_both_sites_and_finishes_running_ones() {
-    let (files, servers) = (Files::new("closing"), [Party::new(), Party::new()]);
+    let (files, servers) = (SiteFiles::new("closing"), [TestServer::new(), TestServer::new()]);
     let nodes = [0, 1].map(|k| files.start(k, &servers[k]));
     nodes.iter().for_each(|n| drop(n.logs("standing is confirmed")));
-    let mut clients = [0, 1].map(|k| nodes[k].ask(&format!("before-{k}"), "/actuator-cmd"));
+    let mut clients = [0, 1].map(|k| nodes[k].send_job(&format!("before-{k}"), "/actuator-cmd"));
     let mut backends = [0, 1].map(|k| servers[k].accept());
     backends.iter_mut().for_each(|b| drop(b.message()));
-    files.accounts(0, 2, "(account acme (standing closing) (reason \"unpaid\"))");
-    nodes[0].hang_up();
+    files.write_accounts(0, 2, "(account acme (standing closing) (reason \"unpaid\"))");
+    nodes[0].reload();
     for node in &nodes {
         node.logs("account acme Closing number=2");
-        let answer = node.ask("after", "/zone-plan").message();
+        let answer = node.send_job("after", "/zone-plan").message();
         assert_eq!(refusal(&answer), (403, Some("account closing")));
         assert_eq!(answer.field("Retry-After"), None);
     }
@@ -86,37 +86,37 @@
         backends[k].serve(&format!("before-{k}"), "done");
         assert_eq!(clients[k].message().body, "done");
         // A retry of an accepted job's id counts as running work; a retry of a rejected job does not.
-        let mut again = nodes[k].ask(&format!("before-{k}"), "/zone-plan");
+        let mut again = nodes[k].send_job(&format!("before-{k}"), "/zone-plan");
         assert_eq!(backends[k].message().field("Request-Id"), Some(format!("before-{k}").as_str()));
         backends[k].serve(&format!("before-{k}"), "again");
         assert_eq!(again.message().body, "again");
-        assert_eq!(nodes[k].ask("after", "/zone-plan").message().status(), 403);
+        assert_eq!(nodes[k].send_job("after", "/zone-plan").message().status(), 403);
     }
-    files.accounts(1, 3, "(account acme (standing reopened))");
-    nodes[1].hang_up();
+    files.write_accounts(1, 3, "(account acme (standing reopened))");
+    nodes[1].reload();
     for k in 0..2 {
         nodes[k].logs("account acme Reopened number=3");
-        let mut client = nodes[k].ask("reopened", "/zone-plan");
+        let mut client = nodes[k].send_job("reopened", "/zone-plan");
         assert_eq!(backends[k].message().field("Request-Id"), Some("reopened"));
         backends[k].serve("reopened", "1");
         assert_eq!(client.message().status(), 200);
     }
-    assert!(servers.iter().all(|s| s.is_left_alone()));
+    assert!(servers.iter().all(|s| s.has_no_connection()));
 }
 
 /// A job that another node accepted before the account closed counts as running work once its placement is known: a guarded retry
 /// gets the job's outcome and a free one is served. New jobs are rejected.
 #[rstest]
 fn retry_of_a_job_accepted_by_another_node_is_allowed_for_a_closing_account() {
-    let (files, servers) = (Files::new("elsewhere"), [Party::new(), Party::new()]);
+    let (files, servers) = (SiteFiles::new("elsewhere"), [TestServer::new(), TestServer::new()]);
     let nodes = [0, 1].map(|k| files.start(k, &servers[k]));
     nodes.iter().for_each(|n| drop(n.logs("standing is confirmed")));
-    servers.into_iter().for_each(|s| s.attended(serve_all));
-    let mut guarded = nodes[0].ask("guarded", "/actuator-cmd");
-    let mut free = nodes[0].ask("free", "/zone-plan");
+    servers.into_iter().for_each(|s| s.handle_connections(serve_all));
+    let mut guarded = nodes[0].send_job("guarded", "/actuator-cmd");
+    let mut free = nodes[0].send_job("free", "/zone-plan");
     assert_eq!((guarded.message().status(), free.message().status()), (200, 200));
-    files.accounts(1, 2, "(account acme (standing closing))");
-    nodes[1].hang_up();
+    files.write_accounts(1, 2, "(account acme (standing closing))");
+    nodes[1].reload();
     nodes[1].logs("account acme Closing number=2");
     for (id, class, wanted) in [
         ("guarded", "/actuator-cmd", (409, Some("served before"))),
@@ -125,14 +125,14 @@
     ] {
         let begin = Instant::now();
         loop {
-            let answer = nodes[1].ask(id, class).message();
+            let answer = nodes[1].send_job(id, class).message();
             if refusal(&answer) == wanted {
                 break;
             }
             // Before the placement arrives the job counts as new.
             let may_come_before = [(403, Some("account closing")), (502, Some("may have run"))];
             assert!(
-                may_come_before.contains(&refusal(&answer)) && begin.elapsed() < LONG,
+                may_come_before.contains(&refusal(&answer)) && begin.elapsed() < TEST_TIMEOUT,
                 "{id}: {answer:?}"
             );
         }
@@ -142,32 +142,32 @@
 /// Accounts files that are older, that lack their authentication code or whose code does not match are ignored.
 #[rstest]
 fn old_or_unauthenticated_accounts_files_are_rejected() {
-    let (files, server) = (Files::new("believed"), Party::new());
+    let (files, server) = (SiteFiles::new("believed"), TestServer::new());
     let node = files.start(0, &server);
-    files.accounts(0, 7, "(account acme (standing closed))");
-    node.hang_up();
+    files.write_accounts(0, 7, "(account acme (standing closed))");
+    node.reload();
     node.logs("account acme Closed number=7");
-    assert_eq!(refusal(&node.ask("a", "/zone-plan").message()), (403, Some("account closed")));
-    files.accounts(0, 5, "(account acme (standing good))");
-    node.hang_up();
+    assert_eq!(refusal(&node.send_job("a", "/zone-plan").message()), (403, Some("account closed")));
+    files.write_accounts(0, 5, "(account acme (standing good))");
+    node.reload();
     node.logs("OldFile");
-    let path = files.of(0).join("accounts.sexp");
+    let path = files.node_folder(0).join("accounts.sexp");
     std::fs::write(&path, "(accounts (number 9) (account acme (standing good)))").unwrap();
-    node.hang_up();
+    node.reload();
     node.logs("the authentication code does not match this file");
     std::fs::remove_file(path.with_extension("sexp.hmac")).unwrap();
-    node.hang_up();
+    node.reload();
     node.logs("the old files of sites and accounts stay");
-    assert_eq!(refusal(&node.ask("b", "/zone-plan").message()), (403, Some("account closed")));
-    assert!(server.is_left_alone());
+    assert_eq!(refusal(&node.send_job("b", "/zone-plan").message()), (403, Some("account closed")));
+    assert!(server.has_no_connection());
 }
 
 /// A node persists the newest sites file it has used: an older file, a different file of that version and an older declaration of a
 /// lost site are rejected, on SIGHUP and at the next start.
 #[rstest]
 fn older_sites_file_is_rejected_on_reload_and_after_a_restart() {
-    let (files, server) = (Files::new("older"), Party::new());
-    files.sites(0, 3, "(lost east (number 4))");
+    let (files, server) = (SiteFiles::new("older"), TestServer::new());
+    files.write_sites(0, 3, "(lost east (number 4))");
     let mut node = files.start(0, &server);
     let is_lost = |node: &Node| {
         let mut operator = node.operator();
@@ -184,20 +184,20 @@
             "the file declares east lost by number 3, and number 4 was declared before",
         ),
     ] {
-        files.sites(0, version, clauses);
-        node.hang_up();
+        files.write_sites(0, version, clauses);
+        node.reload();
         let line = node.logs("the old files of sites and accounts stay");
         assert!(line.contains(error) && line.contains("greater"), "{line}");
         assert!(is_lost(&node));
     }
-    files.sites(0, 4, "");
-    node.hang_up();
+    files.write_sites(0, 4, "");
+    node.reload();
     node.logs("read again: version 4");
     node.terminate();
     node.exit();
     let start_error = |version, clauses| {
-        files.sites(0, version, clauses);
-        let (file, state) = (files.of(0).join("sites.sexp"), files.of(0).join("state"));
+        files.write_sites(0, version, clauses);
+        let (file, state) = (files.node_folder(0).join("sites.sexp"), files.node_folder(0).join("state"));
         let arguments =
             [PROGRAM, "serve", "--sites", file.to_str().unwrap(), "--state", state.to_str().unwrap()];
         let out = command(&arguments, &config(&[server.address]).to_string()).output().unwrap();
@@ -211,7 +211,7 @@
     );
     let stderr = start_error(5, "(lost east (number 4))");
     assert!(stderr.contains("the file declares east lost by number 4"), "{stderr}");
-    files.sites(0, 5, "(lost east (number 5))");
+    files.write_sites(0, 5, "(lost east (number 5))");
     let node = files.start(0, &server);
     node.logs("site east Lost");
 }
@@ -219,13 +219,13 @@
 /// Nodes warn about a peer that uses another sites file: a different one of the same version, or another version.
 #[rstest]
 fn differing_sites_files_are_logged() {
-    let (files, servers) = (Files::new("two-files"), [Party::new(), Party::new()]);
-    files.sites(1, 1, "(seal 9 min)");
+    let (files, servers) = (SiteFiles::new("two-files"), [TestServer::new(), TestServer::new()]);
+    files.write_sites(1, 1, "(seal 9 min)");
     let nodes = [0, 1].map(|k| files.start(k, &servers[k]));
     nodes[0].logs("n1 uses another file with version 1 than this node");
     nodes[1].logs("n0 uses another file with version 1 than this node");
-    files.sites(1, 2, "");
-    nodes[1].hang_up();
+    files.write_sites(1, 2, "");
+    nodes[1].reload();
     nodes[0].logs("n1 uses version 2 of the sites file, this node uses 1");
 }
 
@@ -239,26 +239,26 @@
     #[case] limit_ms: f64,
     #[case] retry_after: Option<f64>,
 ) {
-    let files = Files::new(&format!("advice-{allowed}-{limit_ms}"));
-    files.sites(0, 2, "(credit acme (jobs 8) (reserve 2) (shrink 1 h))");
-    let server = Party::new();
+    let files = SiteFiles::new(&format!("advice-{allowed}-{limit_ms}"));
+    files.write_sites(0, 2, "(credit acme (jobs 8) (reserve 2) (shrink 1 h))");
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["settings"]["allowed"]["retry_after"] = allowed.into();
     config["settings"]["allowed"]["max_retry_after_ms"] = limit_ms.into();
     let node = files.start_with(0, config, &[]);
-    let answer = node.ask("a", "/zone-plan").message();
+    let answer = node.send_job("a", "/zone-plan").message();
     assert_eq!(refusal(&answer), (503, Some("standing not confirmed")));
     assert_eq!(answer.field("Retry-After").map(|t| t.parse().unwrap()), retry_after);
-    assert!(server.is_left_alone());
+    assert!(server.has_no_connection());
 }
 
 /// An isolated site starts no more jobs on an unconfirmed account status than the credit allows, also across a restart, until it is
 /// connected again.
 #[rstest]
 fn isolated_site_stays_within_its_credit_across_a_restart() {
-    let (files, servers) = (Files::new("credit"), [Party::new(), Party::new()]);
+    let (files, servers) = (SiteFiles::new("credit"), [TestServer::new(), TestServer::new()]);
     for node in 0..2 {
-        files.sites(node, 2, "(credit acme (jobs 8) (reserve 2) (shrink 1 h))");
+        files.write_sites(node, 2, "(credit acme (jobs 8) (reserve 2) (shrink 1 h))");
     }
     let mut node = files.start(0, &servers[0]);
     let other = files.start(1, &servers[1]);
@@ -270,7 +270,7 @@
         let mut served_count = 0;
         for k in 0..10 {
             let id = format!("{name}{k}");
-            let mut client = node.ask(&id, "/zone-plan");
+            let mut client = node.send_job(&id, "/zone-plan");
             let begin = Instant::now();
             if served_count < 4 {
                 let backend = backend.get_or_insert_with(|| servers[0].accept());
@@ -281,7 +281,7 @@
                 continue;
             }
             let answer = client.message();
-            assert!(begin.elapsed() < LONG / 4);
+            assert!(begin.elapsed() < TEST_TIMEOUT / 4);
             assert_eq!(refusal(&answer), (503, Some("standing not confirmed")));
             assert!(answer.field("Retry-After").is_some());
         }
@@ -292,12 +292,12 @@
     drop(node);
     let node = files.start(0, &servers[0]);
     for k in 0..3 {
-        let answer = node.ask(&format!("again{k}"), "/zone-plan").message();
+        let answer = node.send_job(&format!("again{k}"), "/zone-plan").message();
         assert_eq!(refusal(&answer), (503, Some("standing not confirmed")));
     }
     let _other = files.start(1, &servers[1]);
     node.logs("standing is confirmed");
-    let mut client = node.ask("linked", "/zone-plan");
+    let mut client = node.send_job("linked", "/zone-plan");
     let mut backend = servers[0].accept();
     backend.message();
     backend.serve("linked", "1");
@@ -311,14 +311,14 @@
 #[case::after_shutdown(true, false)]
 #[case::after_kill(true, true)]
 fn node_starts_on_a_full_disk_and_recovers_when_space_is_freed(#[case] used: bool, #[case] killed: bool) {
-    let (files, server) = (Files::new(&format!("full-{used}-{killed}")), Party::new());
-    files.sites(0, 2, "(credit acme (jobs 8) (reserve 8))");
-    files.sites(1, 2, "(credit acme (jobs 8) (reserve 8))");
-    let other = files.start(1, &Party::new());
+    let (files, server) = (SiteFiles::new(&format!("full-{used}-{killed}")), TestServer::new());
+    files.write_sites(0, 2, "(credit acme (jobs 8) (reserve 8))");
+    files.write_sites(1, 2, "(credit acme (jobs 8) (reserve 8))");
+    let other = files.start(1, &TestServer::new());
     // The node reuses its connection for the next job.
-    let mut backend: Option<Peer> = None;
+    let mut backend: Option<Connection> = None;
     let mut serve = |node: &Node, id: &str, class: &str| {
-        let mut client = node.ask(id, class);
+        let mut client = node.send_job(id, class);
         let mut peer = accept_job(&server, backend.take());
         assert_eq!(peer.id(), id);
         peer.serve(id, "1");
@@ -331,46 +331,50 @@
         serve(&node, "before", "/actuator-cmd");
         let begin = Instant::now();
         while !history(&node).starts_with("all=2 ") {
-            assert!(begin.elapsed() < LONG, "{}", history(&node));
+            assert!(begin.elapsed() < TEST_TIMEOUT, "{}", history(&node));
         }
         if !killed {
             node.terminate();
             node.exit();
         }
     }
-    let node = files.start_full(0, &server);
+    let node = files.start_on_full_disk(0, &server);
     let begin = Instant::now();
-    while refusal(&node.ask("new", "/actuator-cmd").message()) != (503, Some("placements can't be recorded"))
+    while refusal(&node.send_job("new", "/actuator-cmd").message())
+        != (503, Some("placements can't be recorded"))
     {
-        assert!(begin.elapsed() < LONG);
+        assert!(begin.elapsed() < TEST_TIMEOUT);
     }
     if used {
-        assert_eq!(refusal(&node.ask("before", "/actuator-cmd").message()), (409, Some("served before")));
+        assert_eq!(
+            refusal(&node.send_job("before", "/actuator-cmd").message()),
+            (409, Some("served before"))
+        );
     }
     wait_for_sites_page(&node, "standing confirmed");
     serve(&node, "free", "/zone-plan");
     drop(other);
     wait_for_sites_page(&node, "standing not confirmed");
-    let answer = node.ask("credit", "/zone-plan").message();
+    let answer = node.send_job("credit", "/zone-plan").message();
     assert_eq!(refusal(&answer), (503, Some("standing not confirmed, disk not written")));
-    node.frees_its_disk();
+    node.lift_file_size_limit();
     node.logs("the disk accepts writes again");
-    let other = files.start(1, &Party::new());
+    let other = files.start(1, &TestServer::new());
     wait_for_sites_page(&node, "standing confirmed");
     // The rejected job never ran, so it may be placed now.
     serve(&node, "new", "/actuator-cmd");
     // A placement that a peer knows is on the disk, so the next process knows it.
     let begin = Instant::now();
-    while refusal(&other.ask("new", "/actuator-cmd").message()) != (409, Some("served before")) {
-        assert!(begin.elapsed() < LONG);
+    while refusal(&other.send_job("new", "/actuator-cmd").message()) != (409, Some("served before")) {
+        assert!(begin.elapsed() < TEST_TIMEOUT);
     }
     drop(node);
     let node = files.start(0, &server);
     node.logs("guarded work is taken");
     for id in ["new", "before"].iter().take(1 + usize::from(used)) {
-        assert_eq!(refusal(&node.ask(id, "/actuator-cmd").message()), (409, Some("served before")));
+        assert_eq!(refusal(&node.send_job(id, "/actuator-cmd").message()), (409, Some("served before")));
     }
-    assert!(server.is_left_alone());
+    assert!(server.has_no_connection());
 }
 
 /// A node that the sites file does not list, a readable key file and a state folder in use by another process fail the start.
@@ -379,12 +383,14 @@
 #[case::readable_key("n0", 0o644, "others may read or change it")]
 #[case::folder_in_use("n0", 0o600, "another process has it")]
 fn invalid_node_setup_fails_the_start(#[case] name: &str, #[case] mode: u32, #[case] error: &str) {
-    let (files, server) = (Files::new(&format!("start-{name}-{mode}-{}", error.len())), Party::new());
+    let (files, server) =
+        (SiteFiles::new(&format!("start-{name}-{mode}-{}", error.len())), TestServer::new());
     let _first = files.start(0, &server);
-    std::fs::set_permissions(files.of(0).join("fleet.key"), std::fs::Permissions::from_mode(mode)).unwrap();
+    std::fs::set_permissions(files.node_folder(0).join("fleet.key"), std::fs::Permissions::from_mode(mode))
+        .unwrap();
     let mut config = config(&[server.address]);
     config["name"] = name.into();
-    let (file, state) = (files.of(0).join("sites.sexp"), files.of(0).join("state"));
+    let (file, state) = (files.node_folder(0).join("sites.sexp"), files.node_folder(0).join("state"));
     let arguments = [PROGRAM, "serve", "--sites", file.to_str().unwrap(), "--state", state.to_str().unwrap()];
     let out = command(&arguments, &config.to_string()).output().unwrap();
     let stderr = String::from_utf8_lossy(&out.stderr);
@@ -404,10 +410,10 @@
     #[case] is_valid: bool,
     #[case] expected: &str,
 ) {
-    let files = Files::new(&format!("check-{}-{}", sites.len(), accounts.len()));
-    files.sites(0, 1, sites);
-    files.accounts(0, 1, accounts);
-    let file = files.of(0).join("sites.sexp");
+    let files = SiteFiles::new(&format!("check-{}-{}", sites.len(), accounts.len()));
+    files.write_sites(0, 1, sites);
+    files.write_accounts(0, 1, accounts);
+    let file = files.node_folder(0).join("sites.sexp");
     let arguments = [PROGRAM, "check", "--sites", file.to_str().unwrap()];
     let out = command(&arguments, &config(&[]).to_string()).output().unwrap();
     let text = String::from_utf8_lossy(&out.stdout) + String::from_utf8_lossy(&out.stderr);
@@ -417,10 +423,11 @@
 /// The example files in `deploy/` are valid once they are signed.
 #[test]
 fn check_accepts_the_example_files() {
-    let files = Files::new("deploy");
+    let files = SiteFiles::new("deploy");
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy");
     for name in ["sites.sexp", "accounts.sexp"] {
-        let (text, path) = (std::fs::read_to_string(deploy.join(name)).unwrap(), files.of(0).join(name));
+        let (text, path) =
+            (std::fs::read_to_string(deploy.join(name)).unwrap(), files.node_folder(0).join(name));
         std::fs::write(&path, &text).unwrap();
         sign(&path, &text);
     }
@@ -433,7 +440,7 @@
     info["class_stretch"] = serde_json::json!([2.0, 2.0, 2.0]);
     let tenant = |name| serde_json::json!({"name": name, "portion": 0.5, "quota_rps": 50.0});
     config["settings"]["projects"] = ["fyn-gartnerier", "sjaelland-syd"].map(tenant).to_vec().into();
-    let file = files.of(0).join("sites.sexp");
+    let file = files.node_folder(0).join("sites.sexp");
     let arguments = [PROGRAM, "check", "--sites", file.to_str().unwrap()];
     let out = command(&arguments, &config.to_string()).output().unwrap();
     let text = String::from_utf8_lossy(&out.stdout) + String::from_utf8_lossy(&out.stderr);
@@ -444,8 +451,8 @@
 /// and another site know it, too.
 #[rstest]
 fn guarded_key_is_not_placed_twice_across_restarts_and_sites() {
-    let (files, server) = (Files::new("guarded"), Party::new());
-    let other = files.start(1, &Party::new());
+    let (files, server) = (SiteFiles::new("guarded"), TestServer::new());
+    let other = files.start(1, &TestServer::new());
     let node = files.start(0, &server);
     node.logs("guarded work is taken");
     let ask = |node: &Node, id: &str| {
@@ -475,7 +482,7 @@
     backend.message();
     // Dropping the node kills it, so that it can't write anything more.
     drop(node);
-    assert!(client.ended());
+    assert!(client.is_closed());
     let node = files.start(0, &server);
     node.logs("guarded work is taken");
     for (id, expected) in [
@@ -491,12 +498,12 @@
     assert_eq!(backend.message().field("Request-Id"), Some("new"));
     backend.serve("new", "1");
     assert_eq!(client.message().status(), 200);
-    assert!(server.is_left_alone());
+    assert!(server.has_no_connection());
     // The other site has received the history and does not place these keys either.
     let begin = Instant::now();
     // Four placements and their outcomes.
     while history(&node) != history(&other) || !history(&node).starts_with("all=8 ") {
-        assert!(begin.elapsed() < LONG, "{} and {}", history(&node), history(&other));
+        assert!(begin.elapsed() < TEST_TIMEOUT, "{} and {}", history(&node), history(&other));
     }
     for id in ["served", "lost", "killed", "new"] {
         let answer = ask(&other, &format!("{id}-elsewhere")).message();
@@ -509,8 +516,8 @@
 /// Log entries that all sites have are sealed in the same way at each; guarded keys stay known, also after a restart.
 #[rstest]
 fn sealing_the_history_retains_guarded_keys() {
-    let (files, servers) = (Files::new("seal"), [Party::new(), Party::new()]);
-    (0..2).for_each(|k| files.sites(k, 2, "(seal 300 ms)"));
+    let (files, servers) = (SiteFiles::new("seal"), [TestServer::new(), TestServer::new()]);
+    (0..2).for_each(|k| files.write_sites(k, 2, "(seal 300 ms)"));
     let [node, other] = [0, 1].map(|k| files.start(k, &servers[k]));
     node.logs("guarded work is taken");
     let mut client = node.client();
@@ -532,13 +539,13 @@
     }
     let begin = Instant::now();
     while history(&node) != history(&other) {
-        assert!(begin.elapsed() < LONG, "{} and {}", history(&node), history(&other));
+        assert!(begin.elapsed() < TEST_TIMEOUT, "{} and {}", history(&node), history(&other));
     }
     drop(node);
     let node = files.start(0, &servers[0]);
     node.logs("guarded work is taken");
     for node in [&node, &other] {
-        let answer = node.ask("first", "/actuator-cmd").message();
+        let answer = node.send_job("first", "/actuator-cmd").message();
         assert_eq!(refusal(&answer), (409, Some("served before")));
     }
 }
@@ -582,7 +589,7 @@
 /// the newest status, jobs that it started meanwhile are logged, and running jobs finish.
 #[rstest]
 fn partitioned_node_catches_up_with_account_status_changes() {
-    let files = Files::new("cut-between");
+    let files = SiteFiles::new("cut-between");
     let links: Vec<Vec<Link>> =
         (0..3).map(|_| (0..3).map(|to| Link::to(files.address(to))).collect()).collect();
     let cut = |cut: bool| {
@@ -597,14 +604,14 @@
         let text = format!(
             "(sites (version 1) (fleet \"odense\") (key \"fleet.key\") (accounts \"accounts.sexp\") {}
              (site west (node n0 \"{}\") (bears 100)) (site east (node n1 \"{}\") (node n2 \"{}\") (bears 100)))",
-            files.times, at(0), at(1), at(2)
+            files.timeouts, at(0), at(1), at(2)
         );
-        std::fs::write(files.of(node).join("sites.sexp"), &text).unwrap();
+        std::fs::write(files.node_folder(node).join("sites.sexp"), &text).unwrap();
     }
-    let servers = [Party::new(), Party::new(), Party::new()];
+    let servers = [TestServer::new(), TestServer::new(), TestServer::new()];
     let nodes = [0, 1, 2].map(|k| files.start(k, &servers[k]));
     nodes.iter().for_each(|n| drop(n.logs("standing is confirmed")));
-    let mut running = nodes[2].ask("running", "/actuator-cmd");
+    let mut running = nodes[2].send_job("running", "/actuator-cmd");
     let mut backend = servers[2].accept();
     assert_eq!(backend.id(), "running");
     cut(true);
@@ -612,37 +619,40 @@
     for (number, account_status, status_name) in
         [(2, "closing", "Closing"), (3, "reopened", "Reopened"), (4, "closing", "Closing")]
     {
-        files.accounts(0, number, &format!("(account acme (standing {account_status}))"));
-        nodes[0].hang_up();
+        files.write_accounts(0, number, &format!("(account acme (standing {account_status}))"));
+        nodes[0].reload();
         for node in &nodes[..2] {
             node.logs(&format!("account acme {status_name} number={number}"));
         }
     }
     let closing = (403, Some("account closing"));
-    assert_eq!(refusal(&nodes[1].ask("new-1", "/zone-plan").message()), closing);
-    let mut isolated = nodes[2].ask("alone", "/zone-plan");
+    assert_eq!(refusal(&nodes[1].send_job("new-1", "/zone-plan").message()), closing);
+    let mut isolated = nodes[2].send_job("alone", "/zone-plan");
     let mut other = accept_job(&servers[2], None);
     assert_eq!(other.id(), "alone");
     other.serve("alone", "1");
     assert_eq!(isolated.message().status(), 200);
     cut(false);
     nodes[2].logs("account acme Closing number=4");
-    assert_eq!(refusal(&nodes[2].ask("new-2", "/zone-plan").message()), closing);
+    assert_eq!(refusal(&nodes[2].send_job("new-2", "/zone-plan").message()), closing);
     let line = nodes[0].logs("account acme: work was started after file");
     assert!(line.contains("Unaware at east/n2"), "{line}");
     backend.serve("running", "done");
     assert_eq!(running.message().body, "done");
     let begin = Instant::now();
     while !(1..3).all(|k| history(&nodes[k]) == history(&nodes[0])) {
-        assert!(begin.elapsed() < LONG, "{:?}", [0, 1, 2].map(|k| history(&nodes[k])));
+        assert!(begin.elapsed() < TEST_TIMEOUT, "{:?}", [0, 1, 2].map(|k| history(&nodes[k])));
     }
     loop {
-        let answer = nodes[0].ask("running", "/actuator-cmd").message();
+        let answer = nodes[0].send_job("running", "/actuator-cmd").message();
         match refusal(&answer) {
             (409, Some("served before")) => break,
             // The outcome has not arrived yet.
             pending => {
-                assert!(pending == (502, Some("may have run")) && begin.elapsed() < LONG, "{pending:?}")
+                assert!(
+                    pending == (502, Some("may have run")) && begin.elapsed() < TEST_TIMEOUT,
+                    "{pending:?}"
+                )
             }
         }
     }
--- a/tests/node/spillover.rs
+++ b/tests/node/spillover.rs
@@ -22,8 +22,9 @@
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
             .join(format!("spillover-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        let site =
-            |(k, name): (usize, &&str)| format!("(site {name} (node n{k} \"{}\") (bears 100))", fresh());
+        let site = |(k, name): (usize, &&str)| {
+            format!("(site {name} (node n{k} \"{}\") (bears 100))", unused_address())
+        };
         let sites: Vec<String> = SITES.iter().enumerate().map(site).collect();
         let text = format!(
             "(sites (fleet \"odense\") (key \"fleet.key\") (confirm 2 s) (alone 2500 ms) (hold 3 s)\n{} {spillover_clause})",
@@ -46,7 +47,7 @@
         let (file, state) = (self.folder.join("sites.sexp"), self.folder.join(format!("state-{node}")));
         let arguments =
             [PROGRAM, "serve", "-v", "--sites", file.to_str().unwrap(), "--state", state.to_str().unwrap()];
-        Node::start_as(&arguments, &config)
+        Node::start_command(&arguments, &config)
     }
 }
 
@@ -94,7 +95,7 @@
     last_id: &mut usize,
 ) -> Vec<Message> {
     let field = home_site.map_or(String::new(), |h| format!("Home-Site: {h}\r\n"));
-    let mut clients: Vec<Peer> = (0..count)
+    let mut clients: Vec<Connection> = (0..count)
         .map(|_| {
             *last_id += 1;
             let mut client = node.client();
@@ -105,7 +106,7 @@
             client
         })
         .collect();
-    clients.iter_mut().map(Peer::message).collect()
+    clients.iter_mut().map(Connection::message).collect()
 }
 
 /// Returns the status and the `Refused-Because` field of a response.
@@ -132,7 +133,7 @@
     let (begin, mut served, mut rejected, mut batches) = (Instant::now(), 0, 0, 0);
     while rejected < min_rejected || batches < 3 {
         batches += 1;
-        assert!(begin.elapsed() < LONG, "{served} served, {rejected} rejected");
+        assert!(begin.elapsed() < TEST_TIMEOUT, "{served} served, {rejected} rejected");
         for answer in send_jobs(node, 40, "/zone-plan", Some("east"), last_id) {
             if answer.status() == 200 {
                 served += 1;
@@ -164,14 +165,14 @@
     let begin = Instant::now();
     // The rate is zero before the endpoint list is known.
     while spillover_rate(&west, "zone-plan") == 0 {
-        assert!(begin.elapsed() < LONG, "the spillover rate stays zero");
+        assert!(begin.elapsed() < TEST_TIMEOUT, "the spillover rate stays zero");
     }
     assert_eq!((spillover_rate(&west, "zone-plan"), spillover_rate(&west, "actuator-cmd")), (20, 0));
     check_remote_limit(&west, 20, 40, &mut last_id);
     let begin = Instant::now();
     let answer = send_jobs(&west, 1, "/actuator-cmd", Some("east"), &mut last_id).remove(0);
     assert_eq!(refusal(&answer), (503, Some("guest part used")));
-    assert!(begin.elapsed() < LONG / 4);
+    assert!(begin.elapsed() < TEST_TIMEOUT / 4);
     // East reports its demand before it is lost.
     let begin = Instant::now();
     while begin.elapsed().as_millis() < 2_500 {
@@ -182,7 +183,7 @@
     west.logs("site east Lost");
     let begin = Instant::now();
     while spillover_rate(&west, "zone-plan") <= 20 {
-        assert!(begin.elapsed() < LONG, "no spare capacity is offered");
+        assert!(begin.elapsed() < TEST_TIMEOUT, "no spare capacity is offered");
     }
     let rate = spillover_rate(&west, "zone-plan");
     assert!((21..=100).contains(&rate), "{rate}");
@@ -221,7 +222,7 @@
         .iter()
         .any(|a| a.field("Come-Back").is_some())
     {
-        assert!(begin.elapsed() < LONG, "no remote client is sent back");
+        assert!(begin.elapsed() < TEST_TIMEOUT, "no remote client is sent back");
     }
     let lines = east.logs_until("load recovery east part=100 before=100");
     let steps = lines
--- a/tests/node/stopping.rs
+++ b/tests/node/stopping.rs
@@ -1,8 +1,8 @@
 //! Signals that stop a node or reload its configuration, and the times at which they arrive.
 
-use crate::operators::{published, replaced};
+use crate::operators::{start_replacement, wait_for_handover_socket};
 use crate::support::*;
-use crate::{following, listing, pair, watch, whole_list};
+use crate::{accept_watch, config_with_discovery, node_with_server, serve_complete_list, server_list};
 use rstest::rstest;
 use serde_json::{json, Value};
 use std::collections::HashSet;
@@ -19,11 +19,11 @@
 type RequestIds = Arc<Mutex<HashSet<String>>>;
 
 /// Reads every request that reaches the server, records its id, and never answers.
-fn accept_without_answering(server: Party) -> RequestIds {
+fn accept_without_answering(server: TestServer) -> RequestIds {
     let ids = RequestIds::default();
     let written = ids.clone();
-    server.attended(move |mut peer| {
-        while peer.goes_on() {
+    server.handle_connections(move |mut peer| {
+        while peer.receives_data() {
             let id = peer.id();
             written.lock().unwrap().insert(id);
         }
@@ -32,10 +32,10 @@
 }
 
 /// Serves every request with its id as the result, once the lock of `gate` is free.
-fn serve_once_unlocked(server: Party, response_gate: &Arc<Mutex<()>>) {
+fn serve_once_unlocked(server: TestServer, response_gate: &Arc<Mutex<()>>) {
     let response_gate = response_gate.clone();
-    server.attended(move |mut peer| {
-        while peer.goes_on() {
+    server.handle_connections(move |mut peer| {
+        while peer.receives_data() {
             let id = peer.id();
             drop(response_gate.lock());
             peer.serve(&id, &id);
@@ -52,8 +52,8 @@
 }
 
 /// Connects clients and completes a health check on each connection.
-fn clients_with_answered_request(node: &Node, number: usize) -> Vec<Peer> {
-    let mut all: Vec<Peer> = (0..number).map(|_| node.client()).collect();
+fn clients_with_answered_request(node: &Node, number: usize) -> Vec<Connection> {
+    let mut all: Vec<Connection> = (0..number).map(|_| node.client()).collect();
     for client in &mut all {
         client.send(HEALTH_REQUEST);
         assert_eq!(client.message().status(), 200);
@@ -75,15 +75,15 @@
 #[case::long([4_000, 6_000], None)]
 #[case::after_sighup([4_000, 6_000], Some([1_500, 1_800]))]
 fn requests_after_sigterm_are_answered_before_the_kill(#[case] old: [u64; 2], #[case] new: Option<[u64; 2]>) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     set_deadlines(&mut config, old);
     let node = Node::start(&config);
     let ids = accept_without_answering(server);
     if let Some(new) = new {
         set_deadlines(&mut config, new);
-        node.replace(&config.to_string());
-        node.hang_up();
+        node.replace_config(&config.to_string());
+        node.reload();
         node.logs("new settings are in force");
     }
     let current_deadlines = new.unwrap_or(old);
@@ -94,7 +94,7 @@
     node.logs("shutting down");
     // One request after the other, from the refusal of new connections up to the kill.
     let step = (kill_after - ms(750)) / 16;
-    let send_late_job = |(k, mut client): (usize, Peer)| {
+    let send_late_job = |(k, mut client): (usize, Connection)| {
         let ids = ids.clone();
         std::thread::spawn(move || {
             sleep_until(signalled_at + ms(750) + step * k as u32);
@@ -106,7 +106,7 @@
                 "",
             );
             let _ = client.try_send(&text);
-            if !client.goes_on() {
+            if !client.receives_data() {
                 assert!(
                     !ids.lock().unwrap().contains(&id),
                     "{id} was forwarded, and its connection was closed"
@@ -133,7 +133,7 @@
     #[values("known", "new", "drained")] connection: &str,
     #[values(false, true)] completed: bool,
 ) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
     set_deadlines(&mut config, all);
@@ -148,7 +148,7 @@
         // The node has read the partial request once it closes an idle connection and keeps this one.
         let mut idle_client = clients_with_answered_request(&node, 1).remove(0);
         assert_eq!(node.call("POST", "/ops/drain/start"), 200);
-        assert!(idle_client.ended());
+        assert!(idle_client.is_closed());
     }
     let signalled_at = Instant::now();
     node.terminate();
@@ -174,7 +174,7 @@
         signalled_at.elapsed()
     );
     assert!(if in_time { [200, 503].contains(&status) } else { completed || status == 408 }, "{status}");
-    assert!(client.ended());
+    assert!(client.is_closed());
     drop(client);
     assert!(node.exit().success());
 }
@@ -183,11 +183,11 @@
 /// too. Checked by the timeouts that the node forwards to the server.
 #[rstest]
 fn requests_just_before_connections_are_refused_are_answered_before_the_kill() {
-    let (node, server) = pair();
+    let (node, server) = node_with_server();
     let forwarded_timeouts = Arc::new(Mutex::new(Vec::new()));
     let times = forwarded_timeouts.clone();
-    server.attended(move |mut peer| {
-        while peer.goes_on() {
+    server.handle_connections(move |mut peer| {
+        while peer.receives_data() {
             let request = peer.message();
             let id = request.field("Request-Id").unwrap().to_string();
             let left = request.field("Request-Timeout").and_then(|t| t.strip_suffix('u')).unwrap();
@@ -223,7 +223,7 @@
 /// SIGTERM instead of accepting them as connections become free.
 #[rstest]
 fn clients_waiting_at_a_full_node_are_answered_after_sigterm() {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["limits"]["sockets"] = json!(70);
     config["settings"]["projects"][0]["quota_rps"] = json!(1000.0);
@@ -232,14 +232,16 @@
     let gate_guard = response_gate.lock().unwrap();
     serve_once_unlocked(server, &response_gate);
     // One more than the 19 connections that are allowed, each with an unanswered job.
-    let mut busy: Vec<Peer> = (0..20).map(|k| node.ask(&format!("busy-{k}"), "/zone-plan")).collect();
+    let mut busy: Vec<Connection> =
+        (0..20).map(|k| node.send_job(&format!("busy-{k}"), "/zone-plan")).collect();
     let mut health = node.client();
     health.send(HEALTH_REQUEST);
-    assert!(health.hears_nothing(ms(200)), "the node is not full");
-    let mut waiting: Vec<Peer> = (0..6).map(|k| node.ask(&format!("waiting-{k}"), "/zone-plan")).collect();
+    assert!(health.is_silent_for(ms(200)), "the node is not full");
+    let mut waiting: Vec<Connection> =
+        (0..6).map(|k| node.send_job(&format!("waiting-{k}"), "/zone-plan")).collect();
     node.terminate();
     node.logs("shutting down");
-    assert!(waiting[5].hears_nothing(ms(900)), "a waiting connection was closed");
+    assert!(waiting[5].is_silent_for(ms(900)), "a waiting connection was closed");
     drop(gate_guard);
     let all = busy.iter_mut().chain(&mut waiting);
     for (k, client) in all.enumerate() {
@@ -256,16 +258,17 @@
 #[case::paused_past_refusing_connections(1_000)]
 #[case::paused_past_closing_connections(2_300)]
 fn clients_arriving_during_a_pause_are_answered_after_sigterm(#[case] pause_ms: u64) {
-    let (mut node, server) = pair();
+    let (mut node, server) = node_with_server();
     serve_once_unlocked(server, &Arc::default());
     node.terminate();
     node.logs("shutting down");
     let signalled_at = Instant::now();
-    node.stand_still(true);
-    let mut clients: Vec<Peer> = (0..100).map(|k| node.ask(&k.to_string(), "/zone-plan")).collect();
+    node.set_paused(true);
+    let mut clients: Vec<Connection> =
+        (0..100).map(|k| node.send_job(&k.to_string(), "/zone-plan")).collect();
     assert!(signalled_at.elapsed() < ms(700), "the clients connected too late");
     sleep_until(signalled_at + ms(pause_ms));
-    node.stand_still(false);
+    node.set_paused(false);
     for (k, client) in clients.iter_mut().enumerate() {
         let answer = client.message();
         assert!(answer.status() == 503 || answer.body == k.to_string(), "{k}: {answer:?}");
@@ -285,20 +288,20 @@
     #[case] signals: &[Signal],
     #[values(false, true)] while_paused: bool,
 ) {
-    let (mut node, server) = pair();
-    let mut held = node.ask("held", "/actuator-cmd");
+    let (mut node, server) = node_with_server();
+    let mut held = node.send_job("held", "/actuator-cmd");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "held");
-    node.stand_still(while_paused);
+    node.set_paused(while_paused);
     signals.iter().for_each(|s| node.signal(*s));
-    node.stand_still(false);
+    node.set_paused(false);
     node.logs("shutting down");
     signals.iter().for_each(|s| node.signal(*s));
     backend.serve("held", "1");
     assert_eq!(held.message().body, "1");
-    assert!(held.ended(), "one answer");
+    assert!(held.is_closed(), "one answer");
     assert!(node.exit().success());
-    assert!(server.is_left_alone());
+    assert!(server.has_no_connection());
 }
 
 /// A reload arrives together with SIGTERM, in either order, or right after it: of the old and the new settings, the shorter deadlines
@@ -312,18 +315,18 @@
     #[case] new: [u64; 2],
     #[case] after: bool,
 ) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     set_deadlines(&mut config, old);
     let node = Node::start(&config);
     let mut clients = clients_with_answered_request(&node, 1);
     set_deadlines(&mut config, new);
-    node.replace(&config.to_string());
-    node.stand_still(!after);
+    node.replace_config(&config.to_string());
+    node.set_paused(!after);
     node.signal(Signal::TERM);
     let mut lines = if after { node.logs_until("shutting down") } else { Vec::new() };
     node.signal(Signal::HUP);
-    node.stand_still(false);
+    node.set_paused(false);
     let resumed_at = Instant::now();
     for text in ["shutting down", "new settings are in force"] {
         if !lines.iter().any(|l| l.contains(text)) {
@@ -350,24 +353,24 @@
     #[case] new: [u64; 2],
     #[case] connections_closed: bool,
 ) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     set_deadlines(&mut config, old);
     let mut node = Node::start(&config);
     let mut idle_client = clients_with_answered_request(&node, 1).remove(0);
     let mut client = clients_with_answered_request(&node, 1).remove(0);
     set_deadlines(&mut config, new);
-    node.replace(&config.to_string());
+    node.replace_config(&config.to_string());
     let signalled_at = Instant::now();
     node.terminate();
     node.logs("new connections are refused");
     client.send("POST /zone-plan HTT");
     if connections_closed {
-        assert!(idle_client.ended());
+        assert!(idle_client.is_closed());
     }
-    node.hang_up();
+    node.reload();
     node.logs("new settings are in force");
-    assert!(connections_closed || idle_client.ended());
+    assert!(connections_closed || idle_client.is_closed());
     assert_eq!(client.message().status(), 408);
     let (took, kill_after) = (signalled_at.elapsed(), ms(700 + new[0]));
     assert!(took < kill_after, "{took:?}, and the kill may come after {kill_after:?}");
@@ -382,7 +385,7 @@
     let file = std::path::PathBuf::from(named.unwrap());
     std::fs::remove_file(&file).unwrap();
     assert!(std::process::Command::new("mkfifo").arg(&file).status().unwrap().success());
-    (Node::starting(command), file)
+    (Node::spawn(command), file)
 }
 
 /// Guards against a signal that kills a node while it starts: it serves with its latest configuration, or shuts down cleanly.
@@ -391,7 +394,7 @@
 #[case::stop(Signal::TERM)]
 #[case::interrupt(Signal::INT)]
 fn signal_during_the_start_is_handled_in_order(#[case] signal: Signal) {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     let (node, file) = node_waiting_for_configuration(&config);
     // Opening the pipe waits for the node to open it, and the node goes on once it has read all of it.
@@ -400,15 +403,15 @@
     std::io::Write::write_all(&mut pipe, config.to_string().as_bytes()).unwrap();
     std::fs::remove_file(&file).unwrap();
     config["settings"]["classes"][1]["name"] = json!("vent-plan");
-    node.replace(&config.to_string());
+    node.replace_config(&config.to_string());
     drop(pipe);
-    let mut node = node.serving();
+    let mut node = node.wait_until_serving();
     if signal == Signal::HUP {
         node.logs("new settings are in force");
         node.terminate();
     }
     node.logs("shutting down");
-    let mut client = node.ask("a", "/zone-plan");
+    let mut client = node.send_job("a", "/zone-plan");
     let mut backend = server.accept();
     backend.message();
     backend.serve("a", "1");
@@ -419,16 +422,16 @@
 /// A node is stopped before it has a server list: open requests are rejected, and the program exits successfully.
 #[rstest]
 fn node_without_a_server_list_shuts_down_cleanly() {
-    let discovery = Party::new();
-    let mut node = Node::start(&following(&[], &discovery));
+    let discovery = TestServer::new();
+    let mut node = Node::start(&config_with_discovery(&[], &discovery));
     let _silent = discovery.accept();
-    let mut clients: Vec<Peer> = (0..3).map(|k| node.ask(&k.to_string(), "/zone-plan")).collect();
+    let mut clients: Vec<Connection> = (0..3).map(|k| node.send_job(&k.to_string(), "/zone-plan")).collect();
     node.terminate();
     node.logs("shutting down");
-    clients.push(node.ask("late", "/actuator-cmd"));
+    clients.push(node.send_job("late", "/actuator-cmd"));
     for client in &mut clients {
         assert_eq!(client.message().status(), 503);
-        assert!(client.ended());
+        assert!(client.is_closed());
     }
     assert!(node.exit().success());
 }
@@ -439,34 +442,37 @@
 #[case::serving(false)]
 #[case::shutting_down(true)]
 fn partial_list_is_dropped_when_the_discovery_address_changes(#[case] shuts_down: bool) {
-    let (listed_server, dropped_list_server, new_list_server) = (Party::new(), Party::new(), Party::new());
-    let (first, second) = (Party::new(), Party::new());
-    let mut config = following(&[listed_server.address], &first);
+    let (listed_server, dropped_list_server, new_list_server) =
+        (TestServer::new(), TestServer::new(), TestServer::new());
+    let (first, second) = (TestServer::new(), TestServer::new());
+    let mut config = config_with_discovery(&[listed_server.address], &first);
     let mut node = Node::start(&config);
-    let (mut before, _) = watch(&first);
-    let list = listing(42, true, &[entry("s-wrong", dropped_list_server.address, "active")]);
+    let (mut before, _) = accept_watch(&first);
+    let list = server_list(42, true, &[entry("s-wrong", dropped_list_server.address, "active")]);
     before.send(&format!("{:x}\r\n{}", list.len() + 1, &list[..list.len() / 2]));
-    before.is_read();
+    before.wait_until_read();
     config["discovery"] = json!(second.address.to_string());
-    node.replace(&config.to_string());
-    node.hang_up();
+    node.replace_config(&config.to_string());
+    node.reload();
     if shuts_down {
         node.terminate();
     }
     let rest = format!("{}\n\r\n", &list[list.len() / 2..]);
     node.logs("configuration read again");
     let _ = before.try_send(&rest);
-    let mut after =
-        whole_list(&second, &listing(7, true, &[entry("s-right", new_list_server.address, "active")]));
+    let mut after = serve_complete_list(
+        &second,
+        &server_list(7, true, &[entry("s-right", new_list_server.address, "active")]),
+    );
     assert_eq!(after.message().first, "GET /catalog/members?watch=1&from=7 HTTP/1.1");
     // The rest of the list may have arrived before the node closed the connection.
-    assert!(before.ended_or_reset());
-    let mut client = node.ask("a", "/actuator-cmd");
+    assert!(before.is_closed_or_reset());
+    let mut client = node.send_job("a", "/actuator-cmd");
     let mut backend = new_list_server.accept();
     assert_eq!(backend.id(), "a");
     backend.serve("a", "1");
     assert_eq!(client.message().body, "1");
-    assert!(listed_server.is_left_alone() && dropped_list_server.is_left_alone());
+    assert!(listed_server.has_no_connection() && dropped_list_server.has_no_connection());
     if shuts_down {
         assert!(node.exit().success());
     }
@@ -475,20 +481,20 @@
 /// A node that an operator has drained stays drained over a reload and shuts down cleanly, serving the jobs that still arrive.
 #[rstest]
 fn drained_node_stays_drained_over_a_reload_and_shuts_down_cleanly() {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
     let mut node = Node::start(&config);
-    let mut held = node.ask("held", "/zone-plan");
+    let mut held = node.send_job("held", "/zone-plan");
     let mut backend = server.accept();
     assert_eq!(backend.id(), "held");
     assert_eq!(node.call("POST", "/ops/drain/start"), 200);
     set_deadlines(&mut config, [1_200, 1_800]);
-    node.replace(&config.to_string());
-    node.hang_up();
+    node.replace_config(&config.to_string());
+    node.reload();
     node.logs("new settings are in force");
     assert_eq!(node.call("GET", "/ops/readiness"), 503);
-    let mut drained_client = node.ask("emptied", "/zone-plan");
+    let mut drained_client = node.send_job("emptied", "/zone-plan");
     backend.serve("held", "1");
     assert_eq!(held.message().body, "1");
     assert_eq!(backend.id(), "emptied");
@@ -496,7 +502,7 @@
     node.logs("shutting down");
     backend.serve("emptied", "2");
     assert_eq!(drained_client.message().body, "2");
-    let mut late = node.ask("late", "/zone-plan");
+    let mut late = node.send_job("late", "/zone-plan");
     assert_eq!(backend.id(), "late");
     backend.serve("late", "3");
     assert_eq!(late.message().body, "3");
@@ -509,7 +515,8 @@
 #[case::silent(true)]
 #[case::never_connects(false)]
 fn restarted_node_is_ready_while_discovery_is_slow(#[case] silent: bool) {
-    let (server, silent_discovery, (unreachable, _kept)) = (Party::new(), Party::new(), deaf());
+    let (server, silent_discovery, (unreachable, _kept)) =
+        (TestServer::new(), TestServer::new(), saturated_listener());
     let mut config = config(&[server.address]);
     config["discovery"] = json!(if silent { silent_discovery.address } else { unreachable }.to_string());
     for replicas in [1, 300] {
@@ -532,24 +539,24 @@
 /// Guards against a signal that interrupts a successor while it waits for the listening socket.
 #[rstest]
 fn signal_during_the_socket_handover_ends_no_process() {
-    let server = Party::new();
+    let server = TestServer::new();
     let mut config = config(&[server.address]);
     config["mgmt"] = json!("127.0.0.1:0");
     let old = Node::start(&config);
-    published(&old);
+    wait_for_handover_socket(&old);
     config["listen"] = json!(old.address.to_string());
     // The successor can connect to the paused process, which does not hand over its socket yet.
-    old.stand_still(true);
-    let new = Node::starting(command(&[PROGRAM, "serve", "-v"], &config.to_string()));
-    while !new.handles_hang_up() {
+    old.set_paused(true);
+    let new = Node::spawn(command(&[PROGRAM, "serve", "-v"], &config.to_string()));
+    while !new.handles_sighup() {
         std::thread::yield_now();
     }
     let started_at = Instant::now();
     while started_at.elapsed() < ms(700) {
         new.signal(Signal::HUP);
     }
-    old.stand_still(false);
-    let new = new.serving();
+    old.set_paused(false);
+    let new = new.wait_until_serving();
     old.logs("the next process takes clients");
     assert_eq!((new.call("GET", "/ops/readiness"), old.call("GET", "/ops/readiness")), (200, 503));
 }
@@ -558,21 +565,21 @@
 /// the successor has answered all its requests.
 #[rstest]
 fn old_process_accepts_clients_again_once_its_successor_is_stopped() {
-    let (old, mut new, server, _) = replaced();
+    let (old, mut new, server, _) = start_replacement();
     old.logs("the next process takes clients");
-    let mut held = new.ask("held", "/zone-plan");
+    let mut held = new.send_job("held", "/zone-plan");
     let mut on_new = server.accept();
     assert_eq!(on_new.id(), "held");
     on_new.begin();
     on_new.state("held", "started");
     new.terminate();
     new.logs("new connections are refused");
-    let mut client = old.ask("a", "/actuator-cmd");
+    let mut client = old.send_job("a", "/actuator-cmd");
     let mut on_old = server.accept();
     assert_eq!(on_old.id(), "a");
     on_old.serve("a", "1");
     assert_eq!(client.message().body, "1");
-    assert!(held.hears_nothing(ms(1)), "the successor's request is no longer open");
+    assert!(held.is_silent_for(ms(1)), "the successor's request is no longer open");
     on_new.finish("held", "2");
     assert_eq!(held.message().body, "2");
     assert!(new.exit().success());
@@ -584,12 +591,12 @@
 /// any effect on its clients.
 #[rstest]
 fn successor_stopped_before_it_takes_over_affects_no_client() {
-    let (server, discovery) = (Party::new(), Party::new());
-    let mut config = following(&[server.address], &discovery);
+    let (server, discovery) = (TestServer::new(), TestServer::new());
+    let mut config = config_with_discovery(&[server.address], &discovery);
     config["mgmt"] = json!("127.0.0.1:0");
     let old = Node::start(&config);
     let _watched = discovery.accept();
-    published(&old);
+    wait_for_handover_socket(&old);
     config["listen"] = json!(old.address.to_string());
     let mut new = Node::start(&config);
     let _silent = discovery.accept();
@@ -597,7 +604,7 @@
     new.logs("shutting down");
     for k in 0..20 {
         let id = k.to_string();
-        let mut client = old.ask(&id, "/actuator-cmd");
+        let mut client = old.send_job(&id, "/actuator-cmd");
         let mut backend = server.accept();
         assert_eq!(backend.id(), id);
         backend.send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
