--- a/crates/rig/src/check.rs
+++ b/crates/rig/src/check.rs
@@ -1,66 +1,66 @@
-//! The checkers: what must hold of every history, whatever was done to the processes.
+//! Checkers of a run's history: the rules that hold whatever faults were injected into the processes.
 
 use crate::fleet::{CONNECTIONS, FLIGHT, LISTS, PROBES, QUOTA, RETRIES};
-use crate::history::{At, Record, Repeat, What};
-use crate::standing::{self, Siting};
+use crate::history::{Event, Micros, Record, Repeat};
+use crate::site_checks::{self, SiteExpectations};
 use shorepath_lab::rules::{self, Answer, Limits};
 use shorepath_scheduler::Idempotency;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 
-/// A part of a budget's whole, for the checker of budgets.
+/// A limit on the units of a budget that all nodes together may use in any window of a given length.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Budget {
-    /// Its name, as records name it.
+    /// Name of the budget in [`Event::Used`].
     pub name: String,
-    /// So much may be used in any span of that length.
-    pub whole: u64,
-    /// The span, in microseconds.
-    pub span: At,
-    /// What measuring may add, stated.
+    /// Units that may be used in any window.
+    pub total: u64,
+    /// Length of the window, in microseconds.
+    pub window: Micros,
+    /// Units that may be used beyond the total because of measurement error.
     pub slack: u64,
 }
 
-/// What is asked of a history.
+/// The limits that a history is checked against.
 #[derive(Clone, Debug)]
-pub struct Terms {
-    /// A final answer may come so much later than the client's patience ends.
-    pub slack: At,
-    /// Nothing new goes to a leaving server later than this after the node was told.
-    pub grace: At,
-    /// From so long after the last event on, nearly all must be served.
-    pub settle: At,
-    /// The budgets.
+pub struct Expectations {
+    /// How long after the client's timeout a final answer still counts as in time.
+    pub answer_slack: Micros,
+    /// How long after a node was informed that a server drains it may still dispatch new work there.
+    pub drain_grace: Micros,
+    /// Time after the script's last event from which on nearly all requests must be served.
+    pub settle_time: Micros,
+    /// Budgets whose use is recorded as [`Event::Used`].
     pub budgets: Vec<Budget>,
-    /// What nodes share, if they do.
-    pub shared: Option<Shared>,
-    /// What holds of accounts and sites, if there are any.
-    pub sites: Option<Siting>,
+    /// Limits on shared budgets; `None` if the nodes share none.
+    pub shared: Option<SharedBudgets>,
+    /// Limits on accounts and sites; `None` if the script has no sites.
+    pub sites: Option<SiteExpectations>,
 }
 
-/// What holds of budgets that nodes share, by what servers see.
+/// The limits on budgets that nodes share, as the backend servers observe their use.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Shared {
-    /// Nodes.
+pub struct SharedBudgets {
+    /// Number of nodes.
     pub nodes: u64,
-    /// A whole that was lowered may be in use for so long after.
-    pub debt: At,
-    /// Unused units are kept for so long.
-    pub burst: At,
-    /// The part of all requests that is served at least once all has settled.
-    pub served: f64,
+    /// How long a total may still be used after it was lowered.
+    pub lowered_grace: Micros,
+    /// How long unused units may be saved.
+    pub burst: Micros,
+    /// Least share of requests that are served after the settle time, from 0 to 1.
+    pub served_share: f64,
 }
 
-/// A rule that was broken.
+/// A broken rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which, in one word.
+    /// Name of the rule.
     pub rule: &'static str,
-    /// When.
-    pub at: At,
-    /// What happened.
+    /// Time of the violation since the start of the run.
+    pub at: Micros,
+    /// Description of what happened.
     pub text: String,
-    /// The request that it is about, if it is about one.
+    /// The request that broke the rule; `None` if the rule is not about a single request.
     pub request: Option<u64>,
 }
 
@@ -70,84 +70,87 @@
     }
 }
 
-/// The least part that is served after all has settled.
-const SERVED: f64 = 0.9;
-/// With fewer requests than this after all has settled nothing is judged by their part.
-const FEW: usize = 10;
+/// Least share of requests that are served after the settle time, where nodes share no budgets.
+const SERVED_SHARE: f64 = 0.9;
+/// Least number of requests after the settle time for which the share of served ones is checked.
+const MIN_REQUESTS: usize = 10;
 
-/// What waited while a process had no processor is done within this afterwards.
-const CAUGHT_UP: At = 300_000;
+/// Time in which a process that was starved of a processor handles what queued up meanwhile.
+const CATCH_UP_TIME: Micros = 300_000;
 
-/// All that is wrong with a history, in the order of its times.
-pub fn check(records: &[Record], terms: &Terms) -> Vec<Violation> {
-    let mut found = requests(records, terms);
-    found.extend(processes(records));
-    found.extend(budgets(records, &terms.budgets));
-    found.extend(terms.shared.iter().flat_map(|s| shared(records, s)));
-    found.extend(terms.sites.iter().flat_map(|s| standing::check(records, s)));
-    found.extend(recovery(records, terms));
+/// Returns all violations in a history, ordered by time.
+pub fn check(records: &[Record], expectations: &Expectations) -> Vec<Violation> {
+    let mut found = check_requests(records, expectations);
+    found.extend(check_exits(records));
+    found.extend(check_budgets(records, &expectations.budgets));
+    found.extend(expectations.shared.iter().flat_map(|s| check_shared_budgets(records, s)));
+    found.extend(expectations.sites.iter().flat_map(|s| site_checks::check(records, s)));
+    found.extend(check_recovery(records, expectations));
     found.sort_by_key(|v| v.at);
     found
 }
 
-/// When each node could not be held to anything, from and until: it was killed or halted, or had no processor.
-pub(crate) fn struck(records: &[Record]) -> BTreeMap<u32, Vec<(At, At)>> {
-    let mut spells: BTreeMap<u32, Vec<(At, At)>> = BTreeMap::new();
+/// Returns the intervals in which each node is excused from deadlines: it was killed, halted, or starved of a processor.
+pub(crate) fn disrupted_intervals(records: &[Record]) -> BTreeMap<u32, Vec<(Micros, Micros)>> {
+    let mut intervals: BTreeMap<u32, Vec<(Micros, Micros)>> = BTreeMap::new();
     for r in records {
-        match r.what {
-            What::Struck { node } => {
-                spells.entry(node).or_default().push((r.at, At::MAX));
+        match r.event {
+            Event::Disrupted { node } => {
+                intervals.entry(node).or_default().push((r.at, Micros::MAX));
             }
-            What::Serves { node } => {
-                let open = spells.entry(node).or_default().iter_mut().filter(|s| s.1 == At::MAX);
+            Event::Ready { node } => {
+                let open = intervals.entry(node).or_default().iter_mut().filter(|s| s.1 == Micros::MAX);
                 open.for_each(|s| s.1 = r.at);
             }
-            What::Starved { node, from } => spells.entry(node).or_default().push((from, r.at + CAUGHT_UP)),
+            Event::Starved { node, from } => {
+                intervals.entry(node).or_default().push((from, r.at + CATCH_UP_TIME))
+            }
             _ => {}
         }
     }
-    spells
+    intervals
 }
 
-/// Whether a node's process, or the rig, had no processor for much of that time.
-fn starved(records: &[Record], node: u32, from: At, to: At) -> bool {
-    let within = |r: &Record| matches!(r.what, What::Starved { node: n, from: since } if n == node && since <= to && r.at + CAUGHT_UP >= from);
+/// Returns whether the node's process, or the test harness, was starved of a processor at some time in the interval.
+fn was_starved(records: &[Record], node: u32, from: Micros, to: Micros) -> bool {
+    let within = |r: &Record| matches!(r.event, Event::Starved { node: n, from: since } if n == node && since <= to && r.at + CATCH_UP_TIME >= from);
     records.iter().any(within)
 }
 
-/// One final answer in time, no repeat of what must not repeat, nothing to a leaving server: by the checker that
-/// serves the emulator, too.
-fn requests(records: &[Record], terms: &Terms) -> Vec<Violation> {
-    let limits = Limits { slack: terms.slack, drain_grace: terms.grace };
-    let (mut checker, spells) = (rules::Checker::keeping(limits, usize::MAX), struck(records));
-    let mut open: BTreeMap<u64, (At, u32, At)> = BTreeMap::new();
+/// Checks that each request has one final answer in time, that nothing repeats that must not, and that draining servers get no new work.
+/// The rules are those of the simulator's checker.
+fn check_requests(records: &[Record], expectations: &Expectations) -> Vec<Violation> {
+    let limits = Limits { slack: expectations.answer_slack, drain_grace: expectations.drain_grace };
+    let (mut checker, disrupted) =
+        (rules::Checker::keeping(limits, usize::MAX), disrupted_intervals(records));
+    let mut open: BTreeMap<u64, (Micros, u32, Micros)> = BTreeMap::new();
     let mut answered = BTreeSet::new();
     let mut found = Vec::new();
-    let spared = |node: u32, from: At, to: At| {
-        spells.get(&node).is_some_and(|all| all.iter().any(|s| s.0 <= to && s.1 >= from))
+    let excused = |node: u32, from: Micros, to: Micros| {
+        disrupted.get(&node).is_some_and(|all| all.iter().any(|s| s.0 <= to && s.1 >= from))
     };
-    // A dispatch counts from its first byte: it may have been long on the way.
-    let mut ordered: Vec<(At, &Record)> = records
+    // A dispatch is dated by its first byte, since its last one may arrive much later.
+    let mut ordered: Vec<(Micros, &Record)> = records
         .iter()
-        .map(|r| (if let What::Arrived { sent, .. } = r.what { sent } else { r.at }, r))
+        .map(|r| (if let Event::Arrived { sent, .. } = r.event { sent } else { r.at }, r))
         .collect();
     ordered.sort_by_key(|(at, _)| *at);
     for (_, r) in ordered {
-        match r.what {
-            What::Asked { id, node, patience, repeat } => {
-                let effect = if repeat == Repeat::Never {
+        match r.event {
+            Event::Requested { id, node, timeout, repeat } => {
+                let idempotency = if repeat == Repeat::Never {
                     Idempotency::NonIdempotent
                 } else {
                     Idempotency::Idempotent
                 };
-                checker.taken(id, r.at + patience, effect);
-                open.insert(id, (r.at, node, patience));
+                checker.taken(id, r.at + timeout, idempotency);
+                open.insert(id, (r.at, node, timeout));
             }
-            What::Arrived { id, server, node, sent } => checker.sent(id, node, server, sent),
-            What::TurnedAway { id, .. } => checker.ended(id, true),
-            What::Begun { id, server } => checker.begun(id, server, r.at),
-            What::Told { node, server, live } => checker.told(node, server, live, 0, r.at),
-            What::Answered { id, status } => {
+            Event::Arrived { id, server, node, sent } => checker.sent(id, node, server, sent),
+            Event::RejectedByServer { id, .. } => checker.ended(id, true),
+            Event::JobStarted { id, server } => checker.begun(id, server, r.at),
+            Event::ServerListed { node, server, live } => checker.told(node, server, live, 0, r.at),
+            Event::Answered { id, status } => {
                 let answer = match status {
                     200 => Answer::Served,
                     429 | 503 => Answer::Refused,
@@ -156,11 +159,11 @@
                 answered.insert(id);
                 checker.answered(id, answer, r.at);
             }
-            What::Unanswered { id } => {
-                let asked = open.get(&id).copied();
-                if let Some((at, node, patience)) = asked.filter(|_| !answered.contains(&id)) {
+            Event::Unanswered { id } => {
+                let requested = open.get(&id).copied();
+                if let Some((at, node, timeout)) = requested.filter(|_| !answered.contains(&id)) {
                     checker.left(id);
-                    if !spared(node, at, at + patience + terms.slack) {
+                    if !excused(node, at, at + timeout + expectations.answer_slack) {
                         let text = format!("request {id} of node {node} had no final answer");
                         found.push(Violation { rule: "unanswered", at: r.at, text, request: Some(id) });
                     }
@@ -173,30 +176,34 @@
         let id = v.request.unwrap_or(0);
         let rule = match v.rule {
             rules::Rule::RanTwice => "ran-twice",
-            // News that came while a process stood still is read once it goes on: it has until it has caught up.
+            // A process that was halted or starved reads discovery's update only after it has caught up.
             rules::Rule::Drain => match open.get(&id) {
-                Some(&(_, node, _)) if spared(node, v.at, v.at) => continue,
+                Some(&(_, node, _)) if excused(node, v.at, v.at) => continue,
                 _ => "drain",
             },
             rules::Rule::AnsweredTwice => "answered-twice",
             rules::Rule::SentAgain => "sent-again",
             rules::Rule::RefusedAfterRun => "refused-after-run",
-            // A process that stood still finds a client that has left meanwhile no other than those who wait.
+            // A process that was halted can't notice that a client disconnected meanwhile.
             rules::Rule::SentAfterEnd => match open.get(&id) {
-                // The rig may read of the send later than of the answer where neither it nor the process had a processor.
-                Some(&(at, node, _)) if starved(records, node, at, v.at) => continue,
-                Some(&(at, node, patience))
-                    if !answered.contains(&id) && spared(node, at, at + patience + terms.slack) =>
+                // Without a processor the harness may record the dispatch later than the answer.
+                Some(&(at, node, _)) if was_starved(records, node, at, v.at) => continue,
+                Some(&(at, node, timeout))
+                    if !answered.contains(&id)
+                        && excused(node, at, at + timeout + expectations.answer_slack) =>
                 {
                     continue
                 }
                 _ => "sent-after-end",
             },
             rules::Rule::Unanswered => match open.get(&id) {
-                Some(&(at, node, patience)) if spared(node, at, at + patience + terms.slack) => continue,
+                Some(&(at, node, timeout)) if excused(node, at, at + timeout + expectations.answer_slack) => {
+                    continue
+                }
                 _ => "late",
             },
-            rules::Rule::Felled | rules::Rule::FelledByOne => continue, // the rig's servers do not fall
+            // The backend servers of this harness don't fail under overload.
+            rules::Rule::Felled | rules::Rule::FelledByOne => continue,
         };
         let text = match v.server {
             Some(server) => format!("request {id} at server {server}"),
@@ -207,35 +214,39 @@
     found
 }
 
-/// A process ends only when it is told to, and then with 0.
-fn processes(records: &[Record]) -> Vec<Violation> {
-    let ended = |r: &Record| match r.what {
-        What::Exited { node, told, code } if !told || code != Some(0) => {
-            let text = format!("node {node} ended with {code:?}, told to: {told}");
+/// Checks that processes exit only after a SIGTERM, and then with exit code 0.
+fn check_exits(records: &[Record]) -> Vec<Violation> {
+    let violation = |r: &Record| match r.event {
+        Event::Exited { node, requested, code } if !requested || code != Some(0) => {
+            let text = format!("node {node} exited with {code:?}, requested: {requested}");
             Some(Violation { rule: "exit", at: r.at, text, request: None })
         }
         _ => None,
     };
-    records.iter().filter_map(ended).collect()
+    records.iter().filter_map(violation).collect()
 }
 
-/// In no span of a budget's length more is used than the whole, by all nodes together.
-fn budgets(records: &[Record], budgets: &[Budget]) -> Vec<Violation> {
+/// Checks that all nodes together use no more than a budget's total in any window of the budget's length.
+fn check_budgets(records: &[Record], budgets: &[Budget]) -> Vec<Violation> {
     let over = |b: &Budget| {
         let (mut recent, mut sum) = (VecDeque::new(), 0);
         for r in records {
-            let What::Used { budget, amount } = &r.what else { continue };
+            let Event::Used { budget, amount } = &r.event else { continue };
             if *budget != b.name {
                 continue;
             }
             recent.push_back((r.at, *amount));
             sum += amount;
-            while let Some((_, old)) = recent.pop_front_if(|u: &mut (At, u64)| u.0 <= r.at - b.span) {
+            while let Some((_, old)) = recent.pop_front_if(|u: &mut (Micros, u64)| u.0 <= r.at - b.window) {
                 sum -= old;
             }
-            if sum > b.whole + b.slack {
-                let text =
-                    format!("{sum} of {} in {:.3} s, of a whole of {}", b.name, b.span as f64 / 1e6, b.whole);
+            if sum > b.total + b.slack {
+                let text = format!(
+                    "{sum} of {} in {:.3} s, of a total of {}",
+                    b.name,
+                    b.window as f64 / 1e6,
+                    b.total
+                );
                 return Some(Violation { rule: "budget", at: r.at, text, request: None });
             }
         }
@@ -244,100 +255,105 @@
     budgets.iter().filter_map(over).collect()
 }
 
-/// Spans over which units by the second are counted.
-const SPANS: [At; 2] = [1_000_000, 5_000_000];
+/// Windows over which the use of budgets per second is summed, in microseconds.
+const RATE_WINDOWS: [Micros; 2] = [1_000_000, 5_000_000];
 
-/// What servers saw of each budget keeps to its whole: by the second over every span, with what may be saved, a unit of rounding
-/// for each process, and a hundredth for clocks and measuring; in use at once at every moment.
-fn shared(records: &[Record], terms: &Shared) -> Vec<Violation> {
-    let mut wholes: BTreeMap<&str, Vec<(At, u64)>> = BTreeMap::new();
-    let mut valves = BTreeSet::new();
-    let (mut sent, mut left, mut starts) = (Vec::new(), BTreeMap::new(), Vec::new());
-    let (mut probes, mut calls, mut ends) = (Vec::new(), Vec::new(), BTreeMap::new());
+/// Checks that the use of each shared budget, as the servers observe it, keeps to its total. Budgets per second are checked over each
+/// window, plus saved units, one unit of rounding for each process, and one percent for clocks and measurement error. Budgets of
+/// concurrent use are checked at each moment.
+fn check_shared_budgets(records: &[Record], expectations: &SharedBudgets) -> Vec<Violation> {
+    let mut totals: BTreeMap<&str, Vec<(Micros, u64)>> = BTreeMap::new();
+    let mut non_repeatable = BTreeSet::new();
+    let (mut sent, mut released, mut starts) = (Vec::new(), BTreeMap::new(), Vec::new());
+    let (mut probes, mut discovery_calls, mut ends) = (Vec::new(), Vec::new(), BTreeMap::new());
     for r in records {
-        match &r.what {
-            What::Whole { budget, whole } => wholes.entry(budget).or_default().push((r.at, *whole)),
-            What::Asked { id, repeat: Repeat::Never, .. } => drop(valves.insert(*id)),
-            What::Arrived { id, server, sent: at, .. } => sent.push((*at, *id, *server)),
-            What::Probed { sent, .. } => probes.push(*sent),
-            What::Called { .. } => calls.push(r.at),
-            What::Answered { id, .. } | What::Unanswered { id } => drop(ends.insert(*id, r.at)),
-            What::Left { id, server } => {
-                left.entry((*id, *server)).or_insert_with(VecDeque::new).push_back(r.at)
+        match &r.event {
+            Event::BudgetTotal { budget, total } => totals.entry(budget).or_default().push((r.at, *total)),
+            Event::Requested { id, repeat: Repeat::Never, .. } => drop(non_repeatable.insert(*id)),
+            Event::Arrived { id, server, sent: at, .. } => sent.push((*at, *id, *server)),
+            Event::Probed { sent, .. } => probes.push(*sent),
+            Event::DiscoveryConnected { .. } => discovery_calls.push(r.at),
+            Event::Answered { id, .. } | Event::Unanswered { id } => drop(ends.insert(*id, r.at)),
+            Event::JobReleased { id, server } => {
+                released.entry((*id, *server)).or_insert_with(VecDeque::new).push_back(r.at)
             }
-            What::Serves { .. } => starts.push(r.at),
+            Event::Ready { .. } => starts.push(r.at),
             _ => {}
         }
     }
     sent.sort_unstable();
     probes.sort_unstable();
-    // The most that any file has said from then until then, what was lowered counted on for a while.
-    let most = |budget: &str, from: At, to: At| {
-        let all = wholes.get(budget).map(Vec::as_slice).unwrap_or_default();
-        let until = |k: usize| all.get(k + 1).map_or(At::MAX, |next| next.0 + terms.debt);
-        let holds = all.iter().enumerate().filter(|(k, (at, _))| *at <= to && until(*k) >= from);
-        holds.map(|(_, (_, whole))| *whole).max()
+    // The greatest total in force during an interval; a total that was replaced stays in force for the grace time.
+    let greatest_total = |budget: &str, from: Micros, to: Micros| {
+        let all = totals.get(budget).map(Vec::as_slice).unwrap_or_default();
+        let until = |k: usize| all.get(k + 1).map_or(Micros::MAX, |next| next.0 + expectations.lowered_grace);
+        let in_force = all.iter().enumerate().filter(|(k, (at, _))| *at <= to && until(*k) >= from);
+        in_force.map(|(_, (_, total))| *total).max()
     };
     let mut found = Vec::new();
-    let mut over = |at: At, budget: &str, text: String| {
+    let mut report = |at: Micros, budget: &str, text: String| {
         found.push(Violation { rule: "shared", at, text: format!("{budget}: {text}"), request: None });
     };
-    // By the second: requests by their first attempts, and further attempts.
+    // A request's first attempt counts against the quota, its further ones against the retry budget.
     let mut seen = BTreeSet::new();
-    let (mut firsts, mut further) = (Vec::new(), Vec::new());
+    let (mut first_attempts, mut retries) = (Vec::new(), Vec::new());
     for (at, id, _) in &sent {
-        if seen.insert(*id) { &mut firsts } else { &mut further }.push(*at);
+        if seen.insert(*id) { &mut first_attempts } else { &mut retries }.push(*at);
     }
-    for (budget, all) in [(QUOTA, firsts), (RETRIES, further), (PROBES, probes), (LISTS, calls)] {
-        for span in SPANS {
+    for (budget, all) in
+        [(QUOTA, first_attempts), (RETRIES, retries), (PROBES, probes), (LISTS, discovery_calls)]
+    {
+        for window in RATE_WINDOWS {
             let mut first = 0;
             for (k, at) in all.iter().enumerate() {
-                while all[first] <= at - span {
+                while all[first] <= at - window {
                     first += 1;
                 }
-                let Some(whole) = most(budget, at - span, *at) else { continue };
-                let lives =
-                    terms.nodes + starts.iter().filter(|s| (at - span..=*at).contains(*s)).count() as u64;
-                let stated = whole as f64 * (span + terms.burst) as f64 / 1e6 * 1.01 + lives as f64;
-                if (k - first + 1) as f64 > stated {
-                    let text = format!("{} in {} s, of {whole} a second", k - first + 1, span / 1_000_000);
-                    over(*at, budget, text);
+                let Some(total) = greatest_total(budget, at - window, *at) else { continue };
+                let processes = expectations.nodes
+                    + starts.iter().filter(|s| (at - window..=*at).contains(*s)).count() as u64;
+                let limit =
+                    total as f64 * (window + expectations.burst) as f64 / 1e6 * 1.01 + processes as f64;
+                if (k - first + 1) as f64 > limit {
+                    let text = format!("{} in {} s, of {total} a second", k - first + 1, window / 1_000_000);
+                    report(*at, budget, text);
                     break;
                 }
             }
         }
     }
-    // At once: jobs that must not repeat, from the first byte of the send on until the server has done with it.
-    let mut flight: Vec<(At, i64)> = Vec::new();
-    // And attempts at each server, as long as they are surely out by their nodes' own count too: until the server has done with one,
-    // its request has its answer, or is sent on.
-    let mut at_each: BTreeMap<u32, Vec<(At, i64)>> = BTreeMap::new();
-    let mut next: BTreeMap<u64, VecDeque<At>> = BTreeMap::new();
-    sent.iter().for_each(|(at, id, _)| next.entry(*id).or_default().push_back(*at));
+    // Jobs that must not repeat are in flight from the first byte of the dispatch until the server releases them.
+    let mut in_flight: Vec<(Micros, i64)> = Vec::new();
+    // An attempt at a server counts until the server releases it, its request is answered, or the request is dispatched again: the
+    // interval in which it is outstanding by its node's own count too.
+    let mut outstanding: BTreeMap<u32, Vec<(Micros, i64)>> = BTreeMap::new();
+    let mut dispatches: BTreeMap<u64, VecDeque<Micros>> = BTreeMap::new();
+    sent.iter().for_each(|(at, id, _)| dispatches.entry(*id).or_default().push_back(*at));
     for (at, id, server) in &sent {
-        let end = left.get_mut(&(*id, *server)).and_then(VecDeque::pop_front);
-        if valves.contains(id) {
-            flight.push((*at, 1));
-            flight.extend(end.map(|end| (end, -1)));
+        let end = released.get_mut(&(*id, *server)).and_then(VecDeque::pop_front);
+        if non_repeatable.contains(id) {
+            in_flight.push((*at, 1));
+            in_flight.extend(end.map(|end| (end, -1)));
         }
-        let later = next.get_mut(id).and_then(|all| {
+        let next_dispatch = dispatches.get_mut(id).and_then(|all| {
             all.pop_front();
             all.front().copied()
         });
-        let moments = at_each.entry(*server).or_default();
-        moments.push((*at, 1));
-        let over = end.into_iter().chain(later).chain(ends.get(id).copied()).min();
-        moments.extend(over.map(|over| (over.max(*at), -1)));
+        let changes = outstanding.entry(*server).or_default();
+        changes.push((*at, 1));
+        let over = end.into_iter().chain(next_dispatch).chain(ends.get(id).copied()).min();
+        changes.extend(over.map(|over| (over.max(*at), -1)));
     }
-    let all =
-        at_each.into_iter().map(|(server, moments)| (CONNECTIONS, format!(" at server {server}"), moments));
-    for (budget, place, mut moments) in [(FLIGHT, String::new(), flight)].into_iter().chain(all) {
-        moments.sort_unstable();
-        let mut out = 0;
-        for (at, change) in moments {
-            out += change;
-            if let Some(whole) = most(budget, at, at).filter(|w| out > *w as i64) {
-                over(at, budget, format!("{out} at once{place}, of {whole}"));
+    let connections = outstanding
+        .into_iter()
+        .map(|(server, changes)| (CONNECTIONS, format!(" at server {server}"), changes));
+    for (budget, place, mut changes) in [(FLIGHT, String::new(), in_flight)].into_iter().chain(connections) {
+        changes.sort_unstable();
+        let mut concurrent = 0;
+        for (at, change) in changes {
+            concurrent += change;
+            if let Some(total) = greatest_total(budget, at, at).filter(|w| concurrent > *w as i64) {
+                report(at, budget, format!("{concurrent} at once{place}, of {total}"));
                 break;
             }
         }
@@ -345,70 +361,85 @@
     found
 }
 
-/// Once nothing is done to the processes any more, and they have had time, nearly all is served.
-fn recovery(records: &[Record], terms: &Terms) -> Option<Violation> {
-    let last = records.iter().filter(|r| matches!(r.what, What::Script { .. })).map(|r| r.at).max()?;
-    let from = last + terms.settle;
-    // Whose account is barred is answered as it should be.
-    let barred = |r: &Record| if let What::Barred { id, .. } = r.what { Some(id) } else { None };
-    let barred: BTreeSet<u64> = records.iter().filter_map(barred).collect();
-    let spells = struck(records);
-    let slow = |node: u32, at: At| {
-        spells.get(&node).is_some_and(|all| all.iter().any(|s| s.0 <= at + terms.settle && s.1 >= at))
+/// Checks that nearly all requests are served once the settle time after the script's last event is over.
+fn check_recovery(records: &[Record], expectations: &Expectations) -> Option<Violation> {
+    let last = records.iter().filter(|r| matches!(r.event, Event::Script { .. })).map(|r| r.at).max()?;
+    let from = last + expectations.settle_time;
+    // Requests that nodes reject with a reason are checked by the rules of accounts and sites.
+    let rejected = |r: &Record| if let Event::RejectedByNode { id, .. } = r.event { Some(id) } else { None };
+    let rejected: BTreeSet<u64> = records.iter().filter_map(rejected).collect();
+    let disrupted = disrupted_intervals(records);
+    let excused = |node: u32, at: Micros| {
+        disrupted
+            .get(&node)
+            .is_some_and(|all| all.iter().any(|s| s.0 <= at + expectations.settle_time && s.1 >= at))
     };
-    let asked: BTreeSet<u64> = records
+    let requested: BTreeSet<u64> = records
         .iter()
         .filter_map(|r| {
-            if let What::Asked { id, node, .. } = r.what {
-                Some(id).filter(|id| r.at >= from && !barred.contains(id) && !slow(node, r.at))
+            if let Event::Requested { id, node, .. } = r.event {
+                Some(id).filter(|id| r.at >= from && !rejected.contains(id) && !excused(node, r.at))
             } else {
                 None
             }
         })
         .collect();
-    let served = |r: &&Record| matches!(r.what, What::Answered { id, status: 200 } if asked.contains(&id));
-    let (count, of) = (records.iter().filter(served).count(), asked.len());
-    let least = terms.shared.map_or(SERVED, |s| s.served);
-    (of >= FEW && (count as f64) < least * of as f64).then(|| Violation {
+    let served =
+        |r: &&Record| matches!(r.event, Event::Answered { id, status: 200 } if requested.contains(&id));
+    let (count, of) = (records.iter().filter(served).count(), requested.len());
+    let least = expectations.shared.map_or(SERVED_SHARE, |s| s.served_share);
+    (of >= MIN_REQUESTS && (count as f64) < least * of as f64).then(|| Violation {
         rule: "recovery",
         at: from,
-        text: format!("{count} of {of} requests are served once all has settled"),
+        text: format!("{count} of {of} requests were served after the settle time"),
         request: None,
     })
 }
 
-/// The records that show a violation: those about its request, or about its node or budget shortly before.
-pub fn shows(records: &[Record], v: &Violation) -> Vec<Record> {
-    const BEFORE: At = 2_000_000;
-    let about = |what: &What| match (what, v.request) {
-        (What::Script { .. } | What::Serves { .. } | What::Struck { .. } | What::Exited { .. }, _) => true,
+/// Returns the records that explain a violation: those about its request, or those about its node or budget shortly before it.
+pub fn evidence(records: &[Record], v: &Violation) -> Vec<Record> {
+    const TIME_BEFORE: Micros = 2_000_000;
+    let about = |event: &Event| match (event, v.request) {
+        (Event::Script { .. } | Event::Ready { .. } | Event::Disrupted { .. } | Event::Exited { .. }, _) => {
+            true
+        }
         (
-            What::Asked { id, .. }
-            | What::Answered { id, .. }
-            | What::Unanswered { id }
-            | What::Arrived { id, .. }
-            | What::TurnedAway { id, .. }
-            | What::Begun { id, .. }
-            | What::Of { id, .. }
-            | What::Barred { id, .. },
+            Event::Requested { id, .. }
+            | Event::Answered { id, .. }
+            | Event::Unanswered { id }
+            | Event::Arrived { id, .. }
+            | Event::RejectedByServer { id, .. }
+            | Event::JobStarted { id, .. }
+            | Event::RequestDetails { id, .. }
+            | Event::RejectedByNode { id, .. },
             Some(request),
         ) => *id == request,
-        (What::Told { .. }, _) => v.rule == "drain",
-        (What::Placed { .. } | What::Kept { .. } | What::Together { .. } | What::Holds { .. }, _) => {
-            ["histories-differ", "disk"].contains(&v.rule)
-        }
-        (What::Handed { .. } | What::Disk { .. } | What::Stands { .. } | What::Sees { .. }, _) => true,
-        (What::Used { .. }, _) => v.rule == "budget",
+        (Event::ServerListed { .. }, _) => v.rule == "drain",
+        (
+            Event::Placed { .. }
+            | Event::DiskDigest { .. }
+            | Event::MergedDigest { .. }
+            | Event::PlacementDigest { .. },
+            _,
+        ) => ["histories-differ", "disk"].contains(&v.rule),
+        (
+            Event::AccountsFileDelivered { .. }
+            | Event::Disk { .. }
+            | Event::AccountStatus { .. }
+            | Event::ReportedState { .. },
+            _,
+        ) => true,
+        (Event::Used { .. }, _) => v.rule == "budget",
         (
-            What::Whole { .. }
-            | What::Arrived { .. }
-            | What::Left { .. }
-            | What::Probed { .. }
-            | What::Called { .. },
+            Event::BudgetTotal { .. }
+            | Event::Arrived { .. }
+            | Event::JobReleased { .. }
+            | Event::Probed { .. }
+            | Event::DiscoveryConnected { .. },
             None,
         ) => v.rule == "shared",
         _ => false,
     };
-    let near = |r: &&Record| v.request.is_some() || (r.at <= v.at && r.at >= v.at - BEFORE);
-    records.iter().filter(|r| about(&r.what)).filter(near).cloned().collect()
+    let near = |r: &&Record| v.request.is_some() || (r.at <= v.at && r.at >= v.at - TIME_BEFORE);
+    records.iter().filter(|r| about(&r.event)).filter(near).cloned().collect()
 }
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -2,7 +2,7 @@
 //! file of its own that says where it finds the others.
 
 use crate::addresses::fresh;
-use crate::history::{At, History, What};
+use crate::history::{Event, History, Micros as At};
 use crate::play::{PlayError, LEASE, LONGEST, TERM};
 use crate::process::{Node, Stands};
 use crate::relay::{both, udp, Link, Traits};
@@ -187,7 +187,7 @@
             whole(path, &(text + ")\n"))?;
         }
         for (name, whole, _) in budgets {
-            self.history.note(What::Whole { budget: name.to_string(), whole });
+            self.history.record(Event::BudgetTotal { budget: name.to_string(), total: whole });
         }
         Ok(())
     }
--- a/crates/rig/src/history.rs
+++ b/crates/rig/src/history.rs
@@ -1,294 +1,332 @@
-//! What happened, in one order, with times of one steady clock. Checkers read this and nothing else.
+//! The event history of a run: everything that happened, in order, with timestamps of one monotonic clock. It is the only input of the
+//! checkers.
 
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 use std::time::Instant;
 
-/// Microseconds since the script began.
-pub type At = i64;
+/// Microseconds: a timestamp since the start of the run, or a duration.
+pub type Micros = i64;
 
 /// How often a job may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Repeat {
-    /// As often as one likes.
+    /// Any number of times: the job is idempotent.
     Safe,
-    /// Once.
+    /// At most once.
     Never,
 }
 
-/// One thing that happened.
+/// Something that happened during a run and that the checkers may depend on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "what")]
-pub enum What {
-    /// The script did something; in its own words.
+pub enum Event {
+    /// The script performed an action.
     Script {
-        /// The event as the script says it.
+        /// The action as the script file writes it.
         event: String,
     },
-    /// A process serves.
-    Serves {
-        /// The node.
+    /// A process is ready to serve: it has started up, or continues after a halt.
+    #[serde(rename = "serves")]
+    Ready {
+        /// Index of the node, from 0.
         node: u32,
     },
-    /// The script ended a process, or halted it: what it held is its client's to bear until it serves again.
-    Struck {
-        /// The node.
+    /// The script killed or halted a process. Until the node is ready again, requests at it may stay without an answer.
+    #[serde(rename = "struck")]
+    Disrupted {
+        /// Index of the node, from 0.
         node: u32,
     },
-    /// A process has ended by itself, or after a SIGTERM.
+    /// A process exited, by itself or after a SIGTERM.
     Exited {
-        /// The node.
+        /// Index of the node, from 0.
         node: u32,
-        /// It had been told to.
-        told: bool,
-        /// Its exit code, if it had one.
+        /// Whether the process had received a SIGTERM.
+        #[serde(rename = "told")]
+        requested: bool,
+        /// The exit code; `None` after a fatal signal.
         code: Option<i32>,
     },
-    /// A client has written the last byte of a request.
-    Asked {
-        /// Its id.
+    /// A client wrote the last byte of a request.
+    #[serde(rename = "asked")]
+    Requested {
+        /// Id of the request.
         id: u64,
-        /// The node.
+        /// The node that the client is connected to.
         node: u32,
-        /// How long the client waits, in microseconds.
-        patience: At,
-        /// How often it may run.
+        /// The client's timeout, in microseconds.
+        #[serde(rename = "patience")]
+        timeout: Micros,
+        /// How often the job may run.
         repeat: Repeat,
     },
-    /// A client has read a whole answer.
+    /// A client read a complete response.
     Answered {
-        /// The request.
+        /// Id of the request.
         id: u64,
-        /// The status.
+        /// The HTTP status.
         status: u16,
     },
-    /// A client's connection ended without a whole answer, or the client has waited long enough.
+    /// A client's connection closed without a complete response, or the client timed out.
     Unanswered {
-        /// The request.
+        /// Id of the request.
         id: u64,
     },
-    /// The last byte of a request has come to a backend server; before that it was on the way from its node.
+    /// The last byte of a dispatch reached a backend server.
     Arrived {
-        /// The request.
+        /// Id of the request.
         id: u64,
-        /// The backend server.
+        /// Index of the backend server, from 0.
         server: u32,
-        /// The node that sent it.
+        /// The node that dispatched the request.
         node: u32,
-        /// When its first byte had come to the relay.
-        sent: At,
+        /// When the relay received the first byte of the dispatch.
+        sent: Micros,
     },
-    /// A backend server has turned a job away, which proves that it never ran there.
-    TurnedAway {
-        /// The request.
+    /// A backend server rejected a job, which proves that the job did not run there.
+    #[serde(rename = "turned-away")]
+    RejectedByServer {
+        /// Id of the request.
         id: u64,
-        /// The backend server.
+        /// Index of the backend server, from 0.
         server: u32,
     },
-    /// A backend server has begun with a job.
-    Begun {
-        /// The request.
+    /// A backend server started to run a job.
+    #[serde(rename = "begun")]
+    JobStarted {
+        /// Id of the request.
         id: u64,
-        /// The backend server.
+        /// Index of the backend server, from 0.
         server: u32,
     },
-    /// A backend server has no more to do with a job: it is done, or was killed, or was never run there.
-    Left {
-        /// The request.
+    /// A job left a backend server: it was completed, killed, or never started there.
+    #[serde(rename = "left")]
+    JobReleased {
+        /// Id of the request.
         id: u64,
-        /// The backend server.
+        /// Index of the backend server, from 0.
         server: u32,
     },
-    /// A probe has come to a backend server.
+    /// A probe reached a backend server.
     Probed {
-        /// The backend server.
+        /// Index of the backend server, from 0.
         server: u32,
-        /// When its first byte had come to the relay.
-        sent: At,
+        /// When the relay received the first byte of the probe.
+        sent: Micros,
     },
-    /// A node has called discovery: it has opened a connection there.
-    Called {
-        /// The node.
+    /// A node opened a connection to discovery.
+    #[serde(rename = "called")]
+    DiscoveryConnected {
+        /// Index of the node, from 0.
         node: u32,
     },
-    /// Another whole of a budget is in force from now on, as far as files say.
-    Whole {
-        /// The budget.
+    /// The fleet's configuration files set a new total for a budget.
+    #[serde(rename = "whole")]
+    BudgetTotal {
+        /// Name of the budget.
         budget: String,
-        /// How much.
-        whole: u64,
-    },
-    /// Discovery has written to a node where a server stands.
-    Told {
-        /// The node.
+        /// The total over all nodes, in units of the budget.
+        #[serde(rename = "whole")]
+        total: u64,
+    },
+    /// Discovery wrote the state of a backend server to a node.
+    #[serde(rename = "told")]
+    ServerListed {
+        /// Index of the node, from 0.
         node: u32,
-        /// The backend server.
+        /// Index of the backend server, from 0.
         server: u32,
-        /// It may be sent new work.
+        /// Whether the server accepts new work.
         live: bool,
     },
-    /// A node's process wanted to run for much of that time, and the machine had no processor for it; or had none for the rig itself.
+    /// A node's process was runnable for much of an interval without getting a processor, or the test harness itself got none.
     Starved {
-        /// The node.
+        /// Index of the node, from 0.
         node: u32,
-        /// Since when.
-        from: At,
+        /// Start of the interval, which ends at the timestamp of the event.
+        from: Micros,
     },
-    /// A process was started: from now on it may speak to others.
-    Started {
-        /// The node.
+    /// A process was started, and may send messages to its peers from now on.
+    #[serde(rename = "started")]
+    ProcessStarted {
+        /// Index of the node, from 0.
         node: u32,
     },
-    /// A process was told to end (SIGTERM).
-    Ends {
-        /// The node.
+    /// A process was sent a SIGTERM.
+    #[serde(rename = "ends")]
+    Terminating {
+        /// Index of the node, from 0.
         node: u32,
     },
-    /// What a request is that is asked next.
-    Of {
-        /// The request.
+    /// Details of a request that a client is about to send.
+    #[serde(rename = "of")]
+    RequestDetails {
+        /// Id of the request.
         id: u64,
-        /// Whose it is.
+        /// The tenant that the request belongs to.
         tenant: String,
-        /// The request that its client repeats with it, under the same key or id.
-        again: Option<u64>,
-        /// Its key, or the id that it is known by where it has none.
+        /// The earlier request that this one repeats under the same idempotency key or request id.
+        #[serde(rename = "again")]
+        repeat_of: Option<u64>,
+        /// The idempotency key, or the request id where the request has no key.
         key: String,
     },
-    /// A request was turned away for its account.
-    Barred {
-        /// The request.
+    /// A node rejected a request and gave a reason.
+    #[serde(rename = "barred")]
+    RejectedByNode {
+        /// Id of the request.
         id: u64,
-        /// Why, in the node's words.
-        why: String,
-    },
-    /// A file of accounts was handed to a node.
-    Handed {
-        /// The node.
+        /// The reason in the node's response.
+        #[serde(rename = "why")]
+        reason: String,
+    },
+    /// An accounts file was delivered to a node.
+    #[serde(rename = "handed")]
+    AccountsFileDelivered {
+        /// Index of the node, from 0.
         node: u32,
-        /// The file's number.
+        /// The number of the file.
         number: u64,
-        /// The account that it names.
+        /// The account that the file names.
         account: String,
-        /// Where that stands.
-        standing: String,
-    },
-    /// Words from one site to another no longer come through, or do again.
-    Apart {
-        /// The site that speaks.
+        /// The account's status in the file.
+        #[serde(rename = "standing")]
+        status: String,
+    },
+    /// Messages from one site to another stopped getting through, or get through again.
+    #[serde(rename = "apart")]
+    SiteLinkCut {
+        /// The sending site.
         from: u32,
-        /// The site that does not hear.
+        /// The receiving site.
         to: u32,
-        /// They don't come through.
+        /// Whether the link is cut from now on.
         cut: bool,
     },
-    /// Words from and to a site are lost, doubled and late, or no longer.
-    Rough {
-        /// The site.
+    /// Messages from and to a site start to be lost, duplicated and delayed, or stop being so.
+    #[serde(rename = "rough")]
+    SiteLinkDegraded {
+        /// Index of the site, from 0.
         site: u32,
-        /// They are.
-        rough: bool,
+        /// Whether its links are degraded from now on.
+        #[serde(rename = "rough")]
+        degraded: bool,
     },
-    /// A node comes back with its disk as it was when its process ended, without one, or with an old one.
+    /// A node is about to restart with its disk as the last process left it, with an empty disk, or with an old copy.
     Disk {
-        /// The node.
+        /// Index of the node, from 0.
         node: u32,
-        /// Which: kept, lost or old.
+        /// The state of the disk: `kept`, `lost` or `old`.
         disk: String,
     },
-    /// After all has settled a node says where an account stands.
-    Stands {
-        /// The node.
+    /// The status that a node reports for an account at the end of the run.
+    #[serde(rename = "stands")]
+    AccountStatus {
+        /// Index of the node, from 0.
         node: u32,
-        /// The account.
+        /// Name of the account.
         account: String,
-        /// Where it stands.
-        standing: String,
-    },
-    /// After all has settled a node says how it sees a site, and whether its standing is confirmed.
-    Sees {
-        /// The node.
+        /// The account's status.
+        #[serde(rename = "standing")]
+        status: String,
+    },
+    /// The state that a node reports at the end of the run for a site, for its own key range, or for its account status.
+    #[serde(rename = "sees")]
+    ReportedState {
+        /// Index of the node, from 0.
         node: u32,
-        /// What: a site's name, or `standing`.
-        of: String,
-        /// How.
-        seen: String,
-    },
-    /// After all has settled a node says what it holds of placements.
-    Holds {
-        /// The node.
+        /// A site's name; `home SITE/NODE` for a key range; or `standing` for whether account status is confirmed.
+        #[serde(rename = "of")]
+        subject: String,
+        /// The reported state.
+        #[serde(rename = "seen")]
+        state: String,
+    },
+    /// The placements that a node reports at the end of the run.
+    #[serde(rename = "holds")]
+    PlacementDigest {
+        /// Index of the node, from 0.
         node: u32,
-        /// What stands for all logs that it knows.
+        /// Digest of all logs that the node knows.
         digest: String,
-        /// Entries of all logs.
-        all: u64,
-        /// Jobs that ran twice, as it found.
+        /// Number of entries in all logs.
+        #[serde(rename = "all")]
+        entries: u64,
+        /// Number of jobs that the node found to have run more than once.
         violations: u64,
     },
-    /// What a node's disk holds of placements once its last process has ended.
-    Kept {
-        /// The node.
+    /// The placements on a node's disk after its last process has exited.
+    #[serde(rename = "kept")]
+    DiskDigest {
+        /// Index of the node, from 0.
         node: u32,
-        /// What stands for all logs on it, or nothing where it can't be read.
+        /// Digest of all logs on the disk; `None` if the disk can't be read.
         digest: Option<String>,
-        /// Why it can't be read.
-        why: String,
-    },
-    /// What all disks hold together.
-    Together {
-        /// What stands for it.
+        /// Why the disk can't be read; empty if it can.
+        #[serde(rename = "why")]
+        error: String,
+    },
+    /// The placements on the disks of all nodes, merged.
+    #[serde(rename = "together")]
+    MergedDigest {
+        /// Digest of the merged logs.
         digest: String,
     },
-    /// A placement of what must not repeat, as disks hold it once all processes have ended.
+    /// A placement of a job that must not repeat, read from the disks after all processes have exited.
     Placed {
-        /// The node that placed it.
+        /// The node that placed the job.
         node: u32,
-        /// The log and the entry's number there.
+        /// The log and the number of the entry in it.
         entry: String,
-        /// The key.
+        /// The idempotency key.
         key: String,
-        /// The backend server.
+        /// Index of the backend server, from 0.
         server: u32,
-        /// How it ended: served, never-ran or unknown.
-        how: String,
-        /// The nodes on whose disks it is.
+        /// How the placement ended: `served`, `never-ran` or `unknown`.
+        #[serde(rename = "how")]
+        outcome: String,
+        /// The nodes whose disks hold the placement.
         holders: Vec<u32>,
     },
-    /// One datagram from a node to another was changed on its way.
-    Changed {
-        /// The node that said it.
+    /// A datagram between two nodes was modified in transit.
+    #[serde(rename = "changed")]
+    DatagramChanged {
+        /// The sending node.
         from: u32,
-        /// The node that it was for.
+        /// The receiving node.
         to: u32,
-        /// What was done to it.
-        how: String,
-    },
-    /// A node says in its log that it does not believe a word.
-    Disbelieved {
-        /// The node.
+        /// The modification, as scripts name it.
+        #[serde(rename = "how")]
+        change: String,
+    },
+    /// A node logged that it dropped a message that failed authentication.
+    #[serde(rename = "disbelieved")]
+    MessageDropped {
+        /// Index of the node, from 0.
         node: u32,
     },
-    /// Some of a named budget was used, where it can be counted: at what it bounds.
+    /// Units of a budget were used, as counted at the resource that the budget limits.
     Used {
-        /// The budget.
+        /// Name of the budget.
         budget: String,
-        /// How much.
+        /// The number of units.
         amount: u64,
     },
 }
 
-/// One record.
+/// An event with its timestamp.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// When.
-    pub at: At,
-    /// What.
+    /// Time of the event since the start of the run.
+    pub at: Micros,
+    /// The recorded event; JSON has its fields beside `at`.
     #[serde(flatten)]
-    pub what: What,
+    pub event: Event,
 }
 
-/// A history that is being written.
+/// The recorder of a run's events.
 #[derive(Debug)]
 pub struct History {
     origin: Instant,
@@ -302,30 +340,30 @@
 }
 
 impl History {
-    /// The time on its clock.
-    pub fn now(&self) -> At {
-        self.origin.elapsed().as_micros() as At
+    /// Returns the current time on the history's clock.
+    pub fn now(&self) -> Micros {
+        self.origin.elapsed().as_micros() as Micros
     }
 
-    /// That moment on its clock.
-    pub fn at(&self, moment: Instant) -> At {
-        moment.saturating_duration_since(self.origin).as_micros() as At
+    /// Converts an instant to the history's clock; instants before the start of the run become 0.
+    pub fn timestamp(&self, instant: Instant) -> Micros {
+        instant.saturating_duration_since(self.origin).as_micros() as Micros
     }
 
-    /// That has just happened.
-    pub fn note(&self, what: What) {
+    /// Appends an event with the current time.
+    pub fn record(&self, event: Event) {
         let at = self.now();
-        self.records.borrow_mut().push(Record { at, what });
+        self.records.borrow_mut().push(Record { at, event });
     }
 
-    /// All of it so far.
+    /// Returns a copy of all records so far.
     pub fn records(&self) -> Vec<Record> {
         self.records.borrow().clone()
     }
 }
 
-/// As lines of JSON.
-pub fn lines(records: &[Record]) -> String {
+/// Formats records as JSON, one object a line.
+pub fn to_json_lines(records: &[Record]) -> String {
     let line = |r: &Record| serde_json::to_string(r).unwrap_or_default() + "\n";
     records.iter().map(line).collect()
 }
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -1,8 +1,8 @@
 //! The command line of the rig.
 
 use bpaf::Bpaf;
-use shorepath_rig::check::{check, shows, Violation};
-use shorepath_rig::history::{lines, Repeat, What as Event};
+use shorepath_rig::check::{check, evidence, Violation};
+use shorepath_rig::history::{to_json_lines, Event, Repeat};
 use shorepath_rig::measure::{measure, What};
 use shorepath_rig::play::{play_beside, terms, Played};
 use shorepath_rig::script::{self, Script};
@@ -160,15 +160,15 @@
     let guarded: BTreeSet<u64> = played
         .records
         .iter()
-        .filter_map(|r| match r.what {
-            Event::Asked { id, repeat: Repeat::Never, .. } => Some(id),
+        .filter_map(|r| match r.event {
+            Event::Requested { id, repeat: Repeat::Never, .. } => Some(id),
             _ => None,
         })
         .collect();
     played
         .records
         .iter()
-        .filter(|r| matches!(r.what, Event::Begun { id, .. } if guarded.contains(&id)))
+        .filter(|r| matches!(r.event, Event::JobStarted { id, .. } if guarded.contains(&id)))
         .count()
 }
 
@@ -176,16 +176,16 @@
 fn one(script: &Script, how: &How) -> Result<bool, PlayError> {
     let (played, found) = judged(script, how)?;
     if let Some(file) = &how.history {
-        std::fs::write(file, lines(&played.records))?;
+        std::fs::write(file, to_json_lines(&played.records))?;
     }
-    let count = |of: fn(&Event) -> bool| played.records.iter().filter(|r| of(&r.what)).count();
+    let count = |of: fn(&Event) -> bool| played.records.iter().filter(|r| of(&r.event)).count();
     let served = count(|w| matches!(w, Event::Answered { status: 200, .. }));
     say!(
         "seed {}: {} events, {} asked, {served} served, {} barred, {} dispatches, {} guarded starts, {} placements of them, {} broken rules",
         script.seed,
         script.events.len(),
-        count(|w| matches!(w, Event::Asked { .. })),
-        count(|w| matches!(w, Event::Barred { .. })),
+        count(|w| matches!(w, Event::Requested { .. })),
+        count(|w| matches!(w, Event::RejectedByNode { .. })),
         count(|w| matches!(w, Event::Arrived { .. })),
         guarded_starts(&played),
         count(|w| matches!(w, Event::Placed { .. })),
@@ -202,7 +202,7 @@
     });
     let (played, violation, shorter) = last;
     say!("the shortest script found that shows it:\n{shorter}");
-    say!("what shows it: {violation}\n{}", lines(&shows(&played.records, &violation)));
+    say!("what shows it: {violation}\n{}", to_json_lines(&evidence(&played.records, &violation)));
     for (node, log) in played.logs.iter().enumerate() {
         let nodes = script.nodes as usize;
         let name = if node < nodes { format!("n{node}") } else { format!("d{}", node - nodes) };
--- a/crates/rig/src/play.rs
+++ b/crates/rig/src/play.rs
@@ -1,16 +1,16 @@
 //! Play a script: start everything, do what it says, ask all the while, and write down what happens.
 
 use crate::addresses::fresh;
-use crate::check::{Shared, Terms};
+use crate::check::{Expectations, SharedBudgets};
 use crate::fleet::Fleet;
-use crate::history::{At, History, Record, Repeat, What};
+use crate::history::{Event, History, Micros as At, Record, Repeat};
 use crate::http::Reader;
 use crate::process::{Node, Stands};
 use crate::relay::{self, Link, Marks, Traits};
 use crate::script::{Act, Disk, Script, Way, TENANTS};
+use crate::site_checks::SiteExpectations;
 use crate::sites::Sites;
 use crate::stand::{Discovery, Phase, Server};
-use crate::standing::Siting;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1};
@@ -81,21 +81,21 @@
 }
 
 /// What is asked of the history of a script.
-pub fn terms(script: &Script) -> Terms {
-    let shared = Shared {
+pub fn terms(script: &Script) -> Expectations {
+    let shared = SharedBudgets {
         nodes: u64::from(script.nodes),
-        debt: 2 * TERM + 5_000_000,
+        lowered_grace: 2 * TERM + 5_000_000,
         burst: crate::fleet::BURST,
         // By the least whole that a script draws, and with nodes that ask for it unevenly.
-        served: 0.2,
+        served_share: 0.2,
     };
-    Terms {
-        slack: SLACK,
-        grace: GRACE + SLACK,
-        settle: SETTLE,
+    Expectations {
+        answer_slack: SLACK,
+        drain_grace: GRACE + SLACK,
+        settle_time: SETTLE,
         budgets: Vec::new(),
         shared: (script.dividers > 0 && script.sites == 0).then_some(shared),
-        sites: (script.sites > 0).then(|| Siting::of(script)),
+        sites: (script.sites > 0).then(|| SiteExpectations::from_script(script)),
     }
 }
 
@@ -274,7 +274,7 @@
         }
         if let Some(sites) = &sites {
             let nodes: Vec<Rc<Node>> = seats.iter().map(|s| s.node.clone()).collect();
-            sites.begin(&nodes).await?;
+            sites.wait_until_ready(&nodes).await?;
         }
         let turns = servers.iter().map(|_| Mutex::new(())).collect();
         let over = RefCell::default();
@@ -304,10 +304,10 @@
             let (rig, event) = (rig.clone(), *event);
             tasks.push(spawn_local(async move {
                 sleep_until(begin + micros(event.at)).await;
-                rig.history.note(What::Script { event: event.act.to_string() });
+                rig.history.record(Event::Script { event: event.act.to_string() });
                 rig.act(event.act).await;
                 if rig.sites.is_some() {
-                    rig.history.note(What::Script { event: format!("over: {}", event.act) });
+                    rig.history.record(Event::Script { event: format!("over: {}", event.act) });
                 }
             }));
         }
@@ -316,7 +316,7 @@
             let _ = task.await;
         }
         if let Some(sites) = &rig.sites {
-            sites.end().await;
+            sites.record_final_state().await;
         }
         for seat in &rig.seats {
             seat.node.serving().await;
@@ -330,7 +330,7 @@
             fleet.end().await;
             logs.extend(fleet.logs());
         }
-        rig.sites.iter().for_each(Sites::read);
+        rig.sites.iter().for_each(Sites::record_disks);
         Ok(Played { records: rig.history.records(), logs })
     }
 
@@ -384,11 +384,11 @@
                     sites.cut(site, way, micros(length), self.fleet.as_ref()).await;
                 }
                 Act::WordsSite { site, loss, length } => {
-                    sites.spoil(site, loss, micros(length), self.fleet.as_ref()).await;
+                    sites.degrade(site, loss, micros(length), self.fleet.as_ref()).await;
                 }
                 Act::KillSite { site, disk, down } => {
                     // Its divider dies with it, and keeps its disk: a fleet that loses most of these needs its operator.
-                    let own = |d: &u32| sites.of_divider(*d) == site;
+                    let own = |d: &u32| sites.site_of_quota_server(*d) == site;
                     let dividers: Vec<u32> =
                         (0..self.fleet.as_ref().map_or(0, Fleet::count)).filter(own).collect();
                     let killed = dividers.into_iter().map(|d| async move {
@@ -406,13 +406,15 @@
                 Act::KillNode { node, disk, down } => self.kill(node..node + 1, disk, micros(down)).await,
                 Act::HaltSite { site, length } => self.halt(sites.nodes(site), micros(length)).await,
                 Act::Account { name, standing, site } => {
-                    sites.hand(sites.next(), (name, standing), site, &nodes);
+                    sites.deliver_accounts_file(sites.next_file_number(), (name, standing), site, &nodes);
+                }
+                Act::Change { from, to, number, how } => {
+                    sites.change_datagram((from, to), number, how, self.seed)
                 }
-                Act::Change { from, to, number, how } => sites.alter((from, to), number, how, self.seed),
                 Act::TwoFiles { name, standing, site, second, other } => {
-                    let number = sites.next();
-                    sites.hand(number, (name, standing), site, &nodes);
-                    sites.hand(number, (name, second), other, &nodes);
+                    let number = sites.next_file_number();
+                    sites.deliver_accounts_file(number, (name, standing), site, &nodes);
+                    sites.deliver_accounts_file(number, (name, second), other, &nodes);
                 }
                 _ => {}
             }
@@ -520,7 +522,7 @@
         }
         for (seat, _) in &all {
             seat.node.until(Stands::Ended).await;
-            self.sites.iter().for_each(|s| s.disk(seat.node.number(), disk));
+            self.sites.iter().for_each(|s| s.replace_disk(seat.node.number(), disk));
         }
         sleep(down).await;
         for (seat, _) in &all {
@@ -569,7 +571,7 @@
     async fn again(&self, seat: &Seat) {
         if seat.node.serving().await {
             seat.away.set(false);
-            self.sites.iter().for_each(|s| s.repeat_to(seat.node.number()));
+            self.sites.iter().for_each(|s| s.replay_datagrams(seat.node.number()));
         }
     }
 
@@ -654,7 +656,12 @@
 
     fn tell_of(&self, past: &Past, again: Option<u64>) {
         let key = past.key.clone().unwrap_or_else(|| past.name.clone());
-        self.history.note(What::Of { id: past.id, tenant: past.tenant.to_string(), again, key });
+        self.history.record(Event::RequestDetails {
+            id: past.id,
+            tenant: past.tenant.to_string(),
+            repeat_of: again,
+            key,
+        });
     }
 
     /// One client's request. Nothing is noted where it was never taken.
@@ -675,18 +682,18 @@
         if stream.write_all(request.as_bytes()).await.is_err() {
             return;
         }
-        self.history.note(What::Asked { id, node, patience: PATIENCE, repeat });
+        self.history.record(Event::Requested { id, node, timeout: PATIENCE, repeat });
         let mut reader = Reader::new(stream);
         let answer = timeout(micros(PATIENCE + SLACK), reader.next(true)).await;
         let answer = answer.ok().and_then(Result::ok).flatten();
         let why = answer.as_ref().and_then(|a| a.field("refused-because")).map(str::to_string);
         if let Some(why) = &why {
-            self.history.note(What::Barred { id, why: why.clone() });
+            self.history.record(Event::RejectedByNode { id, reason: why.clone() });
         }
         let status = answer.and_then(|a| a.first.1.parse::<u16>().ok());
         match status {
-            Some(status) => self.history.note(What::Answered { id, status }),
-            None => self.history.note(What::Unanswered { id }),
+            Some(status) => self.history.record(Event::Answered { id, status }),
+            None => self.history.record(Event::Unanswered { id }),
         }
         // A client goes where it is sent; not for ever, while nodes change.
         let home = why
--- a/crates/rig/src/process.rs
+++ b/crates/rig/src/process.rs
@@ -1,6 +1,6 @@
 //! The processes of the program.
 
-use crate::history::{History, What};
+use crate::history::{Event, History};
 use rustix::process::{kill_process, Pid, Signal};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -164,7 +164,7 @@
         self.told.set(false);
         self.struck.set(false);
         self.stands.send_replace(Stands::Starts);
-        self.note(What::Started { node: self.number });
+        self.note(Event::ProcessStarted { node: self.number });
         if let Some(pid) = self.pid.get() {
             guard('+', pid);
             if self.noted {
@@ -178,11 +178,11 @@
             let mut lines = BufReader::new(log).lines();
             while let Ok(Some(line)) = lines.next_line().await {
                 if line.contains(node.speaks) {
-                    node.note(What::Serves { node: node.number });
+                    node.note(Event::Ready { node: node.number });
                     node.stands.send_replace(Stands::Serves);
                 }
                 if line.contains(" is dropped: ") {
-                    node.note(What::Disbelieved { node: node.number });
+                    node.note(Event::MessageDropped { node: node.number });
                 }
                 let mut kept = node.log.borrow_mut();
                 if kept.len() == KEPT {
@@ -201,9 +201,9 @@
             if !node.struck.get() && !node.noted {
                 let text =
                     format!("divider {} ended with {code:?}, told to: {}", node.number, node.told.get());
-                node.history.note(What::Script { event: text });
+                node.history.record(Event::Script { event: text });
             } else if !node.struck.get() {
-                node.note(What::Exited { node: node.number, told: node.told.get(), code });
+                node.note(Event::Exited { node: node.number, requested: node.told.get(), code });
             }
             node.stands.send_replace(Stands::Ended);
         });
@@ -224,7 +224,7 @@
             let Some(now) = waited() else { return };
             // Looked at late it is the rig that had none, and what it saw has wrong times.
             if now.saturating_sub(before) > STARVED || since.elapsed() > LOOKS + STARVED {
-                self.note(What::Starved { node: self.number, from });
+                self.note(Event::Starved { node: self.number, from });
             }
             (before, from, since) = (now, self.history.now(), Instant::now());
         }
@@ -244,9 +244,9 @@
         matches!(there, Ok(Ok(_)))
     }
 
-    fn note(&self, what: What) {
+    fn note(&self, event: Event) {
         if self.noted {
-            self.history.note(what);
+            self.history.record(event);
         }
     }
 
@@ -265,20 +265,20 @@
     /// End it at once.
     pub fn kill(&self) {
         self.struck.set(true);
-        self.note(What::Struck { node: self.number });
+        self.note(Event::Disrupted { node: self.number });
         self.signal(Signal::KILL);
     }
 
     /// Tell it to end.
     pub fn terminate(&self) {
         self.told.set(true);
-        self.note(What::Ends { node: self.number });
+        self.note(Event::Terminating { node: self.number });
         self.signal(Signal::TERM);
     }
 
     /// Let it stand still.
     pub fn halt(&self) {
-        self.note(What::Struck { node: self.number });
+        self.note(Event::Disrupted { node: self.number });
         self.signal(Signal::STOP);
     }
 
@@ -308,7 +308,7 @@
 
     /// It has had time to catch up.
     pub fn caught_up(&self) {
-        self.note(What::Serves { node: self.number });
+        self.note(Event::Ready { node: self.number });
     }
 
     /// The last lines of its log.
--- a/crates/rig/src/script.rs
+++ b/crates/rig/src/script.rs
@@ -1,7 +1,7 @@
 //! Scripts: what is done to the processes and the links between them, and when. One is drawn from a seed, or read from
 //! a file of S-expressions; it can be written down again, so that a failure can be played once more.
 
-use crate::history::At;
+use crate::history::Micros as At;
 use crate::relay::How;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/rig/src/sites.rs
+++ b/crates/rig/src/sites.rs
@@ -1,19 +1,20 @@
-//! Sites: the files and folders of their nodes, the links that words between them take, and what operators hand out. Every pair of
-//! nodes has a relay each way, so each node has a file of its own that says where it finds the others.
+//! The sites of a run: their nodes' configuration files and folders, the links between nodes, and the accounts files that operators
+//! deliver. Each ordered pair of nodes has a relay of its own, so each node has its own `sites.sexp` with the addresses at which it
+//! reaches the others.
 //!
-//! With dividers the keys of classes that must not repeat have homes, and each divider belongs to a site: its words take links of
-//! [`crate::fleet`], to which is done what is done to its site's.
+//! With quota servers, nodes own ranges of the idempotency keys of classes that must not repeat. Each quota server then belongs to a
+//! site, and the faults of its site's links apply to its links in [`crate::fleet`] too.
 
 use crate::addresses::fresh;
 use crate::disks::{self, Place};
 use crate::fleet::Fleet;
-use crate::history::{History, What};
+use crate::history::{Event, History};
 use crate::http::Reader;
 use crate::play::PlayError;
 use crate::process::Node;
 use crate::relay::{udp, How, Link, Traits};
 use crate::script::{Disk, Script, Way, TENANTS};
-use crate::standing::is_well;
+use crate::site_checks::is_settled_state;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::{json, Value};
@@ -33,49 +34,52 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Jobs of the first tenant that may be begun on unconfirmed standing, over all sites.
+/// Jobs of the first tenant that may be started while account status is unconfirmed, over all sites.
 pub const CREDIT: u64 = 60;
-/// The fleet's key; it guards nothing.
+/// Authentication key of the test fleet; it is no secret.
 const KEY: &str = "5f0c1d2e3b4a59687786950413223140feedfacecafebeef0011223344556677";
-/// All nodes say that their standing is confirmed within this once they have been started, and agree once all has settled.
-const SETTLED: Duration = Duration::from_secs(30);
-/// How often nodes are asked at their doors.
-const ASKS: Duration = Duration::from_millis(200);
-/// A door answers within this.
-const DOOR: Duration = Duration::from_secs(2);
+/// Time in which all nodes confirm account status after the start, and report the same state after the last fault.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// How often the nodes' management endpoints are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Timeout of a request to a management endpoint.
+const MANAGEMENT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The sites, their nodes' folders, and words between them.
+/// The sites of a run with their nodes' folders and links.
 #[derive(Debug)]
 pub struct Sites {
     history: Rc<History>,
     sites: u32,
-    nodes: u32,
-    servers: u32,
+    nodes_per_site: u32,
+    servers_per_site: u32,
     folders: Vec<PathBuf>,
-    doors: Vec<SocketAddr>,
-    /// From each node to each other.
-    words: Vec<Vec<Option<Link>>>,
-    /// How many cuts there are now from one site to another, and how many spells of bad words each site has.
+    management_addresses: Vec<SocketAddr>,
+    /// Links by sending and receiving node; `None` from a node to itself.
+    links: Vec<Vec<Option<Link>>>,
+    /// Number of cuts in force by sending and receiving site.
     cuts: RefCell<BTreeMap<(u32, u32), u32>>,
-    spoils: RefCell<BTreeMap<u32, (u32, f64)>>,
-    /// The number of the last file of accounts.
-    number: Cell<u64>,
-    /// Keys have homes.
-    homes: bool,
+    /// Number of degradations in force by site, and the greatest loss among them.
+    degradations: RefCell<BTreeMap<u32, (u32, f64)>>,
+    /// Number of the newest accounts file.
+    file_number: Cell<u64>,
+    /// Whether nodes own ranges of idempotency keys.
+    key_ownership: bool,
 }
 
-/// What a node says at its door: by account where it stands, and by site how it sees it; `standing` is whether that is confirmed, and
-/// `home SITE/NODE` that it holds that range.
+/// The state that a node reports at its management endpoint.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Said {
+struct Report {
+    /// Status by account.
     accounts: BTreeMap<String, String>,
-    seen: BTreeMap<String, String>,
-    /// Of placements: what stands for all that is known, how many entries that are, and jobs that ran twice.
-    holds: Option<(String, u64, u64)>,
+    /// State by subject: a site's name, `standing` for whether account status is confirmed, `home SITE/NODE` for a key range that the
+    /// node holds.
+    states: BTreeMap<String, String>,
+    /// Digest of all known placements, number of entries, and number of jobs that ran more than once.
+    placements: Option<(String, u64, u64)>,
 }
 
 fn copy(from: &Path, to: &Path) -> std::io::Result<()> {
-    // What was never made is gone already.
+    // The target may not exist yet.
     let _ = std::fs::remove_dir_all(to);
     std::fs::create_dir_all(to)?;
     for entry in std::fs::read_dir(from)? {
@@ -90,40 +94,40 @@
 }
 
 impl Sites {
-    /// Relays, files and addresses; nothing is started yet.
+    /// Starts the relays, chooses addresses and writes the nodes' files; no process is started yet.
     pub async fn set_up(script: &Script, dir: &Path, history: Rc<History>) -> Result<Sites, PlayError> {
         let n = script.nodes;
-        let (mut at, mut doors) = (Vec::new(), Vec::new());
+        let (mut peer_addresses, mut management_addresses) = (Vec::new(), Vec::new());
         for _ in 0..n {
-            at.push(fresh()?);
-            doors.push(fresh()?);
+            peer_addresses.push(fresh()?);
+            management_addresses.push(fresh()?);
         }
         let mut sites = Sites {
             history,
             sites: script.sites,
-            nodes: n / script.sites,
-            servers: script.servers / script.sites,
+            nodes_per_site: n / script.sites,
+            servers_per_site: script.servers / script.sites,
             folders: (0..n).map(|k| dir.join(format!("n{k}"))).collect(),
-            doors,
-            words: Vec::new(),
+            management_addresses,
+            links: Vec::new(),
             cuts: RefCell::default(),
-            spoils: RefCell::default(),
-            number: Cell::new(1),
-            homes: script.dividers > 0,
+            degradations: RefCell::default(),
+            file_number: Cell::new(1),
+            key_ownership: script.dividers > 0,
         };
-        for (who, folder) in (0..n).zip(sites.folders.clone()) {
+        for (node, folder) in (0..n).zip(sites.folders.clone()) {
             let (mut links, mut lists) = (Vec::new(), vec![String::new(); script.sites as usize]);
-            for (other, address) in (0..n).zip(&at) {
-                let mut seen = *address;
+            for (other, address) in (0..n).zip(&peer_addresses) {
+                let mut reached_at = *address;
                 links.push(None);
-                if other != who {
-                    let link = udp(*address, script.seed ^ u64::from(who * n + other) << 32).await?;
-                    seen = link.address;
+                if other != node {
+                    let link = udp(*address, script.seed ^ u64::from(node * n + other) << 32).await?;
+                    reached_at = link.address;
                     links[other as usize] = Some(link);
                 }
-                lists[sites.of(other) as usize] += &format!(" (node n{other} \"{seen}\")");
+                lists[sites.site_of(other) as usize] += &format!(" (node n{other} \"{reached_at}\")");
             }
-            sites.words.push(links);
+            sites.links.push(links);
             let mut text =
                 "(sites (version 1) (fleet \"rig\") (key \"fleet.key\") (accounts \"accounts.sexp\")\n  \
                             (confirm 2 s) (alone 2500 ms) (hold 3 s)\n"
@@ -137,39 +141,39 @@
             let key = folder.join("fleet.key");
             std::fs::write(&key, KEY)?;
             std::fs::set_permissions(&key, std::fs::Permissions::from_mode(0o600))?;
-            sites.sign(who, "(accounts (number 1))")?;
+            sites.write_accounts_file(node, "(accounts (number 1))")?;
         }
         Ok(sites)
     }
 
-    /// The site of a node.
-    pub fn of(&self, node: u32) -> u32 {
-        node / self.nodes
+    /// Returns the site of a node.
+    pub fn site_of(&self, node: u32) -> u32 {
+        node / self.nodes_per_site
     }
 
-    /// The nodes of a site.
+    /// Returns the nodes of a site.
     pub fn nodes(&self, site: u32) -> Range<u32> {
-        site * self.nodes..(site + 1) * self.nodes
+        site * self.nodes_per_site..(site + 1) * self.nodes_per_site
     }
 
-    /// The servers of a node's site.
+    /// Returns the backend servers in a node's site.
     pub fn servers(&self, node: u32) -> Range<u32> {
-        let site = self.of(node);
-        site * self.servers..(site + 1) * self.servers
+        let site = self.site_of(node);
+        site * self.servers_per_site..(site + 1) * self.servers_per_site
     }
 
-    /// What a node is told beyond what others are.
+    /// Adds the settings of sites to a node's configuration, and returns the command line options for them.
     pub fn configure(&self, node: u32, config: &mut Value) -> Vec<OsString> {
         let folder = &self.folders[node as usize];
-        config["mgmt"] = self.doors[node as usize].to_string().into();
+        config["mgmt"] = self.management_addresses[node as usize].to_string().into();
         let tenant = |name: &str| json!({"name": name, "portion": 0.5, "quota_rps": 1000.0});
         config["settings"]["projects"] = TENANTS.map(tenant).to_vec().into();
         let (file, state) = (folder.join("sites.sexp"), folder.join("state"));
         vec!["--sites".into(), file.into(), "--state".into(), state.into()]
     }
 
-    /// Write a node's file of accounts with its code: first that, since a node reads both.
-    fn sign(&self, node: u32, text: &str) -> std::io::Result<()> {
+    /// Writes a node's accounts file after its authentication code, since the node reads both when the file changes.
+    fn write_accounts_file(&self, node: u32, text: &str) -> std::io::Result<()> {
         let keys = Keys::read(KEY).map_err(std::io::Error::other)?;
         let code: String = keys.mac(text.as_bytes()).iter().map(|b| format!("{b:02x}")).collect();
         let folder = &self.folders[node as usize];
@@ -177,32 +181,35 @@
         std::fs::write(folder.join("accounts.sexp"), text)
     }
 
-    /// All of them have been started: once they hear each other, keep a copy of each disk.
-    pub async fn begin(&self, nodes: &[Rc<Node>]) -> Result<(), PlayError> {
+    /// Waits until all nodes have confirmed account status and hold their key ranges, and copies each node's disk.
+    ///
+    /// # Errors
+    /// A node isn't ready in time, or its disk can't be copied.
+    pub async fn wait_until_ready(&self, nodes: &[Rc<Node>]) -> Result<(), PlayError> {
         let (begin, mut node) = (Instant::now(), 0);
         while let Some(process) = nodes.get(node) {
-            let said = self.said(node as u32).await;
-            let ready = |said: Said| {
-                let confirmed = said.seen.get("standing").is_some_and(|s| s == "confirmed");
-                confirmed && (!self.homes || said.seen.contains_key(&self.home(node as u32)))
+            let report = self.report(node as u32).await;
+            let ready = |report: Report| {
+                let confirmed = report.states.get("standing").is_some_and(|s| s == "confirmed");
+                confirmed && (!self.key_ownership || report.states.contains_key(&self.key_range(node as u32)))
             };
-            if said.is_some_and(ready) {
+            if report.is_some_and(ready) {
                 let folder = &self.folders[node];
                 let copied = process.freeze().await.then(|| copy(&folder.join("state"), &folder.join("old")));
                 process.go_on();
                 copied.unwrap_or_else(|| Err(std::io::Error::other("a process can't be stopped")))?;
                 node += 1;
-            } else if begin.elapsed() > SETTLED {
+            } else if begin.elapsed() > SETTLE_TIMEOUT {
                 return Err(PlayError::Start { node: node as u32, log: process.log().join("\n") });
             } else {
-                sleep(ASKS).await;
+                sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    /// That happens to the disk of a node that is down.
-    pub fn disk(&self, node: u32, disk: Disk) {
+    /// Keeps, removes or restores the disk of a node whose process has exited.
+    pub fn replace_disk(&self, node: u32, disk: Disk) {
         let folder = &self.folders[node as usize];
         let state = folder.join("state");
         let done = match disk {
@@ -210,48 +217,48 @@
             Disk::Lost => std::fs::remove_dir_all(&state),
             Disk::Old => copy(&folder.join("old"), &state),
         };
-        // One that could not be touched is kept.
+        // Records a disk that could not be replaced as kept.
         let disk = if done.is_ok() { disk } else { Disk::Kept };
-        self.history.note(What::Disk { node, disk: disk.name().to_string() });
+        self.history.record(Event::Disk { node, disk: disk.name().to_string() });
     }
 
-    /// What links do now, by all that is done to them.
+    /// Sets all links to the cuts and degradations in force.
     fn apply(&self, fleet: Option<&Fleet>) {
         if let Some(fleet) = fleet {
             let nodes = self.folders.len() as u32;
-            let of = |process: u32| match process.checked_sub(nodes) {
-                Some(divider) => self.of_divider(divider),
-                None => self.of(process),
+            let site_of = |process: u32| match process.checked_sub(nodes) {
+                Some(quota_server) => self.site_of_quota_server(quota_server),
+                None => self.site_of(process),
             };
-            fleet.apart(|from, to| self.traits(of(from), of(to)));
+            fleet.apart(|from, to| self.traits(site_of(from), site_of(to)));
         }
-        for (from, links) in (0..).zip(&self.words) {
+        for (from, links) in (0..).zip(&self.links) {
             for (to, link) in (0..).zip(links) {
-                let traits = self.traits(self.of(from), self.of(to));
-                // What is said back goes over the link of the other.
+                let traits = self.traits(self.site_of(from), self.site_of(to));
+                // The receiver replies over its own link.
                 link.iter().for_each(|link| link.change(|s| s.there = traits));
             }
         }
     }
 
-    /// What is done now to words from one site to another.
+    /// Returns the traits of links from one site to another by the cuts and degradations in force.
     fn traits(&self, from: u32, to: u32) -> Traits {
-        let (cuts, spoils) = (self.cuts.borrow(), self.spoils.borrow());
+        let (cuts, degradations) = (self.cuts.borrow(), self.degradations.borrow());
         let cut = cuts.get(&(from, to)).is_some_and(|n| *n > 0);
-        let spoilt = |site: u32| spoils.get(&site).filter(|s| s.0 > 0).map_or(0.0, |s| s.1);
-        let loss = spoilt(from).max(spoilt(to));
+        let loss_of = |site: u32| degradations.get(&site).filter(|s| s.0 > 0).map_or(0.0, |s| s.1);
+        let loss = loss_of(from).max(loss_of(to));
         let (twice, late, lateness) = (loss / 2.0, loss / 2.0, Duration::from_millis(800));
         Traits { cut, loss, twice, late, lateness, ..Traits::default() }
     }
 
-    /// The name of a node's own range of keys, as it says at its door.
-    fn home(&self, node: u32) -> String {
-        format!("home s{}/n{node}", self.of(node))
+    /// Returns the name of a node's own key range, as its management endpoint writes it.
+    fn key_range(&self, node: u32) -> String {
+        format!("home s{}/n{node}", self.site_of(node))
     }
 
-    /// The site of a divider.
-    pub fn of_divider(&self, divider: u32) -> u32 {
-        divider % self.sites
+    /// Returns the site of a quota server.
+    pub fn site_of_quota_server(&self, quota_server: u32) -> u32 {
+        quota_server % self.sites
     }
 
     fn set_cut(&self, site: u32, way: Way, cut: bool, fleet: Option<&Fleet>) {
@@ -265,32 +272,32 @@
             let before = *count;
             *count = if cut { before + 1 } else { before.saturating_sub(1) };
             if before.min(*count) == 0 {
-                self.history.note(What::Apart { from, to, cut });
+                self.history.record(Event::SiteLinkCut { from, to, cut });
             }
         }
         self.apply(fleet);
     }
 
-    /// A site's words to others, or theirs to it, don't come through for that time.
+    /// Drops all messages between a site and the others, in the given direction, for the given time.
     pub async fn cut(&self, site: u32, way: Way, length: Duration, fleet: Option<&Fleet>) {
         self.set_cut(site, way, true, fleet);
         sleep(length).await;
         self.set_cut(site, way, false, fleet);
     }
 
-    /// Words from and to a site are lost, doubled and late for that time.
-    pub async fn spoil(&self, site: u32, loss: f64, length: Duration, fleet: Option<&Fleet>) {
-        let change = |more: bool| {
-            let mut spoils = self.spoils.borrow_mut();
-            let (count, worst) = spoils.entry(site).or_default();
-            if more {
-                *worst = if *count == 0 { loss } else { worst.max(loss) };
+    /// Loses, duplicates and delays messages from and to a site for the given time.
+    pub async fn degrade(&self, site: u32, loss: f64, length: Duration, fleet: Option<&Fleet>) {
+        let change = |degraded: bool| {
+            let mut degradations = self.degradations.borrow_mut();
+            let (count, greatest_loss) = degradations.entry(site).or_default();
+            if degraded {
+                *greatest_loss = if *count == 0 { loss } else { greatest_loss.max(loss) };
                 *count += 1;
             } else {
                 *count = count.saturating_sub(1);
             }
-            if *count == u32::from(more) {
-                self.history.note(What::Rough { site, rough: more });
+            if *count == u32::from(degraded) {
+                self.history.record(Event::SiteLinkDegraded { site, degraded });
             }
         };
         change(true);
@@ -300,147 +307,155 @@
         self.apply(fleet);
     }
 
-    /// One datagram from a node to another is changed, told as it happens.
-    pub fn alter(&self, (from, to): (u32, u32), number: u64, how: How, seed: u64) {
-        let link = self.words.get(from as usize).and_then(|all| all.get(to as usize)?.as_ref());
+    /// Modifies the `number`th datagram from now on from one node to another, and records the change when it happens.
+    pub fn change_datagram(&self, (from, to): (u32, u32), number: u64, how: How, seed: u64) {
+        let link = self.links.get(from as usize).and_then(|all| all.get(to as usize)?.as_ref());
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         rng.set_stream(u64::from(from) << 48 | u64::from(to) << 32 | number);
         let history = self.history.clone();
-        let told = move || history.note(What::Changed { from, to, how: how.name().to_string() });
-        link.into_iter().for_each(|link| link.alter(number, how, rng.random(), told.clone()));
+        let changed =
+            move || history.record(Event::DatagramChanged { from, to, change: how.name().to_string() });
+        link.into_iter().for_each(|link| link.alter(number, how, rng.random(), changed.clone()));
     }
 
-    /// A node's process has been started anew: what was kept for that comes once more.
-    pub fn repeat_to(&self, node: u32) {
-        self.words.iter().filter_map(|all| all.get(node as usize)?.as_ref()).for_each(Link::reset);
+    /// Sends the datagrams that links to a node have kept for its next process; called after the node was restarted.
+    pub fn replay_datagrams(&self, node: u32) {
+        self.links.iter().filter_map(|all| all.get(node as usize)?.as_ref()).for_each(Link::reset);
     }
 
-    /// The next number of a file.
-    pub fn next(&self) -> u64 {
-        self.number.set(self.number.get() + 1);
-        self.number.get()
+    /// Returns the number of the next accounts file.
+    pub fn next_file_number(&self) -> u64 {
+        self.file_number.set(self.file_number.get() + 1);
+        self.file_number.get()
     }
 
-    /// A file of that number is handed to a node of a site, by number each in turn.
-    pub fn hand(&self, number: u64, (name, standing): (&str, &str), site: u32, nodes: &[Rc<Node>]) {
-        let node = self.nodes(site).start + (number % u64::from(self.nodes)) as u32;
+    /// Delivers an accounts file with one account to a node of a site, chosen by the file's number in turn, and has the node read it.
+    pub fn deliver_accounts_file(
+        &self,
+        number: u64,
+        (name, status): (&str, &str),
+        site: u32,
+        nodes: &[Rc<Node>],
+    ) {
+        let node = self.nodes(site).start + (number % u64::from(self.nodes_per_site)) as u32;
         let text =
-            format!("(accounts (number {number}) (account {name} (standing {standing}) (reason \"rig\")))");
-        // One that can't be written was not handed out.
-        if self.sign(node, &text).is_ok() {
-            let (account, standing) = (name.to_string(), standing.to_string());
-            self.history.note(What::Handed { node, number, account, standing });
+            format!("(accounts (number {number}) (account {name} (standing {status}) (reason \"rig\")))");
+        // Only a file that was written counts as delivered.
+        if self.write_accounts_file(node, &text).is_ok() {
+            let (account, status) = (name.to_string(), status.to_string());
+            self.history.record(Event::AccountsFileDelivered { node, number, account, status });
             nodes[node as usize].hang_up();
         }
     }
 
-    /// What a node says at its door.
-    async fn said(&self, node: u32) -> Option<Said> {
-        let ask = async {
-            let mut stream = TcpStream::connect(self.doors[node as usize]).await.ok()?;
+    /// Queries a node's management endpoint; returns `None` if it does not respond in time.
+    async fn report(&self, node: u32) -> Option<Report> {
+        let query = async {
+            let mut stream = TcpStream::connect(self.management_addresses[node as usize]).await.ok()?;
             let request = "GET /ops/sites HTTP/1.1\r\nHost: rig\r\nConnection: close\r\n\r\n";
             stream.write_all(request.as_bytes()).await.ok()?;
             Reader::new(stream).next(true).await.ok()?
         };
-        let answer = timeout(DOOR, ask).await.ok()??;
-        let (mut accounts, mut seen, mut holds) = (BTreeMap::new(), BTreeMap::new(), None);
-        for line in answer.body.lines() {
-            let words: Vec<&str> = line.split(' ').collect();
-            match words.as_slice() {
-                ["account", name, standing, ..] => {
-                    accounts.insert(name.to_string(), standing.to_lowercase());
+        let response = timeout(MANAGEMENT_TIMEOUT, query).await.ok()??;
+        let (mut accounts, mut states, mut placements) = (BTreeMap::new(), BTreeMap::new(), None);
+        for line in response.body.lines() {
+            let columns: Vec<&str> = line.split(' ').collect();
+            match columns.as_slice() {
+                ["account", name, status, ..] => {
+                    accounts.insert(name.to_string(), status.to_lowercase());
                 }
-                ["site", name, how, ..] => drop(seen.insert(name.to_string(), how.to_string())),
-                ["standing", "not", ..] => drop(seen.insert("standing".into(), "not confirmed".into())),
-                ["standing", how, ..] => drop(seen.insert("standing".into(), how.to_string())),
-                ["home", name, ..] => drop(seen.insert(format!("home {name}"), "held".into())),
-                ["placements", rest @ ..] => {
+                ["site", name, state, ..] => drop(states.insert(name.to_string(), state.to_string())),
+                ["standing", "not", ..] => drop(states.insert("standing".into(), "not confirmed".into())),
+                ["standing", state, ..] => drop(states.insert("standing".into(), state.to_string())),
+                ["home", name, ..] => drop(states.insert(format!("home {name}"), "held".into())),
+                ["placements", fields @ ..] => {
                     let field =
-                        |name: &str| rest.iter().find_map(|w| w.strip_prefix(name)?.strip_prefix('='));
+                        |name: &str| fields.iter().find_map(|w| w.strip_prefix(name)?.strip_prefix('='));
                     let count = |name: &str| field(name)?.parse::<u64>().ok();
-                    holds = field("digest").map(str::to_string).zip(count("all")).zip(count("violations"));
+                    placements =
+                        field("digest").map(str::to_string).zip(count("all")).zip(count("violations"));
                 }
                 _ => {}
             }
         }
-        let holds = holds.map(|((digest, all), violations)| (digest, all, violations));
-        Some(Said { accounts, seen, holds })
+        let placements = placements.map(|((digest, entries), violations)| (digest, entries, violations));
+        Some(Report { accounts, states, placements })
     }
 
-    /// All processes have ended: note what their disks hold.
-    pub fn read(&self) {
+    /// Records the placements on all nodes' disks; called after all processes have exited.
+    pub fn record_disks(&self) {
         let mut all: BTreeMap<Place, (String, u32, u32, String, Vec<u32>)> = BTreeMap::new();
-        let mut together = Placements::new();
+        let mut merged = Placements::new();
         for (node, folder) in (0..).zip(&self.folders) {
             let read =
-                disks::read(&folder.join("state"), &format!("s{}", self.of(node)), &format!("n{node}"));
+                disks::read(&folder.join("state"), &format!("s{}", self.site_of(node)), &format!("n{node}"));
             let disk = match read {
                 Ok(disk) => {
-                    together.merge(&disk.history);
+                    merged.merge(&disk.history);
                     disk
                 }
                 Err(e) => {
-                    self.history.note(What::Kept { node, digest: None, why: e.to_string() });
+                    self.history.record(Event::DiskDigest { node, digest: None, error: e.to_string() });
                     continue;
                 }
             };
-            self.history.note(What::Kept {
+            self.history.record(Event::DiskDigest {
                 node,
                 digest: Some(disks::digest(&disk.history)),
-                why: String::new(),
+                error: String::new(),
             });
-            for (place, (p, how)) in disk.placed {
+            for (place, (p, end)) in disk.placed {
                 let number = |name: &str| name.get(1..).and_then(|n| n.trim_start_matches('-').parse().ok());
-                let (by, server) = (number(&place.0.node), number(&p.server));
-                let how = match how {
+                let (placed_by, server) = (number(&place.0.node), number(&p.server));
+                let outcome = match end {
                     Some(End::Served) => "served",
                     Some(End::NeverRan) => "never-ran",
                     Some(End::Unknown) | None => "unknown",
                 };
-                let one = all.entry(place).or_insert_with(|| {
-                    let (by, server) = (by.unwrap_or(u32::MAX), server.unwrap_or(u32::MAX));
-                    (p.key.unwrap_or_default(), by, server, how.to_string(), Vec::new())
+                let placement = all.entry(place).or_insert_with(|| {
+                    let (placed_by, server) = (placed_by.unwrap_or(u32::MAX), server.unwrap_or(u32::MAX));
+                    (p.key.unwrap_or_default(), placed_by, server, outcome.to_string(), Vec::new())
                 });
-                one.4.push(node);
+                placement.4.push(node);
             }
         }
-        self.history.note(What::Together { digest: disks::digest(&together) });
-        for ((writer, number, _), (key, node, server, how, holders)) in all {
+        self.history.record(Event::MergedDigest { digest: disks::digest(&merged) });
+        for ((writer, number, _), (key, node, server, outcome, holders)) in all {
             let entry = format!("{:x}:{number}", writer.log);
-            self.history.note(What::Placed { node, entry, key, server, how, holders });
+            self.history.record(Event::Placed { node, entry, key, server, outcome, holders });
         }
     }
 
-    /// All is over: wait until all nodes say the same and that all is well, for so long at most, and note what they say.
-    pub async fn end(&self) {
+    /// Waits until all nodes report the same settled state, or until the timeout, and records what they report.
+    pub async fn record_final_state(&self) {
         let (begin, mut before) = (Instant::now(), Vec::new());
         loop {
-            let mut all: Vec<Said> = Vec::new();
+            let mut all: Vec<Report> = Vec::new();
             for node in 0..self.folders.len() as u32 {
-                all.push(self.said(node).await.unwrap_or_default());
+                all.push(self.report(node).await.unwrap_or_default());
             }
-            let well = |(of, seen): (&String, &String)| is_well(of, seen);
-            let same = all.iter().all(|s| s.accounts == all[0].accounts && s.holds == all[0].holds);
-            let whole = (0..).zip(&all).all(|(node, s)| {
-                let sees = s.seen.keys().filter(|of| !of.starts_with("home ")).count();
-                let home = !self.homes || s.seen.contains_key(&self.home(node));
-                home && sees == self.sites as usize + 1 && s.seen.iter().all(well)
+            let settled = |(subject, state): (&String, &String)| is_settled_state(subject, state);
+            let same = all.iter().all(|s| s.accounts == all[0].accounts && s.placements == all[0].placements);
+            let all_settled = (0..).zip(&all).all(|(node, s)| {
+                let sites = s.states.keys().filter(|subject| !subject.starts_with("home ")).count();
+                let holds_range = !self.key_ownership || s.states.contains_key(&self.key_range(node));
+                holds_range && sites == self.sites as usize + 1 && s.states.iter().all(settled)
             });
-            // Twice the same: nothing is on its way to a disk any more.
-            if !(same && whole && before == all) && begin.elapsed() < SETTLED {
+            // Two equal rounds: no entry is still being written to a disk.
+            if !(same && all_settled && before == all) && begin.elapsed() < SETTLE_TIMEOUT {
                 before = all;
-                sleep(ASKS).await;
+                sleep(POLL_INTERVAL).await;
                 continue;
             }
-            for (node, Said { accounts, seen, holds }) in (0..).zip(all) {
-                if let Some((digest, all, violations)) = holds {
-                    self.history.note(What::Holds { node, digest, all, violations });
+            for (node, Report { accounts, states, placements }) in (0..).zip(all) {
+                if let Some((digest, entries, violations)) = placements {
+                    self.history.record(Event::PlacementDigest { node, digest, entries, violations });
                 }
-                for (account, standing) in accounts {
-                    self.history.note(What::Stands { node, account, standing });
+                for (account, status) in accounts {
+                    self.history.record(Event::AccountStatus { node, account, status });
                 }
-                for (of, seen) in seen {
-                    self.history.note(What::Sees { node, of, seen });
+                for (subject, state) in states {
+                    self.history.record(Event::ReportedState { node, subject, state });
                 }
             }
             return;
--- a/crates/rig/src/stand.rs
+++ b/crates/rig/src/stand.rs
@@ -1,6 +1,6 @@
 //! The stand-ins: backend servers and discovery, as the platform's page describes them.
 
-use crate::history::{History, What};
+use crate::history::{Event, History};
 use crate::http::{chunk, Message, Reader};
 use crate::relay::Marks;
 use serde_json::{json, Value};
@@ -86,10 +86,12 @@
         let mut words = greeting.split(' ').map(str::parse::<u64>);
         let (Some(Ok(node)), Some(Ok(connection))) = (words.next(), words.next()) else { return Ok(()) };
         while let Some(request) = reader.next(false).await? {
-            let sent =
-                self.marks.of(connection, request.place).map_or(self.history.now(), |m| self.history.at(m));
+            let sent = self
+                .marks
+                .of(connection, request.place)
+                .map_or(self.history.now(), |m| self.history.timestamp(m));
             if request.first.1 == "/_load" {
-                self.history.note(What::Probed { server: self.number, sent });
+                self.history.record(Event::Probed { server: self.number, sent });
                 let held = self.held.get();
                 let text = format!("TEXT x0={}, concurrent={held}", SLOTS.saturating_sub(held));
                 let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len());
@@ -115,10 +117,10 @@
             return write.write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").await;
         };
         let (server, history) = (self.number, &self.history);
-        history.note(What::Arrived { id, server, node, sent });
+        history.record(Event::Arrived { id, server, node, sent });
         let _leaves = Leaves { history, id, server };
         if self.drains.get() || self.held.get() >= SLOTS + QUEUE {
-            history.note(What::TurnedAway { id, server });
+            history.record(Event::RejectedByServer { id, server });
             let full = b"HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
             return write.write_all(full).await;
         }
@@ -126,7 +128,7 @@
         write.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
         // Never closed.
         let Ok(_slot) = self.slots.acquire().await else { return Ok(()) };
-        history.note(What::Begun { id, server });
+        history.record(Event::JobStarted { id, server });
         let state = |state: &str| json!({"id": text, "from": format!("s-{server}"), "state": state});
         write.write_all(chunk(&state("started").to_string()).as_bytes()).await?;
         sleep(Duration::from_millis(RUNS.0 + id.wrapping_mul(0x9e37_79b9) % RUNS.1)).await;
@@ -145,7 +147,7 @@
 
 impl Drop for Leaves<'_> {
     fn drop(&mut self) {
-        self.history.note(What::Left { id: self.id, server: self.server });
+        self.history.record(Event::JobReleased { id: self.id, server: self.server });
     }
 }
 
@@ -231,7 +233,7 @@
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let discovery = discovery.clone();
-                discovery.history.note(What::Called { node });
+                discovery.history.record(Event::DiscoveryConnected { node });
                 spawn_local(async move {
                     let mut ends = discovery.ends.subscribe();
                     tokio::select! {
@@ -292,7 +294,7 @@
             let stands = self.phases.borrow()[*s as usize];
             self.told.borrow_mut()[node as usize].0[*s as usize] = stands;
             let live = stands.0 == Phase::Active;
-            self.history.note(What::Told { node, server: *s, live });
+            self.history.record(Event::ServerListed { node, server: *s, live });
         }
         self.told.borrow_mut()[node as usize].1 = *self.revision.borrow();
         json!({"revision": *self.revision.borrow(), "complete": complete, "members": members}).to_string()
--- a/crates/rig/tests/processes.rs
+++ b/crates/rig/tests/processes.rs
@@ -1,7 +1,7 @@
-//! Several processes of the real program, with faults between them.
+//! Runs several processes of the real program, injects faults between them, and checks the history.
 
 use shorepath_rig::check::check;
-use shorepath_rig::history::lines;
+use shorepath_rig::history::to_json_lines;
 use shorepath_rig::play;
 use shorepath_rig::play::{play_beside, terms};
 use shorepath_rig::script::{read, Script};
@@ -9,11 +9,11 @@
 use std::path::PathBuf;
 use std::process::Command;
 
-const RIG: &str = env!("CARGO_BIN_EXE_shorepath-rig");
+const RIG_PROGRAM: &str = env!("CARGO_BIN_EXE_shorepath-rig");
 
-/// A program, built if a test of this package alone has not done so.
+/// Returns the path of a program of this workspace, and builds it first where only this package was built.
 fn program(name: &str) -> PathBuf {
-    let path = PathBuf::from(RIG).with_file_name(name);
+    let path = PathBuf::from(RIG_PROGRAM).with_file_name(name);
     if !path.exists() {
         let root = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
         let built = Command::new(env!("CARGO")).args(["build", "-p", name]).current_dir(root).status();
@@ -22,30 +22,30 @@
     path
 }
 
-fn node() -> PathBuf {
+fn node_program() -> PathBuf {
     program("shorepath")
 }
 
-/// Play it, and show what broke a rule.
-fn holds(script: &Script) -> String {
-    let played = play(script, &node()).unwrap_or_else(|e| panic!("{e}"));
+/// Plays a script, asserts that no rule is broken, and returns the history as JSON lines.
+fn play_without_violation(script: &Script) -> String {
+    let played = play(script, &node_program()).unwrap_or_else(|e| panic!("{e}"));
     let found = check(&played.records, &terms(script));
-    assert!(found.is_empty(), "{found:#?}\n{script}\n{}", lines(&played.records));
-    lines(&played.records)
+    assert!(found.is_empty(), "{found:#?}\n{script}\n{}", to_json_lines(&played.records));
+    to_json_lines(&played.records)
 }
 
-/// The short form of the long runs, a minute of them: scripts drawn from seeds, each of about seven events.
+/// Scripts drawn from seeds, each of about seven events.
 #[test]
-fn rules_hold_whatever_is_done_to_the_processes() {
+fn rules_hold_under_random_process_faults() {
     for seed in 1..=6 {
-        let story = holds(&Script::drawn(seed, 8_000_000, 3, 4));
-        assert!(story.matches("\"status\":200").count() > 300, "seed {seed} served too little");
+        let history = play_without_violation(&Script::drawn(seed, 8_000_000, 3, 4));
+        assert!(history.matches("\"status\":200").count() > 300, "seed {seed} served too little");
     }
 }
 
-/// Every kind of event once, in a script that is written down.
+/// A script with each kind of fault once.
 #[test]
-fn each_fault_is_survived() {
+fn rules_hold_under_each_kind_of_fault() {
     let text = "(script (seed 9) (length 9 s) (nodes 3) (servers 4) (rate 60)
         (at 300 ms (break (node 0) (server 0)))
         (at 500 ms (delay (node 1) (by 60 ms) (for 600 ms)))
@@ -58,32 +58,32 @@
         (at 3300 ms (crash (server 3) (for 800 ms)))
         (at 3600 ms (partition (for 400 ms)))
         (at 4200 ms (deaf (node 0) (for 3500 ms))))";
-    let story = holds(&read("each.sexp", text).unwrap());
-    for seen in ["\"what\":\"struck\"", "\"told\":true,\"code\":0", "\"live\":false"] {
-        assert!(story.contains(seen), "{seen} never happened");
+    let history = play_without_violation(&read("each.sexp", text).unwrap());
+    for expected in ["\"what\":\"struck\"", "\"told\":true,\"code\":0", "\"live\":false"] {
+        assert!(history.contains(expected), "{expected} is not in the history");
     }
 }
 
-/// A node that comes back knows what its process before was told: a server that leaves gets nothing from it. Guards the rule on
-/// drains against a rig that starts nodes with a list that they never held last.
+/// Guards against a harness that restarts a node with another server list than its last process had, so that a draining server gets new
+/// work.
 #[test]
-fn a_node_comes_back_with_its_last_list() {
+fn a_restarted_node_starts_with_its_last_server_list() {
     let text = "(script (seed 5) (length 5 s) (nodes 2) (servers 2) (rate 80)
         (at 500 ms (drain (server 1) (for 3 s)))
         (at 900 ms (deaf (node 0) (for 3 s)))
         (at 1 s (kill (node 0) (for 200 ms))))";
-    holds(&read("last.sexp", text).unwrap());
+    play_without_violation(&read("last.sexp", text).unwrap());
 }
 
-/// Nodes share budgets, and dividers are killed, halted, cut off and robbed of a disk meanwhile: what servers see is never more
-/// than the whole, and what is asked for is served again.
+/// Quota servers are killed, halted, cut off and lose a disk: the backend servers never observe more than a budget's total, and requests
+/// are served again afterwards.
 #[test]
-fn shared_budgets_hold_whatever_is_done_to_dividers() {
-    let dividers = program("shorepath-divider");
-    assert!(dividers.exists());
+fn shared_budgets_hold_under_quota_server_faults() {
+    let quota_server = program("shorepath-divider");
+    assert!(quota_server.exists());
     for seed in 1..=2 {
-        let story = holds(&Script::drawn_with(seed, 10_000_000, 5, 4, 3));
-        assert!(story.matches("\"status\":200").count() > 150, "seed {seed} served too little");
+        let history = play_without_violation(&Script::drawn_with(seed, 10_000_000, 5, 4, 3));
+        assert!(history.matches("\"status\":200").count() > 150, "seed {seed} served too little");
     }
     let text = "(script (seed 5) (length 9 s) (nodes 3) (servers 3) (dividers 3) (rate 120)
         (at 500 ms (words (node 2) (loss 0.3) (for 3 s)))
@@ -96,13 +96,13 @@
         (at 5 s (alone (divider 0) (for 500 ms)))
         (at 5500 ms (cut-words (node 0) (divider 1) (way back) (for 1 s)))
         (at 6 s (end-watches (for 200 ms))))";
-    holds(&read("shared.sexp", text).unwrap());
+    play_without_violation(&read("shared.sexp", text).unwrap());
 }
 
-/// Three sites are cut off, killed, halted and robbed of their disks while an account is closed, opened again and closed by two files of
-/// one number: the short form of the long runs.
+/// Sites are cut off, killed, halted and lose disks while an account is closed, reopened, and closed by two conflicting files of one
+/// number.
 #[test]
-fn accounts_are_closed_whatever_is_done_to_sites() {
+fn account_rules_hold_under_site_faults() {
     let text = "(script (seed 4) (length 24 s) (sites 3) (nodes 6) (servers 9) (rate 60)
         (at 500 ms (account (name acme) (standing closing) (site 0)))
         (at 1 s (cut-site (site 2) (way back) (for 5 s)))
@@ -116,15 +116,16 @@
         (at 12 s (kill-site (site 1) (disk kept) (for 500 ms)))
         (at 13 s (restart (node 5)))
         (at 13500 ms (cut-site (site 1) (way there) (for 1 s))))";
-    let story = holds(&read("sites.sexp", text).unwrap());
-    for seen in ["\"why\":\"account closing\"", "\"why\":\"standing not confirmed\"", "\"disk\":\"old\""] {
-        assert!(story.contains(seen), "{seen} never happened");
+    let history = play_without_violation(&read("sites.sexp", text).unwrap());
+    for expected in ["\"why\":\"account closing\"", "\"why\":\"standing not confirmed\"", "\"disk\":\"old\""]
+    {
+        assert!(history.contains(expected), "{expected} is not in the history");
     }
-    holds(&Script::drawn_sites(1, 15_000_000, 3, 2, 3));
+    play_without_violation(&Script::drawn_sites(1, 15_000_000, 3, 2, 3));
 }
 
-/// Every node and every divider is upgraded and taken back, one after the other, while budgets are shared and words get lost. Here both
-/// versions are this one: `--older` plays a real earlier one, and `shorepath-divider` keeps what an earlier one said.
+/// Nodes and quota servers are upgraded and downgraded one after the other while messages are lost. Both versions are the current one
+/// here; `--older` of the command line runs a real earlier one.
 #[test]
 fn budgets_hold_over_rolling_upgrades() {
     assert!(program("shorepath-divider").exists());
@@ -134,21 +135,22 @@
         (at 5 s (whole (percent 50))))";
     let script = read("upgrades.sexp", text).unwrap().rolling();
     assert_eq!(script.events.len(), 3 + 2 * (3 + 3));
-    let played = play_beside(&script, &node(), Some(&node())).unwrap_or_else(|e| panic!("{e}"));
+    let played =
+        play_beside(&script, &node_program(), Some(&node_program())).unwrap_or_else(|e| panic!("{e}"));
     let found = check(&played.records, &terms(&script));
-    let story = lines(&played.records);
-    assert!(found.is_empty(), "{found:#?}\n{script}\n{story}");
-    // Each node ended twice as it was told to, beside its end; the checker of exits has seen to the code.
-    assert_eq!(story.matches("\"what\":\"ends\"").count(), 3 * 3);
-    for seen in ["\"what\":\"probed\"", "\"what\":\"called\""] {
-        assert!(story.contains(seen), "{seen} never happened");
+    let history = to_json_lines(&played.records);
+    assert!(found.is_empty(), "{found:#?}\n{script}\n{history}");
+    // Each node terminates for the upgrade, for the downgrade, and at the end of the run.
+    assert_eq!(history.matches("\"what\":\"ends\"").count(), 3 * 3);
+    for expected in ["\"what\":\"probed\"", "\"what\":\"called\""] {
+        assert!(history.contains(expected), "{expected} is not in the history");
     }
 }
 
-/// The hard cases of sites whose keys have homes, as scripts that are written down, two at a time: nothing that must not repeat runs twice
-/// though clients ask for it at several nodes, and in the end all nodes and their disks hold one history.
+/// The scripts of key ownership, played two at a time: jobs that must not repeat run once though clients send them to several nodes, and
+/// all nodes and disks end with the same placements.
 #[test]
-fn histories_end_alike_in_hard_cases() {
+fn placements_converge_in_the_key_ownership_scripts() {
     assert!(program("shorepath-divider").exists());
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/scripts");
     let mut files: Vec<PathBuf> = std::fs::read_dir(folder).unwrap().map(|f| f.unwrap().path()).collect();
@@ -159,9 +161,11 @@
             for file in pair {
                 scope.spawn(move || {
                     let name = file.display().to_string();
-                    let story = holds(&read(&name, &std::fs::read_to_string(file).unwrap()).unwrap());
-                    for seen in ["\"what\":\"placed\"", "\"what\":\"together\"", "\"why\":\"home s"] {
-                        assert!(story.contains(seen), "{name}: {seen} never happened");
+                    let history = play_without_violation(
+                        &read(&name, &std::fs::read_to_string(file).unwrap()).unwrap(),
+                    );
+                    for expected in ["\"what\":\"placed\"", "\"what\":\"together\"", "\"why\":\"home s"] {
+                        assert!(history.contains(expected), "{name}: {expected} is not in the history");
                     }
                 });
             }
@@ -169,13 +173,14 @@
     }
 }
 
-/// A rig that is killed takes its processes with it.
+/// Guards against processes that survive a harness that was killed.
 #[test]
 fn nothing_is_left_behind() {
     let dir = tempfile::tempdir().unwrap();
     let (program, script, pids) =
-        (dir.path().join("tells"), dir.path().join("s.sexp"), dir.path().join("pids"));
-    let text = format!("#!/bin/sh\necho $$ >> {}\nexec {} \"$@\"\n", pids.display(), node().display());
+        (dir.path().join("records-pid"), dir.path().join("s.sexp"), dir.path().join("pids"));
+    let text =
+        format!("#!/bin/sh\necho $$ >> {}\nexec {} \"$@\"\n", pids.display(), node_program().display());
     std::fs::write(&program, text).unwrap();
     std::fs::set_permissions(&program, std::fs::Permissions::from_mode(0o755)).unwrap();
     std::fs::write(
@@ -183,54 +188,54 @@
         "(script (length 60 s) (nodes 2) (servers 2) (rate 20) (at 100 ms (halt (node 1) (for 60 s))))",
     )
     .unwrap();
-    let mut rig = Command::new(RIG);
-    let mut rig = rig.args(["replay", "--program"]).arg(&program).arg(&script).spawn().unwrap();
-    let begun = std::time::Instant::now();
+    let mut command = Command::new(RIG_PROGRAM);
+    let mut harness = command.args(["replay", "--program"]).arg(&program).arg(&script).spawn().unwrap();
+    let start = std::time::Instant::now();
     let wait = |what: &str, until: &dyn Fn() -> bool| {
         while !until() {
-            assert!(begun.elapsed().as_secs() < 60, "{what}");
+            assert!(start.elapsed().as_secs() < 60, "{what}");
             std::thread::sleep(std::time::Duration::from_millis(20));
         }
     };
-    let all = || std::fs::read_to_string(&pids).unwrap_or_default();
-    wait("both were started", &|| all().lines().count() == 2);
-    let lives = |pid: &str| std::path::Path::new("/proc").join(pid).exists();
-    assert!(all().lines().all(lives));
-    rig.kill().unwrap();
-    rig.wait().unwrap();
-    wait("they ended", &|| !all().lines().any(lives));
+    let recorded_pids = || std::fs::read_to_string(&pids).unwrap_or_default();
+    wait("both nodes start", &|| recorded_pids().lines().count() == 2);
+    let is_alive = |pid: &str| std::path::Path::new("/proc").join(pid).exists();
+    assert!(recorded_pids().lines().all(is_alive));
+    harness.kill().unwrap();
+    harness.wait().unwrap();
+    wait("they ended", &|| !recorded_pids().lines().any(is_alive));
 }
 
-/// Nodes that share nothing, in a fleet whose budgets are divided, are found out by what servers see.
+/// Guards against a checker that misses nodes which ignore their quota shares: these run without the option for shared budgets.
 #[test]
-fn nodes_that_keep_to_no_part_are_found() {
+fn nodes_that_ignore_quota_shares_are_detected() {
     let dir = tempfile::tempdir().unwrap();
-    let keeps_to_nothing = dir.path().join("keeps-to-nothing");
-    // The divider is looked for beside the node's program.
+    let ignores_shares = dir.path().join("ignores-shares");
+    // The harness starts the quota server that is beside the node's program.
     std::os::unix::fs::symlink(program("shorepath-divider"), dir.path().join("shorepath-divider")).unwrap();
-    let text = format!("#!/bin/sh\nexec {} serve --config \"$3\"\n", node().display());
-    std::fs::write(&keeps_to_nothing, text).unwrap();
-    std::fs::set_permissions(&keeps_to_nothing, std::fs::Permissions::from_mode(0o755)).unwrap();
+    let text = format!("#!/bin/sh\nexec {} serve --config \"$3\"\n", node_program().display());
+    std::fs::write(&ignores_shares, text).unwrap();
+    std::fs::set_permissions(&ignores_shares, std::fs::Permissions::from_mode(0o755)).unwrap();
     let text = "(script (seed 1) (length 3 s) (nodes 2) (servers 4) (dividers 1) (rate 120))";
     let script = read("s.sexp", text).unwrap();
-    let played = play(&script, &keeps_to_nothing).unwrap_or_else(|e| panic!("{e}"));
+    let played = play(&script, &ignores_shares).unwrap_or_else(|e| panic!("{e}"));
     let found = check(&played.records, &terms(&script));
     assert!(found.iter().any(|v| v.rule == "shared" && v.text.contains("quota:acme")), "{found:#?}");
 }
 
-/// A process that ends by itself is found, with the shortest script that shows it: nothing needs to be done to it.
+/// A process that exits by itself is reported, with a script shrunk to no event.
 #[test]
-fn a_planted_fault_is_found_and_its_script_made_short() {
+fn an_unrequested_exit_is_reported_with_a_shrunk_script() {
     let dir = tempfile::tempdir().unwrap();
     let (program, script) = (dir.path().join("ends-early"), dir.path().join("s.sexp"));
-    let text = format!("#!/bin/sh\nexec timeout -s KILL 1 {} \"$@\"\n", node().display());
+    let text = format!("#!/bin/sh\nexec timeout -s KILL 1 {} \"$@\"\n", node_program().display());
     std::fs::write(&program, text).unwrap();
     std::fs::set_permissions(&program, std::fs::Permissions::from_mode(0o755)).unwrap();
     let events = "(script (seed 3) (length 1200 ms) (nodes 1) (servers 2) (rate 20)
         (at 100 ms (break (node 0) (server 0))) (at 200 ms (break (node 0) (server 1))))";
     std::fs::write(&script, events).unwrap();
     let history = dir.path().join("h.jsonl");
-    let output = Command::new(RIG)
+    let output = Command::new(RIG_PROGRAM)
         .args(["replay", "--trials", "4", "--program"])
         .arg(&program)
         .arg("--history")
@@ -238,10 +243,10 @@
         .arg(&script)
         .output()
         .unwrap();
-    let told = String::from_utf8_lossy(&output.stdout);
-    assert_eq!(output.status.code(), Some(2), "{told}");
-    assert!(told.contains("exit at") && told.contains("told to: false"), "{told}");
-    let short = &told[told.find("the shortest script").unwrap()..];
-    assert!(!short.contains("(break"), "{short}");
+    let stdout = String::from_utf8_lossy(&output.stdout);
+    assert_eq!(output.status.code(), Some(2), "{stdout}");
+    assert!(stdout.contains("exit at") && stdout.contains("requested: false"), "{stdout}");
+    let shrunk_script = &stdout[stdout.find("the shortest script").unwrap()..];
+    assert!(!shrunk_script.contains("(break"), "{shrunk_script}");
     assert!(std::fs::read_to_string(&history).unwrap().lines().count() > 5);
 }
