--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -3,7 +3,7 @@
 use bpaf::Bpaf;
 use shorepath_rig::check::{check, evidence, Violation};
 use shorepath_rig::history::{to_json_lines, Event, Repeat};
-use shorepath_rig::measure::{measure, What};
+use shorepath_rig::measure::{measure, Measurements};
 use shorepath_rig::play::{play_beside, terms, Played};
 use shorepath_rig::script::{self, Script};
 use shorepath_rig::shrink::shrink;
@@ -228,8 +228,13 @@
             Ok(one(&script::read(&file.display().to_string(), &text)?, &how)?)
         }
         Command::MeasureSites { program, out, closings, losses, alone, rounds, requests } => {
-            let what = What { closings, losses, alone, cost: (rounds, requests) };
-            measure(&program, &out, &what)?;
+            let measurements = Measurements {
+                closings,
+                loss_loads: losses,
+                isolation_loads: alone,
+                cost: (rounds, requests),
+            };
+            measure(&program, &out, &measurements)?;
             Ok(false)
         }
         Command::Draw { shape, seed } => {
