--- a/crates/mutants/src/campaign.rs
+++ b/crates/mutants/src/campaign.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KindCounts {
     /// Mutants that ran.
-    pub played: u64,
+    pub executed: u64,
     /// Mutants whose changed message was accepted.
     pub accepted: u64,
     /// Mutants whose changed message was rejected.
@@ -74,17 +74,17 @@
 
 impl Report {
     /// Returns the number of mutants that ran.
-    pub fn played(&self) -> u64 {
-        self.kinds.values().map(|k| k.played).sum()
+    pub fn executed(&self) -> u64 {
+        self.kinds.values().map(|k| k.executed).sum()
     }
 }
 
 impl std::fmt::Display for Report {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let (runs, messages, played) = (self.runs, self.messages, self.played());
+        let (runs, messages, executed) = (self.runs, self.messages, self.executed());
         writeln!(
             f,
-            "{}: {runs} runs, {messages} messages, {played} mutants, {} failed",
+            "{}: {runs} runs, {messages} messages, {executed} mutants, {} failed",
             self.system, self.failed
         )?;
         writeln!(
@@ -93,8 +93,11 @@
             "change", "played", "taken", "refused", "unsealed", "by code"
         )?;
         for (name, k) in &self.kinds {
-            let KindCounts { played, accepted, rejected, exempt, unauthenticated } = k;
-            writeln!(f, "  {name:<32}{played:>8}{accepted:>8}{rejected:>8}{exempt:>9}{unauthenticated:>8}")?;
+            let KindCounts { executed, accepted, rejected, exempt, unauthenticated } = k;
+            writeln!(
+                f,
+                "  {name:<32}{executed:>8}{accepted:>8}{rejected:>8}{exempt:>9}{unauthenticated:>8}"
+            )?;
         }
         writeln!(f, "  refused, by reason:")?;
         self.rejected.iter().try_for_each(|(reason, n)| writeln!(f, "  {n:>8} {reason}"))?;
@@ -245,7 +248,7 @@
         let (message, change) = &base.changes[work[n].1];
         let message = &base.messages[*message];
         let kind = report.kinds.entry(change.kind()).or_default();
-        kind.played += 1;
+        kind.executed += 1;
         kind.accepted += u64::from(result.accepted > 0);
         kind.rejected += u64::from(!result.rejected.is_empty());
         let exemption = |violation: &Violation| {
--- a/crates/mutants/src/systems/key_ownership.rs
+++ b/crates/mutants/src/systems/key_ownership.rs
@@ -46,7 +46,7 @@
     full_summary_interval: 800 * MS,
     summary_delay: 100 * MS,
 };
-/// The beginning and the end of the first site's partition.
+/// The start and the end of the first site's partition.
 const PARTITION: [Micros; 2] = [5 * S, 7_600 * MS];
 
 /// Faults that can be planted into every node.
--- a/crates/mutants/tests/custom_scenario.rs
+++ b/crates/mutants/tests/custom_scenario.rs
@@ -111,7 +111,7 @@
         report.exempt.values().sum::<u64>() > 0 && report.rejected.contains_key("no higher mark"),
         "{report}"
     );
-    assert!(report.kinds["replayed from an earlier life"].played > 0, "{report}");
+    assert!(report.kinds["replayed from an earlier life"].executed > 0, "{report}");
     // With the fault, a message that arrives late lowers the mark.
     let report =
         run::<ScenarioSystem<HighestMark<true>>>(&Campaign { seeds: 0..2, authenticated: true, ..campaign });
--- a/crates/mutants/tests/mutants.rs
+++ b/crates/mutants/tests/mutants.rs
@@ -24,7 +24,7 @@
     });
     println!("{report}");
     assert_eq!(report.failed, 0, "{report}");
-    assert_eq!(report.played(), max_mutants as u64);
+    assert_eq!(report.executed(), max_mutants as u64);
     report
 }
 
@@ -32,7 +32,7 @@
 fn quota_mutants_violate_no_rule() {
     let report = assert_no_failure::<QuotaSystem>(0..3, 250);
     // All kinds ran, and all expected reasons for a rejection occurred.
-    assert!(report.kinds.len() >= 17 && report.kinds.values().all(|k| k.played > 0), "{report}");
+    assert!(report.kinds.len() >= 17 && report.kinds.values().all(|k| k.executed > 0), "{report}");
     for reason in [
         "unreadable message",
         "for another incarnation",
@@ -48,13 +48,13 @@
 #[test]
 fn membership_mutants_violate_no_rule() {
     let report = assert_no_failure::<ScenarioSystem<MembershipScenario>>(0..3, 8_630);
-    assert!(report.kinds.len() >= 10 && report.kinds.values().all(|k| k.played > 0), "{report}");
+    assert!(report.kinds.len() >= 10 && report.kinds.values().all(|k| k.executed > 0), "{report}");
 }
 
 #[test]
 fn accounts_mutants_violate_no_rule() {
     let report = assert_no_failure::<ScenarioSystem<AccountsScenario>>(0..3, 800);
-    assert!(report.kinds.len() >= 17 && report.kinds.values().all(|k| k.played > 0), "{report}");
+    assert!(report.kinds.len() >= 17 && report.kinds.values().all(|k| k.executed > 0), "{report}");
     assert!(
         ["unreadable message", "invalid message", "unknown message type"]
             .iter()
@@ -66,27 +66,27 @@
 #[test]
 fn site_health_mutants_violate_no_rule() {
     let report = assert_no_failure::<ScenarioSystem<SiteHealthScenario>>(0..2, 100);
-    assert!(report.kinds.len() >= 16 && report.kinds.values().all(|k| k.played > 0), "{report}");
+    assert!(report.kinds.len() >= 16 && report.kinds.values().all(|k| k.executed > 0), "{report}");
     assert!(report.rejected.keys().any(|r| r.contains("implausibly far ahead")), "{report}");
 }
 
 #[test]
 fn placements_mutants_violate_no_rule() {
     let report = assert_no_failure::<ScenarioSystem<PlacementsScenario>>(0..2, 100);
-    assert!(report.kinds.len() >= 10 && report.kinds.values().all(|k| k.played > 0), "{report}");
+    assert!(report.kinds.len() >= 10 && report.kinds.values().all(|k| k.executed > 0), "{report}");
     assert!(report.rejected.contains_key("digest mismatch"), "{report}");
 }
 
 #[test]
 fn key_ownership_mutants_violate_no_rule() {
     let report = assert_no_failure::<ScenarioSystem<KeyOwnershipScenario>>(0..2, 60);
-    assert!(report.kinds.len() >= 16 && report.kinds.values().all(|k| k.played > 0), "{report}");
+    assert!(report.kinds.len() >= 16 && report.kinds.values().all(|k| k.executed > 0), "{report}");
 }
 
 #[test]
 fn load_shifting_mutants_violate_no_rule() {
     let report = assert_no_failure::<ScenarioSystem<LoadShiftingScenario>>(0..2, 60);
-    assert!(report.kinds.len() >= 16 && report.kinds.values().all(|k| k.played > 0), "{report}");
+    assert!(report.kinds.len() >= 16 && report.kinds.values().all(|k| k.executed > 0), "{report}");
 }
 
 /// Guards against reports that depend on the number of threads or on anything but the seed.
--- a/crates/mutants/tests/planted_faults.rs
+++ b/crates/mutants/tests/planted_faults.rs
@@ -102,7 +102,7 @@
         matches!(&first.outcome, Outcome::Violated(_, v) if v.rule == "usable units never exceed the total"),
         "{first}"
     );
-    println!("{} of {} detect it; {first}", report.failed, report.played());
+    println!("{} of {} detect it; {first}", report.failed, report.executed());
     let messages = simulate::<QuotaSystem>(seed, None, false).messages;
     let mutant = Mutant { message: &messages[first.message], change: first.change.as_ref().unwrap() };
     assert_eq!(simulate::<QuotaSystem>(seed, Some(mutant), false).outcome, Outcome::Passed, "{first}");
@@ -139,7 +139,7 @@
     let report = run::<F>(&campaign);
     let first = report.first.clone().unwrap_or_else(|| panic!("no mutant detects the fault: {report}"));
     assert!(matches!(&first.outcome, Outcome::Violated(_, v) if rules.contains(&v.rule)), "{first}");
-    println!("seed {seed}: {} of {} detect it; {:?}", report.failed, report.played(), first.outcome);
+    println!("seed {seed}: {} of {} detect it; {:?}", report.failed, report.executed(), first.outcome);
     let messages = simulate::<R>(seed, None, false).messages;
     let mutant = Mutant { message: &messages[first.message], change: first.change.as_ref().unwrap() };
     assert_eq!(simulate::<R>(seed, Some(mutant), false).outcome, Outcome::Passed, "{first}");
@@ -199,7 +199,7 @@
     rules: &[&str],
     selected: impl Fn(&MessageRecord) -> bool,
 ) {
-    let mut played = 0;
+    let mut executed = 0;
     for seed in 0..6 {
         let run = simulate::<F>(seed, None, false);
         for message in run
@@ -207,12 +207,12 @@
             .iter()
             .filter(|m| run.outcome == Outcome::Passed && m.delivered_at.is_some() && selected(m))
         {
-            played += 1;
+            executed += 1;
             let outcome = simulate::<F>(seed, Some(Mutant { message, change }), false).outcome;
             if !matches!(&outcome, Outcome::Violated(_, v) if rules.contains(&v.rule)) {
                 continue;
             }
-            println!("seed {seed}: mutant {played} detects it: {outcome:?}");
+            println!("seed {seed}: mutant {executed} detects it: {outcome:?}");
             let messages = simulate::<R>(seed, None, false).messages;
             let mutant = Mutant { message: &messages[message.id], change };
             assert_eq!(
@@ -223,7 +223,7 @@
             return;
         }
     }
-    panic!("none of {played} mutants detects the fault");
+    panic!("none of {executed} mutants detects the fault");
 }
 
 const MS: Micros = 1_000;
