--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -477,7 +477,7 @@
                     write(&out.join(format!("{name}.svg")), &plot.svg()?)?;
                 }
             }
-            return Ok(if study.rows.iter().any(|r| r.over > 0) {
+            return Ok(if study.rows.iter().any(|r| r.over_total > 0) {
                 ExitCode::from(2)
             } else {
                 ExitCode::SUCCESS
