--- a/crates/lab/src/sites/file.rs
+++ b/crates/lab/src/sites/file.rs
@@ -1,199 +1,199 @@
-//! What becomes of a fleet of sites, as a file of S-expressions says it.
+//! Scenarios of several sites, read from S-expressions.
 
 use super::{Micros, MS, S};
 use shorepath_sexp::{Form, ParseErrors};
 
-/// The longest that a time may be.
-const LONGEST: Micros = 3_600 * S;
+/// Upper limit of all times of a scenario.
+const MAX_DURATION: Micros = 3_600 * S;
 
-/// Where clients go whose own site does not take them.
+/// Where clients send requests that their own site does not take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Spread {
-    /// To any site that lives, by chance.
-    Even,
-    /// All to the next one in the file that lives.
-    Next,
-    /// To the k-th next one with a weight of 1/k.
-    Near,
+pub enum Failover {
+    /// To any site that is up, chosen at random.
+    AnySite,
+    /// To the next site in the file that is up.
+    NextSite,
+    /// To the k-th next site that is up, with a weight of 1/k.
+    Weighted,
 }
 
-/// Which way a link is cut.
+/// Direction in which a site is partitioned from the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    /// Both.
+pub enum Direction {
+    /// Both directions.
     Both,
-    /// What others say does not come in.
-    In,
-    /// What it says does not go out.
-    Out,
+    /// Messages to the site are lost.
+    Inbound,
+    /// Messages from the site are lost.
+    Outbound,
 }
 
-/// Something that happens to a site.
+/// Kind of an event at a site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
-    /// Its nodes and servers are gone; they are started anew, cold, when it ends.
-    Lose,
-    /// No word goes between it and the others.
-    Cut(Way),
-    /// Words between it and the others take that much longer.
-    Slow(Micros),
-    /// The account acme is closed by a file handed to one of its nodes.
-    Close,
+pub enum EventKind {
+    /// The site's nodes and servers are down. They restart cold at the end of the event.
+    SiteLoss,
+    /// Messages between the site and the others are lost.
+    Partition(Direction),
+    /// Messages between the site and the others take this much longer.
+    Delay(Micros),
+    /// A file that closes the account `acme` is submitted to one of the site's nodes.
+    CloseAccount,
 }
 
-/// One of them, with its time.
+/// An event at a site, with its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// What.
-    pub what: What,
-    /// The site's place, from 0.
+    /// What happens to the site.
+    pub kind: EventKind,
+    /// Index of the site, from 0.
     pub site: usize,
-    /// When.
+    /// Start, from the start of the run.
     pub at: Micros,
-    /// Until when; the end of time where that is not said.
-    pub back: Micros,
+    /// End; `Micros::MAX` if the file gives none.
+    pub until: Micros,
 }
 
 impl Event {
-    /// Whether it holds then.
-    pub fn holds(&self, now: Micros) -> bool {
-        (self.at..self.back).contains(&now)
+    /// Returns whether the event is in effect at a time.
+    pub fn is_active(&self, now: Micros) -> bool {
+        (self.at..self.until).contains(&now)
     }
 }
 
-/// The credit of the account acme, over all sites.
+/// The credit of the account `acme` over all sites.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Credit {
-    /// Jobs that may be begun on unconfirmed standing.
+    /// New jobs that may start while the account's status is unconfirmed.
     pub jobs: u64,
-    /// What is left of them in the end.
+    /// Jobs that remain after the credit has shrunk.
     pub reserve: u64,
-    /// After so long.
-    pub shrink: Micros,
+    /// Time without confirmation after which the credit has shrunk to the reserve.
+    pub shrink_after: Micros,
 }
 
-/// A fleet of sites, and what becomes of it.
+/// A fleet of sites with its load and its events.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// Its name.
+    /// Name of the scenario, shown in plots.
     pub name: String,
-    /// The seed of every random number.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Requests come for this long.
-    pub length: Micros,
-    /// Sites, 2 to 20.
+    /// Time during which requests arrive.
+    pub duration: Micros,
+    /// Number of sites, 2 to 20.
     pub sites: usize,
-    /// Nodes, over all sites evenly.
+    /// Number of nodes, spread evenly over the sites.
     pub nodes: usize,
-    /// Servers of each site.
-    pub servers: usize,
-    /// The mean work of a job, on a warm server.
-    pub work: Micros,
-    /// What a server does of that when it has just started.
-    pub cold: f64,
-    /// How long it takes to do all of it.
+    /// Number of backend servers of each site.
+    pub servers_per_site: usize,
+    /// Mean work of a job on a warm server.
+    pub mean_work: Micros,
+    /// Capacity of a server at its start, as a fraction of that of a warm one.
+    pub cold_capacity: f64,
+    /// Duration of slow start, after which a server has its full capacity.
     pub warm_up: Micros,
-    /// What the file says that a site bears, requests a second.
-    pub bears: u64,
-    /// What each site's clients ask for, against that.
+    /// Configured capacity of each site in requests per second.
+    pub site_capacity: u64,
+    /// Demand of each site's own clients as a fraction of the site's capacity.
     pub load: f64,
-    /// What each site lends, in hundredths; 0 for a fleet that lends nothing.
-    pub lent: u8,
-    /// The part of the requests that are acme's.
-    pub acme: f64,
-    /// Its credit, if it has one.
+    /// Percentage of each site's capacity that is reserved for remote requests; 0 disables spillover.
+    pub spillover_percent: u8,
+    /// Fraction of the requests that belong to the account `acme`.
+    pub acme_fraction: f64,
+    /// Credit of the account `acme`, if it has one.
     pub credit: Option<Credit>,
-    /// As in the file of sites.
+    /// Time within which messages of a majority of sites confirm the status of accounts.
     pub confirm: Micros,
-    /// As in the file of sites.
+    /// Silence after which a site counts as unreachable or lost.
     pub alone: Micros,
-    /// As in the file of sites.
+    /// Time for which a state must persist before load moves because of it.
     pub hold: Micros,
-    /// The shortest and the longest way of a word.
-    pub way: (Micros, Micros),
-    /// A word between sites is lost with that probability, and doubled with a tenth of it.
-    pub loss: f64,
-    /// Clients of each site.
-    pub clients: usize,
-    /// Where they go when their own site does not take them.
-    pub spread: Spread,
-    /// Answers are wanted within this.
-    pub wanted: Micros,
-    /// Given up after that.
-    pub give_up: Micros,
-    /// Requests asked for in this time are counted.
-    pub counted: (Micros, Micros),
-    /// What happens.
+    /// Shortest and longest delay of a message.
+    pub message_delay: (Micros, Micros),
+    /// Probability that a message between sites is lost. It is duplicated with a tenth of this probability.
+    pub message_loss: f64,
+    /// Number of clients of each site.
+    pub clients_per_site: usize,
+    /// Where clients send requests that their own site does not take.
+    pub failover: Failover,
+    /// Latency up to which an answer counts as in time.
+    pub latency_objective: Micros,
+    /// Time after which a client gives up.
+    pub deadline: Micros,
+    /// Start and end of the window whose requests are measured.
+    pub measured_window: (Micros, Micros),
+    /// Events in the order of their start.
     pub events: Vec<Event>,
 }
 
 impl Scenario {
-    /// What the servers of a site do at most, requests a second.
-    pub fn most(&self) -> f64 {
-        self.servers as f64 * S as f64 / self.work as f64
+    /// Returns the capacity of a site's servers when warm, in requests per second.
+    pub fn max_rate(&self) -> f64 {
+        self.servers_per_site as f64 * S as f64 / self.mean_work as f64
     }
 
-    /// What each site's clients ask for, requests a second.
-    pub fn rate(&self) -> f64 {
-        self.load * self.bears as f64
+    /// Returns the demand of each site's own clients, in requests per second.
+    pub fn request_rate(&self) -> f64 {
+        self.load * self.site_capacity as f64
     }
 
-    /// Whether a site is lost then.
+    /// Returns whether a site is lost at a time.
     pub fn is_lost(&self, site: usize, now: Micros) -> bool {
-        self.events.iter().any(|e| e.what == What::Lose && e.site == site && e.holds(now))
+        self.events.iter().any(|e| e.kind == EventKind::SiteLoss && e.site == site && e.is_active(now))
     }
 
-    /// Whether anything ever happens to a site but a closing.
-    pub fn strikes(&self, site: usize) -> bool {
-        self.events.iter().any(|e| e.what != What::Close && e.site == site)
+    /// Returns whether any event affects a site, other than a closing of the account.
+    pub fn is_affected(&self, site: usize) -> bool {
+        self.events.iter().any(|e| e.kind != EventKind::CloseAccount && e.site == site)
     }
 
-    /// The same without anything that happens.
-    pub fn calm(&self) -> Scenario {
+    /// Returns the same scenario without its events.
+    pub fn without_events(&self) -> Scenario {
         Scenario { events: Vec::new(), ..self.clone() }
     }
 }
 
-/// Read a scenario.
+/// Reads a scenario.
 ///
 /// # Errors
-/// All faults of the text, with their places.
+/// All errors of the text, with their positions.
 pub fn read(file: &str, text: &str) -> Result<Scenario, ParseErrors> {
     shorepath_sexp::read(file, text, "sites-scenario", scenario)
 }
 
-fn event(f: &Form, what: What, sites: usize) -> Event {
+fn event(f: &Form, kind: EventKind, sites: usize) -> Event {
     let site = f.count("site", 0, 0..=sites as u64 - 1) as usize;
-    let at = f.time("at", 0, 0..=LONGEST);
-    let back = f.time("back", Micros::MAX, 0..=LONGEST);
-    if back <= at {
-        f.add_error("it ends before it begins");
+    let at = f.time("at", 0, 0..=MAX_DURATION);
+    let until = f.time("back", Micros::MAX, 0..=MAX_DURATION);
+    if until <= at {
+        f.add_error("the event ends before it begins");
     }
     f.finish();
-    Event { what, site, at, back }
+    Event { kind, site, at, until }
 }
 
 fn events(f: &Form, sites: usize) -> Vec<Event> {
     let mut all: Vec<Event> = Vec::new();
-    all.extend(f.many("lose").iter().map(|e| event(e, What::Lose, sites)));
+    all.extend(f.many("lose").iter().map(|e| event(e, EventKind::SiteLoss, sites)));
     for e in f.many("cut") {
-        let way = match e.choice("way", "both", &["both", "in", "out"]).as_str() {
-            "in" => Way::In,
-            "out" => Way::Out,
-            _ => Way::Both,
+        let direction = match e.choice("way", "both", &["both", "in", "out"]).as_str() {
+            "in" => Direction::Inbound,
+            "out" => Direction::Outbound,
+            _ => Direction::Both,
         };
-        all.push(event(&e, What::Cut(way), sites));
+        all.push(event(&e, EventKind::Partition(direction), sites));
     }
     for e in f.many("slow") {
-        let delay = e.time("delay", S, 0..=LONGEST);
-        all.push(event(&e, What::Slow(delay), sites));
+        let delay = e.time("delay", S, 0..=MAX_DURATION);
+        all.push(event(&e, EventKind::Delay(delay), sites));
     }
-    all.extend(f.many("close").iter().map(|e| event(e, What::Close, sites)));
+    all.extend(f.many("close").iter().map(|e| event(e, EventKind::CloseAccount, sites)));
     all.sort_by_key(|e| (e.at, e.site));
     for (k, e) in all.iter().enumerate() {
-        let same = |o: &Event| o.what == What::Lose && o.site == e.site && o.at <= e.back;
-        if e.what == What::Lose && all[k + 1..].iter().any(same) {
-            f.add_error(format!("the site {} is lost again before it is back", e.site));
+        let overlaps = |o: &Event| o.kind == EventKind::SiteLoss && o.site == e.site && o.at <= e.until;
+        if e.kind == EventKind::SiteLoss && all[k + 1..].iter().any(overlaps) {
+            f.add_error(format!("site {} is lost again before its previous loss ends", e.site));
         }
     }
     all
@@ -203,53 +203,53 @@
     let credit = Credit {
         jobs: f.count("jobs", 0, 0..=1_000_000_000),
         reserve: f.count("reserve", 0, 0..=1_000_000_000),
-        shrink: f.time("shrink", 30 * S, 0..=LONGEST),
+        shrink_after: f.time("shrink", 30 * S, 0..=MAX_DURATION),
     };
     if credit.reserve > credit.jobs {
-        f.add_error("the reserve is more than the jobs");
+        f.add_error("the reserve is larger than the jobs");
     }
     credit
 }
 
 fn scenario(f: &Form) -> Scenario {
     let sites = f.count("sites", 3, 2..=20) as usize;
-    let length = f.time("length", 50 * S, S..=LONGEST);
+    let duration = f.time("length", 50 * S, S..=MAX_DURATION);
     let scenario = Scenario {
         name: f.text("name", "sites"),
         seed: f.count("seed", 0, 0..=u64::from(u32::MAX)),
-        length,
+        duration,
         sites,
         nodes: f.count("nodes", 6, 2..=10_000) as usize,
-        servers: f.count("servers", 20, 1..=10_000) as usize,
-        work: f.time("work", 50 * MS, 1..=LONGEST),
-        cold: f.number("cold", 0.2, 0.01..=1.0),
-        warm_up: f.time("warm-up", 10 * S, 0..=LONGEST),
-        bears: f.count("bears", 240, 1..=1_000_000_000),
+        servers_per_site: f.count("servers", 20, 1..=10_000) as usize,
+        mean_work: f.time("work", 50 * MS, 1..=MAX_DURATION),
+        cold_capacity: f.number("cold", 0.2, 0.01..=1.0),
+        warm_up: f.time("warm-up", 10 * S, 0..=MAX_DURATION),
+        site_capacity: f.count("bears", 240, 1..=1_000_000_000),
         load: f.number("load", 0.7, 0.001..=100.0),
-        lent: f.count("lent", 3, 0..=100) as u8,
-        acme: f.number("acme", 0.0, 0.0..=1.0),
+        spillover_percent: f.count("lent", 3, 0..=100) as u8,
+        acme_fraction: f.number("acme", 0.0, 0.0..=1.0),
         credit: f.given("credit", |f| Some(credit(f))),
-        confirm: f.time("confirm", 3 * S, 200 * MS..=LONGEST),
-        alone: f.time("alone", 5 * S, 500 * MS..=LONGEST),
-        hold: f.time("hold", 10 * S, 0..=LONGEST),
-        way: f.time_range("way", (2 * MS, 8 * MS), 0..=LONGEST),
-        loss: f.number("loss", 0.0, 0.0..=1.0),
-        clients: f.count("clients", 50, 1..=1_000_000) as usize,
-        spread: match f.choice("spread", "even", &["even", "next", "near"]).as_str() {
-            "next" => Spread::Next,
-            "near" => Spread::Near,
-            _ => Spread::Even,
+        confirm: f.time("confirm", 3 * S, 200 * MS..=MAX_DURATION),
+        alone: f.time("alone", 5 * S, 500 * MS..=MAX_DURATION),
+        hold: f.time("hold", 10 * S, 0..=MAX_DURATION),
+        message_delay: f.time_range("way", (2 * MS, 8 * MS), 0..=MAX_DURATION),
+        message_loss: f.number("loss", 0.0, 0.0..=1.0),
+        clients_per_site: f.count("clients", 50, 1..=1_000_000) as usize,
+        failover: match f.choice("spread", "even", &["even", "next", "near"]).as_str() {
+            "next" => Failover::NextSite,
+            "near" => Failover::Weighted,
+            _ => Failover::AnySite,
         },
-        wanted: f.time("wanted", 250 * MS, 1..=LONGEST),
-        give_up: f.time("give-up", 2 * S, 1..=LONGEST),
-        counted: f.time_range("counted", (0, length), 0..=LONGEST),
+        latency_objective: f.time("wanted", 250 * MS, 1..=MAX_DURATION),
+        deadline: f.time("give-up", 2 * S, 1..=MAX_DURATION),
+        measured_window: f.time_range("counted", (0, duration), 0..=MAX_DURATION),
         events: events(f, sites),
     };
     if scenario.nodes < sites {
-        f.add_error(format!("{} nodes for {sites} sites: each needs one", scenario.nodes));
+        f.add_error(format!("{} nodes for {sites} sites: each site needs a node", scenario.nodes));
     }
-    if scenario.lent == 0 && scenario.events.iter().any(|e| e.what == What::Lose) {
-        f.add_error("a site is lost and none lends anything: (lent HUNDREDTHS)");
+    if scenario.spillover_percent == 0 && scenario.events.iter().any(|e| e.kind == EventKind::SiteLoss) {
+        f.add_error("a site is lost, but no site accepts remote requests: set (lent PERCENT)");
     }
     scenario
 }
--- a/crates/lab/src/sites/mod.rs
+++ b/crates/lab/src/sites/mod.rs
@@ -1,16 +1,17 @@
-//! Sites in virtual time: the real decision module, views of sites, plan of load, way back, and accounts with their credits, with words
-//! between nodes that take a while and get lost. Servers, networks and clients are as simple as can be: what is asked here is where load
-//! goes and who knows what when, not how it is balanced.
+//! Sites in virtual time: the real scheduler, site health, load shifting, recovery ramp and accounts with
+//! credits, connected by messages that are delayed and lost. The models of servers, networks and clients are
+//! simple: the simulation shows where load goes and which node knows of which state when, not how load is
+//! balanced.
 
 pub mod file;
 mod node;
+mod simulation;
 pub mod study;
-mod world;
 
 pub use file::Scenario;
-pub use world::{run, Job, Outcome};
+pub use simulation::{run, Outcome, RequestRecord};
 
-/// Time and lengths of time, in microseconds.
+/// Times and durations in microseconds.
 pub type Micros = i64;
 
 const MS: Micros = 1_000;
--- a/crates/lab/src/sites/node.rs
+++ b/crates/lab/src/sites/node.rs
@@ -1,4 +1,5 @@
-//! One node of a site: the real decision module with what it knows of sites and accounts, put together as the node's shell does it.
+//! One node of a site: the real scheduler with the real modules for sites and accounts, connected as in the
+//! node's own loop.
 
 use super::file::Scenario;
 use super::{Micros, MS, S};
@@ -15,71 +16,72 @@
 use shorepath_sites::load_shifting::{Class, LoadShifting};
 use shorepath_sites::recovery_ramp::SlowStart;
 
-/// The account that is closed, and that has a credit.
+/// The account that has a credit and that the events close.
 pub const ACME: &str = "acme";
-/// What is lent is brought up to date no more often than this; all else at least so often.
-const LENDS: Micros = 100 * MS;
-const LOOKS: Micros = 250 * MS;
-/// Credit that is noted ahead at once.
-const CHUNK: u64 = 16;
+/// Interval at which the limits of load shifting are updated.
+const LOAD_SHIFTING_INTERVAL: Micros = 100 * MS;
+const MAX_TICK_INTERVAL: Micros = 250 * MS;
+/// Number of jobs by which the credit on disk runs ahead of the credit spent.
+const CREDIT_CHUNK: u64 = 16;
 
-/// A word between nodes.
+/// A message between nodes.
 #[derive(Clone, Debug)]
-pub enum Said {
-    /// About accounts.
+pub enum NodeMessage {
+    /// Gossip about accounts.
     Accounts(gossip::Message),
-    /// About sites.
-    Seeing(health::Message),
+    /// A heartbeat with the health of sites.
+    SiteHealth(health::Message),
 }
 
-/// What is kept on a node's disk.
+/// The durable state of a node.
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
-    book: AccountRegistry,
-    purse: Option<CreditRecord>,
+    registry: AccountRegistry,
+    credit_record: Option<CreditRecord>,
 }
 
-/// What a node knows of sites; nothing of it is there in the program without this part.
-pub struct Siting {
-    pub seeing: SiteHealth,
-    pub lending: LoadShifting,
-    pub spread: Gossip,
+/// The modules of a node that handle several sites.
+pub struct MultiSite {
+    pub site_health: SiteHealth,
+    pub load_shifting: LoadShifting,
+    pub gossip: Gossip,
     confirmation: Confirmation,
-    purses: CreditBalances,
-    lends_at: Micros,
-    parts: Vec<QuotaShare>,
+    credit_balances: CreditBalances,
+    load_shifting_due: Micros,
+    quota_shares: Vec<QuotaShare>,
     pub disk: Disk,
 }
 
 pub struct Node {
     pub site: usize,
     pub number: u32,
-    pub module: Scheduler,
-    pub siting: Option<Siting>,
-    /// Jobs that were served and that failed since that was last told.
+    pub scheduler: Scheduler,
+    pub multi_site: Option<MultiSite>,
+    /// Jobs served and failed since the last update of load shifting.
     pub outcomes: (u64, u64),
-    /// Grows with each start.
-    pub life: u32,
+    /// Incremented when the node is lost, so that events of its earlier processes are dropped.
+    pub incarnation: u32,
 }
 
-/// What came of a pass.
+/// Results of a tick.
 #[derive(Default)]
-pub struct Passed {
-    pub words: Vec<(u32, Said)>,
-    pub parts: Option<Vec<QuotaShare>>,
-    pub changed: Vec<StateChange>,
-    /// Numbers of files by which the account is barred from now on.
-    pub barred: Vec<u64>,
-    /// When it has something to do next.
-    pub next: Micros,
+pub struct TickResult {
+    pub messages: Vec<(u32, NodeMessage)>,
+    pub quota_shares: Option<Vec<QuotaShare>>,
+    pub state_changes: Vec<StateChange>,
+    /// Numbers of the accounts files that close the account at this node from now on.
+    pub applied_closings: Vec<u64>,
+    /// Time of the next tick.
+    pub next_tick: Micros,
 }
 
-/// The settings of the module at each node of a site with so many.
-pub fn settings(of: &Scenario, nodes: usize) -> Settings {
+/// Returns the scheduler settings of each node of a site with this many nodes.
+pub fn settings(scenario: &Scenario, nodes: usize) -> Settings {
     let class = ClassSettings {
-        latency_objective: of.wanted - (2 * of.work).min(of.wanted / 2),
+        latency_objective: scenario.latency_objective
+            - (2 * scenario.mean_work).min(scenario.latency_objective / 2),
         work_factor: 2.0,
-        deadline: of.give_up,
+        deadline: scenario.deadline,
         priority_weight: 1.0,
         idempotency: Idempotency::Idempotent,
         ..ClassSettings::default()
@@ -91,124 +93,133 @@
         tenants: vec![TenantSettings { share: 1.0, quota_per_second: 0.0 }],
         reports_starts: true,
         max_attempts: 1,
-        slow_start_min_share: of.cold,
-        slow_start_duration: of.warm_up,
+        slow_start_min_share: scenario.cold_capacity,
+        slow_start_duration: scenario.warm_up,
         overload_multiple: 4.0,
         overload_window: 2 * S,
         ..Settings::default()
     }
 }
 
-impl Siting {
-    /// What a node knows that starts, by what its disk has.
+impl MultiSite {
+    /// Starts the modules of a node with the state on its disk; `None` if the configuration does not name the
+    /// node.
     pub fn new(
-        plan: &SitesConfig,
-        of: &Scenario,
+        config: &SitesConfig,
+        scenario: &Scenario,
         number: u32,
         seed: u64,
         disk: Disk,
         now: Micros,
-    ) -> Option<Siting> {
-        let peers = plan.nodes().map(|(_, n)| n.number).collect();
-        let mut spread = Gossip::new(number, peers, seed, now);
-        spread.restore(&disk.book);
-        let mut purses = CreditBalances::new();
-        if let (Some(credit), Some(part)) = (of.credit, plan.credit_part(ACME, number)) {
-            let part = NodeCredit { total: part.jobs, reserve: part.reserve };
-            purses.insert(ACME.to_string(), CreditBalance::restore(part, credit.shrink, CHUNK, disk.purse));
+    ) -> Option<MultiSite> {
+        let peers = config.nodes().map(|(_, n)| n.number).collect();
+        let mut gossip = Gossip::new(number, peers, seed, now);
+        gossip.restore(&disk.registry);
+        let mut credit_balances = CreditBalances::new();
+        if let (Some(credit), Some(share)) = (scenario.credit, config.credit_part(ACME, number)) {
+            let share = NodeCredit { total: share.jobs, reserve: share.reserve };
+            credit_balances.insert(
+                ACME.to_string(),
+                CreditBalance::restore(share, credit.shrink_after, CREDIT_CHUNK, disk.credit_record),
+            );
         }
-        Some(Siting {
-            seeing: SiteHealth::new(number, plan, seed, now).ok()?,
-            lending: LoadShifting::new(SlowStart { min_share: of.cold, duration: of.warm_up }, now),
-            spread,
+        Some(MultiSite {
+            site_health: SiteHealth::new(number, config, seed, now).ok()?,
+            load_shifting: LoadShifting::new(
+                SlowStart { min_share: scenario.cold_capacity, duration: scenario.warm_up },
+                now,
+            ),
+            gossip,
             confirmation: Confirmation::new(now),
-            purses,
-            lends_at: now,
-            parts: Vec::new(),
+            credit_balances,
+            load_shifting_due: now,
+            quota_shares: Vec::new(),
             disk,
         })
     }
 
-    pub fn learn(&mut self, decree: &AccountsFile, now: Micros) {
-        self.spread.add_file(decree, now);
+    pub fn add_accounts_file(&mut self, accounts_file: &AccountsFile, now: Micros) {
+        self.gossip.add_file(accounts_file, now);
     }
 
-    pub fn hear(&mut self, from: u32, said: &Said, now: Micros) {
-        match said {
-            Said::Accounts(word) => self.spread.receive(from, word, now),
-            Said::Seeing(word) => {
-                if self.seeing.receive(from, word, now).is_ok()
-                    && self.lending.receive(&self.seeing, from, word, now)
+    pub fn receive(&mut self, from: u32, message: &NodeMessage, now: Micros) {
+        match message {
+            NodeMessage::Accounts(message) => self.gossip.receive(from, message, now),
+            NodeMessage::SiteHealth(message) => {
+                if self.site_health.receive(from, message, now).is_ok()
+                    && self.load_shifting.receive(&self.site_health, from, message, now)
                 {
-                    self.lends_at = now;
+                    self.load_shifting_due = now;
                 }
             }
         }
     }
 
-    /// A new job of the account was taken: it counts against the credit where standing can't be confirmed. Whether it did.
-    pub fn began(&mut self, now: Micros) -> bool {
+    /// Counts a new job of the account against its credit while the account's status is unconfirmed. Returns
+    /// whether it was counted.
+    pub fn record_new_job(&mut self, now: Micros) -> bool {
         if self.confirmation.unconfirmed_since().is_none() {
             return false;
         }
-        let number = self.spread.registry().change_at(ACME, now).number;
-        let Some(purse) = self.purses.get_mut(ACME) else { return false };
-        let spent = purse.spend(number, now);
-        Self::note(purse, &mut self.disk);
-        spent
+        let number = self.gossip.registry().change_at(ACME, now).number;
+        let Some(balance) = self.credit_balances.get_mut(ACME) else { return false };
+        let is_spent = balance.spend(number, now);
+        Self::write_credit(balance, &mut self.disk);
+        is_spent
     }
 
-    /// The disk of the lab takes everything at once.
-    fn note(purse: &mut CreditBalance, disk: &mut Disk) {
-        if let Some(note) = purse.record_to_write() {
-            purse.record_written(note);
-            disk.purse = Some(note);
+    /// Writes the credit's record, which always succeeds.
+    fn write_credit(balance: &mut CreditBalance, disk: &mut Disk) {
+        if let Some(record) = balance.record_to_write() {
+            balance.record_written(record);
+            disk.credit_record = Some(record);
         }
     }
 
-    /// Time has passed, as in the node's shell: what is heard is looked at, what is lent is brought up to date, and others are told.
-    pub fn pass(&mut self, outcomes: &mut (u64, u64), begun: u64, now: Micros) -> Passed {
-        let mut passed = Passed::default();
-        self.spread.tick(now);
-        self.seeing.tick(now);
-        if now >= self.lends_at {
-            self.lends_at = now + LENDS;
+    /// Advances time as the node's own loop does: processes what was received, updates load shifting, and
+    /// collects outgoing messages.
+    pub fn tick(&mut self, outcomes: &mut (u64, u64), new_jobs: u64, now: Micros) -> TickResult {
+        let mut result = TickResult::default();
+        self.gossip.tick(now);
+        self.site_health.tick(now);
+        if now >= self.load_shifting_due {
+            self.load_shifting_due = now + LOAD_SHIFTING_INTERVAL;
             let classes = [Class { name: "job".to_string(), value: 1_000 }];
-            self.lending.tick(&mut self.seeing, &classes, std::mem::take(outcomes), true, now);
+            self.load_shifting.tick(&mut self.site_health, &classes, std::mem::take(outcomes), true, now);
         }
-        passed.changed = self.seeing.take_changes();
-        self.confirmation.update(self.seeing.majority_contact_at(now), now);
+        result.state_changes = self.site_health.take_changes();
+        self.confirmation.update(self.site_health.majority_contact_at(now), now);
         let unconfirmed_since = self.confirmation.unconfirmed_since();
-        for news in self.spread.take_updates() {
-            if let RegistryUpdate::StandingChanged { change, .. } = news {
-                passed.barred.extend(change.standing.rejects_new_work().then_some(change.number));
+        for update in self.gossip.take_updates() {
+            if let RegistryUpdate::StandingChanged { change, .. } = update {
+                result.applied_closings.extend(change.standing.rejects_new_work().then_some(change.number));
             }
         }
-        self.disk.book.clone_from(self.spread.registry());
-        if let Some(purse) = self.purses.get_mut(ACME) {
-            if unconfirmed_since.is_none() && purse.current_record() != CreditRecord::default() {
-                purse.confirmed(&self.spread.registry().change_at(ACME, now));
+        self.disk.registry.clone_from(self.gossip.registry());
+        if let Some(balance) = self.credit_balances.get_mut(ACME) {
+            if unconfirmed_since.is_none() && balance.current_record() != CreditRecord::default() {
+                balance.confirmed(&self.gossip.registry().change_at(ACME, now));
             }
-            Self::note(purse, &mut self.disk);
+            Self::write_credit(balance, &mut self.disk);
         }
-        let all = restrictions(
-            self.spread.registry(),
-            &mut self.purses,
+        let restrictions_by_account = restrictions(
+            self.gossip.registry(),
+            &mut self.credit_balances,
             Now { unix: now, steady: now, unconfirmed_since },
         );
-        let mut parts = Vec::new();
-        if let Some(bar) = all.get(ACME) {
-            if let Some(units) = bar.max_new_jobs {
-                let units = units.saturating_add(begun);
-                parts.push(QuotaShare {
+        let mut quota_shares = Vec::new();
+        if let Some(restriction) = restrictions_by_account.get(ACME) {
+            if let Some(units) = restriction.max_new_jobs {
+                let units = units.saturating_add(new_jobs);
+                quota_shares.push(QuotaShare {
                     kind: QuotaKind::NewWork(TenantId(0)),
                     units,
                     total: units,
                     window: 0,
                 });
             }
-            if !bar.may_send {
-                parts.push(QuotaShare {
+            if !restriction.may_send {
+                quota_shares.push(QuotaShare {
                     kind: QuotaKind::TenantEnabled(TenantId(0)),
                     units: 0,
                     total: 0,
@@ -216,28 +227,32 @@
                 });
             }
         }
-        parts.extend(lent(&self.lending));
-        if parts != self.parts {
-            self.parts.clone_from(&parts);
-            passed.parts = Some(parts);
+        quota_shares.extend(load_shifting_shares(&self.load_shifting));
+        if quota_shares != self.quota_shares {
+            self.quota_shares.clone_from(&quota_shares);
+            result.quota_shares = Some(quota_shares);
         }
-        let accounts = self.spread.take_outgoing().into_iter().map(|(to, word)| (to, Said::Accounts(word)));
-        passed.words.extend(accounts);
-        passed
-            .words
-            .extend(self.seeing.take_outgoing().into_iter().map(|(to, word)| (to, Said::Seeing(word))));
-        let due = self.spread.due(now).min(self.seeing.due(now) - now);
-        passed.next = now + due.clamp(MS, LOOKS);
-        passed
+        let accounts =
+            self.gossip.take_outgoing().into_iter().map(|(to, message)| (to, NodeMessage::Accounts(message)));
+        result.messages.extend(accounts);
+        result.messages.extend(
+            self.site_health
+                .take_outgoing()
+                .into_iter()
+                .map(|(to, message)| (to, NodeMessage::SiteHealth(message))),
+        );
+        let due = self.gossip.due(now).min(self.site_health.due(now) - now);
+        result.next_tick = now + due.clamp(MS, MAX_TICK_INTERVAL);
+        result
     }
 }
 
-/// What the module is told of what is lent and taken back.
-fn lent(lending: &LoadShifting) -> Vec<QuotaShare> {
-    let limits = lending.limits();
-    let part = |of, units, span| QuotaShare { kind: of, units, total: units, window: span };
-    let guests = limits.remote.iter().flatten().enumerate();
-    let guests = guests
-        .map(|(class, units)| part(QuotaKind::RemoteClass(ClassId(class)), *units, limits.unused_lifetime));
-    guests.chain(limits.own_site.map(|units| part(QuotaKind::LocalSite, units, 250 * MS))).collect()
+/// Returns the scheduler's quota shares for remote requests and for the site's own requests.
+fn load_shifting_shares(load_shifting: &LoadShifting) -> Vec<QuotaShare> {
+    let limits = load_shifting.limits();
+    let share = |kind, units, window| QuotaShare { kind, units, total: units, window };
+    let remote = limits.remote.iter().flatten().enumerate();
+    let remote = remote
+        .map(|(class, units)| share(QuotaKind::RemoteClass(ClassId(class)), *units, limits.unused_lifetime));
+    remote.chain(limits.own_site.map(|units| share(QuotaKind::LocalSite, units, 250 * MS))).collect()
 }
