--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -1,146 +1,156 @@
-//! What a fleet did, counted over the logs of all its nodes: connections by why they ended, lists and how late
-//! each node heard of them, and, where the nodes logged with `-v`, dispatches, probes and answers.
+//! Summary of the logs of a fleet's nodes: connections by the reason of their end, delays of the endpoint
+//! lists, and, from logs with `-v`, dispatches, probes and answers.
 
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Counts over all nodes whose lines were taken in.
+/// Counts over the logs of all nodes.
 #[derive(Debug, Default, Serialize)]
-pub struct Fleet {
-    /// Nodes.
+pub struct FleetSummary {
+    /// Number of nodes.
     pub nodes: usize,
-    /// Connections by component and reason: how many ended so.
-    pub ends: BTreeMap<String, u64>,
-    /// Connections to backend servers that came up: handshakes.
+    /// Ended connections by component and reason.
+    #[serde(rename = "ends")]
+    pub connection_ends: BTreeMap<String, u64>,
+    /// Established connections to backend servers.
     pub handshakes: u64,
-    /// Lists and changes taken in.
+    /// Endpoint lists and changes received.
     pub lists: u64,
-    /// How dispatches ended, and how many were further attempts.
+    /// Ended dispatches by status.
     pub dispatches: BTreeMap<String, u64>,
-    /// See `dispatches`.
-    pub further: u64,
-    /// Further attempts of requests of which an earlier one may have run.
-    pub after_a_run: u64,
-    /// How probes ended.
+    /// Ended dispatches that were not the first attempt of their request.
+    #[serde(rename = "further")]
+    pub retries: u64,
+    /// Retries of requests of which an earlier attempt may have started at a server.
+    #[serde(rename = "after_a_run")]
+    pub retries_after_start: u64,
+    /// Ended probes by status.
     pub probes: BTreeMap<String, u64>,
-    /// Answers that no backend server gave.
-    pub answers: BTreeMap<String, u64>,
-    /// Of those, the ones given before any dispatch was made (logs that tell `attempts=`).
-    pub unsent: u64,
-    /// Dispatches by backend server and the second of their sending: how evenly the fleet uses its servers.
+    /// Answers that the nodes gave themselves, without a response of a backend server.
+    #[serde(rename = "answers")]
+    pub local_answers: BTreeMap<String, u64>,
+    /// Answers that a node gave before any attempt, from logs with `attempts=`.
+    #[serde(rename = "unsent")]
+    pub answers_without_attempt: u64,
+    /// Dispatches by backend server and second of their sending.
     #[serde(skip)]
-    sent: BTreeMap<String, BTreeMap<u64, u64>>,
-    /// Each list by its number: when each node first held it or a later one, in seconds.
+    dispatch_times: BTreeMap<String, BTreeMap<u64, u64>>,
+    /// By list number: the times in seconds at which each node first had this list or a later one.
     #[serde(skip)]
-    heard: BTreeMap<u64, Vec<f64>>,
+    list_times: BTreeMap<u64, Vec<f64>>,
 }
 
-/// Dispatches a second at a backend server, over the servers that had any.
+/// Dispatches per second at a backend server, over the servers that received any.
 #[derive(Debug, PartialEq, Serialize)]
-pub struct Spread {
-    /// Servers that were sent anything.
+pub struct DispatchRates {
+    /// Number of servers that received dispatches.
     pub servers: usize,
-    /// The least, median and most of dispatches a second.
-    pub least: f64,
-    /// See `least`.
+    /// The lowest rate of a server.
+    #[serde(rename = "least")]
+    pub min: f64,
+    /// The median rate.
     pub median: f64,
-    /// See `least`.
-    pub most: f64,
+    /// The highest rate of a server.
+    #[serde(rename = "most")]
+    pub max: f64,
 }
 
-/// How late the nodes heard of lists that any of them had, in seconds.
+/// Delays of lists at the nodes, relative to the first node that had them, in seconds.
 #[derive(Debug, PartialEq, Serialize)]
-pub struct News {
-    /// Lists that more than one node may have had.
+pub struct ListDelays {
+    /// Number of lists, up to the newest one that any node had.
     pub lists: usize,
-    /// Of each list and node: the median of how much later than the first node.
+    /// Median delay over all pairs of a list and a node.
     pub median: f64,
-    /// And the longest.
-    pub longest: f64,
-    /// Pairs of a list and a node that never held it.
-    pub never: usize,
+    /// Maximum delay.
+    #[serde(rename = "longest")]
+    pub max: f64,
+    /// Pairs of a list and a node that never had it.
+    #[serde(rename = "never")]
+    pub missing: usize,
 }
 
-impl Fleet {
-    /// Take in the log of one node. A line may begin with the seconds since the start; lines without count all the
-    /// same, but tell nothing of when news came.
-    pub fn node<'a>(&mut self, lines: impl Iterator<Item = &'a str>) {
+impl FleetSummary {
+    /// Adds the log of one node. A line may begin with the seconds since the start; lines without this time
+    /// do not count for delays.
+    pub fn add_log<'a>(&mut self, lines: impl Iterator<Item = &'a str>) {
         self.nodes += 1;
-        let (mut newest, mut ran) = (0, BTreeSet::new());
+        let (mut newest_list, mut started_requests) = (0, BTreeSet::new());
         for line in lines {
             let at = line.split_whitespace().next().and_then(|w| w.parse::<f64>().ok());
             let text = ["INFO ", "DEBUG ", "WARN "].iter().find_map(|level| Some(line.split_once(level)?.1));
-            let words: Vec<&str> = text.unwrap_or("").split_whitespace().collect();
-            match words[..] {
+            let tokens: Vec<&str> = text.unwrap_or("").split_whitespace().collect();
+            match tokens[..] {
                 ["end", side, _, reason, ..] if reason.starts_with("reason=") => {
                     let reason = &reason[7..];
-                    *self.ends.entry(format!("{side} {reason}")).or_default() += 1;
-                    let up = !["refused", "connect-timeout", "no-sockets"].contains(&reason);
-                    self.handshakes += u64::from(side == "backend" && up);
+                    *self.connection_ends.entry(format!("{side} {reason}")).or_default() += 1;
+                    let is_established = !["refused", "connect-timeout", "no-sockets"].contains(&reason);
+                    self.handshakes += u64::from(side == "backend" && is_established);
                 }
                 ["server", "table", number, ..] => {
                     self.lists += 1;
                     let number = number.trim_end_matches(':').parse().unwrap_or(0);
-                    if let Some(at) = at.filter(|_| number > newest) {
-                        for n in newest + 1..=number {
-                            self.heard.entry(n).or_default().push(at);
+                    if let Some(at) = at.filter(|_| number > newest_list) {
+                        for n in newest_list + 1..=number {
+                            self.list_times.entry(n).or_default().push(at);
                         }
-                        newest = number;
+                        newest_list = number;
                     }
                 }
                 ["dispatch", id, "ended", status, ..] => {
                     *self.dispatches.entry(status.to_string()).or_default() += 1;
                     let Some((request, attempt)) = id.split_once('.') else { continue };
-                    self.further += u64::from(attempt != "0");
-                    self.after_a_run += u64::from(attempt != "0" && ran.contains(request));
+                    self.retries += u64::from(attempt != "0");
+                    self.retries_after_start +=
+                        u64::from(attempt != "0" && started_requests.contains(request));
                     if ["Error", "Reset", "Timeout", "Cancelled", "BadRequest"].contains(&status) {
-                        ran.insert(request.to_string());
+                        started_requests.insert(request.to_string());
                     }
                 }
                 ["probe", "of", _, "ended", status, ..] => {
                     *self.probes.entry(status.to_string()).or_default() += 1
                 }
-                ["answer", _, verdict, ref more @ ..] => {
-                    *self.answers.entry(verdict.to_string()).or_default() += 1;
-                    self.unsent += u64::from(more.first() == Some(&"attempts=0"));
+                ["answer", _, outcome, ref fields @ ..] => {
+                    *self.local_answers.entry(outcome.to_string()).or_default() += 1;
+                    self.answers_without_attempt += u64::from(fields.first() == Some(&"attempts=0"));
                 }
                 ["dispatch", _, "to", server] => {
                     let second = at.map_or(0, |at| at.max(0.0) as u64);
-                    *self.sent.entry(server.to_string()).or_default().entry(second).or_default() += 1;
+                    *self.dispatch_times.entry(server.to_string()).or_default().entry(second).or_default() +=
+                        1;
                 }
                 _ => {}
             }
         }
     }
 
-    /// Dispatches a second at each backend server over the seconds from its first dispatch to its last,
-    /// sorted: the least, the median and the most. A server that came late and gets few shows at the
-    /// bottom. `None` without dispatch lines.
-    pub fn spread(&self) -> Option<Spread> {
-        let rates = self.sent.values().map(|s| {
+    /// Returns the dispatches per second at each backend server, from its first dispatch to its last; `None`
+    /// without dispatch lines. A server that joins late and receives too little lowers the minimum.
+    pub fn dispatch_rates(&self) -> Option<DispatchRates> {
+        let rates = self.dispatch_times.values().map(|s| {
             let (first, last) =
                 (s.keys().next().copied().unwrap_or(0), s.keys().next_back().copied().unwrap_or(0));
             s.values().sum::<u64>() as f64 / (last + 1 - first) as f64
         });
         let mut rates: Vec<f64> = rates.collect();
         rates.sort_unstable_by(f64::total_cmp);
-        let (least, most) = (*rates.first()?, rates[rates.len() - 1]);
-        Some(Spread { servers: rates.len(), least, median: rates[rates.len() / 2], most })
+        let (min, max) = (*rates.first()?, rates[rates.len() - 1]);
+        Some(DispatchRates { servers: rates.len(), min, median: rates[rates.len() / 2], max })
     }
 
-    /// How late news came.
-    pub fn news(&self) -> News {
-        let mut late = Vec::new();
-        for heard in self.heard.values() {
-            let first = heard.iter().copied().fold(f64::INFINITY, f64::min);
-            late.extend(heard.iter().map(|at| at - first));
+    /// Returns the delays of lists.
+    pub fn list_delays(&self) -> ListDelays {
+        let mut delays = Vec::new();
+        for list_times in self.list_times.values() {
+            let first = list_times.iter().copied().fold(f64::INFINITY, f64::min);
+            delays.extend(list_times.iter().map(|at| at - first));
         }
-        late.sort_unstable_by(f64::total_cmp);
-        News {
-            lists: self.heard.len(),
-            median: late.get(late.len() / 2).copied().unwrap_or(0.0),
-            longest: late.last().copied().unwrap_or(0.0),
-            never: self.heard.values().map(|h| self.nodes.saturating_sub(h.len())).sum(),
+        delays.sort_unstable_by(f64::total_cmp);
+        ListDelays {
+            lists: self.list_times.len(),
+            median: delays.get(delays.len() / 2).copied().unwrap_or(0.0),
+            max: delays.last().copied().unwrap_or(0.0),
+            missing: self.list_times.values().map(|h| self.nodes.saturating_sub(h.len())).sum(),
         }
     }
 }
@@ -150,8 +160,8 @@
     use super::*;
 
     #[test]
-    fn logs_of_several_nodes_are_counted_together() {
-        let mut fleet = Fleet::default();
+    fn logs_of_several_nodes_are_summed() {
+        let mut summary = FleetSummary::default();
         let first = "0.5 2026-12-01T10:00:00Z  INFO server table 4: 60 entries, whole=true
             1.0 2026-12-01T10:00:01Z  INFO end backend 127.0.0.1:1 reason=idle messages=4
             1.0 2026-12-01T10:00:01Z  INFO end backend 127.0.0.1:1 reason=refused messages=0
@@ -164,19 +174,29 @@
             1.1 2026-12-01T10:00:01Z DEBUG dispatch 7.1 to 127.0.0.1:1
             3.1 2026-12-01T10:00:03Z DEBUG dispatch 9.0 to 127.0.0.1:1
             3.5 2026-12-01T10:00:03Z DEBUG dispatch 9.1 to 127.0.0.1:2";
-        fleet.node(first.lines());
+        summary.add_log(first.lines());
         let second = "2.5 2026-12-01T10:00:02Z  INFO server table 3: 60 entries, whole=true
             no log line at all\n\n9.9 INFO end\n1 INFO server table";
-        fleet.node(second.lines());
-        fleet.node("2026-12-01T10:00:00Z  INFO server table 4: 60 entries, whole=true".lines());
-        assert_eq!((fleet.nodes, fleet.handshakes, fleet.lists), (3, 1, 3));
-        assert_eq!((fleet.ends["backend refused"], fleet.probes["Ok"], fleet.answers["denied"]), (1, 1, 2));
-        assert_eq!(fleet.unsent, 1);
-        // Three in four seconds at the first server, one in its only second at the one that came late.
-        assert_eq!(fleet.spread(), Some(Spread { servers: 2, least: 0.75, median: 1.0, most: 1.0 }));
-        assert_eq!(Fleet::default().spread(), None);
-        assert_eq!((fleet.further, fleet.after_a_run, fleet.dispatches["Reset"]), (1, 1, 1));
-        // Lists 1 to 3 came to the second node 2 s later and never to the third, which told no times.
-        assert_eq!(fleet.news(), News { lists: 4, median: 0.0, longest: 2.0, never: 5 });
+        summary.add_log(second.lines());
+        summary.add_log("2026-12-01T10:00:00Z  INFO server table 4: 60 entries, whole=true".lines());
+        assert_eq!((summary.nodes, summary.handshakes, summary.lists), (3, 1, 3));
+        assert_eq!(
+            (
+                summary.connection_ends["backend refused"],
+                summary.probes["Ok"],
+                summary.local_answers["denied"]
+            ),
+            (1, 1, 2)
+        );
+        assert_eq!(summary.answers_without_attempt, 1);
+        // Three dispatches in four seconds at the first server, and one in one second at the second.
+        assert_eq!(
+            summary.dispatch_rates(),
+            Some(DispatchRates { servers: 2, min: 0.75, median: 1.0, max: 1.0 })
+        );
+        assert_eq!(FleetSummary::default().dispatch_rates(), None);
+        assert_eq!((summary.retries, summary.retries_after_start, summary.dispatches["Reset"]), (1, 1, 1));
+        // The second node had lists 1 to 3 two seconds later; the third node's log has no times.
+        assert_eq!(summary.list_delays(), ListDelays { lists: 4, median: 0.0, max: 2.0, missing: 5 });
     }
 }
--- a/crates/lab/src/load/clients.rs
+++ b/crates/lab/src/load/clients.rs
@@ -1,6 +1,6 @@
-//! The clients: an open loop over HTTP/1.1, a connection for each request that is out.
+//! The clients: an open loop over HTTP/1.1, with one connection per pending request.
 
-use super::{Asked, Rig};
+use super::{RequestInfo, Testbed};
 use crate::clients::{next, Next, Quota};
 use crate::rules::Answer;
 use crate::sim::draw::{Arrivals, Job, Jobs};
@@ -23,119 +23,129 @@
 
 type Connection = SendRequest<Full<Bytes>>;
 
-/// What the clients of all nodes have.
+/// State shared by the clients of all nodes.
 pub(super) struct Clients {
-    rig: Rc<Rig>,
+    testbed: Rc<Testbed>,
     addresses: Vec<SocketAddr>,
-    /// Connections to each node on which nothing is out.
+    /// Idle connections to each node.
     idle: Vec<RefCell<Vec<Connection>>>,
-    ids: Cell<u64>,
+    last_id: Cell<u64>,
 }
 
 impl Clients {
-    /// Those of nodes at these addresses.
-    pub(super) fn new(rig: &Rc<Rig>, addresses: &[SocketAddr]) -> Rc<Clients> {
+    /// Creates the clients of the nodes at these addresses.
+    pub(super) fn new(testbed: &Rc<Testbed>, addresses: &[SocketAddr]) -> Rc<Clients> {
         Rc::new(Clients {
-            rig: rig.clone(),
+            testbed: testbed.clone(),
             addresses: addresses.to_vec(),
             idle: addresses.iter().map(|_| RefCell::default()).collect(),
-            ids: Cell::new(0),
+            last_id: Cell::new(0),
         })
     }
 }
 
-/// Send everything that the scenario asks for, and wait for what becomes of it.
-pub async fn drive(rig: &Rc<Rig>, addresses: &[SocketAddr]) {
-    let clients = Clients::new(rig, addresses);
-    let tenants = (0..rig.sc.tenants.len()).map(|tenant| tenant_asks(clients.clone(), tenant));
+/// Sends all requests of the scenario and waits for their outcomes.
+pub async fn send_all(testbed: &Rc<Testbed>, addresses: &[SocketAddr]) {
+    let clients = Clients::new(testbed, addresses);
+    let tenants =
+        (0..testbed.scenario.tenants.len()).map(|tenant| send_tenant_requests(clients.clone(), tenant));
     join_all(tenants).await;
 }
 
-async fn tenant_asks(clients: Rc<Clients>, tenant: usize) {
-    let rig = clients.rig.clone();
-    let (mut arrivals, mut jobs) = (Arrivals::new(&rig.sc, tenant), Jobs::new(&rig.sc, tenant));
-    let mut bursts: Vec<_> = rig.sc.bursts.iter().filter(|b| b.tenant == tenant).cloned().collect();
+async fn send_tenant_requests(clients: Rc<Clients>, tenant: usize) {
+    let testbed = clients.testbed.clone();
+    let (mut arrivals, mut jobs) =
+        (Arrivals::new(&testbed.scenario, tenant), Jobs::new(&testbed.scenario, tenant));
+    let mut bursts: Vec<_> = testbed.scenario.bursts.iter().filter(|b| b.tenant == tenant).cloned().collect();
     bursts.sort_by_key(|b| b.at);
     let mut bursts = bursts.into_iter().peekable();
-    let mut quota = Quota::new(rig.sc.tenants[tenant].quota, 0);
-    let mut out: Vec<JoinHandle<()>> = Vec::new();
-    let mut coming = arrivals.next_time();
+    let mut quota = Quota::new(testbed.scenario.tenants[tenant].quota, 0);
+    let mut pending_requests: Vec<JoinHandle<()>> = Vec::new();
+    let mut next_arrival = arrivals.next_time();
     loop {
         let (at, count) = match bursts.peek() {
-            Some(b) if b.at <= coming => (b.at, b.count),
-            _ => (coming, 1),
+            Some(b) if b.at <= next_arrival => (b.at, b.count),
+            _ => (next_arrival, 1),
         };
-        if at >= rig.sc.length {
+        if at >= testbed.scenario.length {
             break;
         }
-        if bursts.next_if(|b| b.at == at && b.at <= coming).is_none() {
-            coming = arrivals.next_time();
+        if bursts.next_if(|b| b.at == at && b.at <= next_arrival).is_none() {
+            next_arrival = arrivals.next_time();
         }
-        sleep_until(rig.moment(START + at)).await;
+        sleep_until(testbed.instant(START + at)).await;
         for _ in 0..count {
             let job = jobs.next_job(at);
             let excess = quota.exceeded(at);
-            let what = (tenant as u32, job.class as u32, excess);
-            rig.tally.borrow_mut().asked(&rig.sc, at, what.0, what.1, excess, job.work);
-            out.push(spawn_local(ask(clients.clone(), at, job, what)));
+            let labels = (tenant as u32, job.class as u32, excess);
+            testbed.tally.borrow_mut().asked(&testbed.scenario, at, labels.0, labels.1, excess, job.work);
+            pending_requests.push(spawn_local(run_client_request(clients.clone(), at, job, labels)));
         }
-        out.retain(|h| !h.is_finished());
+        pending_requests.retain(|h| !h.is_finished());
     }
-    for handle in out {
-        // A client that panicked has told so itself; the others' answers still count.
+    for handle in pending_requests {
+        // A panic of a client is already reported; the other requests still count.
         let _ = handle.await;
     }
 }
 
-/// One client's request, with its own tries; it was meant to be sent at `first`.
-async fn ask(clients: Rc<Clients>, first: Micros, job: Job, what: (u32, u32, bool)) {
-    let rig = clients.rig.clone();
-    let class = &rig.sc.classes[job.class];
-    let (mut tries, mut meant) = (0, first);
+/// Runs one request of a client with the client's own retries. It was due at `first_due`.
+async fn run_client_request(clients: Rc<Clients>, first_due: Micros, job: Job, labels: (u32, u32, bool)) {
+    let testbed = clients.testbed.clone();
+    let class = &testbed.scenario.classes[job.class];
+    let (mut attempts, mut due) = (0, first_due);
     let outcome = loop {
-        tries += 1;
-        let left = class.give_up - (meant - first);
-        let leaves = (left as f64 * rig.sc.clients.patience) as Micros;
-        let tried = attempt(&clients, &job, what, meant, left);
-        let Ok(answer) = timeout(Duration::from_micros(leaves as u64 + 200_000), tried).await else {
-            break if rig.sc.clients.patience < 1.0 { Outcome::Left } else { Outcome::Lost };
+        attempts += 1;
+        let remaining = class.give_up - (due - first_due);
+        let gives_up_after = (remaining as f64 * testbed.scenario.clients.patience) as Micros;
+        let attempt = send_request(&clients, &job, labels, due, remaining);
+        let Ok(answer) = timeout(Duration::from_micros(gives_up_after as u64 + 200_000), attempt).await
+        else {
+            break if testbed.scenario.clients.patience < 1.0 { Outcome::Left } else { Outcome::Lost };
         };
-        let took = rig.now() - START - first;
-        let after = next(&rig.sc, job.class, job.work, answer, (took, tries), &mut rig.clients.borrow_mut());
+        let elapsed = testbed.now() - START - first_due;
+        let after = next(
+            &testbed.scenario,
+            job.class,
+            job.work,
+            answer,
+            (elapsed, attempts),
+            &mut testbed.client_rng.borrow_mut(),
+        );
         match after {
             Next::Settled(outcome) => break outcome,
             Next::Retry(wait) => {
                 sleep(Duration::from_micros(wait as u64)).await;
-                meant = rig.now() - START;
+                due = testbed.now() - START;
             }
         }
     };
-    let took = rig.now() - START - first;
-    rig.tally.borrow_mut().settled(&rig.sc, first, took, what, job.work, outcome);
+    let elapsed = testbed.now() - START - first_due;
+    testbed.tally.borrow_mut().settled(&testbed.scenario, first_due, elapsed, labels, job.work, outcome);
 }
 
-/// One try: the answer, and when the client was told to come back.
-pub(super) async fn attempt(
+/// Sends one attempt and returns the answer with the delay of its `Retry-After` field, if any.
+pub(super) async fn send_request(
     clients: &Rc<Clients>,
     job: &Job,
-    what: (u32, u32, bool),
-    meant: Micros,
-    left: Micros,
+    labels: (u32, u32, bool),
+    due: Micros,
+    remaining: Micros,
 ) -> (Answer, Option<Micros>) {
-    let rig = &clients.rig;
-    let class = &rig.sc.classes[job.class];
-    let id = clients.ids.get() + 1;
-    clients.ids.set(id);
-    let lag = (rig.now() - START - meant).max(0);
-    let _ = rig.lag.borrow_mut().record(lag.max(1) as u64);
-    rig.asked.borrow_mut().insert(id, Asked { work: job.work, node: job.node });
-    rig.checker.borrow_mut().taken(id, rig.now() + left, class.effect);
-    let _open = Open::one(rig, id);
+    let testbed = &clients.testbed;
+    let class = &testbed.scenario.classes[job.class];
+    let id = clients.last_id.get() + 1;
+    clients.last_id.set(id);
+    let lag = (testbed.now() - START - due).max(0);
+    let _ = testbed.lag.borrow_mut().record(lag.max(1) as u64);
+    testbed.requests.borrow_mut().insert(id, RequestInfo { work: job.work, node: job.node });
+    testbed.checker.borrow_mut().taken(id, testbed.now() + remaining, class.effect);
+    let _guard = OpenGuard::new(testbed, id);
     let request = Request::post(format!("/{}", class.name))
         .header("Host", "lab")
         .header("Request-Id", format!("{id:x}"))
-        .header("Tenant", &rig.sc.tenants[what.0 as usize].name)
-        .header("Request-Timeout", format!("{left}u"));
+        .header("Tenant", &testbed.scenario.tenants[labels.0 as usize].name)
+        .header("Request-Timeout", format!("{remaining}u"));
     let request = match class.effect {
         Idempotency::Keyed { .. } => request.header("Idempotency-Key", format!("{id:032x}")),
         _ => request,
@@ -152,44 +162,45 @@
         Ok((StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS, after)) => {
             (Answer::Refused, after)
         }
-        // A broken connection is no answer at all: it shows as overdue.
+        // A broken connection gives no answer, so the request counts as overdue.
         Err(_) => {
-            rig.checker.borrow_mut().overdue(id, rig.now());
+            testbed.checker.borrow_mut().overdue(id, testbed.now());
             return (Answer::Failed, None);
         }
         Ok(_) => (Answer::Failed, None),
     };
-    rig.checker.borrow_mut().answered(id, answer, rig.now());
+    testbed.checker.borrow_mut().answered(id, answer, testbed.now());
     (answer, retry_after)
 }
 
-/// Counts a request as open for as long as it lives; one whose client leaves is left.
-struct Open<'a> {
-    rig: &'a Rig,
+/// Counts a request as open while it lives, and reports it as abandoned or overdue when dropped without an
+/// answer.
+struct OpenGuard<'a> {
+    testbed: &'a Testbed,
     id: u64,
 }
 
-impl<'a> Open<'a> {
-    fn one(rig: &'a Rig, id: u64) -> Self {
-        rig.open.set(rig.open.get() + 1);
-        Open { rig, id }
+impl<'a> OpenGuard<'a> {
+    fn new(testbed: &'a Testbed, id: u64) -> Self {
+        testbed.open_requests.set(testbed.open_requests.get() + 1);
+        OpenGuard { testbed, id }
     }
 }
 
-impl Drop for Open<'_> {
+impl Drop for OpenGuard<'_> {
     fn drop(&mut self) {
-        self.rig.open.set(self.rig.open.get() - 1);
-        // Answered, that changes nothing; else its client has left, or waited in vain.
-        if self.rig.sc.clients.patience < 1.0 {
-            self.rig.checker.borrow_mut().left(self.id);
+        self.testbed.open_requests.set(self.testbed.open_requests.get() - 1);
+        // Has no effect after an answer.
+        if self.testbed.scenario.clients.patience < 1.0 {
+            self.testbed.checker.borrow_mut().left(self.id);
         } else {
-            self.rig.checker.borrow_mut().overdue(self.id, self.rig.now());
+            self.testbed.checker.borrow_mut().overdue(self.id, self.testbed.now());
         }
     }
 }
 
 #[derive(Debug, thiserror::Error)]
-enum Gone {
+enum ExchangeError {
     #[error("{0}")]
     Socket(#[from] std::io::Error),
     #[error("{0}")]
@@ -200,12 +211,12 @@
     clients: &Rc<Clients>,
     node: usize,
     request: Request<Full<Bytes>>,
-) -> Result<(StatusCode, Option<Micros>), Gone> {
+) -> Result<(StatusCode, Option<Micros>), ExchangeError> {
     let mut request = request;
     loop {
-        let kept = clients.idle[node].borrow_mut().pop();
-        let used = kept.is_some();
-        let mut connection = match kept {
+        let pooled = clients.idle[node].borrow_mut().pop();
+        let was_pooled = pooled.is_some();
+        let mut connection = match pooled {
             Some(c) if !c.is_closed() => c,
             Some(_) => continue,
             None => {
@@ -213,7 +224,7 @@
                 stream.set_nodelay(true)?;
                 let (sender, driver) = handshake(TokioIo::new(stream)).await?;
                 spawn_local(async move {
-                    // Its end shows at the sender.
+                    // Errors are returned by the sender.
                     let _ = driver.await;
                 });
                 sender
@@ -229,8 +240,8 @@
                 clients.idle[node].borrow_mut().push(connection);
                 return Ok((status, after));
             }
-            // It crossed the node's closing of an idle connection: sent once more on another.
-            Err(mut e) => match e.take_message().filter(|_| used) {
+            // The node closed the idle connection at the same time; retried on another one.
+            Err(mut e) => match e.take_message().filter(|_| was_pooled) {
                 Some(unsent) => request = unsent,
                 None => return Err(e.into_error().into()),
             },
--- a/crates/lab/src/load/discovery.rs
+++ b/crates/lab/src/load/discovery.rs
@@ -1,8 +1,9 @@
-//! A stand-in for discovery: the list, and a watch whose news comes as late as the scenario says.
+//! An emulated discovery service: the endpoint list, and a watch whose changes are delayed as in the
+//! scenario.
 
+use super::backend_servers::{full_response, streaming_response, BodySender, ResponseBody};
 use super::nodes::{entries, entry};
-use super::stand::{streamed, whole, Answer, Feed};
-use super::Rig;
+use super::Testbed;
 use crate::sim::draw::{between, stream, Purpose};
 use crate::sim::faults::member;
 use hyper::body::{Bytes, Frame, Incoming};
@@ -20,22 +21,22 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep_until;
 
-/// A watch that has nothing to say says an empty line this often.
-const BEAT: Duration = Duration::from_secs(2);
+/// Interval at which a watch sends an empty line.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Serve the list to one node, on an address of its own: who was told what must be known.
-pub async fn listen(rig: &Rc<Rig>, node: u32) -> std::io::Result<SocketAddr> {
+/// Serves the list to one node, at an address of its own, so that the lab knows what each node has received.
+pub async fn listen(testbed: &Rc<Testbed>, node: u32) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
-    let rig = rig.clone();
+    let testbed = testbed.clone();
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let rig = rig.clone();
+            let testbed = testbed.clone();
             let _ = stream.set_nodelay(true);
             spawn_local(async move {
-                let service = service_fn(move |request| answer(rig.clone(), request, node));
+                let service = service_fn(move |request| respond(testbed.clone(), request, node));
                 let served = hyper::server::conn::http1::Builder::new();
-                // A node that goes away ends it, which is no concern of anyone.
+                // An error means that the node closed the connection.
                 let _ = served.serve_connection(TokioIo::new(stream), service).await;
             });
         }
@@ -47,52 +48,64 @@
     Bytes::from(format!("{}\n", json!({"revision": revision, "complete": complete, "members": members})))
 }
 
-async fn answer(rig: Rc<Rig>, request: Request<Incoming>, node: u32) -> Result<Response<Answer>, Infallible> {
-    let known = rig.news.borrow().len();
-    let list = line(known + 1, true, &entries(&rig));
-    for (server, s) in rig.servers.borrow().iter().enumerate() {
-        let m = member(&rig.sc, server as u32, s);
-        rig.checker.borrow_mut().told(node, m.id.0, m.state == EndpointState::Live, m.started_at, rig.now());
+async fn respond(
+    testbed: Rc<Testbed>,
+    request: Request<Incoming>,
+    node: u32,
+) -> Result<Response<ResponseBody>, Infallible> {
+    let change_count = testbed.list_changes.borrow().len();
+    let list = line(change_count + 1, true, &entries(&testbed));
+    for (server, s) in testbed.servers.borrow().iter().enumerate() {
+        let m = member(&testbed.scenario, server as u32, s);
+        testbed.checker.borrow_mut().told(
+            node,
+            m.id.0,
+            m.state == EndpointState::Live,
+            m.started_at,
+            testbed.now(),
+        );
     }
     if !request.uri().query().unwrap_or("").contains("watch=1") {
-        return Ok(whole(StatusCode::OK, list));
+        return Ok(full_response(StatusCode::OK, list));
     }
-    let (feed, response) = streamed();
-    let _ = feed.send(Ok(Frame::data(list)));
-    spawn_local(watch(rig, node, known, feed));
+    let (body, response) = streaming_response();
+    let _ = body.send(Ok(Frame::data(list)));
+    spawn_local(stream_changes(testbed, node, change_count, body));
     Ok(response)
 }
 
-/// Tell one node of each change, each in its own time, but in order.
-async fn watch(rig: Rc<Rig>, node: u32, mut seen: usize, feed: Feed) {
-    let mut rng = stream(rig.sc.seed ^ u64::from(node), Purpose::Discovery);
-    let mut changes = rig.news.subscribe();
+/// Sends each change to one node in order, each with its own delay.
+async fn stream_changes(testbed: Rc<Testbed>, node: u32, mut sent_changes: usize, body: BodySender) {
+    let mut rng = stream(testbed.scenario.seed ^ u64::from(node), Purpose::Discovery);
+    let mut changes = testbed.list_changes.subscribe();
     let mut due: VecDeque<(Micros, Endpoint)> = VecDeque::new();
     let mut last = 0;
-    // What waits to be told must not put the beat off.
-    let mut beat = tokio::time::interval(BEAT);
-    while !feed.is_closed() {
-        for member in rig.news.borrow().iter().skip(seen).cloned() {
-            seen += 1;
-            let at = (rig.now() + between(&mut rng, rig.sc.lag)).max(rig.silent_until.get()).max(last);
+    // An interval, since pending changes must not delay it.
+    let mut keepalive = tokio::time::interval(KEEPALIVE_INTERVAL);
+    while !body.is_closed() {
+        for member in testbed.list_changes.borrow().iter().skip(sent_changes).cloned() {
+            sent_changes += 1;
+            let at = (testbed.now() + between(&mut rng, testbed.scenario.lag))
+                .max(testbed.silent_until.get())
+                .max(last);
             last = at;
             due.push_back((at, member));
         }
-        let next = due.front().map(|d| rig.moment(d.0));
+        let next = due.front().map(|d| testbed.instant(d.0));
         tokio::select! {
-            () = async { sleep_until(next.unwrap_or(rig.origin.get())).await }, if next.is_some() => {
+            () = async { sleep_until(next.unwrap_or(testbed.clock_start.get())).await }, if next.is_some() => {
                 let Some((_, member)) = due.pop_front() else { continue };
                 let live = member.state == EndpointState::Live;
-                let told = line(seen - due.len() + 1, false, &[entry(&rig, &member)]);
-                // A watch that has ended tells nobody.
-                if feed.is_closed() || feed.send(Ok(Frame::data(told))).is_err() {
+                let update = line(sent_changes - due.len() + 1, false, &[entry(&testbed, &member)]);
+                // The node has closed the watch.
+                if body.is_closed() || body.send(Ok(Frame::data(update))).is_err() {
                     return;
                 }
-                rig.checker.borrow_mut().told(node, member.id.0, live, member.started_at, rig.now());
+                testbed.checker.borrow_mut().told(node, member.id.0, live, member.started_at, testbed.now());
             }
             changed = changes.changed() => if changed.is_err() { return },
-            _ = beat.tick() => {
-                let _ = feed.send(Ok(Frame::data(Bytes::from_static(b"\n"))));
+            _ = keepalive.tick() => {
+                let _ = body.send(Ok(Frame::data(Bytes::from_static(b"\n"))));
             }
         }
     }
--- a/crates/lab/src/load/mod.rs
+++ b/crates/lab/src/load/mod.rs
@@ -1,15 +1,14 @@
-//! The same scenario on sockets: real nodes on loopback, between clients, backend servers and a discovery that
-//! the lab plays itself.
+//! Runs scenarios on sockets: real nodes on loopback between emulated clients, backend servers and discovery.
 //!
-//! The load is an open loop. Latency counts from the moment at which a request was meant to be sent, so that a
-//! node that stalls can't hide behind clients that wait for it; and where the lab itself can't keep up, the run is
-//! said to have been late and its latencies are withheld.
+//! The load is an open loop. Latency counts from the time at which a request was due, so that a stalled node
+//! cannot hide behind clients that wait for it. If the lab itself sends too late, the result says so and has
+//! no latencies.
 
+mod backend_servers;
 mod clients;
 mod discovery;
-pub mod lone;
 mod nodes;
-mod stand;
+pub mod single_server;
 
 use crate::rules::{Checker, Limits};
 use crate::scenario::{Scenario, Trouble};
@@ -33,208 +32,217 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::Instant;
 
-/// Time limits of the rules are so much longer on sockets.
-const SLACK: Micros = 50_000;
-/// A run whose sends were later than this, one in a hundred, ran late.
-const LATE: Micros = 10_000;
-/// The most that one run may ask for: requests, nodes and servers.
-const MOST: (f64, u32, u32) = (200_000.0, 32, 500);
+/// Additional slack of the time limits of the rules on sockets.
+const SOCKET_SLACK: Micros = 50_000;
+/// Limit of the 99th percentile of the send lag, above which a run counts as late.
+const MAX_SEND_LAG: Micros = 10_000;
+/// Largest supported scenario: requests, nodes and servers.
+const MAX_SIZE: (f64, u32, u32) = (200_000.0, 32, 500);
 
-/// Why a scenario can't be played on sockets.
+/// Errors of a run on sockets.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// It needs what loopback can't play.
-    #[error("a {0} can't be played on loopback sockets; the emulator plays it")]
-    Trouble(&'static str),
-    /// It is too large.
-    #[error("it would take {0}; on sockets {1} at most")]
+    /// The scenario has a fault that loopback sockets cannot emulate.
+    #[error("the fault {0} is not supported on loopback sockets; run it in the emulator")]
+    UnsupportedFault(&'static str),
+    /// The scenario is too large: what it needs, and the limit.
+    #[error("the scenario needs {0}; the limit on sockets is {1}")]
     TooLarge(String, String),
-    /// It names another policy.
-    #[error("on sockets the node decides (rfq); the policy {0} is played by the emulator alone")]
+    /// The scenario names a policy other than that of the node.
+    #[error("on sockets the nodes decide (policy rfq); the policy {0} runs in the emulator only")]
     Policy(String),
-    /// A node did not start, or ended.
-    #[error("{program}: {why}")]
+    /// A node did not start, or exited.
+    #[error("{program}: {reason}")]
     Node {
-        /// The program.
+        /// The path of the program.
         program: PathBuf,
-        /// What happened.
-        why: String,
+        /// The cause.
+        reason: String,
     },
-    /// A socket failed.
+    /// A socket or file operation failed.
     #[error("{0}")]
     Socket(#[from] std::io::Error),
 }
 
-/// What a run on sockets came to.
+/// Result of a run on sockets.
 #[derive(Clone, Debug, Serialize)]
-pub struct Played {
-    /// As the emulator's; its latencies are withheld (0) where it ran late.
+pub struct LoadResult {
+    /// The same report as that of the emulator; its latencies are 0 if the run was late.
     pub report: Report,
-    /// How much later than meant requests were sent, in seconds: median, 99%, the latest.
+    /// Send lag of the requests in seconds: median, 99th percentile and maximum.
     pub lag: [f64; 3],
-    /// The lab did not keep up: latencies would be its own.
+    /// Whether the lab sent requests too late, so that the latencies would be its own.
     pub late: bool,
 }
 
-/// What a job's dispatcher is told.
+/// Progress of a job, as its server reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Note {
+enum JobProgress {
     Started,
     Done,
     Failed,
 }
 
-/// A job at a stand-in.
+/// A job at an emulated server.
 #[derive(Debug)]
-struct Run {
+struct RunningJob {
     id: u64,
     fails: bool,
-    notes: tokio::sync::mpsc::UnboundedSender<Note>,
+    progress: tokio::sync::mpsc::UnboundedSender<JobProgress>,
 }
 
-/// One request as a client handed it in.
+/// What an emulated server needs to know of a request.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct RequestInfo {
     work: f64,
     node: u32,
 }
 
-/// Everything that the parties share. All of them live on one thread.
+/// State shared by clients, servers and discovery, which all run on one thread.
 #[derive(Debug)]
-struct Rig {
-    sc: Scenario,
-    /// When the clock of the models began.
-    origin: Cell<Instant>,
+struct Testbed {
+    scenario: Scenario,
+    /// Start of the clock of the models.
+    clock_start: Cell<Instant>,
     servers: RefCell<Vec<Server>>,
-    runs: RefCell<SlotMap<RunKey, Run>>,
-    /// Told when a server's next end has changed.
-    turned: Vec<Notify>,
-    /// Grows when a server dies: its connections end.
-    deaths: Vec<watch::Sender<u32>>,
+    running_jobs: RefCell<SlotMap<RunKey, RunningJob>>,
+    /// Notified when the next event of a server has changed.
+    rescheduled: Vec<Notify>,
+    /// Incremented when the process of a server dies or starts.
+    process_changes: Vec<watch::Sender<u32>>,
     addresses: RefCell<Vec<SocketAddr>>,
-    asked: RefCell<FxHashMap<u64, Asked>>,
+    requests: RefCell<FxHashMap<u64, RequestInfo>>,
     checker: RefCell<Checker>,
     tally: RefCell<Tally>,
     lag: RefCell<Histogram<u64>>,
-    network: RefCell<ChaCha8Rng>,
-    failures: RefCell<ChaCha8Rng>,
-    clients: RefCell<ChaCha8Rng>,
-    /// All changes of the list so far, in order.
-    news: watch::Sender<Vec<Endpoint>>,
+    network_rng: RefCell<ChaCha8Rng>,
+    failure_rng: RefCell<ChaCha8Rng>,
+    client_rng: RefCell<ChaCha8Rng>,
+    /// All changes of the endpoint list so far, in order.
+    list_changes: watch::Sender<Vec<Endpoint>>,
     silent_until: Cell<Micros>,
-    open: Cell<u32>,
+    open_requests: Cell<u32>,
 }
 
-impl Rig {
-    fn new(sc: &Scenario) -> Rc<Rig> {
-        let servers = make_servers(sc);
-        let limits = Limits { slack: sc.rules.slack + SLACK, drain_grace: sc.rules.drain_grace + SLACK };
+impl Testbed {
+    fn new(scenario: &Scenario) -> Rc<Testbed> {
+        let servers = make_servers(scenario);
+        let limits = Limits {
+            slack: scenario.rules.slack + SOCKET_SLACK,
+            drain_grace: scenario.rules.drain_grace + SOCKET_SLACK,
+        };
         let lag = Histogram::new_with_bounds(1, 3_600_000_000, 3);
-        Rc::new(Rig {
-            origin: Cell::new(Instant::now()),
-            turned: servers.iter().map(|_| Notify::new()).collect(),
-            deaths: servers.iter().map(|_| watch::channel(0).0).collect(),
+        Rc::new(Testbed {
+            clock_start: Cell::new(Instant::now()),
+            rescheduled: servers.iter().map(|_| Notify::new()).collect(),
+            process_changes: servers.iter().map(|_| watch::channel(0).0).collect(),
             addresses: RefCell::default(),
             servers: RefCell::new(servers),
-            runs: RefCell::default(),
-            asked: RefCell::default(),
+            running_jobs: RefCell::default(),
+            requests: RefCell::default(),
             checker: RefCell::new(Checker::new(limits)),
-            tally: RefCell::new(Tally::new(sc)),
-            // These bounds are the crate's own minimum or more.
+            tally: RefCell::new(Tally::new(scenario)),
+            // The bounds are constant and valid.
             lag: RefCell::new(lag.unwrap_or_else(|_| unreachable!())),
-            network: RefCell::new(stream(sc.seed, Purpose::Network)),
-            failures: RefCell::new(stream(sc.seed, Purpose::Failures)),
-            clients: RefCell::new(stream(sc.seed, Purpose::Clients)),
-            news: watch::channel(Vec::new()).0,
+            network_rng: RefCell::new(stream(scenario.seed, Purpose::Network)),
+            failure_rng: RefCell::new(stream(scenario.seed, Purpose::Failures)),
+            client_rng: RefCell::new(stream(scenario.seed, Purpose::Clients)),
+            list_changes: watch::channel(Vec::new()).0,
             silent_until: Cell::new(0),
-            open: Cell::new(0),
-            sc: sc.clone(),
+            open_requests: Cell::new(0),
+            scenario: scenario.clone(),
         })
     }
 
-    /// The time on the clock of the models.
+    /// Returns the time on the clock of the models.
     fn now(&self) -> Micros {
-        START + self.origin.get().elapsed().as_micros() as Micros
+        START + self.clock_start.get().elapsed().as_micros() as Micros
     }
 
-    /// The moment of a time on that clock.
-    fn moment(&self, at: Micros) -> Instant {
-        self.origin.get() + Duration::from_micros((at - START).max(0) as u64)
+    /// Returns the instant of a time on the clock of the models.
+    fn instant(&self, at: Micros) -> Instant {
+        self.clock_start.get() + Duration::from_micros((at - START).max(0) as u64)
     }
 }
 
-fn fits(sc: &Scenario) -> Result<(), LoadError> {
-    if let Some(f) = sc.faults.iter().find(|f| matches!(f.trouble, Trouble::Cut | Trouble::ZoneLoss)) {
-        return Err(LoadError::Trouble(if f.trouble == Trouble::Cut { "cut" } else { "zone-loss" }));
+fn check_supported(scenario: &Scenario) -> Result<(), LoadError> {
+    if let Some(f) = scenario.faults.iter().find(|f| matches!(f.trouble, Trouble::Cut | Trouble::ZoneLoss)) {
+        return Err(LoadError::UnsupportedFault(if f.trouble == Trouble::Cut { "cut" } else { "zone-loss" }));
     }
-    if sc.policy != "rfq" {
-        return Err(LoadError::Policy(sc.policy.clone()));
+    if scenario.policy != "rfq" {
+        return Err(LoadError::Policy(scenario.policy.clone()));
     }
-    let requests = sc.rate * sc.length as f64 / 1e6;
-    let too = |what: String, most: String| Err(LoadError::TooLarge(what, most));
-    match sc {
-        _ if requests > MOST.0 => too(format!("{requests:.0} requests"), format!("{:.0}", MOST.0)),
-        _ if sc.nodes > MOST.1 => too(format!("{} nodes", sc.nodes), MOST.1.to_string()),
-        _ if sc.servers.count > MOST.2 => too(format!("{} servers", sc.servers.count), MOST.2.to_string()),
+    let requests = scenario.rate * scenario.length as f64 / 1e6;
+    let too_large = |needed: String, limit: String| Err(LoadError::TooLarge(needed, limit));
+    match scenario {
+        _ if requests > MAX_SIZE.0 => {
+            too_large(format!("{requests:.0} requests"), format!("{:.0}", MAX_SIZE.0))
+        }
+        _ if scenario.nodes > MAX_SIZE.1 => {
+            too_large(format!("{} nodes", scenario.nodes), MAX_SIZE.1.to_string())
+        }
+        _ if scenario.servers.count > MAX_SIZE.2 => {
+            too_large(format!("{} servers", scenario.servers.count), MAX_SIZE.2.to_string())
+        }
         _ => Ok(()),
     }
 }
 
-/// Play a scenario with nodes of that program.
+/// Runs a scenario with nodes of a program.
 ///
 /// # Errors
-/// See [`LoadError`]; nothing is left running.
-pub fn play(sc: &Scenario, program: &Path) -> Result<Played, LoadError> {
-    fits(sc)?;
+/// See [`LoadError`]. All processes have been stopped on return.
+pub fn run(scenario: &Scenario, program: &Path) -> Result<LoadResult, LoadError> {
+    check_supported(scenario)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    LocalSet::new().block_on(&runtime, run(sc, program))
+    LocalSet::new().block_on(&runtime, run_on_runtime(scenario, program))
 }
 
-async fn run(sc: &Scenario, program: &Path) -> Result<Played, LoadError> {
-    // The models' clock begins when the nodes are ready; until then the fleet stands still.
-    let rig = Rig::new(sc);
-    let ends = stand::listen(&rig).await?;
-    let nodes = nodes::start(&rig, program).await?;
-    rig.origin.set(Instant::now());
-    stand::begin(&rig, ends);
+async fn run_on_runtime(scenario: &Scenario, program: &Path) -> Result<LoadResult, LoadError> {
+    // The clock of the models starts when all nodes are ready.
+    let testbed = Testbed::new(scenario);
+    let listeners = backend_servers::listen(&testbed).await?;
+    let nodes = nodes::start(&testbed, program).await?;
+    testbed.clock_start.set(Instant::now());
+    backend_servers::start(&testbed, listeners);
     let addresses: Vec<SocketAddr> = nodes.iter().map(|n| n.address).collect();
-    for (index, f) in sc.faults.iter().enumerate() {
-        let struck = struck(sc, &rig.servers.borrow(), index);
-        for (at, step) in steps(f, sc.length + sc.longest()) {
-            let (rig, struck, fault) = (rig.clone(), struck.clone(), f.clone());
+    for (index, f) in scenario.faults.iter().enumerate() {
+        let affected = struck(scenario, &testbed.servers.borrow(), index);
+        for (at, step) in steps(f, scenario.length + scenario.longest()) {
+            let (testbed, affected, fault) = (testbed.clone(), affected.clone(), f.clone());
             spawn_local(async move {
-                tokio::time::sleep_until(rig.moment(START + at)).await;
-                stand::fault(&rig, &fault, index as u32, step, &struck);
+                tokio::time::sleep_until(testbed.instant(START + at)).await;
+                backend_servers::apply_fault(&testbed, &fault, index as u32, step, &affected);
             });
         }
     }
-    let sampler = spawn_local(sample(rig.clone()));
-    clients::drive(&rig, &addresses).await;
+    let sampler = spawn_local(sample(testbed.clone()));
+    clients::send_all(&testbed, &addresses).await;
     sampler.abort();
     for node in nodes {
         node.stop().await?;
     }
-    let done: f64 = rig.servers.borrow().iter().map(|s| s.done).sum();
-    let mut report = rig.tally.borrow().report(sc, 0, done, &rig.checker.borrow());
-    let lag = rig.lag.borrow();
-    let at = |q: f64| lag.value_at_quantile(q) as f64 / 1e6;
-    let late = lag.value_at_quantile(0.99) > LATE as u64;
+    let done: f64 = testbed.servers.borrow().iter().map(|s| s.done).sum();
+    let mut report = testbed.tally.borrow().report(scenario, 0, done, &testbed.checker.borrow());
+    let lag = testbed.lag.borrow();
+    let lag_at = |q: f64| lag.value_at_quantile(q) as f64 / 1e6;
+    let late = lag.value_at_quantile(0.99) > MAX_SEND_LAG as u64;
     if late {
         report.latency = [0.0; 5];
         report.cdf.clear();
     }
-    Ok(Played { report, lag: [at(0.5), at(0.99), lag.max() as f64 / 1e6], late })
+    Ok(LoadResult { report, lag: [lag_at(0.5), lag_at(0.99), lag.max() as f64 / 1e6], late })
 }
 
-async fn sample(rig: Rc<Rig>) {
+async fn sample(testbed: Rc<Testbed>) {
     for k in 1.. {
         let at = START + k * 250_000;
-        tokio::time::sleep_until(rig.moment(at)).await;
-        let servers = rig.servers.borrow();
+        tokio::time::sleep_until(testbed.instant(at)).await;
+        let servers = testbed.servers.borrow();
         let held: u32 = servers.iter().map(|s| s.held() as u32).sum();
         let each = servers.iter().map(Server::held);
-        rig.tally.borrow_mut().sample(at - START, held, rig.open.get(), each);
-        if at - START >= rig.sc.length {
+        testbed.tally.borrow_mut().sample(at - START, held, testbed.open_requests.get(), each);
+        if at - START >= testbed.scenario.length {
             return;
         }
     }
--- a/crates/lab/src/load/nodes.rs
+++ b/crates/lab/src/load/nodes.rs
@@ -1,6 +1,6 @@
-//! The nodes: the real program, one process each, by a configuration made from the scenario.
+//! The nodes: processes of the real program, with configurations made from the scenario.
 
-use super::{discovery, LoadError, Rig};
+use super::{discovery, LoadError, Testbed};
 use crate::sim::draw::{stream, Purpose};
 use crate::sim::faults::member;
 use rand::RngExt;
@@ -16,44 +16,44 @@
 use tokio::process::{Child, Command};
 use tokio::time::timeout;
 
-/// Within this time a node serves, or is gone after it was told to end.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time within which a node must serve after its start, and exit after it is killed.
+const START_STOP_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A node that serves. It ends with this.
+/// A running node, which is killed when this is dropped.
 #[derive(Debug)]
 pub struct Node {
     child: Child,
-    /// Where clients connect.
+    /// Address for clients.
     pub address: SocketAddr,
     _dir: TempDir,
 }
 
-/// Discovery's entry for a server.
-pub fn entry(rig: &Rig, m: &Endpoint) -> Value {
-    let address = rig.addresses.borrow()[m.id.0 as usize];
+/// Returns a server's entry in the endpoint list.
+pub fn entry(testbed: &Testbed, m: &Endpoint) -> Value {
+    let address = testbed.addresses.borrow()[m.id.0 as usize];
     let phase = match m.state {
         EndpointState::Live => "active",
         EndpointState::Draining => "leaving",
         EndpointState::Removed => "left",
     };
-    // The models' clock began with the rig: a start is told by the wall's clock.
+    // Start times are sent as Unix time, since the clock of the models starts with the run.
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-    let ago = (rig.now() - m.started_at).max(0) / 1_000;
-    let started = if m.started_at > 0 { unix.as_millis() as i64 - ago } else { 0 };
+    let age_ms = (testbed.now() - m.started_at).max(0) / 1_000;
+    let started = if m.started_at > 0 { unix.as_millis() as i64 - age_ms } else { 0 };
     json!({"id": format!("s-{}", m.id.0), "host_port": address.to_string(),
-           "locality": rig.sc.zones[m.zone.0 as usize], "flavor": rig.sc.servers.kinds[m.kind.0 as usize].name,
+           "locality": testbed.scenario.zones[m.zone.0 as usize], "flavor": testbed.scenario.servers.kinds[m.kind.0 as usize].name,
            "cell": 0, "phase": phase, "size": m.capacity, "up_since_ms": started})
 }
 
-/// All entries as they stand.
-pub fn entries(rig: &Rig) -> Vec<Value> {
-    let servers = rig.servers.borrow();
-    servers.iter().enumerate().map(|(k, s)| entry(rig, &member(&rig.sc, k as u32, s))).collect()
+/// Returns the entries of all servers in their current state.
+pub fn entries(testbed: &Testbed) -> Vec<Value> {
+    let servers = testbed.servers.borrow();
+    servers.iter().enumerate().map(|(k, s)| entry(testbed, &member(&testbed.scenario, k as u32, s))).collect()
 }
 
-/// The configuration of a node, as the platform gives it.
-fn config(rig: &Rig, node: u32, discovery: SocketAddr) -> Value {
-    let sc = &rig.sc;
+/// Returns the configuration of a node.
+fn config(testbed: &Testbed, node: u32, discovery: SocketAddr) -> Value {
+    let scenario = &testbed.scenario;
     let ms = |t: i64| t as f64 / 1000.0;
     let class = |c: &crate::scenario::Class| {
         let (semantics, group, window) = match c.effect {
@@ -65,46 +65,46 @@
         json!({"name": c.name, "semantics": semantics, "group": group, "dedup_window_ms": ms(window), "target_ms": ms(c.wanted), "deadline_ms": ms(c.give_up),
                "late_worth": c.late, "worth": c.worth})
     };
-    let classes: Vec<Value> = sc.classes.iter().map(class).collect();
-    let stretch: Vec<f64> = sc.classes.iter().map(|c| c.stretch).collect();
+    let classes: Vec<Value> = scenario.classes.iter().map(class).collect();
+    let stretch: Vec<f64> = scenario.classes.iter().map(|c| c.stretch).collect();
     let project =
         |t: &crate::scenario::Tenant| json!({"name": t.name, "portion": t.share, "quota_rps": t.quota});
-    let seed: u64 = stream(sc.seed, Purpose::Node(node)).random();
+    let seed: u64 = stream(scenario.seed, Purpose::Node(node)).random();
     json!({
         "name": format!("n{node}"), "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
         "seed": format!("{seed:016x}"), "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": {"revision": 1, "complete": true, "members": entries(rig)},
+        "known": {"revision": 1, "complete": true, "members": entries(testbed)},
         "settings": {
-            "allowed": {"cancel": true, "conn_idle_ms": ms(sc.network.idle),
-                        "connect_timeout_ms": ms(sc.network.connect_timeout),
-                        "max_retry_after_ms": ms(sc.rules.retry_after),
-                        "retry_after": sc.rules.retry_after > 0, "try_limit": sc.rules.attempts},
-            "azs": sc.zones, "classes": classes, "costs": {"cross_zone": sc.rules.cross_zone},
+            "allowed": {"cancel": true, "conn_idle_ms": ms(scenario.network.idle),
+                        "connect_timeout_ms": ms(scenario.network.connect_timeout),
+                        "max_retry_after_ms": ms(scenario.rules.retry_after),
+                        "retry_after": scenario.rules.retry_after > 0, "try_limit": scenario.rules.attempts},
+            "azs": scenario.zones, "classes": classes, "costs": {"cross_zone": scenario.rules.cross_zone},
             "discovery": "pushed",
             "family_info": {"class_kind": vec![-1; stretch.len()], "class_stretch": stretch,
-                            "tells_start": sc.servers.tells_start},
+                            "tells_start": scenario.servers.tells_start},
             "granularity_ms": 1.0,
-            "kinds": sc.servers.kinds.iter().map(|k| &k.name).collect::<Vec<_>>(),
-            "over_share_worth": sc.rules.over_share,
-            "projects": sc.tenants.iter().map(project).collect::<Vec<_>>(),
-            "rank": node, "replicas_of_me": sc.nodes,
-            "rules": {"cold_ms": ms(sc.servers.warm_up), "cold_share": sc.servers.cold,
-                      "drain_grace_ms": ms(sc.rules.drain_grace), "fall_ms": ms(sc.servers.fall_window),
-                      "tip_multiple": sc.servers.fall_multiple},
-            "value_by": if sc.rules.by_work { "work" } else { "request" }, "weights": "nominal", "zone": sc.zones[node as usize % sc.zones.len()],
+            "kinds": scenario.servers.kinds.iter().map(|k| &k.name).collect::<Vec<_>>(),
+            "over_share_worth": scenario.rules.over_share,
+            "projects": scenario.tenants.iter().map(project).collect::<Vec<_>>(),
+            "rank": node, "replicas_of_me": scenario.nodes,
+            "rules": {"cold_ms": ms(scenario.servers.warm_up), "cold_share": scenario.servers.cold,
+                      "drain_grace_ms": ms(scenario.rules.drain_grace), "fall_ms": ms(scenario.servers.fall_window),
+                      "tip_multiple": scenario.servers.fall_multiple},
+            "value_by": if scenario.rules.by_work { "work" } else { "request" }, "weights": "nominal", "zone": scenario.zones[node as usize % scenario.zones.len()],
         }
     })
 }
 
-/// Start all nodes and wait until they serve.
-pub async fn start(rig: &Rc<Rig>, program: &Path) -> Result<Vec<Node>, LoadError> {
+/// Starts all nodes and waits until they serve.
+pub async fn start(testbed: &Rc<Testbed>, program: &Path) -> Result<Vec<Node>, LoadError> {
     let mut nodes = Vec::new();
-    for node in 0..rig.sc.nodes {
-        let fail = |why: String| LoadError::Node { program: program.to_path_buf(), why };
+    for node in 0..testbed.scenario.nodes {
+        let fail = |reason: String| LoadError::Node { program: program.to_path_buf(), reason };
         let dir = tempfile::Builder::new().prefix("lab").tempdir()?;
         let path = dir.path().join("config.json");
-        let discovery = discovery::listen(rig, node).await?;
-        std::fs::write(&path, config(rig, node, discovery).to_string())?;
+        let discovery = discovery::listen(testbed, node).await?;
+        std::fs::write(&path, config(testbed, node, discovery).to_string())?;
         let mut child = Command::new(program)
             .args(["serve", "--config"])
             .arg(&path)
@@ -117,7 +117,7 @@
             .kill_on_drop(true)
             .spawn()
             .map_err(|e| fail(e.to_string()))?;
-        let log = child.stderr.take().ok_or_else(|| fail("has no log".into()))?;
+        let log = child.stderr.take().ok_or_else(|| fail("has no standard error stream".into()))?;
         let mut lines = BufReader::new(log).lines();
         let mut last = String::new();
         let ready = async {
@@ -129,9 +129,10 @@
             }
             None
         };
-        let address = timeout(PATIENCE, ready).await.ok().flatten();
-        let address = address.ok_or_else(|| fail(format!("does not serve: {last}")))?;
-        // Its log is read on, or it would drop lines and nobody would know.
+        let address = timeout(START_STOP_TIMEOUT, ready).await.ok().flatten();
+        let address =
+            address.ok_or_else(|| fail(format!("did not start to serve; its last log line: {last}")))?;
+        // Reads the rest of the log, since the node would drop lines if nothing did.
         tokio::task::spawn_local(async move { while let Ok(Some(_)) = lines.next_line().await {} });
         nodes.push(Node { child, address, _dir: dir });
     }
@@ -139,14 +140,16 @@
 }
 
 impl Node {
-    /// Kill it: all that it took is answered by now. One that has ended before is a failure.
+    /// Kills the node, which has answered all requests by now. Returns an error if it has exited before.
     pub async fn stop(mut self) -> Result<(), LoadError> {
-        let fail = |why: String| LoadError::Node { program: "a node".into(), why };
+        let fail = |reason: String| LoadError::Node { program: "a node".into(), reason };
         if let Some(status) = self.child.try_wait()? {
-            return Err(fail(format!("ended by itself: {status}")));
+            return Err(fail(format!("exited unexpectedly: {status}")));
         }
         self.child.start_kill()?;
-        timeout(PATIENCE, self.child.wait()).await.map_err(|_| fail("does not end".into()))??;
+        timeout(START_STOP_TIMEOUT, self.child.wait())
+            .await
+            .map_err(|_| fail("did not exit after it was killed".into()))??;
         Ok(())
     }
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use shorepath_lab::compare::{self, paired};
 use shorepath_lab::experiment::{change, path_of, scenario_file, Experiment, ExperimentError, FIGURES};
-use shorepath_lab::load::{self, LoadError, Played};
+use shorepath_lab::load::{self, LoadError, LoadResult};
 use shorepath_lab::plot::{of_rows, of_run, PlotError};
 use shorepath_lab::scenario::{self, Scenario};
 use shorepath_lab::sim::tally::Report;
@@ -383,7 +383,7 @@
     let (mut sums, mut late, mut broken) = ([0.0; 2], false, 0);
     for k in 0..replications.max(1) {
         let scenario = Scenario { seed: scenario.seed + k, ..scenario.clone() };
-        let (emulated, played) = (sim::run(&scenario), load::play(&scenario, program)?);
+        let (emulated, played) = (sim::run(&scenario), load::run(&scenario, program)?);
         sums[0] += emulated.service;
         sums[1] += played.report.service;
         late |= played.late;
@@ -394,7 +394,7 @@
     Ok(Apart { scenario, emulator, sockets, difference, late, broken })
 }
 
-fn print_lag(played: &Played) {
+fn print_lag(played: &LoadResult) {
     let [median, most, last] = played.lag.map(|s| s * 1e3);
     say!("  sent {median:.1} ms late at the median, {most:.1} at 99%, {last:.1} at most");
     if played.late {
@@ -511,16 +511,16 @@
             return Ok(ExitCode::SUCCESS);
         }
         Command::Fleet { logs } => {
-            let mut fleet = shorepath_lab::fleet::Fleet::default();
+            let mut fleet = shorepath_lab::fleet::FleetSummary::default();
             for path in &logs {
                 let text =
                     std::fs::read(path).map_err(|e| Failure::Usage(format!("{}: {e}", path.display())))?;
-                fleet.node(String::from_utf8_lossy(&text).lines());
+                fleet.add_log(String::from_utf8_lossy(&text).lines());
             }
             say!(
                 "{}",
                 serde_json::to_string_pretty(
-                    &json!({"counts": fleet, "news": fleet.news(), "spread": fleet.spread()})
+                    &json!({"counts": fleet, "news": fleet.list_delays(), "spread": fleet.dispatch_rates()})
                 )?
             );
         }
@@ -602,7 +602,7 @@
         }
         Command::Load { changes, program, json, file } => {
             let scenario = changes.apply(&file)?;
-            let played = load::play(&scenario, &program)?;
+            let played = load::run(&scenario, &program)?;
             if json {
                 say!("{}", serde_json::to_string(&played)?);
             } else {
@@ -637,15 +637,15 @@
             return Ok(if good { ExitCode::SUCCESS } else { ExitCode::from(2) });
         }
         Command::Lone { program, clients, seconds, json } => {
-            let lone = load::lone::measure(&program, clients, Duration::from_secs(seconds))?;
+            let lone = load::single_server::measure(&program, clients, Duration::from_secs(seconds))?;
             if json {
                 say!("{}", serde_json::to_string(&lone)?);
             } else {
-                let denied = 100.0 * lone.denied;
+                let denied = 100.0 * lone.rejected;
                 say!(
                     "{:.0} jobs/s straight, {:.0} through the node, {denied:.2}% denied",
                     lone.direct,
-                    lone.through
+                    lone.via_node
                 );
             }
         }
--- a/crates/lab/tests/sites.rs
+++ b/crates/lab/tests/sites.rs
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn errors_of_a_sites_scenarioare_reported_with_their_position() {
+fn errors_of_a_scenario_are_reported_with_their_position() {
     let wrong = "(sites-scenario (sites 3) (nodes 2)\n (lose (site 3) (at 5 s) (back 4 s)) (sede 1)\n (credit (jobs 1) (reserve 2)))";
     let all = file::read("f", wrong).unwrap_err().to_string();
     let parts = [
