--- a/crates/lab/src/budgets.rs
+++ b/crates/lab/src/budgets.rs
@@ -75,7 +75,7 @@
     }
 }
 
-/// Results of a trial.
+/// Results of one simulated run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcome {
     /// Fraction of the usable budget that the nodes were able to use before the failures.
@@ -424,11 +424,11 @@
         let seed = self.rng.random::<u64>() as usize;
         let node = &mut self.nodes[k];
         node.start_count += 1;
-        let at = node.clock.local_time(now);
+        let local_now = node.clock.local_time(now);
         let incarnation = NodeIncarnation { node: NodeId::of(&node.name), incarnation: node.start_count };
-        let mut client = QuotaClient::new(incarnation, plan, seed, at);
-        client.set_owns_address(true, at);
-        node.rate_limiter = TokenBucket::new(200 * MS, at);
+        let mut client = QuotaClient::new(incarnation, plan, seed, local_now);
+        client.set_owns_address(true, local_now);
+        node.rate_limiter = TokenBucket::new(200 * MS, local_now);
         (node.client, node.restart_at, node.pending_demand) = (Some(client), None, 0.0);
         node.own_job_ends.clear();
     }
@@ -449,12 +449,12 @@
                 continue;
             }
             let Some(client) = &mut node.client else { continue };
-            let at = node.clock.local_time(now);
+            let local_now = node.clock.local_time(now);
             max_usable += node.demand;
             usable_by_fixed_shares += node.demand.min(UNITS_PER_NODE);
             // Demand for the budget per second.
-            let rate = client.usable(RATE, at).unwrap_or(0);
-            node.rate_limiter.refill(at, rate);
+            let rate = client.usable(RATE, local_now).unwrap_or(0);
+            node.rate_limiter.refill(local_now, rate);
             node.pending_demand += node.demand as f64 * TICK as f64 / 1e6;
             let wanted = node.pending_demand as u64;
             let mut taken = 0;
@@ -467,7 +467,7 @@
             usable += node.demand.min(rate);
             client.record_usage(RATE, Usage { wanted, used: taken });
             // Demand for concurrent jobs: a tenth of the demand per second.
-            let limit = client.usable(FLIGHT, at).unwrap_or(0);
+            let limit = client.usable(FLIGHT, local_now).unwrap_or(0);
             let wanted_jobs = node.demand / 10 + 1;
             while (node.own_job_ends.len() as u64) < wanted_jobs.min(limit) {
                 let end_at = now + self.rng.random_range(200 * MS..MAX_JOB_DURATION);
@@ -476,7 +476,7 @@
                 self.outcome.jobs_started += 1;
             }
             client.record_usage(FLIGHT, Usage { wanted: wanted_jobs, used: node.own_job_ends.len() as u64 });
-            client.pass(at);
+            client.pass(local_now);
             for outgoing in client.take_outgoing() {
                 self.send(Destination::QuotaServer(outgoing.to, k as u32), &outgoing.message);
             }
@@ -556,9 +556,9 @@
                 self.nodes[k].restart_at = Some(self.now + duration / 4);
             }
             3 => {
-                let at = self.nodes[k].clock.local_time(self.now);
+                let local_now = self.nodes[k].clock.local_time(self.now);
                 if let Some(mut client) = self.nodes[k].client.take() {
-                    client.leave(at);
+                    client.leave(local_now);
                     for outgoing in client.take_outgoing() {
                         self.send(Destination::QuotaServer(outgoing.to, k as u32), &outgoing.message);
                     }
@@ -605,12 +605,12 @@
                     v.allocator.set_plan(self.plan.clone());
                 }
                 for n in &mut self.nodes {
-                    let at = n.clock.local_time(self.now);
+                    let local_now = n.clock.local_time(self.now);
                     let plan = self.plan.clone();
                     n.client
                         .iter_mut()
                         .filter(|_| n.halted_until <= self.now)
-                        .for_each(|s| s.replan(plan.clone(), at));
+                        .for_each(|s| s.replan(plan.clone(), local_now));
                 }
             }
         }
@@ -663,19 +663,19 @@
     pub dead_fraction: f64,
     /// Fraction of the messages that is lost.
     pub message_loss: f64,
-    /// See [`Outcome::used`].
+    /// Mean of [`Outcome::used`].
     pub used: f64,
-    /// See [`Outcome::fixed_shares`].
+    /// Mean of [`Outcome::fixed_shares`].
     pub fixed_shares: f64,
-    /// See [`Outcome::recovery_s`]; `None` if any seed did not recover.
+    /// Mean of [`Outcome::recovery_s`]; `None` if any seed did not recover.
     pub recovery_s: Option<f64>,
-    /// See [`Outcome::messages`].
+    /// Mean of [`Outcome::messages`].
     pub messages: f64,
-    /// See [`Outcome::bytes`].
+    /// Mean of [`Outcome::bytes`].
     pub bytes: f64,
     /// Violations of the limits, over all seeds: steps above the total, and units of the overrun.
     pub over_total: u64,
-    /// See [`Outcome::usage_over_time`]; of the first seed.
+    /// [`Outcome::usage_over_time`] of the first seed.
     pub usage_over_time: Vec<(f64, f64)>,
 }
 
--- a/crates/lab/src/load/mod.rs
+++ b/crates/lab/src/load/mod.rs
@@ -1,8 +1,8 @@
 //! Runs scenarios on sockets: real nodes on loopback between emulated clients, backend servers and discovery.
 //!
 //! The load is an open loop. Latency counts from the time at which a request was due, so that a stalled node
-//! cannot hide behind clients that wait for it. If the lab itself sends too late, the result says so and has
-//! no latencies.
+//! cannot hide behind clients that wait for it. If the lab itself sends too late, the result is marked
+//! as late and has no latencies.
 
 mod backend_servers;
 mod clients;
--- a/crates/lab/src/sites/file.rs
+++ b/crates/lab/src/sites/file.rs
@@ -20,7 +20,7 @@
 /// Direction in which a site is partitioned from the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// Both directions.
+    /// Messages in both directions are lost.
     Both,
     /// Messages to the site are lost.
     Inbound,
@@ -44,7 +44,7 @@
 /// An event at a site, with its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// What happens to the site.
+    /// The kind of the event, with its parameters.
     pub kind: EventKind,
     /// Index of the site, from 0.
     pub site: usize,
--- a/crates/lab/src/sites/node.rs
+++ b/crates/lab/src/sites/node.rs
@@ -63,7 +63,7 @@
     pub incarnation: u32,
 }
 
-/// Results of a tick.
+/// Messages and changes that a tick of a node's modules produced.
 #[derive(Default)]
 pub struct TickResult {
     pub messages: Vec<(u32, NodeMessage)>,
--- a/crates/lab/src/sites/simulation.rs
+++ b/crates/lab/src/sites/simulation.rs
@@ -435,13 +435,13 @@
         self.outcome.messages[kind].0 += 1;
         self.outcome.messages[kind].1 += bytes.map_or(0, |b| b.len() as u64);
         let Some(to) = self.node_by_number.get(&to).copied() else { return };
-        let other = self.nodes[to].site;
+        let other_site = self.nodes[to].site;
         let mut delay = self.rng.random_range(self.scenario.message_delay.0..=self.scenario.message_delay.1);
         let mut copies = 1;
-        if other != site {
-            let then = self.now - START;
-            for event in self.scenario.events.iter().filter(|e| e.is_active(then)) {
-                let (from_site, to_site) = (event.site == site, event.site == other);
+        if other_site != site {
+            let elapsed = self.now - START;
+            for event in self.scenario.events.iter().filter(|e| e.is_active(elapsed)) {
+                let (from_site, to_site) = (event.site == site, event.site == other_site);
                 match event.kind {
                     EventKind::Partition(Direction::Both) if from_site || to_site => return,
                     EventKind::Partition(Direction::Outbound) if from_site => return,
--- a/crates/lab/src/sites/study.rs
+++ b/crates/lab/src/sites/study.rs
@@ -126,24 +126,25 @@
     let is_measured = |scenario: &Scenario, at: Micros| {
         (scenario.measured_window.0..scenario.measured_window.1).contains(&at)
     };
-    let each =
+    let mean_over_runs =
         |g: &dyn Fn(&Scenario, &Outcome) -> f64| mean(runs.iter().map(|(scenario, out)| g(scenario, out)));
-    f.own_in_time = each(&|scenario, out| {
+    f.own_in_time = mean_over_runs(&|scenario, out| {
         let own = out.requests.iter().filter(|j| {
             is_measured(scenario, j.sent_at) && !scenario.is_affected(usize::from(j.client_site))
         });
         fraction(own.map(|j| j.served_by.is_some() && j.latency <= scenario.latency_objective))
     });
-    f.remote_in_time = each(&|scenario, out| {
+    f.remote_in_time = mean_over_runs(&|scenario, out| {
         let remote = out.requests.iter().filter(|j| {
             is_measured(scenario, j.sent_at) && scenario.is_lost(usize::from(j.client_site), j.sent_at)
         });
         remote.filter(|j| j.served_by.is_some() && j.latency <= scenario.latency_objective).count() as f64
             / usable_spare_requests(scenario)
     });
-    f.fast_rejections =
-        each(&|_, out| fraction(out.requests.iter().filter_map(|j| Some(j.rejected_after? <= 10 * MS))));
-    f.affected_served = each(&|scenario, out| {
+    f.fast_rejections = mean_over_runs(&|_, out| {
+        fraction(out.requests.iter().filter_map(|j| Some(j.rejected_after? <= 10 * MS)))
+    });
+    f.affected_served = mean_over_runs(&|scenario, out| {
         let own = out
             .requests
             .iter()
@@ -162,8 +163,8 @@
                 let max_changes = f.state_changes.entry(format!("{state:?}")).or_default();
                 *max_changes = most.max(*max_changes);
             }
-            let bad = matches!(state, SiteState::Doubtful | SiteState::Alone | SiteState::Lost);
-            if bad && !scenario.is_affected(*to) && !scenario.is_affected(*from) {
+            let is_bad = matches!(state, SiteState::Doubtful | SiteState::Alone | SiteState::Lost);
+            if is_bad && !scenario.is_affected(*to) && !scenario.is_affected(*from) {
                 f.false_alarms += nodes.values().sum::<u32>();
             }
         }
@@ -182,8 +183,9 @@
     delays.sort_by(f64::total_cmp);
     f.closing_ms = [quantile(&delays, 0.5), quantile(&delays, 0.99)];
     f.closed_nodes = closed_count as f64 / all as f64;
-    f.messages = [0, 1].map(|k| each(&|_, out| out.messages[k].0 as f64 / out.node_seconds));
-    f.message_bytes = [0, 1].map(|k| each(&|_, out| out.messages[k].1 as f64 / out.messages[k].0 as f64));
+    f.messages = [0, 1].map(|k| mean_over_runs(&|_, out| out.messages[k].0 as f64 / out.node_seconds));
+    f.message_bytes =
+        [0, 1].map(|k| mean_over_runs(&|_, out| out.messages[k].1 as f64 / out.messages[k].0 as f64));
     f
 }
 
@@ -296,15 +298,16 @@
 fn plot_series(name: &str, runs: &[(Scenario, Outcome)]) -> Vec<Series> {
     let Some((scenario, out)) = runs.first() else { return Vec::new() };
     let line = |is_affected: bool| {
-        let mut by = BTreeMap::<Micros, (u32, u32)>::new();
+        let mut by_second = BTreeMap::<Micros, (u32, u32)>::new();
         for j in
             out.requests.iter().filter(|j| scenario.is_affected(usize::from(j.client_site)) == is_affected)
         {
-            let (asked, served) = by.entry(j.sent_at / S).or_default();
+            let (asked, served) = by_second.entry(j.sent_at / S).or_default();
             *asked += 1;
             *served += u32::from(j.served_by.is_some() && j.latency <= scenario.latency_objective);
         }
-        by.into_iter()
+        by_second
+            .into_iter()
             .map(|(s, (asked, served))| (s as f64 + 0.5, f64::from(served) / f64::from(asked), None))
             .collect()
     };
