--- a/crates/quota-server/tests/golden.rs
+++ b/crates/quota-server/tests/golden.rs
@@ -6,7 +6,7 @@
 #[path = "../../rig/src/addresses.rs"]
 mod addresses;
 
-use addresses::fresh;
+use addresses::allocate_address;
 use flate2::read::GzDecoder;
 use flate2::write::GzEncoder;
 use flate2::Compression;
@@ -120,7 +120,7 @@
         let text = format!(
             "(budgets (version {version}) (term 1 s) (divider d0 \"{}\") (node n0 \"{own}\")
                (budget quota:a (whole 100) (reserve 5)))",
-            fresh().unwrap()
+            allocate_address().unwrap()
         );
         std::fs::write(folder.path().join("b.sexp"), &text).unwrap();
         Fleet { plan: read("b.sexp", &text).unwrap(), folder, child: None, socket }
--- a/crates/quota-server/tests/processes.rs
+++ b/crates/quota-server/tests/processes.rs
@@ -4,7 +4,7 @@
 #[path = "../../rig/src/addresses.rs"]
 mod addresses;
 
-use addresses::fresh;
+use addresses::allocate_address;
 use shorepath_message_auth::channel::Channel;
 use shorepath_message_auth::keyring::Keys;
 use shorepath_quota::config::{read, Plan};
@@ -66,8 +66,9 @@
     fn with_key(allocators: usize, key: Option<&str>) -> Fleet {
         let dir = tempfile::tempdir().unwrap();
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-        let other = fresh().unwrap();
-        let allocator_forms = (0..allocators).map(|k| format!("(divider d{k} \"{}\")", fresh().unwrap()));
+        let other = allocate_address().unwrap();
+        let allocator_forms =
+            (0..allocators).map(|k| format!("(divider d{k} \"{}\")", allocate_address().unwrap()));
         let allocator_forms: String = allocator_forms.collect();
         let key = key.map_or(String::new(), |digits| {
             write_keys(&dir.path().join("fleet.key"), &[digits], 0o600);
--- a/crates/rig/src/check.rs
+++ b/crates/rig/src/check.rs
@@ -1,7 +1,7 @@
 //! The checkers: what must hold of every history, whatever was done to the processes.
 
-use crate::fleet::{CONNECTIONS, FLIGHT, LISTS, PROBES, QUOTA, RETRIES};
 use crate::history::{At, Record, Repeat, What};
+use crate::quota_servers::{CONNECTIONS, DISCOVERY_CALLS, IN_FLIGHT, PROBES, QUOTA, RETRIES};
 use crate::standing::{self, Siting};
 use shorepath_lab::rules::{self, Answer, Limits};
 use shorepath_scheduler::Idempotency;
@@ -288,7 +288,7 @@
     for (at, id, _) in &sent {
         if seen.insert(*id) { &mut firsts } else { &mut further }.push(*at);
     }
-    for (budget, all) in [(QUOTA, firsts), (RETRIES, further), (PROBES, probes), (LISTS, calls)] {
+    for (budget, all) in [(QUOTA, firsts), (RETRIES, further), (PROBES, probes), (DISCOVERY_CALLS, calls)] {
         for span in SPANS {
             let mut first = 0;
             for (k, at) in all.iter().enumerate() {
@@ -331,7 +331,7 @@
     }
     let all =
         at_each.into_iter().map(|(server, moments)| (CONNECTIONS, format!(" at server {server}"), moments));
-    for (budget, place, mut moments) in [(FLIGHT, String::new(), flight)].into_iter().chain(all) {
+    for (budget, place, mut moments) in [(IN_FLIGHT, String::new(), flight)].into_iter().chain(all) {
         moments.sort_unstable();
         let mut out = 0;
         for (at, change) in moments {
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,22 +1,24 @@
-//! The rig: several processes of the real program on loopback, started from one seeded script, with every link between
-//! them, their discovery and their backend servers led through relays that delay, cut, hold back and break; a history of
-//! all that happened, and checkers that read nothing but the history.
+//! Fault-injection tests of real processes on loopback.
+//!
+//! A seeded script starts several processes of the program and injects faults. All links between them, to discovery and to the
+//! backend servers lead through relays that delay, cut, throttle and reset them. Everything that happens is recorded in a
+//! history, and checkers read only that history.
 
 pub mod addresses;
 pub mod check;
 mod disks;
-pub mod fleet;
 pub mod histories;
 pub mod history;
 mod http;
 pub mod measure;
-pub mod play;
 mod process;
+pub mod quota_servers;
 pub mod relay;
+pub mod runner;
 pub mod script;
 pub mod shrink;
 pub mod sites;
-mod stand;
 pub mod standing;
+mod stubs;
 
-pub use play::{play, PlayError};
+pub use runner::{run, RunError};
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -1,22 +1,22 @@
-//! The command line of the rig.
+//! The command line of `shorepath-rig`.
 
 use bpaf::Bpaf;
 use shorepath_rig::check::{check, shows, Violation};
 use shorepath_rig::history::{lines, Repeat, What as Event};
 use shorepath_rig::measure::{measure, What};
-use shorepath_rig::play::{play_beside, terms, Played};
+use shorepath_rig::runner::{run_with_older_version, terms, RunOutput};
 use shorepath_rig::script::{self, Script};
 use shorepath_rig::shrink::shrink;
-use shorepath_rig::PlayError;
+use shorepath_rig::RunError;
 use std::collections::BTreeSet;
 use std::io::Write;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Print a line; a reader that has left is no reason to panic.
-macro_rules! say {
-    ($($words:tt)*) => {{
-        let _ = writeln!(std::io::stdout(), $($words)*);
+/// Prints a line; in contrast to `println!` a closed pipe causes no panic.
+macro_rules! print_line {
+    ($($arguments:tt)*) => {{
+        let _ = writeln!(std::io::stdout(), $($arguments)*);
     }};
 }
 
@@ -28,9 +28,9 @@
     #[bpaf(command)]
     Run {
         #[bpaf(external)]
-        how: How,
+        run_options: RunOptions,
         #[bpaf(external)]
-        shape: Shape,
+        script_options: ScriptOptions,
         /// The first seed
         #[bpaf(long, argument("N"), fallback(1))]
         seed: u64,
@@ -42,7 +42,7 @@
     #[bpaf(command)]
     Replay {
         #[bpaf(external)]
-        how: How,
+        run_options: RunOptions,
         /// The script
         #[bpaf(positional("SCRIPT"))]
         file: PathBuf,
@@ -76,7 +76,7 @@
     #[bpaf(command)]
     Draw {
         #[bpaf(external)]
-        shape: Shape,
+        script_options: ScriptOptions,
         /// The seed
         #[bpaf(long, argument("N"), fallback(1))]
         seed: u64,
@@ -85,7 +85,7 @@
 
 /// What scripts drawn from seeds are like.
 #[derive(Clone, Debug, Bpaf)]
-struct Shape {
+struct ScriptOptions {
     /// How long clients ask, in seconds
     #[bpaf(long, argument("SECONDS"), fallback(6.0))]
     length: f64,
@@ -112,28 +112,30 @@
     change: u32,
 }
 
-impl Shape {
+impl ScriptOptions {
     fn draw(&self, seed: u64) -> Script {
         let length = (self.length * 1e6) as i64;
         let (nodes, servers) = (self.nodes.clamp(1, 64), self.servers.clamp(1, 64));
         if self.sites > 0 {
             let (nodes, servers) = (self.nodes_per_site.clamp(1, 7), self.servers_per_site.clamp(1, 7));
             let sites = self.sites.clamp(2, 9);
-            let drawn = match self.dividers.min(9) {
-                0 => Script::drawn_sites(seed, length, sites, nodes, servers),
-                dividers => Script::drawn_homes(seed, length, sites, nodes, servers, dividers),
+            let script = match self.dividers.min(9) {
+                0 => Script::random_sites(seed, length, sites, nodes, servers),
+                dividers => {
+                    Script::random_sites_with_quota_servers(seed, length, sites, nodes, servers, dividers)
+                }
             };
-            return drawn.changing(self.change);
+            return script.with_changed_datagrams(self.change);
         }
         match self.dividers.min(9) {
-            0 => Script::drawn(seed, length, nodes, servers),
-            dividers => Script::drawn_with(seed, length, nodes, servers, dividers),
+            0 => Script::random(seed, length, nodes, servers),
+            dividers => Script::random_with_quota_servers(seed, length, nodes, servers, dividers),
         }
     }
 }
 
 #[derive(Clone, Debug, Bpaf)]
-struct How {
+struct RunOptions {
     /// The node's program
     #[bpaf(long, argument("PROGRAM"), fallback(PathBuf::from("target/release/shorepath")))]
     program: PathBuf,
@@ -149,15 +151,15 @@
     history: Option<PathBuf>,
 }
 
-fn judged(script: &Script, how: &How) -> Result<(Played, Vec<Violation>), PlayError> {
-    let played = play_beside(script, &how.program, how.older.as_deref())?;
-    let found = check(&played.records, &terms(script));
-    Ok((played, found))
+fn run_and_check(script: &Script, run_options: &RunOptions) -> Result<(RunOutput, Vec<Violation>), RunError> {
+    let output = run_with_older_version(script, &run_options.program, run_options.older.as_deref())?;
+    let violations = check(&output.records, &terms(script));
+    Ok((output, violations))
 }
 
-/// How many starts servers saw of what must not repeat.
-fn guarded_starts(played: &Played) -> usize {
-    let guarded: BTreeSet<u64> = played
+/// Returns the number of job starts, over all servers, of requests that must not run twice.
+fn guarded_starts(output: &RunOutput) -> usize {
+    let guarded: BTreeSet<u64> = output
         .records
         .iter()
         .filter_map(|r| match r.what {
@@ -165,75 +167,76 @@
             _ => None,
         })
         .collect();
-    played
+    output
         .records
         .iter()
         .filter(|r| matches!(r.what, Event::Begun { id, .. } if guarded.contains(&id)))
         .count()
 }
 
-/// Play a script; where it fails, say what shows it, by the shortest script that does. Whether it failed.
-fn one(script: &Script, how: &How) -> Result<bool, PlayError> {
-    let (played, found) = judged(script, how)?;
-    if let Some(file) = &how.history {
-        std::fs::write(file, lines(&played.records))?;
+/// Runs a script and prints a summary. If a rule was broken, shrinks the script, prints the shortest one with the records of the
+/// violation, and returns true.
+fn run_script(script: &Script, run_options: &RunOptions) -> Result<bool, RunError> {
+    let (output, violations) = run_and_check(script, run_options)?;
+    if let Some(file) = &run_options.history {
+        std::fs::write(file, lines(&output.records))?;
     }
-    let count = |of: fn(&Event) -> bool| played.records.iter().filter(|r| of(&r.what)).count();
+    let count = |matches: fn(&Event) -> bool| output.records.iter().filter(|r| matches(&r.what)).count();
     let served = count(|w| matches!(w, Event::Answered { status: 200, .. }));
-    say!(
-        "seed {}: {} events, {} asked, {served} served, {} barred, {} dispatches, {} guarded starts, {} placements of them, {} broken rules",
+    print_line!(
+        "seed {}: {} events, {} requests, {served} served, {} rejected with a reason, {} dispatches, {} starts that must not repeat, {} placements of them, {} broken rules",
         script.seed,
         script.events.len(),
         count(|w| matches!(w, Event::Asked { .. })),
         count(|w| matches!(w, Event::Barred { .. })),
         count(|w| matches!(w, Event::Arrived { .. })),
-        guarded_starts(&played),
+        guarded_starts(&output),
         count(|w| matches!(w, Event::Placed { .. })),
-        found.len()
+        violations.len()
     );
-    let Some(first) = found.first() else { return Ok(false) };
-    found.iter().for_each(|v| say!("  {v}"));
-    let mut last = (played, first.clone(), script.clone());
-    shrink(&script.events, how.trials, |events| {
+    let Some(first) = violations.first() else { return Ok(false) };
+    violations.iter().for_each(|v| print_line!("  {v}"));
+    let mut shortest = (output, first.clone(), script.clone());
+    shrink(&script.events, run_options.trials, |events| {
         let shorter = Script { events: events.to_vec(), ..script.clone() };
-        let Ok((played, found)) = judged(&shorter, how) else { return false };
-        let same = found.into_iter().find(|v| v.rule == first.rule);
-        same.map(|v| last = (played, v, shorter)).is_some()
+        let Ok((output, violations)) = run_and_check(&shorter, run_options) else { return false };
+        let same_rule = violations.into_iter().find(|v| v.rule == first.rule);
+        same_rule.map(|v| shortest = (output, v, shorter)).is_some()
     });
-    let (played, violation, shorter) = last;
-    say!("the shortest script found that shows it:\n{shorter}");
-    say!("what shows it: {violation}\n{}", lines(&shows(&played.records, &violation)));
-    for (node, log) in played.logs.iter().enumerate() {
+    let (output, violation, shorter) = shortest;
+    print_line!("the shortest script found that reproduces it:\n{shorter}");
+    print_line!("violation and its records: {violation}\n{}", lines(&shows(&output.records, &violation)));
+    for (node, log) in output.logs.iter().enumerate() {
         let nodes = script.nodes as usize;
         let name = if node < nodes { format!("n{node}") } else { format!("d{}", node - nodes) };
-        log.iter().rev().take(5).rev().for_each(|line| say!("  {name}: {line}"));
+        log.iter().rev().take(5).rev().for_each(|line| print_line!("  {name}: {line}"));
     }
     Ok(true)
 }
 
 fn run(command: Command) -> Result<bool, Box<dyn std::error::Error>> {
     match command {
-        Command::Run { how, shape, seed, seeds } => {
+        Command::Run { run_options, script_options, seed, seeds } => {
             let mut failed = 0;
             for seed in seed..seed + seeds {
-                let script = shape.draw(seed);
-                let script = if how.older.is_some() { script.rolling() } else { script };
-                failed += u64::from(one(&script, &how)?);
+                let script = script_options.draw(seed);
+                let script = if run_options.older.is_some() { script.with_upgrades() } else { script };
+                failed += u64::from(run_script(&script, &run_options)?);
             }
-            say!("{seeds} seeds, {failed} with a broken rule");
+            print_line!("{seeds} seeds, {failed} with a broken rule");
             Ok(failed > 0)
         }
-        Command::Replay { how, file } => {
+        Command::Replay { run_options, file } => {
             let text = std::fs::read_to_string(&file)?;
-            Ok(one(&script::read(&file.display().to_string(), &text)?, &how)?)
+            Ok(run_script(&script::read(&file.display().to_string(), &text)?, &run_options)?)
         }
         Command::MeasureSites { program, out, closings, losses, alone, rounds, requests } => {
             let what = What { closings, losses, alone, cost: (rounds, requests) };
             measure(&program, &out, &what)?;
             Ok(false)
         }
-        Command::Draw { shape, seed } => {
-            say!("{}", shape.draw(seed));
+        Command::Draw { script_options, seed } => {
+            print_line!("{}", script_options.draw(seed));
             Ok(false)
         }
     }
--- a/crates/rig/src/measure.rs
+++ b/crates/rig/src/measure.rs
@@ -1,7 +1,7 @@
 //! What sites cost and do, measured: real nodes of several sites on loopback beside real nodes without sites, in the same run and with the
 //! same clients and stand-ins. Figures go to `docs/sites.md`; nothing here judges them.
 
-use crate::addresses::{fresh, home};
+use crate::addresses::{allocate_address, process_loopback};
 use crate::http::{Message, Reader};
 use crate::relay::{udp, Link};
 use rand::{RngExt, SeedableRng};
@@ -103,7 +103,7 @@
 
 impl Server {
     async fn start(slots: usize, work: Duration) -> Done<Rc<Server>> {
-        let listener = TcpListener::bind((home(), 0)).await?;
+        let listener = TcpListener::bind((process_loopback(), 0)).await?;
         let server = Rc::new(Server {
             address: listener.local_addr()?,
             slots: Semaphore::new(slots),
@@ -298,7 +298,7 @@
             }
             servers.push(own);
         }
-        let at = (0..n).map(|_| fresh()).collect::<Result<Vec<_>, _>>()?;
+        let at = (0..n).map(|_| allocate_address()).collect::<Result<Vec<_>, _>>()?;
         let mut fleet = Fleet {
             program: program.to_path_buf(),
             dir,
@@ -389,8 +389,8 @@
                    "late_worth": 0.3, "worth": 3.0, "stream": false, "group": "all", "dedup_window_ms": 5000.0})
         };
         let config = json!({
-            "name": format!("n{node}"), "listen": format!("{}:0", home()), "discovery": "127.0.0.1:1",
-            "mgmt": format!("{}:0", home()), "seed": format!("{:016x}", node + 1),
+            "name": format!("n{node}"), "listen": format!("{}:0", process_loopback()), "discovery": "127.0.0.1:1",
+            "mgmt": format!("{}:0", process_loopback()), "seed": format!("{:016x}", node + 1),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "known": {"revision": 41, "complete": true, "members": members},
             "settings": {
@@ -483,7 +483,7 @@
             for (other, link) in links.iter().enumerate() {
                 let apart = (self.site_of(who) == site) != (self.site_of(other) == site);
                 if let Some(link) = link.as_ref().filter(|_| apart) {
-                    link.change(|s| (s.there.cut, s.back.cut) = (cut, cut));
+                    link.change(|s| (s.forward.cut, s.backward.cut) = (cut, cut));
                 }
             }
         }
@@ -577,7 +577,7 @@
                 self.away.borrow_mut()[site][client] = Instant::now() + Duration::from_secs_f64(after)
             };
             *told = asked.as_ref().map_or("no connection".to_string(), |a| {
-                format!("{} {}", a.first.1, a.field("refused-because").unwrap_or("without a reason"))
+                format!("{} {}", a.start_line.1, a.field("refused-because").unwrap_or("without a reason"))
             });
             let Ok(answer) = asked else {
                 if target == site {
@@ -586,7 +586,7 @@
                 continue;
             };
             let time = |name: &str| answer.field(name).and_then(|t| t.parse::<f64>().ok());
-            match (answer.first.1.as_str(), answer.field("refused-because")) {
+            match (answer.start_line.1.as_str(), answer.field("refused-because")) {
                 ("200", _) => {
                     *served = Some(target);
                     // It may come home by then; never later than it would have anyway.
@@ -839,7 +839,7 @@
                 spawn_local(async move {
                     while begin.elapsed() < STARTS {
                         let answer = fleet.ask(node, "/zone-plan", "").await;
-                        if answer.is_ok_and(|a| a.first.1 == wanted) {
+                        if answer.is_ok_and(|a| a.start_line.1 == wanted) {
                             return Some(begin.elapsed().as_secs_f64() * 1e3);
                         }
                         sleep(Duration::from_millis(1)).await;
@@ -890,7 +890,7 @@
             let mut took = Vec::new();
             for _ in 0..each {
                 let begin = Instant::now();
-                let served = fleet.ask(0, target, "").await.is_ok_and(|a| a.first.1 == "200");
+                let served = fleet.ask(0, target, "").await.is_ok_and(|a| a.start_line.1 == "200");
                 took.push(if served { begin.elapsed().as_secs_f64() * 1e3 } else { f64::INFINITY });
             }
             took
--- a/crates/rig/src/process.rs
+++ b/crates/rig/src/process.rs
@@ -1,4 +1,4 @@
-//! The processes of the program.
+//! Processes of the programs under test: starting, stopping, killing and pausing them, and reading their logs.
 
 use crate::history::{History, What};
 use rustix::process::{kill_process, Pid, Signal};
@@ -18,17 +18,18 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Within this time a process serves, or is gone after it was told to end.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// How often it is seen whether a process has a processor, and how long it may wait for one meanwhile.
-const LOOKS: Duration = Duration::from_millis(100);
-/// See [`LOOKS`].
-const STARVED: Duration = Duration::from_millis(40);
-/// Lines of a log that are kept.
-const KEPT: usize = 200;
+/// Upper limit on the time that a process takes to serve, or to exit after a signal.
+const STATE_TIMEOUT: Duration = Duration::from_secs(20);
+/// How often the time that a node waits for a CPU is read.
+const CPU_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// A longer wait for a CPU within one interval is recorded as starvation.
+const MAX_CPU_WAIT: Duration = Duration::from_millis(40);
+/// Number of log lines that are kept of each process.
+const MAX_LOG_LINES: usize = 200;
 
-/// Kills what is left once nobody writes to it any more: it has read of each process as it began and ended.
-const GUARD: &str = r#"
+/// A shell script that reads the starts and exits of processes from its standard input, and at the end of the input kills all
+/// that are still running.
+const GUARD_SCRIPT: &str = r#"
 all=' '
 while read -r sign pid; do
   case $sign in
@@ -39,113 +40,120 @@
 for pid in $all; do kill -9 "$pid"; done
 "#;
 
-/// A process has begun (`+`) or ended (`-`): whatever ends the rig, its processes end with it.
-fn guard(sign: char, pid: Pid) {
-    static ALL: OnceLock<Option<Mutex<ChildStdin>>> = OnceLock::new();
+/// Notifies the guard that a process has started (`+`) or exited (`-`): the guard kills the remaining processes however this
+/// program ends.
+fn notify_guard(event: char, pid: Pid) {
+    static PIPE: OnceLock<Option<Mutex<ChildStdin>>> = OnceLock::new();
     let start = || {
         let mut command = std::process::Command::new("sh");
-        // In a group of its own: what ends the rig from a terminal does not end it.
-        command.args(["-c", GUARD]).stdin(Stdio::piped()).stdout(Stdio::null()).stderr(Stdio::null());
+        // In a process group of its own, so that signals from a terminal don't reach it.
+        command.args(["-c", GUARD_SCRIPT]).stdin(Stdio::piped()).stdout(Stdio::null()).stderr(Stdio::null());
         command.process_group(0).spawn().ok()?.stdin.map(Mutex::new)
     };
-    if let Some(pipe) = ALL.get_or_init(start) {
+    if let Some(pipe) = PIPE.get_or_init(start) {
         let mut pipe = pipe.lock().unwrap_or_else(PoisonError::into_inner);
-        // Without a guard processes may be left behind, no more.
-        let _ = writeln!(pipe, "{sign} {}", pid.as_raw_nonzero());
+        // Without a guard processes may be left running; the run itself goes on.
+        let _ = writeln!(pipe, "{event} {}", pid.as_raw_nonzero());
     }
 }
 
-/// Where a node's process stands.
+/// How far the current process of a [`ManagedProcess`] has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stands {
-    /// It has been started.
-    Starts,
-    /// It serves.
-    Serves,
-    /// It has ended.
-    Ended,
+pub enum ProcessState {
+    /// The process has been started and does not serve yet.
+    Starting,
+    /// The process serves.
+    Serving,
+    /// No process is running.
+    Exited,
 }
 
-/// A node, through all processes that it has had.
+/// A node or a quota server across the restarts of its process.
 #[derive(Debug)]
-pub struct Node {
+pub struct ManagedProcess {
     number: u32,
-    /// The program that the next process runs, and the other one, if there are two.
+    /// The program of the next process, and the other version, if there is one.
     programs: RefCell<(PathBuf, Option<PathBuf>)>,
     args: Vec<OsString>,
-    /// What its log says once it serves.
-    speaks: &'static str,
-    /// The history tells of it: it answers clients.
-    noted: bool,
+    /// Text of the log line that shows that it serves.
+    ready_text: &'static str,
+    /// Whether this is a node, whose events the history records, and not a quota server.
+    is_node: bool,
     history: Rc<History>,
     pid: Cell<Option<Pid>>,
-    told: Cell<bool>,
-    /// Killed by the script: its end is none of its own.
-    struck: Cell<bool>,
-    stands: watch::Sender<Stands>,
+    /// Whether the current process was sent SIGTERM.
+    terminated: Cell<bool>,
+    /// Whether the script killed the current process, so that its exit is not recorded.
+    killed_by_script: Cell<bool>,
+    state: watch::Sender<ProcessState>,
     log: Rc<RefCell<VecDeque<String>>>,
 }
 
-impl Node {
-    /// One that has no process yet, and is started with those arguments.
-    pub fn new(number: u32, program: &Path, args: Vec<OsString>, history: Rc<History>) -> Rc<Node> {
-        Node::make(number, program, args, (" serves on ", true), history)
+impl ManagedProcess {
+    /// Creates a node that runs `program` with `args`; no process is started yet.
+    pub fn new(number: u32, program: &Path, args: Vec<OsString>, history: Rc<History>) -> Rc<ManagedProcess> {
+        ManagedProcess::create(number, program, args, (" serves on ", true), history)
     }
 
-    /// A divider, which no client asks.
-    pub fn divider(number: u32, program: &Path, args: Vec<OsString>, history: Rc<History>) -> Rc<Node> {
-        Node::make(number, program, args, (" listens on ", false), history)
+    /// Creates a quota server that runs `program` with `args`; no process is started yet.
+    pub fn quota_server(
+        number: u32,
+        program: &Path,
+        args: Vec<OsString>,
+        history: Rc<History>,
+    ) -> Rc<ManagedProcess> {
+        ManagedProcess::create(number, program, args, (" listens on ", false), history)
     }
 
-    fn make(
+    fn create(
         number: u32,
         program: &Path,
         args: Vec<OsString>,
-        (speaks, noted): (&'static str, bool),
+        (ready_text, is_node): (&'static str, bool),
         history: Rc<History>,
-    ) -> Rc<Node> {
-        Rc::new(Node {
+    ) -> Rc<ManagedProcess> {
+        Rc::new(ManagedProcess {
             number,
             programs: RefCell::new((program.to_path_buf(), None)),
             args,
-            speaks,
-            noted,
+            ready_text,
+            is_node,
             history,
             pid: Cell::new(None),
-            told: Cell::new(false),
-            struck: Cell::new(false),
-            stands: watch::channel(Stands::Ended).0,
+            terminated: Cell::new(false),
+            killed_by_script: Cell::new(false),
+            state: watch::channel(ProcessState::Exited).0,
             log: Rc::default(),
         })
     }
 
-    /// Its number.
+    /// Returns the number of the node or quota server.
     pub fn number(&self) -> u32 {
         self.number
     }
 
-    /// There is another version of its program, to which [`Node::upgrade`] changes.
-    pub fn beside(&self, other: &Path) {
+    /// Sets the other version of the program, to which [`ManagedProcess::switch_version`] changes.
+    pub fn set_other_version(&self, other: &Path) {
         self.programs.borrow_mut().1 = Some(other.to_path_buf());
     }
 
-    /// Its next process runs the other program, if there is one; and the one after the next upgrade this one again.
-    pub fn upgrade(&self) {
-        let (now, other) = &mut *self.programs.borrow_mut();
-        other.iter_mut().for_each(|other| std::mem::swap(now, other));
+    /// Lets the next process run the other version of the program. Does nothing if there is no other version.
+    pub fn switch_version(&self) {
+        let (current, other) = &mut *self.programs.borrow_mut();
+        other.iter_mut().for_each(|other| std::mem::swap(current, other));
     }
 
-    /// Start a process, which must not be there yet.
+    /// Starts a process. The one before must have exited.
     pub fn start(self: &Rc<Self>) -> std::io::Result<()> {
         let command = Command::new(&self.programs.borrow().0);
         self.spawn(command)
     }
 
-    /// Start a process whose files can't grow beyond so many blocks of 512 bytes: writes fail there, as on a full disk.
-    pub fn start_full(self: &Rc<Self>, blocks: u64) -> std::io::Result<()> {
+    /// Starts a process whose files can't grow beyond `blocks` blocks of 512 bytes: writes fail as on a full disk.
+    pub fn start_with_full_disk(self: &Rc<Self>, blocks: u64) -> std::io::Result<()> {
         let mut command = Command::new("sh");
-        let text = format!("trap '' XFSZ; ulimit -f {blocks}; exec \"$0\" \"$@\"");
-        command.args(["-c", &text]).arg(&self.programs.borrow().0);
+        let script = format!("trap '' XFSZ; ulimit -f {blocks}; exec \"$0\" \"$@\"");
+        command.args(["-c", &script]).arg(&self.programs.borrow().0);
         self.spawn(command)
     }
 
@@ -161,14 +169,14 @@
             .kill_on_drop(true)
             .spawn()?;
         self.pid.set(child.id().and_then(|id| Pid::from_raw(id as i32)));
-        self.told.set(false);
-        self.struck.set(false);
-        self.stands.send_replace(Stands::Starts);
-        self.note(What::Started { node: self.number });
+        self.terminated.set(false);
+        self.killed_by_script.set(false);
+        self.state.send_replace(ProcessState::Starting);
+        self.record(What::Started { node: self.number });
         if let Some(pid) = self.pid.get() {
-            guard('+', pid);
-            if self.noted {
-                spawn_local(self.clone().watch(pid));
+            notify_guard('+', pid);
+            if self.is_node {
+                spawn_local(self.clone().watch_cpu(pid));
             }
         }
         let log = child.stderr.take();
@@ -177,119 +185,125 @@
             let Some(log) = log else { return };
             let mut lines = BufReader::new(log).lines();
             while let Ok(Some(line)) = lines.next_line().await {
-                if line.contains(node.speaks) {
-                    node.note(What::Serves { node: node.number });
-                    node.stands.send_replace(Stands::Serves);
+                if line.contains(node.ready_text) {
+                    node.record(What::Serves { node: node.number });
+                    node.state.send_replace(ProcessState::Serving);
                 }
                 if line.contains(" is dropped: ") {
-                    node.note(What::Disbelieved { node: node.number });
+                    node.record(What::Disbelieved { node: node.number });
                 }
-                let mut kept = node.log.borrow_mut();
-                if kept.len() == KEPT {
-                    kept.pop_front();
+                let mut log_lines = node.log.borrow_mut();
+                if log_lines.len() == MAX_LOG_LINES {
+                    log_lines.pop_front();
                 }
-                kept.push_back(line);
+                log_lines.push_back(line);
             }
         });
         let node = self.clone();
         spawn_local(async move {
             let code = child.wait().await.ok().and_then(|status| status.code());
             if let Some(pid) = node.pid.get() {
-                guard('-', pid);
+                notify_guard('-', pid);
             }
             node.pid.set(None);
-            if !node.struck.get() && !node.noted {
-                let text =
-                    format!("divider {} ended with {code:?}, told to: {}", node.number, node.told.get());
+            if !node.killed_by_script.get() && !node.is_node {
+                let text = format!(
+                    "quota server {} exited with {code:?}, after SIGTERM: {}",
+                    node.number,
+                    node.terminated.get()
+                );
                 node.history.note(What::Script { event: text });
-            } else if !node.struck.get() {
-                node.note(What::Exited { node: node.number, told: node.told.get(), code });
+            } else if !node.killed_by_script.get() {
+                node.record(What::Exited { node: node.number, told: node.terminated.get(), code });
             }
-            node.stands.send_replace(Stands::Ended);
+            node.state.send_replace(ProcessState::Exited);
         });
         Ok(())
     }
 
-    /// See how long its first thread, which does all but what is for the disk, waits for a processor.
-    async fn watch(self: Rc<Self>, pid: Pid) {
+    /// Records when the main thread, which does all work but disk writes, waits long for a CPU.
+    async fn watch_cpu(self: Rc<Self>, pid: Pid) {
         let stat = format!("/proc/{}/schedstat", pid.as_raw_nonzero());
-        let waited = || {
+        let cpu_wait = || {
             let text = std::fs::read_to_string(&stat).ok()?;
             text.split_whitespace().nth(1)?.parse::<u64>().ok().map(Duration::from_nanos)
         };
-        let (Some(mut before), mut from) = (waited(), self.history.now()) else { return };
-        let mut since = Instant::now();
+        let (Some(mut previous_wait), mut last_check) = (cpu_wait(), self.history.now()) else { return };
+        let mut checked_at = Instant::now();
         while self.pid.get() == Some(pid) {
-            sleep(LOOKS).await;
-            let Some(now) = waited() else { return };
-            // Looked at late it is the rig that had none, and what it saw has wrong times.
-            if now.saturating_sub(before) > STARVED || since.elapsed() > LOOKS + STARVED {
-                self.note(What::Starved { node: self.number, from });
+            sleep(CPU_CHECK_INTERVAL).await;
+            let Some(current) = cpu_wait() else { return };
+            // A late check means that this program lacked a CPU itself, so its own times are off.
+            if current.saturating_sub(previous_wait) > MAX_CPU_WAIT
+                || checked_at.elapsed() > CPU_CHECK_INTERVAL + MAX_CPU_WAIT
+            {
+                self.record(What::Starved { node: self.number, from: last_check });
             }
-            (before, from, since) = (now, self.history.now(), Instant::now());
+            (previous_wait, last_check, checked_at) = (current, self.history.now(), Instant::now());
         }
     }
 
-    /// Whether it serves, once it has started.
-    pub async fn serving(&self) -> bool {
-        let mut changes = self.stands.subscribe();
-        let started = timeout(PATIENCE, changes.wait_for(|s| *s != Stands::Starts)).await;
-        matches!(started, Ok(Ok(s)) if *s == Stands::Serves)
+    /// Waits until the process has started; returns whether it serves.
+    pub async fn wait_until_serving(&self) -> bool {
+        let mut states = self.state.subscribe();
+        let outcome = timeout(STATE_TIMEOUT, states.wait_for(|s| *s != ProcessState::Starting)).await;
+        matches!(outcome, Ok(Ok(s)) if *s == ProcessState::Serving)
     }
 
-    /// Wait until it stands so, for as long as anything that works takes.
-    pub async fn until(&self, stands: Stands) -> bool {
-        let mut changes = self.stands.subscribe();
-        let there = timeout(PATIENCE, changes.wait_for(|s| *s == stands)).await;
-        matches!(there, Ok(Ok(_)))
+    /// Waits for a state; returns whether the process reached it before the timeout.
+    pub async fn wait_for(&self, state: ProcessState) -> bool {
+        let mut states = self.state.subscribe();
+        let outcome = timeout(STATE_TIMEOUT, states.wait_for(|s| *s == state)).await;
+        matches!(outcome, Ok(Ok(_)))
     }
 
-    fn note(&self, what: What) {
-        if self.noted {
+    fn record(&self, what: What) {
+        if self.is_node {
             self.history.note(what);
         }
     }
 
-    /// Have it read its files again.
-    pub fn hang_up(&self) {
+    /// Sends SIGHUP, on which the process reads its files again.
+    pub fn reload(&self) {
         self.signal(Signal::HUP);
     }
 
     fn signal(&self, signal: Signal) {
         if let Some(pid) = self.pid.get() {
-            // One that has just ended needs none.
+            // The process may just have exited.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// End it at once.
+    /// Kills the process (SIGKILL).
     pub fn kill(&self) {
-        self.struck.set(true);
-        self.note(What::Struck { node: self.number });
+        self.killed_by_script.set(true);
+        self.record(What::Struck { node: self.number });
         self.signal(Signal::KILL);
     }
 
-    /// Tell it to end.
+    /// Asks the process to shut down (SIGTERM).
     pub fn terminate(&self) {
-        self.told.set(true);
-        self.note(What::Ends { node: self.number });
+        self.terminated.set(true);
+        self.record(What::Ends { node: self.number });
         self.signal(Signal::TERM);
     }
 
-    /// Let it stand still.
-    pub fn halt(&self) {
-        self.note(What::Struck { node: self.number });
+    /// Pauses the process (SIGSTOP), and records that.
+    pub fn pause(&self) {
+        self.record(What::Struck { node: self.number });
         self.signal(Signal::STOP);
     }
 
-    /// Let it stand still, without a word of it in the history, until it does; false where there is no process. For a copy of its disk.
-    pub async fn freeze(&self) -> bool {
+    /// Pauses the process without a record in the history, so that its disk can be copied, and waits until all threads have
+    /// stopped. Returns false if there is no process, or if it doesn't stop.
+    pub async fn pause_for_copy(&self) -> bool {
         let Some(pid) = self.pid.get() else { return false };
         self.signal(Signal::STOP);
         let stat = format!("/proc/{}/task", pid.as_raw_nonzero());
         let stopped = |task: std::fs::DirEntry| {
             let text = std::fs::read_to_string(task.path().join("stat")).unwrap_or_default();
-            // The state follows the name, which may hold anything but ends with the last bracket.
+            // The state follows the name, which may hold any text and ends at the last bracket.
             text.rsplit_once(')').is_none_or(|(_, rest)| rest.trim_start().starts_with(['T', 't']))
         };
         for _ in 0..1_000 {
@@ -301,17 +315,17 @@
         false
     }
 
-    /// Let it go on.
-    pub fn go_on(&self) {
+    /// Resumes a paused process.
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// It has had time to catch up.
-    pub fn caught_up(&self) {
-        self.note(What::Serves { node: self.number });
+    /// Records that the process serves again after a pause.
+    pub fn record_serving(&self) {
+        self.record(What::Serves { node: self.number });
     }
 
-    /// The last lines of its log.
+    /// Returns the last lines of the log.
     pub fn log(&self) -> Vec<String> {
         self.log.borrow().iter().cloned().collect()
     }
--- a/crates/rig/src/relay.rs
+++ b/crates/rig/src/relay.rs
@@ -1,5 +1,5 @@
-//! Relays: a link between two parties, through which everything goes that one has to say to the other. What a link does
-//! can be changed while it is used.
+//! Relays that forward TCP connections or datagrams to a target and inject faults: loss, latency, limited bandwidth,
+//! resets. The faults of a link can be changed while it is in use.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -15,208 +15,239 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep_until, Instant};
 
-/// What a link does to one way of what goes through it.
+/// The faults of one direction of a link. The default is a link without faults.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Traits {
-    /// Nothing comes through; on TCP it waits, a datagram is gone.
+pub struct LinkFaults {
+    /// Nothing passes: bytes of TCP connections are held back, datagrams are dropped.
     pub cut: bool,
-    /// Everything takes so much longer.
+    /// Extra latency.
     pub delay: Duration,
-    /// Bytes a second; 0 for no limit.
-    pub rate: u32,
-    /// The part of datagrams that is lost.
+    /// Bandwidth of each connection, in bytes per second; 0 for no limit.
+    pub bytes_per_second: u32,
+    /// Probability that a datagram is lost.
     pub loss: f64,
-    /// The part of datagrams that comes twice.
-    pub twice: f64,
-    /// The part of datagrams that is overtaken by later ones: each waits up to so long more.
-    pub late: f64,
-    /// See `late`.
-    pub lateness: Duration,
+    /// Probability that a datagram is delivered twice.
+    pub duplication: f64,
+    /// Probability that a datagram is delayed by up to `max_extra_delay`, so that later ones may overtake it.
+    pub reordering: f64,
+    /// Upper limit on the delay of a reordered datagram.
+    pub max_extra_delay: Duration,
 }
 
-/// A link's state: both ways, and how often its connections were reset.
+/// The current faults of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct State {
-    /// From the one that connects (or is the first end) to the other.
-    pub there: Traits,
-    /// The other way.
-    pub back: Traits,
-    /// Grows with each reset; connections end.
+pub struct LinkState {
+    /// The direction to the target.
+    pub forward: LinkFaults,
+    /// The direction from the target.
+    pub backward: LinkFaults,
+    /// Number of resets so far. An increase resets all open connections.
     pub resets: u32,
-    /// New connections are refused.
-    pub refuses: bool,
+    /// Resets new connections as soon as they are accepted.
+    pub refuse_connections: bool,
 }
 
-/// What is done to one datagram.
+/// A fault that a relay injects into a single datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
-    /// It is gone.
+pub enum DatagramChange {
+    /// The datagram is dropped.
     Drop,
-    /// It comes twice.
-    Twice,
-    /// It comes 1.5 s later.
-    Late,
-    /// The next one comes before it.
+    /// The datagram is delivered twice.
+    Duplicate,
+    /// The datagram is delivered 1.5 s late.
+    Delay,
+    /// The datagram is delivered after the next one.
     Swap,
-    /// Its end is missing.
-    Cut,
-    /// One byte is another.
-    Byte,
-    /// It comes, and once more when the link is reset.
-    Again,
+    /// The datagram is cut off at a random length.
+    Truncate,
+    /// One byte at a random position is changed.
+    CorruptByte,
+    /// The datagram is delivered, and again at the next reset of the link.
+    Replay,
 }
 
-impl How {
-    /// All, in words.
+impl DatagramChange {
+    /// The names in scripts, in the order of the variants.
     pub const NAMES: [&str; 7] = ["drop", "twice", "late", "swap", "cut", "byte", "again"];
-    /// By its name.
-    pub fn of(name: &str) -> How {
-        let all = [How::Drop, How::Twice, How::Late, How::Swap, How::Cut, How::Byte, How::Again];
-        let known = How::NAMES.iter().position(|n| *n == name);
+    /// Returns the change with a name of [`DatagramChange::NAMES`], or `Drop` for any other name.
+    pub fn from_name(name: &str) -> DatagramChange {
+        let all = [
+            DatagramChange::Drop,
+            DatagramChange::Duplicate,
+            DatagramChange::Delay,
+            DatagramChange::Swap,
+            DatagramChange::Truncate,
+            DatagramChange::CorruptByte,
+            DatagramChange::Replay,
+        ];
+        let known = DatagramChange::NAMES.iter().position(|n| *n == name);
         all[known.unwrap_or(0)]
     }
-    /// In a word.
+    /// Returns the name that scripts use.
     pub fn name(self) -> &'static str {
-        How::NAMES[self as usize]
+        DatagramChange::NAMES[self as usize]
     }
 }
 
-/// One datagram that is to be changed.
-struct Change {
-    /// So many more come there, it being the last.
-    left: u64,
-    how: How,
-    draw: u64,
-    told: Box<dyn FnOnce()>,
+/// A change that waits for its datagram.
+struct PendingChange {
+    /// Datagrams to come up to and including the one to change.
+    remaining: u64,
+    change: DatagramChange,
+    random_bits: u64,
+    on_applied: Box<dyn FnOnce()>,
 }
 
-/// What is to be changed on a link, and what is kept for that.
+/// The pending changes of a link, and the datagrams that they hold back.
 #[derive(Default)]
-struct Changes {
-    waits: Vec<Change>,
-    held: Option<Vec<u8>>,
-    kept: Vec<Vec<u8>>,
+struct ChangeQueue {
+    pending: Vec<PendingChange>,
+    /// Delivered after the next datagram.
+    swapped: Option<Vec<u8>>,
+    /// Delivered again at the next reset.
+    replays: Vec<Vec<u8>>,
 }
 
-impl std::fmt::Debug for Changes {
+impl std::fmt::Debug for ChangeQueue {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{} datagrams to change", self.waits.len())
+        write!(f, "{} datagrams to change", self.pending.len())
     }
 }
 
-impl Changes {
-    /// What comes through in place of a datagram, each piece so much later.
-    fn apply(&mut self, mut text: Vec<u8>) -> Vec<(Duration, Vec<u8>)> {
-        const NEXT: Duration = Duration::from_millis(5);
-        self.waits.iter_mut().for_each(|c| c.left = c.left.saturating_sub(1));
-        let due = self.waits.iter().position(|c| c.left == 0).map(|k| self.waits.swap_remove(k));
-        let held = self.held.take().map(|held| (NEXT, held));
+impl ChangeQueue {
+    /// Returns the datagrams to deliver in place of one, each with its delay.
+    fn apply(&mut self, mut datagram: Vec<u8>) -> Vec<(Duration, Vec<u8>)> {
+        const REORDER_DELAY: Duration = Duration::from_millis(5);
+        self.pending.iter_mut().for_each(|c| c.remaining = c.remaining.saturating_sub(1));
+        let due = self.pending.iter().position(|c| c.remaining == 0).map(|k| self.pending.swap_remove(k));
+        let swapped = self.swapped.take().map(|swapped| (REORDER_DELAY, swapped));
         let mut out = Vec::new();
-        match due.as_ref().map(|c| (c.how, c.draw)) {
-            None => out.push((Duration::ZERO, text)),
-            Some((How::Drop, _)) => {}
-            Some((How::Twice, _)) => out.extend([(Duration::ZERO, text.clone()), (NEXT, text)]),
-            Some((How::Late, _)) => out.push((Duration::from_millis(1_500), text)),
-            Some((How::Swap, _)) => self.held = Some(text),
-            Some((How::Cut, draw)) => {
-                text.truncate((draw % text.len().max(1) as u64) as usize);
-                out.push((Duration::ZERO, text));
+        match due.as_ref().map(|c| (c.change, c.random_bits)) {
+            None => out.push((Duration::ZERO, datagram)),
+            Some((DatagramChange::Drop, _)) => {}
+            Some((DatagramChange::Duplicate, _)) => {
+                out.extend([(Duration::ZERO, datagram.clone()), (REORDER_DELAY, datagram)])
             }
-            Some((How::Byte, draw)) => {
-                let place = (draw % text.len().max(1) as u64) as usize;
-                text.iter_mut().skip(place).take(1).for_each(|b| *b ^= 1 + (draw >> 32) as u8 % 255);
-                out.push((Duration::ZERO, text));
+            Some((DatagramChange::Delay, _)) => out.push((Duration::from_millis(1_500), datagram)),
+            Some((DatagramChange::Swap, _)) => self.swapped = Some(datagram),
+            Some((DatagramChange::Truncate, random_bits)) => {
+                datagram.truncate((random_bits % datagram.len().max(1) as u64) as usize);
+                out.push((Duration::ZERO, datagram));
             }
-            Some((How::Again, _)) => {
-                self.kept.push(text.clone());
-                out.push((Duration::ZERO, text));
+            Some((DatagramChange::CorruptByte, random_bits)) => {
+                let offset = (random_bits % datagram.len().max(1) as u64) as usize;
+                datagram
+                    .iter_mut()
+                    .skip(offset)
+                    .take(1)
+                    .for_each(|b| *b ^= 1 + (random_bits >> 32) as u8 % 255);
+                out.push((Duration::ZERO, datagram));
+            }
+            Some((DatagramChange::Replay, _)) => {
+                self.replays.push(datagram.clone());
+                out.push((Duration::ZERO, datagram));
             }
         }
         if let Some(change) = due {
-            (change.told)();
+            (change.on_applied)();
         }
-        out.into_iter().chain(held).collect()
+        out.into_iter().chain(swapped).collect()
     }
 }
 
-/// A link that can be changed. It ends with this.
+/// A relay between clients and a target. Dropping it stops the relay.
 #[derive(Debug)]
 pub struct Link {
-    changes: Rc<RefCell<Changes>>,
-    /// Where the one that connects finds it.
+    changes: Rc<RefCell<ChangeQueue>>,
+    /// The address that clients connect or send to.
     pub address: SocketAddr,
-    state: watch::Sender<State>,
+    state: watch::Sender<LinkState>,
 }
 
 impl Link {
-    /// Change what it does from now on.
-    pub fn change(&self, change: impl FnOnce(&mut State)) {
+    /// Updates the link's state; the new faults apply at once.
+    pub fn change(&self, change: impl FnOnce(&mut LinkState)) {
         self.state.send_modify(change);
     }
 
-    /// Change the datagram of that number from now on, on the way there; told as it is done. What is drawn says where.
-    pub fn alter(&self, number: u64, how: How, draw: u64, told: impl FnOnce() + 'static) {
-        let change = Change { left: number.max(1), how, draw, told: Box::new(told) };
-        self.changes.borrow_mut().waits.push(change);
+    /// Changes one datagram in the direction to the target, the `number`th from now on, counted from 1.
+    ///
+    /// `random_bits` selects the byte that is changed or the length that is left. `on_applied` is called when it happens.
+    pub fn change_datagram(
+        &self,
+        number: u64,
+        change: DatagramChange,
+        random_bits: u64,
+        on_applied: impl FnOnce() + 'static,
+    ) {
+        let pending =
+            PendingChange { remaining: number.max(1), change, random_bits, on_applied: Box::new(on_applied) };
+        self.changes.borrow_mut().pending.push(pending);
     }
 
-    /// End all connections over it, as a process that dies does; datagrams that were kept come once more.
+    /// Resets all open connections, as when a process dies, and sends the datagrams that were kept for a replay.
     pub fn reset(&self) {
         self.change(|s| s.resets += 1);
     }
 }
 
-/// How many bytes there were before, and when the next ones came.
-type Came = Vec<(u64, std::time::Instant)>;
+/// For each read of a connection: the number of bytes before it, and its time.
+type Arrivals = Vec<(u64, std::time::Instant)>;
 
-/// When the bytes of each connection came to its relay: by the connection's number, how many there were before, and when.
+/// The times at which the bytes of TCP connections reached their relay, by the number of the connection.
 #[derive(Clone, Debug, Default)]
-pub struct Marks(Rc<RefCell<BTreeMap<u64, Came>>>);
+pub struct ArrivalTimes(Rc<RefCell<BTreeMap<u64, Arrivals>>>);
 
-impl Marks {
-    /// When the byte in that place of a connection came to its relay.
-    pub fn of(&self, connection: u64, place: u64) -> Option<std::time::Instant> {
-        let marks = self.0.borrow();
-        let all = marks.get(&connection)?;
-        all.get(all.partition_point(|m| m.0 <= place).checked_sub(1)?).map(|m| m.1)
+impl ArrivalTimes {
+    /// Returns when the byte at an offset of a connection reached the relay; `None` for an unknown connection.
+    pub fn arrival(&self, connection: u64, offset: u64) -> Option<std::time::Instant> {
+        let arrival_times = self.0.borrow();
+        let all = arrival_times.get(&connection)?;
+        all.get(all.partition_point(|m| m.0 <= offset).checked_sub(1)?).map(|m| m.1)
     }
 
-    fn open(&self) -> u64 {
-        let mut marks = self.0.borrow_mut();
-        let number = marks.len() as u64;
-        marks.insert(number, Vec::new());
+    fn add_connection(&self) -> u64 {
+        let mut arrival_times = self.0.borrow_mut();
+        let number = arrival_times.len() as u64;
+        arrival_times.insert(number, Vec::new());
         number
     }
 
-    fn note(&self, connection: u64, place: u64) {
+    fn record(&self, connection: u64, offset: u64) {
         if let Some(all) = self.0.borrow_mut().get_mut(&connection) {
-            all.push((place, std::time::Instant::now()));
+            all.push((offset, std::time::Instant::now()));
         }
     }
 }
 
-/// Lead TCP connections to an address. With marks each connection to it begins with a line that names `who` connects and
-/// the connection's number in the marks.
-pub async fn tcp(target: SocketAddr, who: u32, marks: Option<Marks>) -> std::io::Result<Link> {
+/// Relays TCP connections to `target`.
+///
+/// With `arrival_times` each connection to the target begins with a line that holds `client` and the number of the connection
+/// in `arrival_times`.
+pub async fn tcp(
+    target: SocketAddr,
+    client: u32,
+    arrival_times: Option<ArrivalTimes>,
+) -> std::io::Result<Link> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
-    let (state, changes) = watch::channel(State::default());
+    let (state, changes) = watch::channel(LinkState::default());
     spawn_local(async move {
-        let mut ended = changes.clone();
+        let mut closed = changes.clone();
         loop {
             let accepted = tokio::select! {
                 accepted = listener.accept() => accepted,
-                // The link is gone, and nobody is led anywhere any more.
-                _ = ended.wait_for(|_| false) => return,
+                // The `Link` was dropped.
+                _ = closed.wait_for(|_| false) => return,
             };
             let Ok((from, _)) = accepted else { continue };
-            let refuses = changes.borrow().refuses;
-            if refuses {
-                // Closed with nothing to send it is reset, as by a process that is not there.
+            let refuse_connections = changes.borrow().refuse_connections;
+            if refuse_connections {
+                // Closing with zero linger resets the connection, as if no process listened.
                 let _ = from.set_zero_linger();
                 continue;
             }
-            spawn_local(connection(from, target, changes.clone(), who, marks.clone()));
+            spawn_local(connection(from, target, changes.clone(), client, arrival_times.clone()));
         }
     });
     Ok(Link { changes: Rc::default(), address, state })
@@ -225,162 +256,168 @@
 async fn connection(
     mut from: TcpStream,
     target: SocketAddr,
-    changes: watch::Receiver<State>,
-    who: u32,
-    marks: Option<Marks>,
+    changes: watch::Receiver<LinkState>,
+    client: u32,
+    arrival_times: Option<ArrivalTimes>,
 ) {
     let Ok(mut to) = TcpStream::connect(target).await else {
         let _ = from.set_zero_linger();
         return;
     };
     let _ = (from.set_nodelay(true), to.set_nodelay(true));
-    let marks = marks.map(|m| (m.open(), m));
-    if let Some((number, _)) = &marks {
-        if to.write_all(format!("{who} {number}\n").as_bytes()).await.is_err() {
+    let arrival_times = arrival_times.map(|m| (m.add_connection(), m));
+    if let Some((number, _)) = &arrival_times {
+        if to.write_all(format!("{client} {number}\n").as_bytes()).await.is_err() {
             return;
         }
     }
-    let began = changes.borrow().resets;
+    let resets_at_start = changes.borrow().resets;
     let mut resets = changes.clone();
-    let broken = {
+    let was_reset = {
         let (from_read, from_write) = from.split();
         let (to_read, to_write) = to.split();
-        let there = pump(from_read, to_write, changes.clone(), true, marks);
-        let back = pump(to_read, from_write, changes, false, None);
+        let forward = forward_bytes(from_read, to_write, changes.clone(), true, arrival_times);
+        let backward = forward_bytes(to_read, from_write, changes, false, None);
         tokio::select! {
-            _ = resets.wait_for(|s| s.resets != began) => true,
-            // A party that has gone has gone both ways.
-            () = there => false,
-            () = back => false,
+            _ = resets.wait_for(|s| s.resets != resets_at_start) => true,
+            // Once one side has closed, the connection is closed in both directions.
+            () = forward => false,
+            () = backward => false,
         }
     };
-    if broken {
+    if was_reset {
         let _ = (from.set_zero_linger(), to.set_zero_linger());
     }
 }
 
-fn traits(changes: &watch::Receiver<State>, there: bool) -> Traits {
+fn current_faults(changes: &watch::Receiver<LinkState>, forward: bool) -> LinkFaults {
     let state = changes.borrow();
-    if there {
-        state.there
+    if forward {
+        state.forward
     } else {
-        state.back
+        state.backward
     }
 }
 
-/// Carry bytes one way, each piece not before its time.
-async fn pump(
+/// Forwards bytes in one direction with the faults of the link.
+async fn forward_bytes(
     mut from: ReadHalf<'_>,
     mut to: WriteHalf<'_>,
-    mut changes: watch::Receiver<State>,
-    there: bool,
-    marks: Option<(u64, Marks)>,
+    mut changes: watch::Receiver<LinkState>,
+    forward: bool,
+    arrival_times: Option<(u64, ArrivalTimes)>,
 ) {
-    let mut seen = 0;
-    let mut due: VecDeque<(Instant, Vec<u8>)> = VecDeque::new();
+    let mut received = 0;
+    let mut queue: VecDeque<(Instant, Vec<u8>)> = VecDeque::new();
     let mut buffer = vec![0; 16 * 1024];
-    let (mut ended, mut free) = (false, Instant::now());
+    let (mut closed, mut next_write) = (false, Instant::now());
     loop {
-        let now = traits(&changes, there);
-        let next = due.front().map(|d| d.0.max(free)).filter(|_| !now.cut);
+        let faults = current_faults(&changes, forward);
+        let next_due = queue.front().map(|d| d.0.max(next_write)).filter(|_| !faults.cut);
         tokio::select! {
             biased;
-            () = async { sleep_until(next.unwrap_or(free)).await }, if next.is_some() => {
-                let Some((_, piece)) = due.pop_front() else { continue };
-                if to.write_all(&piece).await.is_err() {
+            () = async { sleep_until(next_due.unwrap_or(next_write)).await }, if next_due.is_some() => {
+                let Some((_, chunk)) = queue.pop_front() else { continue };
+                if to.write_all(&chunk).await.is_err() {
                     return;
                 }
-                if now.rate > 0 {
-                    let takes = Duration::from_secs_f64(piece.len() as f64 / f64::from(now.rate));
-                    free = Instant::now() + takes;
+                if faults.bytes_per_second > 0 {
+                    let transmission = Duration::from_secs_f64(chunk.len() as f64 / f64::from(faults.bytes_per_second));
+                    next_write = Instant::now() + transmission;
                 }
             }
-            read = from.read(&mut buffer), if !ended => match read {
+            read = from.read(&mut buffer), if !closed => match read {
                 Ok(n) if n > 0 => {
-                    if let Some((number, marks)) = &marks {
-                        marks.note(*number, seen);
+                    if let Some((number, arrival_times)) = &arrival_times {
+                        arrival_times.record(*number, received);
                     }
-                    seen += n as u64;
-                    due.push_back((Instant::now() + now.delay, buffer[..n].to_vec()));
+                    received += n as u64;
+                    queue.push_back((Instant::now() + faults.delay, buffer[..n].to_vec()));
                 }
-                _ => ended = true,
+                _ => closed = true,
             },
             changed = changes.changed() => if changed.is_err() { return },
         }
-        // What one side still had to say when it went comes through before the other hears of its end.
-        if ended && due.is_empty() {
+        // Bytes that were read before the sender closed are delivered before the receiver sees the close.
+        if closed && queue.is_empty() {
             return;
         }
     }
 }
 
-/// Lead datagrams between two addresses: what comes to `address` from anyone but `target` goes to it, and what `target`
-/// says goes to whoever spoke last.
+/// Relays datagrams between `target` and clients: datagrams from the target go to the client that sent last.
 pub async fn udp(target: SocketAddr, seed: u64) -> std::io::Result<Link> {
     udp_at("127.0.0.1:0".parse().map_err(std::io::Error::other)?, target, seed).await
 }
 
-/// Lead both connections and datagrams to an address, at one address.
-pub async fn both(target: SocketAddr, who: u32, seed: u64) -> std::io::Result<[Link; 2]> {
+/// Relays TCP connections and datagrams to `target`, both from one address.
+pub async fn tcp_and_udp(target: SocketAddr, client: u32, seed: u64) -> std::io::Result<[Link; 2]> {
     loop {
-        let connections = tcp(target, who, None).await?;
-        // Somebody else may have that port for datagrams.
+        let connections = tcp(target, client, None).await?;
+        // The same port may be in use for datagrams.
         if let Ok(datagrams) = udp_at(connections.address, target, seed).await {
             return Ok([connections, datagrams]);
         }
     }
 }
 
-async fn udp_at(at: SocketAddr, target: SocketAddr, seed: u64) -> std::io::Result<Link> {
-    let socket = Rc::new(UdpSocket::bind(at).await?);
+async fn udp_at(address: SocketAddr, target: SocketAddr, seed: u64) -> std::io::Result<Link> {
+    let socket = Rc::new(UdpSocket::bind(address).await?);
     let address = socket.local_addr()?;
-    let (state, mut changes) = watch::channel(State::default());
+    let (state, mut changes) = watch::channel(LinkState::default());
     let rng = Rc::new(RefCell::new(ChaCha8Rng::seed_from_u64(seed)));
-    let altered: Rc<RefCell<Changes>> = Rc::default();
-    let link = Link { changes: altered.clone(), address, state };
+    let change_queue: Rc<RefCell<ChangeQueue>> = Rc::default();
+    let link = Link { changes: change_queue.clone(), address, state };
     spawn_local(async move {
-        let (mut buffer, mut peer, mut resets) = (vec![0; 64 * 1024], None::<SocketAddr>, 0);
+        let (mut buffer, mut last_sender, mut resets) = (vec![0; 64 * 1024], None::<SocketAddr>, 0);
         loop {
             let reset = async {
                 let state = changes.wait_for(|s| s.resets != resets).await;
                 state.map(|s| s.resets)
             };
-            let came = tokio::select! {
-                came = socket.recv_from(&mut buffer) => came,
+            let received = tokio::select! {
+                received = socket.recv_from(&mut buffer) => received,
                 reset = reset => {
                     let Ok(reset) = reset else { return };
                     resets = reset;
-                    let kept = std::mem::take(&mut altered.borrow_mut().kept);
-                    for text in kept {
-                        let _ = socket.send_to(&text, target).await;
+                    let replays = std::mem::take(&mut change_queue.borrow_mut().replays);
+                    for datagram in replays {
+                        let _ = socket.send_to(&datagram, target).await;
                     }
                     continue;
                 }
             };
-            let Ok((n, from)) = came else { continue };
-            let there = from != target;
-            if there {
-                peer = Some(from);
+            let Ok((n, from)) = received else { continue };
+            let forward = from != target;
+            if forward {
+                last_sender = Some(from);
             }
-            let Some(to) = (if there { Some(target) } else { peer }) else { continue };
-            let t = traits(&changes, there);
-            let chance = |part: f64| part > 0.0 && rng.borrow_mut().random::<f64>() < part;
-            if t.cut || chance(t.loss) {
+            let Some(to) = (if forward { Some(target) } else { last_sender }) else { continue };
+            let faults = current_faults(&changes, forward);
+            let happens =
+                |probability: f64| probability > 0.0 && rng.borrow_mut().random::<f64>() < probability;
+            if faults.cut || happens(faults.loss) {
                 continue;
             }
-            let copies = 1 + usize::from(chance(t.twice));
-            let text = buffer[..n].to_vec();
-            let pieces = if there { altered.borrow_mut().apply(text) } else { vec![(Duration::ZERO, text)] };
-            for (longer, text) in pieces.into_iter().flat_map(|piece| std::iter::repeat_n(piece, copies)) {
-                let more = if chance(t.late) {
-                    t.lateness.mul_f64(rng.borrow_mut().random())
+            let copies = 1 + usize::from(happens(faults.duplication));
+            let datagram = buffer[..n].to_vec();
+            let datagrams = if forward {
+                change_queue.borrow_mut().apply(datagram)
+            } else {
+                vec![(Duration::ZERO, datagram)]
+            };
+            for (delay, datagram) in
+                datagrams.into_iter().flat_map(|delayed| std::iter::repeat_n(delayed, copies))
+            {
+                let extra_delay = if happens(faults.reordering) {
+                    faults.max_extra_delay.mul_f64(rng.borrow_mut().random())
                 } else {
                     Duration::ZERO
                 };
-                let (at, socket) = (Instant::now() + t.delay + more + longer, socket.clone());
+                let (send_at, socket) = (Instant::now() + faults.delay + extra_delay + delay, socket.clone());
                 spawn_local(async move {
-                    sleep_until(at).await;
-                    let _ = socket.send_to(&text, to).await;
+                    sleep_until(send_at).await;
+                    let _ = socket.send_to(&datagram, to).await;
                 });
             }
         }
--- a/crates/rig/src/script.rs
+++ b/crates/rig/src/script.rs
@@ -1,427 +1,480 @@
-//! Scripts: what is done to the processes and the links between them, and when. One is drawn from a seed, or read from
-//! a file of S-expressions; it can be written down again, so that a failure can be played once more.
+//! Fault scripts: which faults are injected into processes and links, and when. A script is generated from a seed or read
+//! from a file of S-expressions. Its `Display` output can be read back, so that a failing run can be repeated.
 
 use crate::history::At;
-use crate::relay::How;
+use crate::relay::DatagramChange;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use shorepath_sexp::{Form, ParseErrors};
 use std::fmt;
 use std::ops::RangeInclusive;
 
-const TIMES: RangeInclusive<At> = 0..=3_600_000_000;
-/// The most nodes and servers that one script may have: each is a process, or a listener and a relay for each node.
-const MOST: u64 = 64;
+/// The times and durations that a script may hold, in microseconds.
+const TIME_RANGE: RangeInclusive<At> = 0..=3_600_000_000;
+/// Upper limit on nodes, and on servers, of one script: each node is a process, and each server has a listener and one relay
+/// for each node.
+const MAX_PROCESSES: u64 = 64;
 
-/// Which way of a link something is done to.
+/// The direction of a link that a fault applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    /// From the node.
-    There,
-    /// To the node.
-    Back,
-    /// Both.
+pub enum Direction {
+    /// From the node or site that the action names.
+    Forward,
+    /// To the node or site that the action names.
+    Backward,
+    /// To and from the node or site that the action names.
     Both,
 }
 
-impl Way {
+impl Direction {
     const NAMES: [&str; 3] = ["there", "back", "both"];
-    fn of(name: &str) -> Way {
+    fn from_name(name: &str) -> Direction {
         match name {
-            "there" => Way::There,
-            "back" => Way::Back,
-            _ => Way::Both,
+            "there" => Direction::Forward,
+            "back" => Direction::Backward,
+            _ => Direction::Both,
         }
     }
     fn name(self) -> &'static str {
-        Way::NAMES[self as usize]
+        Direction::NAMES[self as usize]
     }
-    /// Whether that one is meant.
-    pub fn covers(self, there: bool) -> bool {
-        self == Way::Both || (self == Way::There) == there
+    /// Returns whether the fault applies to the forward direction, or with `forward` false to the backward one.
+    pub fn covers(self, forward: bool) -> bool {
+        self == Direction::Both || (self == Direction::Forward) == forward
     }
 }
 
-/// Tenants of which clients ask where there are sites. The first has a credit, and is closed and opened again; the other never is.
+/// Tenants that clients of sites send requests for. The account of the first one is closed and reopened, and has a credit for
+/// work on an unconfirmed account status; the second one stays in good standing.
 pub const TENANTS: [&str; 2] = ["acme", "fyn"];
-/// Where an account may stand by a file that is handed out.
-pub const STANDINGS: [&str; 5] = ["good", "warned", "closing", "closed", "reopened"];
+/// The account statuses that an accounts file may hold.
+pub const ACCOUNT_STATUSES: [&str; 5] = ["good", "warned", "closing", "closed", "reopened"];
 
-/// The same, from the mildest to the one that holds against all others of its number.
-pub const STRICTNESS: [&str; 5] = ["good", "reopened", "warned", "closing", "closed"];
+/// The account statuses from the least to the most strict: of two files with the same number, the stricter status wins.
+pub const STATUSES_BY_STRICTNESS: [&str; 5] = ["good", "reopened", "warned", "closing", "closed"];
 
-/// One of the words, by what is read.
-fn among<const N: usize>(f: &Form, name: &'static str, words: [&'static str; N]) -> &'static str {
-    let word = f.choice(name, words[0], &words);
-    words.into_iter().find(|w| *w == word).unwrap_or(words[0])
+/// Reads a field that must be one of `choices`; the default is the first one.
+fn read_choice<const N: usize>(f: &Form, name: &'static str, choices: [&'static str; N]) -> &'static str {
+    let read = f.choice(name, choices[0], &choices);
+    choices.into_iter().find(|choice| *choice == read).unwrap_or(choices[0])
 }
 
-/// What comes of a node's disk while it is down.
+/// What happens to a node's disk while its process is down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Disk {
-    /// It is as it was when the process ended.
+pub enum DiskFault {
+    /// The disk keeps what the process left.
     Kept,
-    /// It is gone.
+    /// The node's state folder is deleted.
     Lost,
-    /// It is as it was before the script began.
-    Old,
+    /// The disk is rolled back to a copy taken before the script began.
+    RolledBack,
 }
 
-impl Disk {
+impl DiskFault {
     const NAMES: [&str; 3] = ["kept", "lost", "old"];
-    fn of(name: &str) -> Disk {
+    fn from_name(name: &str) -> DiskFault {
         match name {
-            "lost" => Disk::Lost,
-            "old" => Disk::Old,
-            _ => Disk::Kept,
+            "lost" => DiskFault::Lost,
+            "old" => DiskFault::RolledBack,
+            _ => DiskFault::Kept,
         }
     }
-    /// In a word.
+    /// Returns the name that scripts and histories use.
     pub fn name(self) -> &'static str {
-        Disk::NAMES[self as usize]
+        DiskFault::NAMES[self as usize]
     }
 }
 
-/// One thing that the script does.
+/// One action of a script: a fault, a maintenance step or a change of configuration.
+///
+/// An action with a duration undoes itself at its end. All durations are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Act {
-    /// A node is killed (SIGKILL) and started again after that time, with nothing but its configuration.
-    Kill {
-        /// The node.
+pub enum Action {
+    /// Kills a node (SIGKILL) and restarts it after a time with its configuration and its last endpoint list.
+    KillNode {
+        /// The node's number.
         node: u32,
-        /// Down for so long.
-        down: At,
+        /// Time until the node is started again.
+        downtime: At,
     },
-    /// A node is told to end (SIGTERM) and started again once it has, at the same address.
+    /// Stops a node gracefully (SIGTERM) and restarts it at the same address once it has exited.
     Restart {
-        /// The node.
+        /// The node's number.
         node: u32,
     },
-    /// A node stands still (SIGSTOP) for that time.
-    Halt {
-        /// The node.
+    /// Pauses a node's process (SIGSTOP).
+    PauseNode {
+        /// The node's number.
         node: u32,
-        /// For how long.
-        length: At,
+        /// Time until the process is resumed.
+        duration: At,
     },
-    /// Nothing comes through the link of a node and a server for that time; connections stay open and silent.
-    Cut {
-        /// The node.
+    /// Stops all traffic between a node and a server; connections stay open.
+    CutLink {
+        /// The node's number.
         node: u32,
-        /// The server.
+        /// The server's number.
         server: u32,
-        /// Which way.
-        way: Way,
-        /// For how long.
-        length: At,
+        /// The direction that is cut; forward is from the node to the server.
+        direction: Direction,
+        /// Time until traffic passes again.
+        duration: At,
     },
-    /// Servers of odd and even numbers are cut from nodes of the other kind, for that time.
+    /// Cuts servers with odd numbers from nodes with even numbers, and the reverse.
     Partition {
-        /// For how long.
-        length: At,
+        /// Time until traffic passes again.
+        duration: At,
     },
-    /// What goes over a node's links takes so much longer, for that time.
+    /// Adds latency to all links between a node and the servers.
     Delay {
-        /// The node.
+        /// The node's number.
         node: u32,
-        /// So much longer.
-        by: At,
-        /// For how long.
-        length: At,
+        /// Extra latency of each direction.
+        latency: At,
+        /// Time until the extra latency ends.
+        duration: At,
     },
-    /// A node's links carry so many bytes a second, for that time.
-    Narrow {
-        /// The node.
+    /// Limits the bandwidth of all links between a node and the servers.
+    LimitBandwidth {
+        /// The node's number.
         node: u32,
-        /// Bytes a second, each way.
-        rate: u32,
-        /// For how long.
-        length: At,
+        /// Bytes per second of each connection and direction.
+        bytes_per_second: u32,
+        /// Time until the limit ends.
+        duration: At,
     },
-    /// All connections between a node and a server are reset.
-    Break {
-        /// The node.
+    /// Resets all connections between a node and a server.
+    ResetConnections {
+        /// The node's number.
         node: u32,
-        /// The server.
+        /// The server's number.
         server: u32,
     },
-    /// A node hears nothing of discovery for that time.
-    Deaf {
-        /// The node.
+    /// Discovery sends nothing to a node.
+    MuteDiscovery {
+        /// The node's number.
         node: u32,
-        /// For how long.
-        length: At,
+        /// Time until discovery sends again.
+        duration: At,
     },
-    /// A server drains, is gone later, and comes back after that time.
+    /// Drains a server, stops it after two thirds of the time and starts it again at the end.
     Drain {
-        /// The server.
+        /// The server's number.
         server: u32,
-        /// For how long, from the news that it leaves on.
-        length: At,
+        /// Time from the announcement of the drain to the restart.
+        duration: At,
     },
-    /// A divider is killed and started again after that time.
-    KillDivider {
-        /// The divider.
-        divider: u32,
-        /// Down for so long.
-        down: At,
-        /// Its disk is lost meanwhile.
-        lost: bool,
+    /// Kills a quota server (SIGKILL) and restarts it after a time.
+    KillQuotaServer {
+        /// The quota server's number.
+        quota_server: u32,
+        /// Time until the quota server is started again.
+        downtime: At,
+        /// Whether its data is deleted before the restart.
+        disk_lost: bool,
     },
-    /// A divider's disk is full for that time: it is killed and started again, and its files can't grow.
-    FillDivider {
-        /// The divider.
-        divider: u32,
-        /// For how long.
-        length: At,
+    /// Restarts a quota server with a file size limit, so that its writes fail as on a full disk.
+    FillQuotaServerDisk {
+        /// The quota server's number.
+        quota_server: u32,
+        /// Time until it is restarted without the limit.
+        duration: At,
     },
-    /// A divider stands still for that time.
-    HaltDivider {
-        /// The divider.
-        divider: u32,
-        /// For how long.
-        length: At,
+    /// Pauses a quota server's process (SIGSTOP).
+    PauseQuotaServer {
+        /// The quota server's number.
+        quota_server: u32,
+        /// Time until the process is resumed.
+        duration: At,
     },
-    /// Words between a node and all dividers are lost, doubled and overtaken with that probability, for that time.
-    Words {
-        /// The node.
+    /// Loses, duplicates and reorders datagrams between a node and all quota servers.
+    DegradeQuotaLinks {
+        /// The node's number.
         node: u32,
-        /// The part that is lost; half of it comes twice, and as much late.
+        /// Probability of loss; half of it is the probability of a duplicate, and that of a late datagram.
         loss: f64,
-        /// For how long.
-        length: At,
+        /// Time until the links work again.
+        duration: At,
     },
-    /// Nothing is heard one way or both between a node and a divider, for that time.
-    CutWords {
-        /// The node.
+    /// Drops all datagrams between a node and a quota server.
+    CutQuotaLink {
+        /// The node's number.
         node: u32,
-        /// The divider.
-        divider: u32,
-        /// Which way.
-        way: Way,
-        /// For how long.
-        length: At,
+        /// The quota server's number.
+        quota_server: u32,
+        /// The direction that is cut; forward is from the node to the quota server.
+        direction: Direction,
+        /// Time until datagrams pass again.
+        duration: At,
     },
-    /// A divider is cut from the others, for that time.
-    Alone {
-        /// The divider.
-        divider: u32,
-        /// For how long.
-        length: At,
+    /// Cuts a quota server from the other quota servers.
+    IsolateQuotaServer {
+        /// The quota server's number.
+        quota_server: u32,
+        /// Time until the links pass traffic again.
+        duration: At,
     },
-    /// A node is told to end (SIGTERM) and started again with the other version of the program, where there are two.
-    Upgrade {
-        /// The node.
+    /// Stops a node gracefully and restarts it with the other version of the program, if there is one.
+    UpgradeNode {
+        /// The node's number.
         node: u32,
     },
-    /// A divider is told to end and started again with the other version of its program, where there are two.
-    UpgradeDivider {
-        /// The divider.
-        divider: u32,
+    /// Stops a quota server gracefully and restarts it with the other version of the program, if there is one.
+    UpgradeQuotaServer {
+        /// The quota server's number.
+        quota_server: u32,
     },
-    /// Discovery ends all watches, and every call as it comes, for that time.
-    EndWatches {
-        /// For how long.
-        length: At,
+    /// Discovery closes all connections, and new ones as soon as they are accepted.
+    CloseDiscoveryConnections {
+        /// Time until discovery answers again.
+        duration: At,
     },
-    /// Another file of budgets: the whole of the quota is so many hundredths of what clients ask for.
-    Whole {
-        /// Hundredths.
+    /// Writes new budget files in which the tenant's quota is a percentage of the clients' request rate.
+    ChangeQuota {
+        /// The quota, in percent of the request rate.
         percent: u32,
     },
-    /// Words between a site and all others don't come through, for that time.
+    /// Drops all datagrams between a site and the other sites.
     CutSite {
-        /// The site.
+        /// The site's number.
         site: u32,
-        /// Which way: there is what it says.
-        way: Way,
-        /// For how long.
-        length: At,
+        /// The direction that is cut; forward is from this site to the others.
+        direction: Direction,
+        /// Time until datagrams pass again.
+        duration: At,
     },
-    /// Words from and to a site are lost, doubled and overtaken with that probability, for that time.
-    WordsSite {
-        /// The site.
+    /// Loses, duplicates and reorders datagrams between a site and the other sites.
+    DegradeSite {
+        /// The site's number.
         site: u32,
-        /// The part that is lost; half of it comes twice, and as much late.
+        /// Probability of loss; half of it is the probability of a duplicate, and that of a late datagram.
         loss: f64,
-        /// For how long.
-        length: At,
+        /// Time until the links work again.
+        duration: At,
     },
-    /// All nodes of a site are killed at once, and started again after that time.
+    /// Kills all nodes of a site at once and restarts them after a time.
     KillSite {
-        /// The site.
+        /// The site's number.
         site: u32,
-        /// What comes of their disks.
-        disk: Disk,
-        /// Down for so long.
-        down: At,
+        /// What happens to the disks of its nodes.
+        disk: DiskFault,
+        /// Time until the nodes are started again.
+        downtime: At,
     },
-    /// A node is killed and started again after that time.
-    KillNode {
-        /// The node.
+    /// Kills a node, applies a disk fault and restarts the node after a time.
+    KillNodeWithDiskFault {
+        /// The node's number.
         node: u32,
-        /// What comes of its disk.
-        disk: Disk,
-        /// Down for so long.
-        down: At,
+        /// What happens to its disk while it is down.
+        disk: DiskFault,
+        /// Time until the node is started again.
+        downtime: At,
     },
-    /// All nodes of a site stand still for that time.
-    HaltSite {
-        /// The site.
+    /// Pauses the processes of all nodes of a site (SIGSTOP).
+    PauseSite {
+        /// The site's number.
         site: u32,
-        /// For how long.
-        length: At,
+        /// Time until the processes are resumed.
+        duration: At,
     },
-    /// The next file of accounts is handed to a node of a site.
-    Account {
-        /// The account.
-        name: &'static str,
-        /// Where it stands from now on.
-        standing: &'static str,
-        /// The site.
+    /// Gives the next accounts file to a node of a site.
+    SetAccountStatus {
+        /// The account's name.
+        account: &'static str,
+        /// The account status that the file sets.
+        status: &'static str,
+        /// The site that receives the file.
         site: u32,
     },
-    /// Two files of one number, the next, are handed to a node of one site and to one of another.
-    TwoFiles {
-        /// The account.
-        name: &'static str,
-        /// What the first says.
-        standing: &'static str,
-        /// The site that is handed it.
+    /// Gives two accounts files with the same number, the next one, to nodes of two sites.
+    ConflictingAccountFiles {
+        /// The account's name.
+        account: &'static str,
+        /// The account status in the first file.
+        status: &'static str,
+        /// The site that receives the first file.
         site: u32,
-        /// What the second says.
-        second: &'static str,
-        /// The site that is handed that.
-        other: u32,
+        /// The account status in the second file.
+        second_status: &'static str,
+        /// The site that receives the second file.
+        second_site: u32,
     },
-    /// One datagram between nodes of sites is changed.
-    Change {
-        /// The node that says it.
+    /// Changes one datagram between two nodes of sites.
+    ChangeDatagram {
+        /// The sending node.
         from: u32,
-        /// The node that it is for.
+        /// The receiving node.
         to: u32,
-        /// Which, counted from now on.
+        /// Which datagram, counted from 1 at the time of the action.
         number: u64,
-        /// What is done to it.
-        how: How,
+        /// The fault that is injected.
+        change: DatagramChange,
     },
-    /// A server's process dies, and its jobs with it, and is back after that time.
-    Crash {
-        /// The server.
+    /// Kills a server's process with all of its jobs; it comes back after a time.
+    CrashServer {
+        /// The server's number.
         server: u32,
-        /// For how long.
-        length: At,
+        /// Time until the server is back.
+        duration: At,
     },
 }
 
-/// An act and its time.
+/// An action with its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Event {
-    /// When, in microseconds since the script's beginning.
+    /// Time of the action, in microseconds since the script's start.
     pub at: At,
-    /// What.
-    pub act: Act,
+    /// What is done at that time.
+    pub action: Action,
 }
 
-/// A script.
+/// A test run: the size of the cluster, the load and the faults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Script {
-    /// The seed of all that is drawn as it is played.
+    /// Seed of everything random during the run.
     pub seed: u64,
-    /// Clients ask for this long.
-    pub length: At,
-    /// Nodes.
+    /// How long clients send requests, in microseconds.
+    pub duration: At,
+    /// Number of nodes.
     pub nodes: u32,
-    /// Backend servers.
+    /// Number of backend servers.
     pub servers: u32,
-    /// Dividers of budgets; 0 where nodes share nothing.
-    pub dividers: u32,
-    /// Sites, each with as many nodes and servers as the others; 0 where there are none.
+    /// Number of quota servers; 0 if nodes share no budgets.
+    pub quota_servers: u32,
+    /// Number of sites, each with the same number of nodes and servers; 0 for a cluster without sites.
     pub sites: u32,
-    /// Requests a second, over all nodes.
+    /// Requests per second, over all nodes.
     pub rate: f64,
-    /// What is done, in the order of time.
+    /// The events in order of time.
     pub events: Vec<Event>,
 }
 
-fn seconds(t: At) -> String {
+fn micros_literal(t: At) -> String {
     format!("{} us", t)
 }
 
-impl fmt::Display for Act {
+impl fmt::Display for Action {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match *self {
-            Act::Kill { node, down } => write!(f, "(kill (node {node}) (for {}))", seconds(down)),
-            Act::Restart { node } => write!(f, "(restart (node {node}))"),
-            Act::Halt { node, length } => write!(f, "(halt (node {node}) (for {}))", seconds(length)),
-            Act::Cut { node, server, way, length } => write!(
+            Action::KillNode { node, downtime } => {
+                write!(f, "(kill (node {node}) (for {}))", micros_literal(downtime))
+            }
+            Action::Restart { node } => write!(f, "(restart (node {node}))"),
+            Action::PauseNode { node, duration } => {
+                write!(f, "(halt (node {node}) (for {}))", micros_literal(duration))
+            }
+            Action::CutLink { node, server, direction, duration } => write!(
                 f,
                 "(cut (node {node}) (server {server}) (way {}) (for {}))",
-                way.name(),
-                seconds(length)
+                direction.name(),
+                micros_literal(duration)
             ),
-            Act::Partition { length } => write!(f, "(partition (for {}))", seconds(length)),
-            Act::Delay { node, by, length } => {
-                write!(f, "(delay (node {node}) (by {}) (for {}))", seconds(by), seconds(length))
+            Action::Partition { duration } => write!(f, "(partition (for {}))", micros_literal(duration)),
+            Action::Delay { node, latency, duration } => {
+                write!(
+                    f,
+                    "(delay (node {node}) (by {}) (for {}))",
+                    micros_literal(latency),
+                    micros_literal(duration)
+                )
+            }
+            Action::LimitBandwidth { node, bytes_per_second, duration } => {
+                write!(
+                    f,
+                    "(narrow (node {node}) (rate {bytes_per_second}) (for {}))",
+                    micros_literal(duration)
+                )
             }
-            Act::Narrow { node, rate, length } => {
-                write!(f, "(narrow (node {node}) (rate {rate}) (for {}))", seconds(length))
+            Action::ResetConnections { node, server } => {
+                write!(f, "(break (node {node}) (server {server}))")
             }
-            Act::Break { node, server } => write!(f, "(break (node {node}) (server {server}))"),
-            Act::Deaf { node, length } => write!(f, "(deaf (node {node}) (for {}))", seconds(length)),
-            Act::Drain { server, length } => write!(f, "(drain (server {server}) (for {}))", seconds(length)),
-            Act::KillDivider { divider, down, lost } => {
-                let lost = if lost { "yes" } else { "no" };
-                write!(f, "(kill-divider (divider {divider}) (lost {lost}) (for {}))", seconds(down))
+            Action::MuteDiscovery { node, duration } => {
+                write!(f, "(deaf (node {node}) (for {}))", micros_literal(duration))
             }
-            Act::FillDivider { divider, length } => {
-                write!(f, "(fill-divider (divider {divider}) (for {}))", seconds(length))
+            Action::Drain { server, duration } => {
+                write!(f, "(drain (server {server}) (for {}))", micros_literal(duration))
             }
-            Act::HaltDivider { divider, length } => {
-                write!(f, "(halt-divider (divider {divider}) (for {}))", seconds(length))
+            Action::KillQuotaServer { quota_server, downtime, disk_lost } => {
+                let lost = if disk_lost { "yes" } else { "no" };
+                write!(
+                    f,
+                    "(kill-divider (divider {quota_server}) (lost {lost}) (for {}))",
+                    micros_literal(downtime)
+                )
             }
-            Act::Words { node, loss, length } => {
-                write!(f, "(words (node {node}) (loss {loss}) (for {}))", seconds(length))
+            Action::FillQuotaServerDisk { quota_server, duration } => {
+                write!(f, "(fill-divider (divider {quota_server}) (for {}))", micros_literal(duration))
             }
-            Act::CutWords { node, divider, way, length } => write!(
+            Action::PauseQuotaServer { quota_server, duration } => {
+                write!(f, "(halt-divider (divider {quota_server}) (for {}))", micros_literal(duration))
+            }
+            Action::DegradeQuotaLinks { node, loss, duration } => {
+                write!(f, "(words (node {node}) (loss {loss}) (for {}))", micros_literal(duration))
+            }
+            Action::CutQuotaLink { node, quota_server, direction, duration } => write!(
                 f,
-                "(cut-words (node {node}) (divider {divider}) (way {}) (for {}))",
-                way.name(),
-                seconds(length)
+                "(cut-words (node {node}) (divider {quota_server}) (way {}) (for {}))",
+                direction.name(),
+                micros_literal(duration)
             ),
-            Act::Alone { divider, length } => {
-                write!(f, "(alone (divider {divider}) (for {}))", seconds(length))
+            Action::IsolateQuotaServer { quota_server, duration } => {
+                write!(f, "(alone (divider {quota_server}) (for {}))", micros_literal(duration))
+            }
+            Action::UpgradeNode { node } => write!(f, "(upgrade (node {node}))"),
+            Action::UpgradeQuotaServer { quota_server } => {
+                write!(f, "(upgrade-divider (divider {quota_server}))")
             }
-            Act::Upgrade { node } => write!(f, "(upgrade (node {node}))"),
-            Act::UpgradeDivider { divider } => write!(f, "(upgrade-divider (divider {divider}))"),
-            Act::EndWatches { length } => write!(f, "(end-watches (for {}))", seconds(length)),
-            Act::Whole { percent } => write!(f, "(whole (percent {percent}))"),
-            Act::CutSite { site, way, length } => {
-                write!(f, "(cut-site (site {site}) (way {}) (for {}))", way.name(), seconds(length))
+            Action::CloseDiscoveryConnections { duration } => {
+                write!(f, "(end-watches (for {}))", micros_literal(duration))
             }
-            Act::WordsSite { site, loss, length } => {
-                write!(f, "(words-site (site {site}) (loss {loss}) (for {}))", seconds(length))
+            Action::ChangeQuota { percent } => write!(f, "(whole (percent {percent}))"),
+            Action::CutSite { site, direction, duration } => {
+                write!(
+                    f,
+                    "(cut-site (site {site}) (way {}) (for {}))",
+                    direction.name(),
+                    micros_literal(duration)
+                )
             }
-            Act::KillSite { site, disk, down } => {
-                write!(f, "(kill-site (site {site}) (disk {}) (for {}))", disk.name(), seconds(down))
+            Action::DegradeSite { site, loss, duration } => {
+                write!(f, "(words-site (site {site}) (loss {loss}) (for {}))", micros_literal(duration))
             }
-            Act::KillNode { node, disk, down } => {
-                write!(f, "(kill-node (node {node}) (disk {}) (for {}))", disk.name(), seconds(down))
+            Action::KillSite { site, disk, downtime } => {
+                write!(
+                    f,
+                    "(kill-site (site {site}) (disk {}) (for {}))",
+                    disk.name(),
+                    micros_literal(downtime)
+                )
             }
-            Act::HaltSite { site, length } => {
-                write!(f, "(halt-site (site {site}) (for {}))", seconds(length))
+            Action::KillNodeWithDiskFault { node, disk, downtime } => {
+                write!(
+                    f,
+                    "(kill-node (node {node}) (disk {}) (for {}))",
+                    disk.name(),
+                    micros_literal(downtime)
+                )
             }
-            Act::Account { name, standing, site } => {
-                write!(f, "(account (name {name}) (standing {standing}) (site {site}))")
+            Action::PauseSite { site, duration } => {
+                write!(f, "(halt-site (site {site}) (for {}))", micros_literal(duration))
             }
-            Act::TwoFiles { name, standing, site, second, other } => write!(
+            Action::SetAccountStatus { account, status, site } => {
+                write!(f, "(account (name {account}) (standing {status}) (site {site}))")
+            }
+            Action::ConflictingAccountFiles { account, status, site, second_status, second_site } => write!(
                 f,
-                "(two-files (name {name}) (standing {standing}) (site {site}) (second {second}) (other {other}))"
+                "(two-files (name {account}) (standing {status}) (site {site}) (second {second_status}) (other {second_site}))"
             ),
-            Act::Change { from, to, number, how } => {
-                write!(f, "(change (from {from}) (to {to}) (number {number}) (how {}))", how.name())
+            Action::ChangeDatagram { from, to, number, change } => {
+                write!(
+                    f,
+                    "(change (from {from}) (to {to}) (number {number}) (how {}))",
+                    change.name()
+                )
+            }
+            Action::CrashServer { server, duration } => {
+                write!(f, "(crash (server {server}) (for {}))", micros_literal(duration))
             }
-            Act::Crash { server, length } => write!(f, "(crash (server {server}) (for {}))", seconds(length)),
         }
     }
 }
@@ -429,25 +482,26 @@
 impl fmt::Display for Script {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "(script")?;
-        writeln!(f, "  (seed {}) (length {})", self.seed, seconds(self.length))?;
-        write!(f, "  (nodes {}) (servers {}) (dividers {})", self.nodes, self.servers, self.dividers)?;
+        writeln!(f, "  (seed {}) (length {})", self.seed, micros_literal(self.duration))?;
+        write!(f, "  (nodes {}) (servers {}) (dividers {})", self.nodes, self.servers, self.quota_servers)?;
         write!(f, " (sites {}) (rate {})", self.sites, self.rate)?;
         for e in &self.events {
-            write!(f, "\n  (at {} {})", seconds(e.at), e.act)?;
+            write!(f, "\n  (at {} {})", micros_literal(e.at), e.action)?;
         }
         writeln!(f, ")")
     }
 }
 
-/// Read a script.
+/// Reads a script; `file` is its name in error messages.
 ///
 /// # Errors
-/// All faults of the text, with their places.
+/// Returns all errors of the text, with their positions.
 pub fn read(file: &str, text: &str) -> Result<Script, ParseErrors> {
-    shorepath_sexp::read(file, text, "script", script)
+    shorepath_sexp::read(file, text, "script", read_script)
 }
 
-const ACTS: [&str; 29] = [
+/// The actions' names: first those for any cluster, then those that need quota servers, then those that need sites.
+const ACTION_NAMES: [&str; 29] = [
     "kill",
     "restart",
     "halt",
@@ -479,121 +533,145 @@
     "change",
 ];
 
-fn act(name: &str, f: &Form, (nodes, servers, dividers, sites): (u32, u32, u32, u32)) -> Act {
-    let one = |name: &'static str, of: u32| f.count(name, 0, 0..=u64::from(of.max(1) - 1)) as u32;
-    if sites == 0 && ACTS[21..].contains(&name) {
+fn read_action(name: &str, f: &Form, (nodes, servers, quota_servers, sites): (u32, u32, u32, u32)) -> Action {
+    let read_number =
+        |name: &'static str, count: u32| f.count(name, 0, 0..=u64::from(count.max(1) - 1)) as u32;
+    if sites == 0 && ACTION_NAMES[21..].contains(&name) {
         f.add_error(format!("({name}) needs (sites N)"));
     }
-    if dividers == 0 && ACTS[13..21].contains(&name) {
+    if quota_servers == 0 && ACTION_NAMES[13..21].contains(&name) {
         f.add_error(format!("({name}) needs (dividers N)"));
     }
-    let length = || f.time("for", 1_000_000, TIMES);
+    let duration = || f.time("for", 1_000_000, TIME_RANGE);
     match name {
-        "kill" => Act::Kill { node: one("node", nodes), down: length() },
-        "restart" => Act::Restart { node: one("node", nodes) },
-        "halt" => Act::Halt { node: one("node", nodes), length: length() },
-        "cut" => Act::Cut {
-            node: one("node", nodes),
-            server: one("server", servers),
-            way: Way::of(&f.choice("way", "both", &Way::NAMES)),
-            length: length(),
+        "kill" => Action::KillNode { node: read_number("node", nodes), downtime: duration() },
+        "restart" => Action::Restart { node: read_number("node", nodes) },
+        "halt" => Action::PauseNode { node: read_number("node", nodes), duration: duration() },
+        "cut" => Action::CutLink {
+            node: read_number("node", nodes),
+            server: read_number("server", servers),
+            direction: Direction::from_name(&f.choice("way", "both", &Direction::NAMES)),
+            duration: duration(),
         },
-        "partition" => Act::Partition { length: length() },
-        "delay" => Act::Delay { node: one("node", nodes), by: f.time("by", 50_000, TIMES), length: length() },
-        "narrow" => Act::Narrow {
-            node: one("node", nodes),
-            rate: f.count("rate", 10_000, 100..=1_000_000_000) as u32,
-            length: length(),
+        "partition" => Action::Partition { duration: duration() },
+        "delay" => Action::Delay {
+            node: read_number("node", nodes),
+            latency: f.time("by", 50_000, TIME_RANGE),
+            duration: duration(),
         },
-        "break" => Act::Break { node: one("node", nodes), server: one("server", servers) },
-        "deaf" => Act::Deaf { node: one("node", nodes), length: length() },
-        "drain" => Act::Drain { server: one("server", servers), length: length() },
-        "upgrade" => Act::Upgrade { node: one("node", nodes) },
-        "upgrade-divider" => Act::UpgradeDivider { divider: one("divider", dividers) },
-        "end-watches" => Act::EndWatches { length: length() },
-        "kill-divider" => Act::KillDivider {
-            divider: one("divider", dividers),
-            down: length(),
-            lost: f.flag("lost", false),
+        "narrow" => Action::LimitBandwidth {
+            node: read_number("node", nodes),
+            bytes_per_second: f.count("rate", 10_000, 100..=1_000_000_000) as u32,
+            duration: duration(),
         },
-        "fill-divider" => Act::FillDivider { divider: one("divider", dividers), length: length() },
-        "halt-divider" => Act::HaltDivider { divider: one("divider", dividers), length: length() },
-        "words" => {
-            Act::Words { node: one("node", nodes), loss: f.number("loss", 0.3, 0.0..=1.0), length: length() }
+        "break" => Action::ResetConnections {
+            node: read_number("node", nodes),
+            server: read_number("server", servers),
+        },
+        "deaf" => Action::MuteDiscovery { node: read_number("node", nodes), duration: duration() },
+        "drain" => Action::Drain { server: read_number("server", servers), duration: duration() },
+        "upgrade" => Action::UpgradeNode { node: read_number("node", nodes) },
+        "upgrade-divider" => {
+            Action::UpgradeQuotaServer { quota_server: read_number("divider", quota_servers) }
         }
-        "cut-words" => Act::CutWords {
-            node: one("node", nodes),
-            divider: one("divider", dividers),
-            way: Way::of(&f.choice("way", "both", &Way::NAMES)),
-            length: length(),
+        "end-watches" => Action::CloseDiscoveryConnections { duration: duration() },
+        "kill-divider" => Action::KillQuotaServer {
+            quota_server: read_number("divider", quota_servers),
+            downtime: duration(),
+            disk_lost: f.flag("lost", false),
+        },
+        "fill-divider" => Action::FillQuotaServerDisk {
+            quota_server: read_number("divider", quota_servers),
+            duration: duration(),
+        },
+        "halt-divider" => Action::PauseQuotaServer {
+            quota_server: read_number("divider", quota_servers),
+            duration: duration(),
+        },
+        "words" => Action::DegradeQuotaLinks {
+            node: read_number("node", nodes),
+            loss: f.number("loss", 0.3, 0.0..=1.0),
+            duration: duration(),
         },
-        "cut-site" => Act::CutSite {
-            site: one("site", sites),
-            way: Way::of(&f.choice("way", "both", &Way::NAMES)),
-            length: length(),
+        "cut-words" => Action::CutQuotaLink {
+            node: read_number("node", nodes),
+            quota_server: read_number("divider", quota_servers),
+            direction: Direction::from_name(&f.choice("way", "both", &Direction::NAMES)),
+            duration: duration(),
         },
-        "words-site" => Act::WordsSite {
-            site: one("site", sites),
+        "cut-site" => Action::CutSite {
+            site: read_number("site", sites),
+            direction: Direction::from_name(&f.choice("way", "both", &Direction::NAMES)),
+            duration: duration(),
+        },
+        "words-site" => Action::DegradeSite {
+            site: read_number("site", sites),
             loss: f.number("loss", 0.3, 0.0..=1.0),
-            length: length(),
+            duration: duration(),
         },
-        "kill-site" => Act::KillSite {
-            site: one("site", sites),
-            disk: Disk::of(&f.choice("disk", "kept", &Disk::NAMES)),
-            down: length(),
+        "kill-site" => Action::KillSite {
+            site: read_number("site", sites),
+            disk: DiskFault::from_name(&f.choice("disk", "kept", &DiskFault::NAMES)),
+            downtime: duration(),
         },
-        "kill-node" => Act::KillNode {
-            node: one("node", nodes),
-            disk: Disk::of(&f.choice("disk", "kept", &Disk::NAMES)),
-            down: length(),
+        "kill-node" => Action::KillNodeWithDiskFault {
+            node: read_number("node", nodes),
+            disk: DiskFault::from_name(&f.choice("disk", "kept", &DiskFault::NAMES)),
+            downtime: duration(),
         },
-        "halt-site" => Act::HaltSite { site: one("site", sites), length: length() },
-        "account" => Act::Account {
-            name: among(f, "name", TENANTS),
-            standing: among(f, "standing", STANDINGS),
-            site: one("site", sites),
+        "halt-site" => Action::PauseSite { site: read_number("site", sites), duration: duration() },
+        "account" => Action::SetAccountStatus {
+            account: read_choice(f, "name", TENANTS),
+            status: read_choice(f, "standing", ACCOUNT_STATUSES),
+            site: read_number("site", sites),
         },
-        "two-files" => Act::TwoFiles {
-            name: among(f, "name", TENANTS),
-            standing: among(f, "standing", STANDINGS),
-            site: one("site", sites),
-            second: among(f, "second", STANDINGS),
-            other: one("other", sites),
+        "two-files" => Action::ConflictingAccountFiles {
+            account: read_choice(f, "name", TENANTS),
+            status: read_choice(f, "standing", ACCOUNT_STATUSES),
+            site: read_number("site", sites),
+            second_status: read_choice(f, "second", ACCOUNT_STATUSES),
+            second_site: read_number("other", sites),
         },
         "change" => {
-            let (from, to) = (one("from", nodes), one("to", nodes));
+            let (from, to) = (read_number("from", nodes), read_number("to", nodes));
             if from == to {
-                f.add_error("a node says nothing to itself");
+                f.add_error("a node sends no datagrams to itself");
             }
-            let how = How::of(&f.choice("how", "drop", &How::NAMES));
-            Act::Change { from, to, number: f.count("number", 1, 1..=1_000_000), how }
+            let change = DatagramChange::from_name(&f.choice("how", "drop", &DatagramChange::NAMES));
+            Action::ChangeDatagram { from, to, number: f.count("number", 1, 1..=1_000_000), change }
         }
-        "alone" => Act::Alone { divider: one("divider", dividers), length: length() },
-        "whole" => Act::Whole { percent: f.count("percent", 70, 5..=500) as u32 },
-        _ => Act::Crash { server: one("server", servers), length: length() },
+        "alone" => Action::IsolateQuotaServer {
+            quota_server: read_number("divider", quota_servers),
+            duration: duration(),
+        },
+        "whole" => Action::ChangeQuota { percent: f.count("percent", 70, 5..=500) as u32 },
+        _ => Action::CrashServer { server: read_number("server", servers), duration: duration() },
     }
 }
 
-fn script(f: &Form) -> Script {
-    let nodes = f.count("nodes", 3, 1..=MOST) as u32;
-    let servers = f.count("servers", 4, 1..=MOST) as u32;
-    let dividers = f.count("dividers", 0, 0..=9) as u32;
+fn read_script(f: &Form) -> Script {
+    let nodes = f.count("nodes", 3, 1..=MAX_PROCESSES) as u32;
+    let servers = f.count("servers", 4, 1..=MAX_PROCESSES) as u32;
+    let quota_servers = f.count("dividers", 0, 0..=9) as u32;
     let sites = f.count("sites", 0, 0..=9) as u32;
     if sites == 1 || (sites > 1 && !(nodes.is_multiple_of(sites) && servers.is_multiple_of(sites))) {
-        f.add_error(format!("{sites} sites need as many nodes and servers each, and two are the least"));
+        f.add_error(format!("(sites {sites}): at least two sites are needed, each with as many nodes and servers as the others"));
     }
     let mut events = Vec::new();
     for form in f.many("at") {
-        let at = form.times(1, 1, TIMES).first().copied().unwrap_or(0);
-        let found: Vec<Event> = ACTS
+        let at = form.times(1, 1, TIME_RANGE).first().copied().unwrap_or(0);
+        let found: Vec<Event> = ACTION_NAMES
             .iter()
             .filter_map(|name| {
-                form.given(name, |f| Some(act(name, f, (nodes, servers, dividers, sites))))
-                    .map(|act| Event { at, act })
+                form.given(name, |f| Some(read_action(name, f, (nodes, servers, quota_servers, sites))))
+                    .map(|action| Event { at, action })
             })
             .collect();
         if found.is_empty() {
-            form.add_error(format!("nothing is done at that time; known: {}", ACTS.join(", ")));
+            form.add_error(format!(
+                "no action is given for this time; known actions: {}",
+                ACTION_NAMES.join(", ")
+            ));
         }
         events.extend(found);
         form.finish();
@@ -601,10 +679,10 @@
     events.sort_by_key(|e| e.at);
     Script {
         seed: f.count("seed", 1, 0..=1_000_000_000_000_000),
-        length: f.time("length", 6_000_000, 100_000..=*TIMES.end()),
+        duration: f.time("length", 6_000_000, 100_000..=*TIME_RANGE.end()),
         nodes,
         servers,
-        dividers,
+        quota_servers,
         sites,
         rate: f.number("rate", 60.0, 0.1..=10_000.0),
         events,
@@ -612,182 +690,239 @@
 }
 
 impl Script {
-    /// One drawn from a seed: about an event each 0.7 s, in the first two thirds of the length.
-    pub fn drawn(seed: u64, length: At, nodes: u32, servers: u32) -> Script {
+    /// Generates a script from a seed: on average one event every 0.7 s, in the first two thirds of the run.
+    pub fn random(seed: u64, duration: At, nodes: u32, servers: u32) -> Script {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let last = length * 2 / 3;
+        let last = duration * 2 / 3;
         let count = (last / 700_000).max(1);
         let mut events: Vec<Event> = (0..count)
             .map(|_| {
                 let at = rng.random_range(200_000..last.max(200_001));
                 let (node, server) = (rng.random_range(0..nodes), rng.random_range(0..servers));
-                let spell = rng.random_range(100_000..1_500_000);
-                let act = match rng.random_range(0..11) {
-                    0 => Act::Kill { node, down: spell / 2 },
-                    1 => Act::Restart { node },
-                    2 => Act::Halt { node, length: spell },
+                let fault_duration = rng.random_range(100_000..1_500_000);
+                let action = match rng.random_range(0..11) {
+                    0 => Action::KillNode { node, downtime: fault_duration / 2 },
+                    1 => Action::Restart { node },
+                    2 => Action::PauseNode { node, duration: fault_duration },
                     3 => {
-                        let way = [Way::There, Way::Back, Way::Both][rng.random_range(0..3)];
-                        Act::Cut { node, server, way, length: spell }
+                        let direction = [Direction::Forward, Direction::Backward, Direction::Both]
+                            [rng.random_range(0..3)];
+                        Action::CutLink { node, server, direction, duration: fault_duration }
                     }
-                    4 => Act::Partition { length: spell },
-                    5 => Act::Delay { node, by: rng.random_range(1_000..150_000), length: spell },
-                    6 => Act::Narrow { node, rate: rng.random_range(5_000..200_000), length: spell },
-                    7 => Act::Break { node, server },
-                    8 => Act::Deaf { node, length: spell },
-                    9 => Act::Drain { server, length: spell + 500_000 },
-                    _ => Act::Crash { server, length: spell },
+                    4 => Action::Partition { duration: fault_duration },
+                    5 => Action::Delay {
+                        node,
+                        latency: rng.random_range(1_000..150_000),
+                        duration: fault_duration,
+                    },
+                    6 => Action::LimitBandwidth {
+                        node,
+                        bytes_per_second: rng.random_range(5_000..200_000),
+                        duration: fault_duration,
+                    },
+                    7 => Action::ResetConnections { node, server },
+                    8 => Action::MuteDiscovery { node, duration: fault_duration },
+                    9 => Action::Drain { server, duration: fault_duration + 500_000 },
+                    _ => Action::CrashServer { server, duration: fault_duration },
                 };
-                Event { at, act }
+                Event { at, action }
             })
             .collect();
         events.sort_by_key(|e| e.at);
-        Script { seed, length, nodes, servers, dividers: 0, sites: 0, rate: 30.0 * f64::from(nodes), events }
+        Script {
+            seed,
+            duration,
+            nodes,
+            servers,
+            quota_servers: 0,
+            sites: 0,
+            rate: 30.0 * f64::from(nodes),
+            events,
+        }
     }
 
-    /// One drawn from a seed in which nodes share budgets that so many dividers divide: as often something is done to these, and
-    /// to the words between, as to nodes and servers.
-    pub fn drawn_with(seed: u64, length: At, nodes: u32, servers: u32, dividers: u32) -> Script {
-        let mut script = Script { dividers, ..Script::drawn(seed, length, nodes, servers) };
+    /// Generates a script in which nodes share budgets: adds faults of quota servers and of their links to the events of
+    /// [`Script::random`].
+    pub fn random_with_quota_servers(
+        seed: u64,
+        duration: At,
+        nodes: u32,
+        servers: u32,
+        quota_servers: u32,
+    ) -> Script {
+        let mut script = Script { quota_servers, ..Script::random(seed, duration, nodes, servers) };
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         rng.set_stream(1);
-        let last = length * 2 / 3;
+        let last = duration * 2 / 3;
         for _ in 0..(last / 900_000).max(1) {
             let at = rng.random_range(200_000..last.max(200_001));
-            let (node, divider) = (rng.random_range(0..nodes), rng.random_range(0..dividers));
-            let spell = rng.random_range(100_000..4_000_000);
-            let act = match rng.random_range(0..9) {
-                0 => Act::KillDivider { divider, down: spell / 2, lost: false },
-                // Always the same one: a fleet that loses most of its disks at once needs its operator.
+            let (node, quota_server) = (rng.random_range(0..nodes), rng.random_range(0..quota_servers));
+            let fault_duration = rng.random_range(100_000..4_000_000);
+            let action = match rng.random_range(0..9) {
+                0 => Action::KillQuotaServer { quota_server, downtime: fault_duration / 2, disk_lost: false },
+                // Always the same one: quota servers that lose most of their disks at once don't recover by themselves.
                 1 => {
-                    let divider = (seed % u64::from(dividers)) as u32;
-                    Act::KillDivider { divider, down: spell / 2, lost: true }
+                    let quota_server = (seed % u64::from(quota_servers)) as u32;
+                    Action::KillQuotaServer { quota_server, downtime: fault_duration / 2, disk_lost: true }
                 }
-                2 => Act::HaltDivider { divider, length: spell },
-                3 => Act::Words { node, loss: 0.3, length: spell },
+                2 => Action::PauseQuotaServer { quota_server, duration: fault_duration },
+                3 => Action::DegradeQuotaLinks { node, loss: 0.3, duration: fault_duration },
                 4 => {
-                    let way = [Way::There, Way::Back, Way::Both][rng.random_range(0..3)];
-                    Act::CutWords { node, divider, way, length: spell }
+                    let direction =
+                        [Direction::Forward, Direction::Backward, Direction::Both][rng.random_range(0..3)];
+                    Action::CutQuotaLink { node, quota_server, direction, duration: fault_duration }
                 }
-                5 => Act::Alone { divider, length: spell },
-                6 => Act::Kill { node, down: spell / 10 },
-                7 => Act::FillDivider { divider, length: spell },
-                _ => Act::Whole { percent: rng.random_range(30..110) },
+                5 => Action::IsolateQuotaServer { quota_server, duration: fault_duration },
+                6 => Action::KillNode { node, downtime: fault_duration / 10 },
+                7 => Action::FillQuotaServerDisk { quota_server, duration: fault_duration },
+                _ => Action::ChangeQuota { percent: rng.random_range(30..110) },
             };
-            script.events.push(Event { at, act });
+            script.events.push(Event { at, action });
         }
         script.events.sort_by_key(|e| e.at);
         script
     }
 
-    /// This one with upgrades: in the first two thirds of its length every divider and every node is upgraded once, in an order drawn
-    /// from the seed, and then every one again, which takes it back to the program that it began with.
-    pub fn rolling(mut self) -> Script {
+    /// Adds rolling upgrades in the first two thirds of the run: two passes over all nodes and quota servers, each in a random
+    /// order. The second pass takes every process back to the program that it began with.
+    pub fn with_upgrades(mut self) -> Script {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
         rng.set_stream(5);
-        let each = 2 * i64::from(self.nodes + self.dividers);
+        let each = 2 * i64::from(self.nodes + self.quota_servers);
         let mut at = 300_000;
         for _ in 0..2 {
-            let nodes = (0..self.nodes).map(|node| Act::Upgrade { node });
-            let dividers = (0..self.dividers).map(|divider| Act::UpgradeDivider { divider });
-            let mut all: Vec<Act> = nodes.chain(dividers).collect();
+            let nodes = (0..self.nodes).map(|node| Action::UpgradeNode { node });
+            let quota_servers =
+                (0..self.quota_servers).map(|quota_server| Action::UpgradeQuotaServer { quota_server });
+            let mut all: Vec<Action> = nodes.chain(quota_servers).collect();
             while !all.is_empty() {
-                let act = all.swap_remove(rng.random_range(0..all.len()));
-                self.events.push(Event { at, act });
-                at += (self.length * 2 / 3 - 300_000).max(0) / each.max(1);
+                let action = all.swap_remove(rng.random_range(0..all.len()));
+                self.events.push(Event { at, action });
+                at += (self.duration * 2 / 3 - 300_000).max(0) / each.max(1);
             }
         }
         self.events.sort_by_key(|e| e.at);
         self
     }
 
-    /// The same with so many datagrams between nodes of sites changed, one at a time. One that is to come once more does so after its
-    /// hearer's restart.
-    pub fn changing(mut self, count: u32) -> Script {
+    /// Adds `count` changes of single datagrams between nodes of sites. For a replay it adds a restart of the receiver, after
+    /// which the datagram is sent again.
+    pub fn with_changed_datagrams(mut self, count: u32) -> Script {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
         rng.set_stream(4);
-        let last = self.length * 6 / 10;
+        let last = self.duration * 6 / 10;
         for _ in 0..count {
             let at = rng.random_range(200_000..last.max(200_001));
             let from = rng.random_range(0..self.nodes);
             let to = (from + rng.random_range(1..self.nodes.max(2))) % self.nodes;
-            let how = How::of(How::NAMES[rng.random_range(0..How::NAMES.len())]);
+            let change = DatagramChange::from_name(
+                DatagramChange::NAMES[rng.random_range(0..DatagramChange::NAMES.len())],
+            );
             let number = rng.random_range(1..60);
-            self.events.push(Event { at, act: Act::Change { from, to, number, how } });
-            if how == How::Again {
-                self.events.push(Event { at: at + 2_000_000, act: Act::Restart { node: to } });
+            self.events.push(Event { at, action: Action::ChangeDatagram { from, to, number, change } });
+            if change == DatagramChange::Replay {
+                self.events.push(Event { at: at + 2_000_000, action: Action::Restart { node: to } });
             }
         }
         self.events.sort_by_key(|e| e.at);
         self
     }
 
-    /// As [`Script::drawn_sites`], with so many dividers, each at a site, so that keys which must not repeat have homes: something is done
-    /// to dividers as well, and about half as often as to nodes.
-    pub fn drawn_homes(seed: u64, length: At, sites: u32, nodes: u32, servers: u32, dividers: u32) -> Script {
-        let mut script = Script { dividers, ..Script::drawn_sites(seed, length, sites, nodes, servers) };
+    /// Generates a script for sites with quota servers, which lease ranges of idempotency keys to nodes: adds faults of quota
+    /// servers to the events of [`Script::random_sites`]. Each quota server belongs to a site.
+    pub fn random_sites_with_quota_servers(
+        seed: u64,
+        duration: At,
+        sites: u32,
+        nodes: u32,
+        servers: u32,
+        quota_servers: u32,
+    ) -> Script {
+        let mut script =
+            Script { quota_servers, ..Script::random_sites(seed, duration, sites, nodes, servers) };
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         rng.set_stream(3);
-        let last = length * 6 / 10;
+        let last = duration * 6 / 10;
         for _ in 0..(last / 4_000_000).max(1) {
             let at = rng.random_range(200_000..last.max(200_001));
-            let (divider, spell) = (rng.random_range(0..dividers), rng.random_range(300_000..5_000_000));
-            let act = match rng.random_range(0..2) {
-                0 => Act::KillDivider { divider, down: spell / 2, lost: false },
-                _ => Act::HaltDivider { divider, length: spell / 2 },
+            let (quota_server, fault_duration) =
+                (rng.random_range(0..quota_servers), rng.random_range(300_000..5_000_000));
+            let action = match rng.random_range(0..2) {
+                0 => Action::KillQuotaServer { quota_server, downtime: fault_duration / 2, disk_lost: false },
+                _ => Action::PauseQuotaServer { quota_server, duration: fault_duration / 2 },
             };
-            script.events.push(Event { at, act });
+            script.events.push(Event { at, action });
         }
         script.events.sort_by_key(|e| e.at);
         script
     }
 
-    /// One drawn from a seed for so many sites, each with so many nodes and servers: the first tenant is closing, opened again and
-    /// barred once more, now and then by two files of one number; about each 1.5 s something is done to a site, a node or a
-    /// server. All of it begins in the first 6 tenths of the length.
-    pub fn drawn_sites(seed: u64, length: At, sites: u32, nodes: u32, servers: u32) -> Script {
+    /// Generates a script for sites; `nodes` and `servers` are those of each site.
+    ///
+    /// The first tenant's account is closed, reopened and closed again, sometimes by two files with the same number. About
+    /// every 1.5 s there is a fault of a site, a node or a server. All events are in the first six tenths of the run.
+    pub fn random_sites(seed: u64, duration: At, sites: u32, nodes: u32, servers: u32) -> Script {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         rng.set_stream(2);
         let (nodes, servers) = (sites * nodes, sites * servers);
-        let last = length * 6 / 10;
+        let last = duration * 6 / 10;
         let mut events = Vec::new();
         for part in 0..4 {
             let at = rng.random_range(last * part / 4..last * (part + 1) / 4);
             let site = rng.random_range(0..sites);
-            let other = (site + rng.random_range(1..sites)) % sites;
+            let second_site = (site + rng.random_range(1..sites)) % sites;
             let closed = ["closing", "closing", "closed"][rng.random_range(0..3)];
             let open = ["reopened", "good", "warned"][rng.random_range(0..3)];
-            let name = TENANTS[0];
+            let account = TENANTS[0];
             let two = rng.random::<f64>() < 0.25;
-            let act = match part {
-                0 => Act::Account { name, standing: "closing", site },
-                1 => Act::Account { name, standing: open, site },
-                2 if two => Act::TwoFiles { name, standing: closed, site, second: open, other },
-                2 => Act::Account { name, standing: closed, site },
-                _ => Act::Account { name, standing: [open, closed][rng.random_range(0..2)], site },
+            let action = match part {
+                0 => Action::SetAccountStatus { account, status: "closing", site },
+                1 => Action::SetAccountStatus { account, status: open, site },
+                2 if two => Action::ConflictingAccountFiles {
+                    account,
+                    status: closed,
+                    site,
+                    second_status: open,
+                    second_site,
+                },
+                2 => Action::SetAccountStatus { account, status: closed, site },
+                _ => {
+                    Action::SetAccountStatus { account, status: [open, closed][rng.random_range(0..2)], site }
+                }
             };
-            events.push(Event { at, act });
+            events.push(Event { at, action });
         }
         for _ in 0..(last / 1_500_000).max(1) {
             let at = rng.random_range(200_000..last.max(200_001));
             let (site, node) = (rng.random_range(0..sites), rng.random_range(0..nodes));
-            let (server, spell) = (rng.random_range(0..servers), rng.random_range(300_000..6_000_000));
-            let way = [Way::There, Way::Back, Way::Both][rng.random_range(0..3)];
-            let disk = [Disk::Kept, Disk::Lost, Disk::Old][rng.random_range(0..3)];
-            let act = match rng.random_range(0..12) {
-                0..3 => Act::CutSite { site, way, length: spell },
-                3 => Act::WordsSite { site, loss: 0.3, length: spell },
-                4 => Act::KillSite { site, disk, down: spell / 2 },
-                5 => Act::HaltSite { site, length: spell / 2 },
-                6 | 7 => Act::KillNode { node, disk, down: spell / 3 },
-                8 => Act::Restart { node },
-                9 => Act::Halt { node, length: spell / 2 },
-                10 => Act::Drain { server, length: spell / 2 + 500_000 },
-                _ => Act::Crash { server, length: spell / 3 },
+            let (server, fault_duration) =
+                (rng.random_range(0..servers), rng.random_range(300_000..6_000_000));
+            let direction =
+                [Direction::Forward, Direction::Backward, Direction::Both][rng.random_range(0..3)];
+            let disk = [DiskFault::Kept, DiskFault::Lost, DiskFault::RolledBack][rng.random_range(0..3)];
+            let action = match rng.random_range(0..12) {
+                0..3 => Action::CutSite { site, direction, duration: fault_duration },
+                3 => Action::DegradeSite { site, loss: 0.3, duration: fault_duration },
+                4 => Action::KillSite { site, disk, downtime: fault_duration / 2 },
+                5 => Action::PauseSite { site, duration: fault_duration / 2 },
+                6 | 7 => Action::KillNodeWithDiskFault { node, disk, downtime: fault_duration / 3 },
+                8 => Action::Restart { node },
+                9 => Action::PauseNode { node, duration: fault_duration / 2 },
+                10 => Action::Drain { server, duration: fault_duration / 2 + 500_000 },
+                _ => Action::CrashServer { server, duration: fault_duration / 3 },
             };
-            events.push(Event { at, act });
+            events.push(Event { at, action });
         }
         events.sort_by_key(|e| e.at);
-        Script { seed, length, nodes, servers, dividers: 0, sites, rate: 15.0 * f64::from(nodes), events }
+        Script {
+            seed,
+            duration,
+            nodes,
+            servers,
+            quota_servers: 0,
+            sites,
+            rate: 15.0 * f64::from(nodes),
+            events,
+        }
     }
 }
--- a/crates/rig/src/sites.rs
+++ b/crates/rig/src/sites.rs
@@ -2,17 +2,17 @@
 //! nodes has a relay each way, so each node has a file of its own that says where it finds the others.
 //!
 //! With dividers the keys of classes that must not repeat have homes, and each divider belongs to a site: its words take links of
-//! [`crate::fleet`], to which is done what is done to its site's.
+//! [`crate::quota_servers`], to which is done what is done to its site's.
 
-use crate::addresses::fresh;
-use crate::disks::{self, Place};
-use crate::fleet::Fleet;
+use crate::addresses::allocate_address;
+use crate::disks::{self, EntryId};
 use crate::history::{History, What};
 use crate::http::Reader;
-use crate::play::PlayError;
-use crate::process::Node;
-use crate::relay::{udp, How, Link, Traits};
-use crate::script::{Disk, Script, Way, TENANTS};
+use crate::process::ManagedProcess;
+use crate::quota_servers::QuotaServers;
+use crate::relay::{udp, DatagramChange, Link, LinkFaults};
+use crate::runner::RunError;
+use crate::script::{Direction, DiskFault, Script, TENANTS};
 use crate::standing::is_well;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -91,12 +91,12 @@
 
 impl Sites {
     /// Relays, files and addresses; nothing is started yet.
-    pub async fn set_up(script: &Script, dir: &Path, history: Rc<History>) -> Result<Sites, PlayError> {
+    pub async fn set_up(script: &Script, dir: &Path, history: Rc<History>) -> Result<Sites, RunError> {
         let n = script.nodes;
         let (mut at, mut doors) = (Vec::new(), Vec::new());
         for _ in 0..n {
-            at.push(fresh()?);
-            doors.push(fresh()?);
+            at.push(allocate_address()?);
+            doors.push(allocate_address()?);
         }
         let mut sites = Sites {
             history,
@@ -109,7 +109,7 @@
             cuts: RefCell::default(),
             spoils: RefCell::default(),
             number: Cell::new(1),
-            homes: script.dividers > 0,
+            homes: script.quota_servers > 0,
         };
         for (who, folder) in (0..n).zip(sites.folders.clone()) {
             let (mut links, mut lists) = (Vec::new(), vec![String::new(); script.sites as usize]);
@@ -178,7 +178,7 @@
     }
 
     /// All of them have been started: once they hear each other, keep a copy of each disk.
-    pub async fn begin(&self, nodes: &[Rc<Node>]) -> Result<(), PlayError> {
+    pub async fn begin(&self, nodes: &[Rc<ManagedProcess>]) -> Result<(), RunError> {
         let (begin, mut node) = (Instant::now(), 0);
         while let Some(process) = nodes.get(node) {
             let said = self.said(node as u32).await;
@@ -188,12 +188,13 @@
             };
             if said.is_some_and(ready) {
                 let folder = &self.folders[node];
-                let copied = process.freeze().await.then(|| copy(&folder.join("state"), &folder.join("old")));
-                process.go_on();
+                let copied =
+                    process.pause_for_copy().await.then(|| copy(&folder.join("state"), &folder.join("old")));
+                process.resume();
                 copied.unwrap_or_else(|| Err(std::io::Error::other("a process can't be stopped")))?;
                 node += 1;
             } else if begin.elapsed() > SETTLED {
-                return Err(PlayError::Start { node: node as u32, log: process.log().join("\n") });
+                return Err(RunError::Start { node: node as u32, log: process.log().join("\n") });
             } else {
                 sleep(ASKS).await;
             }
@@ -202,46 +203,46 @@
     }
 
     /// That happens to the disk of a node that is down.
-    pub fn disk(&self, node: u32, disk: Disk) {
+    pub fn disk(&self, node: u32, disk: DiskFault) {
         let folder = &self.folders[node as usize];
         let state = folder.join("state");
         let done = match disk {
-            Disk::Kept => Ok(()),
-            Disk::Lost => std::fs::remove_dir_all(&state),
-            Disk::Old => copy(&folder.join("old"), &state),
+            DiskFault::Kept => Ok(()),
+            DiskFault::Lost => std::fs::remove_dir_all(&state),
+            DiskFault::RolledBack => copy(&folder.join("old"), &state),
         };
         // One that could not be touched is kept.
-        let disk = if done.is_ok() { disk } else { Disk::Kept };
+        let disk = if done.is_ok() { disk } else { DiskFault::Kept };
         self.history.note(What::Disk { node, disk: disk.name().to_string() });
     }
 
     /// What links do now, by all that is done to them.
-    fn apply(&self, fleet: Option<&Fleet>) {
+    fn apply(&self, fleet: Option<&QuotaServers>) {
         if let Some(fleet) = fleet {
             let nodes = self.folders.len() as u32;
             let of = |process: u32| match process.checked_sub(nodes) {
                 Some(divider) => self.of_divider(divider),
                 None => self.of(process),
             };
-            fleet.apart(|from, to| self.traits(of(from), of(to)));
+            fleet.set_faults(|from, to| self.traits(of(from), of(to)));
         }
         for (from, links) in (0..).zip(&self.words) {
             for (to, link) in (0..).zip(links) {
                 let traits = self.traits(self.of(from), self.of(to));
                 // What is said back goes over the link of the other.
-                link.iter().for_each(|link| link.change(|s| s.there = traits));
+                link.iter().for_each(|link| link.change(|s| s.forward = traits));
             }
         }
     }
 
     /// What is done now to words from one site to another.
-    fn traits(&self, from: u32, to: u32) -> Traits {
+    fn traits(&self, from: u32, to: u32) -> LinkFaults {
         let (cuts, spoils) = (self.cuts.borrow(), self.spoils.borrow());
         let cut = cuts.get(&(from, to)).is_some_and(|n| *n > 0);
         let spoilt = |site: u32| spoils.get(&site).filter(|s| s.0 > 0).map_or(0.0, |s| s.1);
         let loss = spoilt(from).max(spoilt(to));
-        let (twice, late, lateness) = (loss / 2.0, loss / 2.0, Duration::from_millis(800));
-        Traits { cut, loss, twice, late, lateness, ..Traits::default() }
+        let (duplication, reordering, max_extra_delay) = (loss / 2.0, loss / 2.0, Duration::from_millis(800));
+        LinkFaults { cut, loss, duplication, reordering, max_extra_delay, ..LinkFaults::default() }
     }
 
     /// The name of a node's own range of keys, as it says at its door.
@@ -254,7 +255,7 @@
         divider % self.sites
     }
 
-    fn set_cut(&self, site: u32, way: Way, cut: bool, fleet: Option<&Fleet>) {
+    fn set_cut(&self, site: u32, way: Direction, cut: bool, fleet: Option<&QuotaServers>) {
         let others = (0..self.sites).filter(|other| *other != site);
         for (from, to, there) in others.flat_map(|o| [(site, o, true), (o, site, false)]) {
             if !way.covers(there) {
@@ -272,14 +273,14 @@
     }
 
     /// A site's words to others, or theirs to it, don't come through for that time.
-    pub async fn cut(&self, site: u32, way: Way, length: Duration, fleet: Option<&Fleet>) {
+    pub async fn cut(&self, site: u32, way: Direction, length: Duration, fleet: Option<&QuotaServers>) {
         self.set_cut(site, way, true, fleet);
         sleep(length).await;
         self.set_cut(site, way, false, fleet);
     }
 
     /// Words from and to a site are lost, doubled and late for that time.
-    pub async fn spoil(&self, site: u32, loss: f64, length: Duration, fleet: Option<&Fleet>) {
+    pub async fn spoil(&self, site: u32, loss: f64, length: Duration, fleet: Option<&QuotaServers>) {
         let change = |more: bool| {
             let mut spoils = self.spoils.borrow_mut();
             let (count, worst) = spoils.entry(site).or_default();
@@ -301,13 +302,13 @@
     }
 
     /// One datagram from a node to another is changed, told as it happens.
-    pub fn alter(&self, (from, to): (u32, u32), number: u64, how: How, seed: u64) {
+    pub fn alter(&self, (from, to): (u32, u32), number: u64, how: DatagramChange, seed: u64) {
         let link = self.words.get(from as usize).and_then(|all| all.get(to as usize)?.as_ref());
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         rng.set_stream(u64::from(from) << 48 | u64::from(to) << 32 | number);
         let history = self.history.clone();
         let told = move || history.note(What::Changed { from, to, how: how.name().to_string() });
-        link.into_iter().for_each(|link| link.alter(number, how, rng.random(), told.clone()));
+        link.into_iter().for_each(|link| link.change_datagram(number, how, rng.random(), told.clone()));
     }
 
     /// A node's process has been started anew: what was kept for that comes once more.
@@ -322,7 +323,7 @@
     }
 
     /// A file of that number is handed to a node of a site, by number each in turn.
-    pub fn hand(&self, number: u64, (name, standing): (&str, &str), site: u32, nodes: &[Rc<Node>]) {
+    pub fn hand(&self, number: u64, (name, standing): (&str, &str), site: u32, nodes: &[Rc<ManagedProcess>]) {
         let node = self.nodes(site).start + (number % u64::from(self.nodes)) as u32;
         let text =
             format!("(accounts (number {number}) (account {name} (standing {standing}) (reason \"rig\")))");
@@ -330,7 +331,7 @@
         if self.sign(node, &text).is_ok() {
             let (account, standing) = (name.to_string(), standing.to_string());
             self.history.note(What::Handed { node, number, account, standing });
-            nodes[node as usize].hang_up();
+            nodes[node as usize].reload();
         }
     }
 
@@ -369,7 +370,7 @@
 
     /// All processes have ended: note what their disks hold.
     pub fn read(&self) {
-        let mut all: BTreeMap<Place, (String, u32, u32, String, Vec<u32>)> = BTreeMap::new();
+        let mut all: BTreeMap<EntryId, (String, u32, u32, String, Vec<u32>)> = BTreeMap::new();
         let mut together = Placements::new();
         for (node, folder) in (0..).zip(&self.folders) {
             let read =
@@ -389,7 +390,7 @@
                 digest: Some(disks::digest(&disk.history)),
                 why: String::new(),
             });
-            for (place, (p, how)) in disk.placed {
+            for (place, (p, how)) in disk.placements {
                 let number = |name: &str| name.get(1..).and_then(|n| n.trim_start_matches('-').parse().ok());
                 let (by, server) = (number(&place.0.node), number(&p.server));
                 let how = match how {
--- a/crates/rig/src/standing.rs
+++ b/crates/rig/src/standing.rs
@@ -54,7 +54,7 @@
             settles: 1_800_000,
             refusal: 1_000_000,
             copied: 2_500_000,
-            homes: script.dividers > 0,
+            homes: script.quota_servers > 0,
         }
     }
 
@@ -489,7 +489,7 @@
 
 /// After all has settled all nodes say of each account what the last file does, see all sites linked, and are confirmed.
 fn agreed(records: &[Record], terms: &Siting, files: &[File]) -> Vec<Violation> {
-    let strict = |standing: &str| crate::script::STRICTNESS.iter().position(|s| *s == standing);
+    let strict = |standing: &str| crate::script::STATUSES_BY_STRICTNESS.iter().position(|s| *s == standing);
     let mut found = Vec::new();
     let (mut said, mut spoke, mut held) = (BTreeMap::new(), BTreeSet::new(), BTreeSet::new());
     for r in records {
--- a/crates/rig/tests/parts.rs
+++ b/crates/rig/tests/parts.rs
@@ -4,7 +4,7 @@
 use rstest::rstest;
 use shorepath_rig::check::{check, shows, Budget, Shared, Terms};
 use shorepath_rig::history::{Record, Repeat, What};
-use shorepath_rig::relay::{tcp, udp, How, Traits};
+use shorepath_rig::relay::{tcp, udp, DatagramChange, LinkFaults};
 use shorepath_rig::script::{read, Script};
 use shorepath_rig::shrink::shrink;
 use shorepath_rig::standing::Siting;
@@ -558,16 +558,16 @@
     /// A script that was drawn can be written down and played again.
     #[test]
     fn a_script_is_read_as_it_was_written(seed in 0u64..1_000_000, nodes in 1u32..9, servers in 1u32..9) {
-        let drawn = Script::drawn(seed, 8_000_000, nodes, servers);
-        prop_assert_eq!(&drawn, &Script::drawn(seed, 8_000_000, nodes, servers));
+        let drawn = Script::random(seed, 8_000_000, nodes, servers);
+        prop_assert_eq!(&drawn, &Script::random(seed, 8_000_000, nodes, servers));
         prop_assert!(!drawn.events.is_empty());
         prop_assert_eq!(read("drawn", &drawn.to_string()).unwrap(), drawn);
-        let rolls = Script::drawn_with(seed, 8_000_000, nodes, servers, 3).rolling();
+        let rolls = Script::random_with_quota_servers(seed, 8_000_000, nodes, servers, 3).with_upgrades();
         prop_assert_eq!(read("drawn", &rolls.to_string()).unwrap(), rolls);
         let (sites, nodes, servers) = (2 + nodes % 3, 1 + nodes % 4, servers.min(5));
-        let drawn = Script::drawn_sites(seed, 30_000_000, sites, nodes, servers);
+        let drawn = Script::random_sites(seed, 30_000_000, sites, nodes, servers);
         prop_assert_eq!(read("drawn", &drawn.to_string()).unwrap(), drawn);
-        let drawn = Script::drawn_homes(seed, 30_000_000, sites, nodes, servers, 3).changing(9);
+        let drawn = Script::random_sites_with_quota_servers(seed, 30_000_000, sites, nodes, servers, 3).with_changed_datagrams(9);
         prop_assert_eq!(read("drawn", &drawn.to_string()).unwrap(), drawn);
     }
 }
@@ -578,12 +578,12 @@
 #[case::no_sites("(script (at 1 s (halt-site)))", "needs (sites N)")]
 #[case::to_itself(
     "(script (sites 2) (nodes 2) (servers 2)\n (at 1 s (change (from 1) (to 1))))",
-    "says nothing to itself"
+    "sends no datagrams to itself"
 )]
 #[case::uneven("(script (sites 3) (nodes 4) (servers 3))", "as many nodes and servers")]
-#[case::one_site("(script (sites 1) (nodes 4) (servers 3))", "two are the least")]
+#[case::one_site("(script (sites 1) (nodes 4) (servers 3))", "at least two sites are needed")]
 #[case::standing("(script (sites 2) (nodes 2)\n (at 1 s (account (standing shut))))", "2:")]
-#[case::nothing("(script (at 1 s))", "nothing is done")]
+#[case::nothing("(script (at 1 s))", "no action is given")]
 #[case::unit("(script (length 5))", "unit")]
 fn a_script_that_cannot_be_played_says_where(#[case] text: &str, #[case] told: &str) {
     let complaints = read("s.sexp", text).unwrap_err().to_string();
@@ -619,12 +619,12 @@
 fn a_cut_is_silent_and_one_way() {
     on_one_thread(async {
         let (link, mut near, mut far) = led().await;
-        link.change(|s| s.there.cut = true);
+        link.change(|s| s.forward.cut = true);
         near.write_all(b"request").await.unwrap();
         far.write_all(b"answer").await.unwrap();
         hears(&mut near, b"answer").await;
         hears_nothing(&mut far).await;
-        link.change(|s| s.there.cut = false);
+        link.change(|s| s.forward.cut = false);
         hears(&mut far, b"request").await;
     });
 }
@@ -634,12 +634,14 @@
 fn a_link_delays_narrows_breaks_and_refuses() {
     on_one_thread(async {
         let (link, mut near, mut far) = led().await;
-        link.change(|s| s.there = Traits { delay: Duration::from_millis(120), ..Traits::default() });
+        link.change(|s| {
+            s.forward = LinkFaults { delay: Duration::from_millis(120), ..LinkFaults::default() }
+        });
         let begun = Instant::now();
         near.write_all(b"x").await.unwrap();
         hears(&mut far, b"x").await;
         assert!(begun.elapsed() >= Duration::from_millis(120));
-        link.change(|s| s.there = Traits { rate: 100_000, ..Traits::default() });
+        link.change(|s| s.forward = LinkFaults { bytes_per_second: 100_000, ..LinkFaults::default() });
         let begun = Instant::now();
         near.write_all(&[7; 16_384]).await.unwrap();
         hears(&mut far, &[7; 16_384]).await;
@@ -649,7 +651,7 @@
         link.reset();
         let ended = timeout(Duration::from_secs(5), near.read(&mut [0; 8])).await.unwrap();
         assert!(ended.is_err_and(|e| e.kind() == std::io::ErrorKind::ConnectionReset));
-        link.change(|s| s.refuses = true);
+        link.change(|s| s.refuse_connections = true);
         let refused = match TcpStream::connect(link.address).await {
             Ok(mut s) => timeout(Duration::from_secs(5), s.read(&mut [0; 8])).await.unwrap().is_err(),
             Err(_) => true,
@@ -660,14 +662,14 @@
 
 /// One datagram of a run is changed as it was asked for, and those beside it are not.
 #[rstest]
-#[case::drop(How::Drop, &["a", "c"])]
-#[case::twice(How::Twice, &["a", "b", "b", "c"])]
-#[case::late(How::Late, &["a", "c", "b"])]
-#[case::swap(How::Swap, &["a", "c", "b"])]
-#[case::again(How::Again, &["a", "b", "c", "b"])]
-#[case::cut(How::Cut, &["a", "", "c"])]
-#[case::byte(How::Byte, &["a", "c", "c"])]
-fn one_datagram_is_changed(#[case] how: How, #[case] wanted: &[&str]) {
+#[case::drop(DatagramChange::Drop, &["a", "c"])]
+#[case::twice(DatagramChange::Duplicate, &["a", "b", "b", "c"])]
+#[case::late(DatagramChange::Delay, &["a", "c", "b"])]
+#[case::swap(DatagramChange::Swap, &["a", "c", "b"])]
+#[case::again(DatagramChange::Replay, &["a", "b", "c", "b"])]
+#[case::cut(DatagramChange::Truncate, &["a", "", "c"])]
+#[case::byte(DatagramChange::CorruptByte, &["a", "c", "c"])]
+fn one_datagram_is_changed(#[case] how: DatagramChange, #[case] wanted: &[&str]) {
     on_one_thread(async {
         let far = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         let link = udp(far.local_addr().unwrap(), 3).await.unwrap();
@@ -675,7 +677,7 @@
         let told = std::rc::Rc::new(std::cell::Cell::new(0));
         let tells = told.clone();
         // At the first byte; 'b' becomes 'c' with all bits drawn as 0.
-        link.alter(2, how, 0, move || tells.set(tells.get() + 1));
+        link.change_datagram(2, how, 0, move || tells.set(tells.get() + 1));
         let mut heard = Vec::new();
         let mut hears = async |wait: u64| {
             let mut buffer = [0; 8];
@@ -704,12 +706,12 @@
         let near = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         near.connect(link.address).await.unwrap();
         link.change(|s| {
-            s.there = Traits {
+            s.forward = LinkFaults {
                 loss: 0.3,
-                twice: 0.2,
-                late: 0.2,
-                lateness: Duration::from_millis(30),
-                ..Traits::default()
+                duplication: 0.2,
+                reordering: 0.2,
+                max_extra_delay: Duration::from_millis(30),
+                ..LinkFaults::default()
             }
         });
         let (mut heard, mut from) = (Vec::new(), None);
@@ -728,7 +730,7 @@
         let overtaken = heard.windows(2).filter(|w| w[0] > w[1]).count();
         assert!((220..=340).contains(&different.len()), "{} came", different.len());
         assert!((25..=110).contains(&doubled) && overtaken > 10, "{doubled} doubled, {overtaken} overtaken");
-        link.change(|s| s.there = Traits { cut: true, ..Traits::default() });
+        link.change(|s| s.forward = LinkFaults { cut: true, ..LinkFaults::default() });
         near.send(b"gone").await.unwrap();
         far.send_to(b"back", from.unwrap()).await.unwrap();
         let mut buffer = [0; 8];
--- a/crates/rig/tests/processes.rs
+++ b/crates/rig/tests/processes.rs
@@ -2,8 +2,8 @@
 
 use shorepath_rig::check::check;
 use shorepath_rig::history::lines;
-use shorepath_rig::play;
-use shorepath_rig::play::{play_beside, terms};
+use shorepath_rig::run;
+use shorepath_rig::runner::{run_with_older_version, terms};
 use shorepath_rig::script::{read, Script};
 use std::os::unix::fs::PermissionsExt;
 use std::path::PathBuf;
@@ -28,7 +28,7 @@
 
 /// Play it, and show what broke a rule.
 fn holds(script: &Script) -> String {
-    let played = play(script, &node()).unwrap_or_else(|e| panic!("{e}"));
+    let played = run(script, &node()).unwrap_or_else(|e| panic!("{e}"));
     let found = check(&played.records, &terms(script));
     assert!(found.is_empty(), "{found:#?}\n{script}\n{}", lines(&played.records));
     lines(&played.records)
@@ -38,7 +38,7 @@
 #[test]
 fn rules_hold_whatever_is_done_to_the_processes() {
     for seed in 1..=6 {
-        let story = holds(&Script::drawn(seed, 8_000_000, 3, 4));
+        let story = holds(&Script::random(seed, 8_000_000, 3, 4));
         assert!(story.matches("\"status\":200").count() > 300, "seed {seed} served too little");
     }
 }
@@ -82,7 +82,7 @@
     let dividers = program("shorepath-divider");
     assert!(dividers.exists());
     for seed in 1..=2 {
-        let story = holds(&Script::drawn_with(seed, 10_000_000, 5, 4, 3));
+        let story = holds(&Script::random_with_quota_servers(seed, 10_000_000, 5, 4, 3));
         assert!(story.matches("\"status\":200").count() > 150, "seed {seed} served too little");
     }
     let text = "(script (seed 5) (length 9 s) (nodes 3) (servers 3) (dividers 3) (rate 120)
@@ -120,7 +120,7 @@
     for seen in ["\"why\":\"account closing\"", "\"why\":\"standing not confirmed\"", "\"disk\":\"old\""] {
         assert!(story.contains(seen), "{seen} never happened");
     }
-    holds(&Script::drawn_sites(1, 15_000_000, 3, 2, 3));
+    holds(&Script::random_sites(1, 15_000_000, 3, 2, 3));
 }
 
 /// Every node and every divider is upgraded and taken back, one after the other, while budgets are shared and words get lost. Here both
@@ -132,9 +132,9 @@
         (at 500 ms (words (node 1) (loss 0.3) (for 6 s)))
         (at 3 s (end-watches (for 200 ms)))
         (at 5 s (whole (percent 50))))";
-    let script = read("upgrades.sexp", text).unwrap().rolling();
+    let script = read("upgrades.sexp", text).unwrap().with_upgrades();
     assert_eq!(script.events.len(), 3 + 2 * (3 + 3));
-    let played = play_beside(&script, &node(), Some(&node())).unwrap_or_else(|e| panic!("{e}"));
+    let played = run_with_older_version(&script, &node(), Some(&node())).unwrap_or_else(|e| panic!("{e}"));
     let found = check(&played.records, &terms(&script));
     let story = lines(&played.records);
     assert!(found.is_empty(), "{found:#?}\n{script}\n{story}");
@@ -213,7 +213,7 @@
     std::fs::set_permissions(&keeps_to_nothing, std::fs::Permissions::from_mode(0o755)).unwrap();
     let text = "(script (seed 1) (length 3 s) (nodes 2) (servers 4) (dividers 1) (rate 120))";
     let script = read("s.sexp", text).unwrap();
-    let played = play(&script, &keeps_to_nothing).unwrap_or_else(|e| panic!("{e}"));
+    let played = run(&script, &keeps_to_nothing).unwrap_or_else(|e| panic!("{e}"));
     let found = check(&played.records, &terms(&script));
     assert!(found.iter().any(|v| v.rule == "shared" && v.text.contains("quota:acme")), "{found:#?}");
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -382,7 +382,7 @@
 
 /// An address for somebody who listens later, or again. Until then it refuses connections, and nobody else gets it.
 pub fn fresh() -> SocketAddr {
-    addresses::fresh().unwrap()
+    addresses::allocate_address().unwrap()
 }
 
 /// Wait until the system has a connection like that.
