--- a/crates/rig/src/script.rs
+++ b/crates/rig/src/script.rs
@@ -655,7 +655,9 @@
     let quota_servers = f.count("dividers", 0, 0..=9) as u32;
     let sites = f.count("sites", 0, 0..=9) as u32;
     if sites == 1 || (sites > 1 && !(nodes.is_multiple_of(sites) && servers.is_multiple_of(sites))) {
-        f.add_error(format!("(sites {sites}): at least two sites are needed, each with as many nodes and servers as the others"));
+        f.add_error(format!(
+            "(sites {sites}): at least two sites are needed, each with as many nodes and servers as the others"
+        ));
     }
     let mut events = Vec::new();
     for form in f.many("at") {
