--- a/crates/rig/src/check.rs
+++ b/crates/rig/src/check.rs
@@ -1,7 +1,7 @@
 //! Checkers of a run's history: the rules that hold whatever faults were injected into the processes.
 
-use crate::fleet::{CONNECTIONS, FLIGHT, LISTS, PROBES, QUOTA, RETRIES};
 use crate::history::{Event, Micros, Record, Repeat};
+use crate::quota_servers::{CONNECTIONS, DISCOVERY_CALLS, IN_FLIGHT, PROBES, QUOTA, RETRIES};
 use crate::site_checks::{self, SiteExpectations};
 use shorepath_lab::rules::{self, Answer, Limits};
 use shorepath_scheduler::Idempotency;
@@ -301,7 +301,7 @@
         if seen.insert(*id) { &mut first_attempts } else { &mut retries }.push(*at);
     }
     for (budget, all) in
-        [(QUOTA, first_attempts), (RETRIES, retries), (PROBES, probes), (LISTS, discovery_calls)]
+        [(QUOTA, first_attempts), (RETRIES, retries), (PROBES, probes), (DISCOVERY_CALLS, discovery_calls)]
     {
         for window in RATE_WINDOWS {
             let mut first = 0;
@@ -347,7 +347,8 @@
     let connections = outstanding
         .into_iter()
         .map(|(server, changes)| (CONNECTIONS, format!(" at server {server}"), changes));
-    for (budget, place, mut changes) in [(FLIGHT, String::new(), in_flight)].into_iter().chain(connections) {
+    for (budget, place, mut changes) in [(IN_FLIGHT, String::new(), in_flight)].into_iter().chain(connections)
+    {
         changes.sort_unstable();
         let mut concurrent = 0;
         for (at, change) in changes {
--- a/crates/rig/src/measure.rs
+++ b/crates/rig/src/measure.rs
@@ -1,7 +1,7 @@
 //! Measurements of sites: real nodes of several sites on loopback, and for comparison real nodes without sites in the same run, with equal
 //! clients and simulated backend servers. Prints figures and draws plots; it applies no limits to them.
 
-use crate::addresses::{fresh, home};
+use crate::addresses::{allocate_address, process_loopback};
 use crate::http::{Message, Reader};
 use crate::relay::{udp, Link};
 use rand::{RngExt, SeedableRng};
@@ -107,7 +107,7 @@
 
 impl Server {
     async fn start(slots: usize, job_time: Duration) -> MeasureResult<Rc<Server>> {
-        let listener = TcpListener::bind((home(), 0)).await?;
+        let listener = TcpListener::bind((process_loopback(), 0)).await?;
         let server = Rc::new(Server {
             address: listener.local_addr()?,
             slots: Semaphore::new(slots),
@@ -305,7 +305,7 @@
             }
             servers.push(site_servers);
         }
-        let peer_addresses = (0..n).map(|_| fresh()).collect::<Result<Vec<_>, _>>()?;
+        let peer_addresses = (0..n).map(|_| allocate_address()).collect::<Result<Vec<_>, _>>()?;
         let mut fleet = Fleet {
             program: program.to_path_buf(),
             dir,
@@ -396,8 +396,8 @@
                    "late_worth": 0.3, "worth": 3.0, "stream": false, "group": "all", "dedup_window_ms": 5000.0})
         };
         let config = json!({
-            "name": format!("n{node}"), "listen": format!("{}:0", home()), "discovery": "127.0.0.1:1",
-            "mgmt": format!("{}:0", home()), "seed": format!("{:016x}", node + 1),
+            "name": format!("n{node}"), "listen": format!("{}:0", process_loopback()), "discovery": "127.0.0.1:1",
+            "mgmt": format!("{}:0", process_loopback()), "seed": format!("{:016x}", node + 1),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "known": {"revision": 41, "complete": true, "members": members},
             "settings": {
@@ -491,7 +491,7 @@
             for (other, link) in links.iter().enumerate() {
                 let crosses = (self.site_of(node) == site) != (self.site_of(other) == site);
                 if let Some(link) = link.as_ref().filter(|_| crosses) {
-                    link.change(|s| (s.there.cut, s.back.cut) = (cut, cut));
+                    link.change(|s| (s.forward.cut, s.backward.cut) = (cut, cut));
                 }
             }
         }
@@ -592,7 +592,7 @@
                 self.away_until.borrow_mut()[site][client] = Instant::now() + Duration::from_secs_f64(after)
             };
             *last_reply = result.as_ref().map_or("no connection".to_string(), |a| {
-                format!("{} {}", a.first.1, a.field("refused-because").unwrap_or("without a reason"))
+                format!("{} {}", a.start_line.1, a.field("refused-because").unwrap_or("without a reason"))
             });
             let Ok(response) = result else {
                 if target == site {
@@ -601,7 +601,7 @@
                 continue;
             };
             let seconds = |name: &str| response.field(name).and_then(|t| t.parse::<f64>().ok());
-            match (response.first.1.as_str(), response.field("refused-because")) {
+            match (response.start_line.1.as_str(), response.field("refused-because")) {
                 ("200", _) => {
                     *serving_site = Some(target);
                     // The response may shorten the time for which the client avoids its home site, and never extends it.
@@ -872,7 +872,7 @@
                 spawn_local(async move {
                     while begin.elapsed() < START_TIMEOUT {
                         let response = fleet.send_request(node, "/zone-plan", "").await;
-                        if response.is_ok_and(|a| a.first.1 == expected) {
+                        if response.is_ok_and(|a| a.start_line.1 == expected) {
                             return Some(begin.elapsed().as_secs_f64() * 1e3);
                         }
                         sleep(Duration::from_millis(1)).await;
@@ -926,7 +926,7 @@
             let mut durations = Vec::new();
             for _ in 0..each {
                 let begin = Instant::now();
-                let served = fleet.send_request(0, target, "").await.is_ok_and(|a| a.first.1 == "200");
+                let served = fleet.send_request(0, target, "").await.is_ok_and(|a| a.start_line.1 == "200");
                 durations.push(if served { begin.elapsed().as_secs_f64() * 1e3 } else { f64::INFINITY });
             }
             durations
--- a/crates/rig/src/site_checks.rs
+++ b/crates/rig/src/site_checks.rs
@@ -54,7 +54,7 @@
             confirmation_delay: 1_800_000,
             rejection_time: 1_000_000,
             copy_time: 2_500_000,
-            key_ownership: script.dividers > 0,
+            key_ownership: script.quota_servers > 0,
         }
     }
 
@@ -536,7 +536,7 @@
     expectations: &SiteExpectations,
     files: &[AccountsFile],
 ) -> Vec<Violation> {
-    let strictness = |status: &str| crate::script::STRICTNESS.iter().position(|s| *s == status);
+    let strictness = |status: &str| crate::script::STATUSES_BY_STRICTNESS.iter().position(|s| *s == status);
     let mut found = Vec::new();
     let (mut statuses, mut reporting, mut subjects) = (BTreeMap::new(), BTreeSet::new(), BTreeSet::new());
     for r in records {
--- a/crates/rig/src/sites.rs
+++ b/crates/rig/src/sites.rs
@@ -3,17 +3,17 @@
 //! reaches the others.
 //!
 //! With quota servers, nodes own ranges of the idempotency keys of classes that must not repeat. Each quota server then belongs to a
-//! site, and the faults of its site's links apply to its links in [`crate::fleet`] too.
+//! site, and the faults of its site's links apply to its links in [`crate::quota_servers`] too.
 
-use crate::addresses::fresh;
-use crate::disks::{self, Place};
-use crate::fleet::Fleet;
+use crate::addresses::allocate_address;
+use crate::disks::{self, EntryId};
 use crate::history::{Event, History};
 use crate::http::Reader;
-use crate::play::PlayError;
-use crate::process::Node;
-use crate::relay::{udp, How, Link, Traits};
-use crate::script::{Disk, Script, Way, TENANTS};
+use crate::process::ManagedProcess;
+use crate::quota_servers::QuotaServers;
+use crate::relay::{udp, DatagramChange, Link, LinkFaults};
+use crate::runner::RunError;
+use crate::script::{Direction, DiskFault, Script, TENANTS};
 use crate::site_checks::is_settled_state;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -95,12 +95,12 @@
 
 impl Sites {
     /// Starts the relays, chooses addresses and writes the nodes' files; no process is started yet.
-    pub async fn set_up(script: &Script, dir: &Path, history: Rc<History>) -> Result<Sites, PlayError> {
+    pub async fn set_up(script: &Script, dir: &Path, history: Rc<History>) -> Result<Sites, RunError> {
         let n = script.nodes;
         let (mut peer_addresses, mut management_addresses) = (Vec::new(), Vec::new());
         for _ in 0..n {
-            peer_addresses.push(fresh()?);
-            management_addresses.push(fresh()?);
+            peer_addresses.push(allocate_address()?);
+            management_addresses.push(allocate_address()?);
         }
         let mut sites = Sites {
             history,
@@ -113,7 +113,7 @@
             cuts: RefCell::default(),
             degradations: RefCell::default(),
             file_number: Cell::new(1),
-            key_ownership: script.dividers > 0,
+            key_ownership: script.quota_servers > 0,
         };
         for (node, folder) in (0..n).zip(sites.folders.clone()) {
             let (mut links, mut lists) = (Vec::new(), vec![String::new(); script.sites as usize]);
@@ -185,7 +185,7 @@
     ///
     /// # Errors
     /// A node isn't ready in time, or its disk can't be copied.
-    pub async fn wait_until_ready(&self, nodes: &[Rc<Node>]) -> Result<(), PlayError> {
+    pub async fn wait_until_ready(&self, nodes: &[Rc<ManagedProcess>]) -> Result<(), RunError> {
         let (begin, mut node) = (Instant::now(), 0);
         while let Some(process) = nodes.get(node) {
             let report = self.report(node as u32).await;
@@ -195,12 +195,13 @@
             };
             if report.is_some_and(ready) {
                 let folder = &self.folders[node];
-                let copied = process.freeze().await.then(|| copy(&folder.join("state"), &folder.join("old")));
-                process.go_on();
+                let copied =
+                    process.pause_for_copy().await.then(|| copy(&folder.join("state"), &folder.join("old")));
+                process.resume();
                 copied.unwrap_or_else(|| Err(std::io::Error::other("a process can't be stopped")))?;
                 node += 1;
             } else if begin.elapsed() > SETTLE_TIMEOUT {
-                return Err(PlayError::Start { node: node as u32, log: process.log().join("\n") });
+                return Err(RunError::Start { node: node as u32, log: process.log().join("\n") });
             } else {
                 sleep(POLL_INTERVAL).await;
             }
@@ -209,46 +210,46 @@
     }
 
     /// Keeps, removes or restores the disk of a node whose process has exited.
-    pub fn replace_disk(&self, node: u32, disk: Disk) {
+    pub fn replace_disk(&self, node: u32, disk: DiskFault) {
         let folder = &self.folders[node as usize];
         let state = folder.join("state");
         let done = match disk {
-            Disk::Kept => Ok(()),
-            Disk::Lost => std::fs::remove_dir_all(&state),
-            Disk::Old => copy(&folder.join("old"), &state),
+            DiskFault::Kept => Ok(()),
+            DiskFault::Lost => std::fs::remove_dir_all(&state),
+            DiskFault::RolledBack => copy(&folder.join("old"), &state),
         };
         // Records a disk that could not be replaced as kept.
-        let disk = if done.is_ok() { disk } else { Disk::Kept };
+        let disk = if done.is_ok() { disk } else { DiskFault::Kept };
         self.history.record(Event::Disk { node, disk: disk.name().to_string() });
     }
 
     /// Sets all links to the cuts and degradations in force.
-    fn apply(&self, fleet: Option<&Fleet>) {
+    fn apply(&self, fleet: Option<&QuotaServers>) {
         if let Some(fleet) = fleet {
             let nodes = self.folders.len() as u32;
             let site_of = |process: u32| match process.checked_sub(nodes) {
                 Some(quota_server) => self.site_of_quota_server(quota_server),
                 None => self.site_of(process),
             };
-            fleet.apart(|from, to| self.traits(site_of(from), site_of(to)));
+            fleet.set_faults(|from, to| self.traits(site_of(from), site_of(to)));
         }
         for (from, links) in (0..).zip(&self.links) {
             for (to, link) in (0..).zip(links) {
                 let traits = self.traits(self.site_of(from), self.site_of(to));
                 // The receiver replies over its own link.
-                link.iter().for_each(|link| link.change(|s| s.there = traits));
+                link.iter().for_each(|link| link.change(|s| s.forward = traits));
             }
         }
     }
 
     /// Returns the traits of links from one site to another by the cuts and degradations in force.
-    fn traits(&self, from: u32, to: u32) -> Traits {
+    fn traits(&self, from: u32, to: u32) -> LinkFaults {
         let (cuts, degradations) = (self.cuts.borrow(), self.degradations.borrow());
         let cut = cuts.get(&(from, to)).is_some_and(|n| *n > 0);
         let loss_of = |site: u32| degradations.get(&site).filter(|s| s.0 > 0).map_or(0.0, |s| s.1);
         let loss = loss_of(from).max(loss_of(to));
-        let (twice, late, lateness) = (loss / 2.0, loss / 2.0, Duration::from_millis(800));
-        Traits { cut, loss, twice, late, lateness, ..Traits::default() }
+        let (duplication, reordering, max_extra_delay) = (loss / 2.0, loss / 2.0, Duration::from_millis(800));
+        LinkFaults { cut, loss, duplication, reordering, max_extra_delay, ..LinkFaults::default() }
     }
 
     /// Returns the name of a node's own key range, as its management endpoint writes it.
@@ -261,7 +262,7 @@
         quota_server % self.sites
     }
 
-    fn set_cut(&self, site: u32, way: Way, cut: bool, fleet: Option<&Fleet>) {
+    fn set_cut(&self, site: u32, way: Direction, cut: bool, fleet: Option<&QuotaServers>) {
         let others = (0..self.sites).filter(|other| *other != site);
         for (from, to, there) in others.flat_map(|o| [(site, o, true), (o, site, false)]) {
             if !way.covers(there) {
@@ -279,14 +280,14 @@
     }
 
     /// Drops all messages between a site and the others, in the given direction, for the given time.
-    pub async fn cut(&self, site: u32, way: Way, length: Duration, fleet: Option<&Fleet>) {
+    pub async fn cut(&self, site: u32, way: Direction, length: Duration, fleet: Option<&QuotaServers>) {
         self.set_cut(site, way, true, fleet);
         sleep(length).await;
         self.set_cut(site, way, false, fleet);
     }
 
     /// Loses, duplicates and delays messages from and to a site for the given time.
-    pub async fn degrade(&self, site: u32, loss: f64, length: Duration, fleet: Option<&Fleet>) {
+    pub async fn degrade(&self, site: u32, loss: f64, length: Duration, fleet: Option<&QuotaServers>) {
         let change = |degraded: bool| {
             let mut degradations = self.degradations.borrow_mut();
             let (count, greatest_loss) = degradations.entry(site).or_default();
@@ -308,14 +309,14 @@
     }
 
     /// Modifies the `number`th datagram from now on from one node to another, and records the change when it happens.
-    pub fn change_datagram(&self, (from, to): (u32, u32), number: u64, how: How, seed: u64) {
+    pub fn change_datagram(&self, (from, to): (u32, u32), number: u64, how: DatagramChange, seed: u64) {
         let link = self.links.get(from as usize).and_then(|all| all.get(to as usize)?.as_ref());
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         rng.set_stream(u64::from(from) << 48 | u64::from(to) << 32 | number);
         let history = self.history.clone();
         let changed =
             move || history.record(Event::DatagramChanged { from, to, change: how.name().to_string() });
-        link.into_iter().for_each(|link| link.alter(number, how, rng.random(), changed.clone()));
+        link.into_iter().for_each(|link| link.change_datagram(number, how, rng.random(), changed.clone()));
     }
 
     /// Sends the datagrams that links to a node have kept for its next process; called after the node was restarted.
@@ -335,7 +336,7 @@
         number: u64,
         (name, status): (&str, &str),
         site: u32,
-        nodes: &[Rc<Node>],
+        nodes: &[Rc<ManagedProcess>],
     ) {
         let node = self.nodes(site).start + (number % u64::from(self.nodes_per_site)) as u32;
         let text =
@@ -344,7 +345,7 @@
         if self.write_accounts_file(node, &text).is_ok() {
             let (account, status) = (name.to_string(), status.to_string());
             self.history.record(Event::AccountsFileDelivered { node, number, account, status });
-            nodes[node as usize].hang_up();
+            nodes[node as usize].reload();
         }
     }
 
@@ -384,7 +385,7 @@
 
     /// Records the placements on all nodes' disks; called after all processes have exited.
     pub fn record_disks(&self) {
-        let mut all: BTreeMap<Place, (String, u32, u32, String, Vec<u32>)> = BTreeMap::new();
+        let mut all: BTreeMap<EntryId, (String, u32, u32, String, Vec<u32>)> = BTreeMap::new();
         let mut merged = Placements::new();
         for (node, folder) in (0..).zip(&self.folders) {
             let read =
@@ -404,7 +405,7 @@
                 digest: Some(disks::digest(&disk.history)),
                 error: String::new(),
             });
-            for (place, (p, end)) in disk.placed {
+            for (place, (p, end)) in disk.placements {
                 let number = |name: &str| name.get(1..).and_then(|n| n.trim_start_matches('-').parse().ok());
                 let (placed_by, server) = (number(&place.0.node), number(&p.server));
                 let outcome = match end {
--- a/crates/rig/tests/components.rs
+++ b/crates/rig/tests/components.rs
@@ -4,7 +4,7 @@
 use rstest::rstest;
 use shorepath_rig::check::{check, evidence, Budget, Expectations, SharedBudgets};
 use shorepath_rig::history::{Event, Record, Repeat};
-use shorepath_rig::relay::{tcp, udp, How, Traits};
+use shorepath_rig::relay::{tcp, udp, DatagramChange, LinkFaults};
 use shorepath_rig::script::{read, Script};
 use shorepath_rig::shrink::shrink;
 use shorepath_rig::site_checks::SiteExpectations;
@@ -599,16 +599,16 @@
     /// A script drawn from a seed is the same after it was formatted and parsed.
     #[test]
     fn drawn_scripts_round_trip_through_text(seed in 0u64..1_000_000, nodes in 1u32..9, servers in 1u32..9) {
-        let drawn = Script::drawn(seed, 8_000_000, nodes, servers);
-        prop_assert_eq!(&drawn, &Script::drawn(seed, 8_000_000, nodes, servers));
+        let drawn = Script::random(seed, 8_000_000, nodes, servers);
+        prop_assert_eq!(&drawn, &Script::random(seed, 8_000_000, nodes, servers));
         prop_assert!(!drawn.events.is_empty());
         prop_assert_eq!(read("drawn", &drawn.to_string()).unwrap(), drawn);
-        let rolling = Script::drawn_with(seed, 8_000_000, nodes, servers, 3).rolling();
+        let rolling = Script::random_with_quota_servers(seed, 8_000_000, nodes, servers, 3).with_upgrades();
         prop_assert_eq!(read("drawn", &rolling.to_string()).unwrap(), rolling);
         let (sites, nodes, servers) = (2 + nodes % 3, 1 + nodes % 4, servers.min(5));
-        let drawn = Script::drawn_sites(seed, 30_000_000, sites, nodes, servers);
+        let drawn = Script::random_sites(seed, 30_000_000, sites, nodes, servers);
         prop_assert_eq!(read("drawn", &drawn.to_string()).unwrap(), drawn);
-        let drawn = Script::drawn_homes(seed, 30_000_000, sites, nodes, servers, 3).changing(9);
+        let drawn = Script::random_sites_with_quota_servers(seed, 30_000_000, sites, nodes, servers, 3).with_changed_datagrams(9);
         prop_assert_eq!(read("drawn", &drawn.to_string()).unwrap(), drawn);
     }
 }
@@ -619,12 +619,12 @@
 #[case::site_action_without_sites("(script (at 1 s (halt-site)))", "needs (sites N)")]
 #[case::change_from_a_node_to_itself(
     "(script (sites 2) (nodes 2) (servers 2)\n (at 1 s (change (from 1) (to 1))))",
-    "says nothing to itself"
+    "sends no datagrams to itself"
 )]
 #[case::uneven_sites("(script (sites 3) (nodes 4) (servers 3))", "as many nodes and servers")]
-#[case::single_site("(script (sites 1) (nodes 4) (servers 3))", "two are the least")]
+#[case::single_site("(script (sites 1) (nodes 4) (servers 3))", "at least two sites are needed")]
 #[case::unknown_status("(script (sites 2) (nodes 2)\n (at 1 s (account (standing shut))))", "2:")]
-#[case::no_action("(script (at 1 s))", "nothing is done")]
+#[case::no_action("(script (at 1 s))", "no action is given")]
 #[case::missing_unit("(script (length 5))", "unit")]
 fn an_invalid_script_is_rejected_with_the_place_and_cause(#[case] text: &str, #[case] expected: &str) {
     let errors = read("s.sexp", text).unwrap_err().to_string();
@@ -660,12 +660,12 @@
 fn a_cut_holds_back_one_direction_without_loss() {
     run_local(async {
         let (link, mut near, mut far) = relayed_connection().await;
-        link.change(|s| s.there.cut = true);
+        link.change(|s| s.forward.cut = true);
         near.write_all(b"request").await.unwrap();
         far.write_all(b"answer").await.unwrap();
         expect_bytes(&mut near, b"answer").await;
         expect_silence(&mut far).await;
-        link.change(|s| s.there.cut = false);
+        link.change(|s| s.forward.cut = false);
         expect_bytes(&mut far, b"request").await;
     });
 }
@@ -674,12 +674,14 @@
 fn a_link_applies_delay_bandwidth_limit_reset_and_refusal() {
     run_local(async {
         let (link, mut near, mut far) = relayed_connection().await;
-        link.change(|s| s.there = Traits { delay: Duration::from_millis(120), ..Traits::default() });
+        link.change(|s| {
+            s.forward = LinkFaults { delay: Duration::from_millis(120), ..LinkFaults::default() }
+        });
         let start = Instant::now();
         near.write_all(b"x").await.unwrap();
         expect_bytes(&mut far, b"x").await;
         assert!(start.elapsed() >= Duration::from_millis(120));
-        link.change(|s| s.there = Traits { rate: 100_000, ..Traits::default() });
+        link.change(|s| s.forward = LinkFaults { bytes_per_second: 100_000, ..LinkFaults::default() });
         let start = Instant::now();
         near.write_all(&[7; 16_384]).await.unwrap();
         expect_bytes(&mut far, &[7; 16_384]).await;
@@ -689,7 +691,7 @@
         link.reset();
         let ended = timeout(Duration::from_secs(5), near.read(&mut [0; 8])).await.unwrap();
         assert!(ended.is_err_and(|e| e.kind() == std::io::ErrorKind::ConnectionReset));
-        link.change(|s| s.refuses = true);
+        link.change(|s| s.refuse_connections = true);
         let refused = match TcpStream::connect(link.address).await {
             Ok(mut s) => timeout(Duration::from_secs(5), s.read(&mut [0; 8])).await.unwrap().is_err(),
             Err(_) => true,
@@ -700,14 +702,14 @@
 
 /// Only the chosen datagram is changed, and the change is reported once.
 #[rstest]
-#[case::drop(How::Drop, &["a", "c"])]
-#[case::twice(How::Twice, &["a", "b", "b", "c"])]
-#[case::late(How::Late, &["a", "c", "b"])]
-#[case::swap(How::Swap, &["a", "c", "b"])]
-#[case::again(How::Again, &["a", "b", "c", "b"])]
-#[case::cut(How::Cut, &["a", "", "c"])]
-#[case::byte(How::Byte, &["a", "c", "c"])]
-fn only_the_chosen_datagram_is_changed(#[case] how: How, #[case] expected: &[&str]) {
+#[case::drop(DatagramChange::Drop, &["a", "c"])]
+#[case::twice(DatagramChange::Duplicate, &["a", "b", "b", "c"])]
+#[case::late(DatagramChange::Delay, &["a", "c", "b"])]
+#[case::swap(DatagramChange::Swap, &["a", "c", "b"])]
+#[case::again(DatagramChange::Replay, &["a", "b", "c", "b"])]
+#[case::cut(DatagramChange::Truncate, &["a", "", "c"])]
+#[case::byte(DatagramChange::CorruptByte, &["a", "c", "c"])]
+fn only_the_chosen_datagram_is_changed(#[case] how: DatagramChange, #[case] expected: &[&str]) {
     run_local(async {
         let far = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         let link = udp(far.local_addr().unwrap(), 3).await.unwrap();
@@ -715,7 +717,7 @@
         let changes = std::rc::Rc::new(std::cell::Cell::new(0));
         let counter = changes.clone();
         // Draw 0 changes the lowest bit of the first byte, so that 'b' becomes 'c'.
-        link.alter(2, how, 0, move || counter.set(counter.get() + 1));
+        link.change_datagram(2, how, 0, move || counter.set(counter.get() + 1));
         let mut received = Vec::new();
         let mut receive = async |wait: u64| {
             let mut buffer = [0; 8];
@@ -744,12 +746,12 @@
         let near = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         near.connect(link.address).await.unwrap();
         link.change(|s| {
-            s.there = Traits {
+            s.forward = LinkFaults {
                 loss: 0.3,
-                twice: 0.2,
-                late: 0.2,
-                lateness: Duration::from_millis(30),
-                ..Traits::default()
+                duplication: 0.2,
+                reordering: 0.2,
+                max_extra_delay: Duration::from_millis(30),
+                ..LinkFaults::default()
             }
         });
         let (mut received, mut from) = (Vec::new(), None);
@@ -771,7 +773,7 @@
             (25..=110).contains(&duplicated) && reordered > 10,
             "{duplicated} duplicated, {reordered} reordered"
         );
-        link.change(|s| s.there = Traits { cut: true, ..Traits::default() });
+        link.change(|s| s.forward = LinkFaults { cut: true, ..LinkFaults::default() });
         near.send(b"gone").await.unwrap();
         far.send_to(b"back", from.unwrap()).await.unwrap();
         let mut buffer = [0; 8];
--- a/crates/rig/tests/processes.rs
+++ b/crates/rig/tests/processes.rs
@@ -2,8 +2,8 @@
 
 use shorepath_rig::check::check;
 use shorepath_rig::history::to_json_lines;
-use shorepath_rig::play;
-use shorepath_rig::play::{play_beside, terms};
+use shorepath_rig::run;
+use shorepath_rig::runner::{run_with_older_version, terms};
 use shorepath_rig::script::{read, Script};
 use std::os::unix::fs::PermissionsExt;
 use std::path::PathBuf;
@@ -28,7 +28,7 @@
 
 /// Plays a script, asserts that no rule is broken, and returns the history as JSON lines.
 fn play_without_violation(script: &Script) -> String {
-    let played = play(script, &node_program()).unwrap_or_else(|e| panic!("{e}"));
+    let played = run(script, &node_program()).unwrap_or_else(|e| panic!("{e}"));
     let found = check(&played.records, &terms(script));
     assert!(found.is_empty(), "{found:#?}\n{script}\n{}", to_json_lines(&played.records));
     to_json_lines(&played.records)
@@ -38,7 +38,7 @@
 #[test]
 fn rules_hold_under_random_process_faults() {
     for seed in 1..=6 {
-        let history = play_without_violation(&Script::drawn(seed, 8_000_000, 3, 4));
+        let history = play_without_violation(&Script::random(seed, 8_000_000, 3, 4));
         assert!(history.matches("\"status\":200").count() > 300, "seed {seed} served too little");
     }
 }
@@ -82,7 +82,7 @@
     let quota_server = program("shorepath-divider");
     assert!(quota_server.exists());
     for seed in 1..=2 {
-        let history = play_without_violation(&Script::drawn_with(seed, 10_000_000, 5, 4, 3));
+        let history = play_without_violation(&Script::random_with_quota_servers(seed, 10_000_000, 5, 4, 3));
         assert!(history.matches("\"status\":200").count() > 150, "seed {seed} served too little");
     }
     let text = "(script (seed 5) (length 9 s) (nodes 3) (servers 3) (dividers 3) (rate 120)
@@ -121,7 +121,7 @@
     {
         assert!(history.contains(expected), "{expected} is not in the history");
     }
-    play_without_violation(&Script::drawn_sites(1, 15_000_000, 3, 2, 3));
+    play_without_violation(&Script::random_sites(1, 15_000_000, 3, 2, 3));
 }
 
 /// Nodes and quota servers are upgraded and downgraded one after the other while messages are lost. Both versions are the current one
@@ -133,10 +133,10 @@
         (at 500 ms (words (node 1) (loss 0.3) (for 6 s)))
         (at 3 s (end-watches (for 200 ms)))
         (at 5 s (whole (percent 50))))";
-    let script = read("upgrades.sexp", text).unwrap().rolling();
+    let script = read("upgrades.sexp", text).unwrap().with_upgrades();
     assert_eq!(script.events.len(), 3 + 2 * (3 + 3));
-    let played =
-        play_beside(&script, &node_program(), Some(&node_program())).unwrap_or_else(|e| panic!("{e}"));
+    let played = run_with_older_version(&script, &node_program(), Some(&node_program()))
+        .unwrap_or_else(|e| panic!("{e}"));
     let found = check(&played.records, &terms(&script));
     let history = to_json_lines(&played.records);
     assert!(found.is_empty(), "{found:#?}\n{script}\n{history}");
@@ -218,7 +218,7 @@
     std::fs::set_permissions(&ignores_shares, std::fs::Permissions::from_mode(0o755)).unwrap();
     let text = "(script (seed 1) (length 3 s) (nodes 2) (servers 4) (dividers 1) (rate 120))";
     let script = read("s.sexp", text).unwrap();
-    let played = play(&script, &ignores_shares).unwrap_or_else(|e| panic!("{e}"));
+    let played = run(&script, &ignores_shares).unwrap_or_else(|e| panic!("{e}"));
     let found = check(&played.records, &terms(&script));
     assert!(found.iter().any(|v| v.rule == "shared" && v.text.contains("quota:acme")), "{found:#?}");
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -392,7 +392,7 @@
 
 /// Returns an address to listen on later. Until then it refuses connections, and no other test gets it.
 pub fn unused_address() -> SocketAddr {
-    addresses::fresh().unwrap()
+    addresses::allocate_address().unwrap()
 }
 
 /// Waits until `/proc/net/tcp` contains `text`.
