--- a/crates/lab/src/rules.rs
+++ b/crates/lab/src/rules.rs
@@ -359,6 +359,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServiceSummary {
     /// Fraction of the value of all requests that was served.
+    #[serde(rename = "whole")]
     pub total: f64,
     /// Service of each class, in the scenario's order.
     pub classes: Vec<GroupService>,
--- a/crates/lab/src/sim/net.rs
+++ b/crates/lab/src/sim/net.rs
@@ -41,8 +41,9 @@
         let attempt = submission.attempts;
         submission.attempts += 1;
         let request_key = submission.request;
-        let request = self.client_requests.get(request_key);
-        let Some(request) = request.filter(|_| attempt < self.sc.rules.attempts) else {
+        let Some(request) =
+            self.client_requests.get(request_key).filter(|_| attempt < self.sc.rules.attempts)
+        else {
             self.checker.ended(id.0, true);
             let settled = self.submissions.get(key).is_none_or(|t| t.answered);
             self.pending_events.push_back((
