--- a/crates/lab/src/load/backend_servers.rs
+++ b/crates/lab/src/load/backend_servers.rs
@@ -3,8 +3,8 @@
 use super::{JobProgress, RunningJob, Testbed};
 use crate::scenario::{Fault, Trouble};
 use crate::sim::draw::{between, Needs};
-use crate::sim::faults::{member, strike, Step};
-use crate::sim::server::Offer;
+use crate::sim::faults::{apply_step, endpoint_entry, Step};
+use crate::sim::server::Admission;
 use futures_util::stream::unfold;
 use http_body_util::{BodyExt, Either, Full, StreamBody};
 use hyper::body::{Bytes, Frame, Incoming};
@@ -176,17 +176,17 @@
     sleep(delay).await;
     let work = request_info.work + if is_new { testbed.scenario.network.handshake as f64 } else { 0.0 };
     let (progress, mut progress_receiver) = unbounded_channel();
-    let fails = testbed.servers.borrow()[server].fails();
+    let fails = testbed.servers.borrow()[server].failure_share();
     let fails = fails > 0.0 && testbed.failure_rng.borrow_mut().random::<f64>() < fails;
     let key = testbed.running_jobs.borrow_mut().insert(RunningJob { id, fails, progress });
     let fall = testbed.scenario.fall();
     let now = testbed.now();
-    let born = testbed.servers.borrow()[server].born;
+    let born = testbed.servers.borrow()[server].started_at;
     let knows_start = testbed.checker.borrow().knows_start(request_info.node, server as u32, born);
-    let offer = testbed.servers.borrow_mut()[server].offer(now, key, (work, Needs::ONE), knows_start, fall);
+    let offer = testbed.servers.borrow_mut()[server].admit(now, key, (work, Needs::ONE), knows_start, fall);
     match offer {
-        Offer::Taken => advance_server(&testbed, server),
-        Offer::Full => {
+        Admission::Accepted => advance_server(&testbed, server),
+        Admission::Full => {
             testbed.running_jobs.borrow_mut().remove(key);
             testbed.checker.borrow_mut().ended(id, true);
             testbed.tally.borrow_mut().ended(AttemptStatus::Overloaded);
@@ -195,9 +195,9 @@
             full.headers_mut().insert("not-started", hyper::header::HeaderValue::from_static("1"));
             return Ok(full);
         }
-        Offer::Fell(fell) => {
-            testbed.checker.borrow_mut().fell(server as u32, fell, now);
-            testbed.tally.borrow_mut().fell();
+        Admission::Crashed(fell) => {
+            testbed.checker.borrow_mut().cold_server_crashed(server as u32, fell, now);
+            testbed.tally.borrow_mut().cold_crash();
             testbed.servers.borrow_mut()[server].down += 1;
             kill_server(&testbed, server);
             announce_change(&testbed, server);
@@ -245,7 +245,7 @@
     for key in started {
         if let Some(job) = testbed.running_jobs.borrow().get(key) {
             let _ = job.progress.send(JobProgress::Started);
-            testbed.checker.borrow_mut().begun(job.id, server as u32, now);
+            testbed.checker.borrow_mut().job_started(job.id, server as u32, now);
         }
     }
     testbed.rescheduled[server].notify_one();
@@ -284,7 +284,7 @@
 }
 
 fn announce_change(testbed: &Rc<Testbed>, server: usize) {
-    let member = member(&testbed.scenario, server as u32, &testbed.servers.borrow()[server]);
+    let member = endpoint_entry(&testbed.scenario, server as u32, &testbed.servers.borrow()[server]);
     testbed.list_changes.send_modify(|all| all.push(member));
 }
 
@@ -298,12 +298,12 @@
         let effects = {
             let s = &mut testbed.servers.borrow_mut()[server];
             s.advance(now);
-            strike(s, f, index, step, now)
+            apply_step(s, f, index, step, now)
         };
         if effects.dies.is_some() {
             kill_server(testbed, server);
         }
-        if effects.starts {
+        if effects.restarts {
             testbed.process_changes[server].send_modify(|n| *n += 1);
         }
         if effects.announce {
--- a/crates/lab/src/load/clients.rs
+++ b/crates/lab/src/load/clients.rs
@@ -1,7 +1,7 @@
 //! The clients: an open loop over HTTP/1.1, with one connection per pending request.
 
 use super::{RequestInfo, Testbed};
-use crate::clients::{next, Next, Quota};
+use crate::clients::{after_answer, NextStep, Quota};
 use crate::rules::Answer;
 use crate::sim::draw::{Arrivals, Job, Jobs};
 use crate::sim::tally::Outcome;
@@ -104,7 +104,7 @@
             break if testbed.scenario.clients.patience < 1.0 { Outcome::Left } else { Outcome::Lost };
         };
         let elapsed = testbed.now() - START - first_due;
-        let after = next(
+        let after = after_answer(
             &testbed.scenario,
             job.class,
             job.work,
@@ -113,8 +113,8 @@
             &mut testbed.client_rng.borrow_mut(),
         );
         match after {
-            Next::Settled(outcome) => break outcome,
-            Next::Retry(wait) => {
+            NextStep::Settled(outcome) => break outcome,
+            NextStep::Retry(wait) => {
                 sleep(Duration::from_micros(wait as u64)).await;
                 due = testbed.now() - START;
             }
@@ -139,7 +139,7 @@
     let lag = (testbed.now() - START - due).max(0);
     let _ = testbed.lag.borrow_mut().record(lag.max(1) as u64);
     testbed.requests.borrow_mut().insert(id, RequestInfo { work: job.work, node: job.node });
-    testbed.checker.borrow_mut().taken(id, testbed.now() + remaining, class.effect);
+    testbed.checker.borrow_mut().request_accepted(id, testbed.now() + remaining, class.effect);
     let _guard = OpenGuard::new(testbed, id);
     let request = Request::post(format!("/{}", class.name))
         .header("Host", "lab")
--- a/crates/lab/src/load/discovery.rs
+++ b/crates/lab/src/load/discovery.rs
@@ -5,7 +5,7 @@
 use super::nodes::{entries, entry};
 use super::Testbed;
 use crate::sim::draw::{between, stream, Purpose};
-use crate::sim::faults::member;
+use crate::sim::faults::endpoint_entry;
 use hyper::body::{Bytes, Frame, Incoming};
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode};
@@ -56,8 +56,8 @@
     let change_count = testbed.list_changes.borrow().len();
     let list = line(change_count + 1, true, &entries(&testbed));
     for (server, s) in testbed.servers.borrow().iter().enumerate() {
-        let m = member(&testbed.scenario, server as u32, s);
-        testbed.checker.borrow_mut().told(
+        let m = endpoint_entry(&testbed.scenario, server as u32, s);
+        testbed.checker.borrow_mut().endpoint_reported(
             node,
             m.id.0,
             m.state == EndpointState::Live,
@@ -101,7 +101,7 @@
                 if body.is_closed() || body.send(Ok(Frame::data(update))).is_err() {
                     return;
                 }
-                testbed.checker.borrow_mut().told(node, member.id.0, live, member.started_at, testbed.now());
+                testbed.checker.borrow_mut().endpoint_reported(node, member.id.0, live, member.started_at, testbed.now());
             }
             changed = changes.changed() => if changed.is_err() { return },
             _ = keepalive.tick() => {
--- a/crates/lab/src/load/mod.rs
+++ b/crates/lab/src/load/mod.rs
@@ -13,10 +13,10 @@
 use crate::rules::{Checker, Limits};
 use crate::scenario::{Scenario, Trouble};
 use crate::sim::draw::{stream, Purpose};
-use crate::sim::faults::{steps, struck};
+use crate::sim::faults::{affected_servers, steps};
 use crate::sim::server::Server;
 use crate::sim::tally::{Report, Tally};
-use crate::sim::{make_servers, RunKey, START};
+use crate::sim::{make_servers, DispatchKey, START};
 use hdrhistogram::Histogram;
 use rand_chacha::ChaCha8Rng;
 use rustc_hash::FxHashMap;
@@ -105,7 +105,7 @@
     /// Start of the clock of the models.
     clock_start: Cell<Instant>,
     servers: RefCell<Vec<Server>>,
-    running_jobs: RefCell<SlotMap<RunKey, RunningJob>>,
+    running_jobs: RefCell<SlotMap<DispatchKey, RunningJob>>,
     /// Notified when the next event of a server has changed.
     rescheduled: Vec<Notify>,
     /// Incremented when the process of a server dies or starts.
@@ -207,7 +207,7 @@
     backend_servers::start(&testbed, listeners);
     let addresses: Vec<SocketAddr> = nodes.iter().map(|n| n.address).collect();
     for (index, f) in scenario.faults.iter().enumerate() {
-        let affected = struck(scenario, &testbed.servers.borrow(), index);
+        let affected = affected_servers(scenario, &testbed.servers.borrow(), index);
         for (at, step) in steps(f, scenario.length + scenario.longest()) {
             let (testbed, affected, fault) = (testbed.clone(), affected.clone(), f.clone());
             spawn_local(async move {
--- a/crates/lab/src/load/nodes.rs
+++ b/crates/lab/src/load/nodes.rs
@@ -2,7 +2,7 @@
 
 use super::{discovery, LoadError, Testbed};
 use crate::sim::draw::{stream, Purpose};
-use crate::sim::faults::member;
+use crate::sim::faults::endpoint_entry;
 use rand::RngExt;
 use serde_json::{json, Value};
 use shorepath_scheduler::{DedupScope, Endpoint, EndpointState, Idempotency};
@@ -48,7 +48,11 @@
 /// Returns the entries of all servers in their current state.
 pub fn entries(testbed: &Testbed) -> Vec<Value> {
     let servers = testbed.servers.borrow();
-    servers.iter().enumerate().map(|(k, s)| entry(testbed, &member(&testbed.scenario, k as u32, s))).collect()
+    servers
+        .iter()
+        .enumerate()
+        .map(|(k, s)| entry(testbed, &endpoint_entry(&testbed.scenario, k as u32, s)))
+        .collect()
 }
 
 /// Returns the configuration of a node.
--- a/crates/rig/src/check.rs
+++ b/crates/rig/src/check.rs
@@ -122,7 +122,7 @@
 fn check_requests(records: &[Record], expectations: &Expectations) -> Vec<Violation> {
     let limits = Limits { slack: expectations.answer_slack, drain_grace: expectations.drain_grace };
     let (mut checker, disrupted) =
-        (rules::Checker::keeping(limits, usize::MAX), disrupted_intervals(records));
+        (rules::Checker::with_max_kept(limits, usize::MAX), disrupted_intervals(records));
     let mut open: BTreeMap<u64, (Micros, u32, Micros)> = BTreeMap::new();
     let mut answered = BTreeSet::new();
     let mut found = Vec::new();
@@ -143,13 +143,15 @@
                 } else {
                     Idempotency::Idempotent
                 };
-                checker.taken(id, r.at + timeout, idempotency);
+                checker.request_accepted(id, r.at + timeout, idempotency);
                 open.insert(id, (r.at, node, timeout));
             }
             Event::Arrived { id, server, node, sent } => checker.sent(id, node, server, sent),
             Event::RejectedByServer { id, .. } => checker.ended(id, true),
-            Event::JobStarted { id, server } => checker.begun(id, server, r.at),
-            Event::ServerListed { node, server, live } => checker.told(node, server, live, 0, r.at),
+            Event::JobStarted { id, server } => checker.job_started(id, server, r.at),
+            Event::ServerListed { node, server, live } => {
+                checker.endpoint_reported(node, server, live, 0, r.at)
+            }
             Event::Answered { id, status } => {
                 let answer = match status {
                     200 => Answer::Served,
