--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -194,7 +194,7 @@
                 let status = self.sites.as_ref().and_then(|s| s.recovery_status()).unwrap_or_default();
                 Answer::text(200, &status, true)
             }
-            "/ops/recovery/release" => match self.sites.as_ref().map(|s| s.release()) {
+            "/ops/recovery/release" => match self.sites.as_ref().map(|s| s.release_recovery_phase()) {
                 Some(Ok(text)) => Answer::text(200, &text, true),
                 Some(Err(reason)) => Answer::text(409, &reason, true),
                 None => Answer::text(404, "no such call", true),
--- a/src/net/auditing.rs
+++ b/src/net/auditing.rs
@@ -128,8 +128,8 @@
 }
 
 impl AuditRecorder {
-    /// Opens the audit log in the store. Starts a new one if there is none or if it fails verification. `key` is shared by the
-    /// fleet and selects the sampled decisions.
+    /// Opens the audit log in the store. Starts a new one if there is none or if it fails verification. `sampling_key` is shared
+    /// by the fleet and selects the sampled decisions.
     ///
     /// # Errors
     /// Fails if the store can't be read.
@@ -137,7 +137,7 @@
         (store, group_commit): (Arc<Store>, Arc<GroupCommit>),
         audit: Audit,
         (node, me, seed): (&str, u32, u64),
-        key: [u8; 16],
+        sampling_key: [u8; 16],
     ) -> Result<Rc<AuditRecorder>, StoreError> {
         let new_log = || AuditLog::open(ChainPoint::origin(node, seed), &[], audit.bytes);
         let mut broken = None;
@@ -160,7 +160,7 @@
         let record = record.map_err(|e| StoreError::Damaged(e.to_string()))?;
         let sampling =
             Sampling { one_in: audit.one_in, max_per_second: audit.a_second, summary_interval: audit.sum };
-        let counters = DecisionCounters::new(sampling, key, record.vector_number(), 0);
+        let counters = DecisionCounters::new(sampling, sampling_key, record.vector_number(), 0);
         Ok(Rc::new(AuditRecorder {
             node: node.to_string(),
             log_id: Cell::new(log_id),
@@ -238,7 +238,7 @@
         let messages = peers.take_outgoing(now).into_iter();
         messages
             .map(|(to, message)| {
-                (to, postcard::to_stdvec(&message).expect("a message has a length known before"))
+                (to, postcard::to_stdvec(&message).expect("audit messages can always be serialized"))
             })
             .collect()
     }
@@ -298,7 +298,7 @@
         let new_log_id = getrandom::u64().unwrap_or(log_id.wrapping_add(1));
         match AuditLog::open(ChainPoint::origin(&self.node, new_log_id), &[], self.max_bytes) {
             Ok(record) => drop(self.record.replace(record)),
-            Err(e) => return warn!("audit: {e}"),
+            Err(e) => return warn!("audit: a new log can't be started: {e}"),
         }
         self.log_id.set(new_log_id);
         self.start();
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -331,7 +331,7 @@
             self.ungranted.replace(ungranted);
         }
         if shares != *self.applied_shares.borrow() {
-            debug!("budgets: {shares:?}");
+            debug!("budgets: new quota shares: {shares:?}");
             self.applied_shares.replace(shares.clone());
             self.exchange.set_quota_shares(QuotaSource::Budgets, shares);
         }
@@ -383,7 +383,10 @@
             Ok(received) => (received.sender, received.body),
             Err(Dropped { refused, first }) => {
                 if first {
-                    warn!("from {from}: {}; further ones are only counted", advice(&refused));
+                    warn!(
+                        "datagram from {from} dropped: {}; further ones are only counted",
+                        advice(&refused)
+                    );
                 }
                 return;
             }
@@ -391,7 +394,7 @@
         if let Some((&MEMBERSHIP_TAG, rest)) = bytes.split_first() {
             let mut membership = self.membership.borrow_mut();
             if let Err(e) = membership.receive(now, rest).map_err(|e| e.to_string()) {
-                debug!("from {from}: {e}");
+                debug!("a membership message from {from} can't be decoded: {e}");
             }
             return;
         }
@@ -410,7 +413,7 @@
             (None, _) => {
                 warn!("ignoring a message from {from}, which is no allocator in the budgets file")
             }
-            (_, Err(e)) => warn!("from {from}: {e}"),
+            (_, Err(e)) => warn!("a message from allocator {from} can't be decoded: {e}"),
         }
     }
 }
--- a/src/net/fleet/config.rs
+++ b/src/net/fleet/config.rs
@@ -15,7 +15,7 @@
 pub struct FleetSettings {
     /// Path of the budgets file.
     pub path: PathBuf,
-    /// The parsed file.
+    /// Quotas, allocators and members that the budgets file lists.
     pub plan: Plan,
     /// Hash of the file's text.
     pub content: ContentHash,
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -140,7 +140,7 @@
 pub struct Handover<S> {
     frontend: Rc<Frontend>,
     deadlines: Rc<Deadlines>,
-    path: Option<PathBuf>,
+    socket_path: Option<PathBuf>,
     /// Weak, so that the frontend alone keeps the listener open: another owner would let clients wait at a node that has stopped.
     listener: Weak<TcpListener>,
     /// Called with the number of processes that run as this node, whenever it changes.
@@ -156,7 +156,7 @@
         listener: Weak<TcpListener>,
         set_process_count: S,
     ) -> Self {
-        Handover { frontend, deadlines, path: socket_path(listen, mode), listener, set_process_count }
+        Handover { frontend, deadlines, socket_path: socket_path(listen, mode), listener, set_process_count }
     }
 
     /// Takes over from the predecessor behind the link `before`, if there is one, and then passes the socket on to successors,
@@ -166,7 +166,7 @@
             self.take_over(link).await;
         }
         loop {
-            let found = self.path.as_deref().map(publish);
+            let found = self.socket_path.as_deref().map(publish);
             match found {
                 Some(Ok(listener)) => self.hand_over(listener).await,
                 Some(Err(e)) => {
@@ -247,7 +247,7 @@
             }
         };
         RequestIds::disconnect_peer(ids);
-        let path = self.path.as_deref().unwrap_or(Path::new("-"));
+        let path = self.socket_path.as_deref().unwrap_or(Path::new("-"));
         close_reason.log(Side::Handover, path.display(), received);
     }
 
--- a/src/net/key_leases.rs
+++ b/src/net/key_leases.rs
@@ -95,8 +95,8 @@
         for budget in quota_client.plan().budgets.iter().filter(|b| self.wanted_units(&b.name).is_some()) {
             match quota_client.lease(&budget.name, now).filter(|_| wanted.contains(&budget.name)) {
                 Some((grant, asked)) => {
-                    let term = quota_client.plan().lease_period(budget);
-                    ownership.apply_grant(&budget.name, &grant, asked, term, now);
+                    let lease_period = quota_client.plan().lease_period(budget);
+                    ownership.apply_grant(&budget.name, &grant, asked, lease_period, now);
                 }
                 None => ownership.lease_ended(&budget.name),
             }
@@ -196,7 +196,7 @@
         !self.ownership.borrow().held(self.now()).is_empty()
     }
 
-    /// Returns the ownership that has to be stored.
+    /// Returns the ownership of key ranges that must survive a restart of the node.
     pub fn persisted(&self) -> PersistedOwnership {
         self.ownership.borrow().persisted()
     }
@@ -214,13 +214,16 @@
                 } else {
                     "all placements are known"
                 };
-                info!("home {home} is held epoch={} number={}: {proof_state}", fence.epoch, fence.number);
+                info!(
+                    "key range {home} is held epoch={} number={}: {proof_state}",
+                    fence.epoch, fence.number
+                );
             }
         }
         logged_ranges
             .keys()
             .filter(|home| !now.contains_key(*home))
-            .for_each(|home| info!("home {home} is not held any more"));
+            .for_each(|home| info!("key range {home} is no longer held"));
         *logged_ranges = now;
     }
 
--- a/src/net/load_shifting.rs
+++ b/src/net/load_shifting.rs
@@ -136,7 +136,8 @@
         }
     }
 
-    /// Returns the limits for operators, one per line.
+    /// Returns the share of load that a recovering site takes, in percent, and the rates that each class may use for clients of
+    /// other sites, one per line.
     pub fn status(&self, exchange: &Exchange<Job>, now: Micros) -> String {
         let (load_shifting, mut text) = (self.load_shifting.borrow(), String::new());
         if let Some(part) = load_shifting.recovery_percent(now) {
--- a/src/net/placing.rs
+++ b/src/net/placing.rs
@@ -101,7 +101,10 @@
         copies.insert_deferred(&mut history)?;
         let open = log.open_placements();
         if !open.is_empty() {
-            info!("placements: {} were in progress when the last process ended and may have run", open.len());
+            info!(
+                "placements: {} attempts were in progress when the last process ended and may have run",
+                open.len()
+            );
         }
         let placements = Placements {
             log,
@@ -182,18 +185,18 @@
                 continue;
             };
             if let Err(e) = history.seal(&writer, upto) {
-                warn!("placements: {e}");
+                warn!("placements: old entries of a log can't be dropped from memory: {e}");
                 continue;
             }
             dropped += 1;
             if writer == own {
                 if let Err(e) = self.log.seal(history.sealed(&writer)) {
-                    warn!("placements: {e}");
+                    warn!("placements: old entries of this node's log can't be dropped from the disk: {e}");
                 }
             }
         }
         if dropped > 0 {
-            info!("placements: {dropped} logs are sealed further");
+            info!("placements: old entries of {dropped} logs were dropped; their digests and guarded keys are kept");
             self.copies.rewrite(&self.history.borrow(), |result| {
                 if let Err(e) = result {
                     warn!("placements: could not rewrite the copies of other nodes' logs: {e}");
@@ -326,7 +329,8 @@
         false
     }
 
-    /// Records the end of an attempt.
+    /// Records in the log whether a placed attempt ran, so that its key can be placed again if it never ran. Does nothing if the
+    /// attempt has no placement in progress.
     pub fn record_end(&self, id: DispatchId, ran: RunOutcome, at: Micros) {
         let Some(placement) = self.outstanding.borrow_mut().remove(&id) else { return };
         let how = match ran {
@@ -364,7 +368,7 @@
         let disk_events = self.disk_events.clone();
         self.log.flush_with(&self.copies, move |result| {
             if let Err(e) = result {
-                warn!("placements: {e}");
+                warn!("placements: buffered entries could not be written: {e}");
             }
             // The receiver is dropped when the node stops.
             let _ = disk_events.send(DiskEvent::Flushed);
--- a/src/net/placing/exchange.rs
+++ b/src/net/placing/exchange.rs
@@ -33,7 +33,7 @@
         while let Some((length, rest)) = messages.split_first_chunk::<2>() {
             let Some((message, rest)) = rest.split_at_checked(usize::from(u16::from_be_bytes(*length)))
             else {
-                return debug!("placements: from {from}: a datagram is truncated");
+                return debug!("placements: a datagram from node {from} is truncated");
             };
             self.receive_message(from, message, now);
             messages = rest;
@@ -47,7 +47,7 @@
             .and_then(|message| exchange.receive(&mut *self.history.borrow_mut(), message, now));
         let received = match received {
             Ok(received) => received,
-            Err(e) => return debug!("placements: from {from}: {e}"),
+            Err(e) => return debug!("placements: a message from node {from} was rejected: {e}"),
         };
         let log_failure = |result: Result<(), LogError>| {
             if let Err(e) = result {
@@ -108,7 +108,7 @@
         if publish && has_unpublished {
             match self.log.load_into(&mut self.history.borrow_mut()) {
                 Ok(_) => self.note_update(now),
-                Err(e) => warn!("placements: {e}"),
+                Err(e) => warn!("placements: new entries of this node's log can't be read: {e}"),
             }
             self.last_published.set(self.log.durable().0);
         }
--- a/src/net/placing/startup.rs
+++ b/src/net/placing/startup.rs
@@ -14,9 +14,10 @@
     /// disk is an older copy and a new log is started.
     pub(super) fn decide_log(&self, writer: &Writer, now: Micros) {
         let mut log_recovery = self.log_recovery.borrow_mut();
-        let own = self.log.durable();
+        let last_own_entry = self.log.durable();
         let exchanges = self.exchanges.borrow();
-        let Some(outcome) = log_recovery.decide(exchanges.values(), &self.history.borrow(), writer, own, now)
+        let Some(outcome) =
+            log_recovery.decide(exchanges.values(), &self.history.borrow(), writer, last_own_entry, now)
         else {
             return;
         };
@@ -24,7 +25,7 @@
             LogOutcome::Replaced(known) => {
                 warn!("placements: peers know entry {known} of this log, which the disk lacks: the disk is an older copy; starting a new log");
                 if let Err(e) = self.log.start_new_log(self.new_log_number) {
-                    warn!("placements: {e}");
+                    warn!("placements: a new log can't be started: {e}");
                 }
                 self.outstanding
                     .borrow_mut()
@@ -57,7 +58,7 @@
         self.log_recovery.borrow().peers_answered()
     }
 
-    /// Returns whether every peer has sent all that it knows.
+    /// Returns whether every peer has sent a full summary of its placement logs; `false` without peers.
     pub fn exchanges_complete(&self) -> bool {
         let exchanges = self.exchanges.borrow();
         !exchanges.is_empty() && exchanges.values().all(Exchange::complete)
--- a/src/net/recovering.rs
+++ b/src/net/recovering.rs
@@ -86,7 +86,7 @@
     /// Whether this start was recorded on the disk.
     start_recorded: bool,
     /// Unix time of the last write before this start, and the time since then if the clock is plausible, in microseconds.
-    last_written: Option<Micros>,
+    last_write_at: Option<Micros>,
     outage: Option<Micros>,
     peers: RefCell<Peers>,
     /// Last known incarnation of each other node, and when a message of it arrived.
@@ -119,7 +119,7 @@
         saved_sender: mpsc::UnboundedSender<SavedIncarnation>,
     ) -> Result<NodeRecovery, StoreError> {
         let stored = store.fact::<StoredIdentity>(IDENTITY_FACT)?;
-        let last_written = store.fact::<Micros>(LAST_WRITTEN_FACT)?;
+        let last_write_at = store.fact::<Micros>(LAST_WRITTEN_FACT)?;
         let mut own_identity = stored.clone().unwrap_or(StoredIdentity {
             node: name.to_string(),
             disk: random,
@@ -157,8 +157,8 @@
             disk_usable: Cell::new(false),
             excused: Cell::new(false),
             start_recorded: recorded.is_ok(),
-            last_written,
-            outage: last_written.and_then(|at| outage(at, unix)),
+            last_write_at,
+            outage: last_write_at.and_then(|at| outage(at, unix)),
             peers: RefCell::new(Peers::new(me, !own_identity.complete)),
             incarnations: RefCell::default(),
             outgoing_messages: RefCell::default(),
@@ -171,7 +171,7 @@
             initial_list_age: Cell::new(None),
             list_stored: Arc::default(),
         };
-        let outage_text = match (last_written, recovery.outage) {
+        let outage_text = match (last_write_at, recovery.outage) {
             (None, _) => "unknown: the disk is new".to_string(),
             (Some(_), None) => "unknown: the clock went backwards, or months on".to_string(),
             (_, Some(duration)) => format!("{} ms", duration / 1_000),
@@ -261,7 +261,7 @@
             disk = DiskState::Old;
         }
         if disk != self.disk.replace(disk) {
-            warn!("recovery disk={disk:?}: according to what its peers remember");
+            warn!("recovery disk={disk:?}: the state of this node's disk was determined from the reports of other nodes");
             if !disk.is_complete() {
                 self.store_identity(false);
             }
@@ -409,7 +409,7 @@
     ///
     /// # Errors
     /// Returns an explanation if an operator can't release the recovery from its current phase.
-    pub fn release(&self, now: Micros) -> Result<String, String> {
+    pub fn release_phase(&self, now: Micros) -> Result<String, String> {
         let phase = self.phases.borrow().phase();
         let waits = self.waits_for(now).unwrap_or("nothing");
         let can_excuse = !self.disk_usable.get() || !self.peers.borrow().all_confirmed();
@@ -435,7 +435,7 @@
         text += &format!("waits_for \"{}\"\n", self.waits_for(now).unwrap_or("nothing"));
         let (DiskIncarnation { disk, boots, .. }, excused) = (self.me, self.excused.get());
         text += &format!("disk {:?} number={disk:016x} boots={boots} excused={excused}\n", self.disk.get());
-        text += &match (self.last_written, self.outage) {
+        text += &match (self.last_write_at, self.outage) {
             (None, _) => "outage unknown why=\"the disk is new\"\n".to_string(),
             (Some(_), None) => "outage unknown why=\"the clock went backwards, or months on\"\n".to_string(),
             (_, Some(duration)) => format!("outage ms={}\n", duration / 1_000),
--- a/src/net/sites/accounts.rs
+++ b/src/net/sites/accounts.rs
@@ -29,7 +29,7 @@
                 }
                 RegistryUpdate::NewFile { number } => info!("accounts: file {number} is now in use"),
                 RegistryUpdate::ConflictingFiles { number } => warn!("accounts: two files with number {number} differ; the stricter standing applies to each account until a file with a greater number is installed"),
-                other => warn!("accounts: {other:?}"),
+                other => warn!("accounts: an accounts file does not apply in full: {other:?}"),
             }
         }
         {
@@ -98,7 +98,7 @@
                     "account {tenant}: work was started after file {number} closed it: {awareness:?} at {}/{} entry={entry}",
                     writer.site, writer.node
                 ),
-                other => info!("placements: {other:?}"),
+                other => info!("placements: the logs of all sites show: {other:?}"),
             }
         }
     }
--- a/src/net/sites/admission.rs
+++ b/src/net/sites/admission.rs
@@ -218,7 +218,7 @@
         }
         shares.extend(self.spillover.quota_shares());
         if shares != *self.applied_shares.borrow() {
-            debug!("sites: {shares:?}");
+            debug!("sites: new quota shares: {shares:?}");
             self.applied_shares.replace(shares.clone());
             self.exchange.set_quota_shares(QuotaSource::Sites, shares);
         }
--- a/src/net/sites/config.rs
+++ b/src/net/sites/config.rs
@@ -75,10 +75,10 @@
     /// No folder for persistent data was configured.
     #[error("sites need a folder on a disk that lasts: name it with --state")]
     Stateless,
-    /// The stored data can't be used.
+    /// The store in the state folder can't be opened or read: another process uses it, or it is damaged or of another version.
     #[error("{}: {source}; two processes can't share a folder, and one that is damaged or of another version has to be moved away by hand", path.display())]
     Store {
-        /// The folder.
+        /// The state folder (`--state`).
         path: PathBuf,
         /// The reason.
         source: StoreError,
@@ -86,13 +86,13 @@
     /// The placement log can't be used.
     #[error("{}: {source}: {}", path.display(), shorepath_message_auth::advice(source))]
     Log {
-        /// The folder.
+        /// The state folder (`--state`).
         path: PathBuf,
         /// The reason.
         source: LogError,
     },
     /// The operating system provided no random number or no thread.
-    #[error("can't take part in sites: {0}")]
+    #[error("the operating system provided no random number or no thread: {0}")]
     System(String),
     /// The node is in no site.
     #[error("{0}")]
--- a/src/net/sites/startup.rs
+++ b/src/net/sites/startup.rs
@@ -27,7 +27,7 @@
 /// The store and its group commit.
 pub(super) type Disk = (Arc<Store>, Arc<GroupCommit>);
 
-/// The state that a node of a fleet of sites starts with.
+/// A node's opened disk and what was restored from it and from the accounts file.
 pub(super) struct StartupState {
     /// Random number of this process.
     pub(super) seed: u64,
@@ -43,34 +43,35 @@
     pub(super) stored_ownership: PersistedOwnership,
 }
 
-fn unusable(settings: &SitesSettings) -> impl Fn(StoreError) -> SitesError + '_ {
+/// Returns a function that adds the path of the state folder to an error of the store.
+fn store_error_mapper(settings: &SitesSettings) -> impl Fn(StoreError) -> SitesError + '_ {
     |source| SitesError::Store { path: settings.state.clone(), source }
 }
 
 /// Opens the store of the node `name` and restores accounts, credit and key ownership.
 pub(super) fn open(name: &str, settings: &SitesSettings) -> Result<StartupState, SitesError> {
-    let unusable = unusable(settings);
+    let to_sites_error = store_error_mapper(settings);
     let seed = getrandom::u64().map_err(|e| SitesError::System(e.to_string()))?;
     let own_number = NodeId::of(name).0;
     let now = settings.skew.at(0);
     let answers = settings.config.recover.as_ref().map_or(DEFAULT_ANSWERS_BYTES, |r| r.remember);
-    let store = Arc::new(Store::open(&settings.state, answers).map_err(&unusable)?);
+    let store = Arc::new(Store::open(&settings.state, answers).map_err(&to_sites_error)?);
     let mut config_history =
-        store.fact::<ConfigHistory>(CONFIG_HISTORY_FACT).map_err(&unusable)?.unwrap_or_default();
+        store.fact::<ConfigHistory>(CONFIG_HISTORY_FACT).map_err(&to_sites_error)?.unwrap_or_default();
     settings.check_history(&config_history)?;
     store_config_history(&store, &mut config_history, &settings.config);
     let peers = settings.config.nodes().map(|(_, n)| n.number).collect();
     let mut gossip = gossip::Gossip::new(own_number, peers, seed, now);
-    if let Some(registry) = store.fact::<AccountRegistry>(REGISTRY_FACT).map_err(&unusable)? {
+    if let Some(registry) = store.fact::<AccountRegistry>(REGISTRY_FACT).map_err(&to_sites_error)? {
         gossip.restore(&registry);
     }
     let stored_registry_hash = gossip.registry().hash();
     if let Some(accounts_file) = &settings.accounts_file {
         gossip.add_file(accounts_file, now);
     }
-    let balances = balances(settings, &store, own_number).map_err(&unusable)?;
+    let balances = balances(settings, &store, own_number).map_err(&to_sites_error)?;
     let stored_ownership =
-        store.fact::<PersistedOwnership>(OWNERSHIP_FACT).map_err(&unusable)?.unwrap_or_default();
+        store.fact::<PersistedOwnership>(OWNERSHIP_FACT).map_err(&to_sites_error)?.unwrap_or_default();
     let group_commit = GroupCommit::new(store.clone()).map_err(|e| SitesError::System(e.to_string()))?;
     let group_commit = Arc::new(group_commit);
     Ok(StartupState {
@@ -109,13 +110,13 @@
     saved_sender: mpsc::UnboundedSender<SavedIncarnation>,
 ) -> Result<Option<NodeRecovery>, SitesError> {
     let Some(clause) = &settings.config.recover else { return Ok(None) };
-    let unusable = unusable(settings);
+    let to_sites_error = store_error_mapper(settings);
     let own_number = NodeId::of(name).0;
     let disk = (&**store, group_commit.clone());
     let times = (seed, now, settings.unix_now());
-    let recovery = NodeRecovery::open(name, clause, disk, times, saved_sender).map_err(&unusable)?;
+    let recovery = NodeRecovery::open(name, clause, disk, times, saved_sender).map_err(&to_sites_error)?;
     let others = settings.config.nodes().map(|(_, n)| n.number).filter(|n| *n != own_number);
-    recovery.load_incarnations(store, others).map_err(&unusable)?;
+    recovery.load_incarnations(store, others).map_err(&to_sites_error)?;
     recovery.set_peers(&selected_peers(&settings.config, own_number));
     Ok(Some(recovery))
 }
@@ -128,10 +129,11 @@
     seed: u64,
 ) -> Result<Option<Rc<AuditRecorder>>, SitesError> {
     let Some(audit) = settings.config.audit else { return Ok(None) };
-    let mut key = [0; 16];
-    key.copy_from_slice(&settings.keys.mac(b"audit")[..16]);
+    let mut sampling_key = [0; 16];
+    sampling_key.copy_from_slice(&settings.keys.mac(b"audit")[..16]);
     let node = (name, NodeId::of(name).0, seed);
-    let audit_recorder = AuditRecorder::open(disk.clone(), audit, node, key).map_err(unusable(settings))?;
+    let audit_recorder =
+        AuditRecorder::open(disk.clone(), audit, node, sampling_key).map_err(store_error_mapper(settings))?;
     audit_recorder.set_peers(&settings.config.nodes().map(|(_, n)| n.number).collect::<Vec<_>>());
     Ok(Some(audit_recorder))
 }
--- a/src/net/sites/status.rs
+++ b/src/net/sites/status.rs
@@ -35,9 +35,9 @@
     ///
     /// # Errors
     /// Returns why an operator can't release the recovery from its current phase.
-    pub fn release(&self) -> Result<String, String> {
+    pub fn release_recovery_phase(&self) -> Result<String, String> {
         let recovery = self.recovery.as_ref().ok_or("the file of sites has no (recover ...)")?;
-        recovery.release(self.now())
+        recovery.release_phase(self.now())
     }
 
     /// Returns the state of sites, accounts, placements and key ranges as this node knows them, one per line.
--- a/src/net/sites/transport.rs
+++ b/src/net/sites/transport.rs
@@ -97,8 +97,8 @@
     pub(super) fn receive(&self, bytes: &[u8], from: SocketAddr) -> bool {
         let presumed_sender = {
             let settings = self.settings.borrow();
-            let known = settings.config.nodes().find(|(_, n)| n.address == from).map(|(_, n)| n.number);
-            known.unwrap_or(0)
+            let node_number = settings.config.nodes().find(|(_, n)| n.address == from).map(|(_, n)| n.number);
+            node_number.unwrap_or(0)
         };
         let mut channel = self.channel.borrow_mut();
         let (sender, message) = match channel.verify(bytes, presumed_sender) {
@@ -131,7 +131,7 @@
                 let received = self.site_health.borrow_mut().receive(sender, &message, now);
                 match received {
                     Ok(()) => self.spillover.received(&self.site_health.borrow(), sender, &message, now),
-                    Err(e) => debug!("sites: from {from}: {e}"),
+                    Err(e) => debug!("sites: a site health message from {from} was rejected: {e}"),
                 }
             }
             Ok(SiteMessage::KeyOwnership(message)) => {
@@ -142,7 +142,7 @@
                     recovery.receive(sender, message, now);
                 }
             }
-            Err(e) => debug!("sites: from {from}: {e}"),
+            Err(e) => debug!("sites: a message from {from} can't be decoded: {e}"),
         }
         true
     }
--- a/tests/node/key_ownership.rs
+++ b/tests/node/key_ownership.rs
@@ -129,7 +129,7 @@
     let nodes = [0, 1].map(|k| fleet.start(k, config(&[servers[k].address])));
     nodes[0].logs("a guarded key is placed by the node that holds its range");
     for (k, owner) in ["west/n0", "east/n1"].iter().enumerate() {
-        assert!(nodes[k].logs(CAUGHT_UP).contains(&format!("home {owner} is held")));
+        assert!(nodes[k].logs(CAUGHT_UP).contains(&format!("key range {owner} is held")));
     }
     let mut keys = fleet.keys(0);
     let mut key = || keys.next().unwrap();
@@ -147,7 +147,7 @@
     let mut client = ask(&nodes[0], &running);
     let id = backend.id();
     fleet.silent.store(true, Ordering::Relaxed);
-    nodes[0].logs("home west/n0 is not held any more");
+    nodes[0].logs("key range west/n0 is no longer held");
     expect_rejected(&nodes[0], &key(), (503, "no lease of west/n0"));
     expect_rejected(&nodes[0], &running, (502, "may have run"));
     backend.serve(&id, "1");
@@ -176,7 +176,7 @@
     assert_eq!(client.message().status(), 200);
     expect_rejected(&east, &known, (409, "served before"));
     drop(west);
-    let lines = east.logs_until("home west/n0 is held");
+    let lines = east.logs_until("key range west/n0 is held");
     assert!(lines.iter().any(|l| l.contains("site west Lost")), "{lines:?}");
     expect_rejected(&east, &known, (409, "served before"));
     expect_rejected(&east, &unknown, (502, "may have run"));
@@ -212,7 +212,7 @@
         fleet.files.write_sites(k, 2, "(lost west (number 1))");
         node.reload();
     }
-    nodes[0].logs("home west/n0 is not held any more");
+    nodes[0].logs("key range west/n0 is no longer held");
     let begin = Instant::now();
     while !nodes[1].logs(CAUGHT_UP).contains("west/n0") {
         assert!(begin.elapsed() < TEST_TIMEOUT);
--- a/tests/node/sites.rs
+++ b/tests/node/sites.rs
@@ -534,7 +534,7 @@
         assert_eq!(client.message().status(), 200);
     }
     for node in [&node, &other] {
-        node.logs("logs are sealed further");
+        node.logs("logs were dropped; their digests and guarded keys are kept");
         assert!(history(node).contains("sealed=1024"), "{}", history(node));
     }
     let begin = Instant::now();
