--- a/tests/glossary.rs
+++ b/tests/glossary.rs
@@ -87,7 +87,7 @@
     "wholes",
 ];
 
-/// Texts of the wire, of disks, of settings and of the standard library, which keep a retired word.
+/// Texts of the wire, of disks, of settings, of the command line and of the standard library, which keep a retired word.
 const KEPT_TEXTS: &[&str] = &[
     "(divider ",
     "\"divider\"",
@@ -116,6 +116,28 @@
     "\"entry {} is another one than others were told\"",
     "\"others were told of entry {}, and it ends at {head}: an older disk was put back\"",
     " heard_ms={received_ms}",
+    "granted, used, lent and held back",
+    "which lists the dividers",
+    "; told by {}\\n\"",
+    "this divider does not lead: it knows no demands",
+    "\"lent\", \"in doubt\"",
+    "heard of {} ago",
+    "not heard of lately",
+    "surely ended: it is not heard of",
+    "{} of it lent",
+    "for lives that are not heard of",
+    "Serve clients until told to stop by SIGTERM or SIGINT",
+    "Ask the dividers of a fleet where its budgets are",
+    "and say what is wrong with it",
+    "\"barred\"",
+    "\"denied\"",
+    "\"denied: trying again is harmless\"",
+    "\"unknown word\"",
+    "Words carry a code: changes of their content",
+    "accounts, seeing, placements, homes or lending",
+    "\"seeing\"",
+    "\"homes\"",
+    "\"lending\"",
 ];
 
 fn root() -> PathBuf {
