--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -55,7 +55,9 @@
 ) -> NextStep {
     let class = &sc.classes[class];
     let outcome = match answer {
-        Answer::Served if elapsed <= class.wanted + (class.stretch * work) as Micros => Outcome::Timely,
+        Answer::Served if elapsed <= class.latency_objective + (class.work_factor * work) as Micros => {
+            Outcome::Timely
+        }
         Answer::Served => Outcome::Late,
         Answer::Refused => Outcome::Refused,
         Answer::Failed => Outcome::Failed,
@@ -63,12 +65,12 @@
     if answer == Answer::Served {
         return NextStep::Settled(outcome);
     }
-    let delay = between(rng, sc.clients.wait);
-    let delay = retry_after.filter(|_| sc.clients.heed).map_or(delay, |r| r.max(delay));
+    let delay = between(rng, sc.clients.retry_wait);
+    let delay = retry_after.filter(|_| sc.clients.honors_retry_after).map_or(delay, |r| r.max(delay));
     // A retry has a new id, by which servers can't recognize it as a duplicate: a keyed request is only
     // repeated after a refusal.
-    let may_repeat = answer == Answer::Refused || class.effect == Idempotency::Idempotent;
-    if may_repeat && submissions <= sc.clients.retries && elapsed + delay < class.give_up {
+    let may_repeat = answer == Answer::Refused || class.idempotency == Idempotency::Idempotent;
+    if may_repeat && submissions <= sc.clients.retries && elapsed + delay < class.deadline {
         NextStep::Retry(delay)
     } else {
         NextStep::Settled(outcome)
--- a/crates/lab/src/load/backend_servers.rs
+++ b/crates/lab/src/load/backend_servers.rs
@@ -1,7 +1,7 @@
 //! Emulated backend servers: the emulator's model of a server, in real time and behind a socket.
 
 use super::{JobProgress, RunningJob, Testbed};
-use crate::scenario::{Fault, Trouble};
+use crate::scenario::{Fault, FaultKind};
 use crate::sim::draw::{between, Needs};
 use crate::sim::faults::{apply_step, endpoint_entry, Step};
 use crate::sim::server::Admission;
@@ -111,7 +111,7 @@
     testbed.servers.borrow_mut()[server].connections += 1;
     let is_new = Rc::new(Cell::new(true));
     let (service_testbed, idle) =
-        (testbed.clone(), Duration::from_micros(testbed.scenario.network.idle as u64));
+        (testbed.clone(), Duration::from_micros(testbed.scenario.network.idle_timeout as u64));
     let last_used = Rc::new(Cell::new(tokio::time::Instant::now()));
     let (service_is_new, service_last_used) = (is_new.clone(), last_used.clone());
     let service = service_fn(move |request| {
@@ -146,7 +146,11 @@
     let mut rng = testbed.network_rng.borrow_mut();
     let base = between(
         &mut rng,
-        if same_zone { testbed.scenario.network.near } else { testbed.scenario.network.far },
+        if same_zone {
+            testbed.scenario.network.same_zone_latency
+        } else {
+            testbed.scenario.network.cross_zone_latency
+        },
     );
     let jitter: f64 = if testbed.scenario.network.jitter > 0.0 { Exp1.sample(&mut *rng) } else { 0.0 };
     Duration::from_micros(base as u64 + (base as f64 * testbed.scenario.network.jitter * jitter) as u64)
@@ -179,7 +183,7 @@
     let fails = testbed.servers.borrow()[server].failure_share();
     let fails = fails > 0.0 && testbed.failure_rng.borrow_mut().random::<f64>() < fails;
     let key = testbed.running_jobs.borrow_mut().insert(RunningJob { id, fails, progress });
-    let fall = testbed.scenario.fall();
+    let fall = testbed.scenario.overload_limit();
     let now = testbed.now();
     let born = testbed.servers.borrow()[server].started_at;
     let knows_start = testbed.checker.borrow().knows_start(request_info.node, server as u32, born);
@@ -214,7 +218,7 @@
         while let Some(progress) = progress_receiver.recv().await {
             sleep(network_delay(&testbed, same_zone)).await;
             match progress {
-                JobProgress::Started if testbed.scenario.servers.tells_start => send_state("started", ""),
+                JobProgress::Started if testbed.scenario.servers.reports_starts => send_state("started", ""),
                 JobProgress::Started => {}
                 JobProgress::Done => return send_state("done", ",\"result\":\"done\""),
                 JobProgress::Failed => return send_state("failed", ""),
@@ -291,7 +295,7 @@
 /// Applies a step of a fault to the affected servers.
 pub fn apply_fault(testbed: &Rc<Testbed>, f: &Fault, index: u32, step: Step, affected: &[u32]) {
     let now = testbed.now();
-    if f.trouble == Trouble::Silence && step == Step::Begins {
+    if f.kind == FaultKind::Silence && step == Step::Begins {
         testbed.silent_until.set(testbed.silent_until.get().max(now + f.length));
     }
     for server in affected.iter().map(|s| *s as usize) {
--- a/crates/lab/src/load/clients.rs
+++ b/crates/lab/src/load/clients.rs
@@ -96,12 +96,16 @@
     let (mut attempts, mut due) = (0, first_due);
     let outcome = loop {
         attempts += 1;
-        let remaining = class.give_up - (due - first_due);
-        let gives_up_after = (remaining as f64 * testbed.scenario.clients.patience) as Micros;
+        let remaining = class.deadline - (due - first_due);
+        let gives_up_after = (remaining as f64 * testbed.scenario.clients.timeout_fraction) as Micros;
         let attempt = send_request(&clients, &job, labels, due, remaining);
         let Ok(answer) = timeout(Duration::from_micros(gives_up_after as u64 + 200_000), attempt).await
         else {
-            break if testbed.scenario.clients.patience < 1.0 { Outcome::Left } else { Outcome::Lost };
+            break if testbed.scenario.clients.timeout_fraction < 1.0 {
+                Outcome::Left
+            } else {
+                Outcome::Lost
+            };
         };
         let elapsed = testbed.now() - START - first_due;
         let after = after_answer(
@@ -139,14 +143,14 @@
     let lag = (testbed.now() - START - due).max(0);
     let _ = testbed.lag.borrow_mut().record(lag.max(1) as u64);
     testbed.requests.borrow_mut().insert(id, RequestInfo { work: job.work, node: job.node });
-    testbed.checker.borrow_mut().request_accepted(id, testbed.now() + remaining, class.effect);
+    testbed.checker.borrow_mut().request_accepted(id, testbed.now() + remaining, class.idempotency);
     let _guard = OpenGuard::new(testbed, id);
     let request = Request::post(format!("/{}", class.name))
         .header("Host", "lab")
         .header("Request-Id", format!("{id:x}"))
         .header("Tenant", &testbed.scenario.tenants[labels.0 as usize].name)
         .header("Request-Timeout", format!("{remaining}u"));
-    let request = match class.effect {
+    let request = match class.idempotency {
         Idempotency::Keyed { .. } => request.header("Idempotency-Key", format!("{id:032x}")),
         _ => request,
     };
@@ -191,7 +195,7 @@
     fn drop(&mut self) {
         self.testbed.open_requests.set(self.testbed.open_requests.get() - 1);
         // Has no effect after an answer.
-        if self.testbed.scenario.clients.patience < 1.0 {
+        if self.testbed.scenario.clients.timeout_fraction < 1.0 {
             self.testbed.checker.borrow_mut().left(self.id);
         } else {
             self.testbed.checker.borrow_mut().overdue(self.id, self.testbed.now());
--- a/crates/lab/src/load/discovery.rs
+++ b/crates/lab/src/load/discovery.rs
@@ -85,7 +85,7 @@
     while !body.is_closed() {
         for member in testbed.list_changes.borrow().iter().skip(sent_changes).cloned() {
             sent_changes += 1;
-            let at = (testbed.now() + between(&mut rng, testbed.scenario.lag))
+            let at = (testbed.now() + between(&mut rng, testbed.scenario.discovery_delay))
                 .max(testbed.silent_until.get())
                 .max(last);
             last = at;
--- a/crates/lab/src/load/mod.rs
+++ b/crates/lab/src/load/mod.rs
@@ -11,7 +11,7 @@
 pub mod single_server;
 
 use crate::rules::{Checker, Limits};
-use crate::scenario::{Scenario, Trouble};
+use crate::scenario::{FaultKind, Scenario};
 use crate::sim::draw::{stream, Purpose};
 use crate::sim::faults::{affected_servers, steps};
 use crate::sim::server::Server;
@@ -128,7 +128,7 @@
     fn new(scenario: &Scenario) -> Rc<Testbed> {
         let servers = make_servers(scenario);
         let limits = Limits {
-            slack: scenario.rules.slack + SOCKET_SLACK,
+            slack: scenario.rules.deadline_slack + SOCKET_SLACK,
             drain_grace: scenario.rules.drain_grace + SOCKET_SLACK,
         };
         let lag = Histogram::new_with_bounds(1, 3_600_000_000, 3);
@@ -166,8 +166,8 @@
 }
 
 fn check_supported(scenario: &Scenario) -> Result<(), LoadError> {
-    if let Some(f) = scenario.faults.iter().find(|f| matches!(f.trouble, Trouble::Cut | Trouble::ZoneLoss)) {
-        return Err(LoadError::UnsupportedFault(if f.trouble == Trouble::Cut { "cut" } else { "zone-loss" }));
+    if let Some(f) = scenario.faults.iter().find(|f| matches!(f.kind, FaultKind::Cut | FaultKind::ZoneLoss)) {
+        return Err(LoadError::UnsupportedFault(if f.kind == FaultKind::Cut { "cut" } else { "zone-loss" }));
     }
     if scenario.policy != "rfq" {
         return Err(LoadError::Policy(scenario.policy.clone()));
@@ -208,7 +208,7 @@
     let addresses: Vec<SocketAddr> = nodes.iter().map(|n| n.address).collect();
     for (index, f) in scenario.faults.iter().enumerate() {
         let affected = affected_servers(scenario, &testbed.servers.borrow(), index);
-        for (at, step) in steps(f, scenario.length + scenario.longest()) {
+        for (at, step) in steps(f, scenario.length + scenario.longest_deadline()) {
             let (testbed, affected, fault) = (testbed.clone(), affected.clone(), f.clone());
             spawn_local(async move {
                 tokio::time::sleep_until(testbed.instant(START + at)).await;
--- a/crates/lab/src/sim/draw.rs
+++ b/crates/lab/src/sim/draw.rs
@@ -1,6 +1,6 @@
 //! Random numbers: independent streams from one seed, arrival times, and the properties of jobs.
 
-use crate::scenario::{Class, Scenario, Shape, Step, Trouble};
+use crate::scenario::{Class, DistributionKind, FaultKind, Scenario, Step};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, Gamma, LogNormal};
@@ -67,18 +67,18 @@
 impl Spread {
     /// Returns the distribution of a shape and a coefficient of variation. With a coefficient of 0, log-normal and
     /// gamma distributions are constant.
-    pub fn new(shape: Shape, cv: f64) -> Self {
+    pub fn new(shape: DistributionKind, cv: f64) -> Self {
         let exponential = || Exp::new(1.0).map_or(Spread::Constant, Spread::Exp);
         match shape {
-            Shape::Constant => Spread::Constant,
-            Shape::Exponential => exponential(),
+            DistributionKind::Constant => Spread::Constant,
+            DistributionKind::Exponential => exponential(),
             _ if cv <= 0.0 => Spread::Constant,
-            Shape::LogNormal => {
+            DistributionKind::LogNormal => {
                 let variance = (1.0 + cv * cv).ln();
                 LogNormal::new(-variance / 2.0, variance.sqrt()).map_or(Spread::Constant, Spread::LogNormal)
             }
-            Shape::Gamma if cv == 1.0 => exponential(),
-            Shape::Gamma => {
+            DistributionKind::Gamma if cv == 1.0 => exponential(),
+            DistributionKind::Gamma => {
                 let shape = 1.0 / (cv * cv);
                 Gamma::new(shape, 1.0 / shape).map_or(Spread::Constant, Spread::Gamma)
             }
@@ -142,7 +142,7 @@
     pub fn new(scenario: &Scenario, tenant: usize) -> Self {
         let total: f64 = scenario.tenants.iter().map(|t| t.traffic).sum();
         let base = scenario.rate * scenario.tenants[tenant].traffic / total / 1e6;
-        let floods = scenario.faults.iter().filter(|f| f.trouble == Trouble::Flood).map(|f| Step {
+        let floods = scenario.faults.iter().filter(|f| f.kind == FaultKind::Flood).map(|f| Step {
             at: f.at,
             length: f.length,
             ramp: 0,
@@ -170,7 +170,7 @@
         }
         Arrivals {
             rng: stream(scenario.seed, Purpose::Arrivals(tenant as u32)),
-            spread: Spread::new(Shape::Gamma, scenario.cv),
+            spread: Spread::new(DistributionKind::Gamma, scenario.cv),
             rates,
             at: 0.0,
             segment: 0,
@@ -242,8 +242,8 @@
 impl Jobs {
     /// Returns the generator of a tenant's jobs.
     pub fn new(scenario: &Scenario, tenant: usize) -> Self {
-        let spread = |c: &Class| (c.work as f64, Spread::new(c.shape, c.cv));
-        let costly_periods = scenario.faults.iter().filter(|f| f.trouble == Trouble::Costly);
+        let spread = |c: &Class| (c.work as f64, Spread::new(c.distribution, c.cv));
+        let costly_periods = scenario.faults.iter().filter(|f| f.kind == FaultKind::Costly);
         Jobs {
             rng: stream(scenario.seed, Purpose::Jobs(tenant as u32)),
             classes: cumulative_sums(scenario.classes.iter().map(|c| c.share)),
@@ -256,9 +256,9 @@
             memory: scenario
                 .classes
                 .iter()
-                .map(|c| (c.memory, Spread::new(Shape::LogNormal, c.memory_cv)))
+                .map(|c| (c.memory, Spread::new(DistributionKind::LogNormal, c.memory_cv)))
                 .collect(),
-            hints: scenario.clients.hints.map(|cv| Spread::new(Shape::LogNormal, cv)),
+            hints: scenario.clients.work_hint_cv.map(|cv| Spread::new(DistributionKind::LogNormal, cv)),
             nodes: cumulative_sums((1..=scenario.nodes).map(|k| f64::from(k).powf(-scenario.skew))),
         }
     }
--- a/crates/lab/src/sim/faults.rs
+++ b/crates/lab/src/sim/faults.rs
@@ -2,7 +2,7 @@
 
 use super::draw::{stream, Purpose};
 use super::server::Server;
-use crate::scenario::{Fault, Scenario, Trouble};
+use crate::scenario::{Fault, FaultKind, Scenario};
 use rand::RngExt;
 use shorepath_scheduler::*;
 
@@ -55,10 +55,10 @@
 pub fn steps(f: &Fault, until: Micros) -> Vec<(Micros, Step)> {
     let end = f.at.saturating_add(f.length);
     let mut all = vec![(f.at, Step::Begins)];
-    if f.trouble == Trouble::Shrink {
+    if f.kind == FaultKind::Shrink {
         all.push((f.at + f.drain.min(f.length), Step::Drained));
     }
-    if f.trouble == Trouble::Neighbour && f.every > 0 {
+    if f.kind == FaultKind::Neighbour && f.every > 0 {
         let toggles = (1..).map(|k| f.at + k * f.every).take_while(|at| *at < end.min(until));
         all.extend(toggles.map(|at| (at, Step::Toggles)));
     }
@@ -76,37 +76,37 @@
         effects.dies = (s.down == 1).then_some(silently);
         effects.announce = true;
     };
-    match (f.trouble, step) {
-        (Trouble::Crash, Step::Begins) | (Trouble::Shrink, Step::Drained) => down(s, false),
-        (Trouble::ZoneLoss, Step::Begins) => {
+    match (f.kind, step) {
+        (FaultKind::Crash, Step::Begins) | (FaultKind::Shrink, Step::Drained) => down(s, false),
+        (FaultKind::ZoneLoss, Step::Begins) => {
             s.unreachable += 1;
             down(s, true);
         }
-        (Trouble::Shrink, Step::Begins) => {
+        (FaultKind::Shrink, Step::Begins) => {
             s.draining += 1;
             effects.announce = true;
         }
-        (Trouble::Cut, Step::Begins) => s.unreachable += 1,
-        (Trouble::Pause, Step::Begins) => s.paused += 1,
-        (Trouble::Pause, Step::Ends) => s.paused -= 1,
-        (Trouble::Slow, Step::Begins) => s.speed_factors.push((index, 1.0 / f.size)),
-        (Trouble::Neighbour, Step::Begins) => s.speed_factors.push((index, 1.0 - f.size)),
-        (Trouble::Neighbour, Step::Toggles) => match s.speed_factors.iter().position(|x| x.0 == index) {
+        (FaultKind::Cut, Step::Begins) => s.unreachable += 1,
+        (FaultKind::Pause, Step::Begins) => s.paused += 1,
+        (FaultKind::Pause, Step::Ends) => s.paused -= 1,
+        (FaultKind::Slow, Step::Begins) => s.speed_factors.push((index, 1.0 / f.size)),
+        (FaultKind::Neighbour, Step::Begins) => s.speed_factors.push((index, 1.0 - f.size)),
+        (FaultKind::Neighbour, Step::Toggles) => match s.speed_factors.iter().position(|x| x.0 == index) {
             Some(on) => {
                 s.speed_factors.remove(on);
             }
             None => s.speed_factors.push((index, 1.0 - f.size)),
         },
-        (Trouble::Slow | Trouble::Neighbour, Step::Ends) => s.speed_factors.retain(|x| x.0 != index),
-        (Trouble::BadRelease, Step::Begins) => s.failure_shares.push((index, f.size)),
-        (Trouble::BadRelease, Step::Ends) => s.failure_shares.retain(|x| x.0 != index),
-        (Trouble::Crash | Trouble::Shrink | Trouble::ZoneLoss | Trouble::Cut, Step::Ends) => {
-            if matches!(f.trouble, Trouble::Cut | Trouble::ZoneLoss) {
+        (FaultKind::Slow | FaultKind::Neighbour, Step::Ends) => s.speed_factors.retain(|x| x.0 != index),
+        (FaultKind::BadRelease, Step::Begins) => s.failure_shares.push((index, f.size)),
+        (FaultKind::BadRelease, Step::Ends) => s.failure_shares.retain(|x| x.0 != index),
+        (FaultKind::Crash | FaultKind::Shrink | FaultKind::ZoneLoss | FaultKind::Cut, Step::Ends) => {
+            if matches!(f.kind, FaultKind::Cut | FaultKind::ZoneLoss) {
                 s.unreachable -= 1;
                 effects.reachable_again = s.unreachable == 0;
             }
-            s.draining -= u32::from(f.trouble == Trouble::Shrink);
-            if f.trouble != Trouble::Cut {
+            s.draining -= u32::from(f.kind == FaultKind::Shrink);
+            if f.kind != FaultKind::Cut {
                 s.down -= 1;
                 effects.restarts = s.down == 0;
                 effects.announce = effects.restarts;
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -269,9 +269,9 @@
             slots: k.slots.max(k.cores),
             speed: k.speed.0 + (k.speed.1 - k.speed.0) * rng.random::<f64>(),
             queue: s.queue,
-            crowding_slowdown: s.crowd,
-            cold_share: s.cold,
-            warm_up: s.warm_up,
+            crowding_slowdown: s.crowding_loss,
+            cold_share: s.slow_start_min_share,
+            warm_up: s.slow_start_duration,
         })
     };
     (0..s.count).map(server).collect()
@@ -317,7 +317,10 @@
             silent_until: 0,
             pending_events: VecDeque::new(),
             delivering: false,
-            checker: Checker::new(Limits { slack: sc.rules.slack, drain_grace: sc.rules.drain_grace }),
+            checker: Checker::new(Limits {
+                slack: sc.rules.deadline_slack,
+                drain_grace: sc.rules.drain_grace,
+            }),
             tally: Tally::new(sc),
             policy_knows_work: sc.policy == "clairvoyant",
             traced_request,
@@ -363,7 +366,7 @@
 
     /// Returns the time after which no answer can be in time any more.
     fn end(&self) -> Micros {
-        START + self.sc.length + self.sc.longest() + self.sc.rules.slack + 1_000
+        START + self.sc.length + self.sc.longest_deadline() + self.sc.rules.deadline_slack + 1_000
     }
 
     fn into_report(mut self) -> (Report, Vec<TraceLine>) {
@@ -472,14 +475,14 @@
     fn submit(&mut self, key: ClientRequestKey) {
         let Some(request) = self.client_requests.get_mut(key) else { return };
         let class = &self.sc.classes[request.class as usize];
-        let deadline = request.first_submitted + class.give_up;
+        let deadline = request.first_submitted + class.deadline;
         let (node, tenant) = (request.node, request.tenant);
         let hint = if self.policy_knows_work { Some(request.work as Micros) } else { request.hint };
         let slots = request.needs.slots;
         let is_first = request.submissions == 0;
         request.submissions += 1;
-        let (class_id, effect) = (ClassId(request.class as usize), class.effect);
-        let leaves = self.now + ((deadline - self.now) as f64 * self.sc.clients.patience) as Micros;
+        let (class_id, effect) = (ClassId(request.class as usize), class.idempotency);
+        let leaves = self.now + ((deadline - self.now) as f64 * self.sc.clients.timeout_fraction) as Micros;
         let submission =
             Submission { request: key, node, attempts: 0, answered: false, in_flight: Vec::new(), deadline };
         let key = self.submissions.insert(submission);
@@ -572,7 +575,7 @@
         }
         let Some(submission) = self.submissions.get(key) else { return };
         if !submission.answered {
-            self.schedule(submission.deadline + self.sc.rules.slack, SimEvent::AnswerOverdue(key));
+            self.schedule(submission.deadline + self.sc.rules.deadline_slack, SimEvent::AnswerOverdue(key));
         }
         self.remove_closed(key);
     }
--- a/crates/lab/src/sim/net.rs
+++ b/crates/lab/src/sim/net.rs
@@ -9,7 +9,7 @@
     IDLE_SWEEP_INTERVAL, WARM_UP_INTERVAL,
 };
 use crate::rules::Answer;
-use crate::scenario::Trouble;
+use crate::scenario::FaultKind;
 use rand::RngExt;
 use rand_distr::{Distribution, Exp1};
 use shorepath_scheduler::*;
@@ -23,7 +23,7 @@
     /// Draws the one-way delay between a node and a server.
     fn network_delay(&mut self, node: u32, server: u32) -> Micros {
         let near = self.nodes[node as usize].zone == self.servers[server as usize].spec.zone;
-        let range = if near { self.sc.network.near } else { self.sc.network.far };
+        let range = if near { self.sc.network.same_zone_latency } else { self.sc.network.cross_zone_latency };
         let base = between(&mut self.network_rng, range);
         if self.sc.network.jitter <= 0.0 {
             return base;
@@ -42,7 +42,7 @@
         submission.attempts += 1;
         let request_key = submission.request;
         let Some(request) =
-            self.client_requests.get(request_key).filter(|_| attempt < self.sc.rules.attempts)
+            self.client_requests.get(request_key).filter(|_| attempt < self.sc.rules.max_attempts)
         else {
             self.checker.ended(id.0, true);
             let settled = self.submissions.get(key).is_none_or(|t| t.answered);
@@ -132,7 +132,7 @@
         let Some(dispatch) = self.dispatches.get(key).filter(|r| r.stage == Stage::Sent) else { return };
         let (id, node, server, load) =
             (dispatch.id, dispatch.node, dispatch.server, (dispatch.work, dispatch.needs));
-        let overload_limit = self.sc.fall();
+        let overload_limit = self.sc.overload_limit();
         let s = &mut self.servers[server as usize];
         if s.unreachable > 0 {
             // The node gets no response until the server is reachable again and resets the connection.
@@ -185,7 +185,7 @@
         let (id, server, open) = (dispatch.id, dispatch.server, dispatch.open);
         self.checker.job_started(id, server, self.now);
         self.record_trace(id, || format!("server {server} starts it"));
-        if open && self.sc.servers.tells_start && self.servers[server as usize].unreachable == 0 {
+        if open && self.sc.servers.reports_starts && self.servers[server as usize].unreachable == 0 {
             self.send_update(key, DispatchUpdate::Started);
         }
     }
@@ -284,7 +284,7 @@
         let change = self.list_changes.len() as u32;
         self.list_changes.push(endpoint_entry(self.sc, server, &self.servers[server as usize]));
         for node in 0..self.nodes.len() as u32 {
-            let lag = between(&mut self.discovery_rng, self.sc.lag);
+            let lag = between(&mut self.discovery_rng, self.sc.discovery_delay);
             let at = (self.now + lag).max(self.silent_until).max(self.nodes[node as usize].last_list_change);
             self.nodes[node as usize].last_list_change = at;
             self.schedule(at, SimEvent::ListChange { node, change });
@@ -301,7 +301,7 @@
     /// Applies a step of a fault to the servers that it affects, or to discovery.
     pub(super) fn fault(&mut self, index: u32, step: Step) {
         let f = &self.sc.faults[index as usize];
-        if f.trouble == Trouble::Silence {
+        if f.kind == FaultKind::Silence {
             if step == Step::Begins {
                 self.silent_until = self.silent_until.max(self.now + f.length);
             }
@@ -383,9 +383,9 @@
     /// Records how much of a lost job's work a checkpoint had saved, so that a retry of an idempotent request
     /// resumes from there.
     fn save_progress(&mut self, key: DispatchKey, left: f64) {
-        let interval = self.sc.servers.saved as f64;
+        let interval = self.sc.servers.checkpoint_interval as f64;
         let Some(dispatch) = self.dispatches.get(key).filter(|r| r.started && interval > 0.0) else { return };
-        if self.sc.classes[dispatch.class as usize].effect != Idempotency::Idempotent {
+        if self.sc.classes[dispatch.class as usize].idempotency != Idempotency::Idempotent {
             return;
         }
         let done = ((dispatch.work - left) / interval).floor() * interval;
@@ -398,7 +398,7 @@
 
     /// Closes the connections that exceeded the servers' idle timeout.
     pub(super) fn close_idle_connections(&mut self) {
-        let idle_since = self.now - self.sc.network.idle;
+        let idle_since = self.now - self.sc.network.idle_timeout;
         for node in 0..self.nodes.len() as u32 {
             let mut closed = Vec::new();
             self.nodes[node as usize].idle.retain(|server, idle| {
--- a/crates/lab/src/sim/tally.rs
+++ b/crates/lab/src/sim/tally.rs
@@ -47,7 +47,7 @@
 /// Returns the value of a request that is served in time.
 fn request_value(sc: &Scenario, class: u32, work: f64) -> f64 {
     let class = &sc.classes[class as usize];
-    class.worth * if sc.rules.by_work { work / class.work as f64 } else { 1.0 }
+    class.priority_weight * if sc.rules.weight_by_work { work / class.work as f64 } else { 1.0 }
 }
 
 /// Number of client requests by result.
@@ -229,7 +229,7 @@
             w.requested += value.requested * weight;
             w.served += value.served * weight;
         };
-        let weight = if exceeds_quota { sc.rules.over_share } else { 1.0 };
+        let weight = if exceeds_quota { sc.rules.over_share_fraction } else { 1.0 };
         add(&mut self.total, weight);
         add(&mut self.classes[class as usize], weight);
         add(&mut self.tenants[tenant as usize], if exceeds_quota { 0.0 } else { 1.0 });
@@ -287,8 +287,8 @@
         self.total_latency += elapsed as f64;
         self.useful_work += work;
         let class = &sc.classes[origin.1 as usize];
-        let served =
-            request_value(sc, origin.1, work) * if outcome == Outcome::Late { class.late } else { 1.0 };
+        let served = request_value(sc, origin.1, work)
+            * if outcome == Outcome::Late { class.late_fraction } else { 1.0 };
         self.add_value(sc, start, origin, ValueTotal { requested: 0.0, served });
     }
 
@@ -336,7 +336,7 @@
             };
         let classes = sc.classes.iter().zip(self.of_class.iter().zip(&self.classes));
         let class = |(c, (n, w)): (&crate::scenario::Class, (&u64, &ValueTotal))| {
-            group(&c.name, *n, w, self.total.requested, c.effect == Idempotency::Idempotent)
+            group(&c.name, *n, w, self.total.requested, c.idempotency == Idempotency::Idempotent)
         };
         let tenants = sc.tenants.iter().zip(&self.tenants);
         ServiceSummary {
@@ -387,7 +387,7 @@
             name: sc.name.clone(),
             policy: sc.policy.clone(),
             seed: sc.seed,
-            score: weighted_service - sc.rules.waste * waste - sc.rules.cross_zone * crossings,
+            score: weighted_service - sc.rules.waste_cost * waste - sc.rules.cross_zone_cost * crossings,
             service,
             worst_window: window,
             worst_class: class,
--- a/crates/lab/tests/rules.rs
+++ b/crates/lab/tests/rules.rs
@@ -272,7 +272,7 @@
     for seed in 1..=12 {
         let mut sc = example(ALL_FAULTS);
         (sc.seed, sc.length) = (seed, 20_000_000);
-        sc.clients.patience = if seed % 3 == 0 { 0.4 } else { 1.0 };
+        sc.clients.timeout_fraction = if seed % 3 == 0 { 0.4 } else { 1.0 };
         let report = run(&sc);
         assert_eq!(
             report.violation_count,
@@ -296,7 +296,7 @@
     // Without a lag of discovery, nodes know of each start at once.
     let mut sc =
         example("(fault crash (at 2 s) (for 2 s) (part 0.8)) (fault flood (at 4 s) (for 4 s) (size 12))");
-    (sc.policy, sc.length, sc.lag) = ("least-of-two".to_string(), 20_000_000, (0, 0));
+    (sc.policy, sc.length, sc.discovery_delay) = ("least-of-two".to_string(), 20_000_000, (0, 0));
     let report = run(&sc);
     assert!(
         report.cold_crashes > 0 && report.violation_count > 0,
