--- a/crates/accounts/tests/file.rs
+++ b/crates/accounts/tests/file.rs
@@ -21,7 +21,7 @@
 
 #[rstest]
 #[case::missing_number("(accounts)", &["1:1: an accounts file needs a (number N) that is greater than the previous file's"])]
-#[case::number_zero("(accounts (number 0))", &["1:19: 0 is out of range: (number) lies in 1 to 1000000000000"])]
+#[case::number_zero("(accounts (number 0))", &["1:19: 0 is out of range: (number) must be from 1 to 1000000000000"])]
 #[case::missing_standing("(accounts (number 1)\n (account a))", &["2:2: the account a has no (standing ...)"])]
 #[case::unknown_standing("(accounts (number 1)\n (account a (standing closd)))", &["2:23: closd is not known in (standing); did you mean closed?"])]
 #[case::account_listed_twice("(accounts (number 1) (account a (standing good))\n (account a (standing closed)))", &[
--- a/crates/lab/tests/experiments.rs
+++ b/crates/lab/tests/experiments.rs
@@ -165,7 +165,7 @@
     let done = lab(&["check", &file]);
     let told = String::from_utf8_lossy(&done.stderr).into_owned();
     assert!(told.contains("with servers.count = 8, policy = rfq, clients.patience = 2:\n"), "{told}");
-    assert!(told.contains("2 is out of range: (patience) lies in 0.001 to 1"), "{told}");
+    assert!(told.contains("2 is out of range: (patience) must be from 0.001 to 1"), "{told}");
 }
 
 #[test]
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -41,7 +41,7 @@
 const ANNOUNCE_TO_DOWN_INTERVAL: Duration = Duration::from_secs(5);
 /// Increment of the incarnation of a member that was declared dead. An incarnation starts as the start time in microseconds, so
 /// one increment covers a clock that was set back by up to twelve days; after a larger step the increment is applied repeatedly.
-const INCARNATION_STEP: u64 = 1 << 40;
+const REFUTATION_INCARNATION_STEP: u64 = 1 << 40;
 /// Maximum size of a datagram, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 
@@ -58,7 +58,7 @@
     type Addr = u32;
 
     fn renew(&self) -> Option<Self> {
-        Some(Peer { incarnation: self.incarnation.saturating_add(INCARNATION_STEP), ..*self })
+        Some(Peer { incarnation: self.incarnation.saturating_add(REFUTATION_INCARNATION_STEP), ..*self })
     }
 
     fn addr(&self) -> u32 {
@@ -111,7 +111,9 @@
 
 /// A datagram that could not be decoded and was ignored.
 #[derive(Debug, thiserror::Error)]
-#[error("not a membership message: {0}")]
+#[error(
+    "the datagram is not a membership message: {0}; check that all nodes of the fleet run the same version"
+)]
 pub struct ReceiveError(String);
 
 /// The announcement that an incarnation is leaving, broadcast along with other messages.
@@ -178,7 +180,6 @@
     departures: Departures,
     /// Timers of foca by their expiry time, and then in the order in which they were set.
     timers: BTreeMap<(Micros, u64), Timer<Peer>>,
-    /// Number of timers set so far.
     timer_count: u64,
     known: BTreeMap<u32, Member>,
     /// The numbers of all other configured members.
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -49,7 +49,6 @@
         self.members.insert(node, Membership::new(me, others, seed, self.now));
     }
 
-    /// Puts the outgoing datagrams of a member on the network.
     fn send_outgoing(&mut self, from: u32) {
         for effect in self.members.get_mut(&from).map(Membership::take_effects).unwrap_or_default() {
             let Effect::Outgoing { to, bytes } = effect else { continue };
@@ -175,7 +174,7 @@
 /// Guards against traffic per member that grows with the size of the cluster.
 #[test]
 fn idle_traffic_per_member_is_bounded_at_any_cluster_size() {
-    let rate = |size: u32| {
+    let traffic_per_member_second = |size: u32| {
         let mut cluster = Cluster::new(size, 0.0, 2);
         cluster.run(40 * S);
         assert!(cluster.all_alive());
@@ -187,7 +186,7 @@
             (cluster.bytes_sent - bytes) as f64 / member_seconds,
         )
     };
-    let (few, many) = (rate(5), rate(60));
+    let (few, many) = (traffic_per_member_second(5), traffic_per_member_second(60));
     println!("datagrams and bytes per member and second: {few:?} with 5 members, {many:?} with 60");
     assert!(many.0 < 6.0 && many.1 < 512.0, "{many:?}");
 }
--- a/crates/message-auth/src/keyring.rs
+++ b/crates/message-auth/src/keyring.rs
@@ -56,7 +56,7 @@
         line: usize,
     },
     /// Other users may read or write the file.
-    #[error("its mode is {mode:04o}: others may read or change it")]
+    #[error("the mode of the key file is {mode:04o}: others may read or change it")]
     #[diagnostic(help("chmod 0600 the file; if others may have read it, make a new key"))]
     FileMode {
         /// Permission bits of the file, without the file type.
@@ -68,7 +68,7 @@
 #[derive(Clone, Copy, Debug, Diagnostic, Error, PartialEq, Eq)]
 pub enum FileMacError {
     /// The text is not a MAC in hexadecimal.
-    #[error("this is not the authentication code of a file")]
+    #[error("the file with the authentication code does not hold 64 hex digits")]
     #[diagnostic(help("make it with `openssl dgst -sha256 -mac HMAC -macopt hexkey:KEY FILE`: 64 hex digits, alone or after a '='"))]
     Malformed,
     /// The MAC belongs to another content, or was made with another key.
@@ -140,7 +140,7 @@
 
     /// Returns the HMAC-SHA256 of these bytes under the newest key, as `openssl dgst -sha256 -mac HMAC` computes it.
     pub fn mac(&self, bytes: &[u8]) -> [u8; 32] {
-        // There is always a key. Without one no receiver would accept the result.
+        // Unreachable, since `Keys` holds at least one key. Receivers would reject a MAC of zeros.
         let Some(state) = self.macs().next() else { return [0; 32] };
         state.chain_update(bytes).finalize().into_bytes().into()
     }
--- a/crates/placements/src/log.rs
+++ b/crates/placements/src/log.rs
@@ -528,7 +528,8 @@
             return Err(LogError::NotOpen(*number));
         }
         let identity = Identity { base: upto, ..state.identity.clone() };
-        let ops = [fact_op(IDENTITY, &identity)?, Op::Drop(journal_name(&identity.writer), upto.0 + 1)];
+        let ops =
+            [fact_op(IDENTITY, &identity)?, Op::TrimJournal(journal_name(&identity.writer), upto.0 + 1)];
         self.store.commit(&ops)?;
         state.identity = identity;
         Ok(())
@@ -713,7 +714,7 @@
         self.take_queued();
         let mut queue = self.queue(&all);
         let first = queue.0 - queue.1.len() as u64;
-        queue.1.push(Op::Drop(COPIES.into(), first));
+        queue.1.push(Op::TrimJournal(COPIES.into(), first));
         queue
     }
 }
--- a/crates/placements/tests/log.rs
+++ b/crates/placements/tests/log.rs
@@ -131,7 +131,7 @@
         let log = open(&disk, 7).unwrap();
         assert!(entries(6, 1).iter().all(|timed| append_and_wait(&log, timed).is_ok()));
         let mut records = disk.store.journal(name, 0, usize::MAX).unwrap();
-        let mut ops = vec![Op::Drop(name.into(), 100)];
+        let mut ops = vec![Op::TrimJournal(name.into(), 100)];
         match damage {
             "changed" => records[3].1[34] ^= 1,
             "middle" => drop(records.remove(3)),
--- a/crates/scheduler/tests/cold.rs
+++ b/crates/scheduler/tests/cold.rs
@@ -47,12 +47,12 @@
 enum SlowStart {
     /// From a tenth of one core, for 10 s. At first 6 requests of mean work within the overload window
     /// overload it.
-    Fast,
+    TenSeconds,
     /// From a quarter of one core, for 40 s. At first 7.5 requests of mean work within the overload window
     /// overload it, and fewer than 14 after ten seconds.
-    Slow,
+    FortySeconds,
     /// From a tenth of one core, for 6 s, with an overload window as long as four requests of mean work.
-    Short,
+    SixSeconds,
 }
 
 fn slow_start_settings(schedulers: u32, slow_start: SlowStart, pattern: WorkPattern) -> Settings {
@@ -65,9 +65,9 @@
     let [low, high] =
         if let WorkPattern::Classes = pattern { [WORK / 2, WORK * 3 / 2] } else { [WORK, WORK] };
     let (min_share, duration, overload_window) = match slow_start {
-        SlowStart::Fast => (0.1, 10 * S, 2 * S),
-        SlowStart::Slow => (0.25, 40 * S, S),
-        SlowStart::Short => (0.1, 6 * S, 400 * MS),
+        SlowStart::TenSeconds => (0.1, 10 * S, 2 * S),
+        SlowStart::FortySeconds => (0.25, 40 * S, S),
+        SlowStart::SixSeconds => (0.1, 6 * S, 400 * MS),
     };
     Settings {
         schedulers,
@@ -130,16 +130,16 @@
         agenda.insert((at, count), Step::RequestArrived(work, hint, class));
         rng.rand_float()
     };
-    let from = match earlier_load {
+    let first_arrival = match earlier_load {
         EarlierLoad::None => burst,
         EarlierLoad::Light => STARTED_AT,
         EarlierLoad::DrainingEndpoint => 0,
         EarlierLoad::LoweredCapacity => STARTED_AT - 5 * S,
     };
     let max_interval = if let EarlierLoad::LoweredCapacity = earlier_load { 0.5e6 } else { 10e6 };
-    let mut at = from;
-    while at < burst {
-        at += (add_request(&mut agenda, at) * max_interval) as Micros;
+    let mut arrival = first_arrival;
+    while arrival < burst {
+        arrival += (add_request(&mut agenda, arrival) * max_interval) as Micros;
     }
     // Four times in a row, four requests at once: far more than the endpoint can serve.
     for k in 0..16 {
@@ -232,10 +232,11 @@
 /// it.
 fn assert_no_overload(schedulers: u32, earlier_load: EarlierLoad) {
     let (mut overloads, mut bursts, mut lines) = (0, 0, Vec::new());
-    let patterns =
+    let work_patterns =
         [WorkPattern::Equal, WorkPattern::Classes, WorkPattern::Hinted, WorkPattern::InexactlyHinted];
-    for (slow_start, pattern) in
-        [SlowStart::Fast, SlowStart::Slow, SlowStart::Short].iter().flat_map(|w| patterns.map(|k| (*w, k)))
+    for (slow_start, pattern) in [SlowStart::TenSeconds, SlowStart::FortySeconds, SlowStart::SixSeconds]
+        .iter()
+        .flat_map(|w| work_patterns.map(|k| (*w, k)))
     {
         let settings = slow_start_settings(schedulers, slow_start, pattern);
         let ages = AGES.map(|age| (age * settings.overload_window as f64) as Micros);
--- a/crates/scheduler/tests/departures.rs
+++ b/crates/scheduler/tests/departures.rs
@@ -33,7 +33,8 @@
         }
         sent
     };
-    // Two requests a second for a hundred seconds, of which twenty are within the quota.
+    // The quota covers 20 of the 200 requests. Nearly all are sent while attempts start at once, and few while
+    // starts take 400 ms.
     assert!(sent(0) > 190, "{}", sent(0));
     assert!(sent(400 * MS) < 60, "{}", sent(400 * MS));
 }
@@ -159,7 +160,12 @@
         }
         count
     };
-    assert!(attempts(true) * 3 < attempts(false), "{} and {}", attempts(true), attempts(false));
+    assert!(
+        attempts(true) * 3 < attempts(false),
+        "{} attempts if a rejected request may have run, {} if not",
+        attempts(true),
+        attempts(false)
+    );
 }
 
 /// Guards against retrying every request where no attempt starts.
--- a/crates/scheduler/tests/further.rs
+++ b/crates/scheduler/tests/further.rs
@@ -130,9 +130,10 @@
             };
             assert!(
                 sent_to_removed(&mut harness, 2..40) > 0,
-                "it is used again once it has served a request"
+                "the unlisted endpoint is used again once it has served a request"
             );
-            // Without a success for the longest deadline it is dropped at the next change of the list.
+            // An unlisted endpoint without a success for the longest deadline is dropped at the next change of
+            // the list.
             harness.advance(6 * S);
             harness.handle(Event::EndpointUpdate(vec![live_endpoint(3)]));
             assert_eq!(sent_to_removed(&mut harness, 50..90), 0);
@@ -169,7 +170,11 @@
     let mut used = std::collections::BTreeSet::new();
     for key in 0..100 {
         let first = place(&mut one, false, 2 * key, key);
-        assert_eq!(place(&mut other, true, 2 * key, key), first, "key {key}");
+        assert_eq!(
+            place(&mut other, true, 2 * key, key),
+            first,
+            "key {key}: the schedulers chose different endpoints"
+        );
         used.insert(first);
         let seconds: Vec<u32> = [(&mut one, false), (&mut other, true)]
             .map(|(harness, is_reversed)| {
@@ -182,7 +187,10 @@
                 second
             })
             .into();
-        assert!(seconds[0] == seconds[1] && seconds[0] != first, "key {key}: {first}, then {seconds:?}");
+        assert!(
+            seconds[0] == seconds[1] && seconds[0] != first,
+            "key {key}: first endpoint {first}, retries at {seconds:?}"
+        );
     }
     assert_eq!(used.len(), ENDPOINTS as usize);
 }
@@ -257,7 +265,7 @@
     }
     // None of these attempts starts, so the last requests are queued.
     for id in 1000..1006 {
-        assert!(!is_shed(&harness.request_arrived(id, 0), id), "request {id}");
+        assert!(!is_shed(&harness.request_arrived(id, 0), id), "request {id} must be queued, not shed");
     }
 }
 
@@ -324,10 +332,15 @@
             }
             harness.advance(2_500);
         }
-        // Then the first tenant sends 200 at once.
+        // Counts the accepted requests of a burst of 200 from the first tenant.
         (10_000..10_200).filter(|&id| !is_shed(&harness.handle(tenant_request(id, 0)), id)).count()
     };
-    assert!(accepted(false) < 10 && accepted(true) > 30, "{} and {}", accepted(false), accepted(true));
+    assert!(
+        accepted(false) < 10 && accepted(true) > 30,
+        "{} accepted while the others are idle, {} while they are busy",
+        accepted(false),
+        accepted(true)
+    );
 }
 
 /// Guards against shedding a few long requests as if they exceeded the quota, which counts requests.
@@ -406,7 +419,11 @@
     };
     // The second class has the shorter latency objective and starts first, unless the first weighs much more.
     assert_eq!((first([1.0, 1.0], true), first([50.0, 1.0], true)), (1, 0));
-    assert_eq!(first([0.0, 0.0], true), 1, "without priority weights");
+    assert_eq!(
+        first([0.0, 0.0], true),
+        1,
+        "without priority weights the shorter latency objective starts first"
+    );
     // A request of twice the work has less weight per work, unless the weight counts per unit of work.
     assert_eq!((first([8.0, 1.5], true), first([4.5, 4.5], false)), (0, 1));
 }
@@ -454,7 +471,7 @@
         }
         to_cold
     };
-    assert!(sent_to_cold(10 * MS) > 0, "short requests are sent there");
+    assert!(sent_to_cold(10 * MS) > 0, "short requests are sent to an endpoint in slow start");
     assert_eq!(sent_to_cold(4 * S), 0, "requests of 4 s are too long for an endpoint in slow start");
 }
 
@@ -559,7 +576,10 @@
         (0..60).find(|_| is_shed(&harness.advance(5 * MS), 1_000)).map(|n| n * 5)
     };
     let (quick, slow) = (shed_after_ms(0).unwrap(), shed_after_ms(60 * MS).unwrap());
-    assert!(slow + 50 <= quick, "after {slow} and {quick} ms");
+    assert!(
+        slow + 50 <= quick,
+        "shed after {slow} ms if starts take 60 ms, after {quick} ms if they are immediate"
+    );
 }
 
 /// Guards against sending one request at a time to endpoints that never report starts.
@@ -626,8 +646,8 @@
             harness.advance(200 * MS);
         }
     }
-    // Three random choices among two endpoints all name it in one of eight cases. Without counting the wait
-    // it would be one in two.
+    // Of three random choices among two endpoints, all are the endpoint that waited in one of eight cases. If
+    // the wait did not count, that endpoint would get every second request.
     assert!(
         all > 40 && repeated * 3 < all,
         "{repeated} of {all} were sent to the endpoint whose last start had waited"
@@ -661,7 +681,10 @@
     };
     let (unlimited, limited) =
         (sent(None), sent(Some(RetryBudget { window: S, min_retries: 0.0, ratio: 0.0 })));
-    assert!(limited * 2 < unlimited, "{limited} and {unlimited}");
+    assert!(
+        limited * 2 < unlimited,
+        "{limited} sent with an empty retry budget, {unlimited} without a budget"
+    );
 }
 
 /// Guards against sending as much to a zone whose starts take long as to a quicker one.
@@ -711,7 +734,7 @@
     for id in 1..=80 {
         unstarted.extend(new_attempts(&harness.request_arrived(id, 0)).iter().map(|s| s.0));
     }
-    assert_eq!(unstarted.len(), 1, "none has started yet");
+    assert_eq!(unstarted.len(), 1, "only one attempt is sent before the first start");
     let mut running: Vec<u64> = Vec::new();
     let mut most = 0;
     // The concurrency limit grows with timely starts; then each attempt that ends is replaced.
--- a/crates/scheduler/tests/parts.rs
+++ b/crates/scheduler/tests/parts.rs
@@ -70,7 +70,12 @@
     harness.scheduler.take_quota_usage(harness.now);
     let (sent, shed) = run_load(&mut harness, 1_000..2_000, 5 * MS);
     assert!(most_in(&sent, S) <= 61, "{}", most_in(&sent, S));
-    assert!((240..=265).contains(&sent.len()) && shed.len() > 600, "{} {}", sent.len(), shed.len());
+    assert!(
+        (240..=265).contains(&sent.len()) && shed.len() > 600,
+        "{} sent, {} shed",
+        sent.len(),
+        shed.len()
+    );
     let used = harness.scheduler.take_quota_usage(harness.now);
     assert_eq!(used, [(tenant_rate(0).kind, QuotaUsage { demand: 1_000, used: sent.len() as u64 })]);
     // A smaller share, then none. Queued requests are answered as well.
@@ -79,7 +84,7 @@
         let from = 10_000 * (units + 1);
         let (sent, shed) = run_load(&mut harness, from..from + 1_000, 5 * MS);
         assert!(sent.len() <= most, "{} sent with a share of {units}", sent.len());
-        assert!(sent.len() + shed.len() > 900, "{} {}", sent.len(), shed.len());
+        assert!(sent.len() + shed.len() > 900, "{} sent, {} shed", sent.len(), shed.len());
     }
     harness.handle(Event::QuotaShares(Vec::new()));
     assert!(run_load(&mut harness, 90_000..90_100, 5 * MS).0.len() >= 100);
@@ -163,20 +168,24 @@
         harness.handle(Event::QuotaShares(
             units.map(|u| share(QuotaKind::SlowStart, u, 0)).into_iter().collect(),
         ));
-        let mut count = 0;
+        let mut attempt_count = 0;
         for id in 0..400 {
             let mut actions = harness.advance(5 * MS);
             actions.extend(harness.request_arrived(id, 0));
             for (id, _) in new_attempts(&actions) {
-                count += 1;
+                attempt_count += 1;
                 harness.attempt_started(id);
                 harness.attempt_ended(id, 0, AttemptStatus::Ok);
             }
         }
-        count
+        attempt_count
     };
     let (none, few, many) = (sent(Some(0)), sent(Some(10)), sent(Some(100)));
-    assert!(none <= 2 && few < many / 3 && few > 2, "{none} {few} {many} {}", sent(None));
+    assert!(
+        none <= 2 && few < many / 3 && few > 2,
+        "sent with a share of 0: {none}, of 10: {few}, of 100: {many}, without a share: {}",
+        sent(None)
+    );
 }
 
 /// Probes start without saved-up units, and those beyond the share are reported as demand.
@@ -214,7 +223,10 @@
         (count, harness.scheduler.take_quota_usage(harness.now).first().map_or(0, |u| u.1.demand))
     };
     let (unlimited, (limited, demand)) = (probed(None).0, probed(Some(20)));
-    assert!((60..=82).contains(&limited) && unlimited > 2 * limited, "{limited} of {unlimited}");
+    assert!(
+        (60..=82).contains(&limited) && unlimited > 2 * limited,
+        "{limited} probes within the share, {unlimited} without a share"
+    );
     assert!(demand > limited as u64, "{demand}");
     assert_eq!(probed(Some(0)).0, 0);
 }
@@ -244,7 +256,7 @@
     assert!(is_rejected(&harness.handle(Event::RequestArrived(misdirected)), 4));
     // A request without a tenant is not limited.
     assert!(!is_rejected(&harness.handle(Event::RequestArrived(request(5, 0))), 5));
-    // A queued request whose client leaves before it was sent does not count.
+    // A request whose client leaves while it is queued uses no unit of the share of new work.
     harness.handle(new_work(3));
     harness.handle(Event::EndpointList(Vec::new()));
     harness.handle(Event::RequestArrived(tenant_request(6)));
@@ -290,7 +302,11 @@
         match actions.contains(&Action::Reject { id: RequestId(id), quota }) {
             true => rejected += 1,
             false if is_remote => accepted.push(harness.now),
-            false => assert_eq!(new_attempts(&actions).len(), 1, "local request {id}: {actions:?}"),
+            false => assert_eq!(
+                new_attempts(&actions).len(),
+                1,
+                "local request {id} must be sent at once: {actions:?}"
+            ),
         }
         for (id, _) in new_attempts(&actions) {
             harness.attempt_ended(id, 0, AttemptStatus::Ok);
@@ -386,8 +402,14 @@
     let (local, remote) = served_under_overload(Some(80));
     let (local_unlimited, _) = served_under_overload(None);
     assert_eq!(no_remote, 0);
-    assert!(local_alone > 3_500, "{local_alone} of 3,800 local requests");
-    assert!(remote > 400, "{remote} remote requests");
-    assert!(local + 80 * 10 >= local_alone, "{local} of {local_alone} local, {remote} remote requests");
-    assert!(local_unlimited * 2 < local_alone, "{local_unlimited} of {local_alone} without a limit");
+    assert!(local_alone > 3_500, "{local_alone} of 3,800 local requests served without remote ones");
+    assert!(remote > 400, "{remote} remote requests served");
+    assert!(
+        local + 80 * 10 >= local_alone,
+        "served: {local} local requests, {local_alone} without remote ones; {remote} remote requests"
+    );
+    assert!(
+        local_unlimited * 2 < local_alone,
+        "{local_unlimited} local requests served with unlimited remote ones, {local_alone} without any"
+    );
 }
--- a/crates/scheduler/tests/random.rs
+++ b/crates/scheduler/tests/random.rs
@@ -174,8 +174,9 @@
                         let age = (now - started_at) as f64 / settings.slow_start_duration as f64;
                         let share =
                             settings.slow_start_min_share + (1.0 - settings.slow_start_min_share) * age;
-                        // An attempt takes 33 ms on average, so 4 cores serve 120 a second. This scheduler
-                        // may use half of the overload limit.
+                        // An attempt takes 33 ms on average, so 4 cores serve 120 a second. The overload
+                        // limit is three times the capacity over a window of 1.5 s, and this scheduler
+                        // may use half of it.
                         let limit = 3.0 * 120.0 * share * 1.5 / 2.0;
                         assert!(count as f64 <= limit, "{count} attempts in slow start, more than {limit}");
                     }
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -105,7 +105,7 @@
         assert_eq!(
             !new_attempts(&actions).is_empty(),
             is_retried,
-            "{scope:?}, cell {cell}, after window: {after_window}"
+            "scope {scope:?}, cell {cell}, after the window: {after_window}; expected a retry: {is_retried}"
         );
         if after_window {
             assert!(is_shed(&actions, 1)); // all endpoints drop repeats, so the client may safely retry
@@ -133,7 +133,10 @@
     assert!((10..=18).contains(&one_process), "{one_process}");
     // Two processes of one scheduler, as during a hot restart, divide its share.
     let one_of_two = attempts_in_slow_start(2);
-    assert!(one_of_two >= 1 && one_of_two * 3 < one_process * 2, "{one_of_two} of {one_process}");
+    assert!(
+        one_of_two >= 1 && one_of_two * 3 < one_process * 2,
+        "{one_of_two} sent by one of two processes, {one_process} by a single process"
+    );
 }
 
 /// Returns how many requests a scheduler, divided over `processes`, sends to an endpoint that has just
@@ -434,7 +437,7 @@
             harness.attempt_ended(id, 0, AttemptStatus::Ok);
         }
     }
-    assert!(lost <= 6, "{lost} lost");
+    assert!(lost <= 6, "{lost} requests lost to resets of idle connections");
 }
 
 /// Guards against judging new connections by the idle time of closed ones.
@@ -483,7 +486,7 @@
             has_idle_connection = true;
         }
     }
-    assert!(lost <= 5 && closed > 10, "{lost} lost, {closed} closed");
+    assert!(lost <= 5 && closed > 10, "{lost} requests lost, idle connections closed {closed} times");
     // Old losses are forgotten, and connections that last are kept.
     harness.now += 20 * S;
     for id in 30..40 {
@@ -588,5 +591,8 @@
         }
     }
     let share = attempts[2] as f64 / (attempts[0] + attempts[1]) as f64 * 2.0;
-    assert!((0.3..0.6).contains(&share), "{attempts:?}: {share}");
+    assert!(
+        (0.3..0.6).contains(&share),
+        "attempts by endpoint: {attempts:?}; endpoint 2 gets {share} of the mean of the others"
+    );
 }
--- a/crates/sexp/src/lib.rs
+++ b/crates/sexp/src/lib.rs
@@ -33,7 +33,7 @@
 /// All errors of a file, in the order of their positions.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct ParseErrors {
-    /// Name of the file.
+    /// Name of the file as given to [`read`]; each line of the error message begins with it.
     pub file: String,
     /// The errors, at least one.
     pub list: Vec<ParseError>,
@@ -86,7 +86,7 @@
             Err(e) => {
                 let place =
                     e.location().map_or(start, |l| Place { line: l.line(), column: l.column().max(1) });
-                let text = format!("can't be read: {}", without_position(&e.to_string()));
+                let text = format!("the text can't be parsed: {}", without_position(&e.to_string()));
                 return Err(fail(vec![ParseError { place, text }]));
             }
         }
@@ -94,7 +94,7 @@
     let mut forms = data.iter().map(|d| Form::new(d.as_ref(), &errors));
     let built = match forms.next() {
         None => {
-            let text = format!("is empty; it needs ({head} ...)");
+            let text = format!("the file is empty; it must contain ({head} ...)");
             return Err(fail(vec![ParseError { place: start, text }]));
         }
         Some(Some(form)) if form.head == head => {
@@ -151,8 +151,8 @@
 /// Formats a duration in microseconds in the largest unit that divides it evenly.
 pub fn format_duration(micros: i64) -> String {
     let divides_evenly = |u: &&(&str, f64)| micros != 0 && micros as f64 % u.1 == 0.0;
-    let (name, size) = UNITS.iter().rev().find(divides_evenly).unwrap_or(&UNITS[0]);
-    format!("{} {name}", micros as f64 / size)
+    let (unit, size) = UNITS.iter().rev().find(divides_evenly).unwrap_or(&UNITS[0]);
+    format!("{} {unit}", micros as f64 / size)
 }
 
 fn symbol_text(value: &Value) -> Option<&str> {
@@ -162,8 +162,8 @@
 impl<'a> Form<'a> {
     fn new(datum: Ref<'a>, errors: &'a ErrorList) -> Option<Form<'a>> {
         let at = place(&datum);
-        let reject = |text: &str| {
-            let text = format!("{} {text}", abbreviate(datum.value()));
+        let reject = |problem: &str| {
+            let text = format!("{} {problem}", abbreviate(datum.value()));
             errors.borrow_mut().push(ParseError { place: at, text });
             None
         };
@@ -183,7 +183,7 @@
         &self.head
     }
 
-    /// Returns the position of the list.
+    /// Returns the line and column at which the list begins.
     pub fn place(&self) -> Place {
         self.place
     }
@@ -274,7 +274,7 @@
         };
         if !range.contains(&number) {
             let text = format!(
-                "{number} is out of range: {description} lies in {} to {}",
+                "{number} is out of range: {description} must be from {} to {}",
                 range.start(),
                 range.end()
             );
@@ -304,7 +304,7 @@
         let (count, description) = (self.remaining_count(), format!("({})", self.head));
         if count < min || count > max {
             let expected = if min == max { format!("{min}") } else { format!("{min} to {max}") };
-            self.add_error(format!("{description} needs {expected} figures and has {count}"));
+            self.add_error(format!("{description} must have {expected} number(s), but has {count}"));
         }
         (0..count).filter_map(|_| self.next_number(&description, &range)).collect()
     }
@@ -328,7 +328,7 @@
         let micros: Vec<i64> = found.iter().map(|n| (n * unit).round() as i64).collect();
         for t in micros.iter().filter(|t| !range.contains(t)) {
             let (low, high) = (format_duration(*range.start()), format_duration(*range.end()));
-            let text = format!("({}) lies in {low} to {high}, not {}", self.head, format_duration(*t));
+            let text = format!("({}) must be from {low} to {high}, not {}", self.head, format_duration(*t));
             self.add_error(text);
         }
         micros
@@ -344,7 +344,7 @@
         let found = self.given(name, |f| {
             let n = f.numbers(1, 1, *range.start() as f64..=*range.end() as f64).first().copied()?;
             if n.fract() != 0.0 {
-                f.add_error(format!("({name}) is a whole number, not {n}"));
+                f.add_error(format!("({name}) must be a whole number, not {n}"));
             }
             Some(n as u64)
         });
@@ -381,7 +381,7 @@
     fn bounds<T: PartialOrd + Copy + fmt::Display>(&self, found: &[T]) -> Option<(T, T)> {
         let (low, high) = (*found.first()?, *found.last()?);
         if low > high {
-            self.add_error(format!("({}) begins above its end", self.head));
+            self.add_error(format!("({}) must have the lower bound first, then the upper bound", self.head));
         }
         Some((low, high))
     }
@@ -425,7 +425,7 @@
         for (item, _) in self.items.iter().filter(|(_, used)| !used.get()) {
             let text = match item.value().as_pair().and_then(|(car, _)| symbol_text(car)) {
                 Some(symbol) => unknown(symbol, &format!("({})", self.head), &requested),
-                None => format!("{} is too much for ({})", abbreviate(item.value()), self.head),
+                None => format!("{} is not expected in ({}); remove it", abbreviate(item.value()), self.head),
             };
             self.add_error_at(place(item), text);
         }
--- a/crates/sites/tests/file.rs
+++ b/crates/sites/tests/file.rs
@@ -63,7 +63,7 @@
 #[case("(zones", "(server-prefix \"w-x\") (zones", "4:3: the server prefixes \"w-x\" and \"w-\" of west")]
 #[case(" (bears 300)", "", "4:3: the site east needs (bears UNITS)")]
 #[case("(reserve 10)", "(reserve 101)", "5:3: the reserve of acme is more than its jobs")]
-#[case("(hold 10 s)", "(hold 10 s) (group 2 s)", "(group) lies in 1 ms to 1 s, not 2 s")]
+#[case("(hold 10 s)", "(hold 10 s) (group 2 s)", "(group) must be from 1 ms to 1 s, not 2 s")]
 #[case("(hold 10 s)", "(hold 1 s)", "1:1: (hold) is shorter than (alone)")]
 #[case("(key \"fleet.key\") ", "", "1:1: a file of sites needs a (key \"FILE\")")]
 #[case("(confirm", "(confrim", "did you mean confirm?")]
@@ -104,7 +104,7 @@
 #[case("(recover (remember 1.5 MiB))", "(remember) needs an integer, not 1.5")]
 #[case("(recover (remember 1 B))", "(remember) lies in 1024 to")]
 #[case("(recover (remember 1 KiB) (answer 2 KiB))", "3:2: (answer) is larger than (remember)")]
-#[case("(recover (outlive 2 h))", "3:11: (outlive) lies in")]
+#[case("(recover (outlive 2 h))", "3:11: (outlive) must be from")]
 #[case("(recover (forget 1 s))", "forget")]
 #[case("(recover) (recover)", "(recover) is given twice")]
 fn faults_of_the_recover_clause_are_reported(#[case] clause: &str, #[case] expected: &str) {
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -49,10 +49,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// Another process has the store open.
-    #[error("another process has it")]
+    #[error("another process has the store open")]
     Locked,
     /// The store has another format than [`FORMAT`].
-    #[error("it has format {found}; this program supports format {FORMAT}")]
+    #[error("the store has format {found}; this program supports format {FORMAT}")]
     Format {
         /// The format of the store.
         found: u32,
@@ -64,7 +64,7 @@
     #[error("the disk is full")]
     Full,
     /// The process has no permission to write the store.
-    #[error("it may not be written")]
+    #[error("the process may not write to the store; check the owner and the mode of its files")]
     ReadOnly,
     /// An I/O error of the disk.
     #[error("the disk failed: {0}")]
@@ -127,7 +127,7 @@
 pub struct Answer {
     /// The HTTP status.
     pub status: u16,
-    /// The HTTP body.
+    /// Body of the HTTP response to the client.
     pub body: Vec<u8>,
     /// Time of the answer, in microseconds of Unix time by the node's clock.
     pub at: i64,
@@ -147,7 +147,7 @@
     /// Stores a record in a journal under a number that the caller assigns, and replaces an earlier record of this number.
     Append(String, u64, Vec<u8>),
     /// Removes the records of a journal below a number.
-    Drop(String, u64),
+    TrimJournal(String, u64),
 }
 
 impl Op {
@@ -285,7 +285,7 @@
         let open_with_capacity = || {
             let store = Store::open_writable(folder, self.max_answer_bytes)?;
             store.commit(&[Op::Append(CAPACITY_PROBE.0.to_string(), 0, vec![0; CAPACITY_PROBE.1])])?;
-            store.commit(&[Op::Drop(CAPACITY_PROBE.0.to_string(), 1)])?;
+            store.commit(&[Op::TrimJournal(CAPACITY_PROBE.0.to_string(), 1)])?;
             Ok(store)
         };
         let opened = open_with_capacity();
@@ -404,7 +404,7 @@
                         let journals = table(&mut journals, &write, JOURNALS)?;
                         journals.insert((journal.as_str(), *number), record.as_slice())?;
                     }
-                    Op::Drop(journal, below) => {
+                    Op::TrimJournal(journal, below) => {
                         let name = journal.as_str();
                         let journals = table(&mut journals, &write, JOURNALS)?;
                         journals.retain_in((name, 0)..(name, *below), |_, _| false)?;
--- a/crates/store/tests/faults.rs
+++ b/crates/store/tests/faults.rs
@@ -44,7 +44,7 @@
                 Op::RemoveIntent(id) => drop(self.intents.remove(&id)),
                 Op::Answer(id, answer) => drop(self.answers.insert(id, answer)),
                 Op::Append(_, number, record) => drop(self.journal.insert(number, record)),
-                Op::Drop(_, below) => self.journal = self.journal.split_off(&below),
+                Op::TrimJournal(_, below) => self.journal = self.journal.split_off(&below),
                 Op::SetFact(_, bytes) => self.step = String::from_utf8(bytes).unwrap().parse().ok(),
             }
         }
@@ -62,19 +62,19 @@
 
 /// Returns the operations of commit `k`.
 fn commit_ops(k: u64) -> Vec<Op> {
-    let mut all = vec![
+    let mut ops = vec![
         Op::SetFact("step".into(), k.to_string().into_bytes()),
         Op::AddIntent(format!("r{k}"), intent(k)),
     ];
     if k >= 2 {
-        all.push(Op::RemoveIntent(format!("r{}", k - 2)));
-        all.push(Op::Answer(format!("r{}", k - 2), answer(k)));
+        ops.push(Op::RemoveIntent(format!("r{}", k - 2)));
+        ops.push(Op::Answer(format!("r{}", k - 2), answer(k)));
     }
-    all.extend((0..3).map(|i| Op::Append("log".into(), k * 3 + i, vec![k as u8; 30])));
+    ops.extend((0..3).map(|i| Op::Append("log".into(), k * 3 + i, vec![k as u8; 30])));
     if k % 4 == 3 {
-        all.push(Op::Drop("log".into(), k * 3 - 4));
+        ops.push(Op::TrimJournal("log".into(), k * 3 - 4));
     }
-    all
+    ops
 }
 
 /// Commits until the first failure. Returns the committed content and, after a failure, the content with the failed commit. Returns
@@ -118,7 +118,7 @@
             let found = Contents::read(&store).unwrap();
             assert!(
                 found == committed || uncertain.as_ref() == Some(&found),
-                "call {call}, seed {seed}: {found:?}\n{committed:?}"
+                "power loss at call {call}, seed {seed}: the store has\n{found:?}, but the commits wrote\n{committed:?}"
             );
             store.commit(&commit_ops(99)).unwrap();
             checked += 1;
@@ -139,7 +139,10 @@
         for seed in 0..6 {
             let store = Store::with_backend(disk.after_power_loss(seed), MAX_ANSWER_BYTES).unwrap();
             let found = Contents::read(&store).unwrap();
-            assert!(found == committed || uncertain.as_ref() == Some(&found), "sync {number}, seed {seed}");
+            assert!(
+                found == committed || uncertain.as_ref() == Some(&found),
+                "failed sync {number}, seed {seed}: the store differs from the committed content"
+            );
         }
     }
 }
@@ -193,7 +196,7 @@
         }
     }
     println!("{detected} detected, {harmless} harmless");
-    assert!(detected > 50, "{detected} of {}", detected + harmless);
+    assert!(detected > 50, "{detected} of {} flipped bits detected", detected + harmless);
 }
 
 /// Guards against opening a database file whose creation was interrupted.
@@ -264,7 +267,7 @@
     let ops: Vec<Op> =
         (1..=300).flat_map(|k| ["a", "b"].map(|j| Op::Append(j.into(), k, vec![k as u8; 10]))).collect();
     store.commit(&ops).unwrap();
-    store.commit(&[Op::Drop("a".into(), 100)]).unwrap();
+    store.commit(&[Op::TrimJournal("a".into(), 100)]).unwrap();
     assert_eq!(store.journal_ends("a").unwrap(), Some((100, 300)));
     assert_eq!(store.journal_ends("b").unwrap(), Some((1, 300)));
     let numbers = |from, max_bytes| -> Vec<u64> {
@@ -321,8 +324,8 @@
     let callback = reply.clone();
     group_commit.reopen(move |result| callback.send(result.is_ok()).unwrap());
     commit(step(2));
-    assert!(results.recv().unwrap(), "the store was reopened");
-    assert!(!results.recv().unwrap() && !store.accepts_commits(), "the store was not resumed");
+    assert!(results.recv().unwrap(), "reopening the store must succeed");
+    assert!(!results.recv().unwrap() && !store.accepts_commits(), "a commit before `resume` must fail");
     assert_eq!(store.fact::<u64>("step").unwrap(), Some(1));
     let callback = reply.clone();
     group_commit.resume(step(3), move |result| callback.send(result.is_ok()).unwrap());
--- a/src/net/auditing.rs
+++ b/src/net/auditing.rs
@@ -313,7 +313,7 @@
         let numbered = (writing.first_number..).zip(writing.entries);
         let mut ops: Vec<Op> = numbered.map(|(n, entry)| Op::Append(name.clone(), n, entry)).collect();
         if let Some(dropped) = writing.drop_through {
-            ops.push(Op::Drop(name, dropped.number + 1));
+            ops.push(Op::TrimJournal(name, dropped.number + 1));
         }
         let stored =
             StoredRecord { log_id: self.log_id.get(), base: self.record.borrow().base(), head: writing.head };
--- a/tests/node/recovery.rs
+++ b/tests/node/recovery.rs
@@ -410,7 +410,7 @@
 fn unusable_store_fails_the_start() {
     let (fleet, server) = (Fleet::new("store", 2, RECOVERY_CLAUSE), CountingBackend::new());
     let mut nodes = fleet.start_new(&[server.address]);
-    assert!(fleet.start_error(0, "n0").contains("another process has it"));
+    assert!(fleet.start_error(0, "n0").contains("another process has the store open"));
     nodes.clear();
     let error = fleet.start_error(0, "n1");
     assert!(error.contains("the log belongs to node n0"), "{error}");
@@ -419,7 +419,7 @@
     std::fs::set_permissions(&file, std::fs::Permissions::from_mode(0o400)).unwrap();
     if std::fs::OpenOptions::new().write(true).open(&file).is_err() {
         let error = fleet.start_error(0, "n0");
-        assert!(error.contains("may not be written"), "{error}");
+        assert!(error.contains("may not write to the store"), "{error}");
     }
 }
 
--- a/tests/node/sites.rs
+++ b/tests/node/sites.rs
@@ -381,7 +381,7 @@
 #[rstest]
 #[case::unlisted_node("n7", 0o600, "n7 is no (node ...) of a site")]
 #[case::readable_key("n0", 0o644, "others may read or change it")]
-#[case::folder_in_use("n0", 0o600, "another process has it")]
+#[case::folder_in_use("n0", 0o600, "another process has the store open")]
 fn invalid_node_setup_fails_the_start(#[case] name: &str, #[case] mode: u32, #[case] error: &str) {
     let (files, server) =
         (SiteFiles::new(&format!("start-{name}-{mode}-{}", error.len())), TestServer::new());
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -107,6 +107,10 @@
         assert_eq!(result, Ok(()), "{rules}");
         let tries = replies.iter().filter(|r| r["t"] == "TRY").count();
         let is_refused = replies.iter().any(|r| r["t"] == "REFUSE");
-        assert_eq!((tries == 2, is_refused), (is_retried, !is_retried), "{rules}: {replies:?}");
+        assert_eq!(
+            (tries == 2, is_refused),
+            (is_retried, !is_retried),
+            "retry budget {rules}, expected a retry: {is_retried}; replies: {replies:?}"
+        );
     }
 }
