--- a/crates/scheduler/tests/cold.rs
+++ b/crates/scheduler/tests/cold.rs
@@ -52,7 +52,7 @@
     /// overload it, and fewer than 14 after ten seconds.
     FortySeconds,
     /// From a tenth of one core, for 6 s, with an overload window as long as four requests of mean work.
-    SixSeconds,
+    ShortWindow,
 }
 
 fn slow_start_settings(schedulers: u32, slow_start: SlowStart, pattern: WorkPattern) -> Settings {
@@ -67,7 +67,7 @@
     let (min_share, duration, overload_window) = match slow_start {
         SlowStart::TenSeconds => (0.1, 10 * S, 2 * S),
         SlowStart::FortySeconds => (0.25, 40 * S, S),
-        SlowStart::SixSeconds => (0.1, 6 * S, 400 * MS),
+        SlowStart::ShortWindow => (0.1, 6 * S, 400 * MS),
     };
     Settings {
         schedulers,
@@ -234,7 +234,7 @@
     let (mut overloads, mut bursts, mut lines) = (0, 0, Vec::new());
     let work_patterns =
         [WorkPattern::Equal, WorkPattern::Classes, WorkPattern::Hinted, WorkPattern::InexactlyHinted];
-    for (slow_start, pattern) in [SlowStart::TenSeconds, SlowStart::FortySeconds, SlowStart::SixSeconds]
+    for (slow_start, pattern) in [SlowStart::TenSeconds, SlowStart::FortySeconds, SlowStart::ShortWindow]
         .iter()
         .flat_map(|w| work_patterns.map(|k| (*w, k)))
     {
