--- a/crates/lab/tests/experiments.rs
+++ b/crates/lab/tests/experiments.rs
@@ -170,7 +170,7 @@
     let done = run_lab(&["check", &file]);
     let output = String::from_utf8_lossy(&done.stderr).into_owned();
     assert!(output.contains("with servers.count = 8, policy = rfq, clients.patience = 2:\n"), "{output}");
-    assert!(output.contains("2 is out of range: (patience) lies in 0.001 to 1"), "{output}");
+    assert!(output.contains("2 is out of range: (patience) must be from 0.001 to 1"), "{output}");
 }
 
 #[test]
