--- a/src/main.rs
+++ b/src/main.rs
@@ -215,7 +215,11 @@
     let (missing, unknown) =
         shorepath_sites::key_ownership::mismatched_budgets(sites_settings.config(), names);
     if !missing.is_empty() {
-        return Err(format!("no budget for {}: no node could place their keys", missing.join(", ")).into());
+        return Err(format!(
+            "the budgets file has no budget for {}: no node could take ownership of their keys",
+            missing.join(", ")
+        )
+        .into());
     }
     if !unknown.is_empty() {
         return Err(format!("the sites file has no node for the budget {}", unknown.join(", ")).into());
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -201,7 +201,7 @@
             },
             _ => {
                 let drain = path == "/ops/drain/start";
-                info!("an operator requests: {}", if drain { "drain" } else { "take clients" });
+                info!("an operator requests: {}", if drain { "start the drain" } else { "stop the drain" });
                 match self.frontend.drain(drain) {
                     Ok(()) if drain => Answer::text(200, "draining", true),
                     Ok(()) => Answer::text(200, "taking clients", true),
--- a/src/net/backend/attempt.rs
+++ b/src/net/backend/attempt.rs
@@ -208,12 +208,12 @@
         &self,
         id: DispatchId,
         job: &Job,
-        text: &[u8],
+        line_bytes: &[u8],
     ) -> Result<Option<AttemptStatus>, String> {
-        if text.trim_ascii().is_empty() {
+        if line_bytes.trim_ascii().is_empty() {
             return Ok(None);
         }
-        let line: AnswerLine = serde_json::from_slice(text).map_err(|e| e.to_string())?;
+        let line: AnswerLine = serde_json::from_slice(line_bytes).map_err(|e| e.to_string())?;
         // Guards against using the result of another request.
         if line.id != *job.id {
             return Err(format!("the line is for request '{}'", line.id));
--- a/src/net/backoff.rs
+++ b/src/net/backoff.rs
@@ -24,8 +24,8 @@
 
 /// First and longest pause before a local agent that did not respond is called again. The pause doubles from call to call; the
 /// longest runs from the start of one call to the start of the next.
-const FIRST_AGENT_PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_AGENT_PAUSE: Duration = Duration::from_millis(400);
+const FIRST_LOCAL_AGENT_PAUSE: Duration = Duration::from_millis(50);
+const LONGEST_LOCAL_AGENT_PAUSE: Duration = Duration::from_millis(400);
 /// The longest pause is at most this fraction of the time within which dispatches to a leaving server have to stop, because the
 /// agent may know of a leaving server that this node does not know of.
 const GRACE_FRACTION: f64 = 0.8;
@@ -37,13 +37,13 @@
 
 /// Longest time from a connection that fails with a timeout to the application of the next call's response.
 const CALL_BUDGET: Duration = CONNECT_TIMEOUT
-    .saturating_add(FIRST_AGENT_PAUSE)
+    .saturating_add(FIRST_LOCAL_AGENT_PAUSE)
     .saturating_add(QUEUE_TIMEOUT)
     .saturating_add(APPLY_TIME);
-/// Longest spread if all of the propagation limit is left.
+/// Longest span over which the nodes' calls are spread while all of the propagation limit is left.
 const MAX_SPREAD: Duration = PROPAGATION_LIMIT.saturating_sub(CALL_BUDGET);
 
-/// Longest spread after a silence, which used up some of the propagation limit before it was noticed.
+/// Longest span over which calls are spread after a silence, which is noticed only after a part of the propagation limit.
 const MIN_SPREAD: Duration = MAX_SPREAD.saturating_sub(SILENCE_TIMEOUT);
 
 /// The result of the last watch.
@@ -66,7 +66,7 @@
     rng: oorandom::Rand64,
     nodes: u32,
     /// First and longest pause before a local agent that did not respond is called again.
-    agent_pauses: (Duration, Duration),
+    local_agent_pauses: (Duration, Duration),
     /// End of the propagation limit, counted from the last confirmation. Failed calls do not extend it.
     deadline: Instant,
     /// Number of consecutive calls that discovery rejected.
@@ -80,11 +80,11 @@
     /// itself; with 1, discovery is a local agent.
     pub fn new(seed: u64, nodes: u32, now: Instant) -> Self {
         let rng = oorandom::Rand64::new(u128::from(seed));
-        let agent_pauses = (FIRST_AGENT_PAUSE, LONGEST_AGENT_PAUSE);
+        let local_agent_pauses = (FIRST_LOCAL_AGENT_PAUSE, LONGEST_LOCAL_AGENT_PAUSE);
         Backoff {
             rng,
             nodes: nodes.max(1),
-            agent_pauses,
+            local_agent_pauses,
             deadline: now + PROPAGATION_LIMIT,
             busy_in_row: 0,
             unanswered_in_row: 0,
@@ -94,8 +94,9 @@
     /// Applies new settings: the number of nodes that request their lists from discovery, and the time within which new
     /// dispatches to a leaving server have to stop.
     pub fn configure(&mut self, nodes: u32, grace: Duration) {
-        let longest = LONGEST_AGENT_PAUSE.min(grace.mul_f64(GRACE_FRACTION));
-        (self.nodes, self.agent_pauses) = (nodes.max(1), (FIRST_AGENT_PAUSE.min(longest), longest));
+        let longest = LONGEST_LOCAL_AGENT_PAUSE.min(grace.mul_f64(GRACE_FRACTION));
+        (self.nodes, self.local_agent_pauses) =
+            (nodes.max(1), (FIRST_LOCAL_AGENT_PAUSE.min(longest), longest));
     }
 
     /// Notes that discovery sent a list, changes or a heartbeat at that time.
@@ -114,7 +115,7 @@
         if self.nodes > 1 {
             CONNECT_TIMEOUT
         } else {
-            self.agent_pauses.1 / AGENT_CONNECT_DIVISOR
+            self.local_agent_pauses.1 / AGENT_CONNECT_DIVISOR
         }
     }
 
@@ -143,14 +144,14 @@
         match outcome {
             WatchOutcome::Unanswered => {
                 // The span grows so that not all waiting nodes call at the moment at which discovery is back.
-                let (first, longest) = self.agent_pauses;
+                let (first, longest) = self.local_agent_pauses;
                 let longest = spread.min(MAX_SPREAD).max(longest.saturating_sub(took)).max(first);
                 let length = (first * (1 << self.unanswered_in_row.min(8).saturating_sub(1))).min(longest);
                 limited(length.mul_f64(0.5 + 0.5 * random))
             }
             WatchOutcome::Busy => {
                 let wide = spread * (1 << self.busy_in_row.min(8).saturating_sub(1)).min(MAX_BUSY_GROWTH);
-                limited(wide.mul_f64(random)).max(FIRST_AGENT_PAUSE)
+                limited(wide.mul_f64(random)).max(FIRST_LOCAL_AGENT_PAUSE)
             }
             // A local agent's list counts as known from the start of the process, and calls to it cost nothing.
             WatchOutcome::NotTried if self.nodes == 1 => Duration::ZERO,
@@ -173,7 +174,7 @@
     if available >= MIN_SPREAD {
         // Half of what is left is reserved for the next call and one more after it.
         MIN_SPREAD.max(left / 2).min(since_call)
-    } else if took > available && available > FIRST_AGENT_PAUSE {
+    } else if took > available && available > FIRST_LOCAL_AGENT_PAUSE {
         // One more call fits in, which is as far from the calls of other nodes as this one was.
         available
     } else {
--- a/src/net/close_reason.rs
+++ b/src/net/close_reason.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use tracing::info;
 
-/// Why a connection ended.
+/// The event or the action of this node that ended a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// The peer closed the connection between messages.
--- a/src/net/exchange.rs
+++ b/src/net/exchange.rs
@@ -59,7 +59,7 @@
             clock: Clock::start(),
             open: HashMap::new(),
             last_request_id: 0,
-            active: BTreeSet::new(),
+            active_endpoints: BTreeSet::new(),
             commands,
             wake_at: None,
             quota_shares: BTreeMap::new(),
@@ -103,7 +103,7 @@
 
     /// Returns whether there is a backend server to which new requests may be sent.
     pub fn has_servers(&self) -> bool {
-        !self.inner.borrow().active.is_empty()
+        !self.inner.borrow().active_endpoints.is_empty()
     }
 
     /// Replaces the settings, for requests that arrive from now on.
@@ -189,7 +189,8 @@
         self.inner.borrow().names.classes.name(class.0 as u32).unwrap_or_default().to_string()
     }
 
-    /// Returns how many requests of a tenant were accepted as new work, since the start, while new work was limited.
+    /// Returns how many requests of a tenant, other than repeats, were accepted since the process started while a quota limited them.
+    /// A request that ends without an attempt doesn't count.
     pub fn new_work_count(&self, tenant: TenantId) -> u64 {
         self.inner.borrow().scheduler.new_work_count(tenant)
     }
--- a/src/net/exchange/inner.rs
+++ b/src/net/exchange/inner.rs
@@ -37,7 +37,7 @@
     pub(super) clock: Clock,
     pub(super) open: HashMap<RequestId, OpenRequest<P>>,
     pub(super) last_request_id: u64,
-    pub(super) active: BTreeSet<EndpointId>,
+    pub(super) active_endpoints: BTreeSet<EndpointId>,
     pub(super) commands: mpsc::UnboundedSender<Command<P>>,
     /// Time of the scheduler's next wake-up.
     pub(super) wake_at: Option<Instant>,
@@ -172,7 +172,7 @@
         }
         if is_full {
             let listed = |w: &EndpointId| endpoints.iter().any(|m| m.id == *w);
-            let left: Vec<_> = self.active.iter().copied().filter(|w| !listed(w)).collect();
+            let left: Vec<_> = self.active_endpoints.iter().copied().filter(|w| !listed(w)).collect();
             left.into_iter().for_each(|endpoint| self.update_server(endpoint, None, false));
         }
         endpoints
@@ -180,8 +180,8 @@
 
     pub(super) fn update_server(&mut self, endpoint: EndpointId, address: Option<SocketAddr>, active: bool) {
         match active {
-            true => self.active.insert(endpoint),
-            false => self.active.remove(&endpoint),
+            true => self.active_endpoints.insert(endpoint),
+            false => self.active_endpoints.remove(&endpoint),
         };
         self.send_command(Command::Server { endpoint, address, active });
     }
--- a/src/net/exchange/types.rs
+++ b/src/net/exchange/types.rs
@@ -124,19 +124,19 @@
 pub struct ServerEntry {
     /// Name of the backend server, the same at every node.
     pub name: String,
-    /// Its address, or `None` for a server that has left.
+    /// Address of the backend server, or `None` if the server has left.
     pub address: Option<SocketAddr>,
-    /// Name of the zone in which it runs.
+    /// Name of the zone in which the backend server runs.
     pub zone: String,
-    /// Name of its kind, which decides which classes it runs.
+    /// Name of the server kind, which decides which classes the backend server runs.
     pub kind: String,
-    /// Number of the cell to which it belongs.
+    /// Number of the cell to which the backend server belongs.
     pub cell: u32,
-    /// Its capacity, as the scheduler counts it.
+    /// Capacity of the backend server relative to the other servers.
     pub capacity: f64,
-    /// Whether it is live, draining or removed.
+    /// Whether the backend server is live, draining or removed.
     pub state: EndpointState,
-    /// Unix time of its last start in microseconds; 0 for a start long ago.
+    /// Unix time of the backend server's last start in microseconds; 0 for a start long ago.
     pub started_at: Micros,
 }
 
--- a/src/net/frontend.rs
+++ b/src/net/frontend.rs
@@ -282,8 +282,8 @@
                 () = retry => continue,
                 _ = replaced.wait_for(|s| s.is_replaced != is_replaced) => continue,
                 _ = state.wait_for(|s| s.stage >= end_stage) => {
-                    // Guards connections that arrived while the process was suspended, before they are refused: the timer may have
-                    // been handled before the listener.
+                    // Guards against refusing connections that arrived before the stage changed: after a suspension of the process, the
+                    // shutdown's timer may be handled before the listener.
                     if is_full || is_replaced || std::mem::replace(&mut was_rechecked, true) {
                         return;
                     }
--- a/src/net/frontend/connection.rs
+++ b/src/net/frontend/connection.rs
@@ -155,7 +155,7 @@
                             tokio::select! {
                                 biased;
                                 outcome = &mut outcome => break Some(outcome),
-                                item = self.next_while_pending(connection, next.is_some()) => match item {
+                                item = self.next_item_while_pending(connection, next.is_some()) => match item {
                                     // The client has disconnected. Dropping the ticket abandons the request.
                                     None | Some(Err(ReadError::Io(_))) => break None,
                                     // The next request of the client arrived early.
@@ -210,7 +210,7 @@
 
     /// Returns the next item that arrives while an answer is pending. With `has_next`, an item is waiting already and only the end
     /// of the connection is returned, as `None`.
-    pub(super) async fn next_while_pending(
+    pub(super) async fn next_item_while_pending(
         &self,
         connection: &mut Connection,
         has_next: bool,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -91,10 +91,10 @@
     /// A component's task ended, which only a bug causes.
     #[error("the task of the {0} has ended unexpectedly")]
     TaskEnded(&'static str),
-    /// The node can't join its fleet.
+    /// The budgets file or its keys can't be used, or the file does not list this node.
     #[error("{0}")]
     Fleet(#[from] FleetError),
-    /// The node can't join its sites.
+    /// The sites file, the accounts file or their keys can't be used, or the sites file does not list this node.
     #[error("{0}")]
     Sites(#[from] SitesError),
     /// The runtime or the signal handlers can't be set up.
@@ -468,7 +468,7 @@
         frontend.refuse_connections();
         let accepted = async {
             let _ = accepting.await;
-            info!("new connections are refused");
+            info!("the listener is closed for the shutdown: new connections are refused");
         };
         let closes = async {
             frontend.wait_until_closing().await;
--- a/src/net/server_table.rs
+++ b/src/net/server_table.rs
@@ -182,7 +182,7 @@
     revision: Option<u64>,
     /// Number of lists and changes received over this connection.
     lists: u64,
-    /// When the call started, including its connection setup; `None` before the first call.
+    /// When the call to discovery for this watch started, including its connection setup; `None` before that.
     call_started_at: Option<Instant>,
     /// When discovery last sent a list, changes or a heartbeat over this connection; `None` before the first.
     confirmed_at: Option<Instant>,
@@ -248,8 +248,8 @@
         let (nodes, grace) = self.exchange.discovery_timing();
         self.backoff.configure(nodes, grace);
         let mut pause = self.backoff.pause(WatchOutcome::NotTried, None, silent_since);
-        // The expired deadline that was logged last.
-        let mut logged_deadline = None;
+        // Expired propagation deadline of the last warning, so that each one is logged once.
+        let mut last_warned_deadline = None;
         let mut has_moved = false;
         loop {
             // A new address also counts before the first call: the initial list is then another discovery's.
@@ -286,7 +286,7 @@
                 self.backoff.configure(nodes, grace);
                 pause = self.backoff.pause(outcome, state.call_started_at, now);
                 let deadline = self.backoff.deadline();
-                if deadline <= now && logged_deadline.replace(deadline) != Some(deadline) {
+                if deadline <= now && last_warned_deadline.replace(deadline) != Some(deadline) {
                     warn!(
                         "discovery has confirmed nothing for {PROPAGATION_LIMIT:?}: the last list stays in use"
                     );
@@ -425,8 +425,9 @@
     ) -> Result<(), CloseReason> {
         let mut result = objects.push(part).map_err(|e| e.to_string());
         loop {
-            let next = result.and_then(|()| objects.next_object::<Listing>().map_err(|e| e.to_string()));
-            let Some(listing) = next.map_err(malformed)? else { return Ok(()) };
+            let next_listing =
+                result.and_then(|()| objects.next_object::<Listing>().map_err(|e| e.to_string()));
+            let Some(listing) = next_listing.map_err(malformed)? else { return Ok(()) };
             result = self.apply(listing, state).map_err(|e| e.to_string());
             // A list that can't be used does not count as a confirmation.
             if result.is_ok() {
--- a/tests/backoff.rs
+++ b/tests/backoff.rs
@@ -42,9 +42,9 @@
     Answered,
 }
 
-/// How a watch ends.
 #[derive(Clone, Copy, Debug)]
 enum WatchEnd {
+    /// Discovery sends no more data, and the connection stays open.
     Silence,
     /// The connection is reset that long after the last data.
     Reset(Duration),
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -47,19 +47,19 @@
   (site east (node n2 \"127.0.0.1:7103\") (bears 50)))";
 
 /// Decodes a line of the golden file and asserts that it yields the value.
-type Reader = Box<dyn Fn(&str)>;
+type DecodeCheck = Box<dyn Fn(&str)>;
 
 /// The encoded values of one golden file.
 #[derive(Default)]
 struct Samples {
     lines: Vec<(String, String)>,
-    readers: Vec<Reader>,
+    decode_checks: Vec<DecodeCheck>,
 }
 
 impl Samples {
-    fn add(&mut self, kind: &str, encoded: String, reader: impl Fn(&str) + 'static) {
+    fn add(&mut self, kind: &str, encoded: String, decode_check: impl Fn(&str) + 'static) {
         self.lines.push((kind.to_string(), encoded));
-        self.readers.push(Box::new(reader));
+        self.decode_checks.push(Box::new(decode_check));
     }
 
     fn json<T: Serialize + DeserializeOwned + PartialEq + Debug + 'static>(&mut self, kind: &str, value: T) {
@@ -87,8 +87,8 @@
         let found: String = self.lines.iter().map(|(kind, line)| format!("{kind} {line}\n")).collect();
         let golden = text(file, &found);
         assert_golden(file, &found);
-        for (line, read) in golden.lines().zip(&self.readers) {
-            read(line.split_once(' ').unwrap().1);
+        for (line, check) in golden.lines().zip(&self.decode_checks) {
+            check(line.split_once(' ').unwrap().1);
         }
     }
 }
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -436,8 +436,8 @@
     let mut client = node.send_job("a", "/zone-plan");
     let mut backend = new.accept();
     backend.message();
-    backend.serve("a", "from the new one");
-    assert_eq!(client.message().body, "from the new one");
+    backend.serve("a", "from the new server");
+    assert_eq!(client.message().body, "from the new server");
     assert!(old.has_no_connection());
     drop(first);
     let (mut second, request) = accept_watch(&discovery);
--- a/tests/node/audit.rs
+++ b/tests/node/audit.rs
@@ -15,9 +15,9 @@
 fn stored_log(files: &SiteFiles, node: usize) -> (String, Vec<(u64, Vec<u8>)>) {
     let store = Store::open(&files.node_folder(node).join("state"), 1 << 20).unwrap();
     let position: Value = store.fact("audit/record").unwrap().expect("an audit log");
-    let name = format!("audit {:016x}", position["life"].as_u64().unwrap());
-    let all = store.journal(&name, 0, 1 << 24).unwrap();
-    (name, all)
+    let journal_name = format!("audit {:016x}", position["life"].as_u64().unwrap());
+    let all = store.journal(&journal_name, 0, 1 << 24).unwrap();
+    (journal_name, all)
 }
 
 fn entries(files: &SiteFiles, node: usize) -> Vec<Entry> {
@@ -101,7 +101,10 @@
                 continue;
             }
             Entry::DecisionCounts { vector, counts } => {
-                assert!(vector == number, "counts under version {vector} after {number}");
+                assert!(
+                    vector == number,
+                    "decision counts are of version vector {vector}, but the last one recorded is {number}"
+                );
                 counted += counts.values().sum::<u64>();
                 continue;
             }
--- a/tests/node/deployments.rs
+++ b/tests/node/deployments.rs
@@ -83,9 +83,9 @@
     let mut watch = discovery.accept();
     watch.message();
     watch.begin();
-    let mut unknown = entry("s-0", server.address, "active");
-    (unknown["locality"], unknown["flavor"]) = (json!("atlantis"), json!("abacus"));
-    watch.line(&json!({"revision": 42, "complete": true, "members": [unknown]}).to_string());
+    let mut unknown_zone_server = entry("s-0", server.address, "active");
+    (unknown_zone_server["locality"], unknown_zone_server["flavor"]) = (json!("atlantis"), json!("abacus"));
+    watch.line(&json!({"revision": 42, "complete": true, "members": [unknown_zone_server]}).to_string());
     node.logs("server table 42: 1 entries");
     assert_served_by(&node, &server);
 }
--- a/tests/node/dispatch_writes.rs
+++ b/tests/node/dispatch_writes.rs
@@ -119,8 +119,8 @@
 
 /// Formats a request with an idempotency key.
 pub fn keyed_job(id: &str) -> String {
-    let key = "Idempotency-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\nTenant:";
-    job(id, "/actuator-cmd", "30000m", "").replace("Tenant:", key)
+    let key_and_tenant_fields = "Idempotency-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\nTenant:";
+    job(id, "/actuator-cmd", "30000m", "").replace("Tenant:", key_and_tenant_fields)
 }
 
 /// A response that rejects a job before it was started, and ends the connection.
--- a/tests/node/recovery.rs
+++ b/tests/node/recovery.rs
@@ -76,7 +76,7 @@
     }
 
     pub fn start(&self, node: usize, servers: &[SocketAddr], options: &[&str]) -> Node {
-        self.start_as(node, servers, options, |_| {})
+        self.start_with_change(node, servers, options, |_| {})
     }
 
     fn command(
@@ -97,7 +97,8 @@
         (arguments.iter().chain(options).map(|argument| argument.to_string()).collect(), config)
     }
 
-    pub fn start_as(
+    /// Starts a node with the configuration that `change` has edited.
+    pub fn start_with_change(
         &self,
         node: usize,
         servers: &[SocketAddr],
@@ -359,12 +360,12 @@
             config["discovery"] = discovery.to_string().into();
             config["known"] = serde_json::json!({"revision": 0, "complete": true, "members": []});
         };
-        fleet.start_as(node, &[], &[], change)
+        fleet.start_with_change(node, &[], &[], change)
     };
     let discovery_address = start_discovery(7, &[entry("s-0", server.address, "active")]);
     // A new node has no revision from which to watch for changes.
     let first = [0, 1].map(|k| {
-        fleet.start_as(k, &[], &[], |config| {
+        fleet.start_with_change(k, &[], &[], |config| {
             config["discovery"] = discovery_address.to_string().into();
             config["known"] = serde_json::json!({"revision": 0, "complete": true, "members": [entry("s-0", server.address, "active")]});
         })
--- a/tests/node/stopping.rs
+++ b/tests/node/stopping.rs
@@ -494,14 +494,14 @@
     node.reload();
     node.logs("new settings are in force");
     assert_eq!(node.call("GET", "/ops/readiness"), 503);
-    let mut drained_client = node.send_job("emptied", "/zone-plan");
+    let mut client_during_drain = node.send_job("emptied", "/zone-plan");
     backend.serve("held", "1");
     assert_eq!(held.message().body, "1");
     assert_eq!(backend.id(), "emptied");
     node.terminate();
     node.logs("shutting down");
     backend.serve("emptied", "2");
-    assert_eq!(drained_client.message().body, "2");
+    assert_eq!(client_during_drain.message().body, "2");
     let mut late = node.send_job("late", "/zone-plan");
     assert_eq!(backend.id(), "late");
     backend.serve("late", "3");
