--- a/crates/mutants/src/campaign.rs
+++ b/crates/mutants/src/campaign.rs
@@ -30,7 +30,7 @@
 /// A failed run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// The seed of the run.
+    /// The seed that reproduces the run, together with the message and the change.
     pub seed: u64,
     /// The id of the mutated message in the run.
     pub message: usize,
--- a/crates/mutants/src/change.rs
+++ b/crates/mutants/src/change.rs
@@ -203,11 +203,11 @@
 /// The maximum number of messages of earlier incarnations that are replayed after one message.
 const MAX_REPLAYS: usize = 3;
 
-/// Returns all mutations of a message in a fixed order. `run` holds all messages of its run, in the order of their ids; `delays`
+/// Returns all mutations of a message in a fixed order. `run_messages` holds all messages of its run, in the order of their ids; `delays`
 /// are described at [`crate::simulation::System::DELAYS`].
 pub fn all(
     message: &MessageRecord,
-    run: &[MessageRecord],
+    run_messages: &[MessageRecord],
     encoding: Encoding,
     delays: [Micros; 3],
     actor_count: usize,
@@ -218,7 +218,7 @@
     found.extend([1, delays[0], delays[1]].map(Change::Duplicated));
     let (from, to) = (message.message.from, message.message.to);
     found.extend((0..actor_count).filter(|a| *a != from && *a != to).map(Change::SenderReplaced));
-    let earlier: Vec<&MessageRecord> = run
+    let earlier: Vec<&MessageRecord> = run_messages
         .iter()
         .take(message.id)
         .filter(|m| {
--- a/crates/mutants/src/simulation.rs
+++ b/crates/mutants/src/simulation.rs
@@ -30,7 +30,7 @@
 }
 
 impl Violation {
-    /// Creates a violation of the named rule.
+    /// Creates a violation of the rule with this name. `details` describes the state that violates it.
     pub fn new(rule: &'static str, details: impl Into<String>) -> Violation {
         Violation { rule, details: details.into() }
     }
@@ -103,17 +103,17 @@
 /// One message of a run without mutation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MessageRecord {
-    /// The number of messages sent before it in the run.
+    /// The number of messages that were sent before this one in the run.
     pub id: usize,
     /// The message with its sender and receiver.
     pub message: SentMessage,
-    /// The incarnations of sender and receiver when it was sent.
+    /// The incarnations of the sender and the receiver when the message was sent.
     pub incarnations: (u64, u64),
-    /// The virtual time at which it was sent.
+    /// The virtual time at which the message was sent.
     pub sent_at: Micros,
-    /// The step of the run in which it was sent.
+    /// The step of the run in which the message was sent.
     pub step: usize,
-    /// The virtual time of its delivery; `None` if it was lost.
+    /// The virtual time at which the message was delivered; `None` if it was lost.
     pub delivered_at: Option<Micros>,
 }
 
@@ -126,7 +126,7 @@
     pub change: &'a Change,
 }
 
-/// The outcome of a run.
+/// Whether all rules held during a run, or how it failed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Outcome {
     /// No rule was violated, neither during the run nor at its end.
@@ -151,7 +151,8 @@
     pub rejected: BTreeMap<String, u64>,
     /// The number of accepted messages. With a mutation, only the mutated message counts.
     pub accepted: u64,
-    /// One line for each delivery from the mutated message on; empty unless requested.
+    /// One line for each delivery from the mutated message on: `*` for the mutated message, the time in microseconds, sender and
+    /// receiver, the content, and whether the receiver accepted it. Empty unless requested.
     pub trace: Vec<String>,
 }
 
@@ -189,7 +190,10 @@
     let start = || Simulation { mutant, trace_enabled, ..Simulation::new(seed, S::start(seed)) };
     match catch_unwind(AssertUnwindSafe(start)) {
         Ok(simulation) => simulation.finish(),
-        Err(_) => RunResult { outcome: Outcome::Panicked("at the start".into()), ..RunResult::default() },
+        Err(_) => RunResult {
+            outcome: Outcome::Panicked("the system panicked when it was started".into()),
+            ..RunResult::default()
+        },
     }
 }
 
@@ -343,7 +347,8 @@
         }
     }
 
-    /// Schedules the delivery of all messages sent in this step. Returns whether the message to mutate is the recorded one.
+    /// Records the messages sent in this step and schedules their delivery. Returns `false` if the message to mutate differs from the
+    /// one in the run without mutation: the system is not deterministic.
     fn collect_outgoing(&mut self) -> bool {
         for message in self.system.take_outgoing() {
             let id = self.sent_count;
--- a/crates/mutants/src/systems/accounts.rs
+++ b/crates/mutants/src/systems/accounts.rs
@@ -77,9 +77,9 @@
     next: Micros,
     requests: u64,
     /// The last admitted new job and the time of its admission.
-    last: Option<(Micros, Key)>,
+    last_admitted: Option<(Micros, Key)>,
     /// Jobs admitted on credit since the status was last confirmed, by all incarnations of this node.
-    on_credit: u64,
+    jobs_on_credit: u64,
     violation: Option<Violation>,
     /// Messages received, for the fault.
     received: BTreeSet<(Actor, Vec<u8>)>,
@@ -96,8 +96,8 @@
         registry: Option<&AccountRegistry>,
         disk: Option<CreditRecord>,
     ) -> Self {
-        let others = (0..NODES as u32).collect();
-        let mut gossip = Gossip::new(me as u32, others, seed ^ (me as u64) << 16 ^ incarnation << 32, now);
+        let all_nodes = (0..NODES as u32).collect();
+        let mut gossip = Gossip::new(me as u32, all_nodes, seed ^ (me as u64) << 16 ^ incarnation << 32, now);
         registry.into_iter().for_each(|registry| gossip.restore(registry));
         let sites = ["a", "b"].map(|s| SiteShare { site: s.into(), nodes: NODES as u32 / 2, weight: None });
         let part = divide(&CREDIT, &sites).ok().and_then(|all| all.into_iter().flatten().nth(me));
@@ -114,8 +114,8 @@
             contact_at: None,
             next: now,
             requests: 0,
-            last: None,
-            on_credit: 0,
+            last_admitted: None,
+            jobs_on_credit: 0,
             violation: None,
             received: BTreeSet::new(),
             older: None,
@@ -156,7 +156,7 @@
         let Some(balance) = self.balances.get_mut(ACCOUNT) else { return };
         if confirmed {
             balance.confirmed(&registry.change_at(ACCOUNT, times.unix));
-            self.on_credit = 0;
+            self.jobs_on_credit = 0;
         }
         balance.pay_debt(1);
         if let Some(record) = balance.record_to_write() {
@@ -168,14 +168,14 @@
         self.requests += 1;
         let key = Key::Request(format!("{}-{}-{}", self.me, self.incarnation, self.requests));
         let decision = decide(registry, Some(balance), &self.accepted, ACCOUNT, Some(&key), times);
-        self.on_credit += u64::from(decision == AdmissionDecision::AdmitOnCredit);
+        self.jobs_on_credit += u64::from(decision == AdmissionDecision::AdmitOnCredit);
         if !matches!(decision, AdmissionDecision::Refuse(_)) {
             self.accepted.record(ACCOUNT, Some(&key), now);
             if rejects_new_jobs(self.known.0, self.known.1)
                 || restriction.is_some_and(|r| r.max_new_jobs == Some(0))
             {
                 let details = format!(
-                    "{} knows {:?}, has restriction {restriction:?}, and admits {key:?}",
+                    "node {} knows {:?} as the newest file and whether it conflicts, has restriction {restriction:?}, and admits {key:?}",
                     self.me, self.known
                 );
                 let violation = Violation::new("no new job of a closing account", details);
@@ -183,16 +183,19 @@
                 return;
             }
         }
-        let running = self.last.take();
-        self.last =
-            if matches!(decision, AdmissionDecision::Refuse(_)) { running.clone() } else { Some((now, key)) };
-        if let Some((_, key)) = running.filter(|_| status != AccountStatus::Closed) {
+        let previous_job = self.last_admitted.take();
+        self.last_admitted = if matches!(decision, AdmissionDecision::Refuse(_)) {
+            previous_job.clone()
+        } else {
+            Some((now, key))
+        };
+        if let Some((_, key)) = previous_job.filter(|_| status != AccountStatus::Closed) {
             let Some(balance) = self.balances.get_mut(ACCOUNT) else { return };
             let decision = decide(registry, Some(balance), &self.accepted, ACCOUNT, Some(&key), times);
             if decision != AdmissionDecision::Admit {
                 self.report_violation(
                     "running jobs are admitted",
-                    format!("{} decides {decision:?} for {key:?}", self.me),
+                    format!("node {} decides {decision:?} for the running job {key:?}", self.me),
                 );
             }
         }
@@ -287,7 +290,8 @@
             if has_disk { (Some(last.gossip.registry()), last.disk) } else { (None, None) };
         let mut node = Node::new(seed, me, incarnation, now, registry, disk);
         node.known = if has_disk { last.known } else { node.known };
-        (node.on_credit, node.violation, node.received) = (last.on_credit, last.violation, last.received);
+        (node.jobs_on_credit, node.violation, node.received) =
+            (last.jobs_on_credit, last.violation, last.received);
         node
     }
 
@@ -323,12 +327,12 @@
         if let Some(violation) = nodes().find_map(|n| n.violation.clone()) {
             return Err(violation);
         }
-        let on_credit: u64 = nodes().map(|n| n.on_credit).sum();
-        if on_credit > CREDIT.total {
-            let by_node: Vec<u64> = nodes().map(|n| n.on_credit).collect();
+        let jobs_on_credit: u64 = nodes().map(|n| n.jobs_on_credit).sum();
+        if jobs_on_credit > CREDIT.total {
+            let by_node: Vec<u64> = nodes().map(|n| n.jobs_on_credit).collect();
             return Err(Violation::new(
                 "unconfirmed admissions never exceed the credit",
-                format!("{by_node:?} of {CREDIT:?}"),
+                format!("the nodes admitted {by_node:?} jobs on credit, with the credit {CREDIT:?}"),
             ));
         }
         Ok(())
--- a/crates/mutants/src/systems/key_ownership.rs
+++ b/crates/mutants/src/systems/key_ownership.rs
@@ -62,24 +62,25 @@
 fn sites_config() -> &'static SitesConfig {
     static CONFIG: OnceLock<SitesConfig> = OnceLock::new();
     CONFIG.get_or_init(|| {
-        let mut text = String::from(
+        let mut config_text = String::from(
             "(sites (fleet \"f\") (key \"k\") (confirm 300 ms) (alone 600 ms) (hold 600 ms) (home valve)",
         );
         for s in 0..NODES / 2 {
             let node = |n: usize| format!("(node s{s}n{n} \"10.0.{s}.{}:1\")", n + 1);
-            text += &format!("(site s{s} (bears 100){}{})", node(0), node(1));
+            config_text += &format!("(site s{s} (bears 100){}{})", node(0), node(1));
         }
         // An invalid configuration would have no nodes, and every run would fail its final check.
-        read("s.sexp", &(text + ")")).unwrap_or_default()
+        read("s.sexp", &(config_text + ")")).unwrap_or_default()
     })
 }
 
 fn quota_plan() -> &'static QuotaPlan {
     static PLAN: OnceLock<QuotaPlan> = OnceLock::new();
     PLAN.get_or_init(|| {
-        let mut text = String::from("(budgets (term 1 s) (drift-ppm 500) (divider d0 \"127.0.0.1:1\")");
+        let mut config_text =
+            String::from("(budgets (term 1 s) (drift-ppm 500) (divider d0 \"127.0.0.1:1\")");
         for (index, (site, node)) in sites_config().nodes().enumerate() {
-            text += &format!(
+            config_text += &format!(
                 "(node {} \"127.0.0.1:{}\")(budget home:{}/{} (per moment) (whole 1) (longest 100 ms))",
                 node.name,
                 index + 2,
@@ -87,7 +88,7 @@
                 node.name
             );
         }
-        quota_config::read("b.sexp", &(text + ")")).unwrap_or_default()
+        quota_config::read("b.sexp", &(config_text + ")")).unwrap_or_default()
     })
 }
 
@@ -152,7 +153,7 @@
     site_health: SiteHealth,
     /// The budgets of the ranges that it claims.
     claimed: BTreeSet<String>,
-    /// When it learned of the failure of other nodes, by node number.
+    /// When this node learned of the failure of each other node, by node number.
     absent: BTreeMap<u32, Micros>,
     history: History,
     keys: IdempotencyIndex,
@@ -318,7 +319,10 @@
                 continue;
             }
             if self.sent_keys >> key & 1 == 1 {
-                self.report_violation("a key is placed once", format!("k{key} twice at {}", self.me));
+                self.report_violation(
+                    "a key is placed once",
+                    format!("k{key} was sent twice by node {}", self.me),
+                );
             }
             self.sent_keys |= 1 << key;
             self.in_progress.push((of, now));
@@ -398,8 +402,9 @@
             .ok_or("unreadable history message")?;
         let found = self.exchanges.iter_mut().find(|(o, _)| *o == from);
         let (_, exchange) = found.ok_or("sender is not a peer")?;
-        let received =
-            exchange.receive(&mut self.history, message, now).map_err(|_| "unacceptable entries")?;
+        let received = exchange
+            .receive(&mut self.history, message, now)
+            .map_err(|_| "entries can't be added to the history")?;
         for piece in &received.pieces {
             for (number, bytes) in (piece.after + 1..).zip(&piece.entries) {
                 if let Ok(timed) = shorepath_placements::hash_chain::decode(number, bytes) {
@@ -417,7 +422,7 @@
         self.record_usage();
         if let QuotaMessage::Grants { holder, grants, .. } = &message {
             if *holder != self.quota_client.incarnation() {
-                return Err("for another incarnation".into());
+                return Err("message is for another incarnation".into());
             }
             for g in grants {
                 let last = self.arrivals.entry(g.budget.clone()).or_insert((0, now));
@@ -695,11 +700,19 @@
             }
             let ranges = node.held_ranges(now);
             if held & ranges != 0 {
-                let details = format!("{} and another hold ranges {:b} at {now}", node.me, held & ranges);
+                let details = format!(
+                    "node {} and another node hold the ranges with the bits {:b} at {now}",
+                    node.me,
+                    held & ranges
+                );
                 return Err(Violation::new("one holder at a time", details));
             }
             if sent & node.sent_keys != 0 {
-                let details = format!("{} and another sent {:b}", node.me, sent & node.sent_keys);
+                let details = format!(
+                    "node {} and another node sent the keys with the bits {:b}",
+                    node.me,
+                    sent & node.sent_keys
+                );
                 return Err(Violation::new("a key is placed once", details));
             }
             (held, sent) = (held | ranges, sent | node.sent_keys);
@@ -717,7 +730,7 @@
                 let held = node.ownership.held(node.local_time(now));
                 return Err(Violation::new(
                     "each range is held by its home",
-                    format!("{}: {held:?}", node.me),
+                    format!("node {} holds {held:?}", node.me),
                 ));
             }
         }
--- a/crates/mutants/src/systems/load_shifting.rs
+++ b/crates/mutants/src/systems/load_shifting.rs
@@ -36,7 +36,7 @@
 fn sites_config() -> &'static SitesConfig {
     static CONFIG: OnceLock<SitesConfig> = OnceLock::new();
     CONFIG.get_or_init(|| {
-        let mut text =
+        let mut config_text =
             String::from("(sites (fleet \"f\") (key \"k\") (confirm 400 ms) (alone 1 s) (hold 1 s)");
         for s in 0..NODES / 2 {
             let node = |n: usize| format!("(node s{s}n{n} \"10.0.{s}.{}:1\")", n + 1);
@@ -44,10 +44,11 @@
                 .iter()
                 .map(|(name, _, percent, _)| format!("(class {name} (part {percent}))"))
                 .collect();
-            text += &format!("(site s{s} (bears {CAPACITY}){}{})(lend s{s} {reserved})", node(0), node(1));
+            config_text +=
+                &format!("(site s{s} (bears {CAPACITY}){}{})(lend s{s} {reserved})", node(0), node(1));
         }
         // An invalid configuration would have no nodes, and every run would fail.
-        read("s.sexp", &(text + ")")).unwrap_or_default()
+        read("s.sexp", &(config_text + ")")).unwrap_or_default()
     })
 }
 
@@ -121,7 +122,7 @@
         }
         if let Some(k) = (0..limits.len()).find(|k| limits.get(*k) > max_remote_rates().get(*k)) {
             let details = format!(
-                "{} at {now} has limits {limits:?}, the maximum is {:?}: {k}",
+                "node {} at {now} has limits {limits:?}, the maximum is {:?}: class {k} exceeds it",
                 self.me,
                 max_remote_rates()
             );
@@ -129,16 +130,22 @@
                 .get_or_insert(Violation::new("remote limits never exceed the allocation", details));
         }
         let (extreme, rising, reversals) = self.trend;
-        let reversal = max_remote_rates().iter().sum::<u64>() / REVERSAL_DIVISOR;
+        let reversal_threshold = max_remote_rates().iter().sum::<u64>() / REVERSAL_DIVISOR;
         self.trend = match rising {
-            true if self.remote_rate + reversal <= extreme => (self.remote_rate, false, reversals + 1),
+            true if self.remote_rate + reversal_threshold <= extreme => {
+                (self.remote_rate, false, reversals + 1)
+            }
             true => (extreme.max(self.remote_rate), true, reversals),
-            false if self.remote_rate >= extreme + reversal => (self.remote_rate, true, reversals + 1),
+            false if self.remote_rate >= extreme + reversal_threshold => {
+                (self.remote_rate, true, reversals + 1)
+            }
             false => (extreme.min(self.remote_rate), false, reversals),
         };
         if self.trend.2 > MAX_REVERSALS {
-            let details =
-                format!("{} at {now} has limits {limits:?} after {} reversals", self.me, self.trend.2);
+            let details = format!(
+                "node {} at {now} has limits {limits:?}; their sum has changed direction {} times",
+                self.me, self.trend.2
+            );
             self.violation.get_or_insert(Violation::new("remote limits do not oscillate", details));
         }
     }
@@ -205,7 +212,7 @@
             seed ^ (me as u64) << 16 ^ incarnation << 32,
             now,
         );
-        // The configuration lists every node.
+        // Creation only fails for a node that is missing in the configuration, and the configuration lists every node.
         let site_health = site_health.unwrap_or_else(|e| unreachable!("{e}"));
         let (load_shifting, received) = (LoadShifting::new(SLOW_START, now), BTreeSet::new());
         let trend = (0, true, 0);
@@ -241,14 +248,18 @@
         let reserved: u64 = CLASSES.iter().map(|(_, _, percent, _)| reserved_rate(*percent)).sum();
         for node in processes.iter().flatten() {
             if node.remote_rate != reserved {
-                let details = format!("{} permits {} and not {reserved}", node.me, node.remote_rate);
+                let details = format!(
+                    "node {} allows remote requests at rate {} instead of {reserved}",
+                    node.me, node.remote_rate
+                );
                 return Err(Violation::new(
                     "only reserved capacity serves remote requests at the end",
                     details,
                 ));
             }
             if node.me < 4 && node.peak < 2 * reserved {
-                let details = format!("{} permitted {} at most", node.me, node.peak);
+                let details =
+                    format!("node {} allowed remote requests at rate {} at most", node.me, node.peak);
                 return Err(Violation::new("the load of a lost site is served", details));
             }
         }
--- a/crates/mutants/src/systems/membership.rs
+++ b/crates/mutants/src/systems/membership.rs
@@ -73,7 +73,7 @@
             {
                 return Err(Violation::new(
                     "only configured members are known",
-                    format!("{actor} knows {unexpected:?}"),
+                    format!("member {actor} knows {unexpected:?}"),
                 ));
             }
         }
@@ -88,7 +88,7 @@
                 if !matches!(state, Some(MemberState::Alive | MemberState::Suspect)) {
                     return Err(Violation::new(
                         "all members see each other alive",
-                        format!("{actor} has {other} as {state:?}"),
+                        format!("member {actor} knows member {other} as {state:?}"),
                     ));
                 }
             }
--- a/crates/mutants/src/systems/placements.rs
+++ b/crates/mutants/src/systems/placements.rs
@@ -1,7 +1,7 @@
 //! Three nodes record their placements in logs, and replicate the logs to each other by anti-entropy.
 //!
-//! The first node restarts with an older copy of its disk, learns that its peers know more of its log, and starts a new log. It places
-//! unguarded requests before that; their entries are buffered until it is known which log continues.
+//! The first node restarts with an older copy of its disk, learns that its peers know more of its log, and starts a new log. Until it
+//! knows which log it continues, it only places requests that may run more than once, and buffers their entries.
 
 use crate::change::Encoding;
 use crate::scenario::{Action, Process, Scenario};
@@ -127,9 +127,10 @@
             match placement {
                 PlacementRef::Buffered(ticket) => match numbers.get(&ticket) {
                     Some(number) => self.in_progress.push_back((PlacementRef::Written(*number), at)),
-                    None => {
-                        self.report_violation("buffered placements are written", format!("ticket {ticket}"))
-                    }
+                    None => self.report_violation(
+                        "buffered placements are written",
+                        format!("ticket {ticket} has no log entry"),
+                    ),
                 },
                 PlacementRef::Written(_) => self.in_progress.push_back((placement, at)),
             }
@@ -172,7 +173,7 @@
     /// Checks the history and the key index entry by entry, without the totals that the cores maintain.
     fn check(&mut self) {
         if let Some((writer, point)) = self.known.iter().find(|(w, p)| !self.history.knows(w, p)) {
-            let details = format!("{} knew {point:?} of {writer:?}", self.me);
+            let details = format!("node {} no longer knows {point:?} of {writer:?}", self.me);
             return self.report_violation("known entries are never lost", details);
         }
         self.known.clear();
@@ -192,15 +193,15 @@
         }
         let free = |key: &&String| self.keys.state(CLASS, key) == KeyState::Free;
         if let Some(key) = open.values().flatten().find(free) {
-            let details = format!("{} has {key} as free", self.me);
+            let details = format!("node {} reports the placed key {key} as free", self.me);
             return self.report_violation("a placed key is not free", details);
         }
         if !self.history.forks().is_empty() {
-            let details = format!("{}: {:?}", self.me, self.history.forks());
+            let details = format!("node {} knows the forks {:?}", self.me, self.history.forks());
             return self.report_violation("no log forks", details);
         }
         if self.counted != count {
-            let details = format!("{} has counted {} entries of {count}", self.me, self.counted);
+            let details = format!("node {} has counted {} entries of {count}", self.me, self.counted);
             self.report_violation("each entry counts once", details);
         }
     }
@@ -213,7 +214,7 @@
             MessageError::Changed | MessageError::History(HistoryError::Changed { .. }) => "digest mismatch",
             MessageError::History(HistoryError::Diverged { .. }) => "entries of a forked log",
             MessageError::History(HistoryError::Entry { .. }) => "unreadable entry",
-            MessageError::History(_) => "unacceptable entries",
+            MessageError::History(_) => "entries can't be added to the history",
         };
         let message = Message::decode(bytes).map_err(|e| reason(&e).to_string())?;
         if let (true, Message::Piece { piece }) = (FAULT == COUNTS_DUPLICATES, &message) {
@@ -358,14 +359,14 @@
             if !answered || (heads != [node.head] && node.head.0 > 0) {
                 return Err(Violation::new(
                     "each node knows its own log",
-                    format!("{}: peers answered {answered}, {heads:?}, {:?}", node.me, node.head),
+                    format!("node {}: all peers answered: {answered}, heads in the history: {heads:?}, own head: {:?}", node.me, node.head),
                 ));
             }
             for (writer, last) in node.history.latest_points() {
                 for number in 1..=last.0 {
                     let bytes = node.history.entry(&writer, number).and_then(|t| encode(&t).ok());
                     if bytes.as_ref() != written.get(&(writer.clone(), number)).copied() {
-                        let details = format!("entry {number} of {writer:?}");
+                        let details = format!("entry {number} of {writer:?} differs from the written one");
                         return Err(Violation::new("only written entries are known", details));
                     }
                 }
--- a/crates/mutants/src/systems/quota.rs
+++ b/crates/mutants/src/systems/quota.rs
@@ -20,7 +20,7 @@
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
 /// The budgets and their total units, the same in all configurations that contain them.
-const TOTALS: [(&str, u64); 3] = [("flight:v", 16), ("probes", 30), ("quota:a", 90)];
+const BUDGET_TOTALS: [(&str, u64); 3] = [("flight:v", 16), ("probes", 30), ("quota:a", 90)];
 const NODES: usize = 3;
 const ALLOCATORS: usize = 2;
 /// The interval at which nodes and allocators are advanced.
@@ -188,7 +188,7 @@
             let demand = |(name, total): &(&str, u64)| {
                 (*name == budget).then_some(if overload { total * 2 } else { total / 3 })
             };
-            return TOTALS.iter().find_map(demand).unwrap_or(0);
+            return BUDGET_TOTALS.iter().find_map(demand).unwrap_or(0);
         }
         let period = (now / (1_100 * MS)) as u64;
         let mixed = (self.seed ^ period << 20 ^ (n as u64) << 40 ^ (budget.len() as u64) << 50)
@@ -199,7 +199,7 @@
 
     /// Begins the requests that a node's budgets allow, and reports to its client the use over the last `span`.
     fn use_budgets(&mut self, n: usize, now: Micros, span: Micros) {
-        let demands = TOTALS.map(|(budget, _)| (budget, self.demand(n, budget, now)));
+        let demands = BUDGET_TOTALS.map(|(budget, _)| (budget, self.demand(n, budget, now)));
         let node = &mut self.nodes[n];
         node.requests.retain(|r| r.2 > now);
         let Some(client) = &mut node.client else { return };
@@ -235,7 +235,7 @@
                     let last = node.in_force.entry(c.budget.clone()).or_default();
                     if last.0 == c.in_force.0 && c.in_force.1 < last.1 {
                         let details = format!(
-                            "{} had grant {last:?} of {} in force and then {:?}",
+                            "{} had grant {last:?} of {} in force, and then the older grant {:?}",
                             node.name, c.budget, c.in_force
                         );
                         self.violation.get_or_insert(Violation::new("grant numbers never decrease", details));
@@ -277,7 +277,7 @@
                 self.outgoing.push(SentMessage { from: NODES + a, to: *to, bytes: outgoing.message.bytes() });
             }
         }
-        for (budget, _) in TOTALS {
+        for (budget, _) in BUDGET_TOTALS {
             let number = actor.allocator.state().ledger(budget).map_or(0, |l| l.last_number());
             let last = self.last_numbers.entry(budget).or_default();
             if number < *last {
@@ -339,7 +339,7 @@
             Message::Grants { holder, .. } | Message::AskAgain { holder }
                 if *holder != client.incarnation() =>
             {
-                Some("for another incarnation")
+                Some("message is for another incarnation")
             }
             Message::Ask { .. } | Message::Acknowledge { .. } | Message::Returns { .. } => {
                 Some("not a message for a node")
@@ -551,7 +551,7 @@
         if let Some(violation) = &self.violation {
             return Err(violation.clone());
         }
-        for (budget, total) in TOTALS {
+        for (budget, total) in BUDGET_TOTALS {
             let mut shares = [0; NODES];
             for (share, node) in shares.iter_mut().zip(&self.nodes) {
                 let running = |current: bool| {
--- a/crates/mutants/src/systems/site_health.rs
+++ b/crates/mutants/src/systems/site_health.rs
@@ -17,7 +17,8 @@
 const S: Micros = 1_000_000;
 const NODES: usize = 6;
 const TICK: Micros = 50 * MS;
-/// The maximum number of state changes of one site at one node: five for an outage and the return, and as many for a partition.
+/// The maximum number of state changes of one site at one node: five for an outage and the return, five for a
+/// partition, and a margin of two.
 const MAX_CHANGES: usize = 12;
 /// The time after an outage or a partition within which all sites are linked again.
 const RECOVERY_TIME: Micros = 4 * S;
@@ -25,14 +26,15 @@
 fn sites_config() -> &'static SitesConfig {
     static CONFIG: OnceLock<SitesConfig> = OnceLock::new();
     CONFIG.get_or_init(|| {
-        let mut text =
+        let mut config_text =
             String::from("(sites (fleet \"f\") (key \"k\") (confirm 400 ms) (alone 1 s) (hold 1 s)");
         for s in 0..NODES / 2 {
             let node = |n: usize| format!("(node s{s}n{n} \"10.0.{s}.{}:1\")", n + 1);
-            text += &format!("(site s{s} (bears 100) (server-prefix \"s{s}-\"){}{})", node(0), node(1));
+            config_text +=
+                &format!("(site s{s} (bears 100) (server-prefix \"s{s}-\"){}{})", node(0), node(1));
         }
         // An invalid configuration would have no nodes, and every run would fail.
-        read("s.sexp", &(text + ")")).unwrap_or_default()
+        read("s.sexp", &(config_text + ")")).unwrap_or_default()
     })
 }
 
@@ -199,7 +201,7 @@
             if let Some(unlinked) = unlinked {
                 return Err(Violation::new(
                     "all sites are linked at the end",
-                    format!("{} has {unlinked:?}", node.me),
+                    format!("node {} reports {unlinked:?}", node.me),
                 ));
             }
         }
--- a/crates/mutants/tests/custom_scenario.rs
+++ b/crates/mutants/tests/custom_scenario.rs
@@ -1,4 +1,4 @@
-//! A complete example of a scenario: three actors replicate the highest of the marks that they set.
+//! A complete example of a scenario: three actors replicate the highest of the values that they write.
 
 use serde::{Deserialize, Serialize};
 use shorepath_mutants::campaign::{run, Campaign};
@@ -8,45 +8,48 @@
 use shorepath_mutants::Micros;
 
 const MS: Micros = 1_000;
-const MARKS: u64 = 3;
+const WRITTEN_VALUES: u64 = 3;
 
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", tag = "w")]
 enum Message {
-    Mark {
+    #[serde(rename = "mark")]
+    Update {
         #[serde(rename = "life")]
         incarnation: u64,
-        mark: u64,
+        #[serde(rename = "mark")]
+        value: u64,
     },
 }
 
-/// With the fault `ACCEPTS_OLDER`, a replica accepts a mark that is lower than its own.
+/// With the fault `ACCEPTS_OLDER`, a replica accepts a value that is lower than its own.
 struct Replica<const ACCEPTS_OLDER: bool> {
     me: Actor,
     incarnation: u64,
-    mark: u64,
+    value: u64,
     next: Micros,
     outgoing: Vec<(Actor, Vec<u8>)>,
 }
 
 impl<const ACCEPTS_OLDER: bool> Process for Replica<ACCEPTS_OLDER> {
     fn receive(&mut self, _: Micros, _: Actor, bytes: &[u8]) -> Result<(), String> {
-        let Message::Mark { mark, .. } = parse_json(bytes)?;
-        if mark <= self.mark && !ACCEPTS_OLDER {
-            return Err("no higher mark".into());
+        let Message::Update { value, .. } = parse_json(bytes)?;
+        if value <= self.value && !ACCEPTS_OLDER {
+            return Err("the value is not higher than the known one".into());
         }
-        self.mark = mark;
+        self.value = value;
         Ok(())
     }
 
     fn advance(&mut self, now: Micros) {
         self.next = now + 100 * MS;
-        // The replicas set one mark each, in the order of their indices.
+        // The replicas write one value each, in the order of their indices.
         if now >= self.me as Micros * 700 * MS {
-            self.mark = self.mark.max(self.me as u64 + 1);
+            self.value = self.value.max(self.me as u64 + 1);
         }
         let message =
-            serde_json::to_vec(&Message::Mark { incarnation: self.incarnation, mark: self.mark }).unwrap();
+            serde_json::to_vec(&Message::Update { incarnation: self.incarnation, value: self.value })
+                .unwrap();
         self.outgoing.extend((0..3).filter(|o| *o != self.me).map(|o| (o, message.clone())));
     }
 
@@ -59,9 +62,9 @@
     }
 }
 
-struct HighestMark<const ACCEPTS_OLDER: bool>;
+struct HighestValue<const ACCEPTS_OLDER: bool>;
 
-impl<const ACCEPTS_OLDER: bool> Scenario for HighestMark<ACCEPTS_OLDER> {
+impl<const ACCEPTS_OLDER: bool> Scenario for HighestValue<ACCEPTS_OLDER> {
     type Process = Replica<ACCEPTS_OLDER>;
     const NAME: &'static str = "marks";
     const ENCODING: Encoding = Encoding::Json("w");
@@ -71,7 +74,7 @@
     const ACTOR_COUNT: usize = 3;
 
     fn start(_: u64, me: Actor, incarnation: u64, now: Micros) -> Self::Process {
-        Replica { me, incarnation, mark: 0, next: now, outgoing: Vec::new() }
+        Replica { me, incarnation, value: 0, next: now, outgoing: Vec::new() }
     }
 
     fn actions(_: u64) -> Vec<(Micros, Action)> {
@@ -79,20 +82,23 @@
     }
 
     fn check_invariants(processes: &[Option<Self::Process>], _: Micros) -> Result<(), Violation> {
-        let unset = processes.iter().flatten().find(|p| p.mark > MARKS);
-        unset.map_or(Ok(()), |p| {
-            Err(Violation::new("only marks that were set are known", format!("{} has {}", p.me, p.mark)))
+        let unwritten = processes.iter().flatten().find(|p| p.value > WRITTEN_VALUES);
+        unwritten.map_or(Ok(()), |p| {
+            Err(Violation::new(
+                "only written values are known",
+                format!("replica {} has value {}", p.me, p.value),
+            ))
         })
     }
 
     fn check_final_state(processes: &[Option<Self::Process>], _: Micros) -> Result<(), Violation> {
-        let all = processes.iter().flatten().all(|p| p.mark == MARKS);
-        all.then_some(()).ok_or(Violation::new("all replicas have the highest mark", ""))
+        let all = processes.iter().flatten().all(|p| p.value == WRITTEN_VALUES);
+        all.then_some(()).ok_or(Violation::new("all replicas have the highest value", ""))
     }
 
     fn forgery_exemption(_: &[u8], change: &Change, violation: &Violation) -> Option<&'static str> {
-        let forged = change.field() == "mark" && violation.rule == "only marks that were set are known";
-        forged.then_some("the mark is known only from the message")
+        let forged = change.field() == "mark" && violation.rule == "only written values are known";
+        forged.then_some("the value is known only from the message")
     }
 }
 
@@ -105,15 +111,16 @@
         kinds: Vec::new(),
         threads: 2,
     };
-    let report = run::<ScenarioSystem<HighestMark<false>>>(&campaign);
+    let report = run::<ScenarioSystem<HighestValue<false>>>(&campaign);
     assert_eq!(report.failed, 0, "{report}");
     assert!(
-        report.exempt.values().sum::<u64>() > 0 && report.rejected.contains_key("no higher mark"),
+        report.exempt.values().sum::<u64>() > 0
+            && report.rejected.contains_key("the value is not higher than the known one"),
         "{report}"
     );
     assert!(report.kinds["replayed from an earlier life"].executed > 0, "{report}");
-    // With the fault, a message that arrives late lowers the mark.
+    // With the fault, a message that arrives late lowers the value.
     let report =
-        run::<ScenarioSystem<HighestMark<true>>>(&Campaign { seeds: 0..2, authenticated: true, ..campaign });
+        run::<ScenarioSystem<HighestValue<true>>>(&Campaign { seeds: 0..2, authenticated: true, ..campaign });
     assert!(matches!(report.first, Some(f) if matches!(f.outcome, Outcome::Violated(..))));
 }
--- a/crates/mutants/tests/mutants.rs
+++ b/crates/mutants/tests/mutants.rs
@@ -35,7 +35,7 @@
     assert!(report.kinds.len() >= 17 && report.kinds.values().all(|k| k.executed > 0), "{report}");
     for reason in [
         "unreadable message",
-        "for another incarnation",
+        "message is for another incarnation",
         "no newer grant",
         "no newer request",
         "unknown grant",
--- a/crates/mutants/tests/planted_faults.rs
+++ b/crates/mutants/tests/planted_faults.rs
@@ -241,7 +241,8 @@
     >(&Change::Delayed(700 * MS), &rules, last_grants);
 }
 
-/// A new holder asks for the ends of all logs; a duplicated reply counts for the nodes behind the partition.
+/// With the planted fault, a duplicated catch-up reply counts as the replies of nodes that a partition cuts off, so that the new holder
+/// of a key range places a key again.
 #[test]
 fn catch_up_reply_that_counts_for_other_nodes_is_detected() {
     let replies = |m: &MessageRecord| {
--- a/crates/rig/src/addresses.rs
+++ b/crates/rig/src/addresses.rs
@@ -8,7 +8,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio::net::TcpSocket;
 
-/// Returns the loopback address for the children of this process; other processes get other ones.
+/// Returns the loopback address for the children of this process. It is derived from the process id, so that test clusters of
+/// concurrent processes do not share an address.
 pub fn process_loopback() -> Ipv4Addr {
     let [_, a, b, c] = std::process::id().to_be_bytes();
     Ipv4Addr::new(127, 1 + a % 250, b, c)
--- a/crates/rig/src/check.rs
+++ b/crates/rig/src/check.rs
@@ -244,7 +244,7 @@
             }
             if sum > b.total + b.slack {
                 let text = format!(
-                    "{sum} of {} in {:.3} s, of a total of {}",
+                    "{sum} units of {} were used in {:.3} s, the total is {}",
                     b.name,
                     b.window as f64 / 1e6,
                     b.total
@@ -317,7 +317,11 @@
                 let limit =
                     total as f64 * (window + expectations.burst) as f64 / 1e6 * 1.01 + processes as f64;
                 if (k - first + 1) as f64 > limit {
-                    let text = format!("{} in {} s, of {total} a second", k - first + 1, window / 1_000_000);
+                    let text = format!(
+                        "used {} times in {} s, the total is {total} a second",
+                        k - first + 1,
+                        window / 1_000_000
+                    );
                     report(*at, budget, text);
                     break;
                 }
@@ -356,7 +360,11 @@
         for (at, change) in changes {
             concurrent += change;
             if let Some(total) = greatest_total(budget, at, at).filter(|w| concurrent > *w as i64) {
-                report(at, budget, format!("{concurrent} at once{place}, of {total}"));
+                report(
+                    at,
+                    budget,
+                    format!("{concurrent} units in use concurrently{place}, the total is {total}"),
+                );
                 break;
             }
         }
--- a/crates/rig/src/history.rs
+++ b/crates/rig/src/history.rs
@@ -125,7 +125,7 @@
     /// The fleet's configuration files set a new total for a budget.
     #[serde(rename = "whole")]
     BudgetTotal {
-        /// Name of the budget.
+        /// Name of the budget in the configuration files.
         budget: String,
         /// The total over all nodes, in units of the budget.
         #[serde(rename = "whole")]
@@ -326,7 +326,7 @@
     pub event: Event,
 }
 
-/// The recorder of a run's events.
+/// Collects the events of one run, with their times since the start of the run.
 #[derive(Debug)]
 pub struct History {
     origin: Instant,
--- a/crates/rig/src/http.rs
+++ b/crates/rig/src/http.rs
@@ -111,10 +111,10 @@
             ((head.method.unwrap_or("").to_string(), head.path.unwrap_or("").to_string()), parsed)
         };
         let httparse::Status::Complete(n) = parsed else { return Ok(None) };
-        let text = |h: &httparse::Header| {
+        let decode_field = |h: &httparse::Header| {
             (h.name.to_ascii_lowercase(), String::from_utf8_lossy(h.value).into_owned())
         };
-        let fields: Vec<_> = raw.iter().take_while(|h| !h.name.is_empty()).map(text).collect();
+        let fields: Vec<_> = raw.iter().take_while(|h| !h.name.is_empty()).map(decode_field).collect();
         let message = Message { start_line, fields, body: String::new(), stream_offset: self.consumed };
         let length = message.field("content-length").map_or(Ok(0), str::parse).map_err(|_| malformed())?;
         Ok(Some((message, n, length)))
--- a/crates/rig/src/measure.rs
+++ b/crates/rig/src/measure.rs
@@ -592,7 +592,11 @@
                 self.away_until.borrow_mut()[site][client] = Instant::now() + Duration::from_secs_f64(after)
             };
             *last_reply = result.as_ref().map_or("no connection".to_string(), |a| {
-                format!("{} {}", a.start_line.1, a.field("refused-because").unwrap_or("without a reason"))
+                format!(
+                    "status {}, {}",
+                    a.start_line.1,
+                    a.field("refused-because").unwrap_or("without a reason")
+                )
             });
             let Ok(response) = result else {
                 if target == site {
@@ -642,7 +646,7 @@
         let all = self.outcomes.borrow();
         let unserved = all.iter().filter(|b| b.serving_site.is_none() && (from..to).contains(&b.at));
         unserved.for_each(|b| *counts.entry(b.last_reply.clone()).or_default() += 1);
-        counts.iter().map(|(last_reply, n)| format!("{n} {last_reply}")).collect::<Vec<_>>().join(", ")
+        counts.iter().map(|(last_reply, n)| format!("{n} times {last_reply}")).collect::<Vec<_>>().join(", ")
     }
 
     /// Returns the share of served requests over time, in steps of two seconds.
@@ -726,7 +730,7 @@
         let nodes = l.fleet.nodes.borrow().len() as f64;
         let share = time / (seconds * 1e4 * nodes);
         print_line(&format!(
-            "{name}: all linked, a node takes {share:.2}% of a core; all nodes {:.0} us a request",
+            "{name}: with all sites connected, a node uses {share:.2}% of a core, and all nodes together {:.0} us per request",
             time / rate
         ));
     }
@@ -753,21 +757,21 @@
     let others: Vec<usize> = (0..lost_site).collect();
     let what = if cut_off { "cut off" } else { "lost" };
     print_line(&format!(
-        "one of {SITE_COUNT} sites {what}, load {load}; machine {before} before, {} after",
+        "one of {SITE_COUNT} sites {what}, load {load}; load averages of the machine {before} before, {} after",
         load_average()
     ));
     for (l, unrouted) in loads.iter().zip(&unrouted) {
         let name = if l.fleet.with_sites { "with sites" } else { "without" };
         let steady = (FAULT_KNOWN, fault.1);
         print_line(&format!(
-            "  {name}: home service of the others {:.3} before, {:.3} while it is {what}, {:.3} once that is known, {:.3} after",
+            "  {name}: share of the other sites' requests served by their home site {:.3} before, {:.3} while the site is {what}, {:.3} once that is detected, {:.3} after",
             l.served(&others, BASELINE, true),
             l.served(&others, fault, true),
             l.served(&others, steady, true),
             l.served(&others, (fault.1, length - 2.0), true)
         ));
         print_line(&format!(
-            "  {name}: service of its clients {:.3} before, {:.3} meanwhile, {:.3} once known, {:.3} after",
+            "  {name}: share of the {what} site's requests served by any site {:.3} before, {:.3} while the site is {what}, {:.3} once that is detected, {:.3} after",
             l.served(&[lost_site], BASELINE, false),
             l.served(&[lost_site], fault, false),
             l.served(&[lost_site], steady, false),
@@ -777,22 +781,22 @@
         let remotely_served = l.served(&[lost_site], steady, false) * demand;
         if !cut_off && spare.min(demand) > 0.0 {
             print_line(&format!(
-                "  {name}: guests have {:.2} of what is spare and wanted",
+                "  {name}: the other sites serve {:.2} of the lost site's requests that their spare capacity allows",
                 remotely_served / spare.min(demand)
             ));
         }
-        for (when, span) in [("before", BASELINE), ("meanwhile", fault), ("after", (fault.1, length - 2.0))] {
-            print_line(&format!("  {name}: not served {when}: {}", l.unserved(span)));
+        for (when, span) in [("before", BASELINE), ("during", fault), ("after", (fault.1, length - 2.0))] {
+            print_line(&format!("  {name}: requests not served {when} the fault: {}", l.unserved(span)));
         }
         let refusals: Vec<f64> = l.outcomes.borrow().iter().flat_map(|b| b.refusals.clone()).collect();
         print_line(&format!(
-            "  {name}: an answer for which nothing is decided (404) takes ms: p50 {:.2}, p99 {:.2}",
+            "  {name}: response time of an unknown path (404) in ms: p50 {:.2}, p99 {:.2}",
             quantile(unrouted, 0.5),
             quantile(unrouted, 0.99)
         ));
         if !refusals.is_empty() {
             print_line(&format!(
-                "  {name}: {} refusals with a reason, answered in ms: p50 {:.2}, p99 {:.2}",
+                "  {name}: {} requests rejected with a reason, response time in ms: p50 {:.2}, p99 {:.2}",
                 refusals.len(),
                 quantile(&refusals, 0.5),
                 quantile(&refusals, 0.99)
@@ -808,14 +812,14 @@
             let overload_failures: u32 =
                 l.fleet.servers.iter().flatten().map(|s| s.overload_failures.get()).sum();
             print_line(&format!(
-                "  {name}: 90% of what it served at home is served there again {text} (warm-up {} s); {overload_failures} felled",
+                "  {name}: the lost site serves 90% of its baseline again {text} (warm-up {} s); {overload_failures} server failures from overload",
                 WARM_UP.as_secs()
             ));
         }
         if l.fleet.with_sites {
             for text in ["Doubtful", "Alone", "Lost", "Returning", "WholeAgain", "Linked"] {
                 let count = max_log_lines(&l.fleet, &format!(" site s{lost_site} {text} "));
-                print_line(&format!("  {name}: {text} {count} times at most at a node"));
+                print_line(&format!("  {name}: a node logs {text} {count} times at most"));
             }
             let nodes = l.fleet.nodes.borrow();
             let log = nodes[l.fleet.nodes_of(lost_site).start].log.borrow();
@@ -823,7 +827,7 @@
             for (at, line) in log.iter().filter(|l| l.1.contains("load recovery")) {
                 let text = line.split("load recovery").nth(1).unwrap_or("");
                 print_line(&format!(
-                    "    {:.1} s after the return:{text}",
+                    "    {:.1} s after the return of the site, load recovery{text}",
                     at.saturating_duration_since(fault_end).as_secs_f64()
                 ));
             }
@@ -832,8 +836,8 @@
     let series = loads.iter().flat_map(|l| {
         let name = if l.fleet.with_sites { "with sites" } else { "without" };
         [
-            l.served_series(&format!("others' own clients, {name}"), &others),
-            l.served_series(&format!("its clients, {name}"), &[lost_site]),
+            l.served_series(&format!("clients of the other sites, {name}"), &others),
+            l.served_series(&format!("clients of the {what} site, {name}"), &[lost_site]),
         ]
     });
     let plot = Plot {
@@ -891,13 +895,13 @@
         }
     }
     print_line(&format!(
-        "{count} closings at one of 5 nodes; machine {before} before, {} after",
+        "{count} closings of an account at one of 5 nodes; load averages of the machine {before} before, {} after",
         load_average()
     ));
     for (name, all) in [("each other node", &each), ("the last of them", &last)] {
-        let [p50, p99, most] = [0.5, 0.99, 1.0].map(|share| quantile(all, share));
+        let [p50, p99, maximum] = [0.5, 0.99, 1.0].map(|share| quantile(all, share));
         print_line(&format!(
-            "  {name} refuses new work after ms: p50 {p50:.1}, p99 {p99:.1}, most {most:.1} ({} times)",
+            "  {name} rejects new jobs of the account, delay in ms: p50 {p50:.1}, p99 {p99:.1}, maximum {maximum:.1} ({} samples)",
             all.len()
         ));
     }
@@ -975,18 +979,20 @@
                 }
             }
         }
-        print_line(&format!("{target}, {clients} at once, {} requests each way in {rounds} rounds; machine {before} before, {} now", durations[0].len(), load_average()));
+        print_line(&format!("{target}, {clients} concurrent clients, {} requests each with and without sites in {rounds} rounds; load averages of the machine {before} before, {} now", durations[0].len(), load_average()));
         for (k, name) in ["with sites", "without"].iter().enumerate() {
             let [low, mid, high] = [0.0, 0.5, 1.0].map(|share| quantile(&cost[k], share));
             let [p50, p99] = [0.5, 0.99].map(|share| quantile(&durations[k], share));
             let failed = durations[k].iter().filter(|t| t.is_infinite()).count();
             print_line(&format!(
-                "  {name}: {mid:.1} us of processor time a request ({low:.1} to {high:.1}); took ms p50 {p50:.3}, p99 {p99:.3}; \
-                 {failed} not served; memory grows by {:.0} bytes a request",
+                "  {name}: {mid:.1} us of processor time per request ({low:.1} to {high:.1}); response time in ms: p50 {p50:.3}, p99 {p99:.3}; \
+                 {failed} requests not served; memory grows by {:.0} bytes per request",
                 memory_growth[k]
             ));
         }
-        print_line(&format!("  another site's node takes {other_site_cost:.1} us a request meanwhile"));
+        print_line(&format!(
+            "  a node of another site uses {other_site_cost:.1} us of processor time per request meanwhile"
+        ));
     }
     let idle = Duration::from_secs(5);
     let before: Vec<f64> = fleets.iter().map(|f| usage(f, 0).0).collect();
--- a/crates/rig/src/quota_servers.rs
+++ b/crates/rig/src/quota_servers.rs
@@ -50,7 +50,7 @@
     peer_links: Vec<Vec<Option<[Link; 2]>>>,
     /// From each process to each node, for membership: numbers of the two processes, and the link.
     membership_links: Vec<(u32, u32, Link)>,
-    /// The budget lines for leases of key ranges; empty without sites. With sites nodes share no other budgets.
+    /// The lines of the budget file for the leases of key ranges. Empty without sites; with sites, the file has no other budgets.
     key_leases: String,
     /// The budget file of each process, nodes before quota servers, with its lines for the addresses of all processes.
     files: Vec<(PathBuf, String)>,
--- a/crates/rig/src/runner.rs
+++ b/crates/rig/src/runner.rs
@@ -63,7 +63,7 @@
     #[error("{0}")]
     Io(#[from] std::io::Error),
     /// A node or a quota server does not start.
-    #[error("process {node} does not start to serve; the end of its log:\n{log}")]
+    #[error("process {node} did not become ready in time; check that the programs are built, and see the end of its log:\n{log}")]
     Start {
         /// The number of the node or quota server.
         node: u32,
--- a/crates/rig/src/script.rs
+++ b/crates/rig/src/script.rs
@@ -670,10 +670,7 @@
             })
             .collect();
         if found.is_empty() {
-            form.add_error(format!(
-                "no action is given for this time; known actions: {}",
-                ACTION_NAMES.join(", ")
-            ));
+            form.add_error(format!("the entry has no known action; add one of: {}", ACTION_NAMES.join(", ")));
         }
         events.extend(found);
         form.finish();
--- a/crates/rig/src/site_checks.rs
+++ b/crates/rig/src/site_checks.rs
@@ -136,7 +136,7 @@
     all
 }
 
-/// Iterates over the chain of requests that a request repeats, the latest first.
+/// Iterates over the earlier requests that request `id` repeats under the same idempotency key or request id, the latest first.
 fn repeated_requests(all: &BTreeMap<u64, Request>, id: u64) -> impl Iterator<Item = (u64, &Request)> {
     let mut next = all.get(&id).and_then(|r| r.repeat_of);
     std::iter::from_fn(move || {
@@ -452,7 +452,7 @@
                 if !unconfirmed && overlaps(starved.get(&node), at, at) {
                     isolated_since = Some(at);
                 }
-                // A gap shorter than the timeout may go unnoticed.
+                // A node may not notice an isolation shorter than the confirmation timeout, so it still counts as connected.
                 connected_since = connected_since.filter(|_| {
                     isolated_since.is_some_and(|since| at - since < expectations.confirmation_timeout)
                 });
--- a/crates/rig/src/stubs.rs
+++ b/crates/rig/src/stubs.rs
@@ -66,7 +66,7 @@
                     let mut crashes = server.crashes.subscribe();
                     tokio::select! {
                         // A broken connection is the client's to handle.
-                        _ = server.connection(stream) => {}
+                        _ = server.serve_connection(stream) => {}
                         _ = crashes.changed() => {}
                     }
                 });
@@ -80,7 +80,7 @@
         self.crashes.send_modify(|n| *n += 1);
     }
 
-    async fn connection(&self, stream: TcpStream) -> std::io::Result<()> {
+    async fn serve_connection(&self, stream: TcpStream) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
         let (read, mut write) = stream.into_split();
         let mut reader = Reader::new(read);
@@ -247,7 +247,7 @@
                         // The sender lives as long as discovery.
                         _ = closing.wait_for(|closing| *closing) => {}
                         // An error means that the node closed the connection.
-                        _ = discovery.connection(node, stream) => {}
+                        _ = discovery.serve_connection(node, stream) => {}
                     }
                 });
             }
@@ -266,7 +266,7 @@
     }
 
     /// Waits until data may be sent to a node.
-    async fn until_unmuted(&self, node: u32) {
+    async fn wait_until_unmuted(&self, node: u32) {
         let mut muted = self.muted.borrow()[node as usize].subscribe();
         // The sender lives as long as discovery.
         let _ = muted.wait_for(|muted| !muted).await;
@@ -308,7 +308,7 @@
         json!({"revision": *self.revision.borrow(), "complete": complete, "members": members}).to_string()
     }
 
-    /// Returns the list that was last sent to a node, without servers that have left: the list that it restarts with.
+    /// Returns the server table that was last sent to a node, without servers that have left. The node restarts with this table.
     pub fn known(&self, node: u32) -> Value {
         let (reported, revision) = self.reported.borrow()[node as usize].clone();
         let own_servers = self.own_servers.borrow()[node as usize].clone();
@@ -319,7 +319,7 @@
         json!({"revision": revision, "complete": true, "members": members})
     }
 
-    async fn connection(&self, node: u32, stream: TcpStream) -> std::io::Result<()> {
+    async fn serve_connection(&self, node: u32, stream: TcpStream) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
         let (read, mut write) = stream.into_split();
         let mut reader = Reader::new(read);
@@ -333,7 +333,7 @@
                     _ = reader.next(false) => Ok(()),
                 };
             }
-            self.until_unmuted(node).await;
+            self.wait_until_unmuted(node).await;
             let servers: Vec<u32> = self.own_servers.borrow()[node as usize].clone().collect();
             let text = self.list_message(node, true, &servers);
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len());
@@ -347,7 +347,7 @@
             (from, self.revision.subscribe(), interval(HEARTBEAT_INTERVAL));
         write.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
         loop {
-            self.until_unmuted(node).await;
+            self.wait_until_unmuted(node).await;
             let revision = *revisions.borrow_and_update();
             let mut changed: Vec<u32> = self.changes.borrow().iter().skip(sent_revision).copied().collect();
             sent_revision = revision;
@@ -361,7 +361,7 @@
             tokio::select! {
                 changed = revisions.changed() => if changed.is_err() { return Ok(()) },
                 _ = heartbeat.tick() => {
-                    self.until_unmuted(node).await;
+                    self.wait_until_unmuted(node).await;
                     write.write_all(chunk("").as_bytes()).await?;
                 }
             }
--- a/crates/rig/tests/components.rs
+++ b/crates/rig/tests/components.rs
@@ -407,7 +407,10 @@
 #[case::all_nodes_ignore_the_newest_file(&["differs"], [vec![(100, file_delivered(0, 2, "closing"))], settled("good")].concat())]
 #[case::site_reported_lost(&["not-whole"], [settled("good"), vec![(9_001, reported(3, "s1", "Lost"))]].concat())]
 #[case::node_without_final_report(&["not-whole"], settled("good").into_iter().filter(|(_, w)| !matches!(w, Event::ReportedState { node: 2, .. })).collect())]
-fn accounts_and_sites_are_checked(#[case] expected_rules: &[&str], #[case] mut all: Vec<(i64, Event)>) {
+fn violations_of_account_and_site_rules_are_reported(
+    #[case] expected_rules: &[&str],
+    #[case] mut all: Vec<(i64, Event)>,
+) {
     all.sort_by_key(|(at, _)| *at);
     let sites = SiteExpectations {
         sites: 3,
@@ -624,7 +627,7 @@
 #[case::uneven_sites("(script (sites 3) (nodes 4) (servers 3))", "as many nodes and servers")]
 #[case::single_site("(script (sites 1) (nodes 4) (servers 3))", "at least two sites are needed")]
 #[case::unknown_status("(script (sites 2) (nodes 2)\n (at 1 s (account (standing shut))))", "2:")]
-#[case::no_action("(script (at 1 s))", "no action is given")]
+#[case::no_action("(script (at 1 s))", "the entry has no known action")]
 #[case::missing_unit("(script (length 5))", "unit")]
 fn an_invalid_script_is_rejected_with_the_place_and_cause(#[case] text: &str, #[case] expected: &str) {
     let errors = read("s.sexp", text).unwrap_err().to_string();
@@ -647,7 +650,10 @@
 
 async fn expect_bytes(stream: &mut TcpStream, text: &[u8]) {
     let mut received = vec![0; text.len()];
-    timeout(Duration::from_secs(5), stream.read_exact(&mut received)).await.expect("in time").unwrap();
+    timeout(Duration::from_secs(5), stream.read_exact(&mut received))
+        .await
+        .expect("no data arrived in time")
+        .unwrap();
     assert_eq!(received, text);
 }
 
@@ -692,11 +698,11 @@
         let ended = timeout(Duration::from_secs(5), near.read(&mut [0; 8])).await.unwrap();
         assert!(ended.is_err_and(|e| e.kind() == std::io::ErrorKind::ConnectionReset));
         link.change(|s| s.refuse_connections = true);
-        let refused = match TcpStream::connect(link.address).await {
+        let connection_refused = match TcpStream::connect(link.address).await {
             Ok(mut s) => timeout(Duration::from_secs(5), s.read(&mut [0; 8])).await.unwrap().is_err(),
             Err(_) => true,
         };
-        assert!(refused);
+        assert!(connection_refused);
     });
 }
 
--- a/crates/rig/tests/processes.rs
+++ b/crates/rig/tests/processes.rs
@@ -39,11 +39,11 @@
 fn rules_hold_under_random_process_faults() {
     for seed in 1..=6 {
         let history = play_without_violation(&Script::random(seed, 8_000_000, 3, 4));
-        assert!(history.matches("\"status\":200").count() > 300, "seed {seed} served too little");
+        assert!(history.matches("\"status\":200").count() > 300, "seed {seed} served too few requests");
     }
 }
 
-/// A script with each kind of fault once.
+/// Guards against rule violations under each kind of process fault, each of which occurs once in the script.
 #[test]
 fn rules_hold_under_each_kind_of_fault() {
     let text = "(script (seed 9) (length 9 s) (nodes 3) (servers 4) (rate 60)
@@ -83,7 +83,7 @@
     assert!(quota_server.exists());
     for seed in 1..=2 {
         let history = play_without_violation(&Script::random_with_quota_servers(seed, 10_000_000, 5, 4, 3));
-        assert!(history.matches("\"status\":200").count() > 150, "seed {seed} served too little");
+        assert!(history.matches("\"status\":200").count() > 150, "seed {seed} served too few requests");
     }
     let text = "(script (seed 5) (length 9 s) (nodes 3) (servers 3) (dividers 3) (rate 120)
         (at 500 ms (words (node 2) (loss 0.3) (for 3 s)))
