--- a/crates/sites/src/recovery_config.rs
+++ b/crates/sites/src/recovery_config.rs
@@ -65,7 +65,11 @@
             return None;
         };
         if !range.contains(&bytes) {
-            f.add_error(format!("({name}) lies in {} to {} bytes, not {bytes}", range.start(), range.end()));
+            f.add_error(format!(
+                "({name}) must be from {} to {} bytes, not {bytes}",
+                range.start(),
+                range.end()
+            ));
         }
         Some(bytes)
     });
--- a/crates/sites/tests/file.rs
+++ b/crates/sites/tests/file.rs
@@ -102,7 +102,7 @@
 #[case("(recover (remember 64))", "3:11: (remember) needs an integer and its unit: B, KiB, MiB, GiB")]
 #[case("(recover (remember 64 MB))", "3:11: (remember) needs a unit at its end")]
 #[case("(recover (remember 1.5 MiB))", "(remember) needs an integer, not 1.5")]
-#[case("(recover (remember 1 B))", "(remember) lies in 1024 to")]
+#[case("(recover (remember 1 B))", "(remember) must be from 1024 to")]
 #[case("(recover (remember 1 KiB) (answer 2 KiB))", "3:2: (answer) is larger than (remember)")]
 #[case("(recover (outlive 2 h))", "3:11: (outlive) must be from")]
 #[case("(recover (forget 1 s))", "forget")]
